--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -16,10 +16,10 @@
 // targetList is the list of targets that peers get.
 type targetList struct {
 	// Version is the number of the position at which the list last changed.
-	Version int64
-	Targets []targets.Target
+	Version int64            `json:"Version"`
+	Targets []targets.Target `json:"Targets"`
 	// Lapsed are missing from the list and still take work.
-	Lapsed targets.Lapsed
+	Lapsed targets.Lapsed `json:"Lapsed"`
 }
 
 func (du *duty) targetsDocument(name string) ([]byte, error) {
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -40,9 +40,9 @@
 // Lapsed is what an instance tells its peers beside its list.
 type Lapsed struct {
 	// Targets take work although their entries are missing.
-	Targets []Target
+	Targets []Target `json:"Targets"`
 	// Left is how much longer a missing entry may be the doing of the store; zero when the store is well.
-	Left time.Duration
+	Left time.Duration `json:"Left"`
 }
 
 // Trouble notes that the store could not be asked.
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -24,20 +24,20 @@
 // Target is one incarnation of a target as the store lists it.
 type Target struct {
 	// ID is unique to the incarnation and never used again.
-	ID string
+	ID string `json:"ID"`
 	// Name is what the target calls itself, which a later incarnation may bear again; empty when that is the ID.
-	Name string
+	Name string `json:"Name"`
 	// Born is when the incarnation started, by its own clock; zero when that is not told. Of two incarnations of one name the one
 	// born later is the present one.
-	Born    time.Time
-	Service string
+	Born    time.Time `json:"Born"`
+	Service string    `json:"Service"`
 	// Address is an IP address and port.
-	Address          string
-	AvailabilityZone string
+	Address          string `json:"Address"`
+	AvailabilityZone string `json:"AvailabilityZone"`
 	// Slots is how many requests it works on at a time.
-	Slots int
+	Slots int `json:"Slots"`
 	// Leaving targets take no new work.
-	Leaving bool
+	Leaving bool `json:"Leaving"`
 }
 
 // OwnName returns what the target calls itself.
