--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -20,7 +20,7 @@
 // permits answers for the issuers of all targets.
 type permits struct {
 	limited []string
-	answer  func(target string, wait time.Duration) permit.Answer
+	answer  func(target string, wait time.Duration) permit.Decision
 	asked   atomic.Int64
 }
 
@@ -34,7 +34,7 @@
 			return ratelimit.Limit{}
 		}
 		cl := permit.NewClient(time.Now, limitOf, metrics.NewSet())
-		cl.SetAsk(func(_ context.Context, rq permit.Request) (permit.Answer, error) {
+		cl.SetAsk(func(_ context.Context, rq permit.Request) (permit.Decision, error) {
 			pm.asked.Add(1)
 			time.Sleep(travel)
 			return pm.answer(rq.Target.ID, rq.Wait), nil
@@ -45,8 +45,8 @@
 }
 
 // never refuses all for a time.
-func never(again time.Duration) func(string, time.Duration) permit.Answer {
-	return func(string, time.Duration) permit.Answer { return permit.Answer{After: again} }
+func never(again time.Duration) func(string, time.Duration) permit.Decision {
+	return func(string, time.Duration) permit.Decision { return permit.Decision{After: again} }
 }
 
 func TestRequestsGoAroundTargetsWithoutPermits(t *testing.T) {
@@ -94,9 +94,9 @@
 func TestRequestWaitsForItsTurn(t *testing.T) {
 	const turn = objective / 10
 	var free time.Time
-	pm := &permits{limited: []string{id(0), id(1)}, answer: func(_ string, wait time.Duration) permit.Answer {
+	pm := &permits{limited: []string{id(0), id(1)}, answer: func(_ string, wait time.Duration) permit.Decision {
 		after := max(0, time.Until(free))
-		return permit.Answer{Granted: after <= wait, After: after}
+		return permit.Decision{Granted: after <= wait, After: after}
 	}}
 	limitedBench(t, 2, pm, func(be *bench) {
 		for name, as := range map[string]dispatch.Ask{"plain": plain(), "prompt": prompt(1000)} {
@@ -116,9 +116,9 @@
 // TestLongObjectivesBookNoTurnsFarAhead: requests that may wait for long must leave turns to those that may not.
 func TestLongObjectivesBookNoTurnsFarAhead(t *testing.T) {
 	longest := time.Duration(0)
-	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
+	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Decision {
 		longest = max(longest, wait)
-		return permit.Answer{After: 300 * time.Millisecond}
+		return permit.Decision{After: 300 * time.Millisecond}
 	}}
 	limitedBench(t, 1, pm, func(be *bench) {
 		as := plain()
@@ -131,8 +131,8 @@
 }
 
 func TestCallerThatGoesWhileItWaitsForItsTurn(t *testing.T) {
-	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
-		return permit.Answer{Granted: wait > 0, After: objective / 10}
+	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Decision {
+		return permit.Decision{Granted: wait > 0, After: objective / 10}
 	}}
 	limitedBench(t, 1, pm, func(be *bench) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -146,8 +146,8 @@
 // TestTurnThatIsMissedIsVoid: a process that was frozen must not send at once all that had waited for their turns.
 func TestTurnThatIsMissedIsVoid(t *testing.T) {
 	var frozen atomic.Int64
-	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
-		return permit.Answer{Granted: wait > 0, After: objective / 16}
+	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Decision {
+		return permit.Decision{Granted: wait > 0, After: objective / 16}
 	}}
 	limitedBench(t, 1, pm, func(be *bench) {
 		// It was refused, waits for its turn, and is frozen for longer than a turn may be late.
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -84,7 +84,7 @@
 }
 
 // ask is the permit.Ask of this instance.
-func (ps *permits) ask(ctx context.Context, rq permit.Request) (permit.Answer, error) {
+func (ps *permits) ask(ctx context.Context, rq permit.Request) (permit.Decision, error) {
 	qu := question{
 		Target: rq.Target.ID, Zone: rq.Target.AvailabilityZone, PerSecond: rq.Limit.PerSecond, WaitUS: rq.Wait.Microseconds(),
 	}
@@ -100,27 +100,27 @@
 }
 
 // askPeer puts a question to the issuer that is another instance.
-func (ps *permits) askPeer(ctx context.Context, issuer gossip.Member, qu question) (permit.Answer, error) {
+func (ps *permits) askPeer(ctx context.Context, issuer gossip.Member, qu question) (permit.Decision, error) {
 	b, err := json.Marshal(qu)
 	if err != nil {
-		return permit.Answer{}, errors.Wrap(err, "encode question")
+		return permit.Decision{}, errors.Wrap(err, "encode question")
 	}
 	b, err = ps.mesh.Ask(ctx, issuer, permitQuestion, b)
 	if err != nil {
-		return permit.Answer{}, errors.Wrap(err, "ask for permit")
+		return permit.Decision{}, errors.Wrap(err, "ask for permit")
 	}
 	var rp reply
 	if err := json.Unmarshal(b, &rp); err != nil {
-		return permit.Answer{}, errors.Wrap(err, "decode permit")
+		return permit.Decision{}, errors.Wrap(err, "decode permit")
 	}
-	return permit.Answer{Granted: rp.Granted, After: time.Duration(rp.AfterUS) * time.Microsecond}, nil
+	return permit.Decision{Granted: rp.Granted, After: time.Duration(rp.AfterUS) * time.Microsecond}, nil
 }
 
 // issue answers a question, of this instance itself or a peer. Only the issuer by this instance's own view grants anything.
-func (ps *permits) issue(qu question) permit.Answer {
+func (ps *permits) issue(qu question) permit.Decision {
 	tg := targets.Target{ID: qu.Target, AvailabilityZone: qu.Zone}
 	if ps.issuerOf(tg).Name != ps.self {
-		return permit.Answer{After: elsewhereFor}
+		return permit.Decision{After: elsewhereFor}
 	}
 	li := ps.limits.Of(qu.Target)
 	if !li.Named {
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -30,7 +30,7 @@
 }
 
 // Ask puts a request to the issuer of its target.
-type Ask func(ctx context.Context, rq Request) (Answer, error)
+type Ask func(ctx context.Context, rq Request) (Decision, error)
 
 // Client asks for permits, and remembers which targets have none to give. It is safe for use by any goroutine.
 type Client struct {
@@ -86,16 +86,16 @@
 
 // Take asks for a permit. A target without a limit needs none. One that is refused, or whose issuer gives no answer, is closed for a
 // while.
-func (cl *Client) Take(ctx context.Context, tg targets.Target, wait time.Duration) Answer {
+func (cl *Client) Take(ctx context.Context, tg targets.Target, wait time.Duration) Decision {
 	li := cl.limitOf(tg.ID)
 	if !li.Named {
-		return Answer{Granted: true}
+		return Decision{Granted: true}
 	}
 	an, err := cl.put(ctx, Request{Target: tg, Limit: li, Wait: wait})
 	switch {
 	case err != nil:
 		cl.failed.Inc()
-		an = Answer{After: unansweredFor}
+		an = Decision{After: unansweredFor}
 	case an.Granted:
 		cl.granted.Inc()
 		return an
@@ -109,12 +109,12 @@
 	return an
 }
 
-func (cl *Client) put(ctx context.Context, rq Request) (Answer, error) {
+func (cl *Client) put(ctx context.Context, rq Request) (Decision, error) {
 	cl.mu.Lock()
 	ask := cl.ask
 	cl.mu.Unlock()
 	if ask == nil {
-		return Answer{}, &NoIssuerError{}
+		return Decision{}, &NoIssuerError{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -32,7 +32,7 @@
 )
 
 // Answer is an issuer's answer.
-type Answer struct {
+type Decision struct {
 	// Granted says that a request may be sent.
 	Granted bool
 	// After is when it may be sent; of an answer that grants nothing, when to ask again.
@@ -94,7 +94,7 @@
 
 // Issue answers one that wants to send a request to a target and may wait for its turn. Share is the part of the limit that this instance
 // may give out, above zero and at most one.
-func (is *Issuer) Issue(target string, li ratelimit.Limit, share float64, wait time.Duration) Answer {
+func (is *Issuer) Issue(target string, li ratelimit.Limit, share float64, wait time.Duration) Decision {
 	is.mu.Lock()
 	defer is.mu.Unlock()
 	now := is.now()
@@ -137,16 +137,16 @@
 }
 
 // issue grants the next turn if it comes in time.
-func (fl *flow) issue(now time.Time, wait time.Duration) Answer {
+func (fl *flow) issue(now time.Time, wait time.Duration) Decision {
 	fl.due = later(fl.due, now)
 	after := max(0, fl.due.Add(-(burst-1)*fl.interval).Sub(now))
 	if after > wait {
 		// Those that were refused come back one after the other, not all for the same turn.
 		again := after + time.Duration(fl.refused)*fl.interval/2
 		fl.refused++
-		return Answer{After: min(again, max(after, askAgainMost))}
+		return Decision{After: min(again, max(after, askAgainMost))}
 	}
 	fl.due = fl.due.Add(fl.interval)
 	fl.refused = 0
-	return Answer{Granted: true, After: after}
+	return Decision{Granted: true, After: after}
 }
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func (is *issuer) ask(perSecond float64) permit.Answer {
+func (is *issuer) ask(perSecond float64) permit.Decision {
 	return is.Issue("a", ratelimit.Of(perSecond), 1, 0)
 }
 
@@ -107,7 +107,7 @@
 	is := newIssuer(t)
 	is.pass(2 * time.Second)
 	is.granted(2, 5*time.Second)
-	wait := func() permit.Answer { return is.Issue("a", ratelimit.Of(2), 1, 1200*time.Millisecond) }
+	wait := func() permit.Decision { return is.Issue("a", ratelimit.Of(2), 1, 1200*time.Millisecond) }
 	for is.ask(2).Granted {
 	}
 	first, second, third := wait(), wait(), wait()
@@ -212,8 +212,8 @@
 		take := func() bool { return cl.Take(t.Context(), tg, 0).Granted }
 		g.Expect(take()).To(BeFalse(), "nobody to ask yet")
 		time.Sleep(time.Second)
-		answer := permit.Answer{After: 300 * time.Millisecond}
-		cl.SetAsk(func(context.Context, permit.Request) (permit.Answer, error) { return answer, nil })
+		answer := permit.Decision{After: 300 * time.Millisecond}
+		cl.SetAsk(func(context.Context, permit.Request) (permit.Decision, error) { return answer, nil })
 		_, closed := cl.Closed("a")
 		g.Expect(closed).To(BeFalse())
 		g.Expect(take()).To(BeFalse())
@@ -225,9 +225,9 @@
 		g.Expect(closed).To(BeFalse(), "the limit was lifted")
 		g.Expect(take()).To(BeTrue())
 		li = ratelimit.Of(2)
-		cl.SetAsk(func(ctx context.Context, _ permit.Request) (permit.Answer, error) {
+		cl.SetAsk(func(ctx context.Context, _ permit.Request) (permit.Decision, error) {
 			<-ctx.Done()
-			return permit.Answer{}, ctx.Err()
+			return permit.Decision{}, ctx.Err()
 		})
 		began := time.Now()
 		g.Expect(take()).To(BeFalse())
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -136,7 +136,7 @@
 	in.issuer = permit.NewIssuer(time.Now)
 	book := in.book
 	in.client = permit.NewClient(time.Now, book.Of, metrics.NewSet())
-	in.client.SetAsk(func(ctx context.Context, rq permit.Request) (permit.Answer, error) { return fl.ask(ctx, in, rq) })
+	in.client.SetAsk(func(ctx context.Context, rq permit.Request) (permit.Decision, error) { return fl.ask(ctx, in, rq) })
 }
 
 // reaches reports whether two instances hear each other.
@@ -197,17 +197,17 @@
 }
 
 // ask puts a question to the issuer of a target, over links that take time and may be cut.
-func (fl *simFleet) ask(ctx context.Context, in *simInstance, rq permit.Request) (permit.Answer, error) {
+func (fl *simFleet) ask(ctx context.Context, in *simInstance, rq permit.Request) (permit.Decision, error) {
 	issuer := fl.byName[in.issuerOf(rq.Target)]
 	if issuer.no != in.no {
 		fl.travel()
 		if !fl.reaches(in, issuer) {
 			<-ctx.Done()
-			return permit.Answer{}, ctx.Err()
+			return permit.Decision{}, ctx.Err()
 		}
 	}
 	if issuer.issuerOf(rq.Target) != issuer.name {
-		return permit.Answer{After: 100 * time.Millisecond}, nil
+		return permit.Decision{After: 100 * time.Millisecond}, nil
 	}
 	theirs, known := issuer.live()
 	issuer.mu.Lock()
