--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -46,7 +46,7 @@
 
 // never refuses all for a time.
 func never(again time.Duration) func(string, time.Duration) permit.Decision {
-	return func(string, time.Duration) permit.Decision { return permit.Decision{After: again} }
+	return func(string, time.Duration) permit.Decision { return permit.Decision{Delay: again} }
 }
 
 func TestRequestsGoAroundTargetsWithoutPermits(t *testing.T) {
@@ -96,7 +96,7 @@
 	var free time.Time
 	pm := &permits{limited: []string{id(0), id(1)}, answer: func(_ string, wait time.Duration) permit.Decision {
 		after := max(0, time.Until(free))
-		return permit.Decision{Granted: after <= wait, After: after}
+		return permit.Decision{Granted: after <= wait, Delay: after}
 	}}
 	limitedBench(t, 2, pm, func(be *bench) {
 		for name, as := range map[string]dispatch.Ask{"plain": plain(), "prompt": prompt(1000)} {
@@ -118,7 +118,7 @@
 	longest := time.Duration(0)
 	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Decision {
 		longest = max(longest, wait)
-		return permit.Decision{After: 300 * time.Millisecond}
+		return permit.Decision{Delay: 300 * time.Millisecond}
 	}}
 	limitedBench(t, 1, pm, func(be *bench) {
 		as := plain()
@@ -132,7 +132,7 @@
 
 func TestCallerThatGoesWhileItWaitsForItsTurn(t *testing.T) {
 	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Decision {
-		return permit.Decision{Granted: wait > 0, After: objective / 10}
+		return permit.Decision{Granted: wait > 0, Delay: objective / 10}
 	}}
 	limitedBench(t, 1, pm, func(be *bench) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -147,7 +147,7 @@
 func TestTurnThatIsMissedIsVoid(t *testing.T) {
 	var frozen atomic.Int64
 	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Decision {
-		return permit.Decision{Granted: wait > 0, After: objective / 16}
+		return permit.Decision{Granted: wait > 0, Delay: objective / 16}
 	}}
 	limitedBench(t, 1, pm, func(be *bench) {
 		// It was refused, waits for its turn, and is frozen for longer than a turn may be late.
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -67,8 +67,8 @@
 		if !an.Granted {
 			continue
 		}
-		due := ds.opts.Now().Add(an.After)
-		if err := sleep(ctx, an.After); err != nil {
+		due := ds.opts.Now().Add(an.Delay)
+		if err := sleep(ctx, an.Delay); err != nil {
 			return as, false, err
 		}
 		if ds.opts.Now().Sub(due) < turnLateMost {
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -113,14 +113,14 @@
 	if err := json.Unmarshal(b, &rp); err != nil {
 		return permit.Decision{}, errors.Wrap(err, "decode permit")
 	}
-	return permit.Decision{Granted: rp.Granted, After: time.Duration(rp.AfterUS) * time.Microsecond}, nil
+	return permit.Decision{Granted: rp.Granted, Delay: time.Duration(rp.AfterUS) * time.Microsecond}, nil
 }
 
 // issue answers a question, of this instance itself or a peer. Only the issuer by this instance's own view grants anything.
 func (ps *permits) issue(qu question) permit.Decision {
 	tg := targets.Target{ID: qu.Target, AvailabilityZone: qu.Zone}
 	if ps.issuerOf(tg).Name != ps.self {
-		return permit.Decision{After: elsewhereFor}
+		return permit.Decision{Delay: elsewhereFor}
 	}
 	li := ps.limits.Of(qu.Target)
 	if !li.Named {
@@ -140,7 +140,7 @@
 		return nil, false
 	}
 	an := ps.issue(qu)
-	b, err := json.Marshal(reply{Granted: an.Granted, AfterUS: an.After.Microseconds()})
+	b, err := json.Marshal(reply{Granted: an.Granted, AfterUS: an.Delay.Microseconds()})
 	if err != nil {
 		ps.lg.WithError(err).Error("permit not told")
 	}
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -95,7 +95,7 @@
 	switch {
 	case err != nil:
 		cl.failed.Inc()
-		an = Decision{After: unansweredFor}
+		an = Decision{Delay: unansweredFor}
 	case an.Granted:
 		cl.granted.Inc()
 		return an
@@ -104,7 +104,7 @@
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.closed[tg.ID] = cl.now().Add(max(an.After, time.Millisecond))
+	cl.closed[tg.ID] = cl.now().Add(max(an.Delay, time.Millisecond))
 	cl.anyClosed.Store(true)
 	return an
 }
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -36,7 +36,7 @@
 	// Granted says that a request may be sent.
 	Granted bool
 	// After is when it may be sent; of an answer that grants nothing, when to ask again.
-	After time.Duration
+	Delay time.Duration
 }
 
 // flow is what was issued for one target.
@@ -144,9 +144,9 @@
 		// Those that were refused come back one after the other, not all for the same turn.
 		again := after + time.Duration(fl.refused)*fl.interval/2
 		fl.refused++
-		return Decision{After: min(again, max(after, askAgainMost))}
+		return Decision{Delay: min(again, max(after, askAgainMost))}
 	}
 	fl.due = fl.due.Add(fl.interval)
 	fl.refused = 0
-	return Decision{Granted: true, After: after}
+	return Decision{Granted: true, Delay: after}
 }
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -112,9 +112,9 @@
 	}
 	first, second, third := wait(), wait(), wait()
 	is.Expect(first.Granted && second.Granted).To(BeTrue())
-	is.Expect(second.After - first.After).To(Equal(500 * time.Millisecond))
+	is.Expect(second.Delay - first.Delay).To(Equal(500 * time.Millisecond))
 	is.Expect(third.Granted).To(BeFalse())
-	is.Expect(third.After).To(BeNumerically(">", 1200*time.Millisecond))
+	is.Expect(third.Delay).To(BeNumerically(">", 1200*time.Millisecond))
 }
 
 func TestThoseRefusedComeBackOneAfterTheOther(t *testing.T) {
@@ -127,8 +127,8 @@
 	for range 4 {
 		an := is.ask(2)
 		is.Expect(an.Granted).To(BeFalse())
-		is.Expect(an.After).To(BeNumerically(">", last))
-		last = an.After
+		is.Expect(an.Delay).To(BeNumerically(">", last))
+		last = an.Delay
 	}
 }
 
@@ -150,7 +150,7 @@
 			limit := most * rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "share of the limit")
 			wait := time.Duration(rapid.IntRange(0, 1000).Draw(rt, "wait")) * time.Millisecond
 			if an := is.Issue("a", ratelimit.Of(limit), 1, wait); an.Granted {
-				sent = append(sent, ck.now.Add(an.After))
+				sent = append(sent, ck.now.Add(an.Delay))
 			}
 		}
 		for _, first := range sent {
@@ -212,7 +212,7 @@
 		take := func() bool { return cl.Take(t.Context(), tg, 0).Granted }
 		g.Expect(take()).To(BeFalse(), "nobody to ask yet")
 		time.Sleep(time.Second)
-		answer := permit.Decision{After: 300 * time.Millisecond}
+		answer := permit.Decision{Delay: 300 * time.Millisecond}
 		cl.SetAsk(func(context.Context, permit.Request) (permit.Decision, error) { return answer, nil })
 		_, closed := cl.Closed("a")
 		g.Expect(closed).To(BeFalse())
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -207,7 +207,7 @@
 		}
 	}
 	if issuer.issuerOf(rq.Target) != issuer.name {
-		return permit.Decision{After: 100 * time.Millisecond}, nil
+		return permit.Decision{Delay: 100 * time.Millisecond}, nil
 	}
 	theirs, known := issuer.live()
 	issuer.mu.Lock()
