--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -63,7 +63,7 @@
 // issuerOf returns the instance that issues the permits of a target.
 func (ps *permits) issuerOf(tg targets.Target) gossip.Member {
 	live, cands := ps.members()
-	name := permit.Issues(cands, tg)
+	name := permit.SelectIssuer(cands, tg)
 	return live[slices.IndexFunc(live, func(mb gossip.Member) bool { return mb.Name == name })]
 }
 
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -172,14 +172,14 @@
 	live := []permit.Candidate{
 		{Name: "a", AvailabilityZone: "x"}, {Name: "b", AvailabilityZone: "x"}, {Name: "c", AvailabilityZone: "y"},
 	}
-	near := permit.Issues(live, targets.Target{ID: "t", AvailabilityZone: "y"})
+	near := permit.SelectIssuer(live, targets.Target{ID: "t", AvailabilityZone: "y"})
 	g.Expect(near).To(Equal("c"))
 	live[2].Stopping = true
-	g.Expect(permit.Issues(live, targets.Target{ID: "t", AvailabilityZone: "y"})).NotTo(Equal("c"))
-	g.Expect(permit.Issues(live[2:], targets.Target{ID: "t"})).To(Equal("c"), "there is no other")
+	g.Expect(permit.SelectIssuer(live, targets.Target{ID: "t", AvailabilityZone: "y"})).NotTo(Equal("c"))
+	g.Expect(permit.SelectIssuer(live[2:], targets.Target{ID: "t"})).To(Equal("c"), "there is no other")
 	counts := map[string]int{}
 	for no := range 1000 {
-		counts[permit.Issues(live, targets.Target{ID: string(rune(no + 'a')), AvailabilityZone: "x"})]++
+		counts[permit.SelectIssuer(live, targets.Target{ID: string(rune(no + 'a')), AvailabilityZone: "x"})]++
 	}
 	g.Expect(counts["a"]).To(BeNumerically("~", 500, 80))
 	g.Expect(counts["c"]).To(BeZero())
--- a/internal/permit/owner.go
+++ b/internal/permit/owner.go
@@ -16,7 +16,7 @@
 // Issues returns which of the live instances issues the permits of a target; an empty name when there are none. It is one of the target's
 // own availability zone as long as any lives there: those of a zone that is cut off then reach their targets and their issuers alike, and
 // nobody else reaches either. All with the same view return the same, and one instance more or less moves few targets.
-func Issues(live []Candidate, tg targets.Target) string {
+func SelectIssuer(live []Candidate, tg targets.Target) string {
 	best, name := rank{}, ""
 	for _, ca := range live {
 		rk := rank{
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -183,7 +183,7 @@
 	defer in.mu.Unlock()
 	name, known := in.issuers[tg.ID]
 	if !known {
-		name = permit.Issues(in.seen, tg)
+		name = permit.SelectIssuer(in.seen, tg)
 		in.issuers[tg.ID] = name
 	}
 	return name
@@ -247,7 +247,7 @@
 func owns(live []permit.Candidate, name string, tg *simTarget) bool {
 	left := slices.Clone(live)
 	for range min(owners, len(left)) {
-		first := permit.Issues(left, tg.Target)
+		first := permit.SelectIssuer(left, tg.Target)
 		if first == name {
 			return true
 		}
