--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -198,7 +198,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(permit.Share(tc.live, tc.known)).To(Equal(tc.want))
+			NewWithT(t).Expect(permit.LimitShare(tc.live, tc.known)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/permit/owner.go
+++ b/internal/permit/owner.go
@@ -59,7 +59,7 @@
 
 // Share is the part of a limit that an instance may give out that sees so many live instances of those that it knew a moment ago. As long
 // as it sees most of them it gives out all. Cut off from most it leaves to the others what they may be using.
-func Share(live, known int) float64 {
+func LimitShare(live, known int) float64 {
 	if 2*live > known {
 		return 1
 	}
