--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -154,7 +154,7 @@
 	for {
 		select {
 		case <-tick.C:
-			ps.issuer.Beat()
+			ps.issuer.Tick()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -70,7 +70,7 @@
 }
 
 // Beat is to be called several times a second: a longer pause shows that the process was frozen.
-func (is *Issuer) Beat() {
+func (is *Issuer) Tick() {
 	is.mu.Lock()
 	defer is.mu.Unlock()
 	now := is.now()
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -37,7 +37,7 @@
 	const beat = 100 * time.Millisecond
 	for over := is.clock.now.Add(d); is.clock.now.Before(over); {
 		is.clock.now = is.clock.now.Add(min(beat, over.Sub(is.clock.now)))
-		is.Beat()
+		is.Tick()
 	}
 }
 
@@ -145,7 +145,7 @@
 				ck.now = ck.now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(rt, "freeze")) * time.Millisecond)
 			default:
 				ck.now = ck.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(rt, "pause")) * time.Millisecond)
-				is.Beat()
+				is.Tick()
 			}
 			limit := most * rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "share of the limit")
 			wait := time.Duration(rapid.IntRange(0, 1000).Draw(rt, "wait")) * time.Millisecond
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -369,7 +369,7 @@
 	if !running {
 		return
 	}
-	is.Beat()
+	is.Tick()
 	if fl.meet(in) {
 		fl.tell(in)
 	}
