--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -30,7 +30,7 @@
 }
 
 // Ask puts a request to the issuer of its target.
-type Ask func(ctx context.Context, rq Request) (Decision, error)
+type RequestFunc func(ctx context.Context, rq Request) (Decision, error)
 
 // Client asks for permits, and remembers which targets have none to give. It is safe for use by any goroutine.
 type Client struct {
@@ -44,7 +44,7 @@
 	anyClosed atomic.Bool
 
 	mu  sync.Mutex
-	ask Ask
+	ask RequestFunc
 	// closed is when a target may be asked for again; entries in the past are removed when they are met.
 	closed map[string]time.Time
 }
@@ -60,7 +60,7 @@
 }
 
 // SetAsk sets how issuers are asked.
-func (cl *Client) SetAsk(ask Ask) { cl.mu.Lock(); defer cl.mu.Unlock(); cl.ask = ask }
+func (cl *Client) SetAsk(ask RequestFunc) { cl.mu.Lock(); defer cl.mu.Unlock(); cl.ask = ask }
 
 // Limited reports whether a target needs permits.
 func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Named }
