--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -34,7 +34,7 @@
 			return ratelimit.Limit{}
 		}
 		cl := permit.NewClient(time.Now, limitOf, metrics.NewSet())
-		cl.SetAsk(func(_ context.Context, rq permit.Request) (permit.Decision, error) {
+		cl.SetRequestFunc(func(_ context.Context, rq permit.Request) (permit.Decision, error) {
 			pm.asked.Add(1)
 			time.Sleep(travel)
 			return pm.answer(rq.Target.ID, rq.Wait), nil
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -103,7 +103,7 @@
 	du.ms = gossip.New(op)
 	du.document = du.ms.Fetch
 	du.permits = newPermits(op.Self.Name, du.ms, du.limits, du.lg)
-	pt.Permits.SetAsk(du.permits.ask)
+	pt.Permits.SetRequestFunc(du.permits.ask)
 	pt.Changed.Set(du.ms.Publish)
 	pt.Noted.Set(du.ms.PublishNotes)
 	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.Links()) })
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -60,7 +60,7 @@
 }
 
 // SetAsk sets how issuers are asked.
-func (cl *Client) SetAsk(ask RequestFunc) { cl.mu.Lock(); defer cl.mu.Unlock(); cl.ask = ask }
+func (cl *Client) SetRequestFunc(ask RequestFunc) { cl.mu.Lock(); defer cl.mu.Unlock(); cl.ask = ask }
 
 // Limited reports whether a target needs permits.
 func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Named }
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -213,7 +213,7 @@
 		g.Expect(take()).To(BeFalse(), "nobody to ask yet")
 		time.Sleep(time.Second)
 		answer := permit.Decision{Delay: 300 * time.Millisecond}
-		cl.SetAsk(func(context.Context, permit.Request) (permit.Decision, error) { return answer, nil })
+		cl.SetRequestFunc(func(context.Context, permit.Request) (permit.Decision, error) { return answer, nil })
 		_, closed := cl.Closed("a")
 		g.Expect(closed).To(BeFalse())
 		g.Expect(take()).To(BeFalse())
@@ -225,7 +225,7 @@
 		g.Expect(closed).To(BeFalse(), "the limit was lifted")
 		g.Expect(take()).To(BeTrue())
 		li = ratelimit.Of(2)
-		cl.SetAsk(func(ctx context.Context, _ permit.Request) (permit.Decision, error) {
+		cl.SetRequestFunc(func(ctx context.Context, _ permit.Request) (permit.Decision, error) {
 			<-ctx.Done()
 			return permit.Decision{}, ctx.Err()
 		})
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -136,7 +136,7 @@
 	in.issuer = permit.NewIssuer(time.Now)
 	book := in.book
 	in.client = permit.NewClient(time.Now, book.Of, metrics.NewSet())
-	in.client.SetAsk(func(ctx context.Context, rq permit.Request) (permit.Decision, error) { return fl.ask(ctx, in, rq) })
+	in.client.SetRequestFunc(func(ctx context.Context, rq permit.Request) (permit.Decision, error) { return fl.ask(ctx, in, rq) })
 }
 
 // reaches reports whether two instances hear each other.
