--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -62,7 +62,7 @@
 
 // take asks for a permit, and tells of a refusal.
 func (ds *Dispatcher) take(ctx context.Context, as Ask, tg targets.Target, wait time.Duration) permit.Decision {
-	an := ds.opts.Permits.Take(ctx, tg, wait)
+	an := ds.opts.Permits.Acquire(ctx, tg, wait)
 	if !an.Granted && ds.opts.TurnedElsewhere != nil {
 		ds.opts.TurnedElsewhere(as.Request, tg, an.Delay)
 	}
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -86,7 +86,7 @@
 
 // Take asks for a permit. A target without a limit needs none. One that is refused, or whose issuer gives no answer, is closed for a
 // while.
-func (cl *Client) Take(ctx context.Context, tg targets.Target, wait time.Duration) Decision {
+func (cl *Client) Acquire(ctx context.Context, tg targets.Target, wait time.Duration) Decision {
 	li := cl.limitOf(tg.ID)
 	if !li.Named {
 		return Decision{Granted: true}
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -209,7 +209,7 @@
 		li := ratelimit.Of(2)
 		cl := permit.NewClient(time.Now, func(string) ratelimit.Limit { return li }, metrics.NewSet())
 		tg := targets.Target{ID: "a"}
-		take := func() bool { return cl.Take(t.Context(), tg, 0).Granted }
+		take := func() bool { return cl.Acquire(t.Context(), tg, 0).Granted }
 		g.Expect(take()).To(BeFalse(), "nobody to ask yet")
 		time.Sleep(time.Second)
 		answer := permit.Decision{Delay: 300 * time.Millisecond}
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -239,7 +239,7 @@
 	case wayOwners:
 		return owns(live, in.name, tg) && is.Issue(tg.ID, li, 1/float64(min(owners, len(live))), 0).Granted
 	default:
-		return cl.Take(context.Background(), tg.Target, 0).Granted
+		return cl.Acquire(context.Background(), tg.Target, 0).Granted
 	}
 }
 
