--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -38,7 +38,7 @@
 	if ds.opts.Permits == nil || as.permitted == id {
 		return time.Time{}, false
 	}
-	if opens, closed = ds.opts.Permits.Closed(id); closed {
+	if opens, closed = ds.opts.Permits.BlockedUntil(id); closed {
 		return opens, true
 	}
 	return ds.opts.Now(), as.refusals >= permitTries && ds.opts.Permits.Limited(id)
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -66,7 +66,7 @@
 func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Named }
 
 // Closed returns when a target may be asked for again; it reports false when that is now.
-func (cl *Client) Closed(target string) (time.Time, bool) {
+func (cl *Client) BlockedUntil(target string) (time.Time, bool) {
 	if !cl.anyClosed.Load() {
 		return time.Time{}, false
 	}
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -214,14 +214,14 @@
 		time.Sleep(time.Second)
 		answer := permit.Decision{Delay: 300 * time.Millisecond}
 		cl.SetRequestFunc(func(context.Context, permit.Request) (permit.Decision, error) { return answer, nil })
-		_, closed := cl.Closed("a")
+		_, closed := cl.BlockedUntil("a")
 		g.Expect(closed).To(BeFalse())
 		g.Expect(take()).To(BeFalse())
-		at, closed := cl.Closed("a")
+		at, closed := cl.BlockedUntil("a")
 		g.Expect(closed).To(BeTrue())
 		g.Expect(time.Until(at)).To(Equal(300 * time.Millisecond))
 		li = ratelimit.Limit{}
-		_, closed = cl.Closed("a")
+		_, closed = cl.BlockedUntil("a")
 		g.Expect(closed).To(BeFalse(), "the limit was lifted")
 		g.Expect(take()).To(BeTrue())
 		li = ratelimit.Of(2)
@@ -232,7 +232,7 @@
 		began := time.Now()
 		g.Expect(take()).To(BeFalse())
 		g.Expect(time.Since(began)).To(BeNumerically("<=", 100*time.Millisecond), "an issuer that does not answer")
-		_, closed = cl.Closed("a")
+		_, closed = cl.BlockedUntil("a")
 		g.Expect(closed).To(BeTrue())
 	})
 }
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -271,7 +271,7 @@
 		in.mu.Lock()
 		cl := in.client
 		in.mu.Unlock()
-		if _, closed := cl.Closed(tg.ID); closed || !fl.mayReach(in, tg) {
+		if _, closed := cl.BlockedUntil(tg.ID); closed || !fl.mayReach(in, tg) {
 			continue
 		}
 		if fl.take(in, tg) {
