--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -37,7 +37,7 @@
 		cl.SetRequestFunc(func(_ context.Context, rq permit.Request) (permit.Decision, error) {
 			pm.asked.Add(1)
 			time.Sleep(travel)
-			return pm.answer(rq.Target.ID, rq.Wait), nil
+			return pm.answer(rq.Target.ID, rq.MaxWait), nil
 		})
 		play(newBench(t, count, append(opts, func(op *dispatch.Options) { op.Permits = cl })...))
 		time.Sleep(settle)
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -86,7 +86,7 @@
 // ask is the permit.Ask of this instance.
 func (ps *permits) ask(ctx context.Context, rq permit.Request) (permit.Decision, error) {
 	qu := question{
-		Target: rq.Target.ID, Zone: rq.Target.AvailabilityZone, PerSecond: rq.Limit.PerSecond, WaitUS: rq.Wait.Microseconds(),
+		Target: rq.Target.ID, Zone: rq.Target.AvailabilityZone, PerSecond: rq.Limit.PerSecond, WaitUS: rq.MaxWait.Microseconds(),
 	}
 	issuer := ps.issuerOf(rq.Target)
 	if issuer.Name == ps.self {
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -26,7 +26,7 @@
 	// Limit is what the instance that asks believes of the target.
 	Limit ratelimit.Limit
 	// Wait is how long the request may wait for its turn.
-	Wait time.Duration
+	MaxWait time.Duration
 }
 
 // Ask puts a request to the issuer of its target.
@@ -91,7 +91,7 @@
 	if !li.Named {
 		return Decision{Granted: true}
 	}
-	an, err := cl.put(ctx, Request{Target: tg, Limit: li, Wait: wait})
+	an, err := cl.put(ctx, Request{Target: tg, Limit: li, MaxWait: wait})
 	switch {
 	case err != nil:
 		cl.failed.Inc()
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -213,7 +213,7 @@
 	issuer.mu.Lock()
 	is := issuer.issuer
 	issuer.mu.Unlock()
-	an := is.Issue(rq.Target.ID, rq.Limit, permit.LimitShare(len(theirs), known), rq.Wait)
+	an := is.Issue(rq.Target.ID, rq.Limit, permit.LimitShare(len(theirs), known), rq.MaxWait)
 	if issuer.no != in.no {
 		fl.travel()
 	}
