--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -43,11 +43,11 @@
 	// State is Running until the result is recorded.
 	State State `json:"state"`
 	// Answer is set when State is Done.
-	Answer *Answer `json:"answer,omitempty"`
+	Answer *Response `json:"answer,omitempty"`
 }
 
 // Answer is a recorded answer.
-type Answer struct {
+type Response struct {
 	// Status is the HTTP status.
 	Status int `json:"status"`
 	// ContentType is that of the body.
@@ -95,7 +95,7 @@
 
 // Take claims a key. It returns the claim when this instance may run the request, or the recorded answer when it
 // ran before. Any error means that this call ran nothing; its outcome tells what is known of an earlier run.
-func (cs *Claims) Take(ctx context.Context, name string, body []byte) (*Claim, *Answer, error) {
+func (cs *Claims) Take(ctx context.Context, name string, body []byte) (*Claim, *Response, error) {
 	sum := sha256.Sum256(body)
 	rec := Record{Token: ident.New("claim"), Holder: cs.holder, Body: hex.EncodeToString(sum[:]), State: Running}
 	for {
@@ -120,7 +120,7 @@
 }
 
 // settle reads a claim back and decides by its token whose it is.
-func (cs *Claims) settle(ctx context.Context, name string, mine Record) (*Claim, *Answer, bool, error) {
+func (cs *Claims) settle(ctx context.Context, name string, mine Record) (*Claim, *Response, bool, error) {
 	o, err := cs.store.Get(ctx, objectstore.KindClaims, name)
 	if err != nil {
 		return nil, nil, false, nil
@@ -170,7 +170,7 @@
 }
 
 // Finish records the answer for those who ask again.
-func (cm *Claim) Finish(ctx context.Context, ans Answer) {
+func (cm *Claim) Finish(ctx context.Context, ans Response) {
 	ans.Kept = len(ans.Body) <= maxRecorded
 	if !ans.Kept {
 		ans.Body = nil
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -230,7 +230,7 @@
 	}
 	body, err := kp.store.Body(ctx, v.Record)
 	if err != nil {
-		kp.finish(settle, v, claim.Answer{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
+		kp.finish(settle, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
 		return
 	}
 	ans, err := kp.server.RunJob(ctx, serve.Job{
@@ -239,7 +239,7 @@
 	kp.finish(settle, v, ans, err, ctx.Err() != nil)
 }
 
-func (kp *keeper) finish(settle context.Context, v job.Versioned, ans claim.Answer, err error, givenBack bool) {
+func (kp *keeper) finish(settle context.Context, v job.Versioned, ans claim.Response, err error, givenBack bool) {
 	if err == nil {
 		parts, perr := kp.store.PutAnswer(settle, v.Record, ans.Body)
 		if perr != nil {
--- a/internal/serve/answer.go
+++ b/internal/serve/answer.go
@@ -35,7 +35,7 @@
 	// payloads are the events' data, for going on elsewhere.
 	payloads [][]byte
 	// record, when set, keeps all that was written.
-	record *claim.Answer
+	record *claim.Response
 }
 
 func newSink(w http.ResponseWriter) *sink {
@@ -84,7 +84,7 @@
 }
 
 // replay sends a recorded answer.
-func (sk *sink) replay(ans *claim.Answer) {
+func (sk *sink) replay(ans *claim.Response) {
 	if !ans.Kept {
 		sk.fail(failure.New(failure.KeyInUse, failure.Failed, "the request was run; its answer was too large to keep"))
 		return
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -86,7 +86,7 @@
 		return nil
 	}
 	rq.never = true
-	sk.record = &claim.Answer{}
+	sk.record = &claim.Response{}
 	err = run(ctx, rq, sk)
 	sv.settle(ctx, cl, sk.record, err)
 	return err
@@ -94,7 +94,7 @@
 
 // settle records how a request with a key ended. The record is written also when the caller is gone; when the store is
 // slow it goes on behind, so that the end of the caller's answer does not wait for it.
-func (sv *Server) settle(ctx context.Context, cl *claim.Claim, ans *claim.Answer, err error) {
+func (sv *Server) settle(ctx context.Context, cl *claim.Claim, ans *claim.Response, err error) {
 	done := make(chan struct{})
 	settled := sv.settling.Begin()
 	go func() {
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -57,23 +57,23 @@
 }
 
 // RunJob runs a job and returns its whole answer.
-func (sv *Server) RunJob(ctx context.Context, j Job) (claim.Answer, error) {
+func (sv *Server) RunJob(ctx context.Context, j Job) (claim.Response, error) {
 	rq, err := sv.jobRequest(j)
 	if err != nil {
-		return claim.Answer{}, err
+		return claim.Response{}, err
 	}
 	if err := rq.parse(); err != nil {
-		return claim.Answer{}, err
+		return claim.Response{}, err
 	}
 	size := int64(len(j.Body))
 	if !sv.Bodies.Take(size) {
-		return claim.Answer{}, failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(time.Second)
+		return claim.Response{}, failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(time.Second)
 	}
 	defer sv.Bodies.Give(size)
 	ctx, cancel := context.WithDeadline(ctx, j.Deadline)
 	defer cancel()
 	sk := newSink(&bodyWriter{header: http.Header{}})
-	sk.record = &claim.Answer{Kept: true}
+	sk.record = &claim.Response{Kept: true}
 	err = sv.run(ctx, rq, sk)
 	sv.account(rq, err)
 	return *sk.record, err
--- a/internal/serve/tickets.go
+++ b/internal/serve/tickets.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	rq.never = true
-	sk.record = &claim.Answer{Kept: true}
+	sk.record = &claim.Response{Kept: true}
 	err = run(ctx, rq, sk)
 	switch {
 	case err == nil:
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -25,7 +25,7 @@
 
 type entry struct {
 	state  state
-	answer *claim.Answer
+	answer *claim.Response
 	until  time.Time
 }
 
@@ -66,7 +66,7 @@
 }
 
 // Take honours a ticket: it returns nothing when the request may run now, or the recorded answer of its run.
-func (lg *Ledger) Take(ticket string) (*claim.Answer, error) {
+func (lg *Ledger) Take(ticket string) (*claim.Response, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
 	lg.sweep()
@@ -87,7 +87,7 @@
 }
 
 // Finish records the answer of the run.
-func (lg *Ledger) Finish(ticket string, ans claim.Answer) {
+func (lg *Ledger) Finish(ticket string, ans claim.Response) {
 	lg.set(ticket, entry{state: done, answer: &ans})
 }
 
