--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -55,7 +55,7 @@
 	// Body is whole, or nil when it was too large to keep.
 	Body []byte `json:"body"`
 	// Kept is false when the body was too large.
-	Kept bool `json:"kept"`
+	BodyKept bool `json:"kept"`
 }
 
 // Store is the part of the platform's client that claims need.
@@ -171,8 +171,8 @@
 
 // Finish records the answer for those who ask again.
 func (cm *Claim) Finish(ctx context.Context, ans Response) {
-	ans.Kept = len(ans.Body) <= maxRecorded
-	if !ans.Kept {
+	ans.BodyKept = len(ans.Body) <= maxRecorded
+	if !ans.BodyKept {
 		ans.Body = nil
 	}
 	rec := cm.record
--- a/internal/serve/answer.go
+++ b/internal/serve/answer.go
@@ -85,7 +85,7 @@
 
 // replay sends a recorded answer.
 func (sk *sink) replay(ans *claim.Response) {
-	if !ans.Kept {
+	if !ans.BodyKept {
 		sk.fail(failure.New(failure.KeyInUse, failure.Failed, "the request was run; its answer was too large to keep"))
 		return
 	}
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -73,7 +73,7 @@
 	ctx, cancel := context.WithDeadline(ctx, j.Deadline)
 	defer cancel()
 	sk := newSink(&bodyWriter{header: http.Header{}})
-	sk.record = &claim.Response{Kept: true}
+	sk.record = &claim.Response{BodyKept: true}
 	err = sv.run(ctx, rq, sk)
 	sv.account(rq, err)
 	return *sk.record, err
--- a/internal/serve/tickets.go
+++ b/internal/serve/tickets.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	rq.never = true
-	sk.record = &claim.Response{Kept: true}
+	sk.record = &claim.Response{BodyKept: true}
 	err = run(ctx, rq, sk)
 	switch {
 	case err == nil:
