--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -43,7 +43,7 @@
 	// State is Running until the result is recorded.
 	State State `json:"state"`
 	// Answer is set when State is Done.
-	Answer *Response `json:"answer,omitempty"`
+	Response *Response `json:"answer,omitempty"`
 }
 
 // Answer is a recorded answer.
@@ -135,7 +135,7 @@
 	case rec.Body != mine.Body:
 		return nil, nil, true, failure.New(failure.KeyMismatch, failure.NotRun, "the key was used for another request")
 	case rec.State == Done:
-		return nil, rec.Answer, true, nil
+		return nil, rec.Response, true, nil
 	case rec.State == Running && cs.live(rec.Holder):
 		return nil, nil, true, failure.New(failure.KeyInUse, failure.Unknown, "a request with this key is running").
 			WithRetryAfter(time.Second)
@@ -176,7 +176,7 @@
 		ans.Body = nil
 	}
 	rec := cm.record
-	rec.State, rec.Answer = Done, &ans
+	rec.State, rec.Response = Done, &ans
 	cm.write(ctx, rec)
 }
 
