--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -39,7 +39,7 @@
 	// Holder is the incarnation of the instance that runs the request.
 	Holder string `json:"holder"`
 	// Body is the digest of the request, so that a key is not used for two requests.
-	Body string `json:"body"`
+	BodyDigest string `json:"body"`
 	// State is Running until the result is recorded.
 	State State `json:"state"`
 	// Answer is set when State is Done.
@@ -97,7 +97,7 @@
 // ran before. Any error means that this call ran nothing; its outcome tells what is known of an earlier run.
 func (cs *Claims) Take(ctx context.Context, name string, body []byte) (*Claim, *Response, error) {
 	sum := sha256.Sum256(body)
-	rec := Record{Token: ident.New("claim"), Holder: cs.holder, Body: hex.EncodeToString(sum[:]), State: Running}
+	rec := Record{Token: ident.New("claim"), Holder: cs.holder, BodyDigest: hex.EncodeToString(sum[:]), State: Running}
 	for {
 		version, err := cs.store.Create(ctx, objectstore.KindClaims, name, rec)
 		if err == nil {
@@ -132,7 +132,7 @@
 	switch {
 	case rec.Token == mine.Token:
 		return &Claim{cs: cs, name: name, version: o.Version, record: mine}, nil, true, nil
-	case rec.Body != mine.Body:
+	case rec.BodyDigest != mine.BodyDigest:
 		return nil, nil, true, failure.New(failure.KeyMismatch, failure.NotRun, "the key was used for another request")
 	case rec.State == Done:
 		return nil, rec.Response, true, nil
