--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -67,7 +67,7 @@
 }
 
 // Claims makes claims for one instance.
-type Claims struct {
+type Claimer struct {
 	store  Store
 	holder string
 	live   func(incarnation string) bool
@@ -75,13 +75,13 @@
 }
 
 // New returns the claims of the instance with the given incarnation. live tells whether another one still runs.
-func New(store Store, holder string, live func(incarnation string) bool) *Claims {
-	return &Claims{store: store, holder: holder, live: live, decode: decodeRecord}
+func New(store Store, holder string, live func(incarnation string) bool) *Claimer {
+	return &Claimer{store: store, holder: holder, live: live, decode: decodeRecord}
 }
 
 // Claim is held by the one instance that runs the request.
 type Claim struct {
-	cs      *Claims
+	cs      *Claimer
 	name    string
 	version int64
 	record  Record
@@ -95,7 +95,7 @@
 
 // Take claims a key. It returns the claim when this instance may run the request, or the recorded answer when it
 // ran before. Any error means that this call ran nothing; its outcome tells what is known of an earlier run.
-func (cs *Claims) Take(ctx context.Context, name string, body []byte) (*Claim, *Response, error) {
+func (cs *Claimer) Take(ctx context.Context, name string, body []byte) (*Claim, *Response, error) {
 	sum := sha256.Sum256(body)
 	rec := Record{Token: ident.New("claim"), Holder: cs.holder, BodyDigest: hex.EncodeToString(sum[:]), State: Running}
 	for {
@@ -120,7 +120,7 @@
 }
 
 // settle reads a claim back and decides by its token whose it is.
-func (cs *Claims) settle(ctx context.Context, name string, mine Record) (*Claim, *Response, bool, error) {
+func (cs *Claimer) settle(ctx context.Context, name string, mine Record) (*Claim, *Response, bool, error) {
 	o, err := cs.store.Get(ctx, objectstore.KindClaims, name)
 	if err != nil {
 		return nil, nil, false, nil
@@ -146,7 +146,7 @@
 }
 
 // abandon takes back a claim whose creation was never answered. Nothing was sent for it.
-func (cs *Claims) abandon(name string, mine Record) {
+func (cs *Claimer) abandon(name string, mine Record) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -167,7 +167,7 @@
 
 // askRepeatedly asks with one key until the instance dies, and returns how often it got the recorded answer and how
 // often it was refused.
-func askRepeatedly(t *testing.T, fs *faultyStore, wo *world, cs *Claims, holder string) (replays, refusals int64) {
+func askRepeatedly(t *testing.T, fs *faultyStore, wo *world, cs *Claimer, holder string) (replays, refusals int64) {
 	const asks = 3
 	for range asks {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -53,7 +53,7 @@
 	Bundles     *rollout.Holder
 	Retries     *budget.Retries
 	Bodies      *budget.Memory
-	Claims      *claim.Claims
+	Claims      *claim.Claimer
 	Tickets     *ticket.Ledger
 	Burn        *burn.Recorder
 	Canceller   *cancel.Canceller
