--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -95,7 +95,7 @@
 
 // Take claims a key. It returns the claim when this instance may run the request, or the recorded answer when it
 // ran before. Any error means that this call ran nothing; its outcome tells what is known of an earlier run.
-func (cs *Claimer) Take(ctx context.Context, name string, body []byte) (*Claim, *Response, error) {
+func (cs *Claimer) Acquire(ctx context.Context, name string, body []byte) (*Claim, *Response, error) {
 	sum := sha256.Sum256(body)
 	rec := Record{Token: ident.New("claim"), Holder: cs.holder, BodyDigest: hex.EncodeToString(sum[:]), State: Running}
 	for {
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -171,7 +171,7 @@
 	const asks = 3
 	for range asks {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-		cl, ans, err := cs.Take(ctx, "key", []byte("body"))
+		cl, ans, err := cs.Acquire(ctx, "key", []byte("body"))
 		cancel()
 		var fe *failure.Error
 		switch {
