--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -170,7 +170,7 @@
 }
 
 // Finish records the answer for those who ask again.
-func (cm *Claim) Finish(ctx context.Context, ans Response) {
+func (cm *Claim) Complete(ctx context.Context, ans Response) {
 	ans.BodyKept = len(ans.Body) <= maxRecorded
 	if !ans.BodyKept {
 		ans.Body = nil
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -187,7 +187,7 @@
 			if dies {
 				return replays, refusals
 			}
-			cl.Finish(t.Context(), Response{Status: 200, Body: []byte("done")})
+			cl.Complete(t.Context(), Response{Status: 200, Body: []byte("done")})
 		case ans != nil:
 			replays++
 			if string(ans.Body) != "done" || wo.ran() != 1 {
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -104,7 +104,7 @@
 		defer cancel()
 		switch {
 		case err == nil:
-			cl.Finish(ctx, *ans)
+			cl.Complete(ctx, *ans)
 		case failure.Of(err).Outcome == failure.NotRun:
 			cl.Release(ctx)
 		default:
