--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -181,7 +181,7 @@
 }
 
 // Lose records that the result is not known.
-func (cm *Claim) Lose(ctx context.Context) {
+func (cm *Claim) MarkLost(ctx context.Context) {
 	rec := cm.record
 	rec.State = Lost
 	cm.write(ctx, rec)
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -108,7 +108,7 @@
 		case failure.Of(err).Outcome == failure.NotRun:
 			cl.Release(ctx)
 		default:
-			cl.Lose(ctx)
+			cl.MarkLost(ctx)
 		}
 	}()
 	select {
