--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -88,7 +88,7 @@
 }
 
 // Name returns the object name for an organisation's key.
-func Name(organisation, key string) string {
+func ObjectName(organisation, key string) string {
 	sum := sha256.Sum256([]byte(organisation + "\x00" + key))
 	return hex.EncodeToString(sum[:])
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -77,7 +77,7 @@
 }
 
 func (sv *Server) withKey(ctx context.Context, key string, rq *request, sk *sink, run runFunc) error {
-	cl, ans, err := sv.Claims.Acquire(ctx, claim.Name(rq.org.Name, rq.path+"\x00"+key), rq.body)
+	cl, ans, err := sv.Claims.Acquire(ctx, claim.ObjectName(rq.org.Name, rq.path+"\x00"+key), rq.body)
 	if err != nil {
 		return err
 	}
--- a/internal/session/stop_test.go
+++ b/internal/session/stop_test.go
@@ -182,7 +182,7 @@
 func claimOf(t *testing.T, lf *localfleet.Fleet, key string) claim.Record {
 	t.Helper()
 	g := NewWithT(t)
-	o, ok := lf.Store.Object(objectstore.KindClaims, claim.Name("tywi", valvePath+"\x00"+key))
+	o, ok := lf.Store.Object(objectstore.KindClaims, claim.ObjectName("tywi", valvePath+"\x00"+key))
 	g.Expect(ok).To(BeTrue())
 	var rec claim.Record
 	g.Expect(json.Unmarshal(o.Value, &rec)).To(Succeed())
