--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -97,7 +97,7 @@
 	if len(copies) == 0 {
 		return
 	}
-	if err := gv.lease.Try(ctx); err != nil {
+	if err := gv.lease.TryAcquireOrRenew(ctx); err != nil {
 		gv.log.WithError(err).Warn("lease not renewed")
 	}
 	epoch, held := gv.lease.Held(callTimeout + margin)
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -58,7 +58,7 @@
 }
 
 // Try renews the lease, or takes it when its holder has not renewed it for its whole time as this instance saw it.
-func (ls *Lease) Try(ctx context.Context) error {
+func (ls *Lease) TryAcquireOrRenew(ctx context.Context) error {
 	began := ls.now()
 	o, err := ls.store.Get(ctx, objectstore.KindLeases, ls.name)
 	var missing *objectstore.NotFoundError
