--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -75,7 +75,7 @@
 
 func (gw *Gateway) endLife(rq *request, sk *sink, fe *failure.Error) {
 	from := rq.life.State
-	err := gw.machine.End(&rq.life, fe.Outcome == failure.NotRun && !sk.Started())
+	err := gw.machine.Abort(&rq.life, fe.Outcome == failure.NotRun && !sk.Started())
 	gw.states.move(from, rq.life.State)
 	if err != nil {
 		gw.Log.WithError(err).WithField("request", rq.RequestID).Error("life of the request broken")
--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -107,7 +107,7 @@
 
 // End closes the life of a request that got no whole answer. notRun says that nothing of it was run or answered. It does
 // not depend on the caller, who may have gone.
-func (mc *Machine) End(rec *Record, notRun bool) error {
+func (mc *Machine) Abort(rec *Record, notRun bool) error {
 	if notRun || rec.State == Received {
 		return mc.Fire(context.Background(), rec, Refuse)
 	}
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -85,10 +85,10 @@
 			for _, tr := range tc.triggers {
 				g.Expect(mc.Fire(t.Context(), &rec, tr)).To(Succeed())
 			}
-			g.Expect(mc.End(&rec, tc.notRun)).To(Succeed())
+			g.Expect(mc.Abort(&rec, tc.notRun)).To(Succeed())
 			g.Expect(rec.State).To(Equal(tc.want))
 			var te *TransitionError
-			g.Expect(errors.As(mc.End(&rec, tc.notRun), &te)).To(BeTrue(), "a life ends once")
+			g.Expect(errors.As(mc.Abort(&rec, tc.notRun), &te)).To(BeTrue(), "a life ends once")
 		})
 	}
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -212,7 +212,7 @@
 // end closes the life of a request that gets no whole answer, and says what is known.
 func (sv *Server) end(rq *request, sk *sink, fe *failure.Error) error {
 	notRun := fe.Outcome == failure.NotRun
-	if err := sv.machine.End(&rq.life, notRun && !sk.Started()); err != nil {
+	if err := sv.machine.Abort(&rq.life, notRun && !sk.Started()); err != nil {
 		return err
 	}
 	if notRun && sk.Started() {
