--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -295,7 +295,7 @@
 	mine, _ := to.rd.dr.ChangedAt()
 	switch {
 	case at.After(mine):
-		if at.Restored(mine) {
+		if at.RestoredSince(mine) {
 			to.rd.dr.Restored(at.Era, heard)
 		}
 		_, list := from.rd.dr.Listed()
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -76,7 +76,7 @@
 		// Meanwhile the store told more.
 		return
 	}
-	if at.Restored(mine) {
+	if at.RestoredSince(mine) {
 		lg.Warn("store came back from an older copy, as a peer tells")
 		du.dr.Restored(at.Era, nw.evidence)
 	}
--- a/internal/position/position.go
+++ b/internal/position/position.go
@@ -27,7 +27,9 @@
 func (po Position) IsZero() bool { return po == Position{} }
 
 // Restored reports whether the store came back from an older copy between an earlier position, if any is known, and this one.
-func (po Position) Restored(earlier Position) bool { return !earlier.IsZero() && po.Era > earlier.Era }
+func (po Position) RestoredSince(earlier Position) bool {
+	return !earlier.IsZero() && po.Era > earlier.Era
+}
 
 // Number returns the position as one number in the same order, as instances tell each other. Before the first return it is the
 // revision alone, which an instance of an earlier build tells and expects.
--- a/internal/position/position_test.go
+++ b/internal/position/position_test.go
@@ -26,7 +26,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			g.Expect(tc.at.After(tc.other)).To(Equal(tc.after))
-			g.Expect(tc.at.Restored(tc.other)).To(Equal(tc.restored))
+			g.Expect(tc.at.RestoredSince(tc.other)).To(Equal(tc.restored))
 		})
 	}
 }
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -109,7 +109,7 @@
 			case "peer":
 				from, told := drs[(to+1)%instances].Listed()
 				under = append(under, answer{to, func(dr *targets.Directory) {
-					if mine, _ := dr.ChangedAt(); from.Restored(mine) {
+					if mine, _ := dr.ChangedAt(); from.RestoredSince(mine) {
 						dr.Restored(from.Era, evidence)
 					}
 					dr.TakeTold(told, targets.Lapsed{}, from, evidence)
