--- a/internal/duty/members/fetch_test.go
+++ b/internal/duty/members/fetch_test.go
@@ -60,7 +60,7 @@
 	dr.TakeChanges([]targets.Entry{{Name: "goes", Gone: true}}, position.Position{Revision: 480}, time.Now())
 	at := position.Position{Era: 1, Revision: 300}
 	list, err := json.Marshal(targetList{
-		Version: at.Number(), Targets: []targets.Target{{ID: "stays"}, {ID: "left", Leaving: true}, {ID: "goes"}},
+		Version: at.Pack(), Targets: []targets.Target{{ID: "stays"}, {ID: "left", Leaving: true}, {ID: "goes"}},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	du := newDuty()
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -25,7 +25,7 @@
 func (du *duty) targetsDocument(name string) ([]byte, error) {
 	var tl targetList
 	at, list := du.dr.Listed()
-	tl.Version, tl.Targets = at.Number(), list
+	tl.Version, tl.Targets = at.Pack(), list
 	tl.Lapsed = du.dr.Lapsed()
 	if name == nameDocument {
 		tl.Targets = withoutIncarnations(tl.Targets)
--- a/internal/position/position.go
+++ b/internal/position/position.go
@@ -33,7 +33,7 @@
 
 // Number returns the position as one number in the same order, as instances tell each other. Before the first return it is the
 // revision alone, which an instance of an earlier build tells and expects.
-func (po Position) Number() int64 { return po.Era<<revisionBits | po.Revision }
+func (po Position) Pack() int64 { return po.Era<<revisionBits | po.Revision }
 
 // Of returns the position that Number gave a number of.
 func Of(number int64) Position {
--- a/internal/position/position_test.go
+++ b/internal/position/position_test.go
@@ -40,8 +40,8 @@
 			}
 		}
 		a, b := draw("a"), draw("b")
-		g.Expect(position.Of(a.Number())).To(Equal(a))
-		g.Expect(a.After(b)).To(Equal(a.Number() > b.Number()))
-		g.Expect(position.Position{Revision: a.Revision}.Number()).To(Equal(a.Revision), "before the first return it is the revision alone")
+		g.Expect(position.Of(a.Pack())).To(Equal(a))
+		g.Expect(a.After(b)).To(Equal(a.Pack() > b.Pack()))
+		g.Expect(position.Position{Revision: a.Revision}.Pack()).To(Equal(a.Revision), "before the first return it is the revision alone")
 	})
 }
