--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -70,7 +70,7 @@
 		lg.WithError(err).Error("peer's list of targets cannot be read")
 		return
 	}
-	at := position.Of(tl.Version)
+	at := position.Unpack(tl.Version)
 	mine, _ := du.dr.ChangedAt()
 	if nw.at.After(at) || !at.After(mine) {
 		// Meanwhile the store told more.
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -50,7 +50,7 @@
 		return State{
 			Configuration: rapid.Int64().Draw(t, "configuration"),
 			ProofAge:      time.Duration(rapid.Int64().Draw(t, "proof age")),
-			Targets:       position.Of(rapid.Int64().Draw(t, "targets")),
+			Targets:       position.Unpack(rapid.Int64().Draw(t, "targets")),
 			TargetsAge:    time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "targets age")).Truncate(time.Millisecond),
 			Leaving:       rapid.SliceOfN(genID(), 0, 6).Draw(t, "leaving"),
 			Loads:         rapid.MapOfN(genID(), genLoad(), 0, 6).Draw(t, "loads"),
--- a/internal/position/position.go
+++ b/internal/position/position.go
@@ -36,6 +36,6 @@
 func (po Position) Pack() int64 { return po.Era<<revisionBits | po.Revision }
 
 // Of returns the position that Number gave a number of.
-func Of(number int64) Position {
+func Unpack(number int64) Position {
 	return Position{Era: number >> revisionBits, Revision: number & (1<<revisionBits - 1)}
 }
--- a/internal/position/position_test.go
+++ b/internal/position/position_test.go
@@ -40,7 +40,7 @@
 			}
 		}
 		a, b := draw("a"), draw("b")
-		g.Expect(position.Of(a.Pack())).To(Equal(a))
+		g.Expect(position.Unpack(a.Pack())).To(Equal(a))
 		g.Expect(a.After(b)).To(Equal(a.Pack() > b.Pack()))
 		g.Expect(position.Position{Revision: a.Revision}.Pack()).To(Equal(a.Revision), "before the first return it is the revision alone")
 	})
