--- a/internal/pending/pending.go
+++ b/internal/pending/pending.go
@@ -14,16 +14,16 @@
 
 // Count is the number of pieces of work that have begun and not ended. The zero value is ready, and it is safe for use by any
 // goroutine; unlike a sync.WaitGroup it may grow while somebody waits.
-type Count struct{ n atomic.Int64 }
+type Counter struct{ n atomic.Int64 }
 
 // Begin notes that a piece of work begins. end notes its end, and is called once.
-func (ct *Count) Begin() (end func()) {
+func (ct *Counter) Begin() (end func()) {
 	ct.n.Add(1)
 	return func() { ct.n.Add(-1) }
 }
 
 // Wait waits until no work is left. It fails when ctx ends before.
-func (ct *Count) Wait(ctx context.Context) error {
+func (ct *Counter) Wait(ctx context.Context) error {
 	tick := time.NewTicker(look)
 	defer tick.Stop()
 	for ct.n.Load() > 0 {
--- a/internal/pending/pending_test.go
+++ b/internal/pending/pending_test.go
@@ -29,7 +29,7 @@
 				g := NewWithT(t)
 				// The work of every case has ended by then.
 				defer time.Sleep(time.Minute)
-				var ct pending.Count
+				var ct pending.Counter
 				begin(&ct, tc.work)
 				ctx, cancel := context.WithTimeout(t.Context(), tc.patient)
 				defer cancel()
@@ -45,7 +45,7 @@
 }
 
 // begin begins the first piece of work; each piece begins the next before it ends.
-func begin(ct *pending.Count, work []time.Duration) {
+func begin(ct *pending.Counter, work []time.Duration) {
 	if len(work) == 0 {
 		return
 	}
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -87,7 +87,7 @@
 	Hold time.Duration
 	Log  log.Interface
 	// releasing counts the orders that give memory back, up to their first end.
-	releasing pending.Count
+	releasing pending.Counter
 }
 
 // Released waits until all memory that was released is given back at targets that answer. An instance that ends before would
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -86,7 +86,7 @@
 	giveUp   context.CancelCauseFunc
 	inFlight atomic.Int64
 	// settling counts the results that are being recorded, also behind answers that have ended.
-	settling pending.Count
+	settling pending.Counter
 
 	mu sync.Mutex
 	// byOrganisation counts requests in flight; entries at zero are removed.
