--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -13,116 +13,122 @@
 )
 
 const (
-	// askTimeout bounds the wait for an issuer's answer: many round trips between availability zones, and a small part of the shortest
-	// objective.
-	askTimeout = 100 * time.Millisecond
-	// unansweredFor is how long a target is closed whose issuer did not answer: four times until a lost instance is taken for lost.
-	unansweredFor = 500 * time.Millisecond
+	// requestTimeout bounds the wait for an issuer's decision. It allows for many round trips between availability zones, and is a small part
+	// of the shortest objective.
+	requestTimeout = 100 * time.Millisecond
+	// unansweredBlock is how long a target is blocked after its issuer did not answer: a quarter of the time after which a silent instance is
+	// considered lost.
+	unansweredBlock = 500 * time.Millisecond
 )
 
-// Request asks for a permit.
+// Request is a request for a permit.
 type Request struct {
 	Target targets.Target
-	// Limit is what the instance that asks believes of the target.
+	// Limit is the rate limit of the target as known to the requesting instance.
 	Limit ratelimit.Limit
-	// Wait is how long the request may wait for its turn.
+	// MaxWait is how long the request may wait for a permit to become available.
 	MaxWait time.Duration
 }
 
-// Ask puts a request to the issuer of its target.
+// RequestFunc sends a request for a permit to the issuer of the target, and returns its decision.
 type RequestFunc func(ctx context.Context, rq Request) (Decision, error)
 
-// Client asks for permits, and remembers which targets have none to give. It is safe for use by any goroutine.
+// Client requests permits, and remembers which targets have none available. It is safe for concurrent use.
 type Client struct {
-	now     func() time.Time
-	limitOf func(target string) ratelimit.Limit
-	granted *metrics.Counter
-	refused *metrics.Counter
-	failed  *metrics.Counter
-
-	// anyClosed is set while closed has entries: a choice among all targets of a fleet without limits takes no lock for each.
-	anyClosed atomic.Bool
-
-	mu  sync.Mutex
-	ask RequestFunc
-	// closed is when a target may be asked for again; entries in the past are removed when they are met.
-	closed map[string]time.Time
+	now        func() time.Time
+	limitOf    func(target string) ratelimit.Limit
+	granted    *metrics.Counter
+	refused    *metrics.Counter
+	unanswered *metrics.Counter
+
+	// anyBlocked is set while blockedUntil has entries. It spares the lock for each target when no target of the fleet is limited.
+	anyBlocked atomic.Bool
+
+	mu      sync.Mutex
+	request RequestFunc
+	// blockedUntil holds the earliest time for the next request by target. Expired entries are removed when they are looked up.
+	blockedUntil map[string]time.Time
 }
 
-// NewClient returns a client that knows limits by a function. Until SetAsk is called it gets no permit.
+// NewClient returns a client that looks up the rate limits of targets with limitOf. It acquires no permits of limited targets until
+// SetRequestFunc is called.
 func NewClient(now func() time.Time, limitOf func(target string) ratelimit.Limit, ms *metrics.Set) *Client {
 	return &Client{
-		now: now, limitOf: limitOf, closed: map[string]time.Time{},
-		granted: ms.GetOrCreateCounter("silvermount_permits_granted_total"),
-		refused: ms.GetOrCreateCounter("silvermount_permits_refused_total"),
-		failed:  ms.GetOrCreateCounter("silvermount_permits_unanswered_total"),
+		now: now, limitOf: limitOf, blockedUntil: map[string]time.Time{},
+		granted:    ms.GetOrCreateCounter("silvermount_permits_granted_total"),
+		refused:    ms.GetOrCreateCounter("silvermount_permits_refused_total"),
+		unanswered: ms.GetOrCreateCounter("silvermount_permits_unanswered_total"),
 	}
 }
 
-// SetAsk sets how issuers are asked.
-func (cl *Client) SetRequestFunc(ask RequestFunc) { cl.mu.Lock(); defer cl.mu.Unlock(); cl.ask = ask }
+// SetRequestFunc sets the function that sends requests to issuers.
+func (cl *Client) SetRequestFunc(request RequestFunc) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.request = request
+}
 
-// Limited reports whether a target needs permits.
+// Limited reports whether requests to a target need permits.
 func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Named }
 
-// Closed returns when a target may be asked for again; it reports false when that is now.
+// BlockedUntil returns when the next permit of a target may be requested. It reports false if one may be requested now.
 func (cl *Client) BlockedUntil(target string) (time.Time, bool) {
-	if !cl.anyClosed.Load() {
+	if !cl.anyBlocked.Load() {
 		return time.Time{}, false
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	at, closed := cl.closed[target]
-	if !closed {
+	until, blocked := cl.blockedUntil[target]
+	if !blocked {
 		return time.Time{}, false
 	}
-	if !cl.now().Before(at) || !cl.limitOf(target).Named {
-		delete(cl.closed, target)
-		cl.anyClosed.Store(len(cl.closed) > 0)
+	if !cl.now().Before(until) || !cl.limitOf(target).Named {
+		delete(cl.blockedUntil, target)
+		cl.anyBlocked.Store(len(cl.blockedUntil) > 0)
 		return time.Time{}, false
 	}
-	return at, true
+	return until, true
 }
 
-// Take asks for a permit. A target without a limit needs none. One that is refused, or whose issuer gives no answer, is closed for a
-// while.
-func (cl *Client) Acquire(ctx context.Context, tg targets.Target, wait time.Duration) Decision {
+// Acquire requests a permit. A target without a rate limit needs none. A target is blocked for a while if its issuer refuses the permit or
+// does not answer.
+func (cl *Client) Acquire(ctx context.Context, tg targets.Target, maxWait time.Duration) Decision {
 	li := cl.limitOf(tg.ID)
 	if !li.Named {
 		return Decision{Granted: true}
 	}
-	an, err := cl.put(ctx, Request{Target: tg, Limit: li, MaxWait: wait})
+	dc, err := cl.sendRequest(ctx, Request{Target: tg, Limit: li, MaxWait: maxWait})
 	switch {
 	case err != nil:
-		cl.failed.Inc()
-		an = Decision{Delay: unansweredFor}
-	case an.Granted:
+		cl.unanswered.Inc()
+		dc = Decision{Delay: unansweredBlock}
+	case dc.Granted:
 		cl.granted.Inc()
-		return an
+		return dc
 	default:
 		cl.refused.Inc()
 	}
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.closed[tg.ID] = cl.now().Add(max(an.Delay, time.Millisecond))
-	cl.anyClosed.Store(true)
-	return an
+	cl.blockedUntil[tg.ID] = cl.now().Add(max(dc.Delay, time.Millisecond))
+	cl.anyBlocked.Store(true)
+	return dc
 }
 
-func (cl *Client) put(ctx context.Context, rq Request) (Decision, error) {
+func (cl *Client) sendRequest(ctx context.Context, rq Request) (Decision, error) {
 	cl.mu.Lock()
-	ask := cl.ask
+	request := cl.request
 	cl.mu.Unlock()
-	if ask == nil {
+	if request == nil {
 		return Decision{}, &NoIssuerError{}
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	return ask(ctx, rq)
+	return request(ctx, rq)
 }
 
-// NoIssuerError says that nobody can be asked yet.
+// NoIssuerError reports that SetRequestFunc has not been called yet.
 type NoIssuerError struct{}
 
-// Error says so.
-func (*NoIssuerError) Error() string { return "no issuer of permits is known" }
+// Error implements the error interface.
+func (*NoIssuerError) Error() string { return "no permit issuer is known yet" }
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -1,8 +1,9 @@
-// Package permit bounds how many requests a target gets from all instances together.
+// Package permit enforces the rate limit of a target across all instances.
 //
-// Each target that names a rate limit has one instance that issues permits for it, chosen alike by all from those that are live. Whoever
-// wants to send a request there asks the issuer first. So the bound is kept in one place, however many instances there are, and any of
-// them may use all of it. An issuer begins with nothing to give, so that a change of issuer is no burst.
+// For each target that declares a rate limit, one instance issues permits. All instances select this issuer from the live instances by the
+// same rule. An instance that wants to send a request to the target first requests a permit from the issuer. The limit is thus enforced in
+// one place regardless of the number of instances, and any instance may use all of it. A new issuer starts with no permits available, so
+// that a change of issuer does not cause a burst.
 package permit
 
 import (
@@ -13,101 +14,102 @@
 )
 
 const (
-	// burst is how many permits may be issued at once after a pause: one more than a steady flow needs, so that a permit that is
-	// asked for a moment late is not lost.
+	// burst is the maximum number of permits issued at once after a pause: one more than a steady rate needs, so that a permit requested
+	// slightly late is not lost.
 	burst = 2
-	// leastPerSecond is the rate for targets that name less, or nothing at all: one request in ten seconds, by which an instance learns
-	// when they take more again.
-	leastPerSecond = 0.1
-	// holdAfter is how long nothing is issued after a start or a freeze: instances find each other within it, and another one may issue
-	// permits until they do.
-	holdAfter = time.Second
-	// frozenAfter is the time between two beats from which the process counts as having been frozen: several beats.
-	frozenAfter = time.Second
-	// askAgainMost bounds the time after which a refused instance may ask again, unless even the next turn comes later: limits change, and
-	// others that were refused may not come back.
-	askAgainMost = 2 * time.Second
-	// forgetAfter is how long a target is remembered for which nobody asks: longer than the pause between two permits of the lowest rate.
-	forgetAfter = 30 * time.Second
+	// minPerSecond is the rate applied to targets that declare a lower one, or none at all. One request in ten seconds lets an instance learn
+	// when the target accepts more again.
+	minPerSecond = 0.1
+	// holdDuration is how long no permits are issued after a start or a freeze of the process. Instances discover each other within it, and
+	// until they do, another instance may be issuing permits for the same target.
+	holdDuration = time.Second
+	// maxTickGap is the time between two ticks, equal to several tick intervals, above which the process counts as having been frozen.
+	maxTickGap = time.Second
+	// maxRetryDelay bounds the delay after which a refused instance may ask again, unless the next permit is due even later: limits change,
+	// and other refused instances may not come back.
+	maxRetryDelay = 2 * time.Second
+	// idleRetention is how long the state of a target is kept after the last request for a permit. It exceeds the interval between two
+	// permits at the minimum rate.
+	idleRetention = 30 * time.Second
 )
 
-// Answer is an issuer's answer.
+// Decision is an issuer's response to a request for a permit.
 type Decision struct {
-	// Granted says that a request may be sent.
+	// Granted reports whether the request may be sent.
 	Granted bool
-	// After is when it may be sent; of an answer that grants nothing, when to ask again.
+	// Delay is the time to wait before sending if the permit is granted, and before asking again if it is refused.
 	Delay time.Duration
 }
 
-// flow is what was issued for one target.
-type flow struct {
-	// due is when the next permit would be issued in a steady flow. It may lie in the future by the turns that wait.
-	due time.Time
-	// interval is the time between two permits in a steady flow, above zero.
+// pacer spaces the permits of one target with the generic cell rate algorithm (GCRA).
+type pacer struct {
+	// tat is the theoretical arrival time, when the next permit is due at a steady rate. Permits granted in advance move it into the future.
+	tat time.Time
+	// interval is the time between two permits at a steady rate, above zero.
 	interval time.Duration
-	// refused counts those that were refused since the last permit.
-	refused int
-	// asked is when somebody asked last.
-	asked time.Time
+	// refusals counts the requests refused since the last permit was granted.
+	refusals int
+	// lastRequest is when a permit was last requested.
+	lastRequest time.Time
 }
 
-// Issuer issues permits. It is safe for use by any goroutine.
+// Issuer issues the permits of the targets that this instance is responsible for. It is safe for concurrent use.
 type Issuer struct {
 	now func() time.Time
 
-	mu    sync.Mutex
-	flows map[string]flow
-	// heldUntil is when permits are issued again after a start or a freeze.
-	heldUntil time.Time
-	// beat is when Beat was last called.
-	beat time.Time
+	mu     sync.Mutex
+	pacers map[string]pacer
+	// holdUntil is the earliest time at which a permit may be used after a start or a freeze.
+	holdUntil time.Time
+	// lastTick is when Tick was last called, or a freeze was detected.
+	lastTick time.Time
 }
 
-// NewIssuer returns an issuer; now is the steady clock.
+// NewIssuer returns an issuer that reads the time from a monotonic clock.
 func NewIssuer(now func() time.Time) *Issuer {
 	at := now()
-	return &Issuer{now: now, flows: map[string]flow{}, heldUntil: at.Add(holdAfter), beat: at}
+	return &Issuer{now: now, pacers: map[string]pacer{}, holdUntil: at.Add(holdDuration), lastTick: at}
 }
 
-// Beat is to be called several times a second: a longer pause shows that the process was frozen.
+// Tick must be called several times a second; a longer gap shows that the process was frozen. It also evicts idle targets.
 func (is *Issuer) Tick() {
 	is.mu.Lock()
 	defer is.mu.Unlock()
 	now := is.now()
-	is.awake(now)
-	is.beat = now
-	for target, fl := range is.flows {
-		if now.Sub(fl.asked) > forgetAfter {
-			delete(is.flows, target)
+	is.holdAfterFreeze(now)
+	is.lastTick = now
+	for target, pc := range is.pacers {
+		if now.Sub(pc.lastRequest) > idleRetention {
+			delete(is.pacers, target)
 		}
 	}
 }
 
-// awake holds permits back after a freeze: meanwhile another instance has taken over. The lock is held.
-func (is *Issuer) awake(now time.Time) {
-	if now.Sub(is.beat) > frozenAfter {
-		is.heldUntil = now.Add(holdAfter)
-		is.beat = now
-		clear(is.flows)
+// holdAfterFreeze withholds permits if the process was frozen, since another instance took over in the meantime. The lock must be held.
+func (is *Issuer) holdAfterFreeze(now time.Time) {
+	if now.Sub(is.lastTick) > maxTickGap {
+		is.holdUntil = now.Add(holdDuration)
+		is.lastTick = now
+		clear(is.pacers)
 	}
 }
 
-// Issue answers one that wants to send a request to a target and may wait for its turn. Share is the part of the limit that this instance
-// may give out, above zero and at most one.
+// Issue decides on a request for a permit of a target, which may be delayed by up to wait. Share is the fraction of the limit that this
+// instance may issue, above zero and at most one.
 func (is *Issuer) Issue(target string, li ratelimit.Limit, share float64, wait time.Duration) Decision {
 	is.mu.Lock()
 	defer is.mu.Unlock()
 	now := is.now()
-	is.awake(now)
-	fl, known := is.flows[target]
+	is.holdAfterFreeze(now)
+	pc, known := is.pacers[target]
 	if !known {
-		fl = newFlow(later(now, is.heldUntil), interval(li, share))
+		pc = newPacer(later(now, is.holdUntil), permitInterval(li, share))
 	}
-	fl = fl.withInterval(now, interval(li, share))
-	fl.asked = now
-	an := fl.issue(now, max(wait, 0))
-	is.flows[target] = fl
-	return an
+	pc = pc.withInterval(now, permitInterval(li, share))
+	pc.lastRequest = now
+	dc := pc.issue(now, max(wait, 0))
+	is.pacers[target] = pc
+	return dc
 }
 
 func later(a, b time.Time) time.Time {
@@ -117,36 +119,37 @@
 	return b
 }
 
-// interval is the time between two permits in a steady flow.
-func interval(li ratelimit.Limit, share float64) time.Duration {
-	return time.Duration(float64(time.Second) / (max(leastPerSecond, li.PerSecond) * share))
+// permitInterval returns the time between two permits at a steady rate.
+func permitInterval(li ratelimit.Limit, share float64) time.Duration {
+	return time.Duration(float64(time.Second) / (max(minPerSecond, li.PerSecond) * share))
 }
 
-// newFlow returns a flow that begins empty.
-func newFlow(from time.Time, interval time.Duration) flow {
-	return flow{due: from.Add(burst * interval), interval: interval}
+// newPacer returns a pacer with no permits available at the given time.
+func newPacer(from time.Time, interval time.Duration) pacer {
+	return pacer{tat: from.Add(burst * interval), interval: interval}
 }
 
-// withInterval returns the flow at another rate: it owes as many permits as before.
-func (fl flow) withInterval(now time.Time, interval time.Duration) flow {
-	if owed := fl.due.Sub(now); owed > 0 && interval != fl.interval {
-		fl.due = now.Add(time.Duration(float64(owed) * float64(interval) / float64(fl.interval)))
+// withInterval returns the pacer with a new interval. It scales the time until the theoretical arrival time, so that the number of permits
+// granted in advance stays the same.
+func (pc pacer) withInterval(now time.Time, interval time.Duration) pacer {
+	if ahead := pc.tat.Sub(now); ahead > 0 && interval != pc.interval {
+		pc.tat = now.Add(time.Duration(float64(ahead) * float64(interval) / float64(pc.interval)))
 	}
-	fl.interval = interval
-	return fl
+	pc.interval = interval
+	return pc
 }
 
-// issue grants the next turn if it comes in time.
-func (fl *flow) issue(now time.Time, wait time.Duration) Decision {
-	fl.due = later(fl.due, now)
-	after := max(0, fl.due.Add(-(burst-1)*fl.interval).Sub(now))
-	if after > wait {
-		// Those that were refused come back one after the other, not all for the same turn.
-		again := after + time.Duration(fl.refused)*fl.interval/2
-		fl.refused++
-		return Decision{Delay: min(again, max(after, askAgainMost))}
+// issue grants the next permit if it becomes available within wait.
+func (pc *pacer) issue(now time.Time, wait time.Duration) Decision {
+	pc.tat = later(pc.tat, now)
+	delay := max(0, pc.tat.Add(-(burst-1)*pc.interval).Sub(now))
+	if delay > wait {
+		// Consecutive refusals get increasing delays, so that the refused instances do not all come back for the same permit.
+		retryDelay := delay + time.Duration(pc.refusals)*pc.interval/2
+		pc.refusals++
+		return Decision{Delay: min(retryDelay, max(delay, maxRetryDelay))}
 	}
-	fl.due = fl.due.Add(fl.interval)
-	fl.refused = 0
-	return Decision{Granted: true, Delay: after}
+	pc.tat = pc.tat.Add(pc.interval)
+	pc.refusals = 0
+	return Decision{Granted: true, Delay: delay}
 }
