--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -18,71 +18,73 @@
 	"github.com/silvermount/silvermount/internal/objectstore"
 )
 
-// faultyStore is one claim object whose writes can be refused or lose their answers. Its lock orders its steps.
+// faultyStore holds one claim object. Its reads and writes may fail, and its writes may take effect although the response is lost.
 type faultyStore struct {
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	step    chan struct{}
+	mu  sync.Mutex
+	rnd *rand.Rand
+	// sem serialises the calls.
+	sem     chan struct{}
 	version int64
 	value   []byte
-	// faults is the share of calls that go wrong.
-	faults float64
+	// faultRate is the probability of a fault at each point where one may be injected.
+	faultRate float64
 }
 
-func (fs *faultyStore) draw(n int) int {
+func (fs *faultyStore) intN(n int) int {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	return fs.rnd.IntN(n)
 }
 
-func (fs *faultyStore) fails() bool { return float64(fs.draw(100)) < 100*fs.faults }
+func (fs *faultyStore) injectFault() bool { return float64(fs.intN(100)) < 100*fs.faultRate }
 
-// world is what really happened.
-type world struct {
+// groundTruth records which instances died and how often the request ran.
+type groundTruth struct {
 	mu   sync.Mutex
 	dead map[string]bool
 	runs int
 }
 
-func (wo *world) alive(holder string) bool {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	return !wo.dead[holder]
+func (gt *groundTruth) isLive(holder string) bool {
+	gt.mu.Lock()
+	defer gt.mu.Unlock()
+	return !gt.dead[holder]
 }
 
-func (wo *world) kill(holder string) {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.dead[holder] = true
+func (gt *groundTruth) kill(holder string) {
+	gt.mu.Lock()
+	defer gt.mu.Unlock()
+	gt.dead[holder] = true
 }
 
-func (wo *world) run() {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	wo.runs++
+func (gt *groundTruth) recordRun() {
+	gt.mu.Lock()
+	defer gt.mu.Unlock()
+	gt.runs++
 }
 
-func (wo *world) ran() int {
-	wo.mu.Lock()
-	defer wo.mu.Unlock()
-	return wo.runs
+func (gt *groundTruth) runCount() int {
+	gt.mu.Lock()
+	defer gt.mu.Unlock()
+	return gt.runs
 }
 
-func (fs *faultyStore) lock(ctx context.Context) error {
-	time.Sleep(time.Duration(fs.draw(20)) * time.Millisecond)
+// begin waits a random time for the network and then for other calls to end. It fails if ctx ends during the first wait.
+func (fs *faultyStore) begin(ctx context.Context) error {
+	time.Sleep(time.Duration(fs.intN(20)) * time.Millisecond)
 	if ctx.Err() != nil {
 		return &objectstore.UnavailableError{Cause: ctx.Err()}
 	}
-	fs.step <- struct{}{}
+	fs.sem <- struct{}{}
 	return nil
 }
 
 func (fs *faultyStore) get(ctx context.Context, kind, name string) (objectstore.Object, error) {
-	if err := fs.lock(ctx); err != nil {
+	if err := fs.begin(ctx); err != nil {
 		return objectstore.Object{}, err
 	}
-	defer func() { <-fs.step }()
-	if fs.fails() {
+	defer func() { <-fs.sem }()
+	if fs.injectFault() {
 		return objectstore.Object{}, &objectstore.UnavailableError{Cause: context.DeadlineExceeded}
 	}
 	if fs.value == nil {
@@ -91,13 +93,13 @@
 	return objectstore.Object{Name: name, Version: fs.version, Value: fs.value}, nil
 }
 
-// write applies a conditional write, or not, and answers, or not.
+// write makes a conditional write. An injected fault makes it fail before or after it takes effect.
 func (fs *faultyStore) write(ctx context.Context, name string, want int64, value []byte) (int64, error) {
-	if err := fs.lock(ctx); err != nil {
+	if err := fs.begin(ctx); err != nil {
 		return 0, err
 	}
-	defer func() { <-fs.step }()
-	if fs.fails() {
+	defer func() { <-fs.sem }()
+	if fs.injectFault() {
 		return 0, &objectstore.UnknownError{Cause: context.DeadlineExceeded}
 	}
 	have := fs.version
@@ -109,7 +111,7 @@
 	}
 	fs.version++
 	fs.value = value
-	if fs.fails() {
+	if fs.injectFault() {
 		return 0, &objectstore.UnknownError{Cause: context.DeadlineExceeded}
 	}
 	return fs.version, nil
@@ -133,68 +135,68 @@
 	}
 }
 
-// TestKeyRunsAtMostOnceOverManySeeds has three instances asked with one key, again and again, while the store fails in a
-// third of all calls and instances die before or after the run.
-func TestKeyRunsAtMostOnceOverManySeeds(t *testing.T) {
+// TestIdempotencyKeyRunsAtMostOnceUnderFaults guards against a request that runs twice. Three instances repeatedly receive a
+// request with the same key, while store operations fail with a probability of a third and instances die before or after the run.
+func TestIdempotencyKeyRunsAtMostOnceUnderFaults(t *testing.T) {
 	const seeds, instances = 1500, 3
 	var ran, replayed, refused atomic.Int64
 	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
-			fs := &faultyStore{rnd: rand.New(rand.NewPCG(seed, 1)), step: make(chan struct{}, 1), faults: 0.33}
-			wo := &world{dead: map[string]bool{}}
+			fs := &faultyStore{rnd: rand.New(rand.NewPCG(seed, 1)), sem: make(chan struct{}, 1), faultRate: 0.33}
+			gt := &groundTruth{dead: map[string]bool{}}
 			var wg sync.WaitGroup
 			for i := range instances {
 				holder := fmt.Sprintf("inst-%d", i)
 				wg.Go(func() {
-					replays, refusals := askRepeatedly(t, fs, wo, New(fs.store(), holder, wo.alive), holder)
+					replays, refusals := claimRepeatedly(t, fs, gt, New(fs.store(), holder, gt.isLive), holder)
 					replayed.Add(replays)
 					refused.Add(refusals)
 				})
 			}
 			wg.Wait()
-			if wo.ran() > 1 {
-				t.Errorf("seed %d: ran %d times", seed, wo.ran())
+			if gt.runCount() > 1 {
+				t.Errorf("seed %d: ran %d times", seed, gt.runCount())
 			}
-			ran.Add(int64(wo.ran()))
+			ran.Add(int64(gt.runCount()))
 		})
 	}
 	g := NewWithT(t)
-	g.Expect(ran.Load()).To(BeNumerically(">", seeds/2), "the test runs requests at all")
+	g.Expect(ran.Load()).To(BeNumerically(">", seeds/2), "more than half of the seeds run the request")
 	g.Expect(replayed.Load()).To(BeNumerically(">", 0))
 	g.Expect(refused.Load()).To(BeNumerically(">", 0))
 	t.Logf("%d seeds: %d ran, %d replays, %d refusals", seeds, ran.Load(), replayed.Load(), refused.Load())
 }
 
-// askRepeatedly asks with one key until the instance dies, and returns how often it got the recorded answer and how
-// often it was refused.
-func askRepeatedly(t *testing.T, fs *faultyStore, wo *world, cs *Claimer, holder string) (replays, refusals int64) {
-	const asks = 3
-	for range asks {
+// claimRepeatedly makes up to three requests with the same key until the instance dies. It returns how many got the recorded
+// response and how many were refused.
+func claimRepeatedly(t *testing.T, fs *faultyStore, gt *groundTruth, cm *Claimer, holder string) (replays, refusals int64) {
+	const attempts = 3
+	for range attempts {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
-		cl, ans, err := cs.Acquire(ctx, "key", []byte("body"))
+		cl, resp, err := cm.Acquire(ctx, "key", []byte("body"))
 		cancel()
 		var fe *failure.Error
 		switch {
 		case cl != nil:
-			dies := fs.draw(6) == 0
+			dies := fs.intN(6) == 0
 			if dies {
-				wo.kill(holder)
+				gt.kill(holder)
 			}
-			if dies && fs.draw(2) == 0 {
+			if dies && fs.intN(2) == 0 {
 				return replays, refusals
 			}
-			wo.run()
+			gt.recordRun()
 			if dies {
 				return replays, refusals
 			}
 			cl.Complete(t.Context(), Response{Status: 200, Body: []byte("done")})
-		case ans != nil:
+		case resp != nil:
 			replays++
-			if string(ans.Body) != "done" || wo.ran() != 1 {
-				t.Errorf("replayed %q after %d runs", ans.Body, wo.ran())
+			if string(resp.Body) != "done" || gt.runCount() != 1 {
+				t.Errorf("replayed %q after %d runs", resp.Body, gt.runCount())
 			}
 		case !errors.As(err, &fe):
-			t.Errorf("no failure: %v", err)
+			t.Errorf("error is not a failure.Error: %v", err)
 		default:
 			refusals++
 		}
--- a/internal/claim/decode.go
+++ b/internal/claim/decode.go
@@ -9,6 +9,6 @@
 )
 
 func decodeRecord(o objectstore.Object) (Record, error) {
-	var r Record
-	return r, errors.Wrap(json.Unmarshal(o.Value, &r), "decode claim")
+	var rec Record
+	return rec, errors.Wrap(json.Unmarshal(o.Value, &rec), "decode claim record")
 }
