--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -17,7 +17,7 @@
 
 func (ck *clock) now() time.Duration { return ck.at }
 
-func pair(t *testing.T) (a, b *Lease, ck *clock, st *platformsim.Store) {
+func newLeases(t *testing.T) (a, b *Lease, ck *clock, st *platformsim.Store) {
 	t.Helper()
 	st = platformsim.New()
 	sr := httptest.NewServer(st.Handler())
@@ -27,35 +27,36 @@
 	return New(client, "orders-a", "inst-a", ttl, ck.now), New(client, "orders-a", "inst-b", ttl, ck.now), ck, st
 }
 
-// TestNeverTwoHolders steps two instances through pauses of every length around the lease's time.
-func TestNeverTwoHolders(t *testing.T) {
+// TestAtMostOneHolderAfterPause guards against two instances holding the lease at the same time, after pauses of the holder
+// shorter than, equal to and longer than its ttl.
+func TestAtMostOneHolderAfterPause(t *testing.T) {
 	for _, pause := range []time.Duration{ttl / 2, ttl - 1, ttl, ttl + 1, 3 * ttl} {
 		t.Run(pause.String(), func(t *testing.T) {
 			g := NewWithT(t)
-			a, b, ck, _ := pair(t)
+			a, b, ck, _ := newLeases(t)
 			g.Expect(a.TryAcquireOrRenew(t.Context())).To(Succeed())
 			first, ok := a.Held(0)
 			g.Expect(ok).To(BeTrue())
 			g.Expect(b.TryAcquireOrRenew(t.Context())).To(Succeed())
 			ck.at += pause
 			g.Expect(b.TryAcquireOrRenew(t.Context())).To(Succeed())
-			second, taken := b.Held(0)
-			_, kept := a.Held(0)
-			g.Expect(taken && kept).To(BeFalse(), "the paused holder sees by its own clock that its time is over")
-			g.Expect(taken).To(Equal(pause > ttl))
-			if taken {
+			second, heldByB := b.Held(0)
+			_, heldByA := a.Held(0)
+			g.Expect(heldByB && heldByA).To(BeFalse(), "the paused holder detects the expiry by its own clock")
+			g.Expect(heldByB).To(Equal(pause > ttl))
+			if heldByB {
 				g.Expect(second).To(BeNumerically(">", first))
 				g.Expect(a.TryAcquireOrRenew(t.Context())).To(Succeed())
-				_, again := a.Held(0)
-				g.Expect(again).To(BeFalse())
+				_, reacquired := a.Held(0)
+				g.Expect(reacquired).To(BeFalse())
 			}
 		})
 	}
 }
 
-func TestLostAnswerIsNoHold(t *testing.T) {
+func TestLeaseNotHeldAfterLostResponse(t *testing.T) {
 	g := NewWithT(t)
-	a, _, _, st := pair(t)
+	a, _, _, st := newLeases(t)
 	st.LoseAnswers(1)
 	g.Expect(a.TryAcquireOrRenew(t.Context())).NotTo(Succeed())
 	_, ok := a.Held(0)
