--- a/internal/life/life.go
+++ b/internal/life/life.go
@@ -1,4 +1,4 @@
-// Package life is the state machine of one request. One configured machine serves all requests; each request
+// Package life implements the state machine of the request lifecycle. All requests share one configured machine, and each request
 // keeps its own state in a Record.
 package life
 
@@ -9,7 +9,7 @@
 	"github.com/qmuntal/stateless"
 )
 
-// State is where a request stands.
+// State is the lifecycle state of a request.
 type State int
 
 // The states of a request. Finished, Refused and Failed are final.
@@ -25,59 +25,59 @@
 
 var stateNames = [...]string{"received", "waiting", "dispatched", "streaming", "finished", "refused", "failed"}
 
-// String returns the lower-case name.
+// String returns the name of the state in lower case.
 func (st State) String() string { return stateNames[st] }
 
-// Trigger is what happens to a request.
+// Trigger is an event that moves a request from one state to another.
 type Trigger int
 
-// The triggers.
+// The triggers of state transitions.
 const (
-	// Admit lets a request wait for room.
+	// Admit puts a request into the queue for capacity.
 	Admit Trigger = iota
-	// Dispatch sends an attempt to a target.
+	// Dispatch marks that an attempt is sent to a target.
 	Dispatch
-	// FirstToken is the first part of an answer passed on.
+	// FirstToken marks that the first part of a response is forwarded to the caller.
 	FirstToken
-	// Retry takes a request back to wait for another target.
+	// Retry puts a request back into the queue for another target.
 	Retry
-	// Finish is a whole answer passed on.
+	// Finish marks that the complete response has been forwarded.
 	Finish
-	// Refuse ends a request that nothing was sent of.
+	// Refuse ends a request that did not run.
 	Refuse
-	// Fail ends a request that was sent.
+	// Fail ends a request that may have run.
 	Fail
 )
 
-// Record is the state of one request. It is used by one goroutine.
+// Record holds the state of one request. It is not safe for concurrent use.
 type Record struct {
-	// State is changed by Machine.Fire only.
+	// State must be changed only by Machine.Fire and Machine.Abort.
 	State State
-	// Attempts counts dispatches.
+	// Attempts is the number of times the request was dispatched.
 	Attempts int
 }
 
-// TransitionError says that a trigger is not allowed in a state.
+// TransitionError reports a trigger that is not allowed in the current state.
 type TransitionError struct {
 	State   State
 	Trigger Trigger
 	Cause   error
 }
 
-// Error names the state.
-func (te *TransitionError) Error() string { return "no such transition from " + te.State.String() }
+// Error implements the error interface.
+func (te *TransitionError) Error() string { return "trigger not allowed in state " + te.State.String() }
 
-// Unwrap returns the library's error.
+// Unwrap returns the error of the state machine library.
 func (te *TransitionError) Unwrap() error { return te.Cause }
 
 type recordKey struct{}
 
-// Machine is the configured machine. It is safe for use by any goroutine.
+// Machine is the state machine shared by all requests. It is safe for concurrent use.
 type Machine struct {
 	sm *stateless.StateMachine
 }
 
-// New returns the machine that all requests share.
+// New returns a configured state machine.
 func New() *Machine {
 	sm := stateless.NewStateMachineWithExternalStorage(load, store, stateless.FiringImmediate)
 	configure(sm)
@@ -105,8 +105,9 @@
 	sm.Configure(Failed)
 }
 
-// End closes the life of a request that got no whole answer. notRun says that nothing of it was run or answered. It does
-// not depend on the caller, who may have gone.
+// Abort ends a request that got no complete response. It moves the request to Refused if notRun states that nothing of it ran or
+// was answered, or if the request was not admitted yet, and to Failed otherwise. It takes no context, because it must also work
+// after the caller has disconnected.
 func (mc *Machine) Abort(rec *Record, notRun bool) error {
 	if notRun || rec.State == Received {
 		return mc.Fire(context.Background(), rec, Refuse)
@@ -114,7 +115,7 @@
 	return mc.Fire(context.Background(), rec, Fail)
 }
 
-// Fire moves a request on.
+// Fire applies a trigger to a request.
 func (mc *Machine) Fire(ctx context.Context, rec *Record, tr Trigger) error {
 	from := rec.State
 	if err := mc.sm.FireCtx(context.WithValue(ctx, recordKey{}, rec), tr); err != nil {
--- a/internal/life/life_test.go
+++ b/internal/life/life_test.go
@@ -9,18 +9,18 @@
 	"github.com/qmuntal/stateless"
 )
 
-func TestMachine(t *testing.T) {
+func TestMachineTransitions(t *testing.T) {
 	tests := map[string]struct {
 		triggers []Trigger
 		want     State
 		wantErr  bool
 	}{
-		"whole answer":              {triggers: []Trigger{Admit, Dispatch, FirstToken, Finish}, want: Finished},
-		"retry then answer":         {triggers: []Trigger{Admit, Dispatch, Retry, Dispatch, Finish}, want: Finished},
-		"refused before dispatch":   {triggers: []Trigger{Admit, Refuse}, want: Refused},
-		"continue after break":      {triggers: []Trigger{Admit, Dispatch, FirstToken, Retry, Dispatch}, want: Dispatched},
-		"stream cannot be refused":  {triggers: []Trigger{Admit, Dispatch, FirstToken, Refuse}, want: Streaming, wantErr: true},
-		"no dispatch when finished": {triggers: []Trigger{Admit, Dispatch, Finish, Dispatch}, want: Finished, wantErr: true},
+		"complete response":       {triggers: []Trigger{Admit, Dispatch, FirstToken, Finish}, want: Finished},
+		"response after retry":    {triggers: []Trigger{Admit, Dispatch, Retry, Dispatch, Finish}, want: Finished},
+		"refusal before dispatch": {triggers: []Trigger{Admit, Refuse}, want: Refused},
+		"retry while streaming":   {triggers: []Trigger{Admit, Dispatch, FirstToken, Retry, Dispatch}, want: Dispatched},
+		"refusal while streaming": {triggers: []Trigger{Admit, Dispatch, FirstToken, Refuse}, want: Streaming, wantErr: true},
+		"dispatch when finished":  {triggers: []Trigger{Admit, Dispatch, Finish, Dispatch}, want: Finished, wantErr: true},
 	}
 	mc := New()
 	for name, tc := range tests {
@@ -64,18 +64,18 @@
 	}
 }
 
-func TestEnd(t *testing.T) {
+func TestAbort(t *testing.T) {
 	tests := map[string]struct {
 		triggers []Trigger
 		notRun   bool
 		want     State
 	}{
-		"before admission":            {want: Refused},
-		"found no target":             {triggers: []Trigger{Admit}, notRun: true, want: Refused},
-		"no target after an attempt":  {triggers: []Trigger{Admit, Dispatch, Retry}, want: Failed},
-		"every target left it alone":  {triggers: []Trigger{Admit, Dispatch}, notRun: true, want: Refused},
-		"broke off before the answer": {triggers: []Trigger{Admit, Dispatch}, want: Failed},
-		"broke off in the answer":     {triggers: []Trigger{Admit, Dispatch, FirstToken}, want: Failed},
+		"before admission":           {want: Refused},
+		"not run while waiting":      {triggers: []Trigger{Admit}, notRun: true, want: Refused},
+		"waiting for a retry":        {triggers: []Trigger{Admit, Dispatch, Retry}, want: Failed},
+		"not run after dispatch":     {triggers: []Trigger{Admit, Dispatch}, notRun: true, want: Refused},
+		"failure before first token": {triggers: []Trigger{Admit, Dispatch}, want: Failed},
+		"failure while streaming":    {triggers: []Trigger{Admit, Dispatch, FirstToken}, want: Failed},
 	}
 	mc := New()
 	for name, tc := range tests {
@@ -88,7 +88,7 @@
 			g.Expect(mc.Abort(&rec, tc.notRun)).To(Succeed())
 			g.Expect(rec.State).To(Equal(tc.want))
 			var te *TransitionError
-			g.Expect(errors.As(mc.Abort(&rec, tc.notRun), &te)).To(BeTrue(), "a life ends once")
+			g.Expect(errors.As(mc.Abort(&rec, tc.notRun), &te)).To(BeTrue(), "a request ends only once")
 		})
 	}
 }
