--- a/internal/position/position_test.go
+++ b/internal/position/position_test.go
@@ -9,18 +9,18 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-func TestRestoredPositionsAreOrderedByEraFirst(t *testing.T) {
+func TestPositionsAreOrderedByEraFirst(t *testing.T) {
 	tests := map[string]struct {
 		at, other       position.Position
 		after, restored bool
 	}{
-		"a later revision":                {position.Position{Revision: 5}, position.Position{Revision: 4}, true, false},
-		"the same":                        {position.Position{Era: 1, Revision: 4}, position.Position{Era: 1, Revision: 4}, false, false},
-		"an earlier revision, a new era":  {position.Position{Era: 1, Revision: 2}, position.Position{Revision: 480}, true, true},
-		"the same revision, a new era":    {position.Position{Era: 2, Revision: 480}, position.Position{Era: 1, Revision: 480}, true, true},
-		"a later revision, an old era":    {position.Position{Revision: 900}, position.Position{Era: 1, Revision: 2}, false, false},
-		"nothing was known of the store":  {position.Position{Era: 3, Revision: 2}, position.Position{}, true, false},
-		"nothing is known, and never was": {position.Position{}, position.Position{}, false, false},
+		"later revision":                   {position.Position{Revision: 5}, position.Position{Revision: 4}, true, false},
+		"same position":                    {position.Position{Era: 1, Revision: 4}, position.Position{Era: 1, Revision: 4}, false, false},
+		"earlier revision in a later era":  {position.Position{Era: 1, Revision: 2}, position.Position{Revision: 480}, true, true},
+		"same revision in a later era":     {position.Position{Era: 2, Revision: 480}, position.Position{Era: 1, Revision: 480}, true, true},
+		"later revision in an earlier era": {position.Position{Revision: 900}, position.Position{Era: 1, Revision: 2}, false, false},
+		"other position unknown":           {position.Position{Era: 3, Revision: 2}, position.Position{}, true, false},
+		"both positions unknown":           {position.Position{}, position.Position{}, false, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestNumbersKeepTheOrderOfPositions(t *testing.T) {
+func TestPackKeepsOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		draw := func(label string) position.Position {
@@ -42,6 +42,6 @@
 		a, b := draw("a"), draw("b")
 		g.Expect(position.Unpack(a.Pack())).To(Equal(a))
 		g.Expect(a.After(b)).To(Equal(a.Pack() > b.Pack()))
-		g.Expect(position.Position{Revision: a.Revision}.Pack()).To(Equal(a.Revision), "before the first return it is the revision alone")
+		g.Expect(position.Position{Revision: a.Revision}.Pack()).To(Equal(a.Revision), "in era zero the packed position equals the revision")
 	})
 }
