--- a/internal/pending/pending.go
+++ b/internal/pending/pending.go
@@ -1,4 +1,4 @@
-// Package pending counts work that goes on in the background, so that the end of a process can wait for it.
+// Package pending counts background work in progress, so that a process can wait for its completion before it exits.
 package pending
 
 import (
@@ -9,28 +9,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// look is how often a waiter looks at the count: short beside the calls that it waits for.
-const look = 5 * time.Millisecond
+// pollInterval is how often Wait checks the count. It is short compared with the calls that are waited for.
+const pollInterval = 5 * time.Millisecond
 
-// Count is the number of pieces of work that have begun and not ended. The zero value is ready, and it is safe for use by any
-// goroutine; unlike a sync.WaitGroup it may grow while somebody waits.
+// Counter counts the operations in progress. The zero value is ready to use, and it is safe for concurrent use. Unlike a
+// sync.WaitGroup, it may be incremented from zero while a goroutine waits.
 type Counter struct{ n atomic.Int64 }
 
-// Begin notes that a piece of work begins. end notes its end, and is called once.
+// Begin counts an operation as in progress until end is called. end must be called exactly once.
 func (ct *Counter) Begin() (end func()) {
 	ct.n.Add(1)
 	return func() { ct.n.Add(-1) }
 }
 
-// Wait waits until no work is left. It fails when ctx ends before.
+// Wait blocks until no operations are in progress. It fails if ctx ends first.
 func (ct *Counter) Wait(ctx context.Context) error {
-	tick := time.NewTicker(look)
-	defer tick.Stop()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
 	for ct.n.Load() > 0 {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
-			return errors.Wrap(ctx.Err(), "wait for work in the background")
+			return errors.Wrap(ctx.Err(), "wait for background operations")
 		}
 	}
 	return nil
--- a/internal/pending/pending_test.go
+++ b/internal/pending/pending_test.go
@@ -11,27 +11,27 @@
 	"github.com/silvermount/silvermount/internal/pending"
 )
 
-func TestWait(t *testing.T) {
+func TestWaitCoversWorkStartedWhileWaiting(t *testing.T) {
 	cases := map[string]struct {
-		// work holds how long each piece takes; each begins the next.
+		// work holds the durations of the operations. Each operation starts the next one before it ends.
 		work    []time.Duration
-		patient time.Duration
+		timeout time.Duration
 		wantErr bool
 	}{
-		"nothing":        {nil, time.Second, false},
-		"one":            {[]time.Duration{time.Second}, 2 * time.Second, false},
-		"one after one":  {[]time.Duration{time.Second, time.Second}, 3 * time.Second, false},
-		"takes too long": {[]time.Duration{3 * time.Second}, 2 * time.Second, true},
+		"no work":             {nil, time.Second, false},
+		"one operation":       {[]time.Duration{time.Second}, 2 * time.Second, false},
+		"chain of two":        {[]time.Duration{time.Second, time.Second}, 3 * time.Second, false},
+		"exceeds the timeout": {[]time.Duration{3 * time.Second}, 2 * time.Second, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				// The work of every case has ended by then.
+				// Let the operations of all cases end before the bubble does.
 				defer time.Sleep(time.Minute)
 				var ct pending.Counter
-				begin(&ct, tc.work)
-				ctx, cancel := context.WithTimeout(t.Context(), tc.patient)
+				startChain(&ct, tc.work)
+				ctx, cancel := context.WithTimeout(t.Context(), tc.timeout)
 				defer cancel()
 				err := ct.Wait(ctx)
 				if tc.wantErr {
@@ -44,8 +44,8 @@
 	}
 }
 
-// begin begins the first piece of work; each piece begins the next before it ends.
-func begin(ct *pending.Counter, work []time.Duration) {
+// startChain starts the first operation. Each operation starts the next one before it ends.
+func startChain(ct *pending.Counter, work []time.Duration) {
 	if len(work) == 0 {
 		return
 	}
@@ -53,6 +53,6 @@
 	go func() {
 		defer end()
 		time.Sleep(work[0])
-		begin(ct, work[1:])
+		startChain(ct, work[1:])
 	}()
 }
