--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// requestTimeout bounds the wait for an issuer's decision. It allows for many round trips between availability zones, and is a small part
-	// of the shortest objective.
+	// requestTimeout bounds the wait for an issuer's decision. It allows for many round trips between availability zones, and is
+	// a small part of the shortest objective.
 	requestTimeout = 100 * time.Millisecond
-	// unansweredBlock is how long a target is blocked after its issuer did not answer: a quarter of the time after which a silent instance is
-	// considered lost.
+	// unansweredBlock is how long a target is blocked after its issuer did not answer: a quarter of the time after which a silent
+	// instance is considered lost.
 	unansweredBlock = 500 * time.Millisecond
 )
 
@@ -50,8 +50,8 @@
 	blockedUntil map[string]time.Time
 }
 
-// NewClient returns a client that looks up the rate limits of targets with limitOf. It acquires no permits of limited targets until
-// SetRequestFunc is called.
+// NewClient returns a client that looks up the rate limits of targets with limitOf. It acquires no permits of limited targets
+// until SetRequestFunc is called.
 func NewClient(now func() time.Time, limitOf func(target string) ratelimit.Limit, ms *metrics.Set) *Client {
 	return &Client{
 		now: now, limitOf: limitOf, blockedUntil: map[string]time.Time{},
@@ -90,8 +90,8 @@
 	return until, true
 }
 
-// Acquire requests a permit. A target without a rate limit needs none. A target is blocked for a while if its issuer refuses the permit or
-// does not answer.
+// Acquire requests a permit. A target without a rate limit needs none. A target is blocked for a while if its issuer refuses the
+// permit or does not answer.
 func (cl *Client) Acquire(ctx context.Context, tg targets.Target, maxWait time.Duration) Decision {
 	li := cl.limitOf(tg.ID)
 	if !li.Named {
--- a/internal/permit/fleet_test.go
+++ b/internal/permit/fleet_test.go
@@ -16,85 +16,85 @@
 )
 
 var (
-	// compareWays also plays the other ways to share a limit, and prints their figures.
-	compareWays = flag.Bool("permit.ways", false, "play the other ways to share a rate limit too")
-	// allPlays strikes the largest fleets with all troubles.
-	allPlays = flag.Bool("permit.all", false, "play the largest fleets in all troubles")
+	compareStrategies = flag.Bool("permit.ways", false, "run the scenarios with the alternative strategies for sharing a rate limit and print the results")
+	runAllScenarios   = flag.Bool("permit.all", false, "run the scenarios of the large fleets with all sets of faults")
 )
 
-// play is one size of the fleet with its load.
-type play struct {
-	instances, targets, limited int
-	limit, perSecond            float64
-	trouble                     trouble
-	// large plays meet one trouble in each run of the tests, those by hand none; -permit.all plays them in all.
-	large, byHand bool
+// scenario is a fleet of a given size with its load and faults.
+type scenario struct {
+	instances, targets, limitedTargets int
+	limitPerSecond, requestsPerSecond  float64
+	faults                             faults
+	// Large fleets run only with the sets of faults marked onLargeFleets, and manualOnly fleets do not run, unless -permit.all is
+	// set.
+	large, manualOnly bool
 }
 
-// outcome is what a play showed of the targets that name a limit.
-type outcome struct {
-	// worst and worstAll are the most arrivals in a window, of instances that were not disturbed and of all.
-	worst, worstAll, allowed int
-	// used is the least share of the limit that a target got while it named it, and mean the mean of all.
-	used, mean float64
-	// refused is how many requests of all found no target.
+// result is the result of a scenario for the limited targets.
+type result struct {
+	// maxInWindow is the maximum number of arrivals in a window, without those from instances near a fault. maxInWindowAll
+	// includes those.
+	maxInWindow, maxInWindowAll, maxAllowed int
+	// minUsed and meanUsed are the minimum and the mean over the targets of the utilisation of the limit while it was in force.
+	minUsed, meanUsed float64
+	// refused is the number of requests, out of all, for which no target was available.
 	refused, requests int
-	// stillLimited counts the beliefs at the end in a limit that was lifted.
-	stillLimited int
+	// staleLimits is the number of lifted limits that instances still assume in force at the end, over all instances and targets.
+	staleLimits int
 }
 
-func (oc outcome) String() string {
-	return fmt.Sprintf("worst %d (of all %d), allowed %d; used %.2f at least, %.2f in the mean; %d of %d refused; %d still limited",
-		oc.worst, oc.worstAll, oc.allowed, oc.used, oc.mean, oc.refused, oc.requests, oc.stillLimited)
+func (rs result) String() string {
+	return fmt.Sprintf("max %d in a window (%d with instances near faults), allowed %d; used min %.2f, mean %.2f; %d of %d refused; %d stale limits",
+		rs.maxInWindow, rs.maxInWindowAll, rs.maxAllowed, rs.minUsed, rs.meanUsed, rs.refused, rs.requests, rs.staleLimits)
 }
 
-// run plays.
-func (pl play) run(t *testing.T, wy way, seed uint64) outcome {
+// run simulates the scenario with a strategy and a random seed.
+func (sc scenario) run(t *testing.T, st strategy, seed uint64) result {
 	t.Helper()
-	var oc outcome
+	var rs result
 	synctest.Test(t, func(*testing.T) {
-		fl := &simFleet{way: wy, rd: rand.New(rand.NewPCG(seed, 1)), limit: pl.limit, limited: pl.limited, began: time.Now(), byName: map[string]*simInstance{}}
-		for no := range pl.targets {
+		fl := &simFleet{strategy: st, rnd: rand.New(rand.NewPCG(seed, 1)), limitPerSecond: sc.limitPerSecond, limitedTargets: sc.limitedTargets, startedAt: time.Now(), byName: map[string]*simInstance{}}
+		for no := range sc.targets {
 			tg := targets.Target{ID: fmt.Sprintf("target-%d", no), AvailabilityZone: fmt.Sprintf("zone-%d", no%simZones)}
 			fl.targets = append(fl.targets, &simTarget{Target: tg})
 		}
-		for no := range pl.instances {
+		for no := range sc.instances {
 			in := &simInstance{mu: &fl.mu, no: no, name: fmt.Sprintf("instance-%d", no), zone: fmt.Sprintf("zone-%d", no%simZones)}
-			in.delay = time.Duration(1+fl.draw(40)) * time.Millisecond
+			in.linkDelay = time.Duration(1+fl.intN(40)) * time.Millisecond
 			fl.instances = append(fl.instances, in)
 			fl.byName[in.name] = in
 		}
 		for _, in := range fl.instances {
 			in.start(fl)
-			in.disturbed = time.Time{}
+			in.lastFaultEnd = time.Time{}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		for _, in := range fl.instances {
-			fl.wg.Go(func() { fl.beats(ctx, in) })
+			fl.wg.Go(func() { fl.tickLoop(ctx, in) })
 		}
-		fl.disturb(pl.trouble)
-		oc.requests = fl.arrive(pl.perSecond)
+		fl.injectFaults(sc.faults)
+		rs.requests = fl.generateLoad(sc.requestsPerSecond)
 		cancel()
 		fl.wg.Wait()
 		synctest.Wait()
-		fl.judge(&oc)
+		fl.evaluate(&rs)
 	})
-	return oc
+	return rs
 }
 
-func (fl *simFleet) beats(ctx context.Context, in *simInstance) {
+func (fl *simFleet) tickLoop(ctx context.Context, in *simInstance) {
 	for ctx.Err() == nil {
-		fl.beat(in)
-		time.Sleep(simBeat)
+		fl.tick(in)
+		time.Sleep(simHeartbeatInterval)
 	}
 }
 
-// arrive lets requests arrive at drawn instances, and returns how many there were.
-func (fl *simFleet) arrive(perSecond float64) int {
+// generateLoad sends requests to random running instances with exponentially distributed gaps, and returns their number.
+func (fl *simFleet) generateLoad(perSecond float64) int {
 	n := 0
-	for time.Since(fl.began) < simLength {
-		time.Sleep(time.Duration(-math.Log(1-fl.random()) / perSecond * float64(time.Second)))
-		in := fl.instances[fl.draw(len(fl.instances))]
+	for time.Since(fl.startedAt) < simDuration {
+		time.Sleep(time.Duration(-math.Log(1-fl.float64()) / perSecond * float64(time.Second)))
+		in := fl.instances[fl.intN(len(fl.instances))]
 		in.mu.Lock()
 		up := in.up
 		in.mu.Unlock()
@@ -102,126 +102,129 @@
 			continue
 		}
 		n++
-		fl.wg.Go(func() { fl.request(in) })
+		fl.wg.Go(func() { fl.route(in) })
 	}
 	return n
 }
 
-func (fl *simFleet) judge(oc *outcome) {
-	oc.allowed = int(math.Ceil(1.5*fl.limit*simWindow.Seconds() + 5))
-	oc.used = math.Inf(1)
-	oc.refused = fl.refused
-	lifted := fl.began.Add(simLiftedAt)
-	for _, tg := range fl.targets[:fl.limited] {
-		if tg.named.IsZero() {
-			oc.used = 0
+func (fl *simFleet) evaluate(rs *result) {
+	rs.maxAllowed = int(math.Ceil(1.5*fl.limitPerSecond*simRateWindow.Seconds() + 5))
+	rs.minUsed = math.Inf(1)
+	rs.refused = fl.refused
+	to := fl.startedAt.Add(simLimitEnd)
+	for _, tg := range fl.targets[:fl.limitedTargets] {
+		if tg.limitedSince.IsZero() {
+			rs.minUsed = 0
 			continue
 		}
-		from := tg.named.Add(simKnownAfter)
-		oc.worst = max(oc.worst, tg.worst(from, lifted, false))
-		oc.worstAll = max(oc.worstAll, tg.worst(from, lifted, true))
-		got := 0
+		from := tg.limitedSince.Add(simSettleTime)
+		rs.maxInWindow = max(rs.maxInWindow, tg.maxArrivals(from, to, false))
+		rs.maxInWindowAll = max(rs.maxInWindowAll, tg.maxArrivals(from, to, true))
+		arrivals := 0
 		for _, ar := range tg.arrivals {
-			if ar.at.After(from) && ar.at.Before(lifted) {
-				got++
+			if ar.at.After(from) && ar.at.Before(to) {
+				arrivals++
 			}
 		}
-		share := float64(got) / lifted.Sub(from).Seconds() / fl.limit
-		oc.used = min(oc.used, share)
-		oc.mean += share / float64(fl.limited)
+		used := float64(arrivals) / to.Sub(from).Seconds() / fl.limitPerSecond
+		rs.minUsed = min(rs.minUsed, used)
+		rs.meanUsed += used / float64(fl.limitedTargets)
 		for _, in := range fl.instances {
 			if in.book.Of(tg.ID).Named {
-				oc.stillLimited++
+				rs.staleLimits++
 			}
 		}
 	}
 }
 
-// worst returns the most arrivals in a window that begins in a stretch of time and ends before its end.
-func (tg *simTarget) worst(from, to time.Time, all bool) int {
-	most := 0
-	for at, first := range tg.arrivals {
-		if first.at.Before(from) || first.at.Add(simWindow).After(to) {
+// maxArrivals returns the maximum number of arrivals in any window that lies within a time range. Arrivals near a fault are
+// counted only if all is set.
+func (tg *simTarget) maxArrivals(from, to time.Time, all bool) int {
+	maxCount := 0
+	for i, first := range tg.arrivals {
+		if first.at.Before(from) || first.at.Add(simRateWindow).After(to) {
 			continue
 		}
 		n := 0
-		for _, ar := range tg.arrivals[at:] {
-			if ar.at.Sub(first.at) < simWindow && (all || !ar.excused) {
+		for _, ar := range tg.arrivals[i:] {
+			if ar.at.Sub(first.at) < simRateWindow && (all || !ar.nearFault) {
 				n++
 			}
 		}
-		most = max(most, n)
+		maxCount = max(maxCount, n)
 	}
-	return most
+	return maxCount
 }
 
-// calm, hard and harder are what happens to the instances of the plays.
-var troubles = map[string]trouble{
-	"calm":             {},
-	"kills":            {kills: 6},
-	"freezes":          {freezes: 6},
-	"cuts":             {cuts: 4},
-	"all of these":     {kills: 4, freezes: 4, cuts: 3, large: true},
-	"zone cut off":     {zoneCut: true},
-	"all killed":       {restartAll: true},
-	"killed in a zone": {kills: 3, zoneCut: true},
+// faultSets holds the sets of faults by name.
+var faultSets = map[string]faults{
+	"no faults":                {},
+	"kills":                    {kills: 6},
+	"freezes":                  {freezes: 6},
+	"disconnects":              {disconnects: 4},
+	"combined":                 {kills: 4, freezes: 4, disconnects: 3, onLargeFleets: true},
+	"zone partition":           {zonePartition: true},
+	"all restarted":            {restartAll: true},
+	"kills and zone partition": {kills: 3, zonePartition: true},
 }
 
-// sizes are the fleets of the plays, with the rate of requests of such fleets.
-var sizes = map[string]play{
-	"6 instances, one target":    {instances: 6, targets: 21, limited: 1, limit: 1.5, perSecond: 48},
-	"6 instances, all targets":   {instances: 6, targets: 21, limited: 21, limit: 1.5, perSecond: 48},
-	"72 instances, one target":   {instances: 72, targets: 63, limited: 1, limit: 1.5, perSecond: 107},
-	"72 instances, six targets":  {instances: 72, targets: 63, limited: 6, limit: 2, perSecond: 107},
-	"72 instances, all targets":  {instances: 72, targets: 63, limited: 63, limit: 1.2, perSecond: 107},
-	"295 instances, one target":  {instances: 295, targets: 162, limited: 1, limit: 1.5, perSecond: 266, byHand: true},
-	"295 instances, ten targets": {instances: 295, targets: 162, limited: 10, limit: 2, perSecond: 266, large: true},
-	"295 instances, all targets": {instances: 295, targets: 162, limited: 162, limit: 1.2, perSecond: 266, byHand: true},
+// fleetSizes holds the fleets by name, with the request rates typical of their sizes.
+var fleetSizes = map[string]scenario{
+	"6 instances, one target":    {instances: 6, targets: 21, limitedTargets: 1, limitPerSecond: 1.5, requestsPerSecond: 48},
+	"6 instances, all targets":   {instances: 6, targets: 21, limitedTargets: 21, limitPerSecond: 1.5, requestsPerSecond: 48},
+	"72 instances, one target":   {instances: 72, targets: 63, limitedTargets: 1, limitPerSecond: 1.5, requestsPerSecond: 107},
+	"72 instances, six targets":  {instances: 72, targets: 63, limitedTargets: 6, limitPerSecond: 2, requestsPerSecond: 107},
+	"72 instances, all targets":  {instances: 72, targets: 63, limitedTargets: 63, limitPerSecond: 1.2, requestsPerSecond: 107},
+	"295 instances, one target":  {instances: 295, targets: 162, limitedTargets: 1, limitPerSecond: 1.5, requestsPerSecond: 266, manualOnly: true},
+	"295 instances, ten targets": {instances: 295, targets: 162, limitedTargets: 10, limitPerSecond: 2, requestsPerSecond: 266, large: true},
+	"295 instances, all targets": {instances: 295, targets: 162, limitedTargets: 162, limitPerSecond: 1.2, requestsPerSecond: 266, manualOnly: true},
 }
 
-// usedLeast is the share of a limit that a target gets at least while there is demand for it. After trouble its issuer may be lost for the
-// time in which that is noticed.
-const usedLeast = 2.0 / 3
-
-// TestFleetKeepsToALimit plays fleets before targets that name a limit, in every size and trouble. No target gets more in any window than
-// half as much again as its limit and five, and in the mean they get two thirds of it or more.
-func TestFleetKeepsToALimit(t *testing.T) {
-	for size, pl := range sizes {
-		for name, tr := range troubles {
-			if (pl.byHand || pl.large && !tr.large) && !*allPlays {
+// minMeanUsed is the minimum mean utilisation of the limits while there is demand. It is below one because a target gets no
+// permits between the failure of its issuer and the detection of this failure.
+const minMeanUsed = 2.0 / 3
+
+// TestFleetEnforcesRateLimit simulates fleets of all sizes with limited targets under all sets of faults. No target may receive
+// more requests in any window than 1.5 times its limit plus five, apart from those of instances near a fault. The mean
+// utilisation of the limits must be at least two thirds, except when a zone is partitioned or all instances restart. No instance
+// may assume a lifted limit at the end.
+func TestFleetEnforcesRateLimit(t *testing.T) {
+	for size, sc := range fleetSizes {
+		for name, ft := range faultSets {
+			if (sc.manualOnly || sc.large && !ft.onLargeFleets) && !*runAllScenarios {
 				continue
 			}
-			pl := pl
-			pl.trouble = tr
+			sc := sc
+			sc.faults = ft
 			t.Run(size+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				oc := pl.run(t, wayPermits, 1)
-				t.Log(oc)
-				if oc.worst > oc.allowed {
-					t.Errorf("%d in a window, allowed %d", oc.worst, oc.allowed)
+				rs := sc.run(t, strategyPermits, 1)
+				t.Log(rs)
+				if rs.maxInWindow > rs.maxAllowed {
+					t.Errorf("%d arrivals in a window, allowed %d", rs.maxInWindow, rs.maxAllowed)
 				}
-				if oc.mean < usedLeast && !tr.zoneCut && !tr.restartAll {
-					t.Errorf("used %.2f of the limit", oc.mean)
+				if rs.meanUsed < minMeanUsed && !ft.zonePartition && !ft.restartAll {
+					t.Errorf("mean utilisation of the limits is %.2f", rs.meanUsed)
 				}
-				if oc.stillLimited > 0 {
-					t.Errorf("%d beliefs in a limit that was lifted", oc.stillLimited)
+				if rs.staleLimits > 0 {
+					t.Errorf("%d lifted limits still assumed in force", rs.staleLimits)
 				}
 			})
 		}
 	}
 }
 
-// TestWaysToShareALimit prints what other ways come to, on the same plays.
-func TestWaysToShareALimit(t *testing.T) {
-	if !*compareWays {
+// TestCompareLimitSharingStrategies prints the results of all strategies in the same scenarios. It runs only with -permit.ways.
+func TestCompareLimitSharingStrategies(t *testing.T) {
+	if !*compareStrategies {
 		t.Skip("-permit.ways is not set")
 	}
 	var lines []string
-	for size, pl := range sizes {
-		for _, name := range []string{"calm", "all of these"} {
-			for _, wy := range []way{wayPermits, wayParts, wayOwners} {
-				pl.trouble = troubles[name]
-				lines = append(lines, fmt.Sprintf("%-27s %-13s %-8s %s", size, name, wy, pl.run(t, wy, 1)))
+	for size, sc := range fleetSizes {
+		for _, name := range []string{"no faults", "combined"} {
+			for _, st := range []strategy{strategyPermits, strategyEvenShares, strategyOwners} {
+				sc.faults = faultSets[name]
+				lines = append(lines, fmt.Sprintf("%-27s %-13s %-8s %s", size, name, st, sc.run(t, st, 1)))
 			}
 		}
 	}
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -1,9 +1,9 @@
 // Package permit enforces the rate limit of a target across all instances.
 //
-// For each target that declares a rate limit, one instance issues permits. All instances select this issuer from the live instances by the
-// same rule. An instance that wants to send a request to the target first requests a permit from the issuer. The limit is thus enforced in
-// one place regardless of the number of instances, and any instance may use all of it. A new issuer starts with no permits available, so
-// that a change of issuer does not cause a burst.
+// For each target that declares a rate limit, one instance issues permits. All instances select this issuer from the live
+// instances by the same rule. An instance that wants to send a request to the target first requests a permit from the issuer. The
+// limit is thus enforced in one place regardless of the number of instances, and any instance may use all of it. A new issuer
+// starts with no permits available, so that a change of issuer does not cause a burst.
 package permit
 
 import (
@@ -14,22 +14,23 @@
 )
 
 const (
-	// burst is the maximum number of permits issued at once after a pause: one more than a steady rate needs, so that a permit requested
-	// slightly late is not lost.
+	// burst is the maximum number of permits issued at once after a pause: one more than a steady rate needs, so that a permit
+	// requested slightly late is not lost.
 	burst = 2
-	// minPerSecond is the rate applied to targets that declare a lower one, or none at all. One request in ten seconds lets an instance learn
-	// when the target accepts more again.
+	// minPerSecond is the rate applied to targets that declare a lower one, or none at all. One request in ten seconds lets an
+	// instance learn when the target accepts more again.
 	minPerSecond = 0.1
-	// holdDuration is how long no permits are issued after a start or a freeze of the process. Instances discover each other within it, and
-	// until they do, another instance may be issuing permits for the same target.
+	// holdDuration is how long no permits are issued after a start or a freeze of the process. Instances discover each other
+	// within it, and until they do, another instance may be issuing permits for the same target.
 	holdDuration = time.Second
-	// maxTickGap is the time between two ticks, equal to several tick intervals, above which the process counts as having been frozen.
+	// maxTickGap is the time between two ticks, equal to several tick intervals, above which the process counts as having been
+	// frozen.
 	maxTickGap = time.Second
-	// maxRetryDelay bounds the delay after which a refused instance may ask again, unless the next permit is due even later: limits change,
-	// and other refused instances may not come back.
+	// maxRetryDelay bounds the delay after which a refused instance may ask again, unless the next permit is due even later:
+	// limits change, and other refused instances may not come back.
 	maxRetryDelay = 2 * time.Second
-	// idleRetention is how long the state of a target is kept after the last request for a permit. It exceeds the interval between two
-	// permits at the minimum rate.
+	// idleRetention is how long the state of a target is kept after the last request for a permit. It exceeds the interval
+	// between two permits at the minimum rate.
 	idleRetention = 30 * time.Second
 )
 
@@ -43,7 +44,8 @@
 
 // pacer spaces the permits of one target with the generic cell rate algorithm (GCRA).
 type pacer struct {
-	// tat is the theoretical arrival time, when the next permit is due at a steady rate. Permits granted in advance move it into the future.
+	// tat is the theoretical arrival time, when the next permit is due at a steady rate. Permits granted in advance move it into
+	// the future.
 	tat time.Time
 	// interval is the time between two permits at a steady rate, above zero.
 	interval time.Duration
@@ -85,7 +87,8 @@
 	}
 }
 
-// holdAfterFreeze withholds permits if the process was frozen, since another instance took over in the meantime. The lock must be held.
+// holdAfterFreeze withholds permits if the process was frozen, since another instance took over in the meantime. The lock must be
+// held.
 func (is *Issuer) holdAfterFreeze(now time.Time) {
 	if now.Sub(is.lastTick) > maxTickGap {
 		is.holdUntil = now.Add(holdDuration)
@@ -94,9 +97,9 @@
 	}
 }
 
-// Issue decides on a request for a permit of a target, which may be delayed by up to wait. Share is the fraction of the limit that this
-// instance may issue, above zero and at most one.
-func (is *Issuer) Issue(target string, li ratelimit.Limit, share float64, wait time.Duration) Decision {
+// Issue decides on a request for a permit of a target, which may be delayed by up to maxWait. Share is the fraction of the limit
+// that this instance may issue, above zero and at most one.
+func (is *Issuer) Issue(target string, li ratelimit.Limit, share float64, maxWait time.Duration) Decision {
 	is.mu.Lock()
 	defer is.mu.Unlock()
 	now := is.now()
@@ -107,7 +110,7 @@
 	}
 	pc = pc.withInterval(now, permitInterval(li, share))
 	pc.lastRequest = now
-	dc := pc.issue(now, max(wait, 0))
+	dc := pc.issue(now, max(maxWait, 0))
 	is.pacers[target] = pc
 	return dc
 }
@@ -129,8 +132,8 @@
 	return pacer{tat: from.Add(burst * interval), interval: interval}
 }
 
-// withInterval returns the pacer with a new interval. It scales the time until the theoretical arrival time, so that the number of permits
-// granted in advance stays the same.
+// withInterval returns the pacer with a new interval. It scales the time until the theoretical arrival time, so that the number
+// of permits granted in advance stays the same.
 func (pc pacer) withInterval(now time.Time, interval time.Duration) pacer {
 	if ahead := pc.tat.Sub(now); ahead > 0 && interval != pc.interval {
 		pc.tat = now.Add(time.Duration(float64(ahead) * float64(interval) / float64(pc.interval)))
@@ -139,11 +142,11 @@
 	return pc
 }
 
-// issue grants the next permit if it becomes available within wait.
-func (pc *pacer) issue(now time.Time, wait time.Duration) Decision {
+// issue grants the next permit if it becomes available within maxWait.
+func (pc *pacer) issue(now time.Time, maxWait time.Duration) Decision {
 	pc.tat = later(pc.tat, now)
 	delay := max(0, pc.tat.Add(-(burst-1)*pc.interval).Sub(now))
-	if delay > wait {
+	if delay > maxWait {
 		// Consecutive refusals get increasing delays, so that the refused instances do not all come back for the same permit.
 		retryDelay := delay + time.Duration(pc.refusals)*pc.interval/2
 		pc.refusals++
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -15,130 +15,131 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// clock is a steady clock that a test moves.
+// clock is a monotonic clock that a test advances.
 type clock struct{ now time.Time }
 
 func (ck *clock) Now() time.Time { return ck.now }
 
-// issuer is an issuer on a clock of its own, which the test moves in beats.
-type issuer struct {
+// testIssuer is an issuer with a clock of its own.
+type testIssuer struct {
 	*WithT
 	*permit.Issuer
 	clock *clock
 }
 
-func newIssuer(t *testing.T) *issuer {
+func newTestIssuer(t *testing.T) *testIssuer {
 	ck := &clock{now: time.Unix(1000, 0)}
-	return &issuer{WithT: NewWithT(t), Issuer: permit.NewIssuer(ck.Now), clock: ck}
+	return &testIssuer{WithT: NewWithT(t), Issuer: permit.NewIssuer(ck.Now), clock: ck}
 }
 
-// pass lets time pass with the process running.
-func (is *issuer) pass(d time.Duration) {
-	const beat = 100 * time.Millisecond
-	for over := is.clock.now.Add(d); is.clock.now.Before(over); {
-		is.clock.now = is.clock.now.Add(min(beat, over.Sub(is.clock.now)))
+// advance advances the clock, with the ticks of a running process.
+func (is *testIssuer) advance(d time.Duration) {
+	const tick = 100 * time.Millisecond
+	for end := is.clock.now.Add(d); is.clock.now.Before(end); {
+		is.clock.now = is.clock.now.Add(min(tick, end.Sub(is.clock.now)))
 		is.Tick()
 	}
 }
 
-func (is *issuer) ask(perSecond float64) permit.Decision {
+func (is *testIssuer) request(perSecond float64) permit.Decision {
 	return is.Issue("a", ratelimit.Of(perSecond), 1, 0)
 }
 
-// granted counts the permits that somebody gets who asks every ten milliseconds.
-func (is *issuer) granted(perSecond float64, d time.Duration) int {
+// countGranted requests a permit every ten milliseconds and returns the number of permits granted.
+func (is *testIssuer) countGranted(perSecond float64, d time.Duration) int {
 	n := 0
-	for over := is.clock.now.Add(d); is.clock.now.Before(over); is.pass(10 * time.Millisecond) {
-		if is.ask(perSecond).Granted {
+	for end := is.clock.now.Add(d); is.clock.now.Before(end); is.advance(10 * time.Millisecond) {
+		if is.request(perSecond).Granted {
 			n++
 		}
 	}
 	return n
 }
 
-func TestIssuerKeepsToTheRate(t *testing.T) {
-	is := newIssuer(t)
-	is.pass(2 * time.Second)
-	is.Expect(is.granted(2, 10*time.Second)).To(BeNumerically("~", 20, 1))
+func TestIssuerEnforcesRate(t *testing.T) {
+	is := newTestIssuer(t)
+	is.advance(2 * time.Second)
+	is.Expect(is.countGranted(2, 10*time.Second)).To(BeNumerically("~", 20, 1))
 }
 
-func TestIssuerBeginsWithNothing(t *testing.T) {
-	is := newIssuer(t)
-	is.Expect(is.granted(10, 900*time.Millisecond)).To(BeZero(), "another one may still issue")
-	is.pass(time.Hour)
-	is.Expect(is.ask(10).Granted).To(BeFalse(), "the first question for a target")
+func TestIssuerStartsWithoutPermits(t *testing.T) {
+	is := newTestIssuer(t)
+	is.Expect(is.countGranted(10, 900*time.Millisecond)).To(BeZero(), "another instance may still issue permits")
+	is.advance(time.Hour)
+	is.Expect(is.request(10).Granted).To(BeFalse(), "no permit is available on the first request for a target")
 }
 
-func TestPauseLeavesNoBurst(t *testing.T) {
-	is := newIssuer(t)
-	is.pass(2 * time.Second)
-	is.granted(2, 5*time.Second)
-	is.pass(20 * time.Second)
-	is.Expect(is.granted(2, 50*time.Millisecond)).To(Equal(2))
+func TestIdlePeriodAllowsOnlyBurst(t *testing.T) {
+	is := newTestIssuer(t)
+	is.advance(2 * time.Second)
+	is.countGranted(2, 5*time.Second)
+	is.advance(20 * time.Second)
+	is.Expect(is.countGranted(2, 50*time.Millisecond)).To(Equal(2))
 }
 
-func TestFrozenIssuerHoldsBack(t *testing.T) {
-	is := newIssuer(t)
-	is.pass(2 * time.Second)
-	is.granted(10, 5*time.Second)
+func TestIssuerHoldsPermitsAfterFreeze(t *testing.T) {
+	is := newTestIssuer(t)
+	is.advance(2 * time.Second)
+	is.countGranted(10, 5*time.Second)
 	is.clock.now = is.clock.now.Add(5 * time.Second)
-	is.Expect(is.granted(10, 900*time.Millisecond)).To(BeZero())
-	is.Expect(is.granted(10, 5*time.Second)).To(BeNumerically(">", 40))
+	is.Expect(is.countGranted(10, 900*time.Millisecond)).To(BeZero())
+	is.Expect(is.countGranted(10, 5*time.Second)).To(BeNumerically(">", 40))
 }
 
-func TestChangedLimitIsNoBurst(t *testing.T) {
+func TestChangedLimitCausesNoBurst(t *testing.T) {
 	cases := map[string]struct{ before, after float64 }{
-		"higher": {before: 0.2, after: 5}, "lower": {before: 20, after: 0.5}, "nothing at all": {before: 5, after: 0},
+		"higher": {before: 0.2, after: 5}, "lower": {before: 20, after: 0.5}, "zero": {before: 5, after: 0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			is := newIssuer(t)
-			is.pass(2 * time.Second)
-			is.granted(tc.before, 30*time.Second)
-			is.Expect(is.granted(tc.after, 4*time.Second)).To(BeNumerically("<=", 4*tc.after+2))
-			used := is.granted(tc.after, 20*time.Second)
+			is := newTestIssuer(t)
+			is.advance(2 * time.Second)
+			is.countGranted(tc.before, 30*time.Second)
+			is.Expect(is.countGranted(tc.after, 4*time.Second)).To(BeNumerically("<=", 4*tc.after+2))
+			used := is.countGranted(tc.after, 20*time.Second)
 			is.Expect(used).To(BeNumerically("<=", 20*max(tc.after, 0.1)+1))
 			is.Expect(used).To(BeNumerically(">=", 20*tc.after-1))
 		})
 	}
 }
 
-func TestThoseThatMayWaitGetTurns(t *testing.T) {
-	is := newIssuer(t)
-	is.pass(2 * time.Second)
-	is.granted(2, 5*time.Second)
-	wait := func() permit.Decision { return is.Issue("a", ratelimit.Of(2), 1, 1200*time.Millisecond) }
-	for is.ask(2).Granted {
+func TestIssuerGrantsPermitsInAdvanceWithinWait(t *testing.T) {
+	is := newTestIssuer(t)
+	is.advance(2 * time.Second)
+	is.countGranted(2, 5*time.Second)
+	requestInAdvance := func() permit.Decision { return is.Issue("a", ratelimit.Of(2), 1, 1200*time.Millisecond) }
+	for is.request(2).Granted {
 	}
-	first, second, third := wait(), wait(), wait()
+	first, second, third := requestInAdvance(), requestInAdvance(), requestInAdvance()
 	is.Expect(first.Granted && second.Granted).To(BeTrue())
 	is.Expect(second.Delay - first.Delay).To(Equal(500 * time.Millisecond))
 	is.Expect(third.Granted).To(BeFalse())
 	is.Expect(third.Delay).To(BeNumerically(">", 1200*time.Millisecond))
 }
 
-func TestThoseRefusedComeBackOneAfterTheOther(t *testing.T) {
-	is := newIssuer(t)
-	is.pass(2 * time.Second)
-	is.granted(2, 5*time.Second)
-	for is.ask(2).Granted {
+func TestRefusedRequestsGetIncreasingDelays(t *testing.T) {
+	is := newTestIssuer(t)
+	is.advance(2 * time.Second)
+	is.countGranted(2, 5*time.Second)
+	for is.request(2).Granted {
 	}
 	last := time.Duration(0)
 	for range 4 {
-		an := is.ask(2)
-		is.Expect(an.Granted).To(BeFalse())
-		is.Expect(an.Delay).To(BeNumerically(">", last))
-		last = an.Delay
+		dc := is.request(2)
+		is.Expect(dc.Granted).To(BeFalse())
+		is.Expect(dc.Delay).To(BeNumerically(">", last))
+		last = dc.Delay
 	}
 }
 
-// TestIssuerInAnyOrder checks every window of four seconds, whatever is asked when, with changes of the limit, pauses and freezes.
-func TestIssuerInAnyOrder(t *testing.T) {
+// TestIssuerBoundsPermitsInEveryWindow checks the number of permits in every window of four seconds, for random sequences of
+// requests with pauses, freezes and changes of the limit.
+func TestIssuerBoundsPermitsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ck := &clock{now: time.Unix(1000, 0)}
 		is := permit.NewIssuer(ck.Now)
-		most := rapid.SampledFrom([]float64{0.25, 1, 1.5, 2.5, 20}).Draw(rt, "limit")
-		var sent []time.Time
+		maxLimit := rapid.SampledFrom([]float64{0.25, 1, 1.5, 2.5, 20}).Draw(rt, "limit")
+		var usableAt []time.Time
 		for range rapid.IntRange(1, 300).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 20).Draw(rt, "step") {
 			case 0:
@@ -147,36 +148,36 @@
 				ck.now = ck.now.Add(time.Duration(rapid.IntRange(0, 300).Draw(rt, "pause")) * time.Millisecond)
 				is.Tick()
 			}
-			limit := most * rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "share of the limit")
+			limit := maxLimit * rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "share of the limit")
 			wait := time.Duration(rapid.IntRange(0, 1000).Draw(rt, "wait")) * time.Millisecond
-			if an := is.Issue("a", ratelimit.Of(limit), 1, wait); an.Granted {
-				sent = append(sent, ck.now.Add(an.Delay))
+			if dc := is.Issue("a", ratelimit.Of(limit), 1, wait); dc.Granted {
+				usableAt = append(usableAt, ck.now.Add(dc.Delay))
 			}
 		}
-		for _, first := range sent {
+		for _, first := range usableAt {
 			n := 0
-			for _, at := range sent {
+			for _, at := range usableAt {
 				if !at.Before(first) && at.Sub(first) < 4*time.Second {
 					n++
 				}
 			}
-			if float64(n) > 1.5*4*max(most, 0.1)+5 {
-				rt.Fatalf("%d in four seconds at %v a second", n, most)
+			if float64(n) > 1.5*4*max(maxLimit, 0.1)+5 {
+				rt.Fatalf("%d permits in four seconds with a limit of at most %v per second", n, maxLimit)
 			}
 		}
 	})
 }
 
-func TestIssuesPrefersTheTargetsZone(t *testing.T) {
+func TestSelectIssuerPrefersTargetZone(t *testing.T) {
 	g := NewWithT(t)
 	live := []permit.Candidate{
 		{Name: "a", AvailabilityZone: "x"}, {Name: "b", AvailabilityZone: "x"}, {Name: "c", AvailabilityZone: "y"},
 	}
-	near := permit.SelectIssuer(live, targets.Target{ID: "t", AvailabilityZone: "y"})
-	g.Expect(near).To(Equal("c"))
+	sameZone := permit.SelectIssuer(live, targets.Target{ID: "t", AvailabilityZone: "y"})
+	g.Expect(sameZone).To(Equal("c"))
 	live[2].Stopping = true
 	g.Expect(permit.SelectIssuer(live, targets.Target{ID: "t", AvailabilityZone: "y"})).NotTo(Equal("c"))
-	g.Expect(permit.SelectIssuer(live[2:], targets.Target{ID: "t"})).To(Equal("c"), "there is no other")
+	g.Expect(permit.SelectIssuer(live[2:], targets.Target{ID: "t"})).To(Equal("c"), "a stopping instance is selected if there is no other")
 	counts := map[string]int{}
 	for no := range 1000 {
 		counts[permit.SelectIssuer(live, targets.Target{ID: string(rune(no + 'a')), AvailabilityZone: "x"})]++
@@ -185,16 +186,16 @@
 	g.Expect(counts["c"]).To(BeZero())
 }
 
-func TestShare(t *testing.T) {
+func TestLimitShare(t *testing.T) {
 	cases := map[string]struct {
 		live, known int
 		want        float64
 	}{
-		"all":        {live: 6, known: 6, want: 1},
-		"most":       {live: 4, known: 6, want: 1},
-		"half":       {live: 3, known: 6, want: 0.5},
-		"alone":      {live: 1, known: 8, want: 0.125},
-		"only known": {live: 1, known: 1, want: 1},
+		"all live":            {live: 6, known: 6, want: 1},
+		"majority live":       {live: 4, known: 6, want: 1},
+		"half live":           {live: 3, known: 6, want: 0.5},
+		"only self live":      {live: 1, known: 8, want: 0.125},
+		"only instance known": {live: 1, known: 1, want: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -203,36 +204,36 @@
 	}
 }
 
-func TestClientClosesTargetsWithoutPermits(t *testing.T) {
+func TestClientBlocksTargetsWithoutPermits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		li := ratelimit.Of(2)
 		cl := permit.NewClient(time.Now, func(string) ratelimit.Limit { return li }, metrics.NewSet())
 		tg := targets.Target{ID: "a"}
-		take := func() bool { return cl.Acquire(t.Context(), tg, 0).Granted }
-		g.Expect(take()).To(BeFalse(), "nobody to ask yet")
+		acquire := func() bool { return cl.Acquire(t.Context(), tg, 0).Granted }
+		g.Expect(acquire()).To(BeFalse(), "no request function is set yet")
 		time.Sleep(time.Second)
-		answer := permit.Decision{Delay: 300 * time.Millisecond}
-		cl.SetRequestFunc(func(context.Context, permit.Request) (permit.Decision, error) { return answer, nil })
-		_, closed := cl.BlockedUntil("a")
-		g.Expect(closed).To(BeFalse())
-		g.Expect(take()).To(BeFalse())
-		at, closed := cl.BlockedUntil("a")
-		g.Expect(closed).To(BeTrue())
-		g.Expect(time.Until(at)).To(Equal(300 * time.Millisecond))
+		decision := permit.Decision{Delay: 300 * time.Millisecond}
+		cl.SetRequestFunc(func(context.Context, permit.Request) (permit.Decision, error) { return decision, nil })
+		_, blocked := cl.BlockedUntil("a")
+		g.Expect(blocked).To(BeFalse())
+		g.Expect(acquire()).To(BeFalse())
+		until, blocked := cl.BlockedUntil("a")
+		g.Expect(blocked).To(BeTrue())
+		g.Expect(time.Until(until)).To(Equal(300 * time.Millisecond))
 		li = ratelimit.Limit{}
-		_, closed = cl.BlockedUntil("a")
-		g.Expect(closed).To(BeFalse(), "the limit was lifted")
-		g.Expect(take()).To(BeTrue())
+		_, blocked = cl.BlockedUntil("a")
+		g.Expect(blocked).To(BeFalse(), "the limit was lifted")
+		g.Expect(acquire()).To(BeTrue())
 		li = ratelimit.Of(2)
 		cl.SetRequestFunc(func(ctx context.Context, _ permit.Request) (permit.Decision, error) {
 			<-ctx.Done()
 			return permit.Decision{}, ctx.Err()
 		})
-		began := time.Now()
-		g.Expect(take()).To(BeFalse())
-		g.Expect(time.Since(began)).To(BeNumerically("<=", 100*time.Millisecond), "an issuer that does not answer")
-		_, closed = cl.BlockedUntil("a")
-		g.Expect(closed).To(BeTrue())
+		start := time.Now()
+		g.Expect(acquire()).To(BeFalse())
+		g.Expect(time.Since(start)).To(BeNumerically("<=", 100*time.Millisecond), "the wait for an issuer that does not answer is bounded")
+		_, blocked = cl.BlockedUntil("a")
+		g.Expect(blocked).To(BeTrue())
 	})
 }
--- a/internal/permit/selection.go
+++ b/internal/permit/selection.go
@@ -13,10 +13,10 @@
 	Stopping bool
 }
 
-// SelectIssuer returns the name of the live instance that issues the permits of a target, or an empty name if there are no live instances.
-// It prefers instances in the target's availability zone: when a zone is cut off, its instances can still reach both its targets and their
-// issuers, and no other instance can reach either. It uses rendezvous hashing, so that all instances with the same view select the same
-// issuer, and a change of one instance reassigns few targets.
+// SelectIssuer returns the name of the live instance that issues the permits of a target, or an empty name if there are no live
+// instances. It prefers instances in the target's availability zone: when a zone is cut off, its instances can still reach both
+// its targets and their issuers, and no other instance can reach either. It uses rendezvous hashing, so that all instances with
+// the same view select the same issuer, and a change of one instance reassigns few targets.
 func SelectIssuer(live []Candidate, tg targets.Target) string {
 	best, name := rank{}, ""
 	for _, ca := range live {
@@ -58,9 +58,9 @@
 	}
 }
 
-// LimitShare returns the fraction of a limit that an instance may issue, given how many instances it sees live and how many it knew shortly
-// before. An instance that sees a majority may issue the whole limit. One that is cut off from the majority issues only the share of the
-// instances it still sees, and leaves the rest to the others, which may be using it.
+// LimitShare returns the fraction of a limit that an instance may issue, given how many instances it sees live and how many it
+// knew shortly before. An instance that sees a majority may issue the whole limit. One that is cut off from the majority issues
+// only the share of the instances it still sees, and leaves the rest to the others, which may be using it.
 func LimitShare(live, known int) float64 {
 	if 2*live > known {
 		return 1
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -15,193 +15,201 @@
 )
 
 const (
-	// simZones is the number of availability zones.
 	simZones = 3
-	// simBeat is how often an instance hears of the others, and simLost the silence after which one counts as lost.
-	simBeat = 250 * time.Millisecond
-	simLost = 2 * time.Second
-	// simWindow is the time in which arrivals are counted, and simKnownAfter the time after the first naming from which they are.
-	simWindow     = 4 * time.Second
-	simKnownAfter = 3 * time.Second
-	// simNamedAt is when targets begin to name their limit, and simLiftedAt when they cease.
-	simNamedAt  = 3 * time.Second
-	simLiftedAt = 27 * time.Second
-	simLength   = 37 * time.Second
-	// simAnswer is how long a target takes.
-	simAnswer = 30 * time.Millisecond
+	// simHeartbeatInterval is the interval at which an instance receives the heartbeats of the others. An instance that has not
+	// been heard for simFailureTimeout counts as lost.
+	simHeartbeatInterval = 250 * time.Millisecond
+	simFailureTimeout    = 2 * time.Second
+	// simRateWindow is the length of the sliding window in which arrivals are counted. simSettleTime is the time between a target
+	// first declaring its limit and the start of counting, and the time for which an instance is marked as near a fault after the
+	// fault ends.
+	simRateWindow = 4 * time.Second
+	simSettleTime = 3 * time.Second
+	// Targets declare their limit from simLimitStart until simLimitEnd.
+	simLimitStart = 3 * time.Second
+	simLimitEnd   = 27 * time.Second
+	simDuration   = 37 * time.Second
+	// simServiceTime is how long a target takes to process a request.
+	simServiceTime = 30 * time.Millisecond
 )
 
-// way is how instances share a limit.
-type way string
+// strategy is how instances share a limit.
+type strategy string
 
 const (
-	// wayPermits asks one issuer for each request.
-	wayPermits way = "permits"
-	// wayParts gives each instance an even part.
-	wayParts way = "parts"
-	// wayOwners gives four instances a quarter each, and none to the others.
-	wayOwners way = "owners"
+	// strategyPermits requests a permit from one issuer for each request.
+	strategyPermits strategy = "permits"
+	// strategyEvenShares gives each instance an equal share.
+	strategyEvenShares strategy = "parts"
+	// strategyOwners gives four instances a quarter each, and nothing to the others.
+	strategyOwners strategy = "owners"
 )
 
-// owners is the number of instances that may send in wayOwners.
-const owners = 4
+// ownersPerTarget is the number of instances that may send to a limited target under strategyOwners.
+const ownersPerTarget = 4
 
-// trouble is what happens to the fleet of a play.
-type trouble struct {
-	// kills, freezes and cuts each strike a drawn instance, at moments all over the play; a killed one starts again.
-	kills, freezes, cuts int
-	// zoneCut cuts a zone off from the others, with its targets.
-	zoneCut bool
+// faults are the faults injected into the fleet in a scenario.
+type faults struct {
+	// kills, freezes and disconnects are numbers of faults, each at a random instance and time. A killed instance restarts after
+	// a second.
+	kills, freezes, disconnects int
+	// zonePartition cuts one zone, including its targets, off from the others.
+	zonePartition bool
 	// restartAll kills all instances at once.
 	restartAll bool
-	// large troubles strike the largest fleets in each run of the tests, the others only by hand.
-	large bool
+	// onLargeFleets injects these faults into large fleets in every test run. Other faults are injected there only with
+	// -permit.all.
+	onLargeFleets bool
 }
 
-// simFleet is the instances and targets of a play.
+// simFleet holds the instances and targets of a scenario.
 type simFleet struct {
-	way  way
-	rd   *rand.Rand
-	rdMu sync.Mutex
-	// mu guards the instances.
-	mu        sync.Mutex
-	limit     float64
-	limited   int
-	targets   []*simTarget
-	instances []*simInstance
-	byName    map[string]*simInstance
-	began     time.Time
-	zoneCut   bool
-	refused   int
-	wg        sync.WaitGroup
+	strategy strategy
+	rnd      *rand.Rand
+	rndMu    sync.Mutex
+	// mu guards the instances and zonePartitioned.
+	mu              sync.Mutex
+	limitPerSecond  float64
+	limitedTargets  int
+	targets         []*simTarget
+	instances       []*simInstance
+	byName          map[string]*simInstance
+	startedAt       time.Time
+	zonePartitioned bool
+	refused         int
+	wg              sync.WaitGroup
 }
 
-// simTarget counts what arrives at one target.
+// simTarget records the requests that arrive at one target.
 type simTarget struct {
 	targets.Target
-	mu       sync.Mutex
-	arrivals []simArrival
-	named    time.Time
+	mu           sync.Mutex
+	arrivals     []simArrival
+	limitedSince time.Time
 }
 
 // simArrival is one request at a target.
 type simArrival struct {
-	at   time.Time
-	from int
-	// excused is set when its instance was disturbed shortly before.
-	excused bool
+	at       time.Time
+	instance int
+	// nearFault is set if the sending instance is disconnected, or was affected by a fault within simSettleTime before.
+	nearFault bool
 }
 
-// simInstance is one instance with its view of the others.
+// simInstance is one instance with its view of the fleet.
 type simInstance struct {
 	no   int
 	name string
 	zone string
-	// mu is the fleet's, and guards all that follows.
-	mu     *sync.Mutex
-	up     bool
-	frozen time.Time
-	cut    bool
-	// disturbed is the end of the newest trouble.
-	disturbed time.Time
-	// heard is when each other instance was last heard, by number.
-	heard []time.Time
-	// issuers are those that it asked lately, by target, as long as it believes the same instances live.
-	issuers map[string]string
-	// seen and known are whom it believes live, and how many it knew, as of its last beat.
-	seen   []permit.Candidate
-	known  int
-	book   *ratelimit.Book
-	issuer *permit.Issuer
-	client *permit.Client
-	delay  time.Duration
+	// mu is the fleet's lock. It guards the fields below.
+	mu           *sync.Mutex
+	up           bool
+	frozenUntil  time.Time
+	disconnected bool
+	// lastFaultEnd is when the last fault of the instance ended, or will end.
+	lastFaultEnd time.Time
+	// lastHeard is when a heartbeat of each other instance was last received, by instance number.
+	lastHeard []time.Time
+	// issuerCache holds the selected issuers by target. It is reset when the set of live instances changes.
+	issuerCache map[string]string
+	// live and knownCount are the instances considered live and the number of instances known, as of the last tick.
+	live       []permit.Candidate
+	knownCount int
+	book       *ratelimit.Book
+	issuer     *permit.Issuer
+	client     *permit.Client
+	linkDelay  time.Duration
 }
 
-func (fl *simFleet) random() float64 {
-	fl.rdMu.Lock()
-	defer fl.rdMu.Unlock()
-	return fl.rd.Float64()
+func (fl *simFleet) float64() float64 {
+	fl.rndMu.Lock()
+	defer fl.rndMu.Unlock()
+	return fl.rnd.Float64()
 }
 
-func (fl *simFleet) draw(n int) int { return int(fl.random() * float64(n)) }
+func (fl *simFleet) intN(n int) int { return int(fl.float64() * float64(n)) }
 
-// start makes the process of an instance anew.
+// start starts the process of an instance with fresh state.
 func (in *simInstance) start(fl *simFleet) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.up, in.disturbed = true, time.Now()
-	in.heard, in.issuers = make([]time.Time, len(fl.instances)), map[string]string{}
-	in.seen, in.known = []permit.Candidate{{Name: in.name, AvailabilityZone: in.zone}}, 1
+	in.up, in.lastFaultEnd = true, time.Now()
+	in.lastHeard, in.issuerCache = make([]time.Time, len(fl.instances)), map[string]string{}
+	in.live, in.knownCount = []permit.Candidate{{Name: in.name, AvailabilityZone: in.zone}}, 1
 	in.book = ratelimit.New(time.Now)
 	in.issuer = permit.NewIssuer(time.Now)
 	book := in.book
 	in.client = permit.NewClient(time.Now, book.Of, metrics.NewSet())
-	in.client.SetRequestFunc(func(ctx context.Context, rq permit.Request) (permit.Decision, error) { return fl.ask(ctx, in, rq) })
+	in.client.SetRequestFunc(func(ctx context.Context, rq permit.Request) (permit.Decision, error) {
+		return fl.requestPermit(ctx, in, rq)
+	})
 }
 
-// reaches reports whether two instances hear each other.
-func (fl *simFleet) reaches(a, b *simInstance) bool {
+// connected reports whether two instances can communicate.
+func (fl *simFleet) connected(a, b *simInstance) bool {
 	if a.no == b.no {
 		return true
 	}
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return fl.reachesNow(a, b, time.Now())
+	return fl.connectedAt(a, b, time.Now())
 }
 
-// reachesNow is reaches with the lock held.
-func (fl *simFleet) reachesNow(a, b *simInstance, now time.Time) bool {
-	return a.talks(now) && b.talks(now) && !fl.apart(a.zone, b.zone)
+// connectedAt is connected for two distinct instances. The lock must be held.
+func (fl *simFleet) connectedAt(a, b *simInstance, now time.Time) bool {
+	return a.reachable(now) && b.reachable(now) && !fl.partitioned(a.zone, b.zone)
 }
 
-// talks reports whether any other instance can reach this one. The lock is held.
-func (in *simInstance) talks(now time.Time) bool { return in.up && !in.cut && !now.Before(in.frozen) }
+// reachable reports whether the instance is running and connected to the network. The lock must be held.
+func (in *simInstance) reachable(now time.Time) bool {
+	return in.up && !in.disconnected && !now.Before(in.frozenUntil)
+}
 
-// look renews whom an instance believes live, and how many it knew. The lock is held.
-func (in *simInstance) look(fl *simFleet) {
+// refreshView updates the set of live instances and the number of known instances. The lock must be held.
+func (in *simInstance) refreshView(fl *simFleet) {
 	now := time.Now()
 	known := 0
 	var live []permit.Candidate
-	for no, at := range in.heard {
+	for no, at := range in.lastHeard {
 		if at.IsZero() && no != in.no {
 			continue
 		}
 		known++
-		if no == in.no || now.Sub(at) < simLost {
+		if no == in.no || now.Sub(at) < simFailureTimeout {
 			live = append(live, permit.Candidate{Name: fl.instances[no].name, AvailabilityZone: fl.instances[no].zone})
 		}
 	}
-	if !slices.Equal(live, in.seen) {
-		in.issuers = map[string]string{}
+	if !slices.Equal(live, in.live) {
+		in.issuerCache = map[string]string{}
 	}
-	in.seen, in.known = live, known
+	in.live, in.knownCount = live, known
 }
 
-// issuerOf returns the issuer of a target as an instance sees it.
+// issuerOf returns the issuer of a target as selected by the instance from its own view.
 func (in *simInstance) issuerOf(tg targets.Target) string {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	name, known := in.issuers[tg.ID]
+	name, known := in.issuerCache[tg.ID]
 	if !known {
-		name = permit.SelectIssuer(in.seen, tg)
-		in.issuers[tg.ID] = name
+		name = permit.SelectIssuer(in.live, tg)
+		in.issuerCache[tg.ID] = name
 	}
 	return name
 }
 
-// live returns whom an instance believes live, and how many it knew.
-func (in *simInstance) live() (live []permit.Candidate, known int) {
+// view returns the instances considered live, and the number of instances known.
+func (in *simInstance) view() (live []permit.Candidate, known int) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.seen, in.known
+	return in.live, in.knownCount
 }
 
-// ask puts a question to the issuer of a target, over links that take time and may be cut.
-func (fl *simFleet) ask(ctx context.Context, in *simInstance, rq permit.Request) (permit.Decision, error) {
+// requestPermit requests a permit from the issuer of a target, over a network with delays and partitions.
+func (fl *simFleet) requestPermit(ctx context.Context, in *simInstance, rq permit.Request) (permit.Decision, error) {
 	issuer := fl.byName[in.issuerOf(rq.Target)]
 	if issuer.no != in.no {
-		fl.travel()
-		if !fl.reaches(in, issuer) {
+		fl.networkDelay()
+		if !fl.connected(in, issuer) {
 			<-ctx.Done()
 			return permit.Decision{}, ctx.Err()
 		}
@@ -209,22 +217,22 @@
 	if issuer.issuerOf(rq.Target) != issuer.name {
 		return permit.Decision{Delay: 100 * time.Millisecond}, nil
 	}
-	theirs, known := issuer.live()
+	live, known := issuer.view()
 	issuer.mu.Lock()
 	is := issuer.issuer
 	issuer.mu.Unlock()
-	an := is.Issue(rq.Target.ID, rq.Limit, permit.LimitShare(len(theirs), known), rq.MaxWait)
+	dc := is.Issue(rq.Target.ID, rq.Limit, permit.LimitShare(len(live), known), rq.MaxWait)
 	if issuer.no != in.no {
-		fl.travel()
+		fl.networkDelay()
 	}
-	return an, ctx.Err()
+	return dc, ctx.Err()
 }
 
-// travel takes as long as a message between two instances.
-func (fl *simFleet) travel() { time.Sleep(time.Duration(500+fl.draw(2500)) * time.Microsecond) }
+// networkDelay sleeps for the random delay of a message between two instances.
+func (fl *simFleet) networkDelay() { time.Sleep(time.Duration(500+fl.intN(2500)) * time.Microsecond) }
 
-// take asks for leave to send a request to a target in the way of the play.
-func (fl *simFleet) take(in *simInstance, tg *simTarget) bool {
+// acquirePermit reports whether the strategy lets the instance send a request to the target now.
+func (fl *simFleet) acquirePermit(in *simInstance, tg *simTarget) bool {
 	in.mu.Lock()
 	cl, is, book := in.client, in.issuer, in.book
 	in.mu.Unlock()
@@ -232,191 +240,192 @@
 	if !li.Named {
 		return true
 	}
-	live, _ := in.live()
-	switch fl.way {
-	case wayParts:
+	live, _ := in.view()
+	switch fl.strategy {
+	case strategyEvenShares:
 		return is.Issue(tg.ID, li, 1/float64(len(live)), 0).Granted
-	case wayOwners:
-		return owns(live, in.name, tg) && is.Issue(tg.ID, li, 1/float64(min(owners, len(live))), 0).Granted
+	case strategyOwners:
+		return isOwner(live, in.name, tg) && is.Issue(tg.ID, li, 1/float64(min(ownersPerTarget, len(live))), 0).Granted
 	default:
 		return cl.Acquire(context.Background(), tg.Target, 0).Granted
 	}
 }
 
-// owns reports whether an instance is among the first for a target.
-func owns(live []permit.Candidate, name string, tg *simTarget) bool {
-	left := slices.Clone(live)
-	for range min(owners, len(left)) {
-		first := permit.SelectIssuer(left, tg.Target)
-		if first == name {
+// isOwner reports whether an instance is one of the ownersPerTarget highest-ranked instances for a target.
+func isOwner(live []permit.Candidate, name string, tg *simTarget) bool {
+	remaining := slices.Clone(live)
+	for range min(ownersPerTarget, len(remaining)) {
+		owner := permit.SelectIssuer(remaining, tg.Target)
+		if owner == name {
 			return true
 		}
-		left = slices.DeleteFunc(left, func(ca permit.Candidate) bool { return ca.Name == first })
+		remaining = slices.DeleteFunc(remaining, func(ca permit.Candidate) bool { return ca.Name == owner })
 	}
 	return false
 }
 
-// request finds a target for a request, targets in need first since they look idle, and sends it there.
-func (fl *simFleet) request(in *simInstance) {
-	in.awake()
-	order := make([]*simTarget, 0, len(fl.targets))
-	shift := fl.draw(max(1, fl.limited))
-	for no := range fl.limited {
-		order = append(order, fl.targets[(no+shift)%fl.limited])
+// route sends a request to the first target available to it. It tries the limited targets first, since they appear idle.
+func (fl *simFleet) route(in *simInstance) {
+	in.waitWhileFrozen()
+	candidates := make([]*simTarget, 0, len(fl.targets))
+	offset := fl.intN(max(1, fl.limitedTargets))
+	for no := range fl.limitedTargets {
+		candidates = append(candidates, fl.targets[(no+offset)%fl.limitedTargets])
 	}
-	if fl.limited < len(fl.targets) {
-		order = append(order, fl.targets[fl.limited+fl.draw(len(fl.targets)-fl.limited)])
+	if fl.limitedTargets < len(fl.targets) {
+		candidates = append(candidates, fl.targets[fl.limitedTargets+fl.intN(len(fl.targets)-fl.limitedTargets)])
 	}
-	for _, tg := range order {
+	for _, tg := range candidates {
 		in.mu.Lock()
 		cl := in.client
 		in.mu.Unlock()
-		if _, closed := cl.BlockedUntil(tg.ID); closed || !fl.mayReach(in, tg) {
+		if _, blocked := cl.BlockedUntil(tg.ID); blocked || !fl.targetReachable(in, tg) {
 			continue
 		}
-		if fl.take(in, tg) {
+		if fl.acquirePermit(in, tg) {
 			fl.send(in, tg)
 			return
 		}
 	}
-	fl.rdMu.Lock()
-	defer fl.rdMu.Unlock()
+	fl.rndMu.Lock()
+	defer fl.rndMu.Unlock()
 	fl.refused++
 }
 
-// awake waits until an instance is not frozen.
-func (in *simInstance) awake() {
+// waitWhileFrozen blocks until the instance is no longer frozen.
+func (in *simInstance) waitWhileFrozen() {
 	in.mu.Lock()
-	wait := time.Until(in.frozen)
+	wait := time.Until(in.frozenUntil)
 	in.mu.Unlock()
 	time.Sleep(wait)
 }
 
-// mayReach reports whether a target can be reached.
-func (fl *simFleet) mayReach(in *simInstance, tg *simTarget) bool {
+// targetReachable reports whether no partition separates the instance from the target.
+func (fl *simFleet) targetReachable(in *simInstance, tg *simTarget) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return !fl.apart(in.zone, tg.AvailabilityZone)
+	return !fl.partitioned(in.zone, tg.AvailabilityZone)
 }
 
-// apart reports whether a cut runs between two zones. The lock is held.
-func (fl *simFleet) apart(a, b string) bool {
-	const cutOff = "zone-0"
-	return fl.zoneCut && a != b && (a == cutOff || b == cutOff)
+// partitioned reports whether a partition separates two zones. The lock must be held.
+func (fl *simFleet) partitioned(a, b string) bool {
+	const isolated = "zone-0"
+	return fl.zonePartitioned && a != b && (a == isolated || b == isolated)
 }
 
-// send sends a request and reads what its answer says.
+// send sends a request to a target and processes the limit declared in the response.
 func (fl *simFleet) send(in *simInstance, tg *simTarget) {
-	in.awake()
+	in.waitWhileFrozen()
 	in.mu.Lock()
 	up, book := in.up, in.book
-	excused := in.cut || time.Since(in.disturbed) < simKnownAfter
+	nearFault := in.disconnected || time.Since(in.lastFaultEnd) < simSettleTime
 	in.mu.Unlock()
 	if !up {
 		return
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	time.Sleep(time.Millisecond)
 	tg.mu.Lock()
-	tg.arrivals = append(tg.arrivals, simArrival{at: time.Now(), from: in.no, excused: excused})
+	tg.arrivals = append(tg.arrivals, simArrival{at: time.Now(), instance: in.no, nearFault: nearFault})
 	tg.mu.Unlock()
-	time.Sleep(simAnswer)
+	time.Sleep(simServiceTime)
 	var li ratelimit.Limit
-	if since := time.Since(fl.began); since >= simNamedAt && since < simLiftedAt && fl.limits(tg) {
-		li = ratelimit.Of(fl.limit)
+	if elapsed := time.Since(fl.startedAt); elapsed >= simLimitStart && elapsed < simLimitEnd && fl.declaresLimit(tg) {
+		li = ratelimit.Of(fl.limitPerSecond)
 		tg.mu.Lock()
-		if tg.named.IsZero() {
-			tg.named = time.Now()
+		if tg.limitedSince.IsZero() {
+			tg.limitedSince = time.Now()
 		}
 		tg.mu.Unlock()
 	}
 	time.Sleep(time.Millisecond)
-	if _, changed := book.Observe(tg.ID, li, sent, time.Now()); changed {
-		fl.tell(in)
+	if _, changed := book.Observe(tg.ID, li, sentAt, time.Now()); changed {
+		fl.broadcast(in)
 	}
 }
 
-func (fl *simFleet) limits(tg *simTarget) bool {
-	return slices.Index(fl.targets, tg) < fl.limited
+func (fl *simFleet) declaresLimit(tg *simTarget) bool {
+	return slices.Index(fl.targets, tg) < fl.limitedTargets
 }
 
-// tell tells the others what an instance saw; each hears of it after the delay of its links.
-func (fl *simFleet) tell(in *simInstance) {
+// broadcast sends the limits observed by an instance to all others. Each receives them after the delay of the link.
+func (fl *simFleet) broadcast(in *simInstance) {
 	in.mu.Lock()
-	told := in.book.Told()
+	observations := in.book.Told()
 	in.mu.Unlock()
 	for _, other := range fl.instances {
 		if other.no == in.no {
 			continue
 		}
-		time.AfterFunc(in.delay+other.delay, func() {
-			if !fl.reaches(in, other) {
+		time.AfterFunc(in.linkDelay+other.linkDelay, func() {
+			if !fl.connected(in, other) {
 				return
 			}
 			other.mu.Lock()
 			book := other.book
 			other.mu.Unlock()
-			book.Hear(told)
+			book.Hear(observations)
 		})
 	}
 }
 
-// beat lets an instance hear of the others, and tells those that were not there before what it saw.
-func (fl *simFleet) beat(in *simInstance) {
+// tick receives heartbeats, and broadcasts the observed limits if an instance was discovered.
+func (fl *simFleet) tick(in *simInstance) {
 	in.mu.Lock()
-	running, is := in.up && !time.Now().Before(in.frozen), in.issuer
+	running, is := in.up && !time.Now().Before(in.frozenUntil), in.issuer
 	in.mu.Unlock()
 	if !running {
 		return
 	}
 	is.Tick()
-	if fl.meet(in) {
-		fl.tell(in)
+	if fl.receiveHeartbeats(in) {
+		fl.broadcast(in)
 	}
 }
 
-// meet lets an instance hear of those that it reaches, and reports whether one of them was not live for it before.
-func (fl *simFleet) meet(in *simInstance) bool {
+// receiveHeartbeats receives a heartbeat from each connected instance, and reports whether any of them was not considered live
+// before.
+func (fl *simFleet) receiveHeartbeats(in *simInstance) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	now := time.Now()
-	met := false
+	discovered := false
 	for _, other := range fl.instances {
-		if other.no == in.no || !fl.reachesNow(in, other, now) {
+		if other.no == in.no || !fl.connectedAt(in, other, now) {
 			continue
 		}
-		met = met || now.Sub(in.heard[other.no]) >= simLost
-		in.heard[other.no] = now
+		discovered = discovered || now.Sub(in.lastHeard[other.no]) >= simFailureTimeout
+		in.lastHeard[other.no] = now
 	}
-	in.look(fl)
-	return met
+	in.refreshView(fl)
+	return discovered
 }
 
-// disturb strikes drawn instances.
-func (fl *simFleet) disturb(tr trouble) {
-	at := func(act func(in *simInstance)) {
-		in := fl.instances[fl.draw(len(fl.instances))]
-		after := simNamedAt + time.Duration(fl.random()*float64(simLiftedAt-simNamedAt-3*time.Second))
+// injectFaults schedules the faults of a scenario.
+func (fl *simFleet) injectFaults(ft faults) {
+	schedule := func(inject func(in *simInstance)) {
+		in := fl.instances[fl.intN(len(fl.instances))]
+		delay := simLimitStart + time.Duration(fl.float64()*float64(simLimitEnd-simLimitStart-3*time.Second))
 		fl.wg.Go(func() {
-			time.Sleep(after)
-			act(in)
+			time.Sleep(delay)
+			inject(in)
 		})
 	}
-	// A third of a small fleet at the most is struck in each way.
-	most := len(fl.instances) / 3
-	for range min(tr.kills, most) {
-		at(func(in *simInstance) { fl.kill(in) })
+	// Each kind of fault affects at most a third of a small fleet.
+	maxAffected := len(fl.instances) / 3
+	for range min(ft.kills, maxAffected) {
+		schedule(func(in *simInstance) { fl.kill(in) })
 	}
-	for range min(tr.freezes, most) {
-		at(func(in *simInstance) { fl.freeze(in) })
+	for range min(ft.freezes, maxAffected) {
+		schedule(func(in *simInstance) { fl.freeze(in) })
 	}
-	for range min(tr.cuts, most) {
-		at(func(in *simInstance) { fl.cutOff(in) })
+	for range min(ft.disconnects, maxAffected) {
+		schedule(func(in *simInstance) { fl.disconnect(in) })
 	}
-	if tr.zoneCut {
-		fl.wg.Go(func() { fl.cutZone() })
+	if ft.zonePartition {
+		fl.wg.Go(func() { fl.partitionZone() })
 	}
-	if tr.restartAll {
+	if ft.restartAll {
 		fl.wg.Go(func() {
 			time.Sleep(15 * time.Second)
 			for _, in := range fl.instances {
@@ -435,34 +444,38 @@
 }
 
 func (fl *simFleet) freeze(in *simInstance) {
-	length := time.Second + time.Duration(fl.random()*float64(4*time.Second))
+	duration := time.Second + time.Duration(fl.float64()*float64(4*time.Second))
 	in.mu.Lock()
-	in.frozen = time.Now().Add(length)
-	in.disturbed = in.frozen
+	in.frozenUntil = time.Now().Add(duration)
+	in.lastFaultEnd = in.frozenUntil
 	in.mu.Unlock()
 }
 
-func (fl *simFleet) cutOff(in *simInstance) {
+func (fl *simFleet) disconnect(in *simInstance) {
 	in.mu.Lock()
-	in.cut = true
+	in.disconnected = true
 	in.mu.Unlock()
-	time.Sleep(time.Second + time.Duration(fl.random()*float64(5*time.Second)))
+	time.Sleep(time.Second + time.Duration(fl.float64()*float64(5*time.Second)))
 	in.mu.Lock()
-	in.cut, in.disturbed = false, time.Now()
+	in.disconnected, in.lastFaultEnd = false, time.Now()
 	in.mu.Unlock()
 }
 
-func (fl *simFleet) setZoneCut(cut bool) { fl.mu.Lock(); defer fl.mu.Unlock(); fl.zoneCut = cut }
+func (fl *simFleet) setZonePartitioned(partitioned bool) {
+	fl.mu.Lock()
+	defer fl.mu.Unlock()
+	fl.zonePartitioned = partitioned
+}
 
-func (fl *simFleet) cutZone() {
+func (fl *simFleet) partitionZone() {
 	time.Sleep(12 * time.Second)
-	fl.setZoneCut(true)
+	fl.setZonePartitioned(true)
 	time.Sleep(6 * time.Second)
-	fl.setZoneCut(false)
+	fl.setZonePartitioned(false)
 	for _, in := range fl.instances {
 		if in.zone == "zone-0" {
 			in.mu.Lock()
-			in.disturbed = time.Now()
+			in.lastFaultEnd = time.Now()
 			in.mu.Unlock()
 		}
 	}
