--- a/internal/permit/fleet_test.go
+++ b/internal/permit/fleet_test.go
@@ -93,7 +93,7 @@
 func (fl *simFleet) generateLoad(perSecond float64) int {
 	n := 0
 	for time.Since(fl.startedAt) < simDuration {
-		time.Sleep(time.Duration(-math.Log(1-fl.float64()) / perSecond * float64(time.Second)))
+		time.Sleep(time.Duration(-math.Log(1-fl.uniform()) / perSecond * float64(time.Second)))
 		in := fl.instances[fl.intN(len(fl.instances))]
 		in.mu.Lock()
 		up := in.up
@@ -120,13 +120,13 @@
 		from := tg.limitedSince.Add(simSettleTime)
 		rs.maxInWindow = max(rs.maxInWindow, tg.maxArrivals(from, to, false))
 		rs.maxInWindowAll = max(rs.maxInWindowAll, tg.maxArrivals(from, to, true))
-		arrivals := 0
+		count := 0
 		for _, ar := range tg.arrivals {
 			if ar.at.After(from) && ar.at.Before(to) {
-				arrivals++
+				count++
 			}
 		}
-		used := float64(arrivals) / to.Sub(from).Seconds() / fl.limitPerSecond
+		used := float64(count) / to.Sub(from).Seconds() / fl.limitPerSecond
 		rs.minUsed = min(rs.minUsed, used)
 		rs.meanUsed += used / float64(fl.limitedTargets)
 		for _, in := range fl.instances {
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -121,13 +121,13 @@
 	linkDelay  time.Duration
 }
 
-func (fl *simFleet) float64() float64 {
+func (fl *simFleet) uniform() float64 {
 	fl.rndMu.Lock()
 	defer fl.rndMu.Unlock()
 	return fl.rnd.Float64()
 }
 
-func (fl *simFleet) intN(n int) int { return int(fl.float64() * float64(n)) }
+func (fl *simFleet) intN(n int) int { return int(fl.uniform() * float64(n)) }
 
 // start starts the process of an instance with fresh state.
 func (in *simInstance) start(fl *simFleet) {
@@ -405,7 +405,7 @@
 func (fl *simFleet) injectFaults(ft faults) {
 	schedule := func(inject func(in *simInstance)) {
 		in := fl.instances[fl.intN(len(fl.instances))]
-		delay := simLimitStart + time.Duration(fl.float64()*float64(simLimitEnd-simLimitStart-3*time.Second))
+		delay := simLimitStart + time.Duration(fl.uniform()*float64(simLimitEnd-simLimitStart-3*time.Second))
 		fl.wg.Go(func() {
 			time.Sleep(delay)
 			inject(in)
@@ -444,7 +444,7 @@
 }
 
 func (fl *simFleet) freeze(in *simInstance) {
-	duration := time.Second + time.Duration(fl.float64()*float64(4*time.Second))
+	duration := time.Second + time.Duration(fl.uniform()*float64(4*time.Second))
 	in.mu.Lock()
 	in.frozenUntil = time.Now().Add(duration)
 	in.lastFaultEnd = in.frozenUntil
@@ -455,7 +455,7 @@
 	in.mu.Lock()
 	in.disconnected = true
 	in.mu.Unlock()
-	time.Sleep(time.Second + time.Duration(fl.float64()*float64(5*time.Second)))
+	time.Sleep(time.Second + time.Duration(fl.uniform()*float64(5*time.Second)))
 	in.mu.Lock()
 	in.disconnected, in.lastFaultEnd = false, time.Now()
 	in.mu.Unlock()
