--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -38,7 +38,7 @@
 	if ds.opts.Permits == nil || as.permitted == id {
 		return time.Time{}, false
 	}
-	if opens, closed = ds.opts.Permits.Closed(id); closed {
+	if opens, closed = ds.opts.Permits.BlockedUntil(id); closed {
 		return opens, true
 	}
 	return ds.opts.Now(), as.refusals >= permitTries && ds.opts.Permits.Limited(id)
@@ -61,10 +61,10 @@
 }
 
 // take asks for a permit, and tells of a refusal.
-func (ds *Dispatcher) take(ctx context.Context, as Ask, tg targets.Target, wait time.Duration) permit.Answer {
-	an := ds.opts.Permits.Take(ctx, tg, wait)
+func (ds *Dispatcher) take(ctx context.Context, as Ask, tg targets.Target, wait time.Duration) permit.Decision {
+	an := ds.opts.Permits.Acquire(ctx, tg, wait)
 	if !an.Granted && ds.opts.TurnedElsewhere != nil {
-		ds.opts.TurnedElsewhere(as.Request, tg, an.After)
+		ds.opts.TurnedElsewhere(as.Request, tg, an.Delay)
 	}
 	return an
 }
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -63,7 +63,7 @@
 // issuerOf returns the instance that issues the permits of a target.
 func (ps *permits) issuerOf(tg targets.Target) gossip.Member {
 	live, cands := ps.members()
-	name := permit.Issues(cands, tg)
+	name := permit.SelectIssuer(cands, tg)
 	return live[slices.IndexFunc(live, func(mb gossip.Member) bool { return mb.Name == name })]
 }
 
@@ -84,9 +84,9 @@
 }
 
 // ask is the permit.Ask of this instance.
-func (ps *permits) ask(ctx context.Context, rq permit.Request) (permit.Answer, error) {
+func (ps *permits) ask(ctx context.Context, rq permit.Request) (permit.Decision, error) {
 	qu := question{
-		Target: rq.Target.ID, Zone: rq.Target.AvailabilityZone, PerSecond: rq.Limit.PerSecond, WaitUS: rq.Wait.Microseconds(),
+		Target: rq.Target.ID, Zone: rq.Target.AvailabilityZone, PerSecond: rq.Limit.PerSecond, WaitUS: rq.MaxWait.Microseconds(),
 	}
 	issuer := ps.issuerOf(rq.Target)
 	if issuer.Name == ps.self {
@@ -100,33 +100,33 @@
 }
 
 // askPeer puts a question to the issuer that is another instance.
-func (ps *permits) askPeer(ctx context.Context, issuer gossip.Member, qu question) (permit.Answer, error) {
+func (ps *permits) askPeer(ctx context.Context, issuer gossip.Member, qu question) (permit.Decision, error) {
 	b, err := json.Marshal(qu)
 	if err != nil {
-		return permit.Answer{}, errors.Wrap(err, "encode question")
+		return permit.Decision{}, errors.Wrap(err, "encode question")
 	}
 	b, err = ps.mesh.Ask(ctx, issuer, permitQuestion, b)
 	if err != nil {
-		return permit.Answer{}, errors.Wrap(err, "ask for permit")
+		return permit.Decision{}, errors.Wrap(err, "ask for permit")
 	}
 	var rp reply
 	if err := json.Unmarshal(b, &rp); err != nil {
-		return permit.Answer{}, errors.Wrap(err, "decode permit")
+		return permit.Decision{}, errors.Wrap(err, "decode permit")
 	}
-	return permit.Answer{Granted: rp.Granted, After: time.Duration(rp.AfterUS) * time.Microsecond}, nil
+	return permit.Decision{Granted: rp.Granted, Delay: time.Duration(rp.AfterUS) * time.Microsecond}, nil
 }
 
 // issue answers a question, of this instance itself or a peer. Only the issuer by this instance's own view grants anything.
-func (ps *permits) issue(qu question) permit.Answer {
+func (ps *permits) issue(qu question) permit.Decision {
 	tg := targets.Target{ID: qu.Target, AvailabilityZone: qu.Zone}
 	if ps.issuerOf(tg).Name != ps.self {
-		return permit.Answer{After: elsewhereFor}
+		return permit.Decision{Delay: elsewhereFor}
 	}
 	li := ps.limits.Of(qu.Target)
 	if !li.Named {
 		li = ratelimit.Of(qu.PerSecond)
 	}
-	return ps.issuer.Issue(qu.Target, li, permit.Share(ps.mesh.Known()), time.Duration(qu.WaitUS)*time.Microsecond)
+	return ps.issuer.Issue(qu.Target, li, permit.LimitShare(ps.mesh.Known()), time.Duration(qu.WaitUS)*time.Microsecond)
 }
 
 // answer answers a peer's question.
@@ -140,7 +140,7 @@
 		return nil, false
 	}
 	an := ps.issue(qu)
-	b, err := json.Marshal(reply{Granted: an.Granted, AfterUS: an.After.Microseconds()})
+	b, err := json.Marshal(reply{Granted: an.Granted, AfterUS: an.Delay.Microseconds()})
 	if err != nil {
 		ps.lg.WithError(err).Error("permit not told")
 	}
@@ -154,7 +154,7 @@
 	for {
 		select {
 		case <-tick.C:
-			ps.issuer.Beat()
+			ps.issuer.Tick()
 		case <-ctx.Done():
 			return
 		}
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -25,7 +25,7 @@
 func (du *duty) targetsDocument(name string) ([]byte, error) {
 	var tl targetList
 	at, list := du.dr.Listed()
-	tl.Version, tl.Targets = at.Number(), list
+	tl.Version, tl.Targets = at.Pack(), list
 	tl.Lapsed = du.dr.Lapsed()
 	if name == nameDocument {
 		tl.Targets = withoutIncarnations(tl.Targets)
@@ -70,13 +70,13 @@
 		lg.WithError(err).Error("peer's list of targets cannot be read")
 		return
 	}
-	at := position.Of(tl.Version)
+	at := position.Unpack(tl.Version)
 	mine, _ := du.dr.ChangedAt()
 	if nw.at.After(at) || !at.After(mine) {
 		// Meanwhile the store told more.
 		return
 	}
-	if at.Restored(mine) {
+	if at.RestoredSince(mine) {
 		lg.Warn("store came back from an older copy, as a peer tells")
 		du.dr.Restored(at.Era, nw.evidence)
 	}
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -77,7 +77,7 @@
 }
 
 func (sv *Server) withKey(ctx context.Context, key string, rq *request, sk *sink, run runFunc) error {
-	cl, ans, err := sv.Claims.Take(ctx, claim.Name(rq.org.Name, rq.path+"\x00"+key), rq.body)
+	cl, ans, err := sv.Claims.Acquire(ctx, claim.ObjectName(rq.org.Name, rq.path+"\x00"+key), rq.body)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 		return nil
 	}
 	rq.never = true
-	sk.record = &claim.Answer{}
+	sk.record = &claim.Response{}
 	err = run(ctx, rq, sk)
 	sv.settle(ctx, cl, sk.record, err)
 	return err
@@ -94,7 +94,7 @@
 
 // settle records how a request with a key ended. The record is written also when the caller is gone; when the store is
 // slow it goes on behind, so that the end of the caller's answer does not wait for it.
-func (sv *Server) settle(ctx context.Context, cl *claim.Claim, ans *claim.Answer, err error) {
+func (sv *Server) settle(ctx context.Context, cl *claim.Claim, ans *claim.Response, err error) {
 	done := make(chan struct{})
 	settled := sv.settling.Begin()
 	go func() {
@@ -104,11 +104,11 @@
 		defer cancel()
 		switch {
 		case err == nil:
-			cl.Finish(ctx, *ans)
+			cl.Complete(ctx, *ans)
 		case failure.Of(err).Outcome == failure.NotRun:
 			cl.Release(ctx)
 		default:
-			cl.Lose(ctx)
+			cl.MarkLost(ctx)
 		}
 	}()
 	select {
@@ -212,7 +212,7 @@
 // end closes the life of a request that gets no whole answer, and says what is known.
 func (sv *Server) end(rq *request, sk *sink, fe *failure.Error) error {
 	notRun := fe.Outcome == failure.NotRun
-	if err := sv.machine.End(&rq.life, notRun && !sk.Started()); err != nil {
+	if err := sv.machine.Abort(&rq.life, notRun && !sk.Started()); err != nil {
 		return err
 	}
 	if notRun && sk.Started() {
