--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -42,22 +42,22 @@
 // with Plus and taken away again with Minus, without rounding.
 type Load struct {
 	// Whole is the unread part of prompts that are read in one piece.
-	Whole Backlog
+	Whole Backlog `json:"Whole"`
 	// Parts is the unread part of split prompts, which is read ahead of Whole; the two do not overlap.
-	Parts Backlog
+	Parts Backlog `json:"Parts"`
 	// Readers is the number of requests whose main target this is and which have no first token yet.
-	Readers int
+	Readers int `json:"Readers"`
 	// Writers is the number of requests that write here.
-	Writers int
+	Writers int `json:"Writers"`
 	// Context is the number of tokens of context that the steps here pay for, with parts held for writers elsewhere.
-	Context int64
+	Context int64 `json:"Context"`
 	// Memory is the number of tokens held or to be held, with expected answers and reserved memory.
 	Memory int64
 	// Waiting is what the readers of each class of objective, and of patience, lose together when the first token comes
 	// later.
-	Waiting Classes
+	Waiting Classes `json:"Waiting"`
 	// AtRisk is what the writers of each class of longest pause, and of patience, lose together when a pause is longer.
-	AtRisk Classes
+	AtRisk Classes `json:"AtRisk"`
 }
 
 // Plus returns the sum of two loads.
