--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -47,8 +47,8 @@
 		expected = min(expected, as.MostAnswer)
 	}
 	// An event holds the tokens of one pass.
-	expected -= as.Events * as.Service.Engine.Stride
-	return max(as.Service.Engine.Stride, expected)
+	expected -= as.Events * as.Service.Engine.StepsPerPass
+	return max(as.Service.Engine.StepsPerPass, expected)
 }
 
 // place chooses the targets of a prompt and books it there.
@@ -204,6 +204,6 @@
 
 // answerTime returns how long a usual answer is written.
 func answerTime(en *placement.Engine) time.Duration {
-	passes := max(1, float64(en.UsualAnswer)/float64(max(1, en.Stride)))
+	passes := max(1, float64(en.UsualAnswer)/float64(max(1, en.StepsPerPass)))
 	return time.Duration(passes * float64(writerPass))
 }
--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -10,7 +10,7 @@
 
 // replayFigures are those of an engine that reads 256,000 tokens a second and writes 52 tokens in a pass.
 var replayFigures = placement.Engine{
-	Slots: 12, Stride: 52, Chunk: 2048, Memory: 382_500, Step: 925 * time.Microsecond, PerWriter: 5 * time.Microsecond,
+	Slots: 12, StepsPerPass: 52, Chunk: 2048, Memory: 382_500, Step: 925 * time.Microsecond, PerWriter: 5 * time.Microsecond,
 	PerThousandContext: 3 * time.Microsecond, PerThousandRead: 3906 * time.Microsecond, PerMillionPairs: 92 * time.Microsecond,
 	Hop: 100 * time.Microsecond, ZoneDelay: 500 * time.Microsecond, UsualPrompt: 5000, UsualAnswer: 1700,
 }
@@ -76,7 +76,7 @@
 	}
 	steps, load := int64(1), placement.Load{Writers: len(en.writers)}
 	if len(en.writers) > 0 {
-		steps = int64(replayFigures.Stride)
+		steps = int64(replayFigures.StepsPerPass)
 	}
 	var written []*writer
 	for wr := range en.writers {
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -262,7 +262,7 @@
 		if _, ok := Choose(typical, pr, ts, Options{}); ok || pr.need() > typical.Memory {
 			return
 		}
-		passes := ceilDiv(pr.Answer, int64(typical.Stride))
+		passes := ceilDiv(pr.Answer, int64(typical.StepsPerPass))
 		for _, ta := range ts {
 			first := float64(typical.FirstToken(pr, ta))
 			writing := float64(passes) * typical.writePass(&ta, 1, pr.Tokens+pr.Answer/2)
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -9,7 +9,7 @@
 	// Slots is the most requests that write at once; it is at least 1.
 	Slots int
 	// Stride is the number of steps in a pass that has writers; it is at least 1.
-	Stride int
+	StepsPerPass int
 	// Chunk is the most tokens read in one step; it is at least 1.
 	Chunk int64
 	// Memory is the number of tokens an engine holds.
@@ -84,12 +84,12 @@
 
 // pass returns the nanoseconds of a pass with writers and without reading.
 func (en *Engine) pass(writers int, context int64) float64 {
-	return float64(en.Stride) * en.step(writers, context)
+	return float64(en.StepsPerPass) * en.step(writers, context)
 }
 
 // passRoom returns the most tokens read in one pass with writers.
 func (en *Engine) passRoom() int64 {
-	return int64(en.Stride) * en.Chunk
+	return int64(en.StepsPerPass) * en.Chunk
 }
 
 // perThousand and perMillion turn counts into those that the figures of an engine are stated for. They are factors, as
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,7 +10,7 @@
 // typical holds the figures of a typical deployment.
 var typical = Engine{
 	Slots:              16,
-	Stride:             43,
+	StepsPerPass:       43,
 	Chunk:              2048,
 	Memory:             232_000,
 	Step:               1020 * time.Microsecond,
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -35,7 +35,7 @@
 // steps returns the number of steps of a pass.
 func (en *Engine) steps(lo *Load) int64 {
 	if lo.Writers > 0 {
-		return int64(en.Stride)
+		return int64(en.StepsPerPass)
 	}
 	return 1
 }
@@ -50,7 +50,7 @@
 func (en *Engine) readPause(ta *Target, part Backlog, step float64) float64 {
 	lo := &ta.Load
 	ba := en.within(lo.unread().Plus(part), en.passRoom())
-	return ta.pace() * (float64(en.Stride)*step + en.reading(ba))
+	return ta.pace() * (float64(en.StepsPerPass)*step + en.reading(ba))
 }
 
 // readTime returns the nanoseconds until a part is read. Split prompts are read ahead of whole ones, which still fill
@@ -97,7 +97,7 @@
 	if over <= 0 {
 		return 0
 	}
-	passes := ceilDiv(en.UsualAnswer, int64(en.Stride))
+	passes := ceilDiv(en.UsualAnswer, int64(en.StepsPerPass))
 	answer := float64(passes) * en.pass(lo.Writers, lo.Context)
 	return ta.pace() * answer * float64(over) / float64(en.Slots)
 }
