--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -11,7 +11,7 @@
 	// Stride is the number of steps in a pass that has writers; it is at least 1.
 	StepsPerPass int
 	// Chunk is the most tokens read in one step; it is at least 1.
-	Chunk int64
+	ChunkTokens int64
 	// Memory is the number of tokens an engine holds.
 	Memory int64
 	// Step is the time of one step with neither reading nor writers.
@@ -89,7 +89,7 @@
 
 // passRoom returns the most tokens read in one pass with writers.
 func (en *Engine) passRoom() int64 {
-	return int64(en.StepsPerPass) * en.Chunk
+	return int64(en.StepsPerPass) * en.ChunkTokens
 }
 
 // perThousand and perMillion turn counts into those that the figures of an engine are stated for. They are factors, as
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -11,7 +11,7 @@
 var typical = Engine{
 	Slots:              16,
 	StepsPerPass:       43,
-	Chunk:              2048,
+	ChunkTokens:        2048,
 	Memory:             232_000,
 	Step:               1020 * time.Microsecond,
 	PerWriter:          2260 * time.Nanosecond,
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -9,7 +9,7 @@
 func (en Engine) PassTime(ta Target) time.Duration {
 	lo := &ta.Load
 	steps := en.steps(lo)
-	ba := en.within(lo.unread(), steps*en.Chunk)
+	ba := en.within(lo.unread(), steps*en.ChunkTokens)
 	ns := float64(steps)*en.step(lo.Writers, lo.Context) + en.reading(ba)
 	return time.Duration(ta.pace() * ns)
 }
@@ -64,7 +64,7 @@
 		behind = Backlog{}
 	}
 	steps := en.steps(lo)
-	room := steps * en.Chunk
+	room := steps * en.ChunkTokens
 	passes := max(ceilDiv(own.Tokens, room), 1)
 	rest := passes*room + room/2 - own.Tokens
 	reading := en.reading(own) + en.reading(en.fillUp(behind, rest, room))
