--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -41,7 +41,7 @@
 	bubble(t, 3, func(be *bench) {
 		large := func() dispatch.Ask {
 			as := prompt(50_000)
-			as.Service.Engine.Memory = 30_000
+			as.Service.Engine.MemoryTokens = 30_000
 			return as
 		}
 		first := be.take(large())
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -36,7 +36,7 @@
 			bubble(t, 3, func(be *bench) {
 				be.Heard("peer", crowd(tt.writers))
 				as := prompt(tt.tokens)
-				as.Service.Engine.Memory = 100_000
+				as.Service.Engine.MemoryTokens = 100_000
 				as.Objective, as.Resumed = 300*time.Millisecond, tt.resumed
 				if !tt.refused {
 					be.take(as)
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -160,7 +160,7 @@
 		}
 		if ds.book.isFull(tg.ID, now) {
 			cands[i].Helper = false
-			cands[i].Load.Memory = max(cands[i].Load.Memory, as.Service.Engine.Memory)
+			cands[i].Load.Memory = max(cands[i].Load.Memory, as.Service.Engine.MemoryTokens)
 		}
 	}
 	return cands
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -93,7 +93,7 @@
 	}
 	ch.reserved = true
 	pi, ok := ch.best()
-	if ok || ch.pr.need() > ch.en.Memory {
+	if ok || ch.pr.need() > ch.en.MemoryTokens {
 		return pi, ok
 	}
 	ch.reserved = false
@@ -132,7 +132,7 @@
 	if parts > len(ch.cs) {
 		return false
 	}
-	if ch.reserved && (parts > mostReserved || ch.pr.need() > int64(parts)*ch.en.Memory) {
+	if ch.reserved && (parts > mostReserved || ch.pr.need() > int64(parts)*ch.en.MemoryTokens) {
 		return false
 	}
 	return parts == 1 || ch.pr.Tokens >= int64(parts)*leastPart
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -166,7 +166,7 @@
 	hurried.Left = 50 * time.Millisecond
 	full := idle(3)
 	for ix := range full {
-		full[ix].Load.Memory = typical.Memory - 1000
+		full[ix].Load.Memory = typical.MemoryTokens - 1000
 	}
 	cases := map[string]struct {
 		pr Prompt
@@ -190,7 +190,7 @@
 	g := NewWithT(t)
 	ts := idle(6)
 	for ix := range ts {
-		ts[ix].Load.Memory = typical.Memory - 60_000
+		ts[ix].Load.Memory = typical.MemoryTokens - 60_000
 	}
 	pr := longPrompt(100_000)
 	pl, ok := Choose(typical, pr, ts, Options{Seed: 3})
@@ -203,7 +203,7 @@
 	g := NewWithT(t)
 	ts := idle(18)
 	for ix := range ts[2:] {
-		ts[2+ix].Load.Memory = typical.Memory - 1000
+		ts[2+ix].Load.Memory = typical.MemoryTokens - 1000
 	}
 	pr := longPrompt(400_000)
 	pl, ok := Choose(typical, pr, ts, Options{Seed: 3})
@@ -244,7 +244,7 @@
 		g.Expect(slices.Compact(slices.Sorted(slices.Values(all)))).To(HaveLen(len(all)))
 		g.Expect(pl.FirstToken).To(BeNumerically("<=", pr.Left))
 		g.Expect(pl.Loss).To(BeNumerically(">=", 0))
-		if pr.need() > typical.Memory {
+		if pr.need() > typical.MemoryTokens {
 			g.Expect(pl.Reserve).NotTo(BeEmpty())
 		}
 		if len(pl.Reserve) > 0 {
@@ -259,7 +259,7 @@
 		pr := genPrompt().Draw(t, "prompt")
 		pr.Left = time.Duration(rapid.IntRange(1, 10_000).Draw(t, "left in ms")) * time.Millisecond
 		ts := genTargets().Draw(t, "targets")
-		if _, ok := Choose(typical, pr, ts, Options{}); ok || pr.need() > typical.Memory {
+		if _, ok := Choose(typical, pr, ts, Options{}); ok || pr.need() > typical.MemoryTokens {
 			return
 		}
 		passes := ceilDiv(pr.Answer, int64(typical.StepsPerPass))
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -13,7 +13,7 @@
 	// Chunk is the most tokens read in one step; it is at least 1.
 	ChunkTokens int64
 	// Memory is the number of tokens an engine holds.
-	Memory int64
+	MemoryTokens int64
 	// Step is the time of one step with neither reading nor writers.
 	Step time.Duration
 	// PerWriter is what each writer adds to a step.
@@ -57,7 +57,7 @@
 func (en *Engine) within(ba Backlog, room int64) Backlog {
 	return Backlog{
 		Tokens: min(ba.Tokens, room),
-		Pairs:  min(ba.Pairs, room*(en.Memory/2)),
+		Pairs:  min(ba.Pairs, room*(en.MemoryTokens/2)),
 	}
 }
 
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -99,5 +99,5 @@
 
 // fullLoss returns what is expected to be lost to full memory, where the newest request is preempted.
 func (st *stake) fullLoss(en *Engine, used int64) float64 {
-	return st.inTime * boundOf(float64(en.Memory), memoryRamp).chance(float64(used))
+	return st.inTime * boundOf(float64(en.MemoryTokens), memoryRamp).chance(float64(used))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,7 +12,7 @@
 	Slots:              16,
 	StepsPerPass:       43,
 	ChunkTokens:        2048,
-	Memory:             232_000,
+	MemoryTokens:       232_000,
 	Step:               1020 * time.Microsecond,
 	PerWriter:          2260 * time.Nanosecond,
 	PerThousandContext: 4310 * time.Nanosecond,
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -25,7 +25,7 @@
 
 // free returns the memory that is left there.
 func (ta *Target) free(en *Engine) int64 {
-	return max(en.Memory-ta.Load.Memory, 0)
+	return max(en.MemoryTokens-ta.Load.Memory, 0)
 }
 
 // helps reports whether the target accepts another part.
