--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -15,7 +15,7 @@
 	// Memory is the number of tokens an engine holds.
 	MemoryTokens int64
 	// Step is the time of one step with neither reading nor writers.
-	Step time.Duration
+	StepTime time.Duration
 	// PerWriter is what each writer adds to a step.
 	PerWriter time.Duration
 	// PerThousandContext is what 1,000 tokens of writers' context add to a step.
@@ -79,7 +79,7 @@
 func (en *Engine) step(writers int, context int64) float64 {
 	wri := float64(writers) * float64(en.PerWriter)
 	con := float64(context) * perThousand * float64(en.PerThousandContext)
-	return float64(en.Step) + wri + con
+	return float64(en.StepTime) + wri + con
 }
 
 // pass returns the nanoseconds of a pass with writers and without reading.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -13,7 +13,7 @@
 	StepsPerPass:       43,
 	ChunkTokens:        2048,
 	MemoryTokens:       232_000,
-	Step:               1020 * time.Microsecond,
+	StepTime:           1020 * time.Microsecond,
 	PerWriter:          2260 * time.Nanosecond,
 	PerThousandContext: 4310 * time.Nanosecond,
 	PerThousandRead:    1000 * time.Second / 206_000,
