--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -17,7 +17,7 @@
 	// Step is the time of one step with neither reading nor writers.
 	StepTime time.Duration
 	// PerWriter is what each writer adds to a step.
-	PerWriter time.Duration
+	StepTimePerRequest time.Duration
 	// PerThousandContext is what 1,000 tokens of writers' context add to a step.
 	PerThousandContext time.Duration
 	// PerThousandRead is what reading 1,000 tokens adds, besides their pairs.
@@ -77,7 +77,7 @@
 
 // step returns the nanoseconds of one step without reading.
 func (en *Engine) step(writers int, context int64) float64 {
-	wri := float64(writers) * float64(en.PerWriter)
+	wri := float64(writers) * float64(en.StepTimePerRequest)
 	con := float64(context) * perThousand * float64(en.PerThousandContext)
 	return float64(en.StepTime) + wri + con
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -14,7 +14,7 @@
 	ChunkTokens:        2048,
 	MemoryTokens:       232_000,
 	StepTime:           1020 * time.Microsecond,
-	PerWriter:          2260 * time.Nanosecond,
+	StepTimePerRequest: 2260 * time.Nanosecond,
 	PerThousandContext: 4310 * time.Nanosecond,
 	PerThousandRead:    1000 * time.Second / 206_000,
 	PerMillionPairs:    138 * time.Microsecond,
