--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -19,7 +19,7 @@
 	// PerWriter is what each writer adds to a step.
 	StepTimePerRequest time.Duration
 	// PerThousandContext is what 1,000 tokens of writers' context add to a step.
-	PerThousandContext time.Duration
+	StepTimePerThousandContext time.Duration
 	// PerThousandRead is what reading 1,000 tokens adds, besides their pairs.
 	PerThousandRead time.Duration
 	// PerMillionPairs is what reading a million pairs of a token and one before it adds.
@@ -78,7 +78,7 @@
 // step returns the nanoseconds of one step without reading.
 func (en *Engine) step(writers int, context int64) float64 {
 	wri := float64(writers) * float64(en.StepTimePerRequest)
-	con := float64(context) * perThousand * float64(en.PerThousandContext)
+	con := float64(context) * perThousand * float64(en.StepTimePerThousandContext)
 	return float64(en.StepTime) + wri + con
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -9,19 +9,19 @@
 
 // typical holds the figures of a typical deployment.
 var typical = Engine{
-	Slots:              16,
-	StepsPerPass:       43,
-	ChunkTokens:        2048,
-	MemoryTokens:       232_000,
-	StepTime:           1020 * time.Microsecond,
-	StepTimePerRequest: 2260 * time.Nanosecond,
-	PerThousandContext: 4310 * time.Nanosecond,
-	PerThousandRead:    1000 * time.Second / 206_000,
-	PerMillionPairs:    138 * time.Microsecond,
-	Hop:                75 * time.Microsecond,
-	ZoneDelay:          500 * time.Microsecond,
-	UsualPrompt:        12_331,
-	UsualAnswer:        1303,
+	Slots:                      16,
+	StepsPerPass:               43,
+	ChunkTokens:                2048,
+	MemoryTokens:               232_000,
+	StepTime:                   1020 * time.Microsecond,
+	StepTimePerRequest:         2260 * time.Nanosecond,
+	StepTimePerThousandContext: 4310 * time.Nanosecond,
+	PerThousandRead:            1000 * time.Second / 206_000,
+	PerMillionPairs:            138 * time.Microsecond,
+	Hop:                        75 * time.Microsecond,
+	ZoneDelay:                  500 * time.Microsecond,
+	UsualPrompt:                12_331,
+	UsualAnswer:                1303,
 }
 
 func shortPrompt() Prompt {
