--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -142,7 +142,7 @@
 	bubble(t, 6, func(be *bench) {
 		as := func() dispatch.Ask {
 			as := prompt(9000)
-			as.Service.Engine.PerThousandRead = 300 * time.Millisecond
+			as.Service.Engine.PrefillTimePerThousand = 300 * time.Millisecond
 			return as
 		}
 		sl := be.take(as())
@@ -200,7 +200,7 @@
 			be.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = true
 		}
 		as := prompt(7 * memory / 2)
-		as.Service.Engine.PerThousandRead, as.Objective = 100*time.Millisecond, 600*time.Millisecond
+		as.Service.Engine.PrefillTimePerThousand, as.Objective = 100*time.Millisecond, 600*time.Millisecond
 		sl := be.take(as)
 		be.Expect(sl.Helpers).NotTo(BeEmpty())
 		be.orders.mu.Lock()
--- a/internal/dispatch/unseen_test.go
+++ b/internal/dispatch/unseen_test.go
@@ -78,7 +78,7 @@
 		be.SetLag(func() time.Duration { return time.Hour })
 		be.Heard("peer", map[string]placement.Load{id(0): {Writers: 1, Context: 100, Memory: 100}})
 		as := prompt(17_000)
-		as.Service.Engine.MemoryTokens, as.Service.Engine.PerThousandRead = 100_000, 100*time.Millisecond
+		as.Service.Engine.MemoryTokens, as.Service.Engine.PrefillTimePerThousand = 100_000, 100*time.Millisecond
 		as.Objective = 150 * time.Millisecond
 		sl := be.take(as)
 		read := []string{sl.Target.ID}
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -21,7 +21,7 @@
 	// PerThousandContext is what 1,000 tokens of writers' context add to a step.
 	StepTimePerThousandContext time.Duration
 	// PerThousandRead is what reading 1,000 tokens adds, besides their pairs.
-	PerThousandRead time.Duration
+	PrefillTimePerThousand time.Duration
 	// PerMillionPairs is what reading a million pairs of a token and one before it adds.
 	PerMillionPairs time.Duration
 	// Hop is what each step of a writer with memory at other targets adds at its main target.
@@ -63,16 +63,16 @@
 
 // reading returns the nanoseconds it takes to read a backlog at full speed.
 func (en *Engine) reading(ba Backlog) float64 {
-	tok := float64(ba.Tokens) * perThousand * float64(en.PerThousandRead)
+	tok := float64(ba.Tokens) * perThousand * float64(en.PrefillTimePerThousand)
 	return tok + float64(ba.Pairs)*perMillion*float64(en.PerMillionPairs)
 }
 
 // ReadWithin returns what a target reads in a time at full speed, without pairs.
 func (en Engine) ReadWithin(d time.Duration) Backlog {
-	if en.PerThousandRead <= 0 {
+	if en.PrefillTimePerThousand <= 0 {
 		return Backlog{}
 	}
-	return Backlog{Tokens: int64(float64(d) / (perThousand * float64(en.PerThousandRead)))}
+	return Backlog{Tokens: int64(float64(d) / (perThousand * float64(en.PrefillTimePerThousand)))}
 }
 
 // step returns the nanoseconds of one step without reading.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -16,7 +16,7 @@
 	StepTime:                   1020 * time.Microsecond,
 	StepTimePerRequest:         2260 * time.Nanosecond,
 	StepTimePerThousandContext: 4310 * time.Nanosecond,
-	PerThousandRead:            1000 * time.Second / 206_000,
+	PrefillTimePerThousand:     1000 * time.Second / 206_000,
 	PerMillionPairs:            138 * time.Microsecond,
 	Hop:                        75 * time.Microsecond,
 	ZoneDelay:                  500 * time.Microsecond,
