--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -11,7 +11,7 @@
 // replayFigures are those of an engine that reads 256,000 tokens a second and writes 52 tokens in a pass.
 var replayFigures = placement.Engine{
 	Slots: 12, StepsPerPass: 52, ChunkTokens: 2048, MemoryTokens: 382_500, StepTime: 925 * time.Microsecond, StepTimePerRequest: 5 * time.Microsecond,
-	StepTimePerThousandContext: 3 * time.Microsecond, PrefillTimePerThousand: 3906 * time.Microsecond, PerMillionPairs: 92 * time.Microsecond,
+	StepTimePerThousandContext: 3 * time.Microsecond, PrefillTimePerThousand: 3906 * time.Microsecond, PrefillTimePerMillionPairs: 92 * time.Microsecond,
 	Hop: 100 * time.Microsecond, ZoneDelay: 500 * time.Microsecond, UsualPrompt: 5000, UsualAnswer: 1700,
 }
 
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -23,7 +23,7 @@
 	// PerThousandRead is what reading 1,000 tokens adds, besides their pairs.
 	PrefillTimePerThousand time.Duration
 	// PerMillionPairs is what reading a million pairs of a token and one before it adds.
-	PerMillionPairs time.Duration
+	PrefillTimePerMillionPairs time.Duration
 	// Hop is what each step of a writer with memory at other targets adds at its main target.
 	Hop time.Duration
 	// ZoneDelay is the delay of a message to another availability zone.
@@ -64,7 +64,7 @@
 // reading returns the nanoseconds it takes to read a backlog at full speed.
 func (en *Engine) reading(ba Backlog) float64 {
 	tok := float64(ba.Tokens) * perThousand * float64(en.PrefillTimePerThousand)
-	return tok + float64(ba.Pairs)*perMillion*float64(en.PerMillionPairs)
+	return tok + float64(ba.Pairs)*perMillion*float64(en.PrefillTimePerMillionPairs)
 }
 
 // ReadWithin returns what a target reads in a time at full speed, without pairs.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -17,7 +17,7 @@
 	StepTimePerRequest:         2260 * time.Nanosecond,
 	StepTimePerThousandContext: 4310 * time.Nanosecond,
 	PrefillTimePerThousand:     1000 * time.Second / 206_000,
-	PerMillionPairs:            138 * time.Microsecond,
+	PrefillTimePerMillionPairs: 138 * time.Microsecond,
 	Hop:                        75 * time.Microsecond,
 	ZoneDelay:                  500 * time.Microsecond,
 	UsualPrompt:                12_331,
