--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -18,7 +18,7 @@
 var engine = placement.Engine{
 	Slots: 16, StepsPerPass: 43, ChunkTokens: 2048, MemoryTokens: 232_000,
 	StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond, StepTimePerThousandContext: 4310 * time.Nanosecond,
-	PrefillTimePerThousand: 4854 * time.Microsecond, PrefillTimePerMillionPairs: 138 * time.Microsecond, Hop: 75 * time.Microsecond,
+	PrefillTimePerThousand: 4854 * time.Microsecond, PrefillTimePerMillionPairs: 138 * time.Microsecond, HopTime: 75 * time.Microsecond,
 	ZoneDelay: 500 * time.Microsecond, UsualPrompt: 16_000, UsualAnswer: 1300,
 }
 
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -105,7 +105,7 @@
 func (ch *chooser) ownPass(ca *candidate, context int64) float64 {
 	ns := ch.en.writePass(ca.ta, 1, context)
 	if ch.reserved {
-		ns += ca.pace * float64(ch.en.StepsPerPass) * float64(ch.en.Hop)
+		ns += ca.pace * float64(ch.en.StepsPerPass) * float64(ch.en.HopTime)
 	}
 	return ns
 }
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -25,7 +25,7 @@
 	// PerMillionPairs is what reading a million pairs of a token and one before it adds.
 	PrefillTimePerMillionPairs time.Duration
 	// Hop is what each step of a writer with memory at other targets adds at its main target.
-	Hop time.Duration
+	HopTime time.Duration
 	// ZoneDelay is the delay of a message to another availability zone.
 	ZoneDelay time.Duration
 	// UsualPrompt is the mean number of tokens in a prompt.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -18,7 +18,7 @@
 	StepTimePerThousandContext: 4310 * time.Nanosecond,
 	PrefillTimePerThousand:     1000 * time.Second / 206_000,
 	PrefillTimePerMillionPairs: 138 * time.Microsecond,
-	Hop:                        75 * time.Microsecond,
+	HopTime:                    75 * time.Microsecond,
 	ZoneDelay:                  500 * time.Microsecond,
 	UsualPrompt:                12_331,
 	UsualAnswer:                1303,
