--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -27,7 +27,7 @@
 	// Hop is what each step of a writer with memory at other targets adds at its main target.
 	HopTime time.Duration
 	// ZoneDelay is the delay of a message to another availability zone.
-	ZoneDelay time.Duration
+	CrossZoneDelay time.Duration
 	// UsualPrompt is the mean number of tokens in a prompt.
 	UsualPrompt int64
 	// UsualAnswer is the mean number of tokens in an answer.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -19,7 +19,7 @@
 	PrefillTimePerThousand:     1000 * time.Second / 206_000,
 	PrefillTimePerMillionPairs: 138 * time.Microsecond,
 	HopTime:                    75 * time.Microsecond,
-	ZoneDelay:                  500 * time.Microsecond,
+	CrossZoneDelay:             500 * time.Microsecond,
 	UsualPrompt:                12_331,
 	UsualAnswer:                1303,
 }
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -86,7 +86,7 @@
 	if ta.Near {
 		return 0
 	}
-	return float64(en.ZoneDelay)
+	return float64(en.CrossZoneDelay)
 }
 
 // slotWait returns the nanoseconds a prompt waits for a slot at its main target. Full slots come free once in the time
