--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -182,7 +182,7 @@
 
 // usualPart returns the reading of a usual prompt, as far as it fits into a pass.
 func (en *Engine) usualPart() Backlog {
-	ba := Backlog{Tokens: en.UsualPrompt, Pairs: en.UsualPrompt * en.UsualPrompt / 2}
+	ba := Backlog{Tokens: en.MeanPromptTokens, Pairs: en.MeanPromptTokens * en.MeanPromptTokens / 2}
 	return en.within(ba, en.passRoom())
 }
 
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -29,7 +29,7 @@
 	// ZoneDelay is the delay of a message to another availability zone.
 	CrossZoneDelay time.Duration
 	// UsualPrompt is the mean number of tokens in a prompt.
-	UsualPrompt int64
+	MeanPromptTokens int64
 	// UsualAnswer is the mean number of tokens in an answer.
 	UsualAnswer int64
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,7 +20,7 @@
 	PrefillTimePerMillionPairs: 138 * time.Microsecond,
 	HopTime:                    75 * time.Microsecond,
 	CrossZoneDelay:             500 * time.Microsecond,
-	UsualPrompt:                12_331,
+	MeanPromptTokens:           12_331,
 	UsualAnswer:                1303,
 }
 
