--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -140,7 +140,7 @@
 	as.PromptTokens, as.MostAnswer, as.LongestPause = tokens, 100, time.Second
 	as.Service.Engine = &placement.Engine{
 		Slots: slots, StepsPerPass: 4, ChunkTokens: 2048, MemoryTokens: memory, StepTime: time.Millisecond, StepTimePerRequest: 50 * time.Microsecond,
-		StepTimePerThousandContext: 5 * time.Microsecond, PrefillTimePerThousand: time.Millisecond, MeanPromptTokens: 1000, UsualAnswer: 100,
+		StepTimePerThousandContext: 5 * time.Microsecond, PrefillTimePerThousand: time.Millisecond, MeanPromptTokens: 1000, MeanAnswerTokens: 100,
 	}
 	return as
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -41,7 +41,7 @@
 func expectedAnswer(as Ask) int {
 	expected := as.AnswerHint
 	if expected == 0 {
-		expected = int(as.Service.Engine.UsualAnswer)
+		expected = int(as.Service.Engine.MeanAnswerTokens)
 	}
 	if as.MostAnswer > 0 {
 		expected = min(expected, as.MostAnswer)
@@ -204,6 +204,6 @@
 
 // answerTime returns how long a usual answer is written.
 func answerTime(en *placement.Engine) time.Duration {
-	passes := max(1, float64(en.UsualAnswer)/float64(max(1, en.StepsPerPass)))
+	passes := max(1, float64(en.MeanAnswerTokens)/float64(max(1, en.StepsPerPass)))
 	return time.Duration(passes * float64(writerPass))
 }
--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -12,7 +12,7 @@
 var replayFigures = placement.Engine{
 	Slots: 12, StepsPerPass: 52, ChunkTokens: 2048, MemoryTokens: 382_500, StepTime: 925 * time.Microsecond, StepTimePerRequest: 5 * time.Microsecond,
 	StepTimePerThousandContext: 3 * time.Microsecond, PrefillTimePerThousand: 3906 * time.Microsecond, PrefillTimePerMillionPairs: 92 * time.Microsecond,
-	HopTime: 100 * time.Microsecond, CrossZoneDelay: 500 * time.Microsecond, MeanPromptTokens: 5000, UsualAnswer: 1700,
+	HopTime: 100 * time.Microsecond, CrossZoneDelay: 500 * time.Microsecond, MeanPromptTokens: 5000, MeanAnswerTokens: 1700,
 }
 
 // part is what an engine reads of a prompt.
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -19,7 +19,7 @@
 	Slots: 16, StepsPerPass: 43, ChunkTokens: 2048, MemoryTokens: 232_000,
 	StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond, StepTimePerThousandContext: 4310 * time.Nanosecond,
 	PrefillTimePerThousand: 4854 * time.Microsecond, PrefillTimePerMillionPairs: 138 * time.Microsecond, HopTime: 75 * time.Microsecond,
-	CrossZoneDelay: 500 * time.Microsecond, MeanPromptTokens: 16_000, UsualAnswer: 1300,
+	CrossZoneDelay: 500 * time.Microsecond, MeanPromptTokens: 16_000, MeanAnswerTokens: 1300,
 }
 
 // clocked is a dispatcher over targets with a clock that a test moves.
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -31,7 +31,7 @@
 	// UsualPrompt is the mean number of tokens in a prompt.
 	MeanPromptTokens int64
 	// UsualAnswer is the mean number of tokens in an answer.
-	UsualAnswer int64
+	MeanAnswerTokens int64
 }
 
 // Backlog is reading that has not been done.
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -21,7 +21,7 @@
 	HopTime:                    75 * time.Microsecond,
 	CrossZoneDelay:             500 * time.Microsecond,
 	MeanPromptTokens:           12_331,
-	UsualAnswer:                1303,
+	MeanAnswerTokens:           1303,
 }
 
 func shortPrompt() Prompt {
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -97,7 +97,7 @@
 	if over <= 0 {
 		return 0
 	}
-	passes := ceilDiv(en.UsualAnswer, int64(en.StepsPerPass))
+	passes := ceilDiv(en.MeanAnswerTokens, int64(en.StepsPerPass))
 	answer := float64(passes) * en.pass(lo.Writers, lo.Context)
 	return ta.pace() * answer * float64(over) / float64(en.Slots)
 }
