--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -68,7 +68,7 @@
 }
 
 // ReadWithin returns what a target reads in a time at full speed, without pairs.
-func (en Engine) ReadWithin(d time.Duration) Backlog {
+func (en Engine) PrefillWithin(d time.Duration) Backlog {
 	if en.PrefillTimePerThousand <= 0 {
 		return Backlog{}
 	}
