--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -264,7 +264,7 @@
 		}
 		passes := ceilDiv(pr.Answer, int64(typical.StepsPerPass))
 		for _, ta := range ts {
-			first := float64(typical.FirstToken(pr, ta))
+			first := float64(typical.TimeToFirstToken(pr, ta))
 			writing := float64(passes) * typical.writePass(&ta, 1, pr.Tokens+pr.Answer/2)
 			g.Expect(time.Duration(first + writing)).To(BeNumerically(">=", pr.Left))
 		}
@@ -285,7 +285,7 @@
 			at := slices.IndexFunc(ts, func(ta Target) bool { return ta.Name == name })
 			chosen = append(chosen, ts[at])
 		}
-		g.Expect(pl.FirstToken).To(Equal(typical.FirstToken(pr, chosen[0], chosen[1:]...)))
+		g.Expect(pl.FirstToken).To(Equal(typical.TimeToFirstToken(pr, chosen[0], chosen[1:]...)))
 	})
 }
 
@@ -376,7 +376,7 @@
 			}
 			// The prompt is in time for sure only when all free targets read it.
 			pr := longPrompt(200_000)
-			pr.Objective = typical.FirstToken(pr, ts[0], ts[1:free]...) * 100 / 79
+			pr.Objective = typical.TimeToFirstToken(pr, ts[0], ts[1:free]...) * 100 / 79
 			pl, ok := Choose(typical, pr, ts, Options{})
 			g.Expect(ok).To(BeTrue())
 			g.Expect(1 + len(pl.Helpers)).To(Equal(free))
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -21,7 +21,7 @@
 
 // FirstToken returns the time to the first token of a prompt that is read in even parts at a main target, which comes
 // first, and its helpers. It is the time of the last part, since the first token comes after it.
-func (en Engine) FirstToken(pr Prompt, main Target, helpers ...Target) time.Duration {
+func (en Engine) TimeToFirstToken(pr Prompt, main Target, helpers ...Target) time.Duration {
 	parts := 1 + len(helpers)
 	pa := pr.Part(parts)
 	ns := en.slotWait(&main) + en.readTime(&main, pa, parts > 1, en.stepAt(&main))
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -59,16 +59,16 @@
 	other := idle(2)
 	waiting := other[0]
 	waiting.Load = longPrompt(200_000).Reading(1)
-	g.Expect(typical.FirstToken(pr, waiting, other[1])).To(BeNumerically("<", typical.FirstToken(pr, waiting)/3))
+	g.Expect(typical.TimeToFirstToken(pr, waiting, other[1])).To(BeNumerically("<", typical.TimeToFirstToken(pr, waiting)/3))
 }
 
 func TestFullSlotsDelayTheFirstToken(t *testing.T) {
 	g := NewWithT(t)
 	var ta Target
 	ta.Load.Writers = typical.Slots - 1
-	free := typical.FirstToken(shortPrompt(), ta)
+	free := typical.TimeToFirstToken(shortPrompt(), ta)
 	ta.Load.Writers++
-	g.Expect(typical.FirstToken(shortPrompt(), ta)).To(BeNumerically(">", free+50*time.Millisecond))
+	g.Expect(typical.TimeToFirstToken(shortPrompt(), ta)).To(BeNumerically(">", free+50*time.Millisecond))
 }
 
 func TestMoreLoadNeverGivesAnEarlierFirstToken(t *testing.T) {
@@ -77,15 +77,15 @@
 		pr := genPrompt().Draw(t, "prompt")
 		ta := genTarget("a").Draw(t, "main")
 		he := genTarget("b").Draw(t, "helper")
-		alone := typical.FirstToken(pr, ta)
-		split := typical.FirstToken(pr, ta, he)
+		alone := typical.TimeToFirstToken(pr, ta)
+		split := typical.TimeToFirstToken(pr, ta, he)
 		pass := typical.PassTime(ta)
 		pause := typical.Pause(ta, pr.Part(2))
 		more := genLoad().Draw(t, "more")
 		ta.Load = ta.Load.Plus(more)
 		he.Load = he.Load.Plus(more)
-		g.Expect(typical.FirstToken(pr, ta)).To(BeNumerically(">=", alone))
-		g.Expect(typical.FirstToken(pr, ta, he)).To(BeNumerically(">=", split))
+		g.Expect(typical.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", alone))
+		g.Expect(typical.TimeToFirstToken(pr, ta, he)).To(BeNumerically(">=", split))
 		g.Expect(typical.PassTime(ta)).To(BeNumerically(">=", pass))
 		g.Expect(typical.Pause(ta, pr.Part(2))).To(BeNumerically(">=", pause))
 	})
@@ -96,8 +96,8 @@
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
 		ta := genTarget("a").Draw(t, "target")
-		first := typical.FirstToken(pr, ta)
+		first := typical.TimeToFirstToken(pr, ta)
 		ta.Pace *= 1.5
-		g.Expect(typical.FirstToken(pr, ta)).To(BeNumerically(">=", first))
+		g.Expect(typical.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", first))
 	})
 }
