--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -90,7 +90,7 @@
 			pt := (*queue)[0]
 			tokens := min(room, pt.tokens)
 			pairs := pt.pairs * tokens / max(1, pt.tokens)
-			load.Whole = load.Whole.Plus(placement.Backlog{Tokens: tokens, Pairs: pairs})
+			load.WholePrefill = load.WholePrefill.Plus(placement.Backlog{Tokens: tokens, Pairs: pairs})
 			pt.tokens, pt.pairs, room = pt.tokens-tokens, pt.pairs-pairs, room-tokens
 			if pt.tokens > 0 {
 				break
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -32,9 +32,9 @@
 	return rapid.Custom(func(t *rapid.T) placement.Load {
 		draw := func(label string) int64 { return num.Draw(t, label) }
 		lo := placement.Load{
-			Whole:   placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
-			Parts:   placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Readers: int(draw("readers")), Writers: int(draw("writers")),
+			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
+			Parts:        placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
+			Readers:      int(draw("readers")), Writers: int(draw("writers")),
 			Context: draw("context"), Memory: draw("memory"),
 		}
 		for cl := range lo.AtRisk {
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -423,7 +423,7 @@
 	pr.Used = time.Second
 	pr.Patience = 1100 * time.Millisecond
 	ts := idle(1)
-	ts[0].Load.Whole = Backlog{Tokens: 60_000, Pairs: 1_800_000_000}
+	ts[0].Load.WholePrefill = Backlog{Tokens: 60_000, Pairs: 1_800_000_000}
 	gone, ok := Choose(typical, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
 	pr.Patience = 0
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -42,7 +42,7 @@
 // with Plus and taken away again with Minus, without rounding.
 type Load struct {
 	// Whole is the unread part of prompts that are read in one piece.
-	Whole Backlog `json:"Whole"`
+	WholePrefill Backlog `json:"Whole"`
 	// Parts is the unread part of split prompts, which is read ahead of Whole; the two do not overlap.
 	Parts Backlog `json:"Parts"`
 	// Readers is the number of requests whose main target this is and which have no first token yet.
@@ -62,7 +62,7 @@
 
 // Plus returns the sum of two loads.
 func (lo Load) Plus(ot Load) Load {
-	lo.Whole = lo.Whole.Plus(ot.Whole)
+	lo.WholePrefill = lo.WholePrefill.Plus(ot.WholePrefill)
 	lo.Parts = lo.Parts.Plus(ot.Parts)
 	lo.Readers += ot.Readers
 	lo.Writers += ot.Writers
@@ -77,7 +77,7 @@
 
 // Minus returns the load without another one. It is the inverse of Plus.
 func (lo Load) Minus(ot Load) Load {
-	lo.Whole = lo.Whole.Minus(ot.Whole)
+	lo.WholePrefill = lo.WholePrefill.Minus(ot.WholePrefill)
 	lo.Parts = lo.Parts.Minus(ot.Parts)
 	lo.Readers -= ot.Readers
 	lo.Writers -= ot.Writers
@@ -123,7 +123,7 @@
 
 // unread returns all reading that has not been done.
 func (lo *Load) unread() Backlog {
-	return lo.Whole.Plus(lo.Parts)
+	return lo.WholePrefill.Plus(lo.Parts)
 }
 
 // Within returns what is lost together at limits that are no longer than one.
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -58,9 +58,9 @@
 func (en *Engine) readTime(ta *Target, part Backlog, split bool, step float64) float64 {
 	lo := &ta.Load
 	own := lo.Parts.Plus(part)
-	behind := lo.Whole
+	behind := lo.WholePrefill
 	if !split {
-		own = own.Plus(lo.Whole)
+		own = own.Plus(lo.WholePrefill)
 		behind = Backlog{}
 	}
 	steps := en.steps(lo)
@@ -106,6 +106,6 @@
 func (en *Engine) writePass(ta *Target, writers int, context int64) float64 {
 	lo := &ta.Load
 	wri := min(lo.Readers+lo.Writers+writers, en.Slots)
-	con := lo.Context + lo.Whole.Tokens + context
+	con := lo.Context + lo.WholePrefill.Tokens + context
 	return ta.pace() * en.pass(wri, con)
 }
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -18,9 +18,9 @@
 		"a writer: a stride":      {Target{Load: oneWriter}, 45810 * time.Microsecond},
 		"a slow target":           {Target{Load: oneWriter, Pace: 2}, 91620 * time.Microsecond},
 		"a pace below 1 is 1":     {Target{Load: oneWriter, Pace: 0.5}, 45810 * time.Microsecond},
-		"reading without writers": {Target{Load: Load{Whole: Backlog{Tokens: 5000}}}, 10962 * time.Microsecond},
+		"reading without writers": {Target{Load: Load{WholePrefill: Backlog{Tokens: 5000}}}, 10962 * time.Microsecond},
 		"reading with a writer": {
-			Target{Load: oneWriter.Plus(Load{Whole: Backlog{Tokens: 20_600, Pairs: 100_000_000}})},
+			Target{Load: oneWriter.Plus(Load{WholePrefill: Backlog{Tokens: 20_600, Pairs: 100_000_000}})},
 			159610 * time.Microsecond,
 		},
 	}
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -33,7 +33,7 @@
 		lo.Parts = pr.Part(parts)
 		return lo
 	}
-	lo.Whole = pr.Part(1)
+	lo.WholePrefill = pr.Part(1)
 	return lo
 }
 
