--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -72,7 +72,7 @@
 	}
 	load := placement.Load{Writers: max(1, sl.Target.Slots)}
 	if sl.engine != nil {
-		load = placement.Load{Parts: sl.engine.PrefillWithin(failedReading)}
+		load = placement.Load{SplitPrefill: sl.engine.PrefillWithin(failedReading)}
 	}
 	span := min(backOff, hintMost)
 	sl.ds.addFor(span, sl.Target.ID, load)
--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -46,7 +46,7 @@
 func read(cands []placement.Target) []placement.Target {
 	after := slices.Clone(cands)
 	for i := range after {
-		after[i].Load.WholePrefill, after[i].Load.Parts = placement.Backlog{}, placement.Backlog{}
+		after[i].Load.WholePrefill, after[i].Load.SplitPrefill = placement.Backlog{}, placement.Backlog{}
 		after[i].Closed = false
 	}
 	return after
--- a/internal/dispatch/failed.go
+++ b/internal/dispatch/failed.go
@@ -24,7 +24,7 @@
 	if sl.engine == nil {
 		return
 	}
-	load := placement.Load{Parts: sl.engine.PrefillWithin(failedReading)}
+	load := placement.Load{SplitPrefill: sl.engine.PrefillWithin(failedReading)}
 	sl.ds.addFor(failedFor, sl.Target.ID, load)
 }
 
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -153,7 +153,7 @@
 	sl.FirstToken()
 	quiet := sl.LongestSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
-	reading := placement.Load{Parts: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
+	reading := placement.Load{SplitPrefill: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
 	be.ds.Heard("peer", map[string]placement.Load{"t1": reading})
 	g.Expect(sl.LongestSilence()).To(BeNumerically(">", quiet+time.Second))
 	be.ds.Heard("peer", nil)
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -33,7 +33,7 @@
 		draw := func(label string) int64 { return num.Draw(t, label) }
 		lo := placement.Load{
 			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
-			Parts:        placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
+			SplitPrefill: placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
 			Readers:      int(draw("readers")), Writers: int(draw("writers")),
 			Context: draw("context"), Memory: draw("memory"),
 		}
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -119,7 +119,7 @@
 func (lo *Load) fields() [loadFields]int64 {
 	fs := [loadFields]int64{
 		int64(lo.Writers), lo.Context, lo.Memory, int64(lo.Readers),
-		lo.WholePrefill.Tokens, lo.WholePrefill.Pairs, lo.Parts.Tokens, lo.Parts.Pairs,
+		lo.WholePrefill.Tokens, lo.WholePrefill.Pairs, lo.SplitPrefill.Tokens, lo.SplitPrefill.Pairs,
 	}
 	for cl := range classes {
 		fs[plainFields+cl] = thousandths(lo.AtRisk[cl])
@@ -133,7 +133,7 @@
 	lo := Load{
 		Writers: int(fs[0]), Context: fs[1], Memory: fs[2], Readers: int(fs[3]),
 		WholePrefill: Backlog{Tokens: fs[4], Pairs: fs[5]},
-		Parts:        Backlog{Tokens: fs[6], Pairs: fs[7]},
+		SplitPrefill: Backlog{Tokens: fs[6], Pairs: fs[7]},
 	}
 	for cl := range classes {
 		lo.AtRisk[cl] = Worth(fs[plainFields+cl]) * thousandth
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -17,7 +17,7 @@
 		draw := func(label string) int64 { return num.Draw(t, label) }
 		lo := Load{
 			WholePrefill: Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
-			Parts:        Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
+			SplitPrefill: Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
 			Readers:      int(draw("readers")), Writers: int(draw("writers")),
 			Context: draw("context"), Memory: draw("memory"),
 		}
@@ -91,7 +91,7 @@
 // change with it.
 func TestWrittenFormIsKept(t *testing.T) {
 	lo := Load{Readers: 1, Writers: 2, Context: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
-	lo.Parts = Backlog{Tokens: 7, Pairs: 8}
+	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
 	lo.AtRisk[0], lo.AtRisk[classes-1] = WorthOf(0.001), WorthOf(0.002)
 	lo.Waiting[0], lo.Waiting[classes-1] = WorthOf(0.003), WorthOf(0.004)
 	cases := map[string]struct {
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -44,7 +44,7 @@
 	// Whole is the unread part of prompts that are read in one piece.
 	WholePrefill Backlog `json:"Whole"`
 	// Parts is the unread part of split prompts, which is read ahead of Whole; the two do not overlap.
-	Parts Backlog `json:"Parts"`
+	SplitPrefill Backlog `json:"Parts"`
 	// Readers is the number of requests whose main target this is and which have no first token yet.
 	Readers int `json:"Readers"`
 	// Writers is the number of requests that write here.
@@ -63,7 +63,7 @@
 // Plus returns the sum of two loads.
 func (lo Load) Plus(ot Load) Load {
 	lo.WholePrefill = lo.WholePrefill.Plus(ot.WholePrefill)
-	lo.Parts = lo.Parts.Plus(ot.Parts)
+	lo.SplitPrefill = lo.SplitPrefill.Plus(ot.SplitPrefill)
 	lo.Readers += ot.Readers
 	lo.Writers += ot.Writers
 	lo.Context += ot.Context
@@ -78,7 +78,7 @@
 // Minus returns the load without another one. It is the inverse of Plus.
 func (lo Load) Minus(ot Load) Load {
 	lo.WholePrefill = lo.WholePrefill.Minus(ot.WholePrefill)
-	lo.Parts = lo.Parts.Minus(ot.Parts)
+	lo.SplitPrefill = lo.SplitPrefill.Minus(ot.SplitPrefill)
 	lo.Readers -= ot.Readers
 	lo.Writers -= ot.Writers
 	lo.Context -= ot.Context
@@ -123,7 +123,7 @@
 
 // unread returns all reading that has not been done.
 func (lo *Load) unread() Backlog {
-	return lo.WholePrefill.Plus(lo.Parts)
+	return lo.WholePrefill.Plus(lo.SplitPrefill)
 }
 
 // Within returns what is lost together at limits that are no longer than one.
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -57,7 +57,7 @@
 // the passes up. A part counts as read at the end of its pass. The steps take a time without reading.
 func (en *Engine) readTime(ta *Target, part Backlog, split bool, step float64) float64 {
 	lo := &ta.Load
-	own := lo.Parts.Plus(part)
+	own := lo.SplitPrefill.Plus(part)
 	behind := lo.WholePrefill
 	if !split {
 		own = own.Plus(lo.WholePrefill)
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -30,7 +30,7 @@
 	lo := Load{Readers: 1, Memory: pr.need()}
 	lo.Waiting = pr.risk(pr.Objective-pr.Used, pr.Patience-pr.Used)
 	if parts > 1 {
-		lo.Parts = pr.Part(parts)
+		lo.SplitPrefill = pr.Part(parts)
 		return lo
 	}
 	lo.WholePrefill = pr.Part(1)
@@ -39,7 +39,7 @@
 
 // Helping returns the load at each helper until the first token, when the prompt is read in a number of parts.
 func (pr Prompt) Helping(parts int) Load {
-	return Load{Parts: pr.Part(parts)}
+	return Load{SplitPrefill: pr.Part(parts)}
 }
 
 // Writing returns the load at the main target from the first token on, when the whole prompt is held there.
