--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -290,7 +290,7 @@
 			sls = append(sls, <-got)
 		}
 		for no := range count {
-			be.Expect(be.Own()[id(no)].Readers).To(Equal(1))
+			be.Expect(be.Own()[id(no)].Prefilling).To(Equal(1))
 			be.Expect(be.Own()[id(no)].Memory).To(BeNumerically("<=", memory))
 		}
 		for _, sl := range sls {
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -34,7 +34,7 @@
 		lo := placement.Load{
 			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
 			SplitPrefill: placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Readers:      int(draw("readers")), Writers: int(draw("writers")),
+			Prefilling:   int(draw("readers")), Writers: int(draw("writers")),
 			Context: draw("context"), Memory: draw("memory"),
 		}
 		for cl := range lo.AtRisk {
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -131,7 +131,7 @@
 // readersLoss returns what those are expected to lose whose own prompts are read at a target with or behind a part.
 func (ch *chooser) readersLoss(ca *candidate, split bool) float64 {
 	lo := &ca.ta.Load
-	if lo.Readers == 0 {
+	if lo.Prefilling == 0 {
 		return 0
 	}
 	after := lo.Waiting.loss(ch.en.readTime(ca.ta, ch.part, false, ca.step))
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -18,7 +18,7 @@
 		lo := Load{
 			WholePrefill: Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
 			SplitPrefill: Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Readers:      int(draw("readers")), Writers: int(draw("writers")),
+			Prefilling:   int(draw("readers")), Writers: int(draw("writers")),
 			Context: draw("context"), Memory: draw("memory"),
 		}
 		for cl := range classes {
@@ -90,7 +90,7 @@
 // TestWrittenFormIsKept fails when the form changes, as by a further class: the version of what holds loads has to
 // change with it.
 func TestWrittenFormIsKept(t *testing.T) {
-	lo := Load{Readers: 1, Writers: 2, Context: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
+	lo := Load{Prefilling: 1, Writers: 2, Context: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
 	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
 	lo.AtRisk[0], lo.AtRisk[classes-1] = WorthOf(0.001), WorthOf(0.002)
 	lo.Waiting[0], lo.Waiting[classes-1] = WorthOf(0.003), WorthOf(0.004)
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -46,7 +46,7 @@
 	// Parts is the unread part of split prompts, which is read ahead of Whole; the two do not overlap.
 	SplitPrefill Backlog `json:"Parts"`
 	// Readers is the number of requests whose main target this is and which have no first token yet.
-	Readers int `json:"Readers"`
+	Prefilling int `json:"Readers"`
 	// Writers is the number of requests that write here.
 	Writers int `json:"Writers"`
 	// Context is the number of tokens of context that the steps here pay for, with parts held for writers elsewhere.
@@ -64,7 +64,7 @@
 func (lo Load) Plus(ot Load) Load {
 	lo.WholePrefill = lo.WholePrefill.Plus(ot.WholePrefill)
 	lo.SplitPrefill = lo.SplitPrefill.Plus(ot.SplitPrefill)
-	lo.Readers += ot.Readers
+	lo.Prefilling += ot.Prefilling
 	lo.Writers += ot.Writers
 	lo.Context += ot.Context
 	lo.Memory += ot.Memory
@@ -79,7 +79,7 @@
 func (lo Load) Minus(ot Load) Load {
 	lo.WholePrefill = lo.WholePrefill.Minus(ot.WholePrefill)
 	lo.SplitPrefill = lo.SplitPrefill.Minus(ot.SplitPrefill)
-	lo.Readers -= ot.Readers
+	lo.Prefilling -= ot.Prefilling
 	lo.Writers -= ot.Writers
 	lo.Context -= ot.Context
 	lo.Memory -= ot.Memory
@@ -105,7 +105,7 @@
 // sheltered returns what the others here lose together to pauses that a limit does not allow either. It is 0 when the
 // slots are taken, as a full target is no shelter.
 func (lo *Load) sheltered(limit time.Duration, slots int) Worth {
-	if lo.Readers+lo.Writers+spareSlots >= slots {
+	if lo.Prefilling+lo.Writers+spareSlots >= slots {
 		return 0
 	}
 	sum := Worth(0)
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -93,7 +93,7 @@
 // of a usual answer each.
 func (en *Engine) slotWait(ta *Target) float64 {
 	lo := &ta.Load
-	over := lo.Readers + lo.Writers + 1 - en.Slots
+	over := lo.Prefilling + lo.Writers + 1 - en.Slots
 	if over <= 0 {
 		return 0
 	}
@@ -105,7 +105,7 @@
 // writePass returns the nanoseconds of a pass without reading once all readers write, and further writers with them.
 func (en *Engine) writePass(ta *Target, writers int, context int64) float64 {
 	lo := &ta.Load
-	wri := min(lo.Readers+lo.Writers+writers, en.Slots)
+	wri := min(lo.Prefilling+lo.Writers+writers, en.Slots)
 	con := lo.Context + lo.WholePrefill.Tokens + context
 	return ta.pace() * en.pass(wri, con)
 }
