--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -70,7 +70,7 @@
 	if !sl.ds.hint(sl.Target.ID) {
 		return
 	}
-	load := placement.Load{Writers: max(1, sl.Target.Slots)}
+	load := placement.Load{Decoding: max(1, sl.Target.Slots)}
 	if sl.engine != nil {
 		load = placement.Load{SplitPrefill: sl.engine.PrefillWithin(failedReading)}
 	}
--- a/internal/dispatch/book_test.go
+++ b/internal/dispatch/book_test.go
@@ -15,7 +15,7 @@
 	target := rapid.SampledFrom([]string{"a", "b", "c"})
 	load := rapid.Custom(func(rt *rapid.T) placement.Load {
 		return placement.Load{
-			Writers: rapid.IntRange(1, 5).Draw(rt, "writers"), Memory: rapid.Int64Range(0, 1000).Draw(rt, "memory"),
+			Decoding: rapid.IntRange(1, 5).Draw(rt, "writers"), Memory: rapid.Int64Range(0, 1000).Draw(rt, "memory"),
 		}
 	})
 	return rapid.MapOf(target, load).Draw(rt, "loads")
@@ -60,7 +60,7 @@
 	for p := range 294 {
 		loads := map[string]placement.Load{}
 		for k := range 3 {
-			loads[ids[(p*7+k*31)%len(ids)]] = placement.Load{Writers: 1}
+			loads[ids[(p*7+k*31)%len(ids)]] = placement.Load{Decoding: 1}
 		}
 		bk.setPeer(fmt.Sprint("p", p), loads)
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -280,7 +280,7 @@
 		if _, _, closed := ds.closed(as, tg.ID); closed {
 			continue
 		}
-		cost := float64(ds.book.total(tg.ID).Writers) / float64(max(1, tg.Slots))
+		cost := float64(ds.book.total(tg.ID).Decoding) / float64(max(1, tg.Slots))
 		if tg.AvailabilityZone != ds.opts.AvailabilityZone {
 			cost += farCost
 		}
@@ -293,7 +293,7 @@
 		return nil
 	}
 	sl := &Slot{ds: ds, Target: tgs[best], Candidates: len(tgs), At: ds.opts.Now(), Priority: -1}
-	sl.book(tgs[best].ID, placement.Load{Writers: 1})
+	sl.book(tgs[best].ID, placement.Load{Decoding: 1})
 	ds.tried(tgs[best].ID)
 	return sl
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -195,7 +195,7 @@
 			sls = append(sls, be.take(plain()))
 		}
 		for no := range 3 {
-			be.Expect(be.Own()[id(no)].Writers).To(Equal(4))
+			be.Expect(be.Own()[id(no)].Decoding).To(Equal(4))
 		}
 		for _, sl := range sls {
 			sl.Release()
@@ -216,15 +216,15 @@
 			be.take(plain())
 		}, nil, id(1)},
 		"the one that a peer does not use": {func(be *bench) {
-			be.Heard("peer", map[string]placement.Load{id(0): {Writers: 3}})
+			be.Heard("peer", map[string]placement.Load{id(0): {Decoding: 3}})
 		}, nil, id(1)},
 		"loads of several peers count": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Writers: 2}, id(1): {Writers: 3}})
-			be.Heard("p2", map[string]placement.Load{id(0): {Writers: 2}})
+			be.Heard("p1", map[string]placement.Load{id(0): {Decoding: 2}, id(1): {Decoding: 3}})
+			be.Heard("p2", map[string]placement.Load{id(0): {Decoding: 2}})
 		}, nil, id(1)},
 		"a lost peer's load does not": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Writers: 9}})
-			be.Heard("p2", map[string]placement.Load{id(1): {Writers: 1}})
+			be.Heard("p1", map[string]placement.Load{id(0): {Decoding: 9}})
+			be.Heard("p2", map[string]placement.Load{id(1): {Decoding: 1}})
 			be.Heard("p1", nil)
 		}, nil, id(0)},
 		"not the leaving one":    {func(be *bench) { be.put(0, zone, true) }, nil, id(1)},
@@ -302,13 +302,13 @@
 
 func TestPeersLoadsCountForPrompts(t *testing.T) {
 	bubble(t, 2, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: 9000, Writers: 1, Context: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(0): {Memory: 9000, Decoding: 1, Context: 9000}})
 		for range 5 {
 			sl := be.take(prompt(4000))
 			be.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
-		be.Heard("peer", map[string]placement.Load{id(1): {Memory: 9000, Writers: 1, Context: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(1): {Memory: 9000, Decoding: 1, Context: 9000}})
 		be.Expect(be.take(prompt(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -40,7 +40,7 @@
 		if cands[i].Closed {
 			continue
 		}
-		taken += cands[i].Load.Prefilling + cands[i].Load.Writers
+		taken += cands[i].Load.Prefilling + cands[i].Load.Decoding
 		slots += en.Slots
 	}
 	return float64(taken) > overloadedFrom*float64(slots)
@@ -50,7 +50,7 @@
 func inFlight(cands []placement.Target) int {
 	sum := 0
 	for i := range cands {
-		sum += cands[i].Load.Prefilling + cands[i].Load.Writers
+		sum += cands[i].Load.Prefilling + cands[i].Load.Decoding
 	}
 	return sum
 }
--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -74,7 +74,7 @@
 	if len(en.split)+len(en.whole)+len(en.writers) == 0 {
 		return 0, nil
 	}
-	steps, load := int64(1), placement.Load{Writers: len(en.writers)}
+	steps, load := int64(1), placement.Load{Decoding: len(en.writers)}
 	if len(en.writers) > 0 {
 		steps = int64(replayFigures.StepsPerPass)
 	}
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -101,7 +101,7 @@
 			sl.Event()
 			_, atRisk := be.sums()
 			g.Expect(atRisk == 0).To(Equal(ca.late))
-			g.Expect(be.ds.Own()["t1"].Writers).To(Equal(1))
+			g.Expect(be.ds.Own()["t1"].Decoding).To(Equal(1))
 			sl.Release()
 			g.Expect(be.ds.Own()).To(BeEmpty())
 		})
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -34,7 +34,7 @@
 		lo := placement.Load{
 			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
 			SplitPrefill: placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Prefilling:   int(draw("readers")), Writers: int(draw("writers")),
+			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
 			Context: draw("context"), Memory: draw("memory"),
 		}
 		for cl := range lo.AtRisk {
@@ -118,7 +118,7 @@
 
 // TestWrittenFormIsKept fails when the form changes: the version has to change with it.
 func TestWrittenFormIsKept(t *testing.T) {
-	writer := placement.Load{Writers: 3}
+	writer := placement.Load{Decoding: 3}
 	cases := map[string]struct {
 		state State
 		want  string
@@ -210,7 +210,7 @@
 	g := NewWithT(t)
 	st := State{Loads: map[string]placement.Load{}}
 	for no := range maxTargets {
-		st.Loads[fmt.Sprintf("i-%04x", no)] = placement.Load{Writers: 1}
+		st.Loads[fmt.Sprintf("i-%04x", no)] = placement.Load{Decoding: 1}
 	}
 	b, err := st.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -48,7 +48,7 @@
 	// Readers is the number of requests whose main target this is and which have no first token yet.
 	Prefilling int `json:"Readers"`
 	// Writers is the number of requests that write here.
-	Writers int `json:"Writers"`
+	Decoding int `json:"Writers"`
 	// Context is the number of tokens of context that the steps here pay for, with parts held for writers elsewhere.
 	Context int64 `json:"Context"`
 	// Memory is the number of tokens held or to be held, with expected answers and reserved memory.
@@ -65,7 +65,7 @@
 	lo.WholePrefill = lo.WholePrefill.Plus(ot.WholePrefill)
 	lo.SplitPrefill = lo.SplitPrefill.Plus(ot.SplitPrefill)
 	lo.Prefilling += ot.Prefilling
-	lo.Writers += ot.Writers
+	lo.Decoding += ot.Decoding
 	lo.Context += ot.Context
 	lo.Memory += ot.Memory
 	for cl := range classes {
@@ -80,7 +80,7 @@
 	lo.WholePrefill = lo.WholePrefill.Minus(ot.WholePrefill)
 	lo.SplitPrefill = lo.SplitPrefill.Minus(ot.SplitPrefill)
 	lo.Prefilling -= ot.Prefilling
-	lo.Writers -= ot.Writers
+	lo.Decoding -= ot.Decoding
 	lo.Context -= ot.Context
 	lo.Memory -= ot.Memory
 	for cl := range classes {
@@ -105,7 +105,7 @@
 // sheltered returns what the others here lose together to pauses that a limit does not allow either. It is 0 when the
 // slots are taken, as a full target is no shelter.
 func (lo *Load) sheltered(limit time.Duration, slots int) Worth {
-	if lo.Prefilling+lo.Writers+spareSlots >= slots {
+	if lo.Prefilling+lo.Decoding+spareSlots >= slots {
 		return 0
 	}
 	sum := Worth(0)
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -10,7 +10,7 @@
 	lo := &ta.Load
 	steps := en.steps(lo)
 	ba := en.within(lo.unread(), steps*en.ChunkTokens)
-	ns := float64(steps)*en.step(lo.Writers, lo.Context) + en.reading(ba)
+	ns := float64(steps)*en.step(lo.Decoding, lo.Context) + en.reading(ba)
 	return time.Duration(ta.pace() * ns)
 }
 
@@ -34,7 +34,7 @@
 
 // steps returns the number of steps of a pass.
 func (en *Engine) steps(lo *Load) int64 {
-	if lo.Writers > 0 {
+	if lo.Decoding > 0 {
 		return int64(en.StepsPerPass)
 	}
 	return 1
@@ -42,7 +42,7 @@
 
 // stepAt returns the nanoseconds of one step without reading at a target of pace 1.
 func (en *Engine) stepAt(ta *Target) float64 {
-	return en.step(ta.Load.Writers, ta.Load.Context)
+	return en.step(ta.Load.Decoding, ta.Load.Context)
 }
 
 // readPause returns the nanoseconds of a pass with writers, of steps that take a time without reading, that reads a
@@ -93,19 +93,19 @@
 // of a usual answer each.
 func (en *Engine) slotWait(ta *Target) float64 {
 	lo := &ta.Load
-	over := lo.Prefilling + lo.Writers + 1 - en.Slots
+	over := lo.Prefilling + lo.Decoding + 1 - en.Slots
 	if over <= 0 {
 		return 0
 	}
 	passes := ceilDiv(en.MeanAnswerTokens, int64(en.StepsPerPass))
-	answer := float64(passes) * en.pass(lo.Writers, lo.Context)
+	answer := float64(passes) * en.pass(lo.Decoding, lo.Context)
 	return ta.pace() * answer * float64(over) / float64(en.Slots)
 }
 
 // writePass returns the nanoseconds of a pass without reading once all readers write, and further writers with them.
 func (en *Engine) writePass(ta *Target, writers int, context int64) float64 {
 	lo := &ta.Load
-	wri := min(lo.Prefilling+lo.Writers+writers, en.Slots)
+	wri := min(lo.Prefilling+lo.Decoding+writers, en.Slots)
 	con := lo.Context + lo.WholePrefill.Tokens + context
 	return ta.pace() * en.pass(wri, con)
 }
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestPassTime(t *testing.T) {
-	oneWriter := Load{Writers: 1, Context: 10_000}
+	oneWriter := Load{Decoding: 1, Context: 10_000}
 	cases := map[string]struct {
 		ta   Target
 		want time.Duration
@@ -65,9 +65,9 @@
 func TestFullSlotsDelayTheFirstToken(t *testing.T) {
 	g := NewWithT(t)
 	var ta Target
-	ta.Load.Writers = typical.Slots - 1
+	ta.Load.Decoding = typical.Slots - 1
 	free := typical.TimeToFirstToken(shortPrompt(), ta)
-	ta.Load.Writers++
+	ta.Load.Decoding++
 	g.Expect(typical.TimeToFirstToken(shortPrompt(), ta)).To(BeNumerically(">", free+50*time.Millisecond))
 }
 
