--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -302,13 +302,13 @@
 
 func TestPeersLoadsCountForPrompts(t *testing.T) {
 	bubble(t, 2, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: 9000, Decoding: 1, Context: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(0): {Memory: 9000, Decoding: 1, ContextTokens: 9000}})
 		for range 5 {
 			sl := be.take(prompt(4000))
 			be.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
-		be.Heard("peer", map[string]placement.Load{id(1): {Memory: 9000, Decoding: 1, Context: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(1): {Memory: 9000, Decoding: 1, ContextTokens: 9000}})
 		be.Expect(be.take(prompt(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -80,7 +80,7 @@
 	}
 	var written []*writer
 	for wr := range en.writers {
-		load.Context += wr.context
+		load.ContextTokens += wr.context
 		written = append(written, wr)
 	}
 	room := steps * replayFigures.ChunkTokens
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -92,7 +92,7 @@
 	if len(sl.plan.Reserve) > 0 {
 		writing = writing.WithMemory(0).WithContext(sl.plan.Reserve[0].Tokens)
 		for _, sh := range sl.plan.Reserve[1:] {
-			sl.book(sh.Target, placement.Load{Context: sh.Tokens})
+			sl.book(sh.Target, placement.Load{ContextTokens: sh.Tokens})
 		}
 	}
 	sl.book(sl.plan.Main, writing)
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -19,7 +19,7 @@
 			WholePrefill: Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
 			SplitPrefill: Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
 			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
-			Context: draw("context"), Memory: draw("memory"),
+			ContextTokens: draw("context"), Memory: draw("memory"),
 		}
 		for cl := range classes {
 			lo.Waiting[cl] = Worth(draw("waiting"))
@@ -90,7 +90,7 @@
 // TestWrittenFormIsKept fails when the form changes, as by a further class: the version of what holds loads has to
 // change with it.
 func TestWrittenFormIsKept(t *testing.T) {
-	lo := Load{Prefilling: 1, Decoding: 2, Context: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
+	lo := Load{Prefilling: 1, Decoding: 2, ContextTokens: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
 	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
 	lo.AtRisk[0], lo.AtRisk[classes-1] = WorthOf(0.001), WorthOf(0.002)
 	lo.Waiting[0], lo.Waiting[classes-1] = WorthOf(0.003), WorthOf(0.004)
@@ -101,7 +101,7 @@
 		"empty":    {Load{}, "00"},
 		"one":      {Load{Decoding: 3}, "0103"},
 		"many":     {lo, "ff83808c801002ac0290030105060708" + "01020304"},
-		"negative": {Load{Decoding: 1, Context: -1}, "8380808080200201"},
+		"negative": {Load{Decoding: 1, ContextTokens: -1}, "8380808080200201"},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -50,7 +50,7 @@
 	// Writers is the number of requests that write here.
 	Decoding int `json:"Writers"`
 	// Context is the number of tokens of context that the steps here pay for, with parts held for writers elsewhere.
-	Context int64 `json:"Context"`
+	ContextTokens int64 `json:"Context"`
 	// Memory is the number of tokens held or to be held, with expected answers and reserved memory.
 	Memory int64
 	// Waiting is what the readers of each class of objective, and of patience, lose together when the first token comes
@@ -66,7 +66,7 @@
 	lo.SplitPrefill = lo.SplitPrefill.Plus(ot.SplitPrefill)
 	lo.Prefilling += ot.Prefilling
 	lo.Decoding += ot.Decoding
-	lo.Context += ot.Context
+	lo.ContextTokens += ot.ContextTokens
 	lo.Memory += ot.Memory
 	for cl := range classes {
 		lo.Waiting[cl] += ot.Waiting[cl]
@@ -81,7 +81,7 @@
 	lo.SplitPrefill = lo.SplitPrefill.Minus(ot.SplitPrefill)
 	lo.Prefilling -= ot.Prefilling
 	lo.Decoding -= ot.Decoding
-	lo.Context -= ot.Context
+	lo.ContextTokens -= ot.ContextTokens
 	lo.Memory -= ot.Memory
 	for cl := range classes {
 		lo.Waiting[cl] -= ot.Waiting[cl]
@@ -98,7 +98,7 @@
 
 // WithContext returns the load with other context, as for a request whose memory is reserved.
 func (lo Load) WithContext(tokens int64) Load {
-	lo.Context = tokens
+	lo.ContextTokens = tokens
 	return lo
 }
 
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -54,6 +54,6 @@
 	lo := shortPrompt().Writing()
 	g.Expect(lo.WithMemory(7).WithMemory(lo.Memory)).To(Equal(lo))
 	g.Expect(lo.WithMemory(7).Memory).To(BeEquivalentTo(7))
-	g.Expect(lo.WithContext(7).WithContext(lo.Context)).To(Equal(lo))
-	g.Expect(lo.WithContext(7).Context).To(BeEquivalentTo(7))
+	g.Expect(lo.WithContext(7).WithContext(lo.ContextTokens)).To(Equal(lo))
+	g.Expect(lo.WithContext(7).ContextTokens).To(BeEquivalentTo(7))
 }
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -10,7 +10,7 @@
 	lo := &ta.Load
 	steps := en.steps(lo)
 	ba := en.within(lo.unread(), steps*en.ChunkTokens)
-	ns := float64(steps)*en.step(lo.Decoding, lo.Context) + en.reading(ba)
+	ns := float64(steps)*en.step(lo.Decoding, lo.ContextTokens) + en.reading(ba)
 	return time.Duration(ta.pace() * ns)
 }
 
@@ -42,7 +42,7 @@
 
 // stepAt returns the nanoseconds of one step without reading at a target of pace 1.
 func (en *Engine) stepAt(ta *Target) float64 {
-	return en.step(ta.Load.Decoding, ta.Load.Context)
+	return en.step(ta.Load.Decoding, ta.Load.ContextTokens)
 }
 
 // readPause returns the nanoseconds of a pass with writers, of steps that take a time without reading, that reads a
@@ -98,7 +98,7 @@
 		return 0
 	}
 	passes := ceilDiv(en.MeanAnswerTokens, int64(en.StepsPerPass))
-	answer := float64(passes) * en.pass(lo.Decoding, lo.Context)
+	answer := float64(passes) * en.pass(lo.Decoding, lo.ContextTokens)
 	return ta.pace() * answer * float64(over) / float64(en.Slots)
 }
 
@@ -106,6 +106,6 @@
 func (en *Engine) writePass(ta *Target, writers int, context int64) float64 {
 	lo := &ta.Load
 	wri := min(lo.Prefilling+lo.Decoding+writers, en.Slots)
-	con := lo.Context + lo.WholePrefill.Tokens + context
+	con := lo.ContextTokens + lo.WholePrefill.Tokens + context
 	return ta.pace() * en.pass(wri, con)
 }
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestPassTime(t *testing.T) {
-	oneWriter := Load{Decoding: 1, Context: 10_000}
+	oneWriter := Load{Decoding: 1, ContextTokens: 10_000}
 	cases := map[string]struct {
 		ta   Target
 		want time.Duration
