--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -68,7 +68,7 @@
 	var waiting, atRisk placement.Worth
 	for _, lo := range be.ds.Own() {
 		for cl := range lo.AtRisk {
-			waiting += lo.Waiting[cl]
+			waiting += lo.FirstTokenRisk[cl]
 			atRisk += lo.AtRisk[cl]
 		}
 	}
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -39,7 +39,7 @@
 		}
 		for cl := range lo.AtRisk {
 			lo.AtRisk[cl] = placement.Worth(draw("at risk"))
-			lo.Waiting[cl] = placement.Worth(draw("waiting"))
+			lo.FirstTokenRisk[cl] = placement.Worth(draw("waiting"))
 		}
 		return lo
 	})
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -81,7 +81,7 @@
 	writePause := ch.en.writePass(ta, 0, 0) + ca.usual
 	ca.helpBefore = ta.Load.AtRisk.loss(ca.readPause)
 	ca.mainBefore = max(ca.helpBefore, ta.Load.AtRisk.loss(writePause))
-	ca.readersBefore = ta.Load.Waiting.loss(ch.en.readTime(ta, Backlog{}, false, ca.step))
+	ca.readersBefore = ta.Load.FirstTokenRisk.loss(ch.en.readTime(ta, Backlog{}, false, ca.step))
 	return ca
 }
 
@@ -134,7 +134,7 @@
 	if lo.Prefilling == 0 {
 		return 0
 	}
-	after := lo.Waiting.loss(ch.en.readTime(ca.ta, ch.part, false, ca.step))
+	after := lo.FirstTokenRisk.loss(ch.en.readTime(ca.ta, ch.part, false, ca.step))
 	if split {
 		return after - ca.readersBefore
 	}
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -123,7 +123,7 @@
 	}
 	for cl := range classes {
 		fs[plainFields+cl] = thousandths(lo.AtRisk[cl])
-		fs[plainFields+classes+cl] = thousandths(lo.Waiting[cl])
+		fs[plainFields+classes+cl] = thousandths(lo.FirstTokenRisk[cl])
 	}
 	return fs
 }
@@ -137,7 +137,7 @@
 	}
 	for cl := range classes {
 		lo.AtRisk[cl] = Worth(fs[plainFields+cl]) * thousandth
-		lo.Waiting[cl] = Worth(fs[plainFields+classes+cl]) * thousandth
+		lo.FirstTokenRisk[cl] = Worth(fs[plainFields+classes+cl]) * thousandth
 	}
 	return lo
 }
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -22,7 +22,7 @@
 			ContextTokens: draw("context"), Memory: draw("memory"),
 		}
 		for cl := range classes {
-			lo.Waiting[cl] = Worth(draw("waiting"))
+			lo.FirstTokenRisk[cl] = Worth(draw("waiting"))
 			lo.AtRisk[cl] = Worth(draw("at risk"))
 		}
 		return lo
@@ -59,9 +59,9 @@
 		ro := lo.Rounded()
 		for cl := range classes {
 			g.Expect(ro.AtRisk[cl] - lo.AtRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
-			g.Expect(ro.Waiting[cl] - lo.Waiting[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
+			g.Expect(ro.FirstTokenRisk[cl] - lo.FirstTokenRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
 		}
-		ro.AtRisk, ro.Waiting = lo.AtRisk, lo.Waiting
+		ro.AtRisk, ro.FirstTokenRisk = lo.AtRisk, lo.FirstTokenRisk
 		g.Expect(ro).To(Equal(lo))
 	})
 }
@@ -93,7 +93,7 @@
 	lo := Load{Prefilling: 1, Decoding: 2, ContextTokens: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
 	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
 	lo.AtRisk[0], lo.AtRisk[classes-1] = WorthOf(0.001), WorthOf(0.002)
-	lo.Waiting[0], lo.Waiting[classes-1] = WorthOf(0.003), WorthOf(0.004)
+	lo.FirstTokenRisk[0], lo.FirstTokenRisk[classes-1] = WorthOf(0.003), WorthOf(0.004)
 	cases := map[string]struct {
 		load Load
 		want string
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -55,7 +55,7 @@
 	Memory int64
 	// Waiting is what the readers of each class of objective, and of patience, lose together when the first token comes
 	// later.
-	Waiting Classes `json:"Waiting"`
+	FirstTokenRisk Classes `json:"Waiting"`
 	// AtRisk is what the writers of each class of longest pause, and of patience, lose together when a pause is longer.
 	AtRisk Classes `json:"AtRisk"`
 }
@@ -69,7 +69,7 @@
 	lo.ContextTokens += ot.ContextTokens
 	lo.Memory += ot.Memory
 	for cl := range classes {
-		lo.Waiting[cl] += ot.Waiting[cl]
+		lo.FirstTokenRisk[cl] += ot.FirstTokenRisk[cl]
 		lo.AtRisk[cl] += ot.AtRisk[cl]
 	}
 	return lo
@@ -84,7 +84,7 @@
 	lo.ContextTokens -= ot.ContextTokens
 	lo.Memory -= ot.Memory
 	for cl := range classes {
-		lo.Waiting[cl] -= ot.Waiting[cl]
+		lo.FirstTokenRisk[cl] -= ot.FirstTokenRisk[cl]
 		lo.AtRisk[cl] -= ot.AtRisk[cl]
 	}
 	return lo
@@ -110,7 +110,7 @@
 	}
 	sum := Worth(0)
 	for cl := range classOf(limit) + 1 {
-		sum += lo.Waiting[cl] + lo.AtRisk[cl]
+		sum += lo.FirstTokenRisk[cl] + lo.AtRisk[cl]
 	}
 	return sum
 }
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -28,7 +28,7 @@
 // Reading returns the load at the main target until the first token, when the prompt is read in a number of parts.
 func (pr Prompt) Reading(parts int) Load {
 	lo := Load{Prefilling: 1, Memory: pr.need()}
-	lo.Waiting = pr.risk(pr.Objective-pr.Used, pr.Patience-pr.Used)
+	lo.FirstTokenRisk = pr.risk(pr.Objective-pr.Used, pr.Patience-pr.Used)
 	if parts > 1 {
 		lo.SplitPrefill = pr.Part(parts)
 		return lo
