--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -28,7 +28,7 @@
 	if short {
 		dm.observeShort(pr)
 	}
-	next := pr.Writing().AtRisk
+	next := pr.Writing().PauseRisk
 	if !dm.known {
 		dm.atRisk, dm.known = next, true
 		return
@@ -59,8 +59,8 @@
 func (dm *demand) perSecond(en *placement.Engine, cands []placement.Target) placement.Load {
 	rate := float64(inFlight(cands)) / answerTime(en).Seconds() / float64(len(cands))
 	var sum placement.Load
-	for cl := range sum.AtRisk {
-		sum.AtRisk[cl] = placement.Worth(rate * float64(dm.atRisk[cl]))
+	for cl := range sum.PauseRisk {
+		sum.PauseRisk[cl] = placement.Worth(rate * float64(dm.atRisk[cl]))
 	}
 	return sum
 }
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -143,7 +143,7 @@
 // lapse books the writer again with its caller's patience alone at stake.
 func (sl *Slot) lapse() {
 	sl.late = true
-	atRisk := sl.prompt.Overdue().Writing().AtRisk
+	atRisk := sl.prompt.Overdue().Writing().PauseRisk
 	sl.ds.book.mu.Lock()
 	defer sl.ds.book.mu.Unlock()
 	for i := range sl.booked {
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -67,9 +67,9 @@
 func (be *clocked) sums() (placement.Worth, placement.Worth) {
 	var waiting, atRisk placement.Worth
 	for _, lo := range be.ds.Own() {
-		for cl := range lo.AtRisk {
+		for cl := range lo.PauseRisk {
 			waiting += lo.FirstTokenRisk[cl]
-			atRisk += lo.AtRisk[cl]
+			atRisk += lo.PauseRisk[cl]
 		}
 	}
 	return waiting, atRisk
--- a/internal/dispatch/unseen_test.go
+++ b/internal/dispatch/unseen_test.go
@@ -38,8 +38,8 @@
 			writers = 10
 		}
 		lo := placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, Memory: int64(writers) * 600}
-		for cl := range lo.AtRisk {
-			lo.AtRisk[cl] = placement.WorthOf(0.1 * float64(writers))
+		for cl := range lo.PauseRisk {
+			lo.PauseRisk[cl] = placement.WorthOf(0.1 * float64(writers))
 		}
 		loads[id(no)] = lo
 	}
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -37,8 +37,8 @@
 			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
 			ContextTokens: draw("context"), Memory: draw("memory"),
 		}
-		for cl := range lo.AtRisk {
-			lo.AtRisk[cl] = placement.Worth(draw("at risk"))
+		for cl := range lo.PauseRisk {
+			lo.PauseRisk[cl] = placement.Worth(draw("at risk"))
 			lo.FirstTokenRisk[cl] = placement.Worth(draw("waiting"))
 		}
 		return lo
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -79,8 +79,8 @@
 	ca.step = ch.en.stepAt(ta)
 	ca.readPause = ch.en.readPause(ta, Backlog{}, ca.step)
 	writePause := ch.en.writePass(ta, 0, 0) + ca.usual
-	ca.helpBefore = ta.Load.AtRisk.loss(ca.readPause)
-	ca.mainBefore = max(ca.helpBefore, ta.Load.AtRisk.loss(writePause))
+	ca.helpBefore = ta.Load.PauseRisk.loss(ca.readPause)
+	ca.mainBefore = max(ca.helpBefore, ta.Load.PauseRisk.loss(writePause))
 	ca.readersBefore = ta.Load.FirstTokenRisk.loss(ch.en.readTime(ta, Backlog{}, false, ca.step))
 	return ca
 }
@@ -91,13 +91,13 @@
 		more := ca.pace * (ch.en.pass(0, ch.held) - ch.en.pass(0, 0))
 		ca.full = 0
 		ca.ownPass = ch.ownPass(ca, ch.held)
-		ca.helpHold = ca.ta.Load.AtRisk.loss(ca.readPause + more)
+		ca.helpHold = ca.ta.Load.PauseRisk.loss(ca.readPause + more)
 	} else {
 		ca.full = ch.stake.fullLoss(&ch.en, ca.ta.Load.Memory+ch.pr.need())
 		ca.ownPass = ch.ownPass(ca, ch.pr.Tokens+ch.pr.Answer/2)
 		ca.helpHold = 0
 	}
-	ca.mainHold = ca.ta.Load.AtRisk.loss(ca.ownPass + ca.usual)
+	ca.mainHold = ca.ta.Load.PauseRisk.loss(ca.ownPass + ca.usual)
 	ca.pausesInTime = 1 - ch.stake.pause.chance(ca.ownPass+ca.usual)
 }
 
@@ -117,7 +117,7 @@
 	ca.first = ca.ready + ca.slotWait
 	ca.pause = ch.en.readPause(ca.ta, ch.part, ca.step)
 	reading := ca.pace * ch.reading
-	writers := ca.ta.Load.AtRisk.loss(ca.pause)
+	writers := ca.ta.Load.PauseRisk.loss(ca.pause)
 	others := ch.readersLoss(ca, split) + ch.arrivalsLoss(ca.pause, reading)
 	ch.judgeMain(ca, writers, others)
 	if split {
@@ -143,7 +143,7 @@
 
 // arrivalsLoss returns what those are expected to lose that begin to write at a target while a part is read there.
 func (ch *chooser) arrivalsLoss(pause, reading float64) float64 {
-	return ch.arrivals.AtRisk.loss(pause) * reading / float64(time.Second)
+	return ch.arrivals.PauseRisk.loss(pause) * reading / float64(time.Second)
 }
 
 // judgeMain sets what the target costs as the main one. Reading the part costs the writers there and the others, which
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -122,7 +122,7 @@
 		lo.WholePrefill.Tokens, lo.WholePrefill.Pairs, lo.SplitPrefill.Tokens, lo.SplitPrefill.Pairs,
 	}
 	for cl := range classes {
-		fs[plainFields+cl] = thousandths(lo.AtRisk[cl])
+		fs[plainFields+cl] = thousandths(lo.PauseRisk[cl])
 		fs[plainFields+classes+cl] = thousandths(lo.FirstTokenRisk[cl])
 	}
 	return fs
@@ -136,7 +136,7 @@
 		SplitPrefill: Backlog{Tokens: fs[6], Pairs: fs[7]},
 	}
 	for cl := range classes {
-		lo.AtRisk[cl] = Worth(fs[plainFields+cl]) * thousandth
+		lo.PauseRisk[cl] = Worth(fs[plainFields+cl]) * thousandth
 		lo.FirstTokenRisk[cl] = Worth(fs[plainFields+classes+cl]) * thousandth
 	}
 	return lo
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -23,7 +23,7 @@
 		}
 		for cl := range classes {
 			lo.FirstTokenRisk[cl] = Worth(draw("waiting"))
-			lo.AtRisk[cl] = Worth(draw("at risk"))
+			lo.PauseRisk[cl] = Worth(draw("at risk"))
 		}
 		return lo
 	})
@@ -58,10 +58,10 @@
 		lo := genLoad().Draw(t, "load")
 		ro := lo.Rounded()
 		for cl := range classes {
-			g.Expect(ro.AtRisk[cl] - lo.AtRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
+			g.Expect(ro.PauseRisk[cl] - lo.PauseRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
 			g.Expect(ro.FirstTokenRisk[cl] - lo.FirstTokenRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
 		}
-		ro.AtRisk, ro.FirstTokenRisk = lo.AtRisk, lo.FirstTokenRisk
+		ro.PauseRisk, ro.FirstTokenRisk = lo.PauseRisk, lo.FirstTokenRisk
 		g.Expect(ro).To(Equal(lo))
 	})
 }
@@ -92,7 +92,7 @@
 func TestWrittenFormIsKept(t *testing.T) {
 	lo := Load{Prefilling: 1, Decoding: 2, ContextTokens: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
 	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
-	lo.AtRisk[0], lo.AtRisk[classes-1] = WorthOf(0.001), WorthOf(0.002)
+	lo.PauseRisk[0], lo.PauseRisk[classes-1] = WorthOf(0.001), WorthOf(0.002)
 	lo.FirstTokenRisk[0], lo.FirstTokenRisk[classes-1] = WorthOf(0.003), WorthOf(0.004)
 	cases := map[string]struct {
 		load Load
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -57,7 +57,7 @@
 	// later.
 	FirstTokenRisk Classes `json:"Waiting"`
 	// AtRisk is what the writers of each class of longest pause, and of patience, lose together when a pause is longer.
-	AtRisk Classes `json:"AtRisk"`
+	PauseRisk Classes `json:"AtRisk"`
 }
 
 // Plus returns the sum of two loads.
@@ -70,7 +70,7 @@
 	lo.Memory += ot.Memory
 	for cl := range classes {
 		lo.FirstTokenRisk[cl] += ot.FirstTokenRisk[cl]
-		lo.AtRisk[cl] += ot.AtRisk[cl]
+		lo.PauseRisk[cl] += ot.PauseRisk[cl]
 	}
 	return lo
 }
@@ -85,7 +85,7 @@
 	lo.Memory -= ot.Memory
 	for cl := range classes {
 		lo.FirstTokenRisk[cl] -= ot.FirstTokenRisk[cl]
-		lo.AtRisk[cl] -= ot.AtRisk[cl]
+		lo.PauseRisk[cl] -= ot.PauseRisk[cl]
 	}
 	return lo
 }
@@ -110,14 +110,14 @@
 	}
 	sum := Worth(0)
 	for cl := range classOf(limit) + 1 {
-		sum += lo.FirstTokenRisk[cl] + lo.AtRisk[cl]
+		sum += lo.FirstTokenRisk[cl] + lo.PauseRisk[cl]
 	}
 	return sum
 }
 
 // WithRisk returns the load with other worth at risk, as for an answer that has become late.
 func (lo Load) WithRisk(atRisk Classes) Load {
-	lo.AtRisk = atRisk
+	lo.PauseRisk = atRisk
 	return lo
 }
 
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -45,7 +45,7 @@
 // Writing returns the load at the main target from the first token on, when the whole prompt is held there.
 func (pr Prompt) Writing() Load {
 	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, Memory: pr.need()}
-	lo.AtRisk = pr.risk(pr.LongestPause, pr.Patience)
+	lo.PauseRisk = pr.risk(pr.LongestPause, pr.Patience)
 	return lo
 }
 
