--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -152,7 +152,7 @@
 			continue
 		}
 		sl.ds.book.remove(bk.id, bk.load)
-		bk.load = bk.load.WithRisk(atRisk)
+		bk.load = bk.load.WithPauseRisk(atRisk)
 		sl.ds.book.add(bk.id, bk.load)
 	}
 	sl.ds.changed()
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -116,7 +116,7 @@
 }
 
 // WithRisk returns the load with other worth at risk, as for an answer that has become late.
-func (lo Load) WithRisk(atRisk Classes) Load {
+func (lo Load) WithPauseRisk(atRisk Classes) Load {
 	lo.PauseRisk = atRisk
 	return lo
 }
