--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -85,7 +85,7 @@
 	}
 	var sum placement.Worth
 	for i := range cands {
-		sum += cands[i].Load.PauseRisk.Within(dm.shortPause)
+		sum += cands[i].Load.PauseRisk.SumUpTo(dm.shortPause)
 	}
 	answers := float64(sum) / float64(dm.shortStake)
 	return shortSpare + int(math.Ceil(answers/(shortFill*float64(en.Slots))))
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -127,7 +127,7 @@
 }
 
 // Within returns what is lost together at limits that are no longer than one.
-func (cl *Classes) Within(limit time.Duration) Worth {
+func (cl *Classes) SumUpTo(limit time.Duration) Worth {
 	sum := Worth(0)
 	for no := range classOf(limit) + 1 {
 		sum += cl[no]
