--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -14,7 +14,7 @@
 // overload its answers are late and have nothing left at stake, and long prompts were then placed as if nobody arrived,
 // which kept every next answer late as well.
 type demand struct {
-	atRisk placement.Classes
+	atRisk placement.RiskByLimit
 	// known is false before the first request.
 	known bool
 	// shortStake is what a usual short answer has at stake, and shortPause the longest pause that the newest one allows; zero before
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -337,7 +337,7 @@
 		}
 		return lo
 	}
-	late := func(count int) Load { return writers(count).WithPauseRisk(Classes{}) }
+	late := func(count int) Load { return writers(count).WithPauseRisk(RiskByLimit{}) }
 	cases := map[string]struct {
 		loads []Load
 		want  int
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -36,7 +36,7 @@
 }
 
 // Classes is what requests lose together, by the class of the limit that they lose it at.
-type Classes [classes]Worth
+type RiskByLimit [classes]Worth
 
 // Load is what is in flight at one target, over all instances. It is additive: the loads of several requests are summed
 // with Plus and taken away again with Minus, without rounding.
@@ -55,9 +55,9 @@
 	Memory int64
 	// Waiting is what the readers of each class of objective, and of patience, lose together when the first token comes
 	// later.
-	FirstTokenRisk Classes `json:"Waiting"`
+	FirstTokenRisk RiskByLimit `json:"Waiting"`
 	// AtRisk is what the writers of each class of longest pause, and of patience, lose together when a pause is longer.
-	PauseRisk Classes `json:"AtRisk"`
+	PauseRisk RiskByLimit `json:"AtRisk"`
 }
 
 // Plus returns the sum of two loads.
@@ -116,7 +116,7 @@
 }
 
 // WithRisk returns the load with other worth at risk, as for an answer that has become late.
-func (lo Load) WithPauseRisk(atRisk Classes) Load {
+func (lo Load) WithPauseRisk(atRisk RiskByLimit) Load {
 	lo.PauseRisk = atRisk
 	return lo
 }
@@ -127,7 +127,7 @@
 }
 
 // Within returns what is lost together at limits that are no longer than one.
-func (cl *Classes) SumUpTo(limit time.Duration) Worth {
+func (cl *RiskByLimit) SumUpTo(limit time.Duration) Worth {
 	sum := Worth(0)
 	for no := range classOf(limit) + 1 {
 		sum += cl[no]
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -28,7 +28,7 @@
 )
 
 // loss returns what is expected to be lost at a time that the limits are compared with.
-func (cl *Classes) loss(ns float64) float64 {
+func (cl *RiskByLimit) loss(ns float64) float64 {
 	loss := 0.0
 	for no := range cl {
 		if ns <= classBounds[no].from {
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -51,8 +51,8 @@
 
 // risk returns what is lost beyond the limit that an answer in time keeps, and beyond the patience of its caller: an
 // answer that its caller has left is worth nothing, and the caller's next attempt is read once more.
-func (pr *Prompt) risk(inTime, patience time.Duration) Classes {
-	var cl Classes
+func (pr *Prompt) risk(inTime, patience time.Duration) RiskByLimit {
+	var cl RiskByLimit
 	cl[classOf(inTime)] = pr.atRisk()
 	if pr.Patience > 0 {
 		cl[classOf(patience)] += pr.Late
