--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -127,10 +127,10 @@
 }
 
 // Within returns what is lost together at limits that are no longer than one.
-func (cl *RiskByLimit) SumUpTo(limit time.Duration) Worth {
+func (rl *RiskByLimit) SumUpTo(limit time.Duration) Worth {
 	sum := Worth(0)
 	for no := range classOf(limit) + 1 {
-		sum += cl[no]
+		sum += rl[no]
 	}
 	return sum
 }
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -28,14 +28,14 @@
 )
 
 // loss returns what is expected to be lost at a time that the limits are compared with.
-func (cl *RiskByLimit) loss(ns float64) float64 {
+func (rl *RiskByLimit) loss(ns float64) float64 {
 	loss := 0.0
-	for no := range cl {
+	for no := range rl {
 		if ns <= classBounds[no].from {
 			break
 		}
-		if cl[no] != 0 {
-			loss += float64(cl[no]) * classBounds[no].chance(ns)
+		if rl[no] != 0 {
+			loss += float64(rl[no]) * classBounds[no].chance(ns)
 		}
 	}
 	return loss
