--- a/internal/peerstate/decode.go
+++ b/internal/peerstate/decode.go
@@ -135,7 +135,7 @@
 	if rd.err != nil {
 		return placement.Load{}
 	}
-	lo, rest, err := placement.ReadLoad(rd.rest)
+	lo, rest, err := placement.ParseLoad(rd.rest)
 	if err != nil {
 		rd.err = errors.Wrap(err, "read load")
 		return placement.Load{}
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -67,7 +67,7 @@
 }
 
 // ReadLoad reads a load that Append wrote, and returns the bytes after it. It takes no memory for what bytes claim.
-func ReadLoad(b []byte) (Load, []byte, error) {
+func ParseLoad(b []byte) (Load, []byte, error) {
 	bitmap, n := binary.Uvarint(b)
 	if n <= 0 {
 		return Load{}, nil, &EncodingError{Reason: "no bitmap"}
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -34,7 +34,7 @@
 		g := NewWithT(t)
 		lo := rapid.OneOf(genLoad(), genAnyLoad()).Draw(t, "load")
 		after := rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(t, "after")
-		read, rest, err := ReadLoad(append(lo.Append(nil), after...))
+		read, rest, err := ParseLoad(append(lo.Append(nil), after...))
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(read).To(Equal(lo.Rounded()))
 		g.Expect(rest).To(HaveLen(len(after)))
@@ -129,7 +129,7 @@
 			g := NewWithT(t)
 			b, err := hex.DecodeString(in)
 			g.Expect(err).NotTo(HaveOccurred())
-			lo, _, err := ReadLoad(b)
+			lo, _, err := ParseLoad(b)
 			var malformed *EncodingError
 			g.Expect(errors.As(err, &malformed)).To(BeTrue())
 			g.Expect(malformed.Error()).To(ContainSubstring(malformed.Reason))
