--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -62,7 +62,7 @@
 	tokens := 200 + rd.Int64N(12_000)
 	worth := 1 + 0.1*float64(tokens)/1000
 	return placement.Prompt{
-		Tokens: tokens, Answer: 50 + rd.Int64N(500),
+		Tokens: tokens, AnswerTokens: 50 + rd.Int64N(500),
 		Objective: objectives[rd.IntN(len(objectives))], LongestPause: pauses[rd.IntN(len(pauses))],
 		InTime: placement.WorthOf(worth), Late: placement.WorthOf(worth / 4), Left: time.Minute,
 	}
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -94,7 +94,7 @@
 		ca.helpHold = ca.ta.Load.PauseRisk.loss(ca.readPause + more)
 	} else {
 		ca.full = ch.stake.fullLoss(&ch.en, ca.ta.Load.Memory+ch.pr.need())
-		ca.ownPass = ch.ownPass(ca, ch.pr.Tokens+ch.pr.Answer/2)
+		ca.ownPass = ch.ownPass(ca, ch.pr.Tokens+ch.pr.AnswerTokens/2)
 		ca.helpHold = 0
 	}
 	ca.mainHold = ca.ta.Load.PauseRisk.loss(ca.ownPass + ca.usual)
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -210,7 +210,7 @@
 
 // writing returns the nanoseconds of writing the answer at a candidate.
 func (ch *chooser) writing(ca *candidate) float64 {
-	passes := ceilDiv(ch.pr.Answer, int64(ch.en.StepsPerPass))
+	passes := ceilDiv(ch.pr.AnswerTokens, int64(ch.en.StepsPerPass))
 	return float64(passes) * ca.ownPass
 }
 
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -262,10 +262,10 @@
 		if _, ok := Choose(typical, pr, ts, Options{}); ok || pr.need() > typical.MemoryTokens {
 			return
 		}
-		passes := ceilDiv(pr.Answer, int64(typical.StepsPerPass))
+		passes := ceilDiv(pr.AnswerTokens, int64(typical.StepsPerPass))
 		for _, ta := range ts {
 			first := float64(typical.TimeToFirstToken(pr, ta))
-			writing := float64(passes) * typical.writePass(&ta, 1, pr.Tokens+pr.Answer/2)
+			writing := float64(passes) * typical.writePass(&ta, 1, pr.Tokens+pr.AnswerTokens/2)
 			g.Expect(time.Duration(first + writing)).To(BeNumerically(">=", pr.Left))
 		}
 	})
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,21 +26,21 @@
 
 func shortPrompt() Prompt {
 	return Prompt{
-		Tokens: 5000, Answer: 600, Objective: 300 * time.Millisecond, LongestPause: 250 * time.Millisecond,
+		Tokens: 5000, AnswerTokens: 600, Objective: 300 * time.Millisecond, LongestPause: 250 * time.Millisecond,
 		InTime: WorthOf(1), Late: WorthOf(0.2), Left: 10 * time.Second,
 	}
 }
 
 func middlePrompt() Prompt {
 	return Prompt{
-		Tokens: 45_000, Answer: 1300, Objective: 1500 * time.Millisecond, LongestPause: 600 * time.Millisecond,
+		Tokens: 45_000, AnswerTokens: 1300, Objective: 1500 * time.Millisecond, LongestPause: 600 * time.Millisecond,
 		InTime: WorthOf(3), Late: WorthOf(1), Left: 20 * time.Second,
 	}
 }
 
 func longPrompt(tokens int64) Prompt {
 	return Prompt{
-		Tokens: tokens, Answer: 2000, Objective: 2500 * time.Millisecond, LongestPause: time.Second,
+		Tokens: tokens, AnswerTokens: 2000, Objective: 2500 * time.Millisecond, LongestPause: time.Second,
 		InTime: WorthOf(10), Late: WorthOf(4), Left: 40 * time.Second,
 	}
 }
@@ -76,7 +76,7 @@
 func genPrompt() *rapid.Generator[Prompt] {
 	return rapid.Custom(func(t *rapid.T) Prompt {
 		pr := longPrompt(rapid.Int64Range(1, 600_000).Draw(t, "tokens"))
-		pr.Answer = rapid.Int64Range(1, 8000).Draw(t, "answer")
+		pr.AnswerTokens = rapid.Int64Range(1, 8000).Draw(t, "answer")
 		pr.Objective = time.Duration(rapid.IntRange(100, 5000).Draw(t, "objective")) * time.Millisecond
 		pr.LongestPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "pause")) * time.Millisecond
 		pr.Used = time.Duration(rapid.IntRange(0, 3000).Draw(t, "used")) * time.Millisecond
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -7,7 +7,7 @@
 	// Tokens is the number of tokens in the prompt.
 	Tokens int64
 	// Answer is the number of tokens expected in the answer.
-	Answer int64
+	AnswerTokens int64
 	// Objective is the time from arrival to first token within which the answer has its full worth; it is above 0.
 	Objective time.Duration
 	// Used is the time that has passed since arrival.
@@ -68,7 +68,7 @@
 
 // need returns the memory that the prompt and its answer take.
 func (pr *Prompt) need() int64 {
-	return pr.Tokens + pr.Answer
+	return pr.Tokens + pr.AnswerTokens
 }
 
 // atRisk returns what is lost when the answer is late.
