--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -8,7 +8,7 @@
 
 // late reports whether an answer is late already or is sure to be. Others need not spare it: nothing more of it is lost.
 func late(as Ask, pr placement.Prompt, pl placement.Plan) bool {
-	return as.Resumed || float64(pr.Used+pl.FirstToken) > lateFrom*float64(pr.Objective)
+	return as.Resumed || float64(pr.Elapsed+pl.FirstToken) > lateFrom*float64(pr.Objective)
 }
 
 // lateFrom is the share of the objective from which a predicted first token is late for sure: predictions are off by a
@@ -22,7 +22,7 @@
 // One that is late for having waited has no better moment to wait for: refused in the end, its caller comes back once more for nothing.
 func worthwhile(as Ask, pr placement.Prompt, pl placement.Plan) bool {
 	saved := pr.InTime
-	if late(as, pr, pl) && pr.Used > 0 {
+	if late(as, pr, pl) && pr.Elapsed > 0 {
 		saved += placement.Worth(refusalCost * float64(pr.InTime))
 	}
 	return pl.Loss < saved
@@ -39,7 +39,7 @@
 
 // begins reports whether the first token of a plan comes while the caller waits.
 func begins(pr placement.Prompt, pl placement.Plan) bool {
-	return pr.Patience <= 0 || pr.Used+pl.FirstToken <= pr.Patience
+	return pr.Patience <= 0 || pr.Elapsed+pl.FirstToken <= pr.Patience
 }
 
 // read returns targets with nothing left to read.
@@ -72,7 +72,7 @@
 // betterLater reports whether a long prompt had better wait until what is being read now is read: the parts of two long
 // prompts in one pass make the pauses of all writers there too long, one after the other they do not.
 func betterLater(pr placement.Prompt, pl, later placement.Plan) bool {
-	if float64(pr.Used+later.FirstToken) > waitUpTo*float64(pr.Objective) {
+	if float64(pr.Elapsed+later.FirstToken) > waitUpTo*float64(pr.Objective) {
 		return false
 	}
 	return float64(pl.Loss-later.Loss) > waitGain*float64(pr.InTime)
@@ -94,7 +94,7 @@
 		return false
 	}
 	left := pr.Left - pl.FirstToken
-	if left < pr.Objective || float64(pr.Used) > deferUpTo*float64(pr.Objective) {
+	if left < pr.Objective || float64(pr.Elapsed) > deferUpTo*float64(pr.Objective) {
 		return false
 	}
 	return float64(pl.Harm) > deferHarm*float64(pr.InTime)
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -420,7 +420,7 @@
 func TestPromptIsLostWhenItsCallerLeavesFirst(t *testing.T) {
 	g := NewWithT(t)
 	pr := shortPrompt()
-	pr.Used = time.Second
+	pr.Elapsed = time.Second
 	pr.Patience = 1100 * time.Millisecond
 	ts := idle(1)
 	ts[0].Load.WholePrefill = Backlog{Tokens: 60_000, Pairs: 1_800_000_000}
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -66,7 +66,7 @@
 	return stake{
 		inTime:    float64(pr.InTime),
 		atRisk:    risk,
-		used:      float64(pr.Used),
+		used:      float64(pr.Elapsed),
 		objective: boundOf(float64(pr.Objective), ramp),
 		pause:     boundOf(float64(pr.LongestPause), ramp),
 		late:      late,
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -79,7 +79,7 @@
 		pr.AnswerTokens = rapid.Int64Range(1, 8000).Draw(t, "answer")
 		pr.Objective = time.Duration(rapid.IntRange(100, 5000).Draw(t, "objective")) * time.Millisecond
 		pr.LongestPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "pause")) * time.Millisecond
-		pr.Used = time.Duration(rapid.IntRange(0, 3000).Draw(t, "used")) * time.Millisecond
+		pr.Elapsed = time.Duration(rapid.IntRange(0, 3000).Draw(t, "used")) * time.Millisecond
 		pr.InTime = WorthOf(rapid.Float64Range(0, 20).Draw(t, "in time"))
 		pr.Late = pr.InTime / 3
 		pr.Left = time.Duration(rapid.IntRange(1, 120).Draw(t, "left")) * time.Second
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -11,7 +11,7 @@
 	// Objective is the time from arrival to first token within which the answer has its full worth; it is above 0.
 	Objective time.Duration
 	// Used is the time that has passed since arrival.
-	Used time.Duration
+	Elapsed time.Duration
 	// LongestPause is the longest pause between events at which the answer has its full worth; it is above 0.
 	LongestPause time.Duration
 	// InTime is the worth of an answer in time.
@@ -28,7 +28,7 @@
 // Reading returns the load at the main target until the first token, when the prompt is read in a number of parts.
 func (pr Prompt) Reading(parts int) Load {
 	lo := Load{Prefilling: 1, Memory: pr.need()}
-	lo.FirstTokenRisk = pr.risk(pr.Objective-pr.Used, pr.Patience-pr.Used)
+	lo.FirstTokenRisk = pr.risk(pr.Objective-pr.Elapsed, pr.Patience-pr.Elapsed)
 	if parts > 1 {
 		lo.SplitPrefill = pr.Part(parts)
 		return lo
