--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -21,9 +21,9 @@
 //
 // One that is late for having waited has no better moment to wait for: refused in the end, its caller comes back once more for nothing.
 func worthwhile(as Ask, pr placement.Prompt, pl placement.Plan) bool {
-	saved := pr.InTime
+	saved := pr.InTimeWorth
 	if late(as, pr, pl) && pr.Elapsed > 0 {
-		saved += placement.Worth(refusalCost * float64(pr.InTime))
+		saved += placement.Worth(refusalCost * float64(pr.InTimeWorth))
 	}
 	return pl.Loss < saved
 }
@@ -75,7 +75,7 @@
 	if float64(pr.Elapsed+later.FirstToken) > waitUpTo*float64(pr.Objective) {
 		return false
 	}
-	return float64(pl.Loss-later.Loss) > waitGain*float64(pr.InTime)
+	return float64(pl.Loss-later.Loss) > waitGain*float64(pr.InTimeWorth)
 }
 
 const (
@@ -97,5 +97,5 @@
 	if left < pr.Objective || float64(pr.Elapsed) > deferUpTo*float64(pr.Objective) {
 		return false
 	}
-	return float64(pl.Harm) > deferHarm*float64(pr.InTime)
+	return float64(pl.Harm) > deferHarm*float64(pr.InTimeWorth)
 }
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -64,7 +64,7 @@
 		late = 0
 	}
 	return stake{
-		inTime:    float64(pr.InTime),
+		inTime:    float64(pr.InTimeWorth),
 		atRisk:    risk,
 		used:      float64(pr.Elapsed),
 		objective: boundOf(float64(pr.Objective), ramp),
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -15,7 +15,7 @@
 	// LongestPause is the longest pause between events at which the answer has its full worth; it is above 0.
 	LongestPause time.Duration
 	// InTime is the worth of an answer in time.
-	InTime Worth
+	InTimeWorth Worth
 	// Late is the worth of a late answer; it is at most InTime.
 	Late Worth
 	// Patience is the longest time without an event, before the first one too, for which the caller waits; zero is no
@@ -62,7 +62,7 @@
 
 // Overdue returns the prompt of an answer that is late in any case: only the caller's patience is left to lose.
 func (pr Prompt) Overdue() Prompt {
-	pr.InTime = pr.Late
+	pr.InTimeWorth = pr.Late
 	return pr
 }
 
@@ -73,7 +73,7 @@
 
 // atRisk returns what is lost when the answer is late.
 func (pr *Prompt) atRisk() Worth {
-	return pr.InTime - pr.Late
+	return pr.InTimeWorth - pr.Late
 }
 
 // Part returns what each of a number of even parts reads; each has an equal share of the pairs of the whole prompt.
