--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -46,7 +46,7 @@
 // observeShort takes a short prompt that arrives.
 func (dm *demand) observeShort(pr placement.Prompt) {
 	dm.shortPause = pr.LongestPause
-	stake := pr.InTimeWorth - pr.Late
+	stake := pr.InTimeWorth - pr.LateWorth
 	if dm.shortStake == 0 {
 		dm.shortStake = stake
 		return
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -429,5 +429,5 @@
 	pr.Patience = 0
 	late, ok := Choose(typical, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
-	g.Expect(gone.Loss - late.Loss).To(Equal(pr.Late))
+	g.Expect(gone.Loss - late.Loss).To(Equal(pr.LateWorth))
 }
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -59,7 +59,7 @@
 // stake returns what the prompt has to lose.
 func (pr *Prompt) stake() stake {
 	risk := float64(pr.atRisk())
-	late := float64(pr.Late)
+	late := float64(pr.LateWorth)
 	if pr.Patience <= 0 {
 		late = 0
 	}
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -17,7 +17,7 @@
 	// InTime is the worth of an answer in time.
 	InTimeWorth Worth
 	// Late is the worth of a late answer; it is at most InTime.
-	Late Worth
+	LateWorth Worth
 	// Patience is the longest time without an event, before the first one too, for which the caller waits; zero is no
 	// bound.
 	Patience time.Duration
@@ -55,14 +55,14 @@
 	var cl RiskByLimit
 	cl[classOf(inTime)] = pr.atRisk()
 	if pr.Patience > 0 {
-		cl[classOf(patience)] += pr.Late
+		cl[classOf(patience)] += pr.LateWorth
 	}
 	return cl
 }
 
 // Overdue returns the prompt of an answer that is late in any case: only the caller's patience is left to lose.
 func (pr Prompt) Overdue() Prompt {
-	pr.InTimeWorth = pr.Late
+	pr.InTimeWorth = pr.LateWorth
 	return pr
 }
 
@@ -73,7 +73,7 @@
 
 // atRisk returns what is lost when the answer is late.
 func (pr *Prompt) atRisk() Worth {
-	return pr.InTimeWorth - pr.Late
+	return pr.InTimeWorth - pr.LateWorth
 }
 
 // Part returns what each of a number of even parts reads; each has an equal share of the pairs of the whole prompt.
