--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -39,7 +39,7 @@
 
 // begins reports whether the first token of a plan comes while the caller waits.
 func begins(pr placement.Prompt, pl placement.Plan) bool {
-	return pr.Patience <= 0 || pr.Elapsed+pl.FirstToken <= pr.Patience
+	return pr.CallerIdleTimeout <= 0 || pr.Elapsed+pl.FirstToken <= pr.CallerIdleTimeout
 }
 
 // read returns targets with nothing left to read.
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -396,7 +396,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			late := shortPrompt()
-			late.Patience = ca.patience
+			late.CallerIdleTimeout = ca.patience
 			ts := idle(4)
 			for range 8 {
 				ts[0].Load = ts[0].Load.Plus(late.Overdue().Writing())
@@ -421,12 +421,12 @@
 	g := NewWithT(t)
 	pr := shortPrompt()
 	pr.Elapsed = time.Second
-	pr.Patience = 1100 * time.Millisecond
+	pr.CallerIdleTimeout = 1100 * time.Millisecond
 	ts := idle(1)
 	ts[0].Load.WholePrefill = Backlog{Tokens: 60_000, Pairs: 1_800_000_000}
 	gone, ok := Choose(typical, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
-	pr.Patience = 0
+	pr.CallerIdleTimeout = 0
 	late, ok := Choose(typical, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(gone.Loss - late.Loss).To(Equal(pr.LateWorth))
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -60,7 +60,7 @@
 func (pr *Prompt) stake() stake {
 	risk := float64(pr.atRisk())
 	late := float64(pr.LateWorth)
-	if pr.Patience <= 0 {
+	if pr.CallerIdleTimeout <= 0 {
 		late = 0
 	}
 	return stake{
@@ -70,7 +70,7 @@
 		objective: boundOf(float64(pr.Objective), ramp),
 		pause:     boundOf(float64(pr.LongestPause), ramp),
 		late:      late,
-		patience:  boundOf(float64(max(pr.Patience, 1)), ramp),
+		patience:  boundOf(float64(max(pr.CallerIdleTimeout, 1)), ramp),
 		early:     earlyShare * risk / float64(pr.Objective),
 	}
 }
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -20,7 +20,7 @@
 	LateWorth Worth
 	// Patience is the longest time without an event, before the first one too, for which the caller waits; zero is no
 	// bound.
-	Patience time.Duration
+	CallerIdleTimeout time.Duration
 	// Left is the time until the deadline.
 	Left time.Duration
 }
@@ -28,7 +28,7 @@
 // Reading returns the load at the main target until the first token, when the prompt is read in a number of parts.
 func (pr Prompt) Reading(parts int) Load {
 	lo := Load{Prefilling: 1, Memory: pr.need()}
-	lo.FirstTokenRisk = pr.risk(pr.Objective-pr.Elapsed, pr.Patience-pr.Elapsed)
+	lo.FirstTokenRisk = pr.risk(pr.Objective-pr.Elapsed, pr.CallerIdleTimeout-pr.Elapsed)
 	if parts > 1 {
 		lo.SplitPrefill = pr.Part(parts)
 		return lo
@@ -45,7 +45,7 @@
 // Writing returns the load at the main target from the first token on, when the whole prompt is held there.
 func (pr Prompt) Writing() Load {
 	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, Memory: pr.need()}
-	lo.PauseRisk = pr.risk(pr.LongestPause, pr.Patience)
+	lo.PauseRisk = pr.risk(pr.LongestPause, pr.CallerIdleTimeout)
 	return lo
 }
 
@@ -54,7 +54,7 @@
 func (pr *Prompt) risk(inTime, patience time.Duration) RiskByLimit {
 	var cl RiskByLimit
 	cl[classOf(inTime)] = pr.atRisk()
-	if pr.Patience > 0 {
+	if pr.CallerIdleTimeout > 0 {
 		cl[classOf(patience)] += pr.LateWorth
 	}
 	return cl
