--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -93,7 +93,7 @@
 	if !late(as, pr, pl) {
 		return false
 	}
-	left := pr.Left - pl.FirstToken
+	left := pr.UntilDeadline - pl.FirstToken
 	if left < pr.Objective || float64(pr.Elapsed) > deferUpTo*float64(pr.Objective) {
 		return false
 	}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -62,7 +62,7 @@
 // refusal tells the caller of a prompt that was not placed when to come back.
 func (ds *Dispatcher) refusal(as Ask, pr placement.Prompt) error {
 	if as.long() {
-		after := time.Duration(longReturn * float64(max(pr.Left, 0)))
+		after := time.Duration(longReturn * float64(max(pr.UntilDeadline, 0)))
 		return failure.New(failure.Overloaded, failure.NotRun, "the prompt cannot be answered in its caller's time").WithRetryAfter(after)
 	}
 	share := comeBackLeast + (comeBackMost-comeBackLeast)*fraction(as.Request, ds.opts.Instance, "come back")
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -33,7 +33,7 @@
 	return placement.Prompt{
 		Tokens: int64(as.PromptTokens), AnswerTokens: int64(expectedAnswer(as)),
 		Objective: max(as.Objective, time.Millisecond), Elapsed: now.Sub(as.Arrived), LongestPause: pause, CallerIdleTimeout: as.Patience,
-		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth * worthLate), Left: ds.due(as).Sub(now),
+		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth * worthLate), UntilDeadline: ds.due(as).Sub(now),
 	}
 }
 
@@ -142,7 +142,7 @@
 	if _, ends := ds.ends(as); ok || !as.Resumed || ends {
 		return pl, ok
 	}
-	pr.Left = anyTime
+	pr.UntilDeadline = anyTime
 	return placement.Choose(*as.Service.Engine, pr, cands, op)
 }
 
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -64,7 +64,7 @@
 	return placement.Prompt{
 		Tokens: tokens, AnswerTokens: 50 + rd.Int64N(500),
 		Objective: objectives[rd.IntN(len(objectives))], LongestPause: pauses[rd.IntN(len(pauses))],
-		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth / 4), Left: time.Minute,
+		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth / 4), UntilDeadline: time.Minute,
 	}
 }
 
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -205,7 +205,7 @@
 	risk := ch.helperPrice * float64(pi.parts-1)
 	pi.harm = harm
 	pi.loss = harm + ch.stake.loss(pi.first, main.pausesInTime) + main.full + main.exposed + risk
-	return pi.first+ch.writing(main) <= float64(ch.pr.Left)
+	return pi.first+ch.writing(main) <= float64(ch.pr.UntilDeadline)
 }
 
 // writing returns the nanoseconds of writing the answer at a candidate.
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -163,7 +163,7 @@
 
 func TestNoPlan(t *testing.T) {
 	hurried := shortPrompt()
-	hurried.Left = 50 * time.Millisecond
+	hurried.UntilDeadline = 50 * time.Millisecond
 	full := idle(3)
 	for ix := range full {
 		full[ix].Load.Memory = typical.MemoryTokens - 1000
@@ -242,7 +242,7 @@
 		all := names(pl)
 		g.Expect(len(all)).To(BeNumerically("<=", MostParts))
 		g.Expect(slices.Compact(slices.Sorted(slices.Values(all)))).To(HaveLen(len(all)))
-		g.Expect(pl.FirstToken).To(BeNumerically("<=", pr.Left))
+		g.Expect(pl.FirstToken).To(BeNumerically("<=", pr.UntilDeadline))
 		g.Expect(pl.Loss).To(BeNumerically(">=", 0))
 		if pr.need() > typical.MemoryTokens {
 			g.Expect(pl.Reserve).NotTo(BeEmpty())
@@ -257,7 +257,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
-		pr.Left = time.Duration(rapid.IntRange(1, 10_000).Draw(t, "left in ms")) * time.Millisecond
+		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 10_000).Draw(t, "left in ms")) * time.Millisecond
 		ts := genTargets().Draw(t, "targets")
 		if _, ok := Choose(typical, pr, ts, Options{}); ok || pr.need() > typical.MemoryTokens {
 			return
@@ -266,7 +266,7 @@
 		for _, ta := range ts {
 			first := float64(typical.TimeToFirstToken(pr, ta))
 			writing := float64(passes) * typical.writePass(&ta, 1, pr.Tokens+pr.AnswerTokens/2)
-			g.Expect(time.Duration(first + writing)).To(BeNumerically(">=", pr.Left))
+			g.Expect(time.Duration(first + writing)).To(BeNumerically(">=", pr.UntilDeadline))
 		}
 	})
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -27,21 +27,21 @@
 func shortPrompt() Prompt {
 	return Prompt{
 		Tokens: 5000, AnswerTokens: 600, Objective: 300 * time.Millisecond, LongestPause: 250 * time.Millisecond,
-		InTimeWorth: WorthOf(1), LateWorth: WorthOf(0.2), Left: 10 * time.Second,
+		InTimeWorth: WorthOf(1), LateWorth: WorthOf(0.2), UntilDeadline: 10 * time.Second,
 	}
 }
 
 func middlePrompt() Prompt {
 	return Prompt{
 		Tokens: 45_000, AnswerTokens: 1300, Objective: 1500 * time.Millisecond, LongestPause: 600 * time.Millisecond,
-		InTimeWorth: WorthOf(3), LateWorth: WorthOf(1), Left: 20 * time.Second,
+		InTimeWorth: WorthOf(3), LateWorth: WorthOf(1), UntilDeadline: 20 * time.Second,
 	}
 }
 
 func longPrompt(tokens int64) Prompt {
 	return Prompt{
 		Tokens: tokens, AnswerTokens: 2000, Objective: 2500 * time.Millisecond, LongestPause: time.Second,
-		InTimeWorth: WorthOf(10), LateWorth: WorthOf(4), Left: 40 * time.Second,
+		InTimeWorth: WorthOf(10), LateWorth: WorthOf(4), UntilDeadline: 40 * time.Second,
 	}
 }
 
@@ -82,7 +82,7 @@
 		pr.Elapsed = time.Duration(rapid.IntRange(0, 3000).Draw(t, "used")) * time.Millisecond
 		pr.InTimeWorth = WorthOf(rapid.Float64Range(0, 20).Draw(t, "in time"))
 		pr.LateWorth = pr.InTimeWorth / 3
-		pr.Left = time.Duration(rapid.IntRange(1, 120).Draw(t, "left")) * time.Second
+		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 120).Draw(t, "left")) * time.Second
 		return pr
 	})
 }
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -22,7 +22,7 @@
 	// bound.
 	CallerIdleTimeout time.Duration
 	// Left is the time until the deadline.
-	Left time.Duration
+	UntilDeadline time.Duration
 }
 
 // Reading returns the load at the main target until the first token, when the prompt is read in a number of parts.
