--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -177,9 +177,9 @@
 		FirstPredicted: pl.FirstToken, PausePredicted: pl.Pause, arrived: as.Arrived, late: as.Resumed,
 	}
 	parts := 1 + len(pl.Helpers)
-	reading := pr.Reading(parts)
+	reading := pr.PrefillLoad(parts)
 	if late(as, pr, pl) {
-		reading = pr.Overdue().Reading(parts)
+		reading = pr.Overdue().PrefillLoad(parts)
 	}
 	if len(pl.Reserve) > 0 {
 		reading = reading.WithMemory(0)
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -45,7 +45,7 @@
 func usualLoad(rd *rand.Rand) placement.Load {
 	var lo placement.Load
 	for range rd.IntN(3) {
-		lo = lo.Plus(usualPrompt(rd).Reading(1))
+		lo = lo.Plus(usualPrompt(rd).PrefillLoad(1))
 	}
 	if rd.IntN(3) == 0 {
 		lo = lo.Plus(usualPrompt(rd).Helping(4))
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -58,7 +58,7 @@
 	pr := longPrompt(120_000)
 	other := idle(2)
 	waiting := other[0]
-	waiting.Load = longPrompt(200_000).Reading(1)
+	waiting.Load = longPrompt(200_000).PrefillLoad(1)
 	g.Expect(typical.TimeToFirstToken(pr, waiting, other[1])).To(BeNumerically("<", typical.TimeToFirstToken(pr, waiting)/3))
 }
 
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -26,7 +26,7 @@
 }
 
 // Reading returns the load at the main target until the first token, when the prompt is read in a number of parts.
-func (pr Prompt) Reading(parts int) Load {
+func (pr Prompt) PrefillLoad(parts int) Load {
 	lo := Load{Prefilling: 1, Memory: pr.need()}
 	lo.FirstTokenRisk = pr.risk(pr.Objective-pr.Elapsed, pr.CallerIdleTimeout-pr.Elapsed)
 	if parts > 1 {
