--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -188,7 +188,7 @@
 	ds.tried(pl.Main)
 	for _, id := range pl.Helpers {
 		sl.Helpers = append(sl.Helpers, Helper{ID: id, Address: byID[id].Address})
-		sl.book(id, pr.Helping(parts))
+		sl.book(id, pr.HelperLoad(parts))
 	}
 	for _, sh := range pl.Reserve {
 		sl.bookHeld(sh.Target, placement.Load{Memory: sh.Tokens})
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -48,7 +48,7 @@
 		lo = lo.Plus(usualPrompt(rd).PrefillLoad(1))
 	}
 	if rd.IntN(3) == 0 {
-		lo = lo.Plus(usualPrompt(rd).Helping(4))
+		lo = lo.Plus(usualPrompt(rd).HelperLoad(4))
 	}
 	for range 1 + rd.IntN(8) {
 		lo = lo.Plus(usualPrompt(rd).Writing())
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -33,7 +33,7 @@
 func TestAShortPromptAvoidsATargetThatReadsALongPart(t *testing.T) {
 	for name, reading := range map[string]Load{
 		"a whole prompt": longPrompt(133_000).PrefillLoad(1),
-		"a part of two":  longPrompt(133_000).Helping(2),
+		"a part of two":  longPrompt(133_000).HelperLoad(2),
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -133,7 +133,7 @@
 	ts := idle(8)
 	g.Expect(ReadingShare(ts)).To(BeZero())
 	ts[1].Load = ts[1].Load.Plus(shortPrompt().PrefillLoad(1))
-	ts[5].Load = ts[5].Load.Plus(longPrompt(133_000).Helping(4))
+	ts[5].Load = ts[5].Load.Plus(longPrompt(133_000).HelperLoad(4))
 	ts[6].Load = ts[6].Load.Plus(shortPrompt().Writing())
 	g.Expect(ReadingShare(ts)).To(Equal(0.25))
 	g.Expect(ReadingShare(nil)).To(BeZero())
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -93,7 +93,7 @@
 		for range rapid.IntRange(0, 8).Draw(t, "requests") {
 			pr := genPrompt().Draw(t, "prompt")
 			parts := rapid.IntRange(1, MostParts).Draw(t, "parts")
-			kinds := []Load{pr.PrefillLoad(parts), pr.Helping(parts), pr.Writing()}
+			kinds := []Load{pr.PrefillLoad(parts), pr.HelperLoad(parts), pr.Writing()}
 			lo = lo.Plus(rapid.SampledFrom(kinds).Draw(t, "kind"))
 		}
 		return lo
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -38,7 +38,7 @@
 }
 
 // Helping returns the load at each helper until the first token, when the prompt is read in a number of parts.
-func (pr Prompt) Helping(parts int) Load {
+func (pr Prompt) HelperLoad(parts int) Load {
 	return Load{SplitPrefill: pr.Part(parts)}
 }
 
