--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -28,7 +28,7 @@
 	if short {
 		dm.observeShort(pr)
 	}
-	next := pr.Writing().PauseRisk
+	next := pr.DecodeLoad().PauseRisk
 	if !dm.known {
 		dm.atRisk, dm.known = next, true
 		return
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -51,7 +51,7 @@
 		lo = lo.Plus(usualPrompt(rd).HelperLoad(4))
 	}
 	for range 1 + rd.IntN(8) {
-		lo = lo.Plus(usualPrompt(rd).Writing())
+		lo = lo.Plus(usualPrompt(rd).DecodeLoad())
 	}
 	return lo
 }
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -81,7 +81,7 @@
 	g := NewWithT(t)
 	ts := idle(18)
 	for ix := range 12 {
-		ts[ix].Load = shortPrompt().Writing()
+		ts[ix].Load = shortPrompt().DecodeLoad()
 	}
 	pl, ok := Choose(typical, longPrompt(133_000), ts, Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
@@ -99,7 +99,7 @@
 
 func TestALongPromptIsSplitMoreAmongShortWriters(t *testing.T) {
 	g := NewWithT(t)
-	twoASecond := shortPrompt().Writing().Plus(shortPrompt().Writing())
+	twoASecond := shortPrompt().DecodeLoad().Plus(shortPrompt().DecodeLoad())
 	pl, ok := Choose(typical, longPrompt(133_000), busy(18), Options{Seed: 1, Arrivals: twoASecond})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(pl.Helpers)).To(BeNumerically(">=", 11))
@@ -112,7 +112,7 @@
 	pr := longPrompt(133_000)
 	few, ok := Choose(typical, pr, idle(18), Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
-	many, ok := Choose(typical, pr, idle(18), Options{Seed: 1, Arrivals: shortPrompt().Writing()})
+	many, ok := Choose(typical, pr, idle(18), Options{Seed: 1, Arrivals: shortPrompt().DecodeLoad()})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(many.Part.Tokens).To(BeNumerically("<", few.Part.Tokens))
 }
@@ -134,7 +134,7 @@
 	g.Expect(ReadingShare(ts)).To(BeZero())
 	ts[1].Load = ts[1].Load.Plus(shortPrompt().PrefillLoad(1))
 	ts[5].Load = ts[5].Load.Plus(longPrompt(133_000).HelperLoad(4))
-	ts[6].Load = ts[6].Load.Plus(shortPrompt().Writing())
+	ts[6].Load = ts[6].Load.Plus(shortPrompt().DecodeLoad())
 	g.Expect(ReadingShare(ts)).To(Equal(0.25))
 	g.Expect(ReadingShare(nil)).To(BeZero())
 }
@@ -323,7 +323,7 @@
 			seed := uint64(0)
 			for b.Loop() {
 				seed++
-				Choose(typical, ca.pr, ca.ts, Options{Seed: seed, Arrivals: shortPrompt().Writing()})
+				Choose(typical, ca.pr, ca.ts, Options{Seed: seed, Arrivals: shortPrompt().DecodeLoad()})
 			}
 		})
 	}
@@ -333,7 +333,7 @@
 	writers := func(count int) Load {
 		lo := Load{}
 		for range count {
-			lo = lo.Plus(shortPrompt().Writing())
+			lo = lo.Plus(shortPrompt().DecodeLoad())
 		}
 		return lo
 	}
@@ -371,7 +371,7 @@
 			for ix := range ts[free:] {
 				lo := &ts[free+ix].Load
 				for range 12 {
-					*lo = lo.Plus(shortPrompt().Writing())
+					*lo = lo.Plus(shortPrompt().DecodeLoad())
 				}
 			}
 			// The prompt is in time for sure only when all free targets read it.
@@ -399,7 +399,7 @@
 			late.CallerIdleTimeout = ca.patience
 			ts := idle(4)
 			for range 8 {
-				ts[0].Load = ts[0].Load.Plus(late.Overdue().Writing())
+				ts[0].Load = ts[0].Load.Plus(late.Overdue().DecodeLoad())
 			}
 			// Its parts are read in about 2.5 s on four targets and in 3.3 s on three; both are late.
 			pr := longPrompt(330_000)
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -51,7 +51,7 @@
 
 func TestWithSetsOneField(t *testing.T) {
 	g := NewWithT(t)
-	lo := shortPrompt().Writing()
+	lo := shortPrompt().DecodeLoad()
 	g.Expect(lo.WithMemory(7).WithMemory(lo.Memory)).To(Equal(lo))
 	g.Expect(lo.WithMemory(7).Memory).To(BeEquivalentTo(7))
 	g.Expect(lo.WithContext(7).WithContext(lo.ContextTokens)).To(Equal(lo))
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -59,7 +59,7 @@
 	ts := idle(count)
 	for ix := range ts {
 		for range 2 + ix%7 {
-			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().Writing())
+			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().DecodeLoad())
 		}
 		for range ix % 3 {
 			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().PrefillLoad(1))
@@ -93,7 +93,7 @@
 		for range rapid.IntRange(0, 8).Draw(t, "requests") {
 			pr := genPrompt().Draw(t, "prompt")
 			parts := rapid.IntRange(1, MostParts).Draw(t, "parts")
-			kinds := []Load{pr.PrefillLoad(parts), pr.HelperLoad(parts), pr.Writing()}
+			kinds := []Load{pr.PrefillLoad(parts), pr.HelperLoad(parts), pr.DecodeLoad()}
 			lo = lo.Plus(rapid.SampledFrom(kinds).Draw(t, "kind"))
 		}
 		return lo
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -33,7 +33,7 @@
 }
 
 func TestPauseOfASplitPrompt(t *testing.T) {
-	ta := Target{Load: shortPrompt().Writing()}
+	ta := Target{Load: shortPrompt().DecodeLoad()}
 	pr := longPrompt(133_000)
 	cases := map[string]struct {
 		parts       int
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -43,7 +43,7 @@
 }
 
 // Writing returns the load at the main target from the first token on, when the whole prompt is held there.
-func (pr Prompt) Writing() Load {
+func (pr Prompt) DecodeLoad() Load {
 	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, Memory: pr.need()}
 	lo.PauseRisk = pr.risk(pr.LongestPause, pr.CallerIdleTimeout)
 	return lo
