--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -179,7 +179,7 @@
 	parts := 1 + len(pl.Helpers)
 	reading := pr.PrefillLoad(parts)
 	if late(as, pr, pl) {
-		reading = pr.Overdue().PrefillLoad(parts)
+		reading = pr.AsLate().PrefillLoad(parts)
 	}
 	if len(pl.Reserve) > 0 {
 		reading = reading.WithMemory(0)
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -87,7 +87,7 @@
 	sl.booked = nil
 	writing := sl.prompt.DecodeLoad()
 	if sl.late {
-		writing = sl.prompt.Overdue().DecodeLoad()
+		writing = sl.prompt.AsLate().DecodeLoad()
 	}
 	if len(sl.plan.Reserve) > 0 {
 		writing = writing.WithMemory(0).WithContext(sl.plan.Reserve[0].Tokens)
@@ -143,7 +143,7 @@
 // lapse books the writer again with its caller's patience alone at stake.
 func (sl *Slot) lapse() {
 	sl.late = true
-	atRisk := sl.prompt.Overdue().DecodeLoad().PauseRisk
+	atRisk := sl.prompt.AsLate().DecodeLoad().PauseRisk
 	sl.ds.book.mu.Lock()
 	defer sl.ds.book.mu.Unlock()
 	for i := range sl.booked {
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -399,7 +399,7 @@
 			late.CallerIdleTimeout = ca.patience
 			ts := idle(4)
 			for range 8 {
-				ts[0].Load = ts[0].Load.Plus(late.Overdue().DecodeLoad())
+				ts[0].Load = ts[0].Load.Plus(late.AsLate().DecodeLoad())
 			}
 			// Its parts are read in about 2.5 s on four targets and in 3.3 s on three; both are late.
 			pr := longPrompt(330_000)
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -61,7 +61,7 @@
 }
 
 // Overdue returns the prompt of an answer that is late in any case: only the caller's patience is left to lose.
-func (pr Prompt) Overdue() Prompt {
+func (pr Prompt) AsLate() Prompt {
 	pr.InTimeWorth = pr.LateWorth
 	return pr
 }
