--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -53,8 +53,8 @@
 	for _, tg := range tgs {
 		address[tg.ID] = tg.Address
 	}
-	places := make([]reservation.Place, 0, len(sl.plan.Reserve))
-	for _, sh := range sl.plan.Reserve {
+	places := make([]reservation.Place, 0, len(sl.plan.MemoryShares))
+	for _, sh := range sl.plan.MemoryShares {
 		places = append(places, reservation.Place{Target: sh.Target, Address: address[sh.Target], Tokens: sh.Tokens})
 	}
 	rv, err := ds.keeper.Take(ctx, places)
@@ -63,7 +63,7 @@
 	}
 	sl.reservation = rv
 	sl.Helpers = nil
-	for _, sh := range sl.plan.Reserve {
+	for _, sh := range sl.plan.MemoryShares {
 		sl.Helpers = append(sl.Helpers, Helper{ID: sh.Target, Address: address[sh.Target], Reservation: rv.ID()})
 	}
 	return nil
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -61,7 +61,7 @@
 	if err := ds.permit(ctx, as, sl); err != nil {
 		return nil, false, err
 	}
-	if len(sl.plan.Reserve) == 0 {
+	if len(sl.plan.MemoryShares) == 0 {
 		return sl, true, nil
 	}
 	if !ds.takeWork(sl) {
@@ -181,7 +181,7 @@
 	if late(as, pr, pl) {
 		reading = pr.AsLate().PrefillLoad(parts)
 	}
-	if len(pl.Reserve) > 0 {
+	if len(pl.MemoryShares) > 0 {
 		reading = reading.WithMemory(0)
 	}
 	sl.book(pl.Main, reading)
@@ -190,7 +190,7 @@
 		sl.Helpers = append(sl.Helpers, Helper{ID: id, Address: byID[id].Address})
 		sl.book(id, pr.HelperLoad(parts))
 	}
-	for _, sh := range pl.Reserve {
+	for _, sh := range pl.MemoryShares {
 		sl.bookHeld(sh.Target, placement.Load{Memory: sh.Tokens})
 	}
 	return sl
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -89,9 +89,9 @@
 	if sl.late {
 		writing = sl.prompt.AsLate().DecodeLoad()
 	}
-	if len(sl.plan.Reserve) > 0 {
-		writing = writing.WithMemory(0).WithContext(sl.plan.Reserve[0].Tokens)
-		for _, sh := range sl.plan.Reserve[1:] {
+	if len(sl.plan.MemoryShares) > 0 {
+		writing = writing.WithMemory(0).WithContext(sl.plan.MemoryShares[0].Tokens)
+		for _, sh := range sl.plan.MemoryShares[1:] {
 			sl.book(sh.Target, placement.Load{ContextTokens: sh.Tokens})
 		}
 	}
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -237,7 +237,7 @@
 		pl.Helpers = append(pl.Helpers, ch.cs[ix].ta.Name)
 	}
 	if pi.reserved {
-		pl.Reserve = ch.reserve(pi)
+		pl.MemoryShares = ch.reserve(pi)
 	}
 	return pl
 }
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -25,7 +25,7 @@
 			g.Expect(ok).To(BeTrue())
 			g.Expect(len(names(pl))).To(And(BeNumerically(">=", ca.least), BeNumerically("<=", ca.most)))
 			g.Expect(pl.FirstToken).To(BeNumerically("<", ca.pr.Objective))
-			g.Expect(pl.Reserve).To(BeEmpty())
+			g.Expect(pl.MemoryShares).To(BeEmpty())
 		})
 	}
 }
@@ -195,7 +195,7 @@
 	pr := longPrompt(100_000)
 	pl, ok := Choose(typical, pr, ts, Options{Seed: 3})
 	g.Expect(ok).To(BeTrue())
-	g.Expect(pl.Reserve).NotTo(BeEmpty())
+	g.Expect(pl.MemoryShares).NotTo(BeEmpty())
 	expectReserved(g, pl, pr, ts)
 }
 
@@ -215,7 +215,7 @@
 func expectReserved(g Gomega, pl Plan, pr Prompt, ts []Target) {
 	sum := int64(0)
 	var holders []string
-	for _, sh := range pl.Reserve {
+	for _, sh := range pl.MemoryShares {
 		at := slices.IndexFunc(ts, func(ta Target) bool { return ta.Name == sh.Target })
 		g.Expect(sh.Tokens).To(And(BeNumerically(">", 0), BeNumerically("<=", ts[at].free(&typical))))
 		sum += sh.Tokens
@@ -245,9 +245,9 @@
 		g.Expect(pl.FirstToken).To(BeNumerically("<=", pr.UntilDeadline))
 		g.Expect(pl.Loss).To(BeNumerically(">=", 0))
 		if pr.need() > typical.MemoryTokens {
-			g.Expect(pl.Reserve).NotTo(BeEmpty())
+			g.Expect(pl.MemoryShares).NotTo(BeEmpty())
 		}
-		if len(pl.Reserve) > 0 {
+		if len(pl.MemoryShares) > 0 {
 			expectReserved(g, pl, pr, ts)
 		}
 	})
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -20,7 +20,7 @@
 	Part Backlog
 	// Reserve is empty when the memory at Main is enough. Otherwise it starts with Main, names each helper once, and
 	// adds up to the prompt and its expected answer.
-	Reserve []Share
+	MemoryShares []Share
 	// FirstToken is the predicted time from now to the first token.
 	FirstToken time.Duration
 	// Pause is the longest predicted pause that the plan causes at any of its targets.
