--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -8,7 +8,7 @@
 
 // late reports whether an answer is late already or is sure to be. Others need not spare it: nothing more of it is lost.
 func late(as Ask, pr placement.Prompt, pl placement.Plan) bool {
-	return as.Resumed || float64(pr.Elapsed+pl.FirstToken) > lateFrom*float64(pr.Objective)
+	return as.Resumed || float64(pr.Elapsed+pl.TimeToFirstToken) > lateFrom*float64(pr.Objective)
 }
 
 // lateFrom is the share of the objective from which a predicted first token is late for sure: predictions are off by a
@@ -39,7 +39,7 @@
 
 // begins reports whether the first token of a plan comes while the caller waits.
 func begins(pr placement.Prompt, pl placement.Plan) bool {
-	return pr.CallerIdleTimeout <= 0 || pr.Elapsed+pl.FirstToken <= pr.CallerIdleTimeout
+	return pr.CallerIdleTimeout <= 0 || pr.Elapsed+pl.TimeToFirstToken <= pr.CallerIdleTimeout
 }
 
 // read returns targets with nothing left to read.
@@ -72,7 +72,7 @@
 // betterLater reports whether a long prompt had better wait until what is being read now is read: the parts of two long
 // prompts in one pass make the pauses of all writers there too long, one after the other they do not.
 func betterLater(pr placement.Prompt, pl, later placement.Plan) bool {
-	if float64(pr.Elapsed+later.FirstToken) > waitUpTo*float64(pr.Objective) {
+	if float64(pr.Elapsed+later.TimeToFirstToken) > waitUpTo*float64(pr.Objective) {
 		return false
 	}
 	return float64(pl.Loss-later.Loss) > waitGain*float64(pr.InTimeWorth)
@@ -93,7 +93,7 @@
 	if !late(as, pr, pl) {
 		return false
 	}
-	left := pr.UntilDeadline - pl.FirstToken
+	left := pr.UntilDeadline - pl.TimeToFirstToken
 	if left < pr.Objective || float64(pr.Elapsed) > deferUpTo*float64(pr.Objective) {
 		return false
 	}
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -29,7 +29,7 @@
 	if as.Resumed {
 		return false
 	}
-	inTime := float64(pr.Elapsed+pl.FirstToken) <= crowdedFrom*float64(pr.Objective)
+	inTime := float64(pr.Elapsed+pl.TimeToFirstToken) <= crowdedFrom*float64(pr.Objective)
 	return !inTime && slotsTaken(as.Service.Engine, cands)
 }
 
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -223,12 +223,12 @@
 // plan returns a pick as a plan.
 func (ch *chooser) plan(pi *pick) Plan {
 	pl := Plan{
-		Main:       ch.cs[pi.chosen[0]].ta.Name,
-		Part:       ch.pr.Part(pi.parts),
-		FirstToken: time.Duration(pi.first),
-		Pause:      time.Duration(pi.pause),
-		Loss:       Worth(pi.loss),
-		Harm:       Worth(pi.harm),
+		Main:             ch.cs[pi.chosen[0]].ta.Name,
+		Part:             ch.pr.Part(pi.parts),
+		TimeToFirstToken: time.Duration(pi.first),
+		Pause:            time.Duration(pi.pause),
+		Loss:             Worth(pi.loss),
+		Harm:             Worth(pi.harm),
 	}
 	if pi.parts > 1 {
 		pl.Helpers = make([]string, 0, pi.parts-1)
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -24,7 +24,7 @@
 			pl, ok := Choose(typical, ca.pr, idle(18), Options{Seed: 1})
 			g.Expect(ok).To(BeTrue())
 			g.Expect(len(names(pl))).To(And(BeNumerically(">=", ca.least), BeNumerically("<=", ca.most)))
-			g.Expect(pl.FirstToken).To(BeNumerically("<", ca.pr.Objective))
+			g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", ca.pr.Objective))
 			g.Expect(pl.MemoryShares).To(BeEmpty())
 		})
 	}
@@ -94,7 +94,7 @@
 	if writers > 0 {
 		g.Expect(pl.Pause).To(BeNumerically("<", 250*time.Millisecond))
 	}
-	g.Expect(pl.FirstToken).To(BeNumerically("<", 2500*time.Millisecond))
+	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", 2500*time.Millisecond))
 }
 
 func TestALongPromptIsSplitMoreAmongShortWriters(t *testing.T) {
@@ -104,7 +104,7 @@
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(pl.Helpers)).To(BeNumerically(">=", 11))
 	g.Expect(pl.Pause).To(BeNumerically("<", 250*time.Millisecond))
-	g.Expect(pl.FirstToken).To(BeNumerically("<", time.Second))
+	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", time.Second))
 }
 
 func TestArrivalsMakePartsSmaller(t *testing.T) {
@@ -242,7 +242,7 @@
 		all := names(pl)
 		g.Expect(len(all)).To(BeNumerically("<=", MostParts))
 		g.Expect(slices.Compact(slices.Sorted(slices.Values(all)))).To(HaveLen(len(all)))
-		g.Expect(pl.FirstToken).To(BeNumerically("<=", pr.UntilDeadline))
+		g.Expect(pl.TimeToFirstToken).To(BeNumerically("<=", pr.UntilDeadline))
 		g.Expect(pl.Loss).To(BeNumerically(">=", 0))
 		if pr.need() > typical.MemoryTokens {
 			g.Expect(pl.MemoryShares).NotTo(BeEmpty())
@@ -285,7 +285,7 @@
 			at := slices.IndexFunc(ts, func(ta Target) bool { return ta.Name == name })
 			chosen = append(chosen, ts[at])
 		}
-		g.Expect(pl.FirstToken).To(Equal(typical.TimeToFirstToken(pr, chosen[0], chosen[1:]...)))
+		g.Expect(pl.TimeToFirstToken).To(Equal(typical.TimeToFirstToken(pr, chosen[0], chosen[1:]...)))
 	})
 }
 
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -22,7 +22,7 @@
 	// adds up to the prompt and its expected answer.
 	MemoryShares []Share
 	// FirstToken is the predicted time from now to the first token.
-	FirstToken time.Duration
+	TimeToFirstToken time.Duration
 	// Pause is the longest predicted pause that the plan causes at any of its targets.
 	Pause time.Duration
 	// Loss is the worth that the plan is expected to lose, for the prompt and the others at its targets.
