--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -226,7 +226,7 @@
 		Main:             ch.cs[pi.chosen[0]].ta.Name,
 		Part:             ch.pr.Part(pi.parts),
 		TimeToFirstToken: time.Duration(pi.first),
-		Pause:            time.Duration(pi.pause),
+		LongestPause:     time.Duration(pi.pause),
 		Loss:             Worth(pi.loss),
 		Harm:             Worth(pi.harm),
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -92,7 +92,7 @@
 		}
 	}
 	if writers > 0 {
-		g.Expect(pl.Pause).To(BeNumerically("<", 250*time.Millisecond))
+		g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
 	}
 	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", 2500*time.Millisecond))
 }
@@ -103,7 +103,7 @@
 	pl, ok := Choose(typical, longPrompt(133_000), busy(18), Options{Seed: 1, Arrivals: twoASecond})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(pl.Helpers)).To(BeNumerically(">=", 11))
-	g.Expect(pl.Pause).To(BeNumerically("<", 250*time.Millisecond))
+	g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
 	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", time.Second))
 }
 
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -24,7 +24,7 @@
 	// FirstToken is the predicted time from now to the first token.
 	TimeToFirstToken time.Duration
 	// Pause is the longest predicted pause that the plan causes at any of its targets.
-	Pause time.Duration
+	LongestPause time.Duration
 	// Loss is the worth that the plan is expected to lose, for the prompt and the others at its targets.
 	Loss Worth
 	// Harm is the part of Loss that the others at its targets lose.
