--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -97,5 +97,5 @@
 	if left < pr.Objective || float64(pr.Elapsed) > deferUpTo*float64(pr.Objective) {
 		return false
 	}
-	return float64(pl.Harm) > deferHarm*float64(pr.InTimeWorth)
+	return float64(pl.OthersLoss) > deferHarm*float64(pr.InTimeWorth)
 }
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -228,7 +228,7 @@
 		TimeToFirstToken: time.Duration(pi.first),
 		LongestPause:     time.Duration(pi.pause),
 		Loss:             Worth(pi.loss),
-		Harm:             Worth(pi.harm),
+		OthersLoss:       Worth(pi.harm),
 	}
 	if pi.parts > 1 {
 		pl.Helpers = make([]string, 0, pi.parts-1)
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -28,7 +28,7 @@
 	// Loss is the worth that the plan is expected to lose, for the prompt and the others at its targets.
 	Loss Worth
 	// Harm is the part of Loss that the others at its targets lose.
-	Harm Worth
+	OthersLoss Worth
 }
 
 // Options tune Choose.
