--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -243,10 +243,10 @@
 }
 
 // reserve returns the shares of a pick.
-func (ch *chooser) reserve(pi *pick) []Share {
-	sh := make([]Share, pi.parts)
+func (ch *chooser) reserve(pi *pick) []MemoryShare {
+	sh := make([]MemoryShare, pi.parts)
 	for no := range sh {
-		sh[no] = Share{Target: ch.cs[pi.chosen[no]].ta.Name, Tokens: pi.shares[no]}
+		sh[no] = MemoryShare{Target: ch.cs[pi.chosen[no]].ta.Name, Tokens: pi.shares[no]}
 	}
 	return sh
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Share is memory to set aside at a target.
-type Share struct {
+type MemoryShare struct {
 	// Target is the name of the target.
 	Target string
 	// Tokens is how much to set aside there; it is above 0 and at most what was free.
@@ -20,7 +20,7 @@
 	Part Backlog
 	// Reserve is empty when the memory at Main is enough. Otherwise it starts with Main, names each helper once, and
 	// adds up to the prompt and its expected answer.
-	MemoryShares []Share
+	MemoryShares []MemoryShare
 	// FirstToken is the predicted time from now to the first token.
 	TimeToFirstToken time.Duration
 	// Pause is the longest predicted pause that the plan causes at any of its targets.
