--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -34,7 +34,7 @@
 		en:       en,
 		pr:       pr,
 		stake:    pr.stake(),
-		arrivals: op.Arrivals,
+		arrivals: op.ArrivalsPerSecond,
 		usual:    en.reading(en.usualPart()),
 	}
 	ch.helperPrice = ch.stake.inTime * (partRisk + meetRisk*op.Reading)
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -100,7 +100,7 @@
 func TestALongPromptIsSplitMoreAmongShortWriters(t *testing.T) {
 	g := NewWithT(t)
 	twoASecond := shortPrompt().DecodeLoad().Plus(shortPrompt().DecodeLoad())
-	pl, ok := Choose(typical, longPrompt(133_000), busy(18), Options{Seed: 1, Arrivals: twoASecond})
+	pl, ok := Choose(typical, longPrompt(133_000), busy(18), Options{Seed: 1, ArrivalsPerSecond: twoASecond})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(pl.Helpers)).To(BeNumerically(">=", 11))
 	g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
@@ -112,7 +112,7 @@
 	pr := longPrompt(133_000)
 	few, ok := Choose(typical, pr, idle(18), Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
-	many, ok := Choose(typical, pr, idle(18), Options{Seed: 1, Arrivals: shortPrompt().DecodeLoad()})
+	many, ok := Choose(typical, pr, idle(18), Options{Seed: 1, ArrivalsPerSecond: shortPrompt().DecodeLoad()})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(many.Part.Tokens).To(BeNumerically("<", few.Part.Tokens))
 }
@@ -323,7 +323,7 @@
 			seed := uint64(0)
 			for b.Loop() {
 				seed++
-				Choose(typical, ca.pr, ca.ts, Options{Seed: seed, Arrivals: shortPrompt().DecodeLoad()})
+				Choose(typical, ca.pr, ca.ts, Options{Seed: seed, ArrivalsPerSecond: shortPrompt().DecodeLoad()})
 			}
 		})
 	}
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -37,7 +37,7 @@
 	Seed uint64
 	// Arrivals is what begins to write at a usual target in a second; it is zero when that is not known. A part that
 	// makes the pauses too long for it costs the more, the longer it is read.
-	Arrivals Load
+	ArrivalsPerSecond Load
 	// Reading is the share of the targets that read a prompt, from 0 to 1. The more do, the more a helper costs.
 	Reading float64
 }
