--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -37,7 +37,7 @@
 		arrivals: op.ArrivalsPerSecond,
 		usual:    en.reading(en.usualPart()),
 	}
-	ch.helperPrice = ch.stake.inTime * (partRisk + meetRisk*op.Reading)
+	ch.helperPrice = ch.stake.inTime * (partRisk + meetRisk*op.PrefillShare)
 	for ix := range ts {
 		cs = append(cs, ch.candidate(&ts[ix], op.Seed))
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -123,7 +123,7 @@
 	pr := longPrompt(133_000)
 	quiet, ok := Choose(typical, pr, idle(18), Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
-	among, ok := Choose(typical, pr, idle(18), Options{Seed: 1, Reading: 1})
+	among, ok := Choose(typical, pr, idle(18), Options{Seed: 1, PrefillShare: 1})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(among.Helpers)).To(BeNumerically("<", len(quiet.Helpers)))
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -39,7 +39,7 @@
 	// makes the pauses too long for it costs the more, the longer it is read.
 	ArrivalsPerSecond Load
 	// Reading is the share of the targets that read a prompt, from 0 to 1. The more do, the more a helper costs.
-	Reading float64
+	PrefillShare float64
 }
 
 // ReadingShare returns the share of some targets that read a prompt.
