--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -131,12 +131,12 @@
 func TestReadingShare(t *testing.T) {
 	g := NewWithT(t)
 	ts := idle(8)
-	g.Expect(ReadingShare(ts)).To(BeZero())
+	g.Expect(PrefillShare(ts)).To(BeZero())
 	ts[1].Load = ts[1].Load.Plus(shortPrompt().PrefillLoad(1))
 	ts[5].Load = ts[5].Load.Plus(longPrompt(133_000).HelperLoad(4))
 	ts[6].Load = ts[6].Load.Plus(shortPrompt().DecodeLoad())
-	g.Expect(ReadingShare(ts)).To(Equal(0.25))
-	g.Expect(ReadingShare(nil)).To(BeZero())
+	g.Expect(PrefillShare(ts)).To(Equal(0.25))
+	g.Expect(PrefillShare(nil)).To(BeZero())
 }
 
 func TestATargetThatCannotHelpIsNotAsked(t *testing.T) {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -43,7 +43,7 @@
 }
 
 // ReadingShare returns the share of some targets that read a prompt.
-func ReadingShare(ts []Target) float64 {
+func PrefillShare(ts []Target) float64 {
 	if len(ts) == 0 {
 		return 0
 	}
