--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -71,7 +71,7 @@
 		tie:      tieShare * ch.stake.inTime * fraction(seed, ta.Name),
 		slotWait: ch.en.slotWait(ta),
 	}
-	if !ta.Near {
+	if !ta.SameZone {
 		ca.tie += farShare * ch.stake.inTime
 	}
 	ca.exposed = ch.stake.exposure(ch.en.Slots, ta.Load.sheltered(ch.pr.LongestPause, ch.en.Slots))
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -293,7 +293,7 @@
 	g := NewWithT(t)
 	ts := idle(18)
 	for ix := range ts {
-		ts[ix].Near = true
+		ts[ix].SameZone = true
 	}
 	mains := map[string]int{}
 	for seed := range uint64(900) {
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -83,7 +83,7 @@
 
 // delay returns the nanoseconds of a message to a target.
 func (en *Engine) delay(ta *Target) float64 {
-	if ta.Near {
+	if ta.SameZone {
 		return 0
 	}
 	return float64(en.CrossZoneDelay)
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -5,7 +5,7 @@
 	// Name tells the target from the others.
 	Name string
 	// Near is true in the availability zone of the instance that chooses.
-	Near bool
+	SameZone bool
 	// Load is what is in flight there.
 	Load Load
 	// Pace is the factor by which it is slower than its figures; values below 1 count as 1.
