--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -154,7 +154,7 @@
 		_, _, closed := ds.closed(as, tg.ID)
 		ph, _ := ds.phase(tg.ID)
 		cands[i] = placement.Target{
-			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.book.total(tg.ID), Pace: 1,
+			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.book.total(tg.ID), Slowdown: 1,
 			Helper: ph == backoff.Open,
 			Closed: closed,
 		}
--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -99,7 +99,7 @@
 			*queue = (*queue)[1:]
 		}
 	}
-	return replayFigures.PassTime(placement.Target{Load: load, Pace: 1}), func() { en.finish(read, written) }
+	return replayFigures.PassTime(placement.Target{Load: load, Slowdown: 1}), func() { en.finish(read, written) }
 }
 
 func (en *replayEngine) finish(read []*part, written []*writer) {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -49,7 +49,7 @@
 func idle(count int) []Target {
 	ts := make([]Target, count)
 	for ix := range ts {
-		ts[ix] = Target{Name: fmt.Sprintf("10.2.64.%d:8080", ix), SameZone: ix%3 == 0, Pace: 1, Helper: true}
+		ts[ix] = Target{Name: fmt.Sprintf("10.2.64.%d:8080", ix), SameZone: ix%3 == 0, Slowdown: 1, Helper: true}
 	}
 	return ts
 }
@@ -106,7 +106,7 @@
 			Name:     name,
 			SameZone: rapid.Bool().Draw(t, "near"),
 			Load:     genLoad().Draw(t, "load"),
-			Pace:     rapid.Float64Range(1, 4).Draw(t, "pace"),
+			Slowdown: rapid.Float64Range(1, 4).Draw(t, "pace"),
 			Helps:    rapid.IntRange(0, 20).Draw(t, "helps"),
 			Helper:   rapid.Bool().Draw(t, "helper"),
 		}
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -16,8 +16,8 @@
 	}{
 		"idle: one step":          {Target{}, 1020 * time.Microsecond},
 		"a writer: a stride":      {Target{Load: oneWriter}, 45810 * time.Microsecond},
-		"a slow target":           {Target{Load: oneWriter, Pace: 2}, 91620 * time.Microsecond},
-		"a pace below 1 is 1":     {Target{Load: oneWriter, Pace: 0.5}, 45810 * time.Microsecond},
+		"a slow target":           {Target{Load: oneWriter, Slowdown: 2}, 91620 * time.Microsecond},
+		"a pace below 1 is 1":     {Target{Load: oneWriter, Slowdown: 0.5}, 45810 * time.Microsecond},
 		"reading without writers": {Target{Load: Load{WholePrefill: Backlog{Tokens: 5000}}}, 10962 * time.Microsecond},
 		"reading with a writer": {
 			Target{Load: oneWriter.Plus(Load{WholePrefill: Backlog{Tokens: 20_600, Pairs: 100_000_000}})},
@@ -97,7 +97,7 @@
 		pr := genPrompt().Draw(t, "prompt")
 		ta := genTarget("a").Draw(t, "target")
 		first := typical.TimeToFirstToken(pr, ta)
-		ta.Pace *= 1.5
+		ta.Slowdown *= 1.5
 		g.Expect(typical.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", first))
 	})
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -9,7 +9,7 @@
 	// Load is what is in flight there.
 	Load Load
 	// Pace is the factor by which it is slower than its figures; values below 1 count as 1.
-	Pace float64
+	Slowdown float64
 	// Helps is the number of parts it reads for main targets elsewhere.
 	Helps int
 	// Helper is true while it may be asked to help.
@@ -20,7 +20,7 @@
 
 // pace returns the factor by which the target is slower than its figures.
 func (ta *Target) pace() float64 {
-	return max(ta.Pace, 1)
+	return max(ta.Slowdown, 1)
 }
 
 // free returns the memory that is left there.
