--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -142,7 +142,7 @@
 func TestATargetThatCannotHelpIsNotAsked(t *testing.T) {
 	cases := map[string]func(*Target){
 		"not available":  func(ta *Target) { ta.Helper = false },
-		"helps too many": func(ta *Target) { ta.Helps = typical.Slots },
+		"helps too many": func(ta *Target) { ta.HelperParts = typical.Slots },
 	}
 	for name, spoil := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -103,12 +103,12 @@
 func genTarget(name string) *rapid.Generator[Target] {
 	return rapid.Custom(func(t *rapid.T) Target {
 		return Target{
-			Name:     name,
-			SameZone: rapid.Bool().Draw(t, "near"),
-			Load:     genLoad().Draw(t, "load"),
-			Slowdown: rapid.Float64Range(1, 4).Draw(t, "pace"),
-			Helps:    rapid.IntRange(0, 20).Draw(t, "helps"),
-			Helper:   rapid.Bool().Draw(t, "helper"),
+			Name:        name,
+			SameZone:    rapid.Bool().Draw(t, "near"),
+			Load:        genLoad().Draw(t, "load"),
+			Slowdown:    rapid.Float64Range(1, 4).Draw(t, "pace"),
+			HelperParts: rapid.IntRange(0, 20).Draw(t, "helps"),
+			Helper:      rapid.Bool().Draw(t, "helper"),
 		}
 	})
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -11,7 +11,7 @@
 	// Pace is the factor by which it is slower than its figures; values below 1 count as 1.
 	Slowdown float64
 	// Helps is the number of parts it reads for main targets elsewhere.
-	Helps int
+	HelperParts int
 	// Helper is true while it may be asked to help.
 	Helper bool
 	// Closed targets take no request of their own now; they may still help.
@@ -30,5 +30,5 @@
 
 // helps reports whether the target accepts another part.
 func (ta *Target) helps(en *Engine) bool {
-	return ta.Helper && ta.Helps < en.Slots
+	return ta.Helper && ta.HelperParts < en.Slots
 }
