--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -57,7 +57,7 @@
 	after := slices.Clone(cands)
 	for i := range after {
 		after[i].Load = placement.Load{}
-		after[i].Helper, after[i].Closed = true, false
+		after[i].CanHelp, after[i].Closed = true, false
 	}
 	return after
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -155,11 +155,11 @@
 		ph, _ := ds.phase(tg.ID)
 		cands[i] = placement.Target{
 			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.book.total(tg.ID), Slowdown: 1,
-			Helper: ph == backoff.Open,
-			Closed: closed,
+			CanHelp: ph == backoff.Open,
+			Closed:  closed,
 		}
 		if ds.book.isFull(tg.ID, now) {
-			cands[i].Helper = false
+			cands[i].CanHelp = false
 			cands[i].Load.Memory = max(cands[i].Load.Memory, as.Service.Engine.MemoryTokens)
 		}
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -141,7 +141,7 @@
 
 func TestATargetThatCannotHelpIsNotAsked(t *testing.T) {
 	cases := map[string]func(*Target){
-		"not available":  func(ta *Target) { ta.Helper = false },
+		"not available":  func(ta *Target) { ta.CanHelp = false },
 		"helps too many": func(ta *Target) { ta.HelperParts = typical.Slots },
 	}
 	for name, spoil := range cases {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -49,7 +49,7 @@
 func idle(count int) []Target {
 	ts := make([]Target, count)
 	for ix := range ts {
-		ts[ix] = Target{Name: fmt.Sprintf("10.2.64.%d:8080", ix), SameZone: ix%3 == 0, Slowdown: 1, Helper: true}
+		ts[ix] = Target{Name: fmt.Sprintf("10.2.64.%d:8080", ix), SameZone: ix%3 == 0, Slowdown: 1, CanHelp: true}
 	}
 	return ts
 }
@@ -108,7 +108,7 @@
 			Load:        genLoad().Draw(t, "load"),
 			Slowdown:    rapid.Float64Range(1, 4).Draw(t, "pace"),
 			HelperParts: rapid.IntRange(0, 20).Draw(t, "helps"),
-			Helper:      rapid.Bool().Draw(t, "helper"),
+			CanHelp:     rapid.Bool().Draw(t, "helper"),
 		}
 	})
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -13,7 +13,7 @@
 	// Helps is the number of parts it reads for main targets elsewhere.
 	HelperParts int
 	// Helper is true while it may be asked to help.
-	Helper bool
+	CanHelp bool
 	// Closed targets take no request of their own now; they may still help.
 	Closed bool
 }
@@ -30,5 +30,5 @@
 
 // helps reports whether the target accepts another part.
 func (ta *Target) helps(en *Engine) bool {
-	return ta.Helper && ta.HelperParts < en.Slots
+	return ta.CanHelp && ta.HelperParts < en.Slots
 }
