--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -40,7 +40,7 @@
 	// Targets that take no request now write no short answers: others take their place in the short pool.
 	open := openFirst(cands)
 	size := shortPoolSize(en, cands[:open], dm)
-	if size == 0 || size > open || len(cands)-size < placement.MostParts {
+	if size == 0 || size > open || len(cands)-size < placement.MaxParts {
 		return pools{long: cands}
 	}
 	at := partition(cands[:open], size)
@@ -99,7 +99,7 @@
 
 // mayKeep reports whether any plan for a prompt could do as keeps wants: not when the smallest part takes too long by itself.
 func (ps pools) mayKeep(en *placement.Engine, pr placement.Prompt) bool {
-	smallest := pr.Part(min(placement.MostParts, len(ps.short)))
+	smallest := pr.Part(min(placement.MaxParts, len(ps.short)))
 	return ps.keeps(placement.Plan{LongestPause: en.Pause(placement.Target{Slowdown: 1}, smallest)})
 }
 
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -8,7 +8,7 @@
 
 const (
 	// MostParts is the most parts of a prompt: those of one main target and the 16 helpers that a request can name.
-	MostParts = 17
+	MaxParts = 17
 	// mostReserved is one fewer, since the main target then takes one of the 16 places for its own memory.
 	mostReserved = 16
 	// leastPart is the smallest part, in tokens, that a prompt is split into: half a usual chunk of 2,048, below which
@@ -20,7 +20,7 @@
 
 // counts are the numbers of parts that are tried. They lie close together, as a part more or less often decides whether
 // a prompt is in time with the targets that are free.
-var counts = [...]int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 12, 14, 16, MostParts}
+var counts = [...]int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 12, 14, 16, MaxParts}
 
 // Choose returns the plan of least expected loss for a prompt. It returns false when no placement is expected to finish
 // before the deadline, or when the prompt is larger than an engine and not enough memory is free.
@@ -74,8 +74,8 @@
 // pick is a judged set of candidates.
 type pick struct {
 	// chosen are indices of candidates, the main one first; parts of them are set.
-	chosen [MostParts]int
-	shares [MostParts]int64
+	chosen [MaxParts]int
+	shares [MaxParts]int64
 	parts  int
 	// reserved is true when shares are set.
 	reserved bool
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -15,8 +15,8 @@
 		least, most int
 	}{
 		"a short prompt stays whole":   {shortPrompt(), 1, 1},
-		"a long prompt is split":       {longPrompt(133_000), 2, MostParts},
-		"a longer prompt is split too": {longPrompt(220_000), 3, MostParts},
+		"a long prompt is split":       {longPrompt(133_000), 2, MaxParts},
+		"a longer prompt is split too": {longPrompt(220_000), 3, MaxParts},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -240,7 +240,7 @@
 			return
 		}
 		all := names(pl)
-		g.Expect(len(all)).To(BeNumerically("<=", MostParts))
+		g.Expect(len(all)).To(BeNumerically("<=", MaxParts))
 		g.Expect(slices.Compact(slices.Sorted(slices.Values(all)))).To(HaveLen(len(all)))
 		g.Expect(pl.TimeToFirstToken).To(BeNumerically("<=", pr.UntilDeadline))
 		g.Expect(pl.Loss).To(BeNumerically(">=", 0))
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -42,7 +42,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
-		parts := rapid.IntRange(1, MostParts).Draw(t, "parts")
+		parts := rapid.IntRange(1, MaxParts).Draw(t, "parts")
 		pa := pr.Part(parts)
 		over := pa.Tokens*int64(parts) - pr.Tokens
 		g.Expect(over).To(And(BeNumerically(">=", 0), BeNumerically("<", parts)))
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -92,7 +92,7 @@
 		var lo Load
 		for range rapid.IntRange(0, 8).Draw(t, "requests") {
 			pr := genPrompt().Draw(t, "prompt")
-			parts := rapid.IntRange(1, MostParts).Draw(t, "parts")
+			parts := rapid.IntRange(1, MaxParts).Draw(t, "parts")
 			kinds := []Load{pr.PrefillLoad(parts), pr.HelperLoad(parts), pr.DecodeLoad()}
 			lo = lo.Plus(rapid.SampledFrom(kinds).Draw(t, "kind"))
 		}
--- a/internal/placement/rank.go
+++ b/internal/placement/rank.go
@@ -4,8 +4,8 @@
 
 // rank is a sorted list of the candidates with the least keys.
 type rank struct {
-	ixs  [MostParts]int
-	keys [MostParts]float64
+	ixs  [MaxParts]int
+	keys [MaxParts]float64
 	size int
 }
 
--- a/internal/placement/reserve.go
+++ b/internal/placement/reserve.go
@@ -5,7 +5,7 @@
 // fill spreads the memory of a prompt as evenly as the free memory of the chosen candidates allows, since each step
 // pays for the largest share. It reports false when their memory is not enough.
 func (ch *chooser) fill(pi *pick) bool {
-	var order [MostParts]int
+	var order [MaxParts]int
 	by := order[:pi.parts]
 	for no := range by {
 		by[no] = no
