--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -63,7 +63,7 @@
 // Dispatcher chooses targets. Its methods may be called by any goroutine.
 type Dispatcher struct {
 	targets *targets.Directory
-	keeper  *reservation.Keeper
+	keeper  *reservation.Manager
 	opts    Options
 	book    *book
 	lag     atomic.Pointer[func() time.Duration]
@@ -92,7 +92,7 @@
 }
 
 // New returns a dispatcher.
-func New(dr *targets.Directory, kp *reservation.Keeper, op Options) *Dispatcher {
+func New(dr *targets.Directory, kp *reservation.Manager, op Options) *Dispatcher {
 	return &Dispatcher{targets: dr, keeper: kp, opts: op, book: newBook()}
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -92,7 +92,7 @@
 		orders: &orders{reserved: map[string]int{}, released: map[string]int{}, refuse: map[string]bool{}, silent: map[string]bool{}},
 	}
 	var ids atomic.Int64
-	kp := &reservation.Keeper{
+	kp := &reservation.Manager{
 		Timeout: 400 * time.Millisecond, Hold: 3 * time.Second,
 		Reserve: be.orders.reserve, Release: be.orders.release,
 		NewID: func() string { return strconv.FormatInt(ids.Add(1), 10) },
--- a/internal/reservation/fake_test.go
+++ b/internal/reservation/fake_test.go
@@ -53,8 +53,8 @@
 
 func newFakeTargets() *fakeTargets { return &fakeTargets{held: map[string]time.Time{}} }
 
-func (ft *fakeTargets) keeper() *reservation.Keeper {
-	return &reservation.Keeper{
+func (ft *fakeTargets) keeper() *reservation.Manager {
+	return &reservation.Manager{
 		Timeout: 400 * time.Millisecond, Hold: 3 * time.Second,
 		Reserve: ft.onReserve, Release: ft.onRelease, NewID: ft.newID,
 		Log: &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -69,7 +69,7 @@
 func (te *TakeError) Unwrap() []error { return te.Causes }
 
 // Keeper sets memory aside. It is safe for use by any goroutine.
-type Keeper struct {
+type Manager struct {
 	// Reserve sets memory aside or renews it; a RefusedError says that it surely did not. Seams of the adapter.
 	Reserve func(ctx context.Context, address, id string, tokens int64, hold time.Duration, heard func(answer.Head)) error
 	// Release gives memory back; it succeeds also when there is none.
@@ -92,11 +92,11 @@
 
 // Released waits until all memory that was released is given back at targets that answer. An instance that ends before would
 // leave it set aside for nobody until it lapses.
-func (kp *Keeper) Released(ctx context.Context) error { return kp.releasing.Wait(ctx) }
+func (kp *Manager) Released(ctx context.Context) error { return kp.releasing.Wait(ctx) }
 
 // Reservation is memory set aside for one request.
 type Reservation struct {
-	kp *Keeper
+	kp *Manager
 	id string
 	// lg names the request.
 	lg     log.Interface
@@ -112,7 +112,7 @@
 func (rv *Reservation) ID() string { return rv.id }
 
 // Take sets memory aside at all places, or at none.
-func (kp *Keeper) Take(ctx context.Context, places []Place) (*Reservation, error) {
+func (kp *Manager) Take(ctx context.Context, places []Place) (*Reservation, error) {
 	rv := &Reservation{kp: kp, id: kp.NewID(), places: places, unsure: make([]error, len(places))}
 	rv.lg = kp.Log.WithField("reservation", rv.id).WithField("request", requestOf(ctx))
 	errs := make([]error, len(places))
@@ -140,7 +140,7 @@
 	return rv, nil
 }
 
-func (kp *Keeper) ask(ctx context.Context, pc Place, id string) error {
+func (kp *Manager) ask(ctx context.Context, pc Place, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, kp.Timeout)
 	defer cancel()
 	err := kp.Reserve(ctx, pc.Address, id, pc.Tokens, kp.Hold, kp.heard(pc))
@@ -221,7 +221,7 @@
 	return &sure
 }
 
-func (kp *Keeper) present(pc Place) bool { return kp.Present == nil || kp.Present(pc.Target) }
+func (kp *Manager) present(pc Place) bool { return kp.Present == nil || kp.Present(pc.Target) }
 
 // release gives the memory at one place back, and calls released after the first try.
 func (rv *Reservation) release(pc Place, unsure bool, released func()) {
@@ -247,14 +247,14 @@
 	}
 }
 
-func (kp *Keeper) releaseOnce(pc Place, id string) error {
+func (kp *Manager) releaseOnce(pc Place, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), kp.Timeout)
 	defer cancel()
 	return errors.Wrap(kp.Release(ctx, pc.Address, id, kp.heard(pc)), "give memory back")
 }
 
 // heard returns what is told of the head of an answer to an order at a place.
-func (kp *Keeper) heard(pc Place) func(answer.Head) {
+func (kp *Manager) heard(pc Place) func(answer.Head) {
 	return func(hd answer.Head) {
 		if kp.Heard != nil {
 			kp.Heard(pc, hd)
