--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -92,7 +92,7 @@
 
 // Released waits until all memory that was released is given back at targets that answer. An instance that ends before would
 // leave it set aside for nobody until it lapses.
-func (kp *Manager) Released(ctx context.Context) error { return kp.releasing.Wait(ctx) }
+func (mg *Manager) Released(ctx context.Context) error { return mg.releasing.Wait(ctx) }
 
 // Reservation is memory set aside for one request.
 type Reservation struct {
@@ -112,13 +112,13 @@
 func (rv *Reservation) ID() string { return rv.id }
 
 // Take sets memory aside at all places, or at none.
-func (kp *Manager) Take(ctx context.Context, places []Place) (*Reservation, error) {
-	rv := &Reservation{kp: kp, id: kp.NewID(), places: places, unsure: make([]error, len(places))}
-	rv.lg = kp.Log.WithField("reservation", rv.id).WithField("request", requestOf(ctx))
+func (mg *Manager) Take(ctx context.Context, places []Place) (*Reservation, error) {
+	rv := &Reservation{kp: mg, id: mg.NewID(), places: places, unsure: make([]error, len(places))}
+	rv.lg = mg.Log.WithField("reservation", rv.id).WithField("request", requestOf(ctx))
 	errs := make([]error, len(places))
 	var wg sync.WaitGroup
 	for i, pc := range places {
-		wg.Go(func() { errs[i] = kp.ask(ctx, pc, rv.id) })
+		wg.Go(func() { errs[i] = mg.ask(ctx, pc, rv.id) })
 	}
 	wg.Wait()
 	var causes []error
@@ -140,10 +140,10 @@
 	return rv, nil
 }
 
-func (kp *Manager) ask(ctx context.Context, pc Place, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, kp.Timeout)
+func (mg *Manager) ask(ctx context.Context, pc Place, id string) error {
+	ctx, cancel := context.WithTimeout(ctx, mg.Timeout)
 	defer cancel()
-	err := kp.Reserve(ctx, pc.Address, id, pc.Tokens, kp.Hold, kp.heard(pc))
+	err := mg.Reserve(ctx, pc.Address, id, pc.Tokens, mg.Hold, mg.heard(pc))
 	var re *RefusedError
 	if err == nil || errors.As(err, &re) {
 		return err
@@ -221,7 +221,7 @@
 	return &sure
 }
 
-func (kp *Manager) present(pc Place) bool { return kp.Present == nil || kp.Present(pc.Target) }
+func (mg *Manager) present(pc Place) bool { return mg.Present == nil || mg.Present(pc.Target) }
 
 // release gives the memory at one place back, and calls released after the first try.
 func (rv *Reservation) release(pc Place, unsure bool, released func()) {
@@ -247,17 +247,17 @@
 	}
 }
 
-func (kp *Manager) releaseOnce(pc Place, id string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), kp.Timeout)
+func (mg *Manager) releaseOnce(pc Place, id string) error {
+	ctx, cancel := context.WithTimeout(context.Background(), mg.Timeout)
 	defer cancel()
-	return errors.Wrap(kp.Release(ctx, pc.Address, id, kp.heard(pc)), "give memory back")
+	return errors.Wrap(mg.Release(ctx, pc.Address, id, mg.heard(pc)), "give memory back")
 }
 
 // heard returns what is told of the head of an answer to an order at a place.
-func (kp *Manager) heard(pc Place) func(answer.Head) {
+func (mg *Manager) heard(pc Place) func(answer.Head) {
 	return func(hd answer.Head) {
-		if kp.Heard != nil {
-			kp.Heard(pc, hd)
+		if mg.Heard != nil {
+			mg.Heard(pc, hd)
 		}
 	}
 }
