--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -57,7 +57,7 @@
 	for _, sh := range sl.plan.MemoryShares {
 		places = append(places, reservation.Place{Target: sh.Target, Address: address[sh.Target], Tokens: sh.Tokens})
 	}
-	rv, err := ds.keeper.Take(ctx, places)
+	rv, err := ds.keeper.Acquire(ctx, places)
 	if err != nil {
 		return err
 	}
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -112,7 +112,7 @@
 func (rv *Reservation) ID() string { return rv.id }
 
 // Take sets memory aside at all places, or at none.
-func (mg *Manager) Take(ctx context.Context, places []Place) (*Reservation, error) {
+func (mg *Manager) Acquire(ctx context.Context, places []Place) (*Reservation, error) {
 	rv := &Reservation{kp: mg, id: mg.NewID(), places: places, unsure: make([]error, len(places))}
 	rv.lg = mg.Log.WithField("reservation", rv.id).WithField("request", requestOf(ctx))
 	errs := make([]error, len(places))
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -20,7 +20,7 @@
 
 func TestTakeKeepRelease(t *testing.T) {
 	bubble(t, func(g *WithT, ft *fakeTargets) {
-		rv, err := ft.keeper().Take(context.Background(), places)
+		rv, err := ft.keeper().Acquire(context.Background(), places)
 		g.Expect(err).NotTo(HaveOccurred())
 		ft.taken = append(ft.taken, rv)
 		g.Expect(rv.ID()).To(Equal("mem-1"))
@@ -59,7 +59,7 @@
 			}
 			return nil
 		}
-		_, err := ft.keeper().Take(context.Background(), places)
+		_, err := ft.keeper().Acquire(context.Background(), places)
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(ft.holding()).To(BeZero(), "when the failure is told")
 	})
@@ -84,7 +84,7 @@
 			return answers(ctx, address, id, heard)
 		}
 		began := time.Now()
-		_, err := kp.Take(context.Background(), places)
+		_, err := kp.Acquire(context.Background(), places)
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(time.Since(began)).To(BeNumerically("<", 4*travel))
 	})
@@ -97,7 +97,7 @@
 		var ended atomic.Bool
 		kp := ft.keeper()
 		kp.Present = func(target string) bool { return target != "first" || !ended.Load() }
-		rv, err := kp.Take(context.Background(), []reservation.Place{
+		rv, err := kp.Acquire(context.Background(), []reservation.Place{
 			{Target: "first", Address: "a", Tokens: 100}, {Target: "other", Address: "b", Tokens: 100},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
@@ -118,7 +118,7 @@
 func TestTakeOutlivesItsContext(t *testing.T) {
 	bubble(t, func(g *WithT, ft *fakeTargets) {
 		ctx, cancel := context.WithCancel(context.Background())
-		rv, err := ft.keeper().Take(ctx, places)
+		rv, err := ft.keeper().Acquire(ctx, places)
 		g.Expect(err).NotTo(HaveOccurred())
 		ft.taken = append(ft.taken, rv)
 		cancel()
@@ -151,7 +151,7 @@
 					return nil
 				}
 				began := time.Now()
-				_, err := ft.keeper().Take(context.Background(), places)
+				_, err := ft.keeper().Acquire(context.Background(), places)
 				g.Expect(err).To(HaveOccurred())
 				var re *reservation.RefusedError
 				g.Expect(errors.As(err, &re)).To(Equal(!tc.lost))
@@ -181,7 +181,7 @@
 			return ft.onReserve(ctx, address, id, tokens, hold, heard)
 		}
 		began := time.Now()
-		_, err := kp.Take(context.Background(), places)
+		_, err := kp.Acquire(context.Background(), places)
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(time.Since(began)).To(BeNumerically("<", time.Second))
 		pass(time.Minute)
@@ -191,7 +191,7 @@
 
 func TestReleaseIsRepeatedAfterALostAnswer(t *testing.T) {
 	bubble(t, func(g *WithT, ft *fakeTargets) {
-		rv, err := ft.keeper().Take(context.Background(), places)
+		rv, err := ft.keeper().Acquire(context.Background(), places)
 		g.Expect(err).NotTo(HaveOccurred())
 		ft.taken = append(ft.taken, rv)
 		lost := 2
@@ -212,7 +212,7 @@
 
 func TestMemoryOfADeadKeeperLapses(t *testing.T) {
 	bubble(t, func(g *WithT, ft *fakeTargets) {
-		rv, err := ft.keeper().Take(context.Background(), places)
+		rv, err := ft.keeper().Acquire(context.Background(), places)
 		g.Expect(err).NotTo(HaveOccurred())
 		ft.taken = append(ft.taken, rv)
 		ft.set(func() { ft.reserve = func(string) error { return &LostError{} } })
@@ -244,7 +244,7 @@
 			}
 			return ft.onReserve(ctx, address, id, tokens, hold, heard)
 		}
-		rv, err := kp.Take(context.Background(), many)
+		rv, err := kp.Acquire(context.Background(), many)
 		g.Expect(err).NotTo(HaveOccurred())
 		ft.taken = append(ft.taken, rv)
 		mu.Lock()
@@ -280,7 +280,7 @@
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		rv, err := kp.Take(context.Background(), places)
+		rv, err := kp.Acquire(context.Background(), places)
 		g.Expect(err).NotTo(HaveOccurred())
 		ft.taken = append(ft.taken, rv)
 		mu.Lock()
@@ -312,7 +312,7 @@
 				kp := ft.keeper()
 				kp.Log = &log.Logger{Handler: mh, Level: log.InfoLevel}
 				ft.reserve = func(string) error { return &reservation.RefusedError{} }
-				_, err := kp.Take(tc.ctx, places)
+				_, err := kp.Acquire(tc.ctx, places)
 				g.Expect(err).To(HaveOccurred())
 				g.Expect(mh.Entries).To(HaveLen(len(places)))
 				g.Expect(mh.Entries[0].Fields).To(HaveKeyWithValue("request", tc.want))
@@ -341,7 +341,7 @@
 				ft := newFakeTargets()
 				ft.release = tc.release
 				kp := ft.keeper()
-				rv, err := kp.Take(t.Context(), []reservation.Place{{Address: "a", Tokens: 1}, {Address: "b", Tokens: 1}})
+				rv, err := kp.Acquire(t.Context(), []reservation.Place{{Address: "a", Tokens: 1}, {Address: "b", Tokens: 1}})
 				g.Expect(err).NotTo(HaveOccurred())
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
