--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -135,7 +135,7 @@
 	return func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, releaseMost)
 		defer cancel()
-		if err := kp.Released(ctx); err != nil {
+		if err := kp.WaitReleased(ctx); err != nil {
 			kp.Log.WithError(err).Warn("ended before all memory was given back; it lapses")
 		}
 		return nil
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -92,7 +92,7 @@
 
 // Released waits until all memory that was released is given back at targets that answer. An instance that ends before would
 // leave it set aside for nobody until it lapses.
-func (mg *Manager) Released(ctx context.Context) error { return mg.releasing.Wait(ctx) }
+func (mg *Manager) WaitReleased(ctx context.Context) error { return mg.releasing.Wait(ctx) }
 
 // Reservation is memory set aside for one request.
 type Reservation struct {
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -347,7 +347,7 @@
 				defer cancel()
 				began := time.Now()
 				rv.Release()
-				g.Expect(kp.Released(ctx)).To(Succeed())
+				g.Expect(kp.WaitReleased(ctx)).To(Succeed())
 				g.Expect(time.Since(began)).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most)))
 				g.Expect(ft.count("release", "a") + ft.count("release", "b")).To(Equal(2))
 				time.Sleep(time.Minute)
