--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -75,7 +75,7 @@
 	// Release gives memory back; it succeeds also when there is none.
 	Release func(ctx context.Context, address, id string, heard func(answer.Head)) error
 	// Heard is told of the head of each answer to an order; nil for nobody.
-	Heard func(pc Place, hd answer.Head)
+	OnAnswer func(pc Place, hd answer.Head)
 	// NewID returns an id that is used once.
 	NewID func() string
 	// Present reports whether a target's process, by its incarnation, has not started again: memory at one that has is gone, and an
@@ -256,8 +256,8 @@
 // heard returns what is told of the head of an answer to an order at a place.
 func (mg *Manager) heard(pc Place) func(answer.Head) {
 	return func(hd answer.Head) {
-		if mg.Heard != nil {
-			mg.Heard(pc, hd)
+		if mg.OnAnswer != nil {
+			mg.OnAnswer(pc, hd)
 		}
 	}
 }
