--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -80,7 +80,7 @@
 	NewID func() string
 	// Present reports whether a target's process, by its incarnation, has not started again: memory at one that has is gone, and an
 	// order for it would set memory aside at its successor, or give that one's back. nil for always.
-	Present func(target string) bool
+	IsCurrent func(target string) bool
 	// Timeout bounds one order.
 	Timeout time.Duration
 	// Hold is how long memory stays set aside after the last renewal.
@@ -221,7 +221,7 @@
 	return &sure
 }
 
-func (mg *Manager) present(pc Place) bool { return mg.Present == nil || mg.Present(pc.Target) }
+func (mg *Manager) present(pc Place) bool { return mg.IsCurrent == nil || mg.IsCurrent(pc.Target) }
 
 // release gives the memory at one place back, and calls released after the first try.
 func (rv *Reservation) release(pc Place, unsure bool, released func()) {
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -96,7 +96,7 @@
 	bubble(t, func(g *WithT, ft *fakeTargets) {
 		var ended atomic.Bool
 		kp := ft.keeper()
-		kp.Present = func(target string) bool { return target != "first" || !ended.Load() }
+		kp.IsCurrent = func(target string) bool { return target != "first" || !ended.Load() }
 		rv, err := kp.Acquire(context.Background(), []reservation.Place{
 			{Target: "first", Address: "a", Tokens: 100}, {Target: "other", Address: "b", Tokens: 100},
 		})
