--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -93,7 +93,7 @@
 	}
 	var ids atomic.Int64
 	kp := &reservation.Manager{
-		Timeout: 400 * time.Millisecond, Hold: 3 * time.Second,
+		Timeout: 400 * time.Millisecond, LeaseDuration: 3 * time.Second,
 		Reserve: be.orders.reserve, Release: be.orders.release,
 		NewID: func() string { return strconv.FormatInt(ids.Add(1), 10) },
 		Log:   &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
--- a/internal/reservation/fake_test.go
+++ b/internal/reservation/fake_test.go
@@ -55,7 +55,7 @@
 
 func (ft *fakeTargets) keeper() *reservation.Manager {
 	return &reservation.Manager{
-		Timeout: 400 * time.Millisecond, Hold: 3 * time.Second,
+		Timeout: 400 * time.Millisecond, LeaseDuration: 3 * time.Second,
 		Reserve: ft.onReserve, Release: ft.onRelease, NewID: ft.newID,
 		Log: &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
 	}
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -84,8 +84,8 @@
 	// Timeout bounds one order.
 	Timeout time.Duration
 	// Hold is how long memory stays set aside after the last renewal.
-	Hold time.Duration
-	Log  log.Interface
+	LeaseDuration time.Duration
+	Log           log.Interface
 	// releasing counts the orders that give memory back, up to their first end.
 	releasing pending.Count
 }
@@ -143,7 +143,7 @@
 func (mg *Manager) ask(ctx context.Context, pc Place, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, mg.Timeout)
 	defer cancel()
-	err := mg.Reserve(ctx, pc.Address, id, pc.Tokens, mg.Hold, mg.heard(pc))
+	err := mg.Reserve(ctx, pc.Address, id, pc.Tokens, mg.LeaseDuration, mg.heard(pc))
 	var re *RefusedError
 	if err == nil || errors.As(err, &re) {
 		return err
@@ -153,7 +153,7 @@
 
 // keep renews until it is stopped.
 func (rv *Reservation) keep(ctx context.Context) {
-	tick := time.NewTicker(rv.kp.Hold / renewals)
+	tick := time.NewTicker(rv.kp.LeaseDuration / renewals)
 	defer tick.Stop()
 	for {
 		select {
