--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -53,9 +53,9 @@
 	for _, tg := range tgs {
 		address[tg.ID] = tg.Address
 	}
-	places := make([]reservation.Place, 0, len(sl.plan.MemoryShares))
+	places := make([]reservation.Allocation, 0, len(sl.plan.MemoryShares))
 	for _, sh := range sl.plan.MemoryShares {
-		places = append(places, reservation.Place{Target: sh.Target, Address: address[sh.Target], Tokens: sh.Tokens})
+		places = append(places, reservation.Allocation{Target: sh.Target, Address: address[sh.Target], Tokens: sh.Tokens})
 	}
 	rv, err := ds.keeper.Acquire(ctx, places)
 	if err != nil {
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -117,7 +117,7 @@
 		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Tell, LimitsChanged: noted.Tell,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
-	kp.OnAnswer = func(pc reservation.Place, hd answer.Head) {
+	kp.OnAnswer = func(pc reservation.Allocation, hd answer.Head) {
 		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(pc.Target), Head: hd, Came: time.Now()})
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
--- a/internal/reservation/fake_test.go
+++ b/internal/reservation/fake_test.go
@@ -140,7 +140,7 @@
 	return n
 }
 
-var places = []reservation.Place{{Address: "a", Tokens: 100}, {Address: "b", Tokens: 200}, {Address: "c", Tokens: 300}}
+var places = []reservation.Allocation{{Address: "a", Tokens: 100}, {Address: "b", Tokens: 200}, {Address: "c", Tokens: 300}}
 
 func bubble(t *testing.T, run func(g *WithT, ft *fakeTargets)) {
 	t.Helper()
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -25,7 +25,7 @@
 var releaseAgain = []time.Duration{500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 7 * time.Second}
 
 // Place is memory wanted at one target.
-type Place struct {
+type Allocation struct {
 	// Target is the incarnation that is meant.
 	Target string
 	// Address is an IP address and port.
@@ -75,7 +75,7 @@
 	// Release gives memory back; it succeeds also when there is none.
 	Release func(ctx context.Context, address, id string, heard func(answer.Head)) error
 	// Heard is told of the head of each answer to an order; nil for nobody.
-	OnAnswer func(pc Place, hd answer.Head)
+	OnAnswer func(pc Allocation, hd answer.Head)
 	// NewID returns an id that is used once.
 	NewID func() string
 	// Present reports whether a target's process, by its incarnation, has not started again: memory at one that has is gone, and an
@@ -100,7 +100,7 @@
 	id string
 	// lg names the request.
 	lg     log.Interface
-	places []Place
+	places []Allocation
 	stop   context.CancelFunc
 	done   sync.WaitGroup
 	// unsure holds the last renewal's error at each place, as a lost renewal may still be carried out. It is written by
@@ -112,7 +112,7 @@
 func (rv *Reservation) ID() string { return rv.id }
 
 // Take sets memory aside at all places, or at none.
-func (mg *Manager) Acquire(ctx context.Context, places []Place) (*Reservation, error) {
+func (mg *Manager) Acquire(ctx context.Context, places []Allocation) (*Reservation, error) {
 	rv := &Reservation{kp: mg, id: mg.NewID(), places: places, unsure: make([]error, len(places))}
 	rv.lg = mg.Log.WithField("reservation", rv.id).WithField("request", requestOf(ctx))
 	errs := make([]error, len(places))
@@ -140,7 +140,7 @@
 	return rv, nil
 }
 
-func (mg *Manager) ask(ctx context.Context, pc Place, id string) error {
+func (mg *Manager) ask(ctx context.Context, pc Allocation, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, mg.Timeout)
 	defer cancel()
 	err := mg.Reserve(ctx, pc.Address, id, pc.Tokens, mg.LeaseDuration, mg.heard(pc))
@@ -221,10 +221,10 @@
 	return &sure
 }
 
-func (mg *Manager) present(pc Place) bool { return mg.IsCurrent == nil || mg.IsCurrent(pc.Target) }
+func (mg *Manager) present(pc Allocation) bool { return mg.IsCurrent == nil || mg.IsCurrent(pc.Target) }
 
 // release gives the memory at one place back, and calls released after the first try.
-func (rv *Reservation) release(pc Place, unsure bool, released func()) {
+func (rv *Reservation) release(pc Allocation, unsure bool, released func()) {
 	if !rv.kp.present(pc) {
 		released()
 		rv.lg.WithField("address", pc.Address).Info("memory went with its target, which has started again")
@@ -247,14 +247,14 @@
 	}
 }
 
-func (mg *Manager) releaseOnce(pc Place, id string) error {
+func (mg *Manager) releaseOnce(pc Allocation, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), mg.Timeout)
 	defer cancel()
 	return errors.Wrap(mg.Release(ctx, pc.Address, id, mg.heard(pc)), "give memory back")
 }
 
 // heard returns what is told of the head of an answer to an order at a place.
-func (mg *Manager) heard(pc Place) func(answer.Head) {
+func (mg *Manager) heard(pc Allocation) func(answer.Head) {
 	return func(hd answer.Head) {
 		if mg.OnAnswer != nil {
 			mg.OnAnswer(pc, hd)
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -97,7 +97,7 @@
 		var ended atomic.Bool
 		kp := ft.keeper()
 		kp.IsCurrent = func(target string) bool { return target != "first" || !ended.Load() }
-		rv, err := kp.Acquire(context.Background(), []reservation.Place{
+		rv, err := kp.Acquire(context.Background(), []reservation.Allocation{
 			{Target: "first", Address: "a", Tokens: 100}, {Target: "other", Address: "b", Tokens: 100},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
@@ -227,9 +227,9 @@
 func TestOneSilentTargetDoesNotLetTheOthersLapse(t *testing.T) {
 	const targets, silent = 16, 6
 	bubble(t, func(g *WithT, ft *fakeTargets) {
-		var many []reservation.Place
+		var many []reservation.Allocation
 		for no := range targets {
-			many = append(many, reservation.Place{Address: fmt.Sprintf("t%02d", no), Tokens: 100})
+			many = append(many, reservation.Allocation{Address: fmt.Sprintf("t%02d", no), Tokens: 100})
 		}
 		var mu sync.Mutex
 		quiet := false
@@ -341,7 +341,7 @@
 				ft := newFakeTargets()
 				ft.release = tc.release
 				kp := ft.keeper()
-				rv, err := kp.Acquire(t.Context(), []reservation.Place{{Address: "a", Tokens: 1}, {Address: "b", Tokens: 1}})
+				rv, err := kp.Acquire(t.Context(), []reservation.Allocation{{Address: "a", Tokens: 1}, {Address: "b", Tokens: 1}})
 				g.Expect(err).NotTo(HaveOccurred())
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
