--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -22,7 +22,7 @@
 // avoid leaves the targets out for a while that refused or did not answer an order for memory: all of them, since each
 // further plan that names one of them sets memory aside elsewhere for nobody. It reports whether there are any.
 func (ds *Dispatcher) avoid(err error, tgs []targets.Target) bool {
-	var te *reservation.TakeError
+	var te *reservation.AcquireError
 	if !errors.As(err, &te) {
 		return false
 	}
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -55,18 +55,18 @@
 func (ue *UnansweredError) Unwrap() error { return ue.Cause }
 
 // TakeError says that memory was not set aside at some of the places.
-type TakeError struct {
+type AcquireError struct {
 	// Causes are the failures, one for each place without memory, in the order of the places; it is not empty.
 	Causes []error
 }
 
 // Error gives the first failure and their number.
-func (te *TakeError) Error() string {
+func (te *AcquireError) Error() string {
 	return te.Causes[0].Error() + ", places without memory: " + strconv.Itoa(len(te.Causes))
 }
 
 // Unwrap returns the failures.
-func (te *TakeError) Unwrap() []error { return te.Causes }
+func (te *AcquireError) Unwrap() []error { return te.Causes }
 
 // Keeper sets memory aside. It is safe for use by any goroutine.
 type Manager struct {
@@ -133,7 +133,7 @@
 	if len(causes) > 0 {
 		// The next plan must not find memory taken by this one: it would take a target with room for a full one.
 		rv.giveBack(errs).Wait()
-		return nil, &TakeError{Causes: causes}
+		return nil, &AcquireError{Causes: causes}
 	}
 	ctx, rv.stop = context.WithCancel(context.WithoutCancel(ctx))
 	rv.done.Go(func() { rv.keep(ctx) })
