--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -61,12 +61,12 @@
 }
 
 // Error gives the first failure and their number.
-func (te *AcquireError) Error() string {
-	return te.Causes[0].Error() + ", places without memory: " + strconv.Itoa(len(te.Causes))
+func (ae *AcquireError) Error() string {
+	return ae.Causes[0].Error() + ", places without memory: " + strconv.Itoa(len(ae.Causes))
 }
 
 // Unwrap returns the failures.
-func (te *AcquireError) Unwrap() []error { return te.Causes }
+func (ae *AcquireError) Unwrap() []error { return ae.Causes }
 
 // Keeper sets memory aside. It is safe for use by any goroutine.
 type Manager struct {
