--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -67,7 +67,7 @@
 	if err := gw.notBlamed(ctx, rq); err != nil {
 		return err
 	}
-	sl, err := gw.Dispatcher.Acquire(reservation.ForRequest(ctx, rq.RequestID), gw.ask(rq))
+	sl, err := gw.Dispatcher.Acquire(reservation.WithRequestID(ctx, rq.RequestID), gw.ask(rq))
 	if err != nil {
 		return gw.noTarget(ctx, rq, err)
 	}
--- a/internal/reservation/request.go
+++ b/internal/reservation/request.go
@@ -6,7 +6,7 @@
 type requestKey struct{}
 
 // ForRequest returns a context whose reservations name a request in their log lines.
-func ForRequest(ctx context.Context, id string) context.Context {
+func WithRequestID(ctx context.Context, id string) context.Context {
 	return context.WithValue(ctx, requestKey{}, id)
 }
 
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -302,7 +302,7 @@
 		ctx  context.Context
 		want string
 	}{
-		"a request":  {reservation.ForRequest(context.Background(), "r-1"), "r-1"},
+		"a request":  {reservation.WithRequestID(context.Background(), "r-1"), "r-1"},
 		"no request": {context.Background(), ""},
 	}
 	for name, tc := range cases {
