--- a/internal/placement/bound.go
+++ b/internal/placement/bound.go
@@ -1,7 +1,7 @@
 package placement
 
 // bound is a limit on a value whose prediction may be off either way.
-type bound struct {
+type softLimit struct {
 	// from is the value from which the limit may be exceeded.
 	from float64
 	// slope is what each unit above from adds to the chance; it is above 0.
@@ -9,15 +9,15 @@
 }
 
 // boundOf returns a limit when predictions may be off by a share of it either way.
-func boundOf(limit, share float64) bound {
-	return bound{
+func newSoftLimit(limit, share float64) softLimit {
+	return softLimit{
 		from:  limit * (1 - share),
 		slope: 1 / (2 * share * limit),
 	}
 }
 
 // chance returns how likely a value exceeds the limit.
-func (bo bound) chance(val float64) float64 {
+func (bo softLimit) exceedProbability(val float64) float64 {
 	if val <= bo.from {
 		return 0
 	}
@@ -25,13 +25,13 @@
 }
 
 // classBounds are the bounds of the classes of requests.
-var classBounds = newClassBounds()
+var softClassLimits = newSoftClassLimits()
 
 // newClassBounds returns the bounds of all classes.
-func newClassBounds() [classes]bound {
-	var bos [classes]bound
-	for cl, lim := range limits {
-		bos[cl] = boundOf(float64(lim), ramp)
+func newSoftClassLimits() [numClasses]softLimit {
+	var bos [numClasses]softLimit
+	for cl, lim := range classLimits {
+		bos[cl] = newSoftLimit(float64(lim), predictionError)
 	}
 	return bos
 }
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -21,9 +21,9 @@
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			pl, ok := Choose(typical, ca.pr, idle(18), Options{Seed: 1})
+			pl, ok := Choose(typicalEngine, ca.pr, idleTargets(18), Options{Seed: 1})
 			g.Expect(ok).To(BeTrue())
-			g.Expect(len(names(pl))).To(And(BeNumerically(">=", ca.least), BeNumerically("<=", ca.most)))
+			g.Expect(len(planTargets(pl))).To(And(BeNumerically(">=", ca.least), BeNumerically("<=", ca.most)))
 			g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", ca.pr.Objective))
 			g.Expect(pl.MemoryShares).To(BeEmpty())
 		})
@@ -38,10 +38,10 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			for seed := range uint64(50) {
-				ts := idle(3)
+				ts := idleTargets(3)
 				ts[0].Load = reading
 				ts[2].Load = reading
-				pl, ok := Choose(typical, shortPrompt(), ts, Options{Seed: seed})
+				pl, ok := Choose(typicalEngine, shortPrompt(), ts, Options{Seed: seed})
 				g.Expect(ok).To(BeTrue())
 				g.Expect(pl.Main).To(Equal(ts[1].Name))
 			}
@@ -56,22 +56,22 @@
 			g := NewWithT(t)
 			helped := false
 			for seed := range uint64(20) {
-				ts := idle(18)
+				ts := idleTargets(18)
 				for ix := range 12 {
 					ts[ix].Closed = true
 				}
-				pl, ok := Choose(typical, pr, ts, Options{Seed: seed})
+				pl, ok := Choose(typicalEngine, pr, ts, Options{Seed: seed})
 				g.Expect(ok).To(BeTrue())
 				open := slices.ContainsFunc(ts[12:], func(ta Target) bool { return ta.Name == pl.Main })
 				g.Expect(open).To(BeTrue(), pl.Main)
 				helped = helped || slices.ContainsFunc(ts[:12], func(ta Target) bool { return slices.Contains(pl.Helpers, ta.Name) })
 			}
 			g.Expect(helped).To(Equal(pr.Tokens > 100_000))
-			all := idle(18)
+			all := idleTargets(18)
 			for ix := range all {
 				all[ix].Closed = true
 			}
-			_, ok := Choose(typical, pr, all, Options{Seed: 1})
+			_, ok := Choose(typicalEngine, pr, all, Options{Seed: 1})
 			g.Expect(ok).To(BeFalse())
 		})
 	}
@@ -79,14 +79,14 @@
 
 func TestALongPromptSparesShortWriters(t *testing.T) {
 	g := NewWithT(t)
-	ts := idle(18)
+	ts := idleTargets(18)
 	for ix := range 12 {
 		ts[ix].Load = shortPrompt().DecodeLoad()
 	}
-	pl, ok := Choose(typical, longPrompt(133_000), ts, Options{Seed: 1})
+	pl, ok := Choose(typicalEngine, longPrompt(133_000), ts, Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
 	writers := 0
-	for _, name := range names(pl) {
+	for _, name := range planTargets(pl) {
 		if slices.ContainsFunc(ts[:12], func(ta Target) bool { return ta.Name == name }) {
 			writers++
 		}
@@ -100,7 +100,7 @@
 func TestALongPromptIsSplitMoreAmongShortWriters(t *testing.T) {
 	g := NewWithT(t)
 	twoASecond := shortPrompt().DecodeLoad().Plus(shortPrompt().DecodeLoad())
-	pl, ok := Choose(typical, longPrompt(133_000), busy(18), Options{Seed: 1, ArrivalsPerSecond: twoASecond})
+	pl, ok := Choose(typicalEngine, longPrompt(133_000), busyTargets(18), Options{Seed: 1, ArrivalsPerSecond: twoASecond})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(pl.Helpers)).To(BeNumerically(">=", 11))
 	g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
@@ -110,9 +110,9 @@
 func TestArrivalsMakePartsSmaller(t *testing.T) {
 	g := NewWithT(t)
 	pr := longPrompt(133_000)
-	few, ok := Choose(typical, pr, idle(18), Options{Seed: 1})
+	few, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
-	many, ok := Choose(typical, pr, idle(18), Options{Seed: 1, ArrivalsPerSecond: shortPrompt().DecodeLoad()})
+	many, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1, ArrivalsPerSecond: shortPrompt().DecodeLoad()})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(many.Part.Tokens).To(BeNumerically("<", few.Part.Tokens))
 }
@@ -121,16 +121,16 @@
 func TestMoreReadingTargetsMakeFewerParts(t *testing.T) {
 	g := NewWithT(t)
 	pr := longPrompt(133_000)
-	quiet, ok := Choose(typical, pr, idle(18), Options{Seed: 1})
+	quiet, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
-	among, ok := Choose(typical, pr, idle(18), Options{Seed: 1, PrefillShare: 1})
+	among, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1, PrefillShare: 1})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(among.Helpers)).To(BeNumerically("<", len(quiet.Helpers)))
 }
 
 func TestReadingShare(t *testing.T) {
 	g := NewWithT(t)
-	ts := idle(8)
+	ts := idleTargets(8)
 	g.Expect(PrefillShare(ts)).To(BeZero())
 	ts[1].Load = ts[1].Load.Plus(shortPrompt().PrefillLoad(1))
 	ts[5].Load = ts[5].Load.Plus(longPrompt(133_000).HelperLoad(4))
@@ -142,16 +142,16 @@
 func TestATargetThatCannotHelpIsNotAsked(t *testing.T) {
 	cases := map[string]func(*Target){
 		"not available":  func(ta *Target) { ta.CanHelp = false },
-		"helps too many": func(ta *Target) { ta.HelperParts = typical.Slots },
+		"helps too many": func(ta *Target) { ta.HelperParts = typicalEngine.Slots },
 	}
 	for name, spoil := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ts := idle(18)
+			ts := idleTargets(18)
 			for ix := range ts[2:] {
 				spoil(&ts[2+ix])
 			}
-			pl, ok := Choose(typical, longPrompt(133_000), ts, Options{Seed: 1})
+			pl, ok := Choose(typicalEngine, longPrompt(133_000), ts, Options{Seed: 1})
 			g.Expect(ok).To(BeTrue())
 			g.Expect(pl.Helpers).NotTo(BeEmpty())
 			for _, he := range pl.Helpers {
@@ -164,23 +164,23 @@
 func TestNoPlan(t *testing.T) {
 	hurried := shortPrompt()
 	hurried.UntilDeadline = 50 * time.Millisecond
-	full := idle(3)
+	full := idleTargets(3)
 	for ix := range full {
-		full[ix].Load.Memory = typical.MemoryTokens - 1000
+		full[ix].Load.Memory = typicalEngine.MemoryTokens - 1000
 	}
 	cases := map[string]struct {
 		pr Prompt
 		ts []Target
 	}{
 		"no target":                       {shortPrompt(), nil},
-		"no time":                         {hurried, idle(3)},
-		"larger than all memory together": {longPrompt(600_000), idle(2)},
+		"no time":                         {hurried, idleTargets(3)},
+		"larger than all memory together": {longPrompt(600_000), idleTargets(2)},
 		"larger than all that is free":    {longPrompt(300_000), full},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, ok := Choose(typical, ca.pr, ca.ts, Options{})
+			_, ok := Choose(typicalEngine, ca.pr, ca.ts, Options{})
 			g.Expect(ok).To(BeFalse())
 		})
 	}
@@ -188,42 +188,42 @@
 
 func TestAPromptThatFitsNowhereIsReserved(t *testing.T) {
 	g := NewWithT(t)
-	ts := idle(6)
+	ts := idleTargets(6)
 	for ix := range ts {
-		ts[ix].Load.Memory = typical.MemoryTokens - 60_000
+		ts[ix].Load.Memory = typicalEngine.MemoryTokens - 60_000
 	}
 	pr := longPrompt(100_000)
-	pl, ok := Choose(typical, pr, ts, Options{Seed: 3})
+	pl, ok := Choose(typicalEngine, pr, ts, Options{Seed: 3})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(pl.MemoryShares).NotTo(BeEmpty())
-	expectReserved(g, pl, pr, ts)
+	expectMemoryShares(g, pl, pr, ts)
 }
 
 func TestALargePromptUsesWhatIsFree(t *testing.T) {
 	g := NewWithT(t)
-	ts := idle(18)
+	ts := idleTargets(18)
 	for ix := range ts[2:] {
-		ts[2+ix].Load.Memory = typical.MemoryTokens - 1000
+		ts[2+ix].Load.Memory = typicalEngine.MemoryTokens - 1000
 	}
 	pr := longPrompt(400_000)
-	pl, ok := Choose(typical, pr, ts, Options{Seed: 3})
+	pl, ok := Choose(typicalEngine, pr, ts, Options{Seed: 3})
 	g.Expect(ok).To(BeTrue())
-	expectReserved(g, pl, pr, ts)
+	expectMemoryShares(g, pl, pr, ts)
 }
 
 // expectReserved expects the reservations of a plan to cover a prompt within the free memory.
-func expectReserved(g Gomega, pl Plan, pr Prompt, ts []Target) {
+func expectMemoryShares(g Gomega, pl Plan, pr Prompt, ts []Target) {
 	sum := int64(0)
 	var holders []string
 	for _, sh := range pl.MemoryShares {
 		at := slices.IndexFunc(ts, func(ta Target) bool { return ta.Name == sh.Target })
-		g.Expect(sh.Tokens).To(And(BeNumerically(">", 0), BeNumerically("<=", ts[at].free(&typical))))
+		g.Expect(sh.Tokens).To(And(BeNumerically(">", 0), BeNumerically("<=", ts[at].freeMemory(&typicalEngine))))
 		sum += sh.Tokens
 		holders = append(holders, sh.Target)
 	}
-	g.Expect(sum).To(BeNumerically(">=", pr.need()))
-	g.Expect(holders).To(Equal(names(pl)))
-	g.Expect(len(holders)).To(BeNumerically("<=", mostReserved))
+	g.Expect(sum).To(BeNumerically(">=", pr.memoryNeed()))
+	g.Expect(holders).To(Equal(planTargets(pl)))
+	g.Expect(len(holders)).To(BeNumerically("<=", maxReservedParts))
 }
 
 func TestPlansHold(t *testing.T) {
@@ -232,23 +232,23 @@
 		pr := genPrompt().Draw(t, "prompt")
 		ts := genTargets().Draw(t, "targets")
 		op := Options{Seed: rapid.Uint64().Draw(t, "seed")}
-		pl, ok := Choose(typical, pr, ts, op)
-		again, okAgain := Choose(typical, pr, ts, op)
+		pl, ok := Choose(typicalEngine, pr, ts, op)
+		again, okAgain := Choose(typicalEngine, pr, ts, op)
 		g.Expect(okAgain).To(Equal(ok))
 		g.Expect(again).To(Equal(pl))
 		if !ok {
 			return
 		}
-		all := names(pl)
+		all := planTargets(pl)
 		g.Expect(len(all)).To(BeNumerically("<=", MaxParts))
 		g.Expect(slices.Compact(slices.Sorted(slices.Values(all)))).To(HaveLen(len(all)))
 		g.Expect(pl.TimeToFirstToken).To(BeNumerically("<=", pr.UntilDeadline))
 		g.Expect(pl.Loss).To(BeNumerically(">=", 0))
-		if pr.need() > typical.MemoryTokens {
+		if pr.memoryNeed() > typicalEngine.MemoryTokens {
 			g.Expect(pl.MemoryShares).NotTo(BeEmpty())
 		}
 		if len(pl.MemoryShares) > 0 {
-			expectReserved(g, pl, pr, ts)
+			expectMemoryShares(g, pl, pr, ts)
 		}
 	})
 }
@@ -259,13 +259,13 @@
 		pr := genPrompt().Draw(t, "prompt")
 		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 10_000).Draw(t, "left in ms")) * time.Millisecond
 		ts := genTargets().Draw(t, "targets")
-		if _, ok := Choose(typical, pr, ts, Options{}); ok || pr.need() > typical.MemoryTokens {
+		if _, ok := Choose(typicalEngine, pr, ts, Options{}); ok || pr.memoryNeed() > typicalEngine.MemoryTokens {
 			return
 		}
-		passes := ceilDiv(pr.AnswerTokens, int64(typical.StepsPerPass))
+		passes := ceilDiv(pr.AnswerTokens, int64(typicalEngine.StepsPerPass))
 		for _, ta := range ts {
-			first := float64(typical.TimeToFirstToken(pr, ta))
-			writing := float64(passes) * typical.writePass(&ta, 1, pr.Tokens+pr.AnswerTokens/2)
+			first := float64(typicalEngine.TimeToFirstToken(pr, ta))
+			writing := float64(passes) * typicalEngine.decodePassTimeAt(&ta, 1, pr.Tokens+pr.AnswerTokens/2)
 			g.Expect(time.Duration(first + writing)).To(BeNumerically(">=", pr.UntilDeadline))
 		}
 	})
@@ -276,28 +276,28 @@
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
 		ts := genTargets().Draw(t, "targets")
-		pl, ok := Choose(typical, pr, ts, Options{})
+		pl, ok := Choose(typicalEngine, pr, ts, Options{})
 		if !ok {
 			return
 		}
 		var chosen []Target
-		for _, name := range names(pl) {
+		for _, name := range planTargets(pl) {
 			at := slices.IndexFunc(ts, func(ta Target) bool { return ta.Name == name })
 			chosen = append(chosen, ts[at])
 		}
-		g.Expect(pl.TimeToFirstToken).To(Equal(typical.TimeToFirstToken(pr, chosen[0], chosen[1:]...)))
+		g.Expect(pl.TimeToFirstToken).To(Equal(typicalEngine.TimeToFirstToken(pr, chosen[0], chosen[1:]...)))
 	})
 }
 
 func TestSeedsSpreadTies(t *testing.T) {
 	g := NewWithT(t)
-	ts := idle(18)
+	ts := idleTargets(18)
 	for ix := range ts {
 		ts[ix].SameZone = true
 	}
 	mains := map[string]int{}
 	for seed := range uint64(900) {
-		pl, ok := Choose(typical, shortPrompt(), ts, Options{Seed: seed})
+		pl, ok := Choose(typicalEngine, shortPrompt(), ts, Options{Seed: seed})
 		g.Expect(ok).To(BeTrue())
 		mains[pl.Main]++
 	}
@@ -312,10 +312,10 @@
 		pr Prompt
 		ts []Target
 	}{
-		"short-60":    {shortPrompt(), busy(60)},
-		"middle-60":   {middlePrompt(), busy(60)},
-		"long-60":     {longPrompt(133_000), busy(60)},
-		"reserved-60": {longPrompt(500_000), busy(60)},
+		"short-60":    {shortPrompt(), busyTargets(60)},
+		"middle-60":   {middlePrompt(), busyTargets(60)},
+		"long-60":     {longPrompt(133_000), busyTargets(60)},
+		"reserved-60": {longPrompt(500_000), busyTargets(60)},
 	}
 	for name, ca := range cases {
 		b.Run(name, func(b *testing.B) {
@@ -323,7 +323,7 @@
 			seed := uint64(0)
 			for b.Loop() {
 				seed++
-				Choose(typical, ca.pr, ca.ts, Options{Seed: seed, ArrivalsPerSecond: shortPrompt().DecodeLoad()})
+				Choose(typicalEngine, ca.pr, ca.ts, Options{Seed: seed, ArrivalsPerSecond: shortPrompt().DecodeLoad()})
 			}
 		})
 	}
@@ -349,12 +349,12 @@
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ts := idle(len(ca.loads))
+			ts := idleTargets(len(ca.loads))
 			for ix := range ts {
 				ts[ix].Load = ca.loads[ix]
 			}
 			for seed := range uint64(20) {
-				pl, ok := Choose(typical, shortPrompt(), ts, Options{Seed: seed})
+				pl, ok := Choose(typicalEngine, shortPrompt(), ts, Options{Seed: seed})
 				g.Expect(ok).To(BeTrue())
 				g.Expect(pl.Main).To(Equal(ts[ca.want].Name))
 			}
@@ -367,7 +367,7 @@
 	for name, free := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ts := idle(18)
+			ts := idleTargets(18)
 			for ix := range ts[free:] {
 				lo := &ts[free+ix].Load
 				for range 12 {
@@ -376,8 +376,8 @@
 			}
 			// The prompt is in time for sure only when all free targets read it.
 			pr := longPrompt(200_000)
-			pr.Objective = typical.TimeToFirstToken(pr, ts[0], ts[1:free]...) * 100 / 79
-			pl, ok := Choose(typical, pr, ts, Options{})
+			pr.Objective = typicalEngine.TimeToFirstToken(pr, ts[0], ts[1:free]...) * 100 / 79
+			pl, ok := Choose(typicalEngine, pr, ts, Options{})
 			g.Expect(ok).To(BeTrue())
 			g.Expect(1 + len(pl.Helpers)).To(Equal(free))
 		})
@@ -397,7 +397,7 @@
 			g := NewWithT(t)
 			late := shortPrompt()
 			late.CallerIdleTimeout = ca.patience
-			ts := idle(4)
+			ts := idleTargets(4)
 			for range 8 {
 				ts[0].Load = ts[0].Load.Plus(late.AsLate().DecodeLoad())
 			}
@@ -405,7 +405,7 @@
 			pr := longPrompt(330_000)
 			pr.Objective = time.Second
 			ts[0].Load.Memory = 0
-			pl, ok := Choose(typical, pr, ts, Options{})
+			pl, ok := Choose(typicalEngine, pr, ts, Options{})
 			g.Expect(ok).To(BeTrue())
 			used := append([]string{pl.Main}, pl.Helpers...)
 			if ca.spared {
@@ -422,12 +422,12 @@
 	pr := shortPrompt()
 	pr.Elapsed = time.Second
 	pr.CallerIdleTimeout = 1100 * time.Millisecond
-	ts := idle(1)
+	ts := idleTargets(1)
 	ts[0].Load.WholePrefill = Backlog{Tokens: 60_000, Pairs: 1_800_000_000}
-	gone, ok := Choose(typical, pr, ts, Options{})
+	gone, ok := Choose(typicalEngine, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
 	pr.CallerIdleTimeout = 0
-	late, ok := Choose(typical, pr, ts, Options{})
+	late, ok := Choose(typicalEngine, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(gone.Loss - late.Loss).To(Equal(pr.LateWorth))
 }
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -10,15 +10,15 @@
 // short. It must not change without the version of what holds a load.
 const (
 	// plainFields is the number of fields of a Load besides its classes.
-	plainFields = 8
+	scalarFields = 8
 	// loadFields is the number of all fields.
-	loadFields = plainFields + 2*classes
+	numFields = scalarFields + 2*numClasses
 	// signedFields is the bit of the bitmap that says that a field is negative; all fields are then written with signs.
-	signedFields = uint64(1) << loadFields
+	signedFlag = uint64(1) << numFields
 	// thousandth is the unit of worth in writing: thousandths of a point are far below what predictions tell apart.
 	thousandth = point / 1000
 	// mostThousandths is the largest number of them that a Worth holds.
-	mostThousandths = math.MaxInt64 / thousandth
+	maxThousandths = math.MaxInt64 / thousandth
 )
 
 // EncodingError says that bytes hold no load.
@@ -33,7 +33,7 @@
 // were rounded after they were added up; who reads a load replaces it as a whole.
 func (lo Load) Rounded() Load {
 	fs := lo.fields()
-	return loadOf(&fs)
+	return loadFromFields(&fs)
 }
 
 // Append appends the load to bytes.
@@ -45,7 +45,7 @@
 			bitmap |= 1 << no
 		}
 		if val < 0 {
-			bitmap |= signedFields
+			bitmap |= signedFlag
 		}
 	}
 	b = binary.AppendUvarint(b, bitmap)
@@ -60,7 +60,7 @@
 	if val == 0 {
 		return b
 	}
-	if bitmap&signedFields != 0 {
+	if bitmap&signedFlag != 0 {
 		return binary.AppendVarint(b, val)
 	}
 	return binary.AppendUvarint(b, uint64(val))
@@ -72,16 +72,16 @@
 	if n <= 0 {
 		return Load{}, nil, &EncodingError{Reason: "no bitmap"}
 	}
-	if bitmap >= signedFields<<1 {
+	if bitmap >= signedFlag<<1 {
 		return Load{}, nil, &EncodingError{Reason: "unknown fields"}
 	}
 	b = b[n:]
-	var fs [loadFields]int64
+	var fs [numFields]int64
 	for no := range fs {
 		if bitmap&(1<<no) == 0 {
 			continue
 		}
-		fs[no], n = readField(b, bitmap)
+		fs[no], n = parseField(b, bitmap)
 		if n <= 0 {
 			return Load{}, nil, &EncodingError{Reason: "a field that is cut off or too large"}
 		}
@@ -90,12 +90,12 @@
 	if !worthsFit(&fs) {
 		return Load{}, nil, &EncodingError{Reason: "a worth that is too large"}
 	}
-	return loadOf(&fs), b, nil
+	return loadFromFields(&fs), b, nil
 }
 
 // readField returns a field and its number of bytes, which is not above 0 when there is none.
-func readField(b []byte, bitmap uint64) (int64, int) {
-	if bitmap&signedFields != 0 {
+func parseField(b []byte, bitmap uint64) (int64, int) {
+	if bitmap&signedFlag != 0 {
 		return binary.Varint(b)
 	}
 	val, n := binary.Uvarint(b)
@@ -106,9 +106,9 @@
 }
 
 // worthsFit reports whether each worth is one when it is counted in millionths.
-func worthsFit(fs *[loadFields]int64) bool {
-	for _, val := range fs[plainFields:] {
-		if val > mostThousandths || val < -mostThousandths {
+func worthsFit(fs *[numFields]int64) bool {
+	for _, val := range fs[scalarFields:] {
+		if val > maxThousandths || val < -maxThousandths {
 			return false
 		}
 	}
@@ -116,40 +116,40 @@
 }
 
 // fields returns the fields in the order of their bits, worths in thousandths.
-func (lo *Load) fields() [loadFields]int64 {
-	fs := [loadFields]int64{
+func (lo *Load) fields() [numFields]int64 {
+	fs := [numFields]int64{
 		int64(lo.Decoding), lo.ContextTokens, lo.Memory, int64(lo.Prefilling),
 		lo.WholePrefill.Tokens, lo.WholePrefill.Pairs, lo.SplitPrefill.Tokens, lo.SplitPrefill.Pairs,
 	}
-	for cl := range classes {
-		fs[plainFields+cl] = thousandths(lo.PauseRisk[cl])
-		fs[plainFields+classes+cl] = thousandths(lo.FirstTokenRisk[cl])
+	for cl := range numClasses {
+		fs[scalarFields+cl] = toThousandths(lo.PauseRisk[cl])
+		fs[scalarFields+numClasses+cl] = toThousandths(lo.FirstTokenRisk[cl])
 	}
 	return fs
 }
 
 // loadOf returns the load that has the fields.
-func loadOf(fs *[loadFields]int64) Load {
+func loadFromFields(fs *[numFields]int64) Load {
 	lo := Load{
 		Decoding: int(fs[0]), ContextTokens: fs[1], Memory: fs[2], Prefilling: int(fs[3]),
 		WholePrefill: Backlog{Tokens: fs[4], Pairs: fs[5]},
 		SplitPrefill: Backlog{Tokens: fs[6], Pairs: fs[7]},
 	}
-	for cl := range classes {
-		lo.PauseRisk[cl] = Worth(fs[plainFields+cl]) * thousandth
-		lo.FirstTokenRisk[cl] = Worth(fs[plainFields+classes+cl]) * thousandth
+	for cl := range numClasses {
+		lo.PauseRisk[cl] = Worth(fs[scalarFields+cl]) * thousandth
+		lo.FirstTokenRisk[cl] = Worth(fs[scalarFields+numClasses+cl]) * thousandth
 	}
 	return lo
 }
 
 // thousandths returns a worth in thousandths of a point, rounded away from zero as far as a Worth holds it.
-func thousandths(wo Worth) int64 {
+func toThousandths(wo Worth) int64 {
 	num := int64(wo) / thousandth
 	switch rest := int64(wo) % thousandth; {
 	case rest > 0:
-		return min(num+1, mostThousandths)
+		return min(num+1, maxThousandths)
 	case rest < 0:
-		return max(num-1, -mostThousandths)
+		return max(num-1, -maxThousandths)
 	}
 	return num
 }
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -21,7 +21,7 @@
 			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
 			ContextTokens: draw("context"), Memory: draw("memory"),
 		}
-		for cl := range classes {
+		for cl := range numClasses {
 			lo.FirstTokenRisk[cl] = Worth(draw("waiting"))
 			lo.PauseRisk[cl] = Worth(draw("at risk"))
 		}
@@ -57,7 +57,7 @@
 		g := NewWithT(t)
 		lo := genLoad().Draw(t, "load")
 		ro := lo.Rounded()
-		for cl := range classes {
+		for cl := range numClasses {
 			g.Expect(ro.PauseRisk[cl] - lo.PauseRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
 			g.Expect(ro.FirstTokenRisk[cl] - lo.FirstTokenRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
 		}
@@ -76,13 +76,13 @@
 		"rounded up":     {1, 1},
 		"below zero":     {-1, -1},
 		"exact negative": {-2000, -2},
-		"largest":        {math.MaxInt64, mostThousandths},
-		"smallest":       {math.MinInt64, -mostThousandths},
+		"largest":        {math.MaxInt64, maxThousandths},
+		"smallest":       {math.MinInt64, -maxThousandths},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(thousandths(ca.worth)).To(Equal(ca.want))
+			g.Expect(toThousandths(ca.worth)).To(Equal(ca.want))
 		})
 	}
 }
@@ -92,8 +92,8 @@
 func TestWrittenFormIsKept(t *testing.T) {
 	lo := Load{Prefilling: 1, Decoding: 2, ContextTokens: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
 	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
-	lo.PauseRisk[0], lo.PauseRisk[classes-1] = WorthOf(0.001), WorthOf(0.002)
-	lo.FirstTokenRisk[0], lo.FirstTokenRisk[classes-1] = WorthOf(0.003), WorthOf(0.004)
+	lo.PauseRisk[0], lo.PauseRisk[numClasses-1] = WorthOf(0.001), WorthOf(0.002)
+	lo.FirstTokenRisk[0], lo.FirstTokenRisk[numClasses-1] = WorthOf(0.003), WorthOf(0.004)
 	cases := map[string]struct {
 		load Load
 		want string
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -54,7 +54,7 @@
 
 // within returns at most room tokens of the backlog. All its pairs may lie in them, up to those of room tokens of a
 // prompt that fills the engine. Neither bound falls when the backlog grows, so more load never predicts less time.
-func (en *Engine) within(ba Backlog, room int64) Backlog {
+func (en *Engine) capped(ba Backlog, room int64) Backlog {
 	return Backlog{
 		Tokens: min(ba.Tokens, room),
 		Pairs:  min(ba.Pairs, room*(en.MemoryTokens/2)),
@@ -62,7 +62,7 @@
 }
 
 // reading returns the nanoseconds it takes to read a backlog at full speed.
-func (en *Engine) reading(ba Backlog) float64 {
+func (en *Engine) prefillTime(ba Backlog) float64 {
 	tok := float64(ba.Tokens) * perThousand * float64(en.PrefillTimePerThousand)
 	return tok + float64(ba.Pairs)*perMillion*float64(en.PrefillTimePerMillionPairs)
 }
@@ -76,19 +76,19 @@
 }
 
 // step returns the nanoseconds of one step without reading.
-func (en *Engine) step(writers int, context int64) float64 {
+func (en *Engine) stepTime(writers int, context int64) float64 {
 	wri := float64(writers) * float64(en.StepTimePerRequest)
 	con := float64(context) * perThousand * float64(en.StepTimePerThousandContext)
 	return float64(en.StepTime) + wri + con
 }
 
 // pass returns the nanoseconds of a pass with writers and without reading.
-func (en *Engine) pass(writers int, context int64) float64 {
-	return float64(en.StepsPerPass) * en.step(writers, context)
+func (en *Engine) decodePassTime(writers int, context int64) float64 {
+	return float64(en.StepsPerPass) * en.stepTime(writers, context)
 }
 
 // passRoom returns the most tokens read in one pass with writers.
-func (en *Engine) passRoom() int64 {
+func (en *Engine) passCapacity() int64 {
 	return int64(en.StepsPerPass) * en.ChunkTokens
 }
 
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -4,7 +4,7 @@
 
 // limits are the lower bounds of the classes of requests by longest pause, by objective and by the patience of callers.
 // Neighbours differ by at most a factor of two, so that a limit is taken for at least half of itself.
-var limits = [...]time.Duration{
+var classLimits = [...]time.Duration{
 	50 * time.Millisecond,
 	100 * time.Millisecond,
 	150 * time.Millisecond,
@@ -24,19 +24,19 @@
 }
 
 // classes is the number of classes.
-const classes = len(limits)
+const numClasses = len(classLimits)
 
 // classOf returns the class whose bound is the largest one that does not exceed a limit, or the first class.
 func classOf(limit time.Duration) int {
 	cl := 0
-	for cl+1 < classes && limits[cl+1] <= limit {
+	for cl+1 < numClasses && classLimits[cl+1] <= limit {
 		cl++
 	}
 	return cl
 }
 
 // Classes is what requests lose together, by the class of the limit that they lose it at.
-type RiskByLimit [classes]Worth
+type RiskByLimit [numClasses]Worth
 
 // Load is what is in flight at one target, over all instances. It is additive: the loads of several requests are summed
 // with Plus and taken away again with Minus, without rounding.
@@ -68,7 +68,7 @@
 	lo.Decoding += ot.Decoding
 	lo.ContextTokens += ot.ContextTokens
 	lo.Memory += ot.Memory
-	for cl := range classes {
+	for cl := range numClasses {
 		lo.FirstTokenRisk[cl] += ot.FirstTokenRisk[cl]
 		lo.PauseRisk[cl] += ot.PauseRisk[cl]
 	}
@@ -83,7 +83,7 @@
 	lo.Decoding -= ot.Decoding
 	lo.ContextTokens -= ot.ContextTokens
 	lo.Memory -= ot.Memory
-	for cl := range classes {
+	for cl := range numClasses {
 		lo.FirstTokenRisk[cl] -= ot.FirstTokenRisk[cl]
 		lo.PauseRisk[cl] -= ot.PauseRisk[cl]
 	}
@@ -104,7 +104,7 @@
 
 // sheltered returns what the others here lose together to pauses that a limit does not allow either. It is 0 when the
 // slots are taken, as a full target is no shelter.
-func (lo *Load) sheltered(limit time.Duration, slots int) Worth {
+func (lo *Load) protection(limit time.Duration, slots int) Worth {
 	if lo.Prefilling+lo.Decoding+spareSlots >= slots {
 		return 0
 	}
@@ -122,7 +122,7 @@
 }
 
 // unread returns all reading that has not been done.
-func (lo *Load) unread() Backlog {
+func (lo *Load) prefillBacklog() Backlog {
 	return lo.WholePrefill.Plus(lo.SplitPrefill)
 }
 
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -25,15 +25,15 @@
 		pause time.Duration
 		want  time.Duration
 	}{
-		"below all bounds": {10 * time.Millisecond, limits[0]},
+		"below all bounds": {10 * time.Millisecond, classLimits[0]},
 		"on a bound":       {250 * time.Millisecond, 250 * time.Millisecond},
 		"between bounds":   {599 * time.Millisecond, 400 * time.Millisecond},
-		"above all bounds": {time.Minute, limits[classes-1]},
+		"above all bounds": {time.Minute, classLimits[numClasses-1]},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(limits[classOf(ca.pause)]).To(Equal(ca.want))
+			g.Expect(classLimits[classOf(ca.pause)]).To(Equal(ca.want))
 		})
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -8,7 +8,7 @@
 )
 
 // typical holds the figures of a typical deployment.
-var typical = Engine{
+var typicalEngine = Engine{
 	Slots:                      16,
 	StepsPerPass:               43,
 	ChunkTokens:                2048,
@@ -46,7 +46,7 @@
 }
 
 // idle returns targets without load.
-func idle(count int) []Target {
+func idleTargets(count int) []Target {
 	ts := make([]Target, count)
 	for ix := range ts {
 		ts[ix] = Target{Name: fmt.Sprintf("10.2.64.%d:8080", ix), SameZone: ix%3 == 0, Slowdown: 1, CanHelp: true}
@@ -55,8 +55,8 @@
 }
 
 // busy returns targets with short writers and a few readers.
-func busy(count int) []Target {
-	ts := idle(count)
+func busyTargets(count int) []Target {
+	ts := idleTargets(count)
 	for ix := range ts {
 		for range 2 + ix%7 {
 			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().DecodeLoad())
@@ -69,7 +69,7 @@
 }
 
 // names returns all targets that a plan touches, the main one first.
-func names(pl Plan) []string {
+func planTargets(pl Plan) []string {
 	return append([]string{pl.Main}, pl.Helpers...)
 }
 
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -49,7 +49,7 @@
 	}
 	reading := 0
 	for ix := range ts {
-		if ts[ix].Load.unread().Tokens > 0 {
+		if ts[ix].Load.prefillBacklog().Tokens > 0 {
 			reading++
 		}
 	}
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -27,7 +27,7 @@
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(typical.PassTime(ca.ta)).To(BeNumerically("~", ca.want, 10*time.Microsecond))
+			g.Expect(typicalEngine.PassTime(ca.ta)).To(BeNumerically("~", ca.want, 10*time.Microsecond))
 		})
 	}
 }
@@ -46,7 +46,7 @@
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			pause := typical.Pause(ta, pr.Part(ca.parts))
+			pause := typicalEngine.Pause(ta, pr.Part(ca.parts))
 			g.Expect(pause).To(BeNumerically(">", ca.least))
 			g.Expect(pause).To(BeNumerically("<", ca.most))
 		})
@@ -56,19 +56,19 @@
 func TestAPartIsReadAheadOfWholePrompts(t *testing.T) {
 	g := NewWithT(t)
 	pr := longPrompt(120_000)
-	other := idle(2)
+	other := idleTargets(2)
 	waiting := other[0]
 	waiting.Load = longPrompt(200_000).PrefillLoad(1)
-	g.Expect(typical.TimeToFirstToken(pr, waiting, other[1])).To(BeNumerically("<", typical.TimeToFirstToken(pr, waiting)/3))
+	g.Expect(typicalEngine.TimeToFirstToken(pr, waiting, other[1])).To(BeNumerically("<", typicalEngine.TimeToFirstToken(pr, waiting)/3))
 }
 
 func TestFullSlotsDelayTheFirstToken(t *testing.T) {
 	g := NewWithT(t)
 	var ta Target
-	ta.Load.Decoding = typical.Slots - 1
-	free := typical.TimeToFirstToken(shortPrompt(), ta)
+	ta.Load.Decoding = typicalEngine.Slots - 1
+	free := typicalEngine.TimeToFirstToken(shortPrompt(), ta)
 	ta.Load.Decoding++
-	g.Expect(typical.TimeToFirstToken(shortPrompt(), ta)).To(BeNumerically(">", free+50*time.Millisecond))
+	g.Expect(typicalEngine.TimeToFirstToken(shortPrompt(), ta)).To(BeNumerically(">", free+50*time.Millisecond))
 }
 
 func TestMoreLoadNeverGivesAnEarlierFirstToken(t *testing.T) {
@@ -77,17 +77,17 @@
 		pr := genPrompt().Draw(t, "prompt")
 		ta := genTarget("a").Draw(t, "main")
 		he := genTarget("b").Draw(t, "helper")
-		alone := typical.TimeToFirstToken(pr, ta)
-		split := typical.TimeToFirstToken(pr, ta, he)
-		pass := typical.PassTime(ta)
-		pause := typical.Pause(ta, pr.Part(2))
+		alone := typicalEngine.TimeToFirstToken(pr, ta)
+		split := typicalEngine.TimeToFirstToken(pr, ta, he)
+		pass := typicalEngine.PassTime(ta)
+		pause := typicalEngine.Pause(ta, pr.Part(2))
 		more := genLoad().Draw(t, "more")
 		ta.Load = ta.Load.Plus(more)
 		he.Load = he.Load.Plus(more)
-		g.Expect(typical.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", alone))
-		g.Expect(typical.TimeToFirstToken(pr, ta, he)).To(BeNumerically(">=", split))
-		g.Expect(typical.PassTime(ta)).To(BeNumerically(">=", pass))
-		g.Expect(typical.Pause(ta, pr.Part(2))).To(BeNumerically(">=", pause))
+		g.Expect(typicalEngine.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", alone))
+		g.Expect(typicalEngine.TimeToFirstToken(pr, ta, he)).To(BeNumerically(">=", split))
+		g.Expect(typicalEngine.PassTime(ta)).To(BeNumerically(">=", pass))
+		g.Expect(typicalEngine.Pause(ta, pr.Part(2))).To(BeNumerically(">=", pause))
 	})
 }
 
@@ -96,8 +96,8 @@
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
 		ta := genTarget("a").Draw(t, "target")
-		first := typical.TimeToFirstToken(pr, ta)
+		first := typicalEngine.TimeToFirstToken(pr, ta)
 		ta.Slowdown *= 1.5
-		g.Expect(typical.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", first))
+		g.Expect(typicalEngine.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", first))
 	})
 }
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -27,8 +27,8 @@
 
 // Reading returns the load at the main target until the first token, when the prompt is read in a number of parts.
 func (pr Prompt) PrefillLoad(parts int) Load {
-	lo := Load{Prefilling: 1, Memory: pr.need()}
-	lo.FirstTokenRisk = pr.risk(pr.Objective-pr.Elapsed, pr.CallerIdleTimeout-pr.Elapsed)
+	lo := Load{Prefilling: 1, Memory: pr.memoryNeed()}
+	lo.FirstTokenRisk = pr.riskByLimit(pr.Objective-pr.Elapsed, pr.CallerIdleTimeout-pr.Elapsed)
 	if parts > 1 {
 		lo.SplitPrefill = pr.Part(parts)
 		return lo
@@ -44,16 +44,16 @@
 
 // Writing returns the load at the main target from the first token on, when the whole prompt is held there.
 func (pr Prompt) DecodeLoad() Load {
-	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, Memory: pr.need()}
-	lo.PauseRisk = pr.risk(pr.LongestPause, pr.CallerIdleTimeout)
+	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, Memory: pr.memoryNeed()}
+	lo.PauseRisk = pr.riskByLimit(pr.LongestPause, pr.CallerIdleTimeout)
 	return lo
 }
 
 // risk returns what is lost beyond the limit that an answer in time keeps, and beyond the patience of its caller: an
 // answer that its caller has left is worth nothing, and the caller's next attempt is read once more.
-func (pr *Prompt) risk(inTime, patience time.Duration) RiskByLimit {
+func (pr *Prompt) riskByLimit(inTime, patience time.Duration) RiskByLimit {
 	var cl RiskByLimit
-	cl[classOf(inTime)] = pr.atRisk()
+	cl[classOf(inTime)] = pr.worthAtRisk()
 	if pr.CallerIdleTimeout > 0 {
 		cl[classOf(patience)] += pr.LateWorth
 	}
@@ -67,12 +67,12 @@
 }
 
 // need returns the memory that the prompt and its answer take.
-func (pr *Prompt) need() int64 {
+func (pr *Prompt) memoryNeed() int64 {
 	return pr.Tokens + pr.AnswerTokens
 }
 
 // atRisk returns what is lost when the answer is late.
-func (pr *Prompt) atRisk() Worth {
+func (pr *Prompt) worthAtRisk() Worth {
 	return pr.InTimeWorth - pr.LateWorth
 }
 
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -19,16 +19,16 @@
 }
 
 // pace returns the factor by which the target is slower than its figures.
-func (ta *Target) pace() float64 {
+func (ta *Target) slowdown() float64 {
 	return max(ta.Slowdown, 1)
 }
 
 // free returns the memory that is left there.
-func (ta *Target) free(en *Engine) int64 {
+func (ta *Target) freeMemory(en *Engine) int64 {
 	return max(en.MemoryTokens-ta.Load.Memory, 0)
 }
 
 // helps reports whether the target accepts another part.
-func (ta *Target) helps(en *Engine) bool {
+func (ta *Target) canTakePart(en *Engine) bool {
 	return ta.CanHelp && ta.HelperParts < en.Slots
 }
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -17,12 +17,12 @@
 
 const (
 	// renewals is how often memory is renewed within a hold: two tries may fail.
-	renewals = 3
+	renewalsPerLease = 3
 )
 
 // releaseAgain are the pauses after which an order is given back once more when an answer was lost: a lost order may
 // still be carried out up to about twelve seconds later.
-var releaseAgain = []time.Duration{500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 7 * time.Second}
+var releaseRetryDelays = []time.Duration{500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 7 * time.Second}
 
 // Place is memory wanted at one target.
 type Allocation struct {
@@ -96,16 +96,16 @@
 
 // Reservation is memory set aside for one request.
 type Reservation struct {
-	kp *Manager
-	id string
+	manager *Manager
+	id      string
 	// lg names the request.
-	lg     log.Interface
-	places []Allocation
-	stop   context.CancelFunc
-	done   sync.WaitGroup
+	lg           log.Interface
+	allocations  []Allocation
+	stopRenewals context.CancelFunc
+	renewing     sync.WaitGroup
 	// unsure holds the last renewal's error at each place, as a lost renewal may still be carried out. It is written by
 	// the renewals only, and read once they have ended.
-	unsure []error
+	renewalErrs []error
 }
 
 // ID names the reservation at each of its targets.
@@ -113,12 +113,12 @@
 
 // Take sets memory aside at all places, or at none.
 func (mg *Manager) Acquire(ctx context.Context, places []Allocation) (*Reservation, error) {
-	rv := &Reservation{kp: mg, id: mg.NewID(), places: places, unsure: make([]error, len(places))}
+	rv := &Reservation{manager: mg, id: mg.NewID(), allocations: places, renewalErrs: make([]error, len(places))}
 	rv.lg = mg.Log.WithField("reservation", rv.id).WithField("request", requestOf(ctx))
 	errs := make([]error, len(places))
 	var wg sync.WaitGroup
 	for i, pc := range places {
-		wg.Go(func() { errs[i] = mg.ask(ctx, pc, rv.id) })
+		wg.Go(func() { errs[i] = mg.reserveOnce(ctx, pc, rv.id) })
 	}
 	wg.Wait()
 	var causes []error
@@ -132,18 +132,18 @@
 	}
 	if len(causes) > 0 {
 		// The next plan must not find memory taken by this one: it would take a target with room for a full one.
-		rv.giveBack(errs).Wait()
+		rv.releaseAll(errs).Wait()
 		return nil, &AcquireError{Causes: causes}
 	}
-	ctx, rv.stop = context.WithCancel(context.WithoutCancel(ctx))
-	rv.done.Go(func() { rv.keep(ctx) })
+	ctx, rv.stopRenewals = context.WithCancel(context.WithoutCancel(ctx))
+	rv.renewing.Go(func() { rv.renewPeriodically(ctx) })
 	return rv, nil
 }
 
-func (mg *Manager) ask(ctx context.Context, pc Allocation, id string) error {
+func (mg *Manager) reserveOnce(ctx context.Context, pc Allocation, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, mg.Timeout)
 	defer cancel()
-	err := mg.Reserve(ctx, pc.Address, id, pc.Tokens, mg.LeaseDuration, mg.heard(pc))
+	err := mg.Reserve(ctx, pc.Address, id, pc.Tokens, mg.LeaseDuration, mg.answerCallback(pc))
 	var re *RefusedError
 	if err == nil || errors.As(err, &re) {
 		return err
@@ -152,8 +152,8 @@
 }
 
 // keep renews until it is stopped.
-func (rv *Reservation) keep(ctx context.Context) {
-	tick := time.NewTicker(rv.kp.LeaseDuration / renewals)
+func (rv *Reservation) renewPeriodically(ctx context.Context) {
+	tick := time.NewTicker(rv.manager.LeaseDuration / renewalsPerLease)
 	defer tick.Stop()
 	for {
 		select {
@@ -162,21 +162,21 @@
 			return
 		}
 		// Not cut off by a release: an order that is given up may still be carried out.
-		rv.renew(context.WithoutCancel(ctx))
+		rv.renewAll(context.WithoutCancel(ctx))
 	}
 }
 
 // renew asks at all places at once: one that is silent must not let the others lapse.
-func (rv *Reservation) renew(ctx context.Context) {
+func (rv *Reservation) renewAll(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i, pc := range rv.places {
-		if !rv.kp.present(pc) {
+	for i, pc := range rv.allocations {
+		if !rv.manager.isCurrent(pc) {
 			continue
 		}
 		wg.Go(func() {
-			err := rv.kp.ask(ctx, pc, rv.id)
+			err := rv.manager.reserveOnce(ctx, pc, rv.id)
 			if err != nil {
-				rv.unsure[i] = err
+				rv.renewalErrs[i] = err
 			}
 			if err != nil && ctx.Err() == nil {
 				rv.lg.WithField("address", pc.Address).WithField("cause", err.Error()).Warn("memory not renewed")
@@ -188,32 +188,32 @@
 
 // Release ends the renewals and gives the memory back in the background.
 func (rv *Reservation) Release() {
-	rv.stop()
-	begun := rv.kp.releasing.Begin()
+	rv.stopRenewals()
+	begun := rv.manager.releasing.Begin()
 	go func() {
 		defer begun()
 		// A renewal under way could set the memory aside once more.
-		rv.done.Wait()
-		rv.giveBack(rv.unsure)
+		rv.renewing.Wait()
+		rv.releaseAll(rv.renewalErrs)
 	}()
 }
 
 // giveBack releases at every place that may hold memory, and returns a wait for the first tries at those that surely do. Those whose
 // order had no answer are told again later.
-func (rv *Reservation) giveBack(asked []error) *sync.WaitGroup {
+func (rv *Reservation) releaseAll(asked []error) *sync.WaitGroup {
 	var sure sync.WaitGroup
-	for i, pc := range rv.places {
+	for i, pc := range rv.allocations {
 		var re *RefusedError
 		if errors.As(asked[i], &re) {
 			continue
 		}
-		released := rv.kp.releasing.Begin()
+		released := rv.manager.releasing.Begin()
 		if asked[i] != nil {
-			go rv.release(pc, true, released)
+			go rv.releaseWithRetries(pc, true, released)
 			continue
 		}
 		sure.Add(1)
-		go rv.release(pc, false, func() {
+		go rv.releaseWithRetries(pc, false, func() {
 			released()
 			sure.Done()
 		})
@@ -221,26 +221,28 @@
 	return &sure
 }
 
-func (mg *Manager) present(pc Allocation) bool { return mg.IsCurrent == nil || mg.IsCurrent(pc.Target) }
+func (mg *Manager) isCurrent(pc Allocation) bool {
+	return mg.IsCurrent == nil || mg.IsCurrent(pc.Target)
+}
 
 // release gives the memory at one place back, and calls released after the first try.
-func (rv *Reservation) release(pc Allocation, unsure bool, released func()) {
-	if !rv.kp.present(pc) {
+func (rv *Reservation) releaseWithRetries(pc Allocation, unsure bool, released func()) {
+	if !rv.manager.isCurrent(pc) {
 		released()
 		rv.lg.WithField("address", pc.Address).Info("memory went with its target, which has started again")
 		return
 	}
-	err := rv.kp.releaseOnce(pc, rv.id)
+	err := rv.manager.releaseOnce(pc, rv.id)
 	released()
-	for _, pause := range releaseAgain {
+	for _, pause := range releaseRetryDelays {
 		if err == nil && !unsure {
 			return
 		}
 		time.Sleep(pause)
-		if !rv.kp.present(pc) {
+		if !rv.manager.isCurrent(pc) {
 			return
 		}
-		err = rv.kp.releaseOnce(pc, rv.id)
+		err = rv.manager.releaseOnce(pc, rv.id)
 	}
 	if err != nil {
 		rv.lg.WithField("address", pc.Address).WithField("cause", err.Error()).Warn("memory not given back; it lapses")
@@ -250,11 +252,11 @@
 func (mg *Manager) releaseOnce(pc Allocation, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), mg.Timeout)
 	defer cancel()
-	return errors.Wrap(mg.Release(ctx, pc.Address, id, mg.heard(pc)), "give memory back")
+	return errors.Wrap(mg.Release(ctx, pc.Address, id, mg.answerCallback(pc)), "give memory back")
 }
 
 // heard returns what is told of the head of an answer to an order at a place.
-func (mg *Manager) heard(pc Allocation) func(answer.Head) {
+func (mg *Manager) answerCallback(pc Allocation) func(answer.Head) {
 	return func(hd answer.Head) {
 		if mg.OnAnswer != nil {
 			mg.OnAnswer(pc, hd)
