--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -76,28 +76,28 @@
 }
 
 // firstLoss returns what is expected to be lost by the first token alone.
-func (st *lossModel) firstTokenLoss(first float64) float64 {
-	return st.expectedLoss(first, 1)
+func (lm *lossModel) firstTokenLoss(first float64) float64 {
+	return lm.expectedLoss(first, 1)
 }
 
 // loss returns what is expected to be lost by the first token and the pauses, which are in time with a chance.
-func (st *lossModel) expectedLoss(first, pausesInTime float64) float64 {
-	inTime := (1 - st.objective.exceedProbability(first+st.elapsed)) * pausesInTime
-	left := st.lateWorth * st.callerIdleTimeout.exceedProbability(first+st.elapsed)
-	return st.worthAtRisk*(1-inTime) + left + st.delayCost*first
+func (lm *lossModel) expectedLoss(first, pausesInTime float64) float64 {
+	inTime := (1 - lm.objective.exceedProbability(first+lm.elapsed)) * pausesInTime
+	left := lm.lateWorth * lm.callerIdleTimeout.exceedProbability(first+lm.elapsed)
+	return lm.worthAtRisk*(1-inTime) + left + lm.delayCost*first
 }
 
 // exposure returns what the prompt is expected to lose to long parts to come, where others have a stake of their own
 // that keeps these away.
-func (st *lossModel) interferenceLoss(slots int, sheltered Worth) float64 {
-	if st.worthAtRisk == 0 {
+func (lm *lossModel) interferenceLoss(slots int, sheltered Worth) float64 {
+	if lm.worthAtRisk == 0 {
 		return 0
 	}
-	full := protectedSlotShare * float64(slots) * st.worthAtRisk
-	return interferenceShare * st.worthAtRisk * max(1-float64(sheltered)/full, 0)
+	full := protectedSlotShare * float64(slots) * lm.worthAtRisk
+	return interferenceShare * lm.worthAtRisk * max(1-float64(sheltered)/full, 0)
 }
 
 // fullLoss returns what is expected to be lost to full memory, where the newest request is preempted.
-func (st *lossModel) preemptionLoss(en *Engine, used int64) float64 {
-	return st.inTimeWorth * newSoftLimit(float64(en.MemoryTokens), memoryPredictionError).exceedProbability(float64(used))
+func (lm *lossModel) preemptionLoss(en *Engine, used int64) float64 {
+	return lm.inTimeWorth * newSoftLimit(float64(en.MemoryTokens), memoryPredictionError).exceedProbability(float64(used))
 }
--- a/internal/placement/bound.go
+++ b/internal/placement/softlimit.go
@@ -17,11 +17,11 @@
 }
 
 // chance returns how likely a value exceeds the limit.
-func (bo softLimit) exceedProbability(val float64) float64 {
-	if val <= bo.from {
+func (sl softLimit) exceedProbability(val float64) float64 {
+	if val <= sl.from {
 		return 0
 	}
-	return min((val-bo.from)*bo.slope, 1)
+	return min((val-sl.from)*sl.slope, 1)
 }
 
 // classBounds are the bounds of the classes of requests.
--- a/internal/placement/rank.go
+++ b/internal/placement/topk.go
@@ -10,32 +10,32 @@
 }
 
 // add puts a candidate in its place, if it is among the least that the rank has room for.
-func (ra *topK) add(ix int, key float64, room int) {
-	at := ra.size
+func (tk *topK) add(ix int, key float64, room int) {
+	at := tk.size
 	if at == room {
-		if key >= ra.keys[at-1] {
+		if key >= tk.keys[at-1] {
 			return
 		}
 		at--
 	} else {
-		ra.size++
+		tk.size++
 	}
-	for at > 0 && key < ra.keys[at-1] {
-		ra.indices[at] = ra.indices[at-1]
-		ra.keys[at] = ra.keys[at-1]
+	for at > 0 && key < tk.keys[at-1] {
+		tk.indices[at] = tk.indices[at-1]
+		tk.keys[at] = tk.keys[at-1]
 		at--
 	}
-	ra.indices[at] = ix
-	ra.keys[at] = key
+	tk.indices[at] = ix
+	tk.keys[at] = key
 }
 
 // sum returns the sum of the first keys, or infinity when there are too few.
-func (ra *topK) sum(first int) float64 {
-	if ra.size < first {
+func (tk *topK) sum(first int) float64 {
+	if tk.size < first {
 		return math.Inf(1)
 	}
 	sum := 0.0
-	for _, key := range ra.keys[:first] {
+	for _, key := range tk.keys[:first] {
 		sum += key
 	}
 	return sum
@@ -85,9 +85,9 @@
 }
 
 // take copies the first candidates, without one, into a list that the rank can fill.
-func (ra *topK) copyExcept(to []int, without int) {
+func (tk *topK) copyExcept(to []int, without int) {
 	no := 0
-	for _, ix := range ra.indices[:ra.size] {
+	for _, ix := range tk.indices[:tk.size] {
 		if ix != without && no < len(to) {
 			to[no] = ix
 			no++
