--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -5,130 +5,132 @@
 	"time"
 )
 
-// tieShare is the share of the worth in time by which two targets may differ and still count as tied. It is the size of
-// the small prices (earlyShare, partRisk), below which predictions say nothing.
+// tieBreakShare is the share of the worth in time by which two targets may differ and still count as tied. It is of the
+// size of the small costs (delayCostShare, helperFailureCost), below which predictions cannot tell targets apart.
 const tieBreakShare = 0.002
 
-// farShare is the share of the worth in time that a target in another availability zone costs: a cut between zones breaks off what is
-// read or written across it, and the bytes cross the border. It answers to one in a hundred answers.
+// crossZoneShare is the share of the worth in time that a target in another availability zone costs: a network partition
+// between zones breaks off requests across it, and the data crosses the zone boundary. It corresponds to the loss of one
+// answer in a hundred.
 const crossZoneShare = 0.01
 
-// candidate is a target and what it costs to place a part of the prompt there.
+// candidate is a target with the cost of placing a part of the prompt there.
 type candidate struct {
 	ta *Target
-	// pace, free and usual are the target's pace, free memory and nanoseconds of reading a usual prompt.
-	slowdown    float64
-	freeMemory  int64
-	meanPrefill float64
-	// helps is true when the target accepts another part.
-	canTakePart bool
-	// tie is a small worth drawn from the seed.
-	preference float64
-	// step is a step there without reading at a pace of 1, in nanoseconds.
+	// meanPromptPrefill is the nanoseconds for the prefill of a mean prompt at the target.
+	slowdown          float64
+	freeMemory        int64
+	meanPromptPrefill float64
+	canTakePart       bool
+	// baseCost is a random tie-break drawn from the seed, plus the cost of another availability zone.
+	baseCost float64
+	// stepTime is the nanoseconds of a step without prefill, for a slowdown of 1.
 	stepTime float64
-	// readPause is the pause there without the prompt while what waits is read, in nanoseconds.
+	// prefillPause is the nanoseconds of the pause during the prefill of the backlog, without the prompt.
 	prefillPause float64
-	// helpBefore and mainBefore are what writers there lose without the prompt, in a pass that reads what waits and in
-	// the worse of that one and later ones.
+	// helperLossBefore and mainLossBefore are the losses of decoding requests without the prompt: helperLossBefore in a
+	// pass with the prefill of the backlog, and mainLossBefore in the worse of this pass and later ones.
 	helperLossBefore, mainLossBefore float64
-	// readersBefore is what readers there lose without the prompt.
+	// prefillingLossBefore is the loss of prefilling requests without the prompt.
 	prefillingLossBefore float64
-	// helpHold and mainHold are what writers there lose while the target holds memory of the prompt as a helper, or as
-	// the main target.
+	// helperLossHolding and mainLossHolding are the losses of decoding requests while the target holds memory of the
+	// prompt, as a helper and as the main target.
 	helperLossHolding, mainLossHolding float64
-	// exposed is what the prompt is expected to lose there to long parts of prompts to come.
+	// interferenceLoss is the expected loss of the prompt due to parts of later long prompts at the target.
 	interferenceLoss float64
-	// slotWait is how long the prompt waits for a slot there, in nanoseconds.
+	// slotWait is the nanoseconds that the prompt waits for a slot.
 	slotWait float64
-	// ownPass and pausesInTime are a pass there while the prompt writes, in nanoseconds, and how likely its pauses are
-	// in time.
+	// decodePass is the nanoseconds of a pass while the prompt decodes, and pausesInTimeProbability the probability that
+	// its pauses are in time.
 	decodePass, pausesInTimeProbability float64
-	// full is what the prompt is expected to lose to full memory there; it is 0 for reserved memory.
+	// preemptionLoss is the expected loss of the prompt due to full memory; it is 0 for reserved memory.
 	preemptionLoss float64
 
-	// ranked is true while the target is one of the helpers that would be chosen for another main target.
+	// bestHelper is set while the target is among the helpers that another main target would get.
 	bestHelper bool
 
-	// The fields below hold for the number of parts that is judged.
+	// The following fields hold for the current number of parts of the chooser.
 
-	// ready is when a part is read there, and first when it is read and has a slot, in nanoseconds.
+	// timeToPrefilled is the nanoseconds until the prefill of a part ends, and timeToFirstToken adds the wait for a slot.
 	timeToPrefilled, timeToFirstToken float64
-	// pause is the longest pause while a part is read there, in nanoseconds.
+	// longestPause is the nanoseconds of the longest pause during the prefill of a part.
 	longestPause float64
-	// helpHarm and mainHarm are what the others there lose when the target helps or is the main one.
+	// helperOthersLoss and mainOthersLoss are the losses of the other requests when the target is a helper or the main
+	// target.
 	helperOthersLoss, mainOthersLoss float64
-	// helpKey and mainKey order the candidates; they are infinite when the target cannot be chosen.
+	// helperKey and mainKey order the candidates, lowest first. They are infinite when the target cannot be chosen.
 	helperKey, mainKey float64
 }
 
-// candidate returns a target with all that depends neither on the number of parts nor on reserved memory.
+// newCandidate sets the fields that depend neither on the number of parts nor on reserved memory.
 func (ch *chooser) newCandidate(ta *Target, seed uint64) candidate {
 	ca := candidate{
 		ta:          ta,
 		slowdown:    ta.slowdown(),
 		freeMemory:  ta.freeMemory(&ch.en),
 		canTakePart: ta.canTakePart(&ch.en),
-		preference:  tieBreakShare * ch.lossModel.inTimeWorth * hashFraction(seed, ta.Name),
+		baseCost:    tieBreakShare * ch.lossModel.inTimeWorth * hashFraction(seed, ta.Name),
 		slotWait:    ch.en.slotWait(ta),
 	}
 	if !ta.SameZone {
-		ca.preference += crossZoneShare * ch.lossModel.inTimeWorth
+		ca.baseCost += crossZoneShare * ch.lossModel.inTimeWorth
 	}
 	ca.interferenceLoss = ch.lossModel.interferenceLoss(ch.en.Slots, ta.Load.protection(ch.pr.LongestPause, ch.en.Slots))
-	ca.meanPrefill = ca.slowdown * ch.meanPrefill
+	ca.meanPromptPrefill = ca.slowdown * ch.meanPromptPrefill
 	ca.stepTime = ch.en.stepTimeAt(ta)
 	ca.prefillPause = ch.en.prefillPause(ta, Backlog{}, ca.stepTime)
-	writePause := ch.en.decodePassTimeAt(ta, 0, 0) + ca.meanPrefill
+	decodePause := ch.en.decodePassTimeAt(ta, 0, 0) + ca.meanPromptPrefill
 	ca.helperLossBefore = ta.Load.PauseRisk.expectedLoss(ca.prefillPause)
-	ca.mainLossBefore = max(ca.helperLossBefore, ta.Load.PauseRisk.expectedLoss(writePause))
+	ca.mainLossBefore = max(ca.helperLossBefore, ta.Load.PauseRisk.expectedLoss(decodePause))
 	ca.prefillingLossBefore = ta.Load.FirstTokenRisk.expectedLoss(ch.en.timeToPrefilled(ta, Backlog{}, false, ca.stepTime))
 	return ca
 }
 
-// hold sets all that depends on the memory the prompt holds at the target while it writes.
+// setMemoryTerms sets the fields that depend on the memory that the prompt holds at the target while it decodes.
 func (ch *chooser) setMemoryTerms(ca *candidate) {
 	if ch.reserving {
-		more := ca.slowdown * (ch.en.decodePassTime(0, ch.heldTokens) - ch.en.decodePassTime(0, 0))
+		addedPass := ca.slowdown * (ch.en.decodePassTime(0, ch.heldTokens) - ch.en.decodePassTime(0, 0))
 		ca.preemptionLoss = 0
 		ca.decodePass = ch.decodePassTime(ca, ch.heldTokens)
-		ca.helperLossHolding = ca.ta.Load.PauseRisk.expectedLoss(ca.prefillPause + more)
+		ca.helperLossHolding = ca.ta.Load.PauseRisk.expectedLoss(ca.prefillPause + addedPass)
 	} else {
 		ca.preemptionLoss = ch.lossModel.preemptionLoss(&ch.en, ca.ta.Load.Memory+ch.pr.memoryNeed())
 		ca.decodePass = ch.decodePassTime(ca, ch.pr.Tokens+ch.pr.AnswerTokens/2)
 		ca.helperLossHolding = 0
 	}
-	ca.mainLossHolding = ca.ta.Load.PauseRisk.expectedLoss(ca.decodePass + ca.meanPrefill)
-	ca.pausesInTimeProbability = 1 - ch.lossModel.longestPause.exceedProbability(ca.decodePass+ca.meanPrefill)
+	ca.mainLossHolding = ca.ta.Load.PauseRisk.expectedLoss(ca.decodePass + ca.meanPromptPrefill)
+	ca.pausesInTimeProbability = 1 - ch.lossModel.longestPause.exceedProbability(ca.decodePass+ca.meanPromptPrefill)
 }
 
-// ownPass returns the nanoseconds of a pass at the main target while the prompt writes with a context there.
-func (ch *chooser) decodePassTime(ca *candidate, context int64) float64 {
-	ns := ch.en.decodePassTimeAt(ca.ta, 1, context)
+// decodePassTime returns the nanoseconds of a pass at a main target where the prompt decodes with contextTokens tokens
+// of context.
+func (ch *chooser) decodePassTime(ca *candidate, contextTokens int64) float64 {
+	ns := ch.en.decodePassTimeAt(ca.ta, 1, contextTokens)
 	if ch.reserving {
 		ns += ca.slowdown * float64(ch.en.StepsPerPass) * float64(ch.en.HopTime)
 	}
 	return ns
 }
 
-// judge sets all that depends on the number of parts.
+// score sets the fields that depend on the number of parts.
 func (ch *chooser) score(ca *candidate) {
 	split := ch.parts > 1
 	ca.timeToPrefilled = ch.en.timeToPrefilled(ca.ta, ch.part, split, ca.stepTime)
 	ca.timeToFirstToken = ca.timeToPrefilled + ca.slotWait
 	ca.longestPause = ch.en.prefillPause(ca.ta, ch.part, ca.stepTime)
-	reading := ca.slowdown * ch.partPrefill
-	writers := ca.ta.Load.PauseRisk.expectedLoss(ca.longestPause)
-	others := ch.prefillingLoss(ca, split) + ch.arrivalsLoss(ca.longestPause, reading)
-	ch.scoreMain(ca, writers, others)
+	prefill := ca.slowdown * ch.partPrefill
+	decodingLoss := ca.ta.Load.PauseRisk.expectedLoss(ca.longestPause)
+	othersLoss := ch.prefillingLoss(ca, split) + ch.arrivalsLoss(ca.longestPause, prefill)
+	ch.scoreMain(ca, decodingLoss, othersLoss)
 	if split {
-		ch.scoreHelper(ca, writers, others)
+		ch.scoreHelper(ca, decodingLoss, othersLoss)
 	}
 	if ch.reserving {
 		ch.penaliseMemoryShortage(ca)
 	}
 }
 
-// readersLoss returns what those are expected to lose whose own prompts are read at a target with or behind a part.
+// prefillingLoss returns the expected loss of requests whose prefill at a target runs together with a part or after it.
 func (ch *chooser) prefillingLoss(ca *candidate, split bool) float64 {
 	lo := &ca.ta.Load
 	if lo.Prefilling == 0 {
@@ -141,60 +143,61 @@
 	return unsplitDelayShare * (after - ca.prefillingLossBefore)
 }
 
-// arrivalsLoss returns what those are expected to lose that begin to write at a target while a part is read there.
-func (ch *chooser) arrivalsLoss(pause, reading float64) float64 {
-	return ch.arrivalsPerSecond.PauseRisk.expectedLoss(pause) * reading / float64(time.Second)
+// arrivalsLoss returns the expected loss of requests that begin to decode at a target during the prefill of a part.
+func (ch *chooser) arrivalsLoss(pause, prefill float64) float64 {
+	return ch.arrivalsPerSecond.PauseRisk.expectedLoss(pause) * prefill / float64(time.Second)
 }
 
-// judgeMain sets what the target costs as the main one. Reading the part costs the writers there and the others, which
-// are readers and arrivals.
-func (ch *chooser) scoreMain(ca *candidate, writers, others float64) {
+// scoreMain sets the cost of the candidate as the main target. During the prefill of its part, decodingLoss is the loss
+// of the requests that decode there, and othersLoss that of prefilling requests and arrivals.
+func (ch *chooser) scoreMain(ca *candidate, decodingLoss, othersLoss float64) {
 	if ca.ta.Closed {
 		ca.mainKey = math.Inf(1)
 		return
 	}
-	ca.mainOthersLoss = max(writers, ca.mainLossHolding) - ca.mainLossBefore + others
-	ca.mainKey = ca.mainOthersLoss + ch.lossModel.expectedLoss(ca.timeToFirstToken, ca.pausesInTimeProbability) + ca.preemptionLoss + ca.interferenceLoss + ca.preference
+	ca.mainOthersLoss = max(decodingLoss, ca.mainLossHolding) - ca.mainLossBefore + othersLoss
+	ca.mainKey = ca.mainOthersLoss + ch.lossModel.expectedLoss(ca.timeToFirstToken, ca.pausesInTimeProbability) + ca.preemptionLoss + ca.interferenceLoss + ca.baseCost
 }
 
-// judgeHelp sets what the target costs as a helper, likewise.
-func (ch *chooser) scoreHelper(ca *candidate, writers, others float64) {
+// scoreHelper sets the cost of the candidate as a helper. The parameters are those of scoreMain.
+func (ch *chooser) scoreHelper(ca *candidate, decodingLoss, othersLoss float64) {
 	if !ca.canTakePart {
 		ca.helperKey = math.Inf(1)
 		return
 	}
-	ca.helperOthersLoss = max(writers, ca.helperLossHolding) - ca.helperLossBefore + others
-	ca.helperKey = ca.helperOthersLoss + ch.lossModel.firstTokenLoss(ca.timeToPrefilled) + ca.preference
+	ca.helperOthersLoss = max(decodingLoss, ca.helperLossHolding) - ca.helperLossBefore + othersLoss
+	ca.helperKey = ca.helperOthersLoss + ch.lossModel.firstTokenLoss(ca.timeToPrefilled) + ca.baseCost
 }
 
-// judgeRoom puts targets back that lack memory for an even share, and rules out those that have none.
+// penaliseMemoryShortage adds a cost to candidates without enough memory for an equal share, and excludes those without
+// any free memory.
 func (ch *chooser) penaliseMemoryShortage(ca *candidate) {
 	if ca.freeMemory == 0 {
 		ca.mainKey = math.Inf(1)
 		ca.helperKey = math.Inf(1)
 		return
 	}
-	lack := max(ch.heldTokens-ca.freeMemory, 0)
-	price := ch.lossModel.inTimeWorth * float64(lack) / float64(ch.heldTokens)
-	ca.mainKey += price
-	ca.helperKey += price
+	shortage := max(ch.heldTokens-ca.freeMemory, 0)
+	penalty := ch.lossModel.inTimeWorth * float64(shortage) / float64(ch.heldTokens)
+	ca.mainKey += penalty
+	ca.helperKey += penalty
 }
 
-// usualPart returns the reading of a usual prompt, as far as it fits into a pass.
-func (en *Engine) meanPrompt() Backlog {
+// meanPromptInPass returns the prefill of a mean prompt, limited to what fits into one pass.
+func (en *Engine) meanPromptInPass() Backlog {
 	ba := Backlog{Tokens: en.MeanPromptTokens, Pairs: en.MeanPromptTokens * en.MeanPromptTokens / 2}
 	return en.capped(ba, en.passCapacity())
 }
 
 const (
-	// fnvOffset and fnvPrime are those of the 64-bit FNV-1a hash.
+	// fnvOffset and fnvPrime are the constants of the 64-bit FNV-1a hash.
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
-	// fractionBits is the number of bits that a float64 holds exactly.
+	// mantissaBits is the size of the largest integers that a float64 represents exactly.
 	mantissaBits = 53
 )
 
-// fraction returns a number from 0 to below 1 that depends on the seed and the name only.
+// hashFraction returns a pseudo-random number in [0, 1) that depends only on the seed and the name.
 func hashFraction(seed uint64, name string) float64 {
 	ha := seed ^ fnvOffset
 	for ix := range len(name) {
@@ -203,7 +206,7 @@
 	return float64(mixBits(ha)>>(64-mantissaBits)) / (1 << mantissaBits)
 }
 
-// mix spreads every bit of a number over all bits. It is the finalizer of SplitMix64, with its shifts and factors.
+// mixBits spreads each bit of a number over all its bits. It is the finalizer of SplitMix64.
 func mixBits(ha uint64) uint64 {
 	ha = (ha ^ ha>>30) * 0xBF58476D1CE4E5B9
 	ha = (ha ^ ha>>27) * 0x94D049BB133111EB
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -7,23 +7,25 @@
 )
 
 const (
-	// MostParts is the most parts of a prompt: those of one main target and the 16 helpers that a request can name.
+	// MaxParts is the maximum number of parts of a prompt: one at the main target and one at each of the 16 helpers that a
+	// request can name.
 	MaxParts = 17
-	// mostReserved is one fewer, since the main target then takes one of the 16 places for its own memory.
+	// maxReservedParts is one fewer, because the main target with its own reservation is then one of the 16 helpers.
 	maxReservedParts = 16
-	// leastPart is the smallest part, in tokens, that a prompt is split into: half a usual chunk of 2,048, below which
-	// a further helper saves less than a step.
+	// minPartTokens is the minimum size of a part of a split prompt. It is half the usual chunk of 2,048 tokens, below
+	// which another helper saves less than one step.
 	minPartTokens = 1024
-	// stackTargets is the number of targets up to which choosing needs no heap for them: three times a usual fleet.
+	// maxStackTargets is the number of targets up to which Choose keeps its candidates on the stack. It is three times the
+	// size of a usual fleet.
 	maxStackTargets = 64
 )
 
-// counts are the numbers of parts that are tried. They lie close together, as a part more or less often decides whether
-// a prompt is in time with the targets that are free.
+// partCounts are the numbers of parts that are tried. They lie close together, because one part more or less often
+// decides whether a prompt is in time at the targets that are free.
 var partCounts = [...]int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 12, 14, 16, MaxParts}
 
-// Choose returns the plan of least expected loss for a prompt. It returns false when no placement is expected to finish
-// before the deadline, or when the prompt is larger than an engine and not enough memory is free.
+// Choose returns the plan with the lowest expected loss for a prompt. It returns false when no placement is expected to
+// finish before the deadline, or when the prompt does not fit into one engine and the free memory is not sufficient.
 func Choose(en Engine, pr Prompt, ts []Target, op Options) (Plan, bool) {
 	var buf [maxStackTargets]candidate
 	cs := buf[:0]
@@ -35,72 +37,73 @@
 		pr:                pr,
 		lossModel:         pr.lossModel(),
 		arrivalsPerSecond: op.ArrivalsPerSecond,
-		meanPrefill:       en.prefillTime(en.meanPrompt()),
+		meanPromptPrefill: en.prefillTime(en.meanPromptInPass()),
 	}
 	ch.helperCost = ch.lossModel.inTimeWorth * (helperFailureCost + helperContentionCost*op.PrefillShare)
 	for ix := range ts {
 		cs = append(cs, ch.newCandidate(&ts[ix], op.Seed))
 	}
 	ch.candidates = cs
-	pi, ok := ch.choose()
+	se, ok := ch.choose()
 	if !ok {
 		return Plan{}, false
 	}
-	return ch.plan(&pi), true
+	return ch.plan(&se), true
 }
 
-// chooser holds one choice while it is made.
+// chooser holds the state of one call of Choose.
 type chooser struct {
 	en        Engine
 	pr        Prompt
 	lossModel lossModel
-	// arrivals is what begins to write at a usual target in a second.
+	// arrivalsPerSecond is the load that begins to decode at an average target each second.
 	arrivalsPerSecond Load
-	// usual is the nanoseconds of reading a usual prompt at a pace of 1.
-	meanPrefill float64
-	// helperPrice is the worth that each helper costs.
+	// meanPromptPrefill is the nanoseconds for the prefill of a mean prompt at a slowdown of 1.
+	meanPromptPrefill float64
+	// helperCost is the worth that each helper costs.
 	helperCost float64
 	candidates []candidate
-	// reserved is true while plans that set memory aside are judged.
+	// reserving is set while plans with reserved memory are evaluated.
 	reserving bool
-	// parts, part and held are the number of parts, the backlog of each and the memory each sets aside.
+	// parts is the current number of parts, part the prefill of each, and heldTokens the memory that each reserves.
 	parts      int
 	part       Backlog
 	heldTokens int64
-	// reading is the nanoseconds of reading a part at a pace of 1.
+	// partPrefill is the nanoseconds for the prefill of a part at a slowdown of 1.
 	partPrefill float64
 }
 
-// pick is a judged set of candidates.
+// selection is a set of candidates with the predictions for it.
 type selection struct {
-	// chosen are indices of candidates, the main one first; parts of them are set.
+	// chosen and shares hold the indices and memory shares of the candidates, the main target first. The first parts
+	// elements are set.
 	chosen [MaxParts]int
 	shares [MaxParts]int64
 	parts  int
-	// reserved is true when shares are set.
+	// reserved is set when shares holds values.
 	reserved         bool
 	timeToFirstToken float64
 	longestPause     float64
 	loss             float64
-	// harm is the part of loss that others lose.
+	// othersLoss is the part of loss that other requests lose.
 	othersLoss float64
 }
 
-// choose returns the best pick. Memory is reserved only for a prompt that no target has room for.
+// choose returns the best selection. Memory is reserved only for a prompt that fits into the free memory of no target.
 func (ch *chooser) choose() (selection, bool) {
 	if ch.anyFits() {
 		return ch.bestSelection()
 	}
 	ch.reserving = true
-	pi, ok := ch.bestSelection()
+	se, ok := ch.bestSelection()
 	if ok || ch.pr.memoryNeed() > ch.en.MemoryTokens {
-		return pi, ok
+		return se, ok
 	}
 	ch.reserving = false
 	return ch.bestSelection()
 }
 
-// fits reports whether any target has room for the prompt and its answer.
+// anyFits reports whether any target has enough free memory for the prompt and its answer.
 func (ch *chooser) anyFits() bool {
 	for ix := range ch.candidates {
 		if ch.candidates[ix].freeMemory >= ch.pr.memoryNeed() {
@@ -110,24 +113,24 @@
 	return false
 }
 
-// best returns the pick of least loss over all numbers of parts; fewer parts win a tie.
+// bestSelection returns the selection with the lowest loss over all numbers of parts. Fewer parts win a tie.
 func (ch *chooser) bestSelection() (selection, bool) {
 	best := selection{loss: math.Inf(1)}
-	ch.setMemoryTermsOfAll()
+	ch.setAllMemoryTerms()
 	for _, pa := range partCounts {
 		if !ch.allowsParts(pa) {
 			continue
 		}
 		ch.setParts(pa)
-		pi, ok := ch.selectWithFallbacks()
-		if ok && pi.loss < best.loss {
-			best = pi
+		se, ok := ch.selectWithFallbacks()
+		if ok && se.loss < best.loss {
+			best = se
 		}
 	}
 	return best, best.parts > 0
 }
 
-// allows reports whether a prompt can be split into a number of parts.
+// allowsParts reports whether the prompt can be split into this number of parts.
 func (ch *chooser) allowsParts(parts int) bool {
 	if parts > len(ch.candidates) {
 		return false
@@ -138,115 +141,115 @@
 	return parts == 1 || ch.pr.Tokens >= int64(parts)*minPartTokens
 }
 
-// split sets the number of parts and judges all candidates for it.
+// setParts sets the number of parts and scores all candidates for it.
 func (ch *chooser) setParts(parts int) {
 	ch.parts = parts
 	ch.part = ch.pr.Part(parts)
 	ch.partPrefill = ch.en.prefillTime(ch.part)
 	if ch.reserving {
 		ch.heldTokens = ceilDiv(ch.pr.memoryNeed(), int64(parts))
-		ch.setMemoryTermsOfAll()
+		ch.setAllMemoryTerms()
 	}
 	for ix := range ch.candidates {
 		ch.score(&ch.candidates[ix])
 	}
 }
 
-// holdAll sets what depends on the memory that the prompt holds.
-func (ch *chooser) setMemoryTermsOfAll() {
+// setAllMemoryTerms calls setMemoryTerms for all candidates.
+func (ch *chooser) setAllMemoryTerms() {
 	for ix := range ch.candidates {
 		ch.setMemoryTerms(&ch.candidates[ix])
 	}
 }
 
-// pick selects candidates for the number of parts and judges them together. When those of least loss lack memory or
-// time, it tries those with the most memory, and then the fastest.
+// selectWithFallbacks selects and evaluates candidates for the current number of parts. If those with the lowest loss
+// have too little memory or would miss the deadline, it tries those with the most free memory, and then the fastest.
 func (ch *chooser) selectWithFallbacks() (selection, bool) {
-	pi := selection{parts: ch.parts, reserved: ch.reserving}
-	if ch.trySelect(&pi) {
-		return pi, true
+	se := selection{parts: ch.parts, reserved: ch.reserving}
+	if ch.trySelect(&se) {
+		return se, true
 	}
 	if ch.reserving {
 		ch.rankByFreeMemory()
-		if ch.trySelect(&pi) {
-			return pi, true
+		if ch.trySelect(&se) {
+			return se, true
 		}
 	}
 	ch.rankBySpeed()
-	return pi, ch.trySelect(&pi)
+	return se, ch.trySelect(&se)
 }
 
-// try fills a pick in from the keys of the candidates. It reports false when they lack memory or time.
-func (ch *chooser) trySelect(pi *selection) bool {
-	if !ch.selectLeastKeys(pi) {
+// trySelect selects candidates by their keys. It reports false when they have too little memory or miss the deadline.
+func (ch *chooser) trySelect(se *selection) bool {
+	if !ch.selectLeastKeys(se) {
 		return false
 	}
-	if ch.reserving && !ch.divideMemory(pi) {
+	if ch.reserving && !ch.divideMemory(se) {
 		return false
 	}
-	return ch.evaluate(pi)
+	return ch.evaluate(se)
 }
 
-// total sets the predictions and the loss of a pick, and reports whether it finishes before the deadline.
-func (ch *chooser) evaluate(pi *selection) bool {
-	main := &ch.candidates[pi.chosen[0]]
-	if pi.reserved {
-		ch.applyLargestShare(pi)
+// evaluate sets the predictions and the loss of a selection, and reports whether it finishes before the deadline.
+func (ch *chooser) evaluate(se *selection) bool {
+	main := &ch.candidates[se.chosen[0]]
+	if se.reserved {
+		ch.applyLargestShare(se)
 	}
-	pi.timeToFirstToken = main.timeToFirstToken
-	pi.longestPause = max(main.longestPause, main.decodePass)
-	harm := main.mainOthersLoss
-	for _, ix := range pi.chosen[1:pi.parts] {
+	se.timeToFirstToken = main.timeToFirstToken
+	se.longestPause = max(main.longestPause, main.decodePass)
+	othersLoss := main.mainOthersLoss
+	for _, ix := range se.chosen[1:se.parts] {
 		he := &ch.candidates[ix]
-		pi.timeToFirstToken = max(pi.timeToFirstToken, he.timeToPrefilled)
-		pi.longestPause = max(pi.longestPause, he.longestPause)
-		harm += he.helperOthersLoss
+		se.timeToFirstToken = max(se.timeToFirstToken, he.timeToPrefilled)
+		se.longestPause = max(se.longestPause, he.longestPause)
+		othersLoss += he.helperOthersLoss
 	}
-	risk := ch.helperCost * float64(pi.parts-1)
-	pi.othersLoss = harm
-	pi.loss = harm + ch.lossModel.expectedLoss(pi.timeToFirstToken, main.pausesInTimeProbability) + main.preemptionLoss + main.interferenceLoss + risk
-	return pi.timeToFirstToken+ch.decodeTime(main) <= float64(ch.pr.UntilDeadline)
+	helpersCost := ch.helperCost * float64(se.parts-1)
+	se.othersLoss = othersLoss
+	se.loss = othersLoss + ch.lossModel.expectedLoss(se.timeToFirstToken, main.pausesInTimeProbability) + main.preemptionLoss + main.interferenceLoss + helpersCost
+	return se.timeToFirstToken+ch.decodeTime(main) <= float64(ch.pr.UntilDeadline)
 }
 
-// writing returns the nanoseconds of writing the answer at a candidate.
+// decodeTime returns the nanoseconds for decoding the answer at a candidate.
 func (ch *chooser) decodeTime(ca *candidate) float64 {
 	passes := ceilDiv(ch.pr.AnswerTokens, int64(ch.en.StepsPerPass))
 	return float64(passes) * ca.decodePass
 }
 
-// holdShares sets what the main candidate of a pick pays for the largest share, which may be more than an even one.
-func (ch *chooser) applyLargestShare(pi *selection) {
-	ch.heldTokens = slices.Max(pi.shares[:pi.parts])
-	ch.setMemoryTerms(&ch.candidates[pi.chosen[0]])
+// applyLargestShare updates the main candidate of a selection for the largest share, which may be above an equal one.
+func (ch *chooser) applyLargestShare(se *selection) {
+	ch.heldTokens = slices.Max(se.shares[:se.parts])
+	ch.setMemoryTerms(&ch.candidates[se.chosen[0]])
 }
 
-// plan returns a pick as a plan.
-func (ch *chooser) plan(pi *selection) Plan {
+// plan converts a selection to a plan.
+func (ch *chooser) plan(se *selection) Plan {
 	pl := Plan{
-		Main:             ch.candidates[pi.chosen[0]].ta.Name,
-		Part:             ch.pr.Part(pi.parts),
-		TimeToFirstToken: time.Duration(pi.timeToFirstToken),
-		LongestPause:     time.Duration(pi.longestPause),
-		Loss:             Worth(pi.loss),
-		OthersLoss:       Worth(pi.othersLoss),
+		Main:             ch.candidates[se.chosen[0]].ta.Name,
+		Part:             ch.pr.Part(se.parts),
+		TimeToFirstToken: time.Duration(se.timeToFirstToken),
+		LongestPause:     time.Duration(se.longestPause),
+		Loss:             Worth(se.loss),
+		OthersLoss:       Worth(se.othersLoss),
 	}
-	if pi.parts > 1 {
-		pl.Helpers = make([]string, 0, pi.parts-1)
+	if se.parts > 1 {
+		pl.Helpers = make([]string, 0, se.parts-1)
 	}
-	for _, ix := range pi.chosen[1:pi.parts] {
+	for _, ix := range se.chosen[1:se.parts] {
 		pl.Helpers = append(pl.Helpers, ch.candidates[ix].ta.Name)
 	}
-	if pi.reserved {
-		pl.MemoryShares = ch.memoryShares(pi)
+	if se.reserved {
+		pl.MemoryShares = ch.memoryShares(se)
 	}
 	return pl
 }
 
-// reserve returns the shares of a pick.
-func (ch *chooser) memoryShares(pi *selection) []MemoryShare {
-	sh := make([]MemoryShare, pi.parts)
+// memoryShares returns the memory shares of a selection.
+func (ch *chooser) memoryShares(se *selection) []MemoryShare {
+	sh := make([]MemoryShare, se.parts)
 	for no := range sh {
-		sh[no] = MemoryShare{Target: ch.candidates[pi.chosen[no]].ta.Name, Tokens: pi.shares[no]}
+		sh[no] = MemoryShare{Target: ch.candidates[se.chosen[no]].ta.Name, Tokens: se.shares[no]}
 	}
 	return sh
 }
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-func TestChooseAmongIdleTargets(t *testing.T) {
+func TestChooseSplitsOnlyLongPrompts(t *testing.T) {
 	cases := map[string]struct {
-		pr          Prompt
-		least, most int
+		pr                     Prompt
+		minTargets, maxTargets int
 	}{
 		"a short prompt stays whole":   {shortPrompt(), 1, 1},
 		"a long prompt is split":       {longPrompt(133_000), 2, MaxParts},
@@ -23,15 +23,15 @@
 			g := NewWithT(t)
 			pl, ok := Choose(typicalEngine, ca.pr, idleTargets(18), Options{Seed: 1})
 			g.Expect(ok).To(BeTrue())
-			g.Expect(len(planTargets(pl))).To(And(BeNumerically(">=", ca.least), BeNumerically("<=", ca.most)))
+			g.Expect(len(planTargets(pl))).To(And(BeNumerically(">=", ca.minTargets), BeNumerically("<=", ca.maxTargets)))
 			g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", ca.pr.Objective))
 			g.Expect(pl.MemoryShares).To(BeEmpty())
 		})
 	}
 }
 
-func TestAShortPromptAvoidsATargetThatReadsALongPart(t *testing.T) {
-	for name, reading := range map[string]Load{
+func TestShortPromptAvoidsTargetsWithLongPrefill(t *testing.T) {
+	for name, load := range map[string]Load{
 		"a whole prompt": longPrompt(133_000).PrefillLoad(1),
 		"a part of two":  longPrompt(133_000).HelperLoad(2),
 	} {
@@ -39,8 +39,8 @@
 			g := NewWithT(t)
 			for seed := range uint64(50) {
 				ts := idleTargets(3)
-				ts[0].Load = reading
-				ts[2].Load = reading
+				ts[0].Load = load
+				ts[2].Load = load
 				pl, ok := Choose(typicalEngine, shortPrompt(), ts, Options{Seed: seed})
 				g.Expect(ok).To(BeTrue())
 				g.Expect(pl.Main).To(Equal(ts[1].Name))
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestClosedTargetsHelpAndRunNothing(t *testing.T) {
+func TestClosedTargetIsHelperButNeverMain(t *testing.T) {
 	cases := map[string]Prompt{"short": shortPrompt(), "long": longPrompt(133_000), "larger than a target": longPrompt(400_000)}
 	for name, pr := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestALongPromptSparesShortWriters(t *testing.T) {
+func TestLongPromptKeepsPausesOfDecodingRequestsShort(t *testing.T) {
 	g := NewWithT(t)
 	ts := idleTargets(18)
 	for ix := range 12 {
@@ -85,29 +85,29 @@
 	}
 	pl, ok := Choose(typicalEngine, longPrompt(133_000), ts, Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
-	writers := 0
+	busyChosen := 0
 	for _, name := range planTargets(pl) {
 		if slices.ContainsFunc(ts[:12], func(ta Target) bool { return ta.Name == name }) {
-			writers++
+			busyChosen++
 		}
 	}
-	if writers > 0 {
+	if busyChosen > 0 {
 		g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
 	}
 	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", 2500*time.Millisecond))
 }
 
-func TestALongPromptIsSplitMoreAmongShortWriters(t *testing.T) {
+func TestLongPromptIsSplitIntoManyPartsAtBusyTargets(t *testing.T) {
 	g := NewWithT(t)
-	twoASecond := shortPrompt().DecodeLoad().Plus(shortPrompt().DecodeLoad())
-	pl, ok := Choose(typicalEngine, longPrompt(133_000), busyTargets(18), Options{Seed: 1, ArrivalsPerSecond: twoASecond})
+	twoPerSecond := shortPrompt().DecodeLoad().Plus(shortPrompt().DecodeLoad())
+	pl, ok := Choose(typicalEngine, longPrompt(133_000), busyTargets(18), Options{Seed: 1, ArrivalsPerSecond: twoPerSecond})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(pl.Helpers)).To(BeNumerically(">=", 11))
 	g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
 	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", time.Second))
 }
 
-func TestArrivalsMakePartsSmaller(t *testing.T) {
+func TestArrivalsReducePartSize(t *testing.T) {
 	g := NewWithT(t)
 	pr := longPrompt(133_000)
 	few, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1})
@@ -117,18 +117,18 @@
 	g.Expect(many.Part.Tokens).To(BeNumerically("<", few.Part.Tokens))
 }
 
-// TestMoreReadingTargetsMakeFewerParts: where many prompts are read, a part meets others that were placed meanwhile.
-func TestMoreReadingTargetsMakeFewerParts(t *testing.T) {
+// Where many targets have prefill to do, a part is likely to contend with parts that other instances have just placed.
+func TestPrefillAtManyTargetsReducesNumberOfParts(t *testing.T) {
 	g := NewWithT(t)
 	pr := longPrompt(133_000)
-	quiet, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1})
+	idle, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1})
 	g.Expect(ok).To(BeTrue())
-	among, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1, PrefillShare: 1})
+	busy, ok := Choose(typicalEngine, pr, idleTargets(18), Options{Seed: 1, PrefillShare: 1})
 	g.Expect(ok).To(BeTrue())
-	g.Expect(len(among.Helpers)).To(BeNumerically("<", len(quiet.Helpers)))
+	g.Expect(len(busy.Helpers)).To(BeNumerically("<", len(idle.Helpers)))
 }
 
-func TestReadingShare(t *testing.T) {
+func TestPrefillShare(t *testing.T) {
 	g := NewWithT(t)
 	ts := idleTargets(8)
 	g.Expect(PrefillShare(ts)).To(BeZero())
@@ -139,17 +139,17 @@
 	g.Expect(PrefillShare(nil)).To(BeZero())
 }
 
-func TestATargetThatCannotHelpIsNotAsked(t *testing.T) {
+func TestUnavailableHelperIsNotChosen(t *testing.T) {
 	cases := map[string]func(*Target){
-		"not available":  func(ta *Target) { ta.CanHelp = false },
-		"helps too many": func(ta *Target) { ta.HelperParts = typicalEngine.Slots },
+		"not available":      func(ta *Target) { ta.CanHelp = false },
+		"has too many parts": func(ta *Target) { ta.HelperParts = typicalEngine.Slots },
 	}
-	for name, spoil := range cases {
+	for name, disable := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			ts := idleTargets(18)
 			for ix := range ts[2:] {
-				spoil(&ts[2+ix])
+				disable(&ts[2+ix])
 			}
 			pl, ok := Choose(typicalEngine, longPrompt(133_000), ts, Options{Seed: 1})
 			g.Expect(ok).To(BeTrue())
@@ -161,9 +161,9 @@
 	}
 }
 
-func TestNoPlan(t *testing.T) {
-	hurried := shortPrompt()
-	hurried.UntilDeadline = 50 * time.Millisecond
+func TestChooseFailsWithoutFeasiblePlacement(t *testing.T) {
+	urgent := shortPrompt()
+	urgent.UntilDeadline = 50 * time.Millisecond
 	full := idleTargets(3)
 	for ix := range full {
 		full[ix].Load.Memory = typicalEngine.MemoryTokens - 1000
@@ -173,7 +173,7 @@
 		ts []Target
 	}{
 		"no target":                       {shortPrompt(), nil},
-		"no time":                         {hurried, idleTargets(3)},
+		"no time":                         {urgent, idleTargets(3)},
 		"larger than all memory together": {longPrompt(600_000), idleTargets(2)},
 		"larger than all that is free":    {longPrompt(300_000), full},
 	}
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestAPromptThatFitsNowhereIsReserved(t *testing.T) {
+func TestPromptLargerThanFreeMemoryOfAnyTargetReservesMemory(t *testing.T) {
 	g := NewWithT(t)
 	ts := idleTargets(6)
 	for ix := range ts {
@@ -199,7 +199,7 @@
 	expectMemoryShares(g, pl, pr, ts)
 }
 
-func TestALargePromptUsesWhatIsFree(t *testing.T) {
+func TestPromptLargerThanEngineReservesFreeMemory(t *testing.T) {
 	g := NewWithT(t)
 	ts := idleTargets(18)
 	for ix := range ts[2:] {
@@ -211,7 +211,7 @@
 	expectMemoryShares(g, pl, pr, ts)
 }
 
-// expectReserved expects the reservations of a plan to cover a prompt within the free memory.
+// expectMemoryShares expects the memory shares of a plan to cover a prompt and to fit into the free memory.
 func expectMemoryShares(g Gomega, pl Plan, pr Prompt, ts []Target) {
 	sum := int64(0)
 	var holders []string
@@ -226,7 +226,7 @@
 	g.Expect(len(holders)).To(BeNumerically("<=", maxReservedParts))
 }
 
-func TestPlansHold(t *testing.T) {
+func TestPlanInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
@@ -253,11 +253,11 @@
 	})
 }
 
-func TestNoPlanMeansThatNoTargetAloneIsInTime(t *testing.T) {
+func TestNoPlanImpliesThatNoSingleTargetMeetsDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
-		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 10_000).Draw(t, "left in ms")) * time.Millisecond
+		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 10_000).Draw(t, "ms until deadline")) * time.Millisecond
 		ts := genTargets().Draw(t, "targets")
 		if _, ok := Choose(typicalEngine, pr, ts, Options{}); ok || pr.memoryNeed() > typicalEngine.MemoryTokens {
 			return
@@ -271,7 +271,7 @@
 	})
 }
 
-func TestThePredictionIsThatOfTheChosenTargets(t *testing.T) {
+func TestPlanPredictionMatchesChosenTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
@@ -289,7 +289,7 @@
 	})
 }
 
-func TestSeedsSpreadTies(t *testing.T) {
+func TestSeedBreaksTiesEvenly(t *testing.T) {
 	g := NewWithT(t)
 	ts := idleTargets(18)
 	for ix := range ts {
@@ -329,22 +329,22 @@
 	}
 }
 
-func TestShortPromptsShareTargets(t *testing.T) {
-	writers := func(count int) Load {
+func TestShortPromptPrefersTargetsWithWorthAtRisk(t *testing.T) {
+	decoding := func(count int) Load {
 		lo := Load{}
 		for range count {
 			lo = lo.Plus(shortPrompt().DecodeLoad())
 		}
 		return lo
 	}
-	late := func(count int) Load { return writers(count).WithPauseRisk(RiskByLimit{}) }
+	lateDecoding := func(count int) Load { return decoding(count).WithPauseRisk(RiskByLimit{}) }
 	cases := map[string]struct {
 		loads []Load
 		want  int
 	}{
-		"the fuller one while slots are left": {[]Load{writers(2), writers(8), {}}, 1},
-		"not one that is full":                {[]Load{writers(2), writers(15), {}}, 0},
-		"late writers are no shelter":         {[]Load{writers(2), late(8), {}}, 0},
+		"fuller target while slots are free": {[]Load{decoding(2), decoding(8), {}}, 1},
+		"not a full target":                  {[]Load{decoding(2), decoding(15), {}}, 0},
+		"late requests give no protection":   {[]Load{decoding(2), lateDecoding(8), {}}, 0},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -362,7 +362,7 @@
 	}
 }
 
-func TestAllTargetsThatAreFreeAreUsed(t *testing.T) {
+func TestLongPromptUsesAllIdleTargets(t *testing.T) {
 	cases := map[string]int{"five": 5, "seven": 7, "ten": 10, "fourteen": 14}
 	for name, free := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -374,7 +374,7 @@
 					*lo = lo.Plus(shortPrompt().DecodeLoad())
 				}
 			}
-			// The prompt is in time for sure only when all free targets read it.
+			// The prompt is certain to be in time only when it is split over all idle targets.
 			pr := longPrompt(200_000)
 			pr.Objective = typicalEngine.TimeToFirstToken(pr, ts[0], ts[1:free]...) * 100 / 79
 			pl, ok := Choose(typicalEngine, pr, ts, Options{})
@@ -384,31 +384,31 @@
 	}
 }
 
-func TestLongPassesSpareWritersWhoseCallersWouldLeave(t *testing.T) {
+func TestLongPrefillAvoidsTargetsWhoseCallersWouldTimeOut(t *testing.T) {
 	cases := map[string]struct {
-		patience time.Duration
-		spared   bool
+		callerIdleTimeout time.Duration
+		avoided           bool
 	}{
-		"callers that leave within the pass": {patience: 2 * time.Second, spared: true},
-		"callers that wait longer":           {patience: 20 * time.Second},
+		"callers time out within the pass": {callerIdleTimeout: 2 * time.Second, avoided: true},
+		"callers wait longer":              {callerIdleTimeout: 20 * time.Second},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			late := shortPrompt()
-			late.CallerIdleTimeout = ca.patience
+			late.CallerIdleTimeout = ca.callerIdleTimeout
 			ts := idleTargets(4)
 			for range 8 {
 				ts[0].Load = ts[0].Load.Plus(late.AsLate().DecodeLoad())
 			}
-			// Its parts are read in about 2.5 s on four targets and in 3.3 s on three; both are late.
+			// The prefill takes about 2.5 s on four targets and 3.3 s on three. Both are late.
 			pr := longPrompt(330_000)
 			pr.Objective = time.Second
 			ts[0].Load.Memory = 0
 			pl, ok := Choose(typicalEngine, pr, ts, Options{})
 			g.Expect(ok).To(BeTrue())
 			used := append([]string{pl.Main}, pl.Helpers...)
-			if ca.spared {
+			if ca.avoided {
 				g.Expect(used).NotTo(ContainElement(ts[0].Name))
 			} else {
 				g.Expect(used).To(ContainElement(ts[0].Name))
@@ -417,17 +417,17 @@
 	}
 }
 
-func TestPromptIsLostWhenItsCallerLeavesFirst(t *testing.T) {
+func TestPromptLosesLateWorthWhenCallerTimesOutFirst(t *testing.T) {
 	g := NewWithT(t)
 	pr := shortPrompt()
 	pr.Elapsed = time.Second
 	pr.CallerIdleTimeout = 1100 * time.Millisecond
 	ts := idleTargets(1)
 	ts[0].Load.WholePrefill = Backlog{Tokens: 60_000, Pairs: 1_800_000_000}
-	gone, ok := Choose(typicalEngine, pr, ts, Options{})
+	timedOut, ok := Choose(typicalEngine, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
 	pr.CallerIdleTimeout = 0
 	late, ok := Choose(typicalEngine, pr, ts, Options{})
 	g.Expect(ok).To(BeTrue())
-	g.Expect(gone.Loss - late.Loss).To(Equal(pr.LateWorth))
+	g.Expect(timedOut.Loss - late.Loss).To(Equal(pr.LateWorth))
 }
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -5,44 +5,43 @@
 	"math"
 )
 
-// A load is written as a bitmap of the fields that are not zero, and then these fields in the order of their bits. All
-// numbers are variable-length integers. The order puts the fields that most loads have first, so that the bitmap stays
-// short. It must not change without the version of what holds a load.
+// A load is encoded as a bitmap of its non-zero fields, followed by these fields in the order of their bits. All numbers
+// are varints. Fields that most loads have come first, so that the bitmap stays short. A change to the order needs a new
+// version of every message that contains a load.
 const (
-	// plainFields is the number of fields of a Load besides its classes.
+	// scalarFields is the number of fields besides those of the two RiskByLimit.
 	scalarFields = 8
-	// loadFields is the number of all fields.
-	numFields = scalarFields + 2*numClasses
-	// signedFields is the bit of the bitmap that says that a field is negative; all fields are then written with signs.
+	numFields    = scalarFields + 2*numClasses
+	// signedFlag is the bit of the bitmap that is set when any field is negative. All fields are then signed varints.
 	signedFlag = uint64(1) << numFields
-	// thousandth is the unit of worth in writing: thousandths of a point are far below what predictions tell apart.
+	// thousandth is the unit of an encoded worth. A thousandth of a point is far below the accuracy of predictions.
 	thousandth = point / 1000
-	// mostThousandths is the largest number of them that a Worth holds.
+	// maxThousandths is the largest number of thousandths that a Worth can hold.
 	maxThousandths = math.MaxInt64 / thousandth
 )
 
-// EncodingError says that bytes hold no load.
+// EncodingError is returned for bytes that do not encode a load.
 type EncodingError struct{ Reason string }
 
-// Error names the reason.
+// Error includes the reason.
 func (ee *EncodingError) Error() string { return "malformed load: " + ee.Reason }
 
-// Rounded returns the load as Append writes it: each worth is rounded away from zero to a thousandth of a point (down
-// where a Worth holds no larger one), and all else is as it was. A rounded load does not change when it is rounded
-// again, so Plus and Minus of loads that were read are as exact as of others. Minus does not undo a sum of loads that
-// were rounded after they were added up; who reads a load replaces it as a whole.
+// Rounded returns the load as Append encodes it. Each worth is rounded away from zero to a thousandth of a point, or down
+// if a Worth cannot hold the larger value; all other fields are unchanged. Rounding a load again does not change it, so
+// Plus and Minus stay exact for parsed loads. Minus does not undo a sum that was rounded after the addition, so a receiver
+// replaces a load as a whole.
 func (lo Load) Rounded() Load {
 	fs := lo.fields()
 	return loadFromFields(&fs)
 }
 
-// Append appends the load to bytes.
+// Append appends the encoded load to b.
 func (lo Load) Append(b []byte) []byte {
 	fs := lo.fields()
 	bitmap := uint64(0)
-	for no, val := range fs {
+	for bit, val := range fs {
 		if val != 0 {
-			bitmap |= 1 << no
+			bitmap |= 1 << bit
 		}
 		if val < 0 {
 			bitmap |= signedFlag
@@ -55,7 +54,7 @@
 	return b
 }
 
-// appendField appends a field, unless it is zero.
+// appendField appends a field as a varint. It leaves out a zero, which has no bit in the bitmap.
 func appendField(b []byte, val int64, bitmap uint64) []byte {
 	if val == 0 {
 		return b
@@ -66,34 +65,35 @@
 	return binary.AppendUvarint(b, uint64(val))
 }
 
-// ReadLoad reads a load that Append wrote, and returns the bytes after it. It takes no memory for what bytes claim.
+// ParseLoad parses a load that Append encoded, and returns the bytes after it. It allocates no memory for sizes that the
+// input states.
 func ParseLoad(b []byte) (Load, []byte, error) {
 	bitmap, n := binary.Uvarint(b)
 	if n <= 0 {
-		return Load{}, nil, &EncodingError{Reason: "no bitmap"}
+		return Load{}, nil, &EncodingError{Reason: "bitmap missing or malformed"}
 	}
 	if bitmap >= signedFlag<<1 {
-		return Load{}, nil, &EncodingError{Reason: "unknown fields"}
+		return Load{}, nil, &EncodingError{Reason: "bitmap has unknown fields"}
 	}
 	b = b[n:]
 	var fs [numFields]int64
-	for no := range fs {
-		if bitmap&(1<<no) == 0 {
+	for bit := range fs {
+		if bitmap&(1<<bit) == 0 {
 			continue
 		}
-		fs[no], n = parseField(b, bitmap)
+		fs[bit], n = parseField(b, bitmap)
 		if n <= 0 {
-			return Load{}, nil, &EncodingError{Reason: "a field that is cut off or too large"}
+			return Load{}, nil, &EncodingError{Reason: "field truncated or out of range"}
 		}
 		b = b[n:]
 	}
 	if !worthsFit(&fs) {
-		return Load{}, nil, &EncodingError{Reason: "a worth that is too large"}
+		return Load{}, nil, &EncodingError{Reason: "worth out of range"}
 	}
 	return loadFromFields(&fs), b, nil
 }
 
-// readField returns a field and its number of bytes, which is not above 0 when there is none.
+// parseField returns a field and the number of its bytes, which is 0 or below when the field is malformed.
 func parseField(b []byte, bitmap uint64) (int64, int) {
 	if bitmap&signedFlag != 0 {
 		return binary.Varint(b)
@@ -105,7 +105,7 @@
 	return int64(val), n
 }
 
-// worthsFit reports whether each worth is one when it is counted in millionths.
+// worthsFit reports whether every worth, in thousandths, fits into a Worth, which counts millionths.
 func worthsFit(fs *[numFields]int64) bool {
 	for _, val := range fs[scalarFields:] {
 		if val > maxThousandths || val < -maxThousandths {
@@ -115,7 +115,7 @@
 	return true
 }
 
-// fields returns the fields in the order of their bits, worths in thousandths.
+// fields returns the fields in the order of their bits, with worths in thousandths.
 func (lo *Load) fields() [numFields]int64 {
 	fs := [numFields]int64{
 		int64(lo.Decoding), lo.ContextTokens, lo.Memory, int64(lo.Prefilling),
@@ -128,7 +128,7 @@
 	return fs
 }
 
-// loadOf returns the load that has the fields.
+// loadFromFields is the inverse of fields, except for the rounding of worths.
 func loadFromFields(fs *[numFields]int64) Load {
 	lo := Load{
 		Decoding: int(fs[0]), ContextTokens: fs[1], Memory: fs[2], Prefilling: int(fs[3]),
@@ -142,7 +142,7 @@
 	return lo
 }
 
-// thousandths returns a worth in thousandths of a point, rounded away from zero as far as a Worth holds it.
+// toThousandths converts a worth to thousandths of a point, rounded away from zero as far as a Worth can hold the result.
 func toThousandths(wo Worth) int64 {
 	num := int64(wo) / thousandth
 	switch rest := int64(wo) % thousandth; {
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// genAnyLoad draws every number that the fields hold, also those that no sum of requests has.
+// genAnyLoad draws any values that the fields can hold, including those that no sum of requests has.
 func genAnyLoad() *rapid.Generator[Load] {
 	return rapid.Custom(func(t *rapid.T) Load {
 		num := rapid.OneOf(rapid.Just(int64(0)), rapid.Int64Range(0, 5000), rapid.Int64())
@@ -18,55 +18,55 @@
 		lo := Load{
 			WholePrefill: Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
 			SplitPrefill: Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
+			Prefilling:   int(draw("prefilling")), Decoding: int(draw("decoding")),
 			ContextTokens: draw("context"), Memory: draw("memory"),
 		}
 		for cl := range numClasses {
-			lo.FirstTokenRisk[cl] = Worth(draw("waiting"))
-			lo.PauseRisk[cl] = Worth(draw("at risk"))
+			lo.FirstTokenRisk[cl] = Worth(draw("first token risk"))
+			lo.PauseRisk[cl] = Worth(draw("pause risk"))
 		}
 		return lo
 	})
 }
 
-func TestLoadIsReadAsWritten(t *testing.T) {
+func TestParseLoadReturnsAppendedLoad(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		lo := rapid.OneOf(genLoad(), genAnyLoad()).Draw(t, "load")
-		after := rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(t, "after")
-		read, rest, err := ParseLoad(append(lo.Append(nil), after...))
+		trailing := rapid.SliceOfN(rapid.Byte(), 0, 4).Draw(t, "trailing")
+		parsed, rest, err := ParseLoad(append(lo.Append(nil), trailing...))
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(read).To(Equal(lo.Rounded()))
-		g.Expect(rest).To(HaveLen(len(after)))
-		g.Expect(read.Rounded()).To(Equal(read))
+		g.Expect(parsed).To(Equal(lo.Rounded()))
+		g.Expect(rest).To(HaveLen(len(trailing)))
+		g.Expect(parsed.Rounded()).To(Equal(parsed))
 	})
 }
 
-func TestArithmeticIsExactOnReadLoads(t *testing.T) {
+func TestArithmeticIsExactOnRoundedLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		aa := genLoad().Draw(t, "a").Rounded()
-		bb := genLoad().Draw(t, "b").Rounded()
-		g.Expect(aa.Plus(bb).Rounded()).To(Equal(aa.Plus(bb)))
-		g.Expect(aa.Plus(bb).Minus(bb)).To(Equal(aa))
+		a := genLoad().Draw(t, "a").Rounded()
+		b := genLoad().Draw(t, "b").Rounded()
+		g.Expect(a.Plus(b).Rounded()).To(Equal(a.Plus(b)))
+		g.Expect(a.Plus(b).Minus(b)).To(Equal(a))
 	})
 }
 
-func TestRoundedChangesWorthsOnly(t *testing.T) {
+func TestRoundedChangesOnlyWorths(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		lo := genLoad().Draw(t, "load")
-		ro := lo.Rounded()
+		rounded := lo.Rounded()
 		for cl := range numClasses {
-			g.Expect(ro.PauseRisk[cl] - lo.PauseRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
-			g.Expect(ro.FirstTokenRisk[cl] - lo.FirstTokenRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
+			g.Expect(rounded.PauseRisk[cl] - lo.PauseRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
+			g.Expect(rounded.FirstTokenRisk[cl] - lo.FirstTokenRisk[cl]).To(And(BeNumerically(">=", 0), BeNumerically("<", thousandth)))
 		}
-		ro.PauseRisk, ro.FirstTokenRisk = lo.PauseRisk, lo.FirstTokenRisk
-		g.Expect(ro).To(Equal(lo))
+		rounded.PauseRisk, rounded.FirstTokenRisk = lo.PauseRisk, lo.FirstTokenRisk
+		g.Expect(rounded).To(Equal(lo))
 	})
 }
 
-func TestThousandths(t *testing.T) {
+func TestToThousandths(t *testing.T) {
 	cases := map[string]struct {
 		worth Worth
 		want  int64
@@ -87,9 +87,9 @@
 	}
 }
 
-// TestWrittenFormIsKept fails when the form changes, as by a further class: the version of what holds loads has to
-// change with it.
-func TestWrittenFormIsKept(t *testing.T) {
+// TestEncodingIsStable fails when the encoding changes, for example due to another class. Messages that contain loads
+// then need a new version.
+func TestEncodingIsStable(t *testing.T) {
 	lo := Load{Prefilling: 1, Decoding: 2, ContextTokens: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
 	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
 	lo.PauseRisk[0], lo.PauseRisk[numClasses-1] = WorthOf(0.001), WorthOf(0.002)
@@ -111,18 +111,18 @@
 	}
 }
 
-func TestMalformedLoadsAreRefused(t *testing.T) {
+func TestParseLoadRejectsMalformedLoads(t *testing.T) {
 	cases := map[string]string{
-		"empty":              "",
-		"bitmap cut off":     "ff",
-		"unknown fields":     "80808080808002",
-		"bitmap too long":    "ffffffffffffffffffffff",
-		"field missing":      "0301",
-		"field cut off":      "0180",
-		"field too long":     "01ffffffffffffffffffff01",
-		"field too large":    "01ffffffffffffffffff01",
-		"worth too large":    "8002ffffffffffffffff7f",
-		"negative worth too": "80828080808001ffffffffffffffffff01",
+		"empty":                    "",
+		"bitmap truncated":         "ff",
+		"unknown fields":           "80808080808002",
+		"bitmap too long":          "ffffffffffffffffffffff",
+		"field missing":            "0301",
+		"field truncated":          "0180",
+		"field too long":           "01ffffffffffffffffffff01",
+		"field too large":          "01ffffffffffffffffff01",
+		"worth too large":          "8002ffffffffffffffff7f",
+		"negative worth too large": "80828080808001ffffffffffffffffff01",
 	}
 	for name, in := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/engine.go
+++ b/internal/placement/engine.go
@@ -1,73 +1,77 @@
-// Package placement predicts how a batching model engine spends its passes, and chooses the targets at which a prompt
-// loses the least worth. It is pure: it reads no clock, does no I/O and keeps no state.
+// Package placement predicts the latency of prompts at batching model engines, and chooses for each prompt the targets
+// with the lowest expected loss of worth.
+//
+// A prompt has one main target, which decodes the answer. Its prefill can be split into equal parts, one at the main
+// target and one at each of several helpers. An engine runs its batch in passes of one or more steps.
+//
+// The package reads no clock, does no I/O and keeps no state.
 package placement
 
 import "time"
 
-// Engine holds the figures of one kind of model engine. It is a value and is not changed after it was built.
+// Engine describes the performance of one kind of model engine. It is not changed after it is built.
 type Engine struct {
-	// Slots is the most requests that write at once; it is at least 1.
+	// Slots is the maximum number of requests that decode at the same time; it is at least 1.
 	Slots int
-	// Stride is the number of steps in a pass that has writers; it is at least 1.
+	// StepsPerPass is the number of steps in a pass with decoding requests; it is at least 1.
 	StepsPerPass int
-	// Chunk is the most tokens read in one step; it is at least 1.
+	// ChunkTokens is the maximum number of prompt tokens that one step prefills; it is at least 1.
 	ChunkTokens int64
-	// Memory is the number of tokens an engine holds.
+	// MemoryTokens is the capacity of the KV cache in tokens.
 	MemoryTokens int64
-	// Step is the time of one step with neither reading nor writers.
+	// StepTime is the duration of a step without prefill and without decoding requests.
 	StepTime time.Duration
-	// PerWriter is what each writer adds to a step.
+	// StepTimePerRequest is the time that each decoding request adds to a step.
 	StepTimePerRequest time.Duration
-	// PerThousandContext is what 1,000 tokens of writers' context add to a step.
+	// StepTimePerThousandContext is the time that 1,000 context tokens of the decoding requests add to a step.
 	StepTimePerThousandContext time.Duration
-	// PerThousandRead is what reading 1,000 tokens adds, besides their pairs.
+	// PrefillTimePerThousand is the time for the prefill of 1,000 tokens, not including their pairs.
 	PrefillTimePerThousand time.Duration
-	// PerMillionPairs is what reading a million pairs of a token and one before it adds.
+	// PrefillTimePerMillionPairs is the time for the attention between a million pairs of a token and an earlier one.
 	PrefillTimePerMillionPairs time.Duration
-	// Hop is what each step of a writer with memory at other targets adds at its main target.
+	// HopTime is the time that a request with memory at other targets adds to each step at its main target.
 	HopTime time.Duration
-	// ZoneDelay is the delay of a message to another availability zone.
-	CrossZoneDelay time.Duration
-	// UsualPrompt is the mean number of tokens in a prompt.
+	// CrossZoneDelay is the network delay of a message to another availability zone.
+	CrossZoneDelay   time.Duration
 	MeanPromptTokens int64
-	// UsualAnswer is the mean number of tokens in an answer.
 	MeanAnswerTokens int64
 }
 
-// Backlog is reading that has not been done.
+// Backlog is prefill that is not done yet.
 type Backlog struct {
-	// Tokens is the number of tokens to read.
+	// Tokens is the number of prompt tokens without prefill.
 	Tokens int64
-	// Pairs is the number of pairs of a token and one before it that come with them.
+	// Pairs is the number of pairs of such a token and an earlier one, which the cost of attention is proportional to.
 	Pairs int64
 }
 
-// Plus returns the sum of two backlogs.
+// Plus adds a backlog field by field.
 func (ba Backlog) Plus(ot Backlog) Backlog {
 	return Backlog{Tokens: ba.Tokens + ot.Tokens, Pairs: ba.Pairs + ot.Pairs}
 }
 
-// Minus returns the backlog without another one.
+// Minus subtracts a backlog field by field.
 func (ba Backlog) Minus(ot Backlog) Backlog {
 	return Backlog{Tokens: ba.Tokens - ot.Tokens, Pairs: ba.Pairs - ot.Pairs}
 }
 
-// within returns at most room tokens of the backlog. All its pairs may lie in them, up to those of room tokens of a
-// prompt that fills the engine. Neither bound falls when the backlog grows, so more load never predicts less time.
-func (en *Engine) capped(ba Backlog, room int64) Backlog {
+// capped limits a backlog to maxTokens tokens. All its pairs may belong to these tokens, so the pairs are limited only
+// to those that maxTokens tokens have in a prompt that fills the memory of the engine. Neither limit falls when the
+// backlog grows, so that more load never leads to a shorter predicted time.
+func (en *Engine) capped(ba Backlog, maxTokens int64) Backlog {
 	return Backlog{
-		Tokens: min(ba.Tokens, room),
-		Pairs:  min(ba.Pairs, room*(en.MemoryTokens/2)),
+		Tokens: min(ba.Tokens, maxTokens),
+		Pairs:  min(ba.Pairs, maxTokens*(en.MemoryTokens/2)),
 	}
 }
 
-// reading returns the nanoseconds it takes to read a backlog at full speed.
+// prefillTime returns the nanoseconds for the prefill of a backlog at a slowdown of 1.
 func (en *Engine) prefillTime(ba Backlog) float64 {
-	tok := float64(ba.Tokens) * perThousand * float64(en.PrefillTimePerThousand)
-	return tok + float64(ba.Pairs)*perMillion*float64(en.PrefillTimePerMillionPairs)
+	byTokens := float64(ba.Tokens) * perThousand * float64(en.PrefillTimePerThousand)
+	return byTokens + float64(ba.Pairs)*perMillion*float64(en.PrefillTimePerMillionPairs)
 }
 
-// ReadWithin returns what a target reads in a time at full speed, without pairs.
+// PrefillWithin returns the tokens that a target prefills within a duration at a slowdown of 1. It ignores pairs.
 func (en Engine) PrefillWithin(d time.Duration) Backlog {
 	if en.PrefillTimePerThousand <= 0 {
 		return Backlog{}
@@ -75,25 +79,25 @@
 	return Backlog{Tokens: int64(float64(d) / (perThousand * float64(en.PrefillTimePerThousand)))}
 }
 
-// step returns the nanoseconds of one step without reading.
-func (en *Engine) stepTime(writers int, context int64) float64 {
-	wri := float64(writers) * float64(en.StepTimePerRequest)
-	con := float64(context) * perThousand * float64(en.StepTimePerThousandContext)
-	return float64(en.StepTime) + wri + con
+// decodeStepTime returns the nanoseconds of one step without prefill.
+func (en *Engine) decodeStepTime(requests int, contextTokens int64) float64 {
+	byRequests := float64(requests) * float64(en.StepTimePerRequest)
+	byContext := float64(contextTokens) * perThousand * float64(en.StepTimePerThousandContext)
+	return float64(en.StepTime) + byRequests + byContext
 }
 
-// pass returns the nanoseconds of a pass with writers and without reading.
-func (en *Engine) decodePassTime(writers int, context int64) float64 {
-	return float64(en.StepsPerPass) * en.stepTime(writers, context)
+// decodePassTime returns the nanoseconds of a pass without prefill that has decoding requests.
+func (en *Engine) decodePassTime(requests int, contextTokens int64) float64 {
+	return float64(en.StepsPerPass) * en.decodeStepTime(requests, contextTokens)
 }
 
-// passRoom returns the most tokens read in one pass with writers.
+// passCapacity returns the maximum number of prompt tokens that a pass with decoding requests prefills.
 func (en *Engine) passCapacity() int64 {
 	return int64(en.StepsPerPass) * en.ChunkTokens
 }
 
-// perThousand and perMillion turn counts into those that the figures of an engine are stated for. They are factors, as
-// divisions are slow beside the rest of a prediction.
+// perThousand and perMillion convert counts to the units of the fields of Engine. They are factors, because a division
+// is slow compared with the rest of a prediction.
 const (
 	perThousand = 1e-3
 	perMillion  = 1e-6
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// preferFree orders the candidates by free memory alone.
+// rankByFreeMemory sets the keys so that candidates with the most free memory come first.
 func (ch *chooser) rankByFreeMemory() {
 	for ix := range ch.candidates {
 		ca := &ch.candidates[ix]
@@ -11,7 +11,7 @@
 	}
 }
 
-// preferFast orders the candidates by when they are done alone.
+// rankBySpeed sets the keys so that candidates with the lowest predicted completion time come first.
 func (ch *chooser) rankBySpeed() {
 	for ix := range ch.candidates {
 		ca := &ch.candidates[ix]
@@ -19,12 +19,12 @@
 	}
 }
 
-// prefer sets the keys, unless the target cannot be chosen.
-func (ca *candidate) setKeys(mainKey, helpKey float64) {
+// setKeys replaces the keys, except for roles in which the target cannot be chosen.
+func (ca *candidate) setKeys(mainKey, helperKey float64) {
 	if !math.IsInf(ca.mainKey, 1) {
 		ca.mainKey = mainKey
 	}
 	if !math.IsInf(ca.helperKey, 1) {
-		ca.helperKey = helpKey
+		ca.helperKey = helperKey
 	}
 }
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// limits are the lower bounds of the classes of requests by longest pause, by objective and by the patience of callers.
-// Neighbours differ by at most a factor of two, so that a limit is taken for at least half of itself.
+// classLimits holds the lower bounds of the classes into which the latency limits of requests are rounded down: longest
+// pauses, objectives and idle timeouts of callers. Neighbours differ by at most a factor of two, so that a limit counts
+// as at least half of its value.
 var classLimits = [...]time.Duration{
 	50 * time.Millisecond,
 	100 * time.Millisecond,
@@ -23,10 +24,10 @@
 	12_000 * time.Millisecond,
 }
 
-// classes is the number of classes.
 const numClasses = len(classLimits)
 
-// classOf returns the class whose bound is the largest one that does not exceed a limit, or the first class.
+// classOf returns the class with the largest lower bound that does not exceed a limit, or the first class if there is
+// none.
 func classOf(limit time.Duration) int {
 	cl := 0
 	for cl+1 < numClasses && classLimits[cl+1] <= limit {
@@ -35,32 +36,36 @@
 	return cl
 }
 
-// Classes is what requests lose together, by the class of the limit that they lose it at.
+// RiskByLimit is the total worth that requests lose when they exceed a latency limit, by the class of this limit.
 type RiskByLimit [numClasses]Worth
 
-// Load is what is in flight at one target, over all instances. It is additive: the loads of several requests are summed
-// with Plus and taken away again with Minus, without rounding.
+// Load is the work of all instances that is in flight at one target. The load of several requests is the sum of their
+// loads. Plus and Minus are exact, so that Minus removes a request without a rounding error.
+//
+// The JSON tags keep the names of an earlier JSON form of the peer state, with which its present size is compared.
 type Load struct {
-	// Whole is the unread part of prompts that are read in one piece.
+	// WholePrefill is the remaining prefill of prompts that are not split.
 	WholePrefill Backlog `json:"Whole"`
-	// Parts is the unread part of split prompts, which is read ahead of Whole; the two do not overlap.
+	// SplitPrefill is the remaining prefill of parts of split prompts, which runs before WholePrefill. No token is in both.
 	SplitPrefill Backlog `json:"Parts"`
-	// Readers is the number of requests whose main target this is and which have no first token yet.
+	// Prefilling is the number of requests without a first token that have this main target.
 	Prefilling int `json:"Readers"`
-	// Writers is the number of requests that write here.
+	// Decoding is the number of requests that decode here.
 	Decoding int `json:"Writers"`
-	// Context is the number of tokens of context that the steps here pay for, with parts held for writers elsewhere.
+	// ContextTokens is the number of context tokens that add to the step time. It includes memory that is held here for
+	// requests that decode elsewhere.
 	ContextTokens int64 `json:"Context"`
-	// Memory is the number of tokens held or to be held, with expected answers and reserved memory.
+	// Memory is the number of tokens that are or will be held here, including expected answers and reserved memory.
 	Memory int64
-	// Waiting is what the readers of each class of objective, and of patience, lose together when the first token comes
-	// later.
+	// FirstTokenRisk is the worth that the prefilling requests lose when their first token comes later than their
+	// objective or the idle timeout of their caller.
 	FirstTokenRisk RiskByLimit `json:"Waiting"`
-	// AtRisk is what the writers of each class of longest pause, and of patience, lose together when a pause is longer.
+	// PauseRisk is the worth that the decoding requests lose when a pause is longer than they allow or than the idle
+	// timeout of their caller.
 	PauseRisk RiskByLimit `json:"AtRisk"`
 }
 
-// Plus returns the sum of two loads.
+// Plus adds a load field by field.
 func (lo Load) Plus(ot Load) Load {
 	lo.WholePrefill = lo.WholePrefill.Plus(ot.WholePrefill)
 	lo.SplitPrefill = lo.SplitPrefill.Plus(ot.SplitPrefill)
@@ -75,7 +80,7 @@
 	return lo
 }
 
-// Minus returns the load without another one. It is the inverse of Plus.
+// Minus subtracts a load field by field. It is the inverse of Plus.
 func (lo Load) Minus(ot Load) Load {
 	lo.WholePrefill = lo.WholePrefill.Minus(ot.WholePrefill)
 	lo.SplitPrefill = lo.SplitPrefill.Minus(ot.SplitPrefill)
@@ -90,20 +95,21 @@
 	return lo
 }
 
-// WithMemory returns the load with other memory, as for a request whose memory is reserved.
+// WithMemory returns a copy with another value of Memory, as for a request with reserved memory.
 func (lo Load) WithMemory(tokens int64) Load {
 	lo.Memory = tokens
 	return lo
 }
 
-// WithContext returns the load with other context, as for a request whose memory is reserved.
+// WithContext returns a copy with another value of ContextTokens, as for a request with reserved memory.
 func (lo Load) WithContext(tokens int64) Load {
 	lo.ContextTokens = tokens
 	return lo
 }
 
-// sheltered returns what the others here lose together to pauses that a limit does not allow either. It is 0 when the
-// slots are taken, as a full target is no shelter.
+// protection returns the worth at risk here at limits up to the given one. Long prompts avoid a target with much worth at
+// risk, which protects a request with such a limit there. It is 0 when the slots are taken, since a full target gives no
+// protection.
 func (lo *Load) protection(limit time.Duration, slots int) Worth {
 	if lo.Prefilling+lo.Decoding+spareSlots >= slots {
 		return 0
@@ -115,22 +121,22 @@
 	return sum
 }
 
-// WithRisk returns the load with other worth at risk, as for an answer that has become late.
+// WithPauseRisk returns a copy with another value of PauseRisk, as for an answer that has become late.
 func (lo Load) WithPauseRisk(atRisk RiskByLimit) Load {
 	lo.PauseRisk = atRisk
 	return lo
 }
 
-// unread returns all reading that has not been done.
+// prefillBacklog returns the remaining prefill of whole and split prompts.
 func (lo *Load) prefillBacklog() Backlog {
 	return lo.WholePrefill.Plus(lo.SplitPrefill)
 }
 
-// Within returns what is lost together at limits that are no longer than one.
+// SumUpTo returns the worth at risk at limits up to the given one.
 func (rl *RiskByLimit) SumUpTo(limit time.Duration) Worth {
 	sum := Worth(0)
-	for no := range classOf(limit) + 1 {
-		sum += rl[no]
+	for cl := range classOf(limit) + 1 {
+		sum += rl[cl]
 	}
 	return sum
 }
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -11,18 +11,18 @@
 func TestMinusIsTheInverseOfPlus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
-		aa := genLoad().Draw(t, "a")
-		bb := genLoad().Draw(t, "b")
-		g.Expect(aa.Plus(bb).Minus(bb)).To(Equal(aa))
-		g.Expect(aa.Minus(bb).Plus(bb)).To(Equal(aa))
-		g.Expect(aa.Plus(bb)).To(Equal(bb.Plus(aa)))
-		g.Expect(aa.Minus(aa)).To(Equal(Load{}))
+		a := genLoad().Draw(t, "a")
+		b := genLoad().Draw(t, "b")
+		g.Expect(a.Plus(b).Minus(b)).To(Equal(a))
+		g.Expect(a.Minus(b).Plus(b)).To(Equal(a))
+		g.Expect(a.Plus(b)).To(Equal(b.Plus(a)))
+		g.Expect(a.Minus(a)).To(Equal(Load{}))
 	})
 }
 
 func TestClassOf(t *testing.T) {
 	cases := map[string]struct {
-		pause time.Duration
+		limit time.Duration
 		want  time.Duration
 	}{
 		"below all bounds": {10 * time.Millisecond, classLimits[0]},
@@ -33,23 +33,23 @@
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(classLimits[classOf(ca.pause)]).To(Equal(ca.want))
+			g.Expect(classLimits[classOf(ca.limit)]).To(Equal(ca.want))
 		})
 	}
 }
 
-func TestPartsCoverThePrompt(t *testing.T) {
+func TestPartsCoverPrompt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
 		parts := rapid.IntRange(1, MaxParts).Draw(t, "parts")
 		pa := pr.Part(parts)
-		over := pa.Tokens*int64(parts) - pr.Tokens
-		g.Expect(over).To(And(BeNumerically(">=", 0), BeNumerically("<", parts)))
+		excess := pa.Tokens*int64(parts) - pr.Tokens
+		g.Expect(excess).To(And(BeNumerically(">=", 0), BeNumerically("<", parts)))
 	})
 }
 
-func TestWithSetsOneField(t *testing.T) {
+func TestWithMethodsSetOneField(t *testing.T) {
 	g := NewWithT(t)
 	lo := shortPrompt().DecodeLoad()
 	g.Expect(lo.WithMemory(7).WithMemory(lo.Memory)).To(Equal(lo))
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -1,62 +1,64 @@
 package placement
 
 const (
-	// ramp is the share of a limit by which a prediction may be off either way; pauses and first tokens between are
-	// late with a chance that grows evenly.
+	// predictionError is the share of a latency limit by which a prediction may be off in either direction. Within this
+	// range the probability that a pause or first token is late grows linearly.
 	predictionError = 0.2
-	// memoryRamp is the same for memory, of which only the answers are not known.
+	// memoryPredictionError is the same for the use of memory. It is smaller because only the length of answers is unknown.
 	memoryPredictionError = 0.05
-	// earlyShare is the share of the worth at risk that a first token at the objective costs compared with one at
-	// once. It is small beside any chance of being late, and makes the earlier of two good plans win.
+	// delayCostShare is the share of the worth at risk that a first token at the objective costs compared with an
+	// immediate one. It is small compared with any probability of being late, and makes the earlier of two good plans win.
 	delayCostShare = 0.02
-	// partRisk is the share of the worth in time that each helper costs, since one that is gone or refuses fails the
-	// prompt. It answers to one in 500 parts.
+	// helperFailureCost is the share of the worth in time that each helper costs, since the prompt fails when a helper is
+	// lost or refuses its part. It corresponds to a failure of one part in 500.
 	helperFailureCost = 0.002
-	// meetRisk is what each helper costs besides where all targets read, and less where fewer do: a part that meets one
-	// placed by others meanwhile delays the whole prompt, and all that is written there.
+	// helperContentionCost is the further share that each helper costs when all targets have prefill to do; it falls in
+	// proportion to the share of such targets. A part that contends with one that another instance has just placed delays
+	// the whole prompt and all requests that decode at this target.
 	helperContentionCost = 0.012
-	// exposedShare is the share of its stake that a prompt loses to long parts to come at a target with nothing at
-	// stake, which those choose first: about one short answer in ten is made late so.
+	// interferenceShare is the share of its worth at risk that a prompt is expected to lose to later parts of long
+	// prompts at a target with no other worth at risk. Long prompts choose such targets first, which makes about
+	// one short answer in ten late.
 	interferenceShare = 0.1
-	// shelterSlots is the share of the slots whose writers' stake keeps long parts away. It leaves slots for a burst.
+	// protectedSlotShare is the share of the slots that requests with equal worth at risk must take to keep long prompts
+	// away. It is below 1 to leave slots for a burst.
 	protectedSlotShare = 0.8
-	// spareSlots is how many slots are left free for prompts that other instances send at the same moment.
+	// spareSlots is the number of slots that are kept free for prompts that other instances send at the same moment.
 	spareSlots = 1
-	// wholeDelay is the share of the readers that wait for a prompt read in one piece, since only those behind it or in
-	// its pass do.
+	// unsplitDelayShare is the share of the prefilling requests that a prompt without split delays. Only requests behind
+	// it or in the same pass wait for it.
 	unsplitDelayShare = 0.5
 )
 
-// loss returns what is expected to be lost at a time that the limits are compared with.
+// expectedLoss returns the worth that is expected to be lost when a latency of ns nanoseconds is predicted.
 func (rl *RiskByLimit) expectedLoss(ns float64) float64 {
 	loss := 0.0
-	for no := range rl {
-		if ns <= softClassLimits[no].from {
+	for cl := range rl {
+		if ns <= softClassLimits[cl].start {
 			break
 		}
-		if rl[no] != 0 {
-			loss += float64(rl[no]) * softClassLimits[no].exceedProbability(ns)
+		if rl[cl] != 0 {
+			loss += float64(rl[cl]) * softClassLimits[cl].exceedProbability(ns)
 		}
 	}
 	return loss
 }
 
-// stake is what a prompt has to lose.
+// lossModel gives the worth that a prompt is expected to lose for predicted latencies.
 type lossModel struct {
-	// inTime and atRisk are the worth of an answer in time, and what of it is lost when the answer is late.
+	// inTimeWorth is the worth of an answer in time, and worthAtRisk the part of it that a late answer loses.
 	inTimeWorth, worthAtRisk float64
-	// used is the nanoseconds that have passed since arrival.
+	// elapsed is the nanoseconds since arrival.
 	elapsed float64
-	// objective and pause bound the first token since arrival and the pauses.
+	// objective limits the time from arrival to the first token, and longestPause the pauses between events.
 	objective, longestPause softLimit
-	// late is the worth of a late answer, which is lost beyond the patience of the caller.
+	// lateWorth is the worth of a late answer, which is lost when the caller times out; it is 0 without such a timeout.
 	lateWorth         float64
 	callerIdleTimeout softLimit
-	// early is what a nanosecond up to the first token costs.
+	// delayCost is the cost of each nanosecond up to the first token.
 	delayCost float64
 }
 
-// stake returns what the prompt has to lose.
 func (pr *Prompt) lossModel() lossModel {
 	risk := float64(pr.worthAtRisk())
 	late := float64(pr.LateWorth)
@@ -75,29 +77,30 @@
 	}
 }
 
-// firstLoss returns what is expected to be lost by the first token alone.
-func (lm *lossModel) firstTokenLoss(first float64) float64 {
-	return lm.expectedLoss(first, 1)
+// firstTokenLoss returns the expected loss due to the time to the first token, if all pauses are in time.
+func (lm *lossModel) firstTokenLoss(timeToFirstToken float64) float64 {
+	return lm.expectedLoss(timeToFirstToken, 1)
 }
 
-// loss returns what is expected to be lost by the first token and the pauses, which are in time with a chance.
-func (lm *lossModel) expectedLoss(first, pausesInTime float64) float64 {
-	inTime := (1 - lm.objective.exceedProbability(first+lm.elapsed)) * pausesInTime
-	left := lm.lateWorth * lm.callerIdleTimeout.exceedProbability(first+lm.elapsed)
-	return lm.worthAtRisk*(1-inTime) + left + lm.delayCost*first
+// expectedLoss returns the expected loss due to the time to the first token and to the pauses, which are in time with the
+// given probability.
+func (lm *lossModel) expectedLoss(timeToFirstToken, pausesInTimeProbability float64) float64 {
+	inTime := (1 - lm.objective.exceedProbability(timeToFirstToken+lm.elapsed)) * pausesInTimeProbability
+	abandoned := lm.lateWorth * lm.callerIdleTimeout.exceedProbability(timeToFirstToken+lm.elapsed)
+	return lm.worthAtRisk*(1-inTime) + abandoned + lm.delayCost*timeToFirstToken
 }
 
-// exposure returns what the prompt is expected to lose to long parts to come, where others have a stake of their own
-// that keeps these away.
-func (lm *lossModel) interferenceLoss(slots int, sheltered Worth) float64 {
+// interferenceLoss returns the expected loss due to parts of long prompts that are placed at the same target later. The
+// worth at risk of other requests there reduces it, since long prompts avoid it.
+func (lm *lossModel) interferenceLoss(slots int, protection Worth) float64 {
 	if lm.worthAtRisk == 0 {
 		return 0
 	}
 	full := protectedSlotShare * float64(slots) * lm.worthAtRisk
-	return interferenceShare * lm.worthAtRisk * max(1-float64(sheltered)/full, 0)
+	return interferenceShare * lm.worthAtRisk * max(1-float64(protection)/full, 0)
 }
 
-// fullLoss returns what is expected to be lost to full memory, where the newest request is preempted.
-func (lm *lossModel) preemptionLoss(en *Engine, used int64) float64 {
-	return lm.inTimeWorth * newSoftLimit(float64(en.MemoryTokens), memoryPredictionError).exceedProbability(float64(used))
+// preemptionLoss returns the expected loss due to full memory, at which an engine preempts its newest request.
+func (lm *lossModel) preemptionLoss(en *Engine, usedMemory int64) float64 {
+	return lm.inTimeWorth * newSoftLimit(float64(en.MemoryTokens), memoryPredictionError).exceedProbability(float64(usedMemory))
 }
--- a/internal/placement/memory.go
+++ b/internal/placement/memory.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// fill spreads the memory of a prompt as evenly as the free memory of the chosen candidates allows, since each step
-// pays for the largest share. It reports false when their memory is not enough.
-func (ch *chooser) divideMemory(pi *selection) bool {
+// divideMemory divides the memory for a prompt as evenly over the selected candidates as their free memory allows, since
+// the largest share determines the step time. It reports false when their free memory is not sufficient.
+func (ch *chooser) divideMemory(se *selection) bool {
 	var order [MaxParts]int
-	by := order[:pi.parts]
+	by := order[:se.parts]
 	for no := range by {
 		by[no] = no
 	}
-	slices.SortFunc(by, func(aa, bb int) int {
-		return int(ch.candidates[pi.chosen[aa]].freeMemory - ch.candidates[pi.chosen[bb]].freeMemory)
+	slices.SortFunc(by, func(a, b int) int {
+		return int(ch.candidates[se.chosen[a]].freeMemory - ch.candidates[se.chosen[b]].freeMemory)
 	})
 	need := ch.pr.memoryNeed()
 	for no, at := range by {
 		even := ceilDiv(need, int64(len(by)-no))
-		pi.shares[at] = min(even, ch.candidates[pi.chosen[at]].freeMemory)
-		need -= pi.shares[at]
+		se.shares[at] = min(even, ch.candidates[se.chosen[at]].freeMemory)
+		need -= se.shares[at]
 	}
 	return need == 0
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// typical holds the figures of a typical deployment.
+// typicalEngine describes the engines of a typical deployment.
 var typicalEngine = Engine{
 	Slots:                      16,
 	StepsPerPass:               43,
@@ -45,7 +45,7 @@
 	}
 }
 
-// idle returns targets without load.
+// idleTargets returns targets without load.
 func idleTargets(count int) []Target {
 	ts := make([]Target, count)
 	for ix := range ts {
@@ -54,7 +54,7 @@
 	return ts
 }
 
-// busy returns targets with short writers and a few readers.
+// busyTargets returns targets that decode several short requests and prefill up to two.
 func busyTargets(count int) []Target {
 	ts := idleTargets(count)
 	for ix := range ts {
@@ -68,7 +68,7 @@
 	return ts
 }
 
-// names returns all targets that a plan touches, the main one first.
+// planTargets returns the names of all targets of a plan, the main target first.
 func planTargets(pl Plan) []string {
 	return append([]string{pl.Main}, pl.Helpers...)
 }
@@ -78,11 +78,11 @@
 		pr := longPrompt(rapid.Int64Range(1, 600_000).Draw(t, "tokens"))
 		pr.AnswerTokens = rapid.Int64Range(1, 8000).Draw(t, "answer")
 		pr.Objective = time.Duration(rapid.IntRange(100, 5000).Draw(t, "objective")) * time.Millisecond
-		pr.LongestPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "pause")) * time.Millisecond
-		pr.Elapsed = time.Duration(rapid.IntRange(0, 3000).Draw(t, "used")) * time.Millisecond
+		pr.LongestPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "longest pause")) * time.Millisecond
+		pr.Elapsed = time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond
 		pr.InTimeWorth = WorthOf(rapid.Float64Range(0, 20).Draw(t, "in time"))
 		pr.LateWorth = pr.InTimeWorth / 3
-		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 120).Draw(t, "left")) * time.Second
+		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 120).Draw(t, "until deadline")) * time.Second
 		return pr
 	})
 }
@@ -104,11 +104,11 @@
 	return rapid.Custom(func(t *rapid.T) Target {
 		return Target{
 			Name:        name,
-			SameZone:    rapid.Bool().Draw(t, "near"),
+			SameZone:    rapid.Bool().Draw(t, "same zone"),
 			Load:        genLoad().Draw(t, "load"),
-			Slowdown:    rapid.Float64Range(1, 4).Draw(t, "pace"),
-			HelperParts: rapid.IntRange(0, 20).Draw(t, "helps"),
-			CanHelp:     rapid.Bool().Draw(t, "helper"),
+			Slowdown:    rapid.Float64Range(1, 4).Draw(t, "slowdown"),
+			HelperParts: rapid.IntRange(0, 20).Draw(t, "helper parts"),
+			CanHelp:     rapid.Bool().Draw(t, "can help"),
 		}
 	})
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// Share is memory to set aside at a target.
+// MemoryShare is memory to reserve at one target.
 type MemoryShare struct {
-	// Target is the name of the target.
+	// Target is the name of a target.
 	Target string
-	// Tokens is how much to set aside there; it is above 0 and at most what was free.
+	// Tokens is above 0 and at most the free memory of the target.
 	Tokens int64
 }
 
-// Plan is where a prompt runs and what that is expected to cost.
+// Plan names the targets of a prompt, with the predicted latencies and cost.
 type Plan struct {
-	// Main is the name of the target that writes the answer.
+	// Main is the name of the target that decodes the answer.
 	Main string
-	// Helpers are the names of the targets that read the other parts; it does not hold Main.
+	// Helpers holds the names of the targets that prefill the other parts. It does not contain Main.
 	Helpers []string
-	// Part is what each of the targets reads.
+	// Part is the prefill of each target.
 	Part Backlog
-	// Reserve is empty when the memory at Main is enough. Otherwise it starts with Main, names each helper once, and
-	// adds up to the prompt and its expected answer.
+	// MemoryShares is empty when the memory of Main is sufficient. Otherwise it starts with Main, names each helper once,
+	// and adds up to the memory for the prompt and its expected answer.
 	MemoryShares []MemoryShare
-	// FirstToken is the predicted time from now to the first token.
+	// TimeToFirstToken is predicted from the time of the choice.
 	TimeToFirstToken time.Duration
-	// Pause is the longest predicted pause that the plan causes at any of its targets.
+	// LongestPause is the longest predicted pause that the plan causes at any of its targets.
 	LongestPause time.Duration
-	// Loss is the worth that the plan is expected to lose, for the prompt and the others at its targets.
+	// Loss is the worth that the prompt and the other requests at its targets are expected to lose.
 	Loss Worth
-	// Harm is the part of Loss that the others at its targets lose.
+	// OthersLoss is the part of Loss that the other requests lose.
 	OthersLoss Worth
 }
 
-// Options tune Choose.
+// Options configures Choose.
 type Options struct {
-	// Seed breaks ties. Instances that see the same targets do not herd when it differs by instance and request.
+	// Seed breaks ties at random. It differs by instance and request, so that instances with the same view of the targets
+	// do not all choose the same one.
 	Seed uint64
-	// Arrivals is what begins to write at a usual target in a second; it is zero when that is not known. A part that
-	// makes the pauses too long for it costs the more, the longer it is read.
+	// ArrivalsPerSecond is the load that begins to decode at an average target each second; zero if unknown. A part that
+	// makes pauses too long for these arrivals costs more the longer its prefill takes.
 	ArrivalsPerSecond Load
-	// Reading is the share of the targets that read a prompt, from 0 to 1. The more do, the more a helper costs.
+	// PrefillShare is the share of the targets that have prefill to do, from 0 to 1. The cost of a helper grows with it.
 	PrefillShare float64
 }
 
-// ReadingShare returns the share of some targets that read a prompt.
+// PrefillShare returns the share of the targets that have prefill to do, from 0 to 1.
 func PrefillShare(ts []Target) float64 {
 	if len(ts) == 0 {
 		return 0
 	}
-	reading := 0
+	prefilling := 0
 	for ix := range ts {
 		if ts[ix].Load.prefillBacklog().Tokens > 0 {
-			reading++
+			prefilling++
 		}
 	}
-	return float64(reading) / float64(len(ts))
+	return float64(prefilling) / float64(len(ts))
 }
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -9,18 +9,18 @@
 )
 
 func TestPassTime(t *testing.T) {
-	oneWriter := Load{Decoding: 1, ContextTokens: 10_000}
+	oneDecoding := Load{Decoding: 1, ContextTokens: 10_000}
 	cases := map[string]struct {
 		ta   Target
 		want time.Duration
 	}{
-		"idle: one step":          {Target{}, 1020 * time.Microsecond},
-		"a writer: a stride":      {Target{Load: oneWriter}, 45810 * time.Microsecond},
-		"a slow target":           {Target{Load: oneWriter, Slowdown: 2}, 91620 * time.Microsecond},
-		"a pace below 1 is 1":     {Target{Load: oneWriter, Slowdown: 0.5}, 45810 * time.Microsecond},
-		"reading without writers": {Target{Load: Load{WholePrefill: Backlog{Tokens: 5000}}}, 10962 * time.Microsecond},
-		"reading with a writer": {
-			Target{Load: oneWriter.Plus(Load{WholePrefill: Backlog{Tokens: 20_600, Pairs: 100_000_000}})},
+		"idle: one step": {Target{}, 1020 * time.Microsecond},
+		"one decoding request: a pass of several steps": {Target{Load: oneDecoding}, 45810 * time.Microsecond},
+		"slow target":                       {Target{Load: oneDecoding, Slowdown: 2}, 91620 * time.Microsecond},
+		"slowdown below 1 counts as 1":      {Target{Load: oneDecoding, Slowdown: 0.5}, 45810 * time.Microsecond},
+		"prefill without decoding requests": {Target{Load: Load{WholePrefill: Backlog{Tokens: 5000}}}, 10962 * time.Microsecond},
+		"prefill with a decoding request": {
+			Target{Load: oneDecoding.Plus(Load{WholePrefill: Backlog{Tokens: 20_600, Pairs: 100_000_000}})},
 			159610 * time.Microsecond,
 		},
 	}
@@ -32,12 +32,12 @@
 	}
 }
 
-func TestPauseOfASplitPrompt(t *testing.T) {
+func TestPauseByNumberOfParts(t *testing.T) {
 	ta := Target{Load: shortPrompt().DecodeLoad()}
 	pr := longPrompt(133_000)
 	cases := map[string]struct {
-		parts       int
-		least, most time.Duration
+		parts              int
+		minPause, maxPause time.Duration
 	}{
 		"whole": {1, time.Second, 2 * time.Second},
 		"in 4":  {4, 400 * time.Millisecond, 600 * time.Millisecond},
@@ -47,22 +47,22 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			pause := typicalEngine.Pause(ta, pr.Part(ca.parts))
-			g.Expect(pause).To(BeNumerically(">", ca.least))
-			g.Expect(pause).To(BeNumerically("<", ca.most))
+			g.Expect(pause).To(BeNumerically(">", ca.minPause))
+			g.Expect(pause).To(BeNumerically("<", ca.maxPause))
 		})
 	}
 }
 
-func TestAPartIsReadAheadOfWholePrompts(t *testing.T) {
+func TestSplitPrefillRunsBeforeWholePrefill(t *testing.T) {
 	g := NewWithT(t)
 	pr := longPrompt(120_000)
-	other := idleTargets(2)
-	waiting := other[0]
-	waiting.Load = longPrompt(200_000).PrefillLoad(1)
-	g.Expect(typicalEngine.TimeToFirstToken(pr, waiting, other[1])).To(BeNumerically("<", typicalEngine.TimeToFirstToken(pr, waiting)/3))
+	idle := idleTargets(2)
+	busy := idle[0]
+	busy.Load = longPrompt(200_000).PrefillLoad(1)
+	g.Expect(typicalEngine.TimeToFirstToken(pr, busy, idle[1])).To(BeNumerically("<", typicalEngine.TimeToFirstToken(pr, busy)/3))
 }
 
-func TestFullSlotsDelayTheFirstToken(t *testing.T) {
+func TestFullSlotsDelayFirstToken(t *testing.T) {
 	g := NewWithT(t)
 	var ta Target
 	ta.Load.Decoding = typicalEngine.Slots - 1
@@ -71,7 +71,7 @@
 	g.Expect(typicalEngine.TimeToFirstToken(shortPrompt(), ta)).To(BeNumerically(">", free+50*time.Millisecond))
 }
 
-func TestMoreLoadNeverGivesAnEarlierFirstToken(t *testing.T) {
+func TestMoreLoadNeverShortensPredictions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestASlowerTargetNeverGivesAnEarlierFirstToken(t *testing.T) {
+func TestSlowerTargetNeverShortensTimeToFirstToken(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		pr := genPrompt().Draw(t, "prompt")
--- a/internal/placement/softlimit.go
+++ b/internal/placement/softlimit.go
@@ -1,37 +1,37 @@
 package placement
 
-// bound is a limit on a value whose prediction may be off either way.
+// softLimit is a limit on a value that is predicted with an error. Between start and the value at which the probability
+// of exceeding the limit reaches 1, that probability grows linearly.
 type softLimit struct {
-	// from is the value from which the limit may be exceeded.
-	from float64
-	// slope is what each unit above from adds to the chance; it is above 0.
+	// start is the largest predicted value at which the limit is certain to be kept.
+	start float64
+	// slope is the probability that each unit above start adds; it is above 0.
 	slope float64
 }
 
-// boundOf returns a limit when predictions may be off by a share of it either way.
-func newSoftLimit(limit, share float64) softLimit {
+// newSoftLimit returns a limit for predictions with an error of up to a share of the limit in either direction.
+func newSoftLimit(limit, relativeError float64) softLimit {
 	return softLimit{
-		from:  limit * (1 - share),
-		slope: 1 / (2 * share * limit),
+		start: limit * (1 - relativeError),
+		slope: 1 / (2 * relativeError * limit),
 	}
 }
 
-// chance returns how likely a value exceeds the limit.
-func (sl softLimit) exceedProbability(val float64) float64 {
-	if val <= sl.from {
+// exceedProbability returns the probability that the actual value exceeds the limit, given its prediction.
+func (sl softLimit) exceedProbability(predicted float64) float64 {
+	if predicted <= sl.start {
 		return 0
 	}
-	return min((val-sl.from)*sl.slope, 1)
+	return min((predicted-sl.start)*sl.slope, 1)
 }
 
-// classBounds are the bounds of the classes of requests.
+// softClassLimits holds classLimits as soft limits.
 var softClassLimits = newSoftClassLimits()
 
-// newClassBounds returns the bounds of all classes.
 func newSoftClassLimits() [numClasses]softLimit {
-	var bos [numClasses]softLimit
+	var sls [numClasses]softLimit
 	for cl, lim := range classLimits {
-		bos[cl] = newSoftLimit(float64(lim), predictionError)
+		sls[cl] = newSoftLimit(float64(lim), predictionError)
 	}
-	return bos
+	return sls
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -1,34 +1,33 @@
 package placement
 
-// Target is an engine at which a prompt can run, and what is known of it.
+// Target is an engine at which a prompt can run.
 type Target struct {
-	// Name tells the target from the others.
+	// Name is unique among the targets of a choice.
 	Name string
-	// Near is true in the availability zone of the instance that chooses.
+	// SameZone is set when the target is in the availability zone of the choosing instance.
 	SameZone bool
-	// Load is what is in flight there.
-	Load Load
-	// Pace is the factor by which it is slower than its figures; values below 1 count as 1.
+	Load     Load
+	// Slowdown is the factor by which the target is slower than Engine says; values below 1 count as 1.
 	Slowdown float64
-	// Helps is the number of parts it reads for main targets elsewhere.
+	// HelperParts is the number of parts that the target prefills for other main targets.
 	HelperParts int
-	// Helper is true while it may be asked to help.
+	// CanHelp is set when the target may become a helper.
 	CanHelp bool
-	// Closed targets take no request of their own now; they may still help.
+	// Closed is set when the target cannot be a main target at present. It may still be a helper.
 	Closed bool
 }
 
-// pace returns the factor by which the target is slower than its figures.
+// slowdown returns Slowdown, but at least 1.
 func (ta *Target) slowdown() float64 {
 	return max(ta.Slowdown, 1)
 }
 
-// free returns the memory that is left there.
+// freeMemory returns the tokens of memory that are not in use.
 func (ta *Target) freeMemory(en *Engine) int64 {
 	return max(en.MemoryTokens-ta.Load.Memory, 0)
 }
 
-// helps reports whether the target accepts another part.
+// canTakePart reports whether the target can prefill another part as a helper.
 func (ta *Target) canTakePart(en *Engine) bool {
 	return ta.CanHelp && ta.HelperParts < en.Slots
 }
--- a/internal/placement/topk.go
+++ b/internal/placement/topk.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// rank is a sorted list of the candidates with the least keys.
+// topK is a bounded list of the candidates with the lowest keys, in ascending order.
 type topK struct {
 	indices [MaxParts]int
 	keys    [MaxParts]float64
 	size    int
 }
 
-// add puts a candidate in its place, if it is among the least that the rank has room for.
-func (tk *topK) add(ix int, key float64, room int) {
+// add inserts a candidate in order, if it is among the capacity candidates with the lowest keys.
+func (tk *topK) add(ix int, key float64, capacity int) {
 	at := tk.size
-	if at == room {
+	if at == capacity {
 		if key >= tk.keys[at-1] {
 			return
 		}
@@ -29,25 +29,25 @@
 	tk.keys[at] = key
 }
 
-// sum returns the sum of the first keys, or infinity when there are too few.
-func (tk *topK) sum(first int) float64 {
-	if tk.size < first {
+// sum returns the sum of the count lowest keys, or infinity when there are fewer.
+func (tk *topK) sum(count int) float64 {
+	if tk.size < count {
 		return math.Inf(1)
 	}
 	sum := 0.0
-	for _, key := range tk.keys[:first] {
+	for _, key := range tk.keys[:count] {
 		sum += key
 	}
 	return sum
 }
 
-// selectLeast chooses the main candidate and its helpers with the least sum of keys. It reports false when there are
+// selectLeastKeys selects the main target and the helpers with the lowest sum of keys. It reports false when there are
 // not enough candidates.
-func (ch *chooser) selectLeastKeys(pi *selection) bool {
-	ra := ch.bestHelpers()
-	helpers := pi.parts - 1
-	others := ra.sum(helpers)
-	withNext := ra.sum(helpers + 1)
+func (ch *chooser) selectLeastKeys(se *selection) bool {
+	tk := ch.bestHelpers()
+	helpers := se.parts - 1
+	others := tk.sum(helpers)
+	withNext := tk.sum(helpers + 1)
 	best, main := math.Inf(1), -1
 	for ix := range ch.candidates {
 		ca := &ch.candidates[ix]
@@ -62,34 +62,34 @@
 	if main < 0 {
 		return false
 	}
-	pi.chosen[0] = main
-	ra.copyExcept(pi.chosen[1:pi.parts], main)
+	se.chosen[0] = main
+	tk.copyExcept(se.chosen[1:se.parts], main)
 	return true
 }
 
-// rankHelpers returns the best helpers, one more than needed since one of them may become the main target, and marks
-// those that are needed.
+// bestHelpers returns the helpers with the lowest keys and marks as many as are needed. It returns one more than needed,
+// because one of them may become the main target.
 func (ch *chooser) bestHelpers() topK {
-	var ra topK
+	var tk topK
 	for ix := range ch.candidates {
 		ca := &ch.candidates[ix]
 		ca.bestHelper = false
 		if ch.parts > 1 && !math.IsInf(ca.helperKey, 1) {
-			ra.add(ix, ca.helperKey, ch.parts)
+			tk.add(ix, ca.helperKey, ch.parts)
 		}
 	}
-	for _, ix := range ra.indices[:min(ch.parts-1, ra.size)] {
+	for _, ix := range tk.indices[:min(ch.parts-1, tk.size)] {
 		ch.candidates[ix].bestHelper = true
 	}
-	return ra
+	return tk
 }
 
-// take copies the first candidates, without one, into a list that the rank can fill.
-func (tk *topK) copyExcept(to []int, without int) {
+// copyExcept fills dst with the candidates that have the lowest keys, leaving out one. There must be enough of them.
+func (tk *topK) copyExcept(dst []int, excluded int) {
 	no := 0
 	for _, ix := range tk.indices[:tk.size] {
-		if ix != without && no < len(to) {
-			to[no] = ix
+		if ix != excluded && no < len(dst) {
+			dst[no] = ix
 			no++
 		}
 	}
--- a/internal/placement/worth.go
+++ b/internal/placement/worth.go
@@ -1,17 +1,17 @@
 package placement
 
-// Worth is a count of millionths of one point of worth. It is a whole number so that sums of it are exact.
+// Worth is the value of answers in millionths of a point. It is an integer so that sums are exact.
 type Worth int64
 
-// point is the number of millionths in one point of worth.
+// point is the Worth of one point.
 const point = 1_000_000
 
-// WorthOf returns the worth of a number of points.
+// WorthOf converts points to a Worth.
 func WorthOf(points float64) Worth {
 	return Worth(points * point)
 }
 
-// Points returns the worth in points.
+// Points converts the worth to points.
 func (wo Worth) Points() float64 {
 	return float64(wo) / point
 }
