--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -56,7 +56,7 @@
 	// requests that decode elsewhere.
 	ContextTokens int64 `json:"Context"`
 	// Memory is the number of tokens that are or will be held here, including expected answers and reserved memory.
-	Memory int64
+	Memory int64 `json:"Memory"`
 	// FirstTokenRisk is the worth that the prefilling requests lose when their first token comes later than their
 	// objective or the idle timeout of their caller.
 	FirstTokenRisk RiskByLimit `json:"Waiting"`
