--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -291,7 +291,7 @@
 		}
 		for no := range count {
 			be.Expect(be.Own()[id(no)].Prefilling).To(Equal(1))
-			be.Expect(be.Own()[id(no)].Memory).To(BeNumerically("<=", memory))
+			be.Expect(be.Own()[id(no)].MemoryTokens).To(BeNumerically("<=", memory))
 		}
 		for _, sl := range sls {
 			sl.Release()
@@ -302,20 +302,20 @@
 
 func TestPeersLoadsCountForPrompts(t *testing.T) {
 	bubble(t, 2, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: 9000, Decoding: 1, ContextTokens: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(0): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
 		for range 5 {
 			sl := be.take(prompt(4000))
 			be.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
-		be.Heard("peer", map[string]placement.Load{id(1): {Memory: 9000, Decoding: 1, ContextTokens: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(1): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
 		be.Expect(be.take(prompt(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
 
 func TestPeerWakesARequestThatWaits(t *testing.T) {
 	bubble(t, 3, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: memory}, id(1): {Memory: memory}})
+		be.Heard("peer", map[string]placement.Load{id(0): {MemoryTokens: memory}, id(1): {MemoryTokens: memory}})
 		got := be.send(prompt(largest))
 		time.Sleep(objective / 2)
 		synctest.Wait()
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/end_test.go
@@ -17,7 +17,7 @@
 func (be *bench) full(count int) {
 	loads := map[string]placement.Load{}
 	for no := range count {
-		loads[id(no)] = placement.Load{Memory: memory}
+		loads[id(no)] = placement.Load{MemoryTokens: memory}
 	}
 	be.Heard("peer", loads)
 }
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -71,7 +71,7 @@
 				}
 				defer sl.Release()
 				for at := range 3 {
-					if held := be.Own()[id(at)].Memory; held > memory {
+					if held := be.Own()[id(at)].MemoryTokens; held > memory {
 						be.t.Errorf("%d tokens are booked at %s", held, id(at))
 					}
 				}
@@ -93,8 +93,8 @@
 		be.Expect(sl.Helpers[0].ID).To(Equal(sl.Target.ID))
 		held := int64(0)
 		for no := range 3 {
-			be.Expect(be.Own()[id(no)].Memory).To(BeNumerically("<=", memory))
-			held += be.Own()[id(no)].Memory
+			be.Expect(be.Own()[id(no)].MemoryTokens).To(BeNumerically("<=", memory))
+			held += be.Own()[id(no)].MemoryTokens
 		}
 		be.Expect(held).To(BeNumerically(">=", 15_000))
 		sl.FirstToken()
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -14,7 +14,7 @@
 func crowd(writers int) map[string]placement.Load {
 	loads := map[string]placement.Load{}
 	for no := range 3 {
-		loads[id(no)] = placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, Memory: int64(writers) * 600}
+		loads[id(no)] = placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, MemoryTokens: int64(writers) * 600}
 	}
 	return loads
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -160,7 +160,7 @@
 		}
 		if ds.book.isFull(tg.ID, now) {
 			cands[i].CanHelp = false
-			cands[i].Load.Memory = max(cands[i].Load.Memory, as.Service.Engine.MemoryTokens)
+			cands[i].Load.MemoryTokens = max(cands[i].Load.MemoryTokens, as.Service.Engine.MemoryTokens)
 		}
 	}
 	return cands
@@ -191,7 +191,7 @@
 		sl.book(id, pr.HelperLoad(parts))
 	}
 	for _, sh := range pl.MemoryShares {
-		sl.bookHeld(sh.Target, placement.Load{Memory: sh.Tokens})
+		sl.bookHeld(sh.Target, placement.Load{MemoryTokens: sh.Tokens})
 	}
 	return sl
 }
--- a/internal/dispatch/unseen_test.go
+++ b/internal/dispatch/unseen_test.go
@@ -37,7 +37,7 @@
 		if no == 7 {
 			writers = 10
 		}
-		lo := placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, Memory: int64(writers) * 600}
+		lo := placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, MemoryTokens: int64(writers) * 600}
 		for cl := range lo.PauseRisk {
 			lo.PauseRisk[cl] = placement.WorthOf(0.1 * float64(writers))
 		}
@@ -76,7 +76,7 @@
 func TestLongPromptsSeeAllTargets(t *testing.T) {
 	bubble(t, 17, func(be *bench) {
 		be.SetLag(func() time.Duration { return time.Hour })
-		be.Heard("peer", map[string]placement.Load{id(0): {Decoding: 1, ContextTokens: 100, Memory: 100}})
+		be.Heard("peer", map[string]placement.Load{id(0): {Decoding: 1, ContextTokens: 100, MemoryTokens: 100}})
 		as := prompt(17_000)
 		as.Service.Engine.MemoryTokens, as.Service.Engine.PrefillTimePerThousand = 100_000, 100*time.Millisecond
 		as.Objective = 150 * time.Millisecond
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -35,7 +35,7 @@
 			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
 			SplitPrefill: placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
 			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
-			ContextTokens: draw("context"), Memory: draw("memory"),
+			ContextTokens: draw("context"), MemoryTokens: draw("memory"),
 		}
 		for cl := range lo.PauseRisk {
 			lo.PauseRisk[cl] = placement.Worth(draw("at risk"))
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -94,7 +94,7 @@
 		ca.decodePass = ch.decodePassTime(ca, ch.heldTokens)
 		ca.helperLossHolding = ca.ta.Load.PauseRisk.expectedLoss(ca.prefillPause + addedPass)
 	} else {
-		ca.preemptionLoss = ch.lossModel.preemptionLoss(&ch.en, ca.ta.Load.Memory+ch.pr.memoryNeed())
+		ca.preemptionLoss = ch.lossModel.preemptionLoss(&ch.en, ca.ta.Load.MemoryTokens+ch.pr.memoryNeed())
 		ca.decodePass = ch.decodePassTime(ca, ch.pr.Tokens+ch.pr.AnswerTokens/2)
 		ca.helperLossHolding = 0
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -166,7 +166,7 @@
 	urgent.UntilDeadline = 50 * time.Millisecond
 	full := idleTargets(3)
 	for ix := range full {
-		full[ix].Load.Memory = typicalEngine.MemoryTokens - 1000
+		full[ix].Load.MemoryTokens = typicalEngine.MemoryTokens - 1000
 	}
 	cases := map[string]struct {
 		pr Prompt
@@ -190,7 +190,7 @@
 	g := NewWithT(t)
 	ts := idleTargets(6)
 	for ix := range ts {
-		ts[ix].Load.Memory = typicalEngine.MemoryTokens - 60_000
+		ts[ix].Load.MemoryTokens = typicalEngine.MemoryTokens - 60_000
 	}
 	pr := longPrompt(100_000)
 	pl, ok := Choose(typicalEngine, pr, ts, Options{Seed: 3})
@@ -203,7 +203,7 @@
 	g := NewWithT(t)
 	ts := idleTargets(18)
 	for ix := range ts[2:] {
-		ts[2+ix].Load.Memory = typicalEngine.MemoryTokens - 1000
+		ts[2+ix].Load.MemoryTokens = typicalEngine.MemoryTokens - 1000
 	}
 	pr := longPrompt(400_000)
 	pl, ok := Choose(typicalEngine, pr, ts, Options{Seed: 3})
@@ -404,7 +404,7 @@
 			// The prefill takes about 2.5 s on four targets and 3.3 s on three. Both are late.
 			pr := longPrompt(330_000)
 			pr.Objective = time.Second
-			ts[0].Load.Memory = 0
+			ts[0].Load.MemoryTokens = 0
 			pl, ok := Choose(typicalEngine, pr, ts, Options{})
 			g.Expect(ok).To(BeTrue())
 			used := append([]string{pl.Main}, pl.Helpers...)
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -118,7 +118,7 @@
 // fields returns the fields in the order of their bits, with worths in thousandths.
 func (lo *Load) fields() [numFields]int64 {
 	fs := [numFields]int64{
-		int64(lo.Decoding), lo.ContextTokens, lo.Memory, int64(lo.Prefilling),
+		int64(lo.Decoding), lo.ContextTokens, lo.MemoryTokens, int64(lo.Prefilling),
 		lo.WholePrefill.Tokens, lo.WholePrefill.Pairs, lo.SplitPrefill.Tokens, lo.SplitPrefill.Pairs,
 	}
 	for cl := range numClasses {
@@ -131,7 +131,7 @@
 // loadFromFields is the inverse of fields, except for the rounding of worths.
 func loadFromFields(fs *[numFields]int64) Load {
 	lo := Load{
-		Decoding: int(fs[0]), ContextTokens: fs[1], Memory: fs[2], Prefilling: int(fs[3]),
+		Decoding: int(fs[0]), ContextTokens: fs[1], MemoryTokens: fs[2], Prefilling: int(fs[3]),
 		WholePrefill: Backlog{Tokens: fs[4], Pairs: fs[5]},
 		SplitPrefill: Backlog{Tokens: fs[6], Pairs: fs[7]},
 	}
--- a/internal/placement/encode_test.go
+++ b/internal/placement/encode_test.go
@@ -19,7 +19,7 @@
 			WholePrefill: Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
 			SplitPrefill: Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
 			Prefilling:   int(draw("prefilling")), Decoding: int(draw("decoding")),
-			ContextTokens: draw("context"), Memory: draw("memory"),
+			ContextTokens: draw("context"), MemoryTokens: draw("memory"),
 		}
 		for cl := range numClasses {
 			lo.FirstTokenRisk[cl] = Worth(draw("first token risk"))
@@ -90,7 +90,7 @@
 // TestEncodingIsStable fails when the encoding changes, for example due to another class. Messages that contain loads
 // then need a new version.
 func TestEncodingIsStable(t *testing.T) {
-	lo := Load{Prefilling: 1, Decoding: 2, ContextTokens: 300, Memory: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
+	lo := Load{Prefilling: 1, Decoding: 2, ContextTokens: 300, MemoryTokens: 400, WholePrefill: Backlog{Tokens: 5, Pairs: 6}}
 	lo.SplitPrefill = Backlog{Tokens: 7, Pairs: 8}
 	lo.PauseRisk[0], lo.PauseRisk[numClasses-1] = WorthOf(0.001), WorthOf(0.002)
 	lo.FirstTokenRisk[0], lo.FirstTokenRisk[numClasses-1] = WorthOf(0.003), WorthOf(0.004)
--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -56,7 +56,7 @@
 	// requests that decode elsewhere.
 	ContextTokens int64 `json:"Context"`
 	// Memory is the number of tokens that are or will be held here, including expected answers and reserved memory.
-	Memory int64 `json:"Memory"`
+	MemoryTokens int64 `json:"Memory"`
 	// FirstTokenRisk is the worth that the prefilling requests lose when their first token comes later than their
 	// objective or the idle timeout of their caller.
 	FirstTokenRisk RiskByLimit `json:"Waiting"`
@@ -72,7 +72,7 @@
 	lo.Prefilling += ot.Prefilling
 	lo.Decoding += ot.Decoding
 	lo.ContextTokens += ot.ContextTokens
-	lo.Memory += ot.Memory
+	lo.MemoryTokens += ot.MemoryTokens
 	for cl := range numClasses {
 		lo.FirstTokenRisk[cl] += ot.FirstTokenRisk[cl]
 		lo.PauseRisk[cl] += ot.PauseRisk[cl]
@@ -87,7 +87,7 @@
 	lo.Prefilling -= ot.Prefilling
 	lo.Decoding -= ot.Decoding
 	lo.ContextTokens -= ot.ContextTokens
-	lo.Memory -= ot.Memory
+	lo.MemoryTokens -= ot.MemoryTokens
 	for cl := range numClasses {
 		lo.FirstTokenRisk[cl] -= ot.FirstTokenRisk[cl]
 		lo.PauseRisk[cl] -= ot.PauseRisk[cl]
@@ -97,7 +97,7 @@
 
 // WithMemory returns a copy with another value of Memory, as for a request with reserved memory.
 func (lo Load) WithMemory(tokens int64) Load {
-	lo.Memory = tokens
+	lo.MemoryTokens = tokens
 	return lo
 }
 
--- a/internal/placement/load_test.go
+++ b/internal/placement/load_test.go
@@ -52,8 +52,8 @@
 func TestWithMethodsSetOneField(t *testing.T) {
 	g := NewWithT(t)
 	lo := shortPrompt().DecodeLoad()
-	g.Expect(lo.WithMemory(7).WithMemory(lo.Memory)).To(Equal(lo))
-	g.Expect(lo.WithMemory(7).Memory).To(BeEquivalentTo(7))
+	g.Expect(lo.WithMemory(7).WithMemory(lo.MemoryTokens)).To(Equal(lo))
+	g.Expect(lo.WithMemory(7).MemoryTokens).To(BeEquivalentTo(7))
 	g.Expect(lo.WithContext(7).WithContext(lo.ContextTokens)).To(Equal(lo))
 	g.Expect(lo.WithContext(7).ContextTokens).To(BeEquivalentTo(7))
 }
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -25,7 +25,7 @@
 
 // PrefillLoad returns the load at the main target until the first token, for a prompt that is split into parts.
 func (pr Prompt) PrefillLoad(parts int) Load {
-	lo := Load{Prefilling: 1, Memory: pr.memoryNeed()}
+	lo := Load{Prefilling: 1, MemoryTokens: pr.memoryNeed()}
 	lo.FirstTokenRisk = pr.riskByLimit(pr.Objective-pr.Elapsed, pr.CallerIdleTimeout-pr.Elapsed)
 	if parts > 1 {
 		lo.SplitPrefill = pr.Part(parts)
@@ -42,7 +42,7 @@
 
 // DecodeLoad returns the load at the main target from the first token on, if it holds the memory of the whole prompt.
 func (pr Prompt) DecodeLoad() Load {
-	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, Memory: pr.memoryNeed()}
+	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, MemoryTokens: pr.memoryNeed()}
 	lo.PauseRisk = pr.riskByLimit(pr.LongestPause, pr.CallerIdleTimeout)
 	return lo
 }
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -24,7 +24,7 @@
 
 // freeMemory returns the tokens of memory that are not in use.
 func (ta *Target) freeMemory(en *Engine) int64 {
-	return max(en.MemoryTokens-ta.Load.Memory, 0)
+	return max(en.MemoryTokens-ta.Load.MemoryTokens, 0)
 }
 
 // canTakePart reports whether the target can prefill another part as a helper.
