--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -102,7 +102,7 @@
 	}
 	seed := xxhash.Sum64String(ds.opts.Instance + as.Request)
 	op := placement.Options{
-		Seed: seed, ArrivalsPerSecond: ds.arriving.perSecond(as.Service.Engine, cands), PrefillShare: placement.PrefillShare(cands),
+		Seed: seed, ArrivalsPerSecond: ds.arriving.perSecond(as.Service.Engine, cands), PrefillShare: placement.PrefillShareOf(cands),
 	}
 	if ds.outlives(as, pr, cands, op) {
 		return nil, endRefusal()
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -131,12 +131,12 @@
 func TestPrefillShare(t *testing.T) {
 	g := NewWithT(t)
 	ts := idleTargets(8)
-	g.Expect(PrefillShare(ts)).To(BeZero())
+	g.Expect(PrefillShareOf(ts)).To(BeZero())
 	ts[1].Load = ts[1].Load.Plus(shortPrompt().PrefillLoad(1))
 	ts[5].Load = ts[5].Load.Plus(longPrompt(133_000).HelperLoad(4))
 	ts[6].Load = ts[6].Load.Plus(shortPrompt().DecodeLoad())
-	g.Expect(PrefillShare(ts)).To(Equal(0.25))
-	g.Expect(PrefillShare(nil)).To(BeZero())
+	g.Expect(PrefillShareOf(ts)).To(Equal(0.25))
+	g.Expect(PrefillShareOf(nil)).To(BeZero())
 }
 
 func TestUnavailableHelperIsNotChosen(t *testing.T) {
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -44,7 +44,7 @@
 }
 
 // PrefillShare returns the share of the targets that have prefill to do, from 0 to 1.
-func PrefillShare(ts []Target) float64 {
+func PrefillShareOf(ts []Target) float64 {
 	if len(ts) == 0 {
 		return 0
 	}
