--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -174,7 +174,7 @@
 	}
 	sl := &Slot{
 		ds: ds, engine: as.Service.Engine, Target: byID[pl.Main], Candidates: len(tgs), At: ds.opts.Now(), Priority: priority(as), prompt: pr, plan: pl,
-		FirstPredicted: pl.TimeToFirstToken, PausePredicted: pl.LongestPause, arrived: as.Arrived, late: as.Resumed,
+		FirstPredicted: pl.TimeToFirstToken, PausePredicted: pl.PredictedPause, arrived: as.Arrived, late: as.Resumed,
 	}
 	parts := 1 + len(pl.Helpers)
 	reading := pr.PrefillLoad(parts)
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -94,16 +94,16 @@
 // serves reports whether a short prompt is well served by a plan in the short pool.
 func (ps pools) serves(as Ask, pr placement.Prompt, pl placement.Plan) bool {
 	spared := float64(pl.Loss) <= shortLoss*float64(pr.InTimeWorth)
-	return spared && !late(as, pr, pl) && pl.LongestPause <= pr.LongestPause
+	return spared && !late(as, pr, pl) && pl.PredictedPause <= pr.LongestPause
 }
 
 // mayKeep reports whether any plan for a prompt could do as keeps wants: not when the smallest part takes too long by itself.
 func (ps pools) mayKeep(en *placement.Engine, pr placement.Prompt) bool {
 	smallest := pr.Part(min(placement.MaxParts, len(ps.short)))
-	return ps.keeps(placement.Plan{LongestPause: en.Pause(placement.Target{Slowdown: 1}, smallest)})
+	return ps.keeps(placement.Plan{PredictedPause: en.Pause(placement.Target{Slowdown: 1}, smallest)})
 }
 
 // keeps reports whether a plan leaves the pauses in the short pool short enough.
 func (ps pools) keeps(pl placement.Plan) bool {
-	return float64(pl.LongestPause) <= longPause*float64(ps.pause)
+	return float64(pl.PredictedPause) <= longPause*float64(ps.pause)
 }
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -229,7 +229,7 @@
 		Main:             ch.candidates[se.chosen[0]].ta.Name,
 		Part:             ch.pr.Part(se.parts),
 		TimeToFirstToken: time.Duration(se.timeToFirstToken),
-		LongestPause:     time.Duration(se.longestPause),
+		PredictedPause:   time.Duration(se.longestPause),
 		Loss:             Worth(se.loss),
 		OthersLoss:       Worth(se.othersLoss),
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -92,7 +92,7 @@
 		}
 	}
 	if busyChosen > 0 {
-		g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
+		g.Expect(pl.PredictedPause).To(BeNumerically("<", 250*time.Millisecond))
 	}
 	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", 2500*time.Millisecond))
 }
@@ -103,7 +103,7 @@
 	pl, ok := Choose(typicalEngine, longPrompt(133_000), busyTargets(18), Options{Seed: 1, ArrivalsPerSecond: twoPerSecond})
 	g.Expect(ok).To(BeTrue())
 	g.Expect(len(pl.Helpers)).To(BeNumerically(">=", 11))
-	g.Expect(pl.LongestPause).To(BeNumerically("<", 250*time.Millisecond))
+	g.Expect(pl.PredictedPause).To(BeNumerically("<", 250*time.Millisecond))
 	g.Expect(pl.TimeToFirstToken).To(BeNumerically("<", time.Second))
 }
 
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -24,7 +24,7 @@
 	// TimeToFirstToken is predicted from the time of the choice.
 	TimeToFirstToken time.Duration
 	// LongestPause is the longest predicted pause that the plan causes at any of its targets.
-	LongestPause time.Duration
+	PredictedPause time.Duration
 	// Loss is the worth that the prompt and the other requests at its targets are expected to lose.
 	Loss Worth
 	// OthersLoss is the part of Loss that the other requests lose.
