--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -100,7 +100,7 @@
 // mayKeep reports whether any plan for a prompt could do as keeps wants: not when the smallest part takes too long by itself.
 func (ps pools) mayKeep(en *placement.Engine, pr placement.Prompt) bool {
 	smallest := pr.Part(min(placement.MaxParts, len(ps.short)))
-	return ps.keeps(placement.Plan{PredictedPause: en.Pause(placement.Target{Slowdown: 1}, smallest)})
+	return ps.keeps(placement.Plan{PredictedPause: en.PredictedPause(placement.Target{Slowdown: 1}, smallest)})
 }
 
 // keeps reports whether a plan leaves the pauses in the short pool short enough.
--- a/internal/placement/predict_test.go
+++ b/internal/placement/predict_test.go
@@ -46,7 +46,7 @@
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			pause := typicalEngine.Pause(ta, pr.Part(ca.parts))
+			pause := typicalEngine.PredictedPause(ta, pr.Part(ca.parts))
 			g.Expect(pause).To(BeNumerically(">", ca.minPause))
 			g.Expect(pause).To(BeNumerically("<", ca.maxPause))
 		})
@@ -80,14 +80,14 @@
 		alone := typicalEngine.TimeToFirstToken(pr, ta)
 		split := typicalEngine.TimeToFirstToken(pr, ta, he)
 		pass := typicalEngine.PassTime(ta)
-		pause := typicalEngine.Pause(ta, pr.Part(2))
+		pause := typicalEngine.PredictedPause(ta, pr.Part(2))
 		more := genLoad().Draw(t, "more")
 		ta.Load = ta.Load.Plus(more)
 		he.Load = he.Load.Plus(more)
 		g.Expect(typicalEngine.TimeToFirstToken(pr, ta)).To(BeNumerically(">=", alone))
 		g.Expect(typicalEngine.TimeToFirstToken(pr, ta, he)).To(BeNumerically(">=", split))
 		g.Expect(typicalEngine.PassTime(ta)).To(BeNumerically(">=", pass))
-		g.Expect(typicalEngine.Pause(ta, pr.Part(2))).To(BeNumerically(">=", pause))
+		g.Expect(typicalEngine.PredictedPause(ta, pr.Part(2))).To(BeNumerically(">=", pause))
 	})
 }
 
