--- a/internal/placement/load.go
+++ b/internal/placement/load.go
@@ -55,7 +55,7 @@
 	// ContextTokens is the number of context tokens that add to the step time. It includes memory that is held here for
 	// requests that decode elsewhere.
 	ContextTokens int64 `json:"Context"`
-	// Memory is the number of tokens that are or will be held here, including expected answers and reserved memory.
+	// MemoryTokens is the number of tokens that are or will be held here, including expected answers and reserved memory.
 	MemoryTokens int64 `json:"Memory"`
 	// FirstTokenRisk is the worth that the prefilling requests lose when their first token comes later than their
 	// objective or the idle timeout of their caller.
@@ -95,7 +95,7 @@
 	return lo
 }
 
-// WithMemory returns a copy with another value of Memory, as for a request with reserved memory.
+// WithMemory returns a copy with another value of MemoryTokens, as for a request with reserved memory.
 func (lo Load) WithMemory(tokens int64) Load {
 	lo.MemoryTokens = tokens
 	return lo
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -23,7 +23,7 @@
 	MemoryShares []MemoryShare
 	// TimeToFirstToken is predicted from the time of the choice.
 	TimeToFirstToken time.Duration
-	// LongestPause is the longest predicted pause that the plan causes at any of its targets.
+	// PredictedPause is the longest predicted pause that the plan causes at any of its targets.
 	PredictedPause time.Duration
 	// Loss is the worth that the prompt and the other requests at its targets are expected to lose.
 	Loss Worth
@@ -43,7 +43,7 @@
 	PrefillShare float64
 }
 
-// PrefillShare returns the share of the targets that have prefill to do, from 0 to 1.
+// PrefillShareOf returns the share of the targets that have prefill to do, from 0 to 1.
 func PrefillShareOf(ts []Target) float64 {
 	if len(ts) == 0 {
 		return 0
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -14,7 +14,7 @@
 	return time.Duration(ta.slowdown() * ns)
 }
 
-// Pause returns the longest predicted pause of a decoding request at a target during the prefill of a part there.
+// PredictedPause returns the longest predicted pause of a decoding request at a target during the prefill of a part there.
 func (en Engine) PredictedPause(ta Target, part Backlog) time.Duration {
 	return time.Duration(en.prefillPause(&ta, part, en.stepTimeAt(&ta)))
 }
