--- a/internal/reservation/fake_test.go
+++ b/internal/reservation/fake_test.go
@@ -17,43 +17,42 @@
 )
 
 const (
-	// holdMost is the users' bound on the time for which memory is set aside beyond the last use of it.
-	holdMost = 4 * time.Second
-	// lateMost is how much later a lost order may still be carried out.
-	lateMost = 12 * time.Second
-	// travel is how long an order and its answer take.
-	travel = 5 * time.Millisecond
+	// maxExpiry is the required upper limit on the time for which memory stays reserved after its last use.
+	maxExpiry = 4 * time.Second
+	// maxOrderDelay is the time after which an order without an answer may still be carried out.
+	maxOrderDelay = 12 * time.Second
+	// roundTrip is the time that an order and its answer take.
+	roundTrip = 5 * time.Millisecond
 )
 
-// LostError says that an order had no answer.
-type LostError struct{}
+// NoAnswerError is returned for an order without an answer.
+type NoAnswerError struct{}
 
-// Error says so.
-func (*LostError) Error() string { return "no answer" }
+func (*NoAnswerError) Error() string { return "no answer" }
 
-// order is one order that came to a target.
+// order is an order that a target received.
 type order struct {
 	op, address, id string
 	tokens          int64
 	at              time.Time
 }
 
-// fakeTargets carries out orders.
+// fakeTargets carries out orders for any address.
 type fakeTargets struct {
 	mu     sync.Mutex
 	orders []order
-	// held holds until when memory is set aside, by address.
-	held map[string]time.Time
-	// reserve and release say how an order ends; nil is well.
+	// expiries holds the time at which reserved memory expires, by address.
+	expiries map[string]time.Time
+	// reserve and release return the result of an order at an address. If one is nil, these orders succeed.
 	reserve, release func(address string) error
 	ids              int
-	// taken is released at the end of a test, at least once more.
-	taken []*reservation.Reservation
+	// acquired is released at the end of a test, in addition to any release by the test.
+	acquired []*reservation.Reservation
 }
 
-func newFakeTargets() *fakeTargets { return &fakeTargets{held: map[string]time.Time{}} }
+func newFakeTargets() *fakeTargets { return &fakeTargets{expiries: map[string]time.Time{}} }
 
-func (ft *fakeTargets) keeper() *reservation.Manager {
+func (ft *fakeTargets) manager() *reservation.Manager {
 	return &reservation.Manager{
 		Timeout: 400 * time.Millisecond, LeaseDuration: 3 * time.Second,
 		Reserve: ft.onReserve, Release: ft.onRelease, NewID: ft.newID,
@@ -68,8 +67,8 @@
 	return fmt.Sprintf("mem-%d", ft.ids)
 }
 
-func (ft *fakeTargets) onReserve(ctx context.Context, address, id string, tokens int64, hold time.Duration, _ func(answer.Head)) error {
-	time.Sleep(travel)
+func (ft *fakeTargets) onReserve(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, _ func(answer.Head)) error {
+	time.Sleep(roundTrip)
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
 	ft.orders = append(ft.orders, order{"reserve", address, id, tokens, time.Now()})
@@ -81,12 +80,12 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	ft.held[address] = time.Now().Add(hold)
+	ft.expiries[address] = time.Now().Add(leaseDuration)
 	return nil
 }
 
 func (ft *fakeTargets) onRelease(_ context.Context, address, id string, _ func(answer.Head)) error {
-	time.Sleep(travel)
+	time.Sleep(roundTrip)
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
 	ft.orders = append(ft.orders, order{op: "release", address: address, id: id, at: time.Now()})
@@ -95,13 +94,13 @@
 			return err
 		}
 	}
-	delete(ft.held, address)
+	delete(ft.expiries, address)
 	return nil
 }
 
-func (ft *fakeTargets) set(edit func()) { ft.mu.Lock(); defer ft.mu.Unlock(); edit() }
+func (ft *fakeTargets) set(update func()) { ft.mu.Lock(); defer ft.mu.Unlock(); update() }
 
-// count returns the orders of a sort at an address.
+// count returns the number of orders with an operation at an address.
 func (ft *fakeTargets) count(op, address string) int {
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
@@ -114,7 +113,7 @@
 	return n
 }
 
-// lastAt returns when the newest order of a sort came to an address.
+// lastAt returns the arrival time of the last order with an operation at an address.
 func (ft *fakeTargets) lastAt(op, address string) time.Time {
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
@@ -127,27 +126,27 @@
 	return last
 }
 
-// holding returns how many targets hold memory now.
+// holding returns the number of targets with reserved memory.
 func (ft *fakeTargets) holding() int {
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
 	n := 0
-	for _, until := range ft.held {
-		if time.Now().Before(until) {
+	for _, expiry := range ft.expiries {
+		if time.Now().Before(expiry) {
 			n++
 		}
 	}
 	return n
 }
 
-var places = []reservation.Allocation{{Address: "a", Tokens: 100}, {Address: "b", Tokens: 200}, {Address: "c", Tokens: 300}}
+var allocations = []reservation.Allocation{{Address: "a", Tokens: 100}, {Address: "b", Tokens: 200}, {Address: "c", Tokens: 300}}
 
-func bubble(t *testing.T, run func(g *WithT, ft *fakeTargets)) {
+func runInBubble(t *testing.T, run func(g *WithT, ft *fakeTargets)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ft := newFakeTargets()
 		t.Cleanup(func() {
-			for _, rv := range ft.taken {
+			for _, rv := range ft.acquired {
 				rv.Release()
 			}
 			time.Sleep(time.Minute)
@@ -156,7 +155,7 @@
 	})
 }
 
-func pass(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
--- a/internal/reservation/request.go
+++ b/internal/reservation/request.go
@@ -2,16 +2,16 @@
 
 import "context"
 
-// requestKey is the key of the request in a context.
+// requestKey is the context key of the request ID.
 type requestKey struct{}
 
-// ForRequest returns a context whose reservations name a request in their log lines.
+// WithRequestID returns a context with the ID of a request, which reservations include in their log lines.
 func WithRequestID(ctx context.Context, id string) context.Context {
 	return context.WithValue(ctx, requestKey{}, id)
 }
 
-// requestOf returns the request of a context; empty when it has none.
-func requestOf(ctx context.Context) string {
+// requestIDOf returns the request ID of a context, or an empty string.
+func requestIDOf(ctx context.Context) string {
 	id, ok := ctx.Value(requestKey{}).(string)
 	if !ok {
 		return ""
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -1,5 +1,8 @@
-// Package reservation sets memory aside at several targets for one prompt, keeps it while the request runs, and gives
-// it back whatever happens: what this process cannot give back lapses by itself soon after.
+// Package reservation reserves memory at several targets for one prompt, renews the reservation while the request runs,
+// and releases it afterwards. A reservation is a lease: memory that this process cannot release expires on its own soon
+// after the last renewal.
+//
+// An order is a call to a target that reserves, renews or releases memory.
 package reservation
 
 import (
@@ -16,109 +19,112 @@
 )
 
 const (
-	// renewals is how often memory is renewed within a hold: two tries may fail.
+	// renewalsPerLease is the number of renewals within one lease duration. Two of them may fail without losing the lease.
 	renewalsPerLease = 3
 )
 
-// releaseAgain are the pauses after which an order is given back once more when an answer was lost: a lost order may
-// still be carried out up to about twelve seconds later.
+// releaseRetryDelays are the delays between repeated releases after an order without an answer. A target may still carry
+// out such an order up to about 12 s later.
 var releaseRetryDelays = []time.Duration{500 * time.Millisecond, 2 * time.Second, 4 * time.Second, 7 * time.Second}
 
-// Place is memory wanted at one target.
+// Allocation is memory to reserve at one target.
 type Allocation struct {
-	// Target is the incarnation that is meant.
+	// Target is the incarnation of the target.
 	Target string
 	// Address is an IP address and port.
 	Address string
-	// Tokens is above zero.
+	// Tokens is the amount of memory; it is above 0.
 	Tokens int64
 }
 
-// RefusedError says that a target has not enough free memory.
+// RefusedError is returned when a target refuses a reservation for lack of free memory.
 type RefusedError struct{ Address string }
 
-// Error names the target.
-func (re *RefusedError) Error() string { return "no memory free at " + re.Address }
+// Error includes the address of the target.
+func (re *RefusedError) Error() string { return "not enough free memory at " + re.Address }
 
-// UnansweredError says that a target may have set memory aside or not: it took no connection, or gave no answer.
+// UnansweredError is returned when it is unknown whether a target has reserved memory, because it did not accept a
+// connection or did not answer.
 type UnansweredError struct {
 	Address string
 	Cause   error
 }
 
-// Error names the target and the cause.
+// Error includes the address of the target and the cause.
 func (ue *UnansweredError) Error() string {
-	return "set memory aside at " + ue.Address + ": " + ue.Cause.Error()
+	return "reserve memory at " + ue.Address + ": " + ue.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (ue *UnansweredError) Unwrap() error { return ue.Cause }
 
-// TakeError says that memory was not set aside at some of the places.
+// AcquireError is returned when some of the allocations of a reservation failed.
 type AcquireError struct {
-	// Causes are the failures, one for each place without memory, in the order of the places; it is not empty.
+	// Causes holds one error for each failed allocation, in the order of the allocations. It is not empty.
 	Causes []error
 }
 
-// Error gives the first failure and their number.
+// Error includes the first cause and the number of causes.
 func (ae *AcquireError) Error() string {
-	return ae.Causes[0].Error() + ", places without memory: " + strconv.Itoa(len(ae.Causes))
+	return ae.Causes[0].Error() + ", failed allocations: " + strconv.Itoa(len(ae.Causes))
 }
 
-// Unwrap returns the failures.
+// Unwrap returns the causes.
 func (ae *AcquireError) Unwrap() []error { return ae.Causes }
 
-// Keeper sets memory aside. It is safe for use by any goroutine.
+// Manager acquires, renews and releases reservations. It is safe for concurrent use.
 type Manager struct {
-	// Reserve sets memory aside or renews it; a RefusedError says that it surely did not. Seams of the adapter.
-	Reserve func(ctx context.Context, address, id string, tokens int64, hold time.Duration, heard func(answer.Head)) error
-	// Release gives memory back; it succeeds also when there is none.
-	Release func(ctx context.Context, address, id string, heard func(answer.Head)) error
-	// Heard is told of the head of each answer to an order; nil for nobody.
-	OnAnswer func(pc Allocation, hd answer.Head)
-	// NewID returns an id that is used once.
+	// Reserve reserves or renews memory for the duration of a lease. A RefusedError means that no memory is reserved; any
+	// other error leaves that unknown. The adapter provides Reserve and Release.
+	Reserve func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error
+	// Release releases memory. It also succeeds when none is reserved.
+	Release func(ctx context.Context, address, id string, onAnswer func(answer.Head)) error
+	// OnAnswer is called with the head of each answer to an order. It may be nil.
+	OnAnswer func(al Allocation, hd answer.Head)
+	// NewID returns a unique ID.
 	NewID func() string
-	// Present reports whether a target's process, by its incarnation, has not started again: memory at one that has is gone, and an
-	// order for it would set memory aside at its successor, or give that one's back. nil for always.
+	// IsCurrent reports whether an incarnation of a target has not been superseded by a restart. A restart frees the
+	// memory, and a further order would reserve or release memory of the next incarnation. If it is nil, all incarnations
+	// are current.
 	IsCurrent func(target string) bool
-	// Timeout bounds one order.
+	// Timeout is the timeout of one order.
 	Timeout time.Duration
-	// Hold is how long memory stays set aside after the last renewal.
+	// LeaseDuration is the time from the last renewal until reserved memory expires.
 	LeaseDuration time.Duration
 	Log           log.Interface
-	// releasing counts the orders that give memory back, up to their first end.
+	// releasing counts the releases in progress. Retries are not counted.
 	releasing pending.Count
 }
 
-// Released waits until all memory that was released is given back at targets that answer. An instance that ends before would
-// leave it set aside for nobody until it lapses.
+// WaitReleased waits until the targets that answer have released all memory for which Release was called. If an instance
+// exits before that, the memory stays reserved without use until it expires.
 func (mg *Manager) WaitReleased(ctx context.Context) error { return mg.releasing.Wait(ctx) }
 
-// Reservation is memory set aside for one request.
+// Reservation is memory that is reserved for one request.
 type Reservation struct {
 	manager *Manager
 	id      string
-	// lg names the request.
+	// lg includes the ID of the reservation and of the request in each line.
 	lg           log.Interface
 	allocations  []Allocation
 	stopRenewals context.CancelFunc
 	renewing     sync.WaitGroup
-	// unsure holds the last renewal's error at each place, as a lost renewal may still be carried out. It is written by
-	// the renewals only, and read once they have ended.
+	// renewalErrs holds the last error of a renewal for each allocation, since a target may still carry out a renewal
+	// without an answer. It is written only by the renewals and read only after they have ended.
 	renewalErrs []error
 }
 
-// ID names the reservation at each of its targets.
+// ID returns the ID of the reservation at each of its targets.
 func (rv *Reservation) ID() string { return rv.id }
 
-// Take sets memory aside at all places, or at none.
-func (mg *Manager) Acquire(ctx context.Context, places []Allocation) (*Reservation, error) {
-	rv := &Reservation{manager: mg, id: mg.NewID(), allocations: places, renewalErrs: make([]error, len(places))}
-	rv.lg = mg.Log.WithField("reservation", rv.id).WithField("request", requestOf(ctx))
-	errs := make([]error, len(places))
+// Acquire reserves memory for all allocations, or for none.
+func (mg *Manager) Acquire(ctx context.Context, als []Allocation) (*Reservation, error) {
+	rv := &Reservation{manager: mg, id: mg.NewID(), allocations: als, renewalErrs: make([]error, len(als))}
+	rv.lg = mg.Log.WithField("reservation", rv.id).WithField("request", requestIDOf(ctx))
+	errs := make([]error, len(als))
 	var wg sync.WaitGroup
-	for i, pc := range places {
-		wg.Go(func() { errs[i] = mg.reserveOnce(ctx, pc, rv.id) })
+	for i, al := range als {
+		wg.Go(func() { errs[i] = mg.reserveOnce(ctx, al, rv.id) })
 	}
 	wg.Wait()
 	var causes []error
@@ -127,11 +133,11 @@
 			continue
 		}
 		causes = append(causes, err)
-		rv.lg.WithField("address", places[i].Address).
-			WithField("tokens", strconv.FormatInt(places[i].Tokens, 10)).WithField("cause", err.Error()).Info("memory not set aside")
+		rv.lg.WithField("address", als[i].Address).
+			WithField("tokens", strconv.FormatInt(als[i].Tokens, 10)).WithField("cause", err.Error()).Info("memory reservation failed")
 	}
 	if len(causes) > 0 {
-		// The next plan must not find memory taken by this one: it would take a target with room for a full one.
+		// The next plan must not find this memory still in use, or it would take a target with free memory for a full one.
 		rv.releaseAll(errs).Wait()
 		return nil, &AcquireError{Causes: causes}
 	}
@@ -140,18 +146,18 @@
 	return rv, nil
 }
 
-func (mg *Manager) reserveOnce(ctx context.Context, pc Allocation, id string) error {
+func (mg *Manager) reserveOnce(ctx context.Context, al Allocation, id string) error {
 	ctx, cancel := context.WithTimeout(ctx, mg.Timeout)
 	defer cancel()
-	err := mg.Reserve(ctx, pc.Address, id, pc.Tokens, mg.LeaseDuration, mg.answerCallback(pc))
+	err := mg.Reserve(ctx, al.Address, id, al.Tokens, mg.LeaseDuration, mg.answerCallback(al))
 	var re *RefusedError
 	if err == nil || errors.As(err, &re) {
 		return err
 	}
-	return &UnansweredError{Address: pc.Address, Cause: err}
+	return &UnansweredError{Address: al.Address, Cause: err}
 }
 
-// keep renews until it is stopped.
+// renewPeriodically renews the reservation until ctx ends.
 func (rv *Reservation) renewPeriodically(ctx context.Context) {
 	tick := time.NewTicker(rv.manager.LeaseDuration / renewalsPerLease)
 	defer tick.Stop()
@@ -161,105 +167,106 @@
 		case <-ctx.Done():
 			return
 		}
-		// Not cut off by a release: an order that is given up may still be carried out.
+		// A release does not cancel the renewal, because the target may still carry out a cancelled order.
 		rv.renewAll(context.WithoutCancel(ctx))
 	}
 }
 
-// renew asks at all places at once: one that is silent must not let the others lapse.
+// renewAll renews all allocations concurrently, so that a target that does not answer does not let the others expire.
 func (rv *Reservation) renewAll(ctx context.Context) {
 	var wg sync.WaitGroup
-	for i, pc := range rv.allocations {
-		if !rv.manager.isCurrent(pc) {
+	for i, al := range rv.allocations {
+		if !rv.manager.isCurrent(al) {
 			continue
 		}
 		wg.Go(func() {
-			err := rv.manager.reserveOnce(ctx, pc, rv.id)
+			err := rv.manager.reserveOnce(ctx, al, rv.id)
 			if err != nil {
 				rv.renewalErrs[i] = err
 			}
 			if err != nil && ctx.Err() == nil {
-				rv.lg.WithField("address", pc.Address).WithField("cause", err.Error()).Warn("memory not renewed")
+				rv.lg.WithField("address", al.Address).WithField("cause", err.Error()).Warn("memory reservation not renewed")
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// Release ends the renewals and gives the memory back in the background.
+// Release stops the renewals and releases the memory in the background.
 func (rv *Reservation) Release() {
 	rv.stopRenewals()
-	begun := rv.manager.releasing.Begin()
+	ended := rv.manager.releasing.Begin()
 	go func() {
-		defer begun()
-		// A renewal under way could set the memory aside once more.
+		defer ended()
+		// A renewal in progress could reserve the memory again after its release.
 		rv.renewing.Wait()
 		rv.releaseAll(rv.renewalErrs)
 	}()
 }
 
-// giveBack releases at every place that may hold memory, and returns a wait for the first tries at those that surely do. Those whose
-// order had no answer are told again later.
-func (rv *Reservation) releaseAll(asked []error) *sync.WaitGroup {
-	var sure sync.WaitGroup
-	for i, pc := range rv.allocations {
+// releaseAll releases every allocation that may hold memory, given the error of the last order for each. It returns a wait
+// group for the first release of those that certainly hold memory. Releases are repeated for orders without an answer.
+func (rv *Reservation) releaseAll(lastErrs []error) *sync.WaitGroup {
+	var firstReleases sync.WaitGroup
+	for i, al := range rv.allocations {
 		var re *RefusedError
-		if errors.As(asked[i], &re) {
+		if errors.As(lastErrs[i], &re) {
 			continue
 		}
 		released := rv.manager.releasing.Begin()
-		if asked[i] != nil {
-			go rv.releaseWithRetries(pc, true, released)
+		if lastErrs[i] != nil {
+			go rv.releaseWithRetries(al, true, released)
 			continue
 		}
-		sure.Add(1)
-		go rv.releaseWithRetries(pc, false, func() {
+		firstReleases.Add(1)
+		go rv.releaseWithRetries(al, false, func() {
 			released()
-			sure.Done()
+			firstReleases.Done()
 		})
 	}
-	return &sure
+	return &firstReleases
 }
 
-func (mg *Manager) isCurrent(pc Allocation) bool {
-	return mg.IsCurrent == nil || mg.IsCurrent(pc.Target)
+func (mg *Manager) isCurrent(al Allocation) bool {
+	return mg.IsCurrent == nil || mg.IsCurrent(al.Target)
 }
 
-// release gives the memory at one place back, and calls released after the first try.
-func (rv *Reservation) releaseWithRetries(pc Allocation, unsure bool, released func()) {
-	if !rv.manager.isCurrent(pc) {
+// releaseWithRetries releases one allocation, and calls released after the first attempt. If uncertain is set, it repeats
+// even a successful release, since an earlier order without an answer may still reserve the memory.
+func (rv *Reservation) releaseWithRetries(al Allocation, uncertain bool, released func()) {
+	if !rv.manager.isCurrent(al) {
 		released()
-		rv.lg.WithField("address", pc.Address).Info("memory went with its target, which has started again")
+		rv.lg.WithField("address", al.Address).Info("memory reservation gone: target has restarted")
 		return
 	}
-	err := rv.manager.releaseOnce(pc, rv.id)
+	err := rv.manager.releaseOnce(al, rv.id)
 	released()
-	for _, pause := range releaseRetryDelays {
-		if err == nil && !unsure {
+	for _, delay := range releaseRetryDelays {
+		if err == nil && !uncertain {
 			return
 		}
-		time.Sleep(pause)
-		if !rv.manager.isCurrent(pc) {
+		time.Sleep(delay)
+		if !rv.manager.isCurrent(al) {
 			return
 		}
-		err = rv.manager.releaseOnce(pc, rv.id)
+		err = rv.manager.releaseOnce(al, rv.id)
 	}
 	if err != nil {
-		rv.lg.WithField("address", pc.Address).WithField("cause", err.Error()).Warn("memory not given back; it lapses")
+		rv.lg.WithField("address", al.Address).WithField("cause", err.Error()).Warn("memory reservation not released; it expires on its own")
 	}
 }
 
-func (mg *Manager) releaseOnce(pc Allocation, id string) error {
+func (mg *Manager) releaseOnce(al Allocation, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), mg.Timeout)
 	defer cancel()
-	return errors.Wrap(mg.Release(ctx, pc.Address, id, mg.answerCallback(pc)), "give memory back")
+	return errors.Wrap(mg.Release(ctx, al.Address, id, mg.answerCallback(al)), "release memory")
 }
 
-// heard returns what is told of the head of an answer to an order at a place.
-func (mg *Manager) answerCallback(pc Allocation) func(answer.Head) {
+// answerCallback returns a function that passes the head of an answer for an allocation to OnAnswer.
+func (mg *Manager) answerCallback(al Allocation) func(answer.Head) {
 	return func(hd answer.Head) {
 		if mg.OnAnswer != nil {
-			mg.OnAnswer(pc, hd)
+			mg.OnAnswer(al, hd)
 		}
 	}
 }
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -18,144 +18,140 @@
 	"github.com/silvermount/silvermount/internal/reservation"
 )
 
-func TestTakeKeepRelease(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
-		rv, err := ft.keeper().Acquire(context.Background(), places)
+func TestReservationIsRenewedUntilRelease(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
+		rv, err := ft.manager().Acquire(context.Background(), allocations)
 		g.Expect(err).NotTo(HaveOccurred())
-		ft.taken = append(ft.taken, rv)
+		ft.acquired = append(ft.acquired, rv)
 		g.Expect(rv.ID()).To(Equal("mem-1"))
 		for _, od := range ft.orders {
 			g.Expect(od.id).To(Equal(rv.ID()))
 		}
 		for range 60 {
-			g.Expect(ft.holding()).To(Equal(len(places)))
-			pass(time.Second)
+			g.Expect(ft.holding()).To(Equal(len(allocations)))
+			advance(time.Second)
 		}
 		rv.Release()
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(ft.holding()).To(BeZero())
 		renewed := ft.count("reserve", "a")
-		pass(time.Minute)
+		advance(time.Minute)
 		g.Expect(ft.count("reserve", "a")).To(Equal(renewed))
-		for _, pc := range places {
-			g.Expect(ft.count("release", pc.Address)).To(Equal(1))
+		for _, al := range allocations {
+			g.Expect(ft.count("release", al.Address)).To(Equal(1))
 		}
 	})
 }
 
-// TestTakeThatFailsHasGivenBack.
-//
-// A large prompt was refused for want of memory while two targets had room. One of three targets was full, and each plan named it
-// beside one of the others. The memory that this one had set aside was given back in the background, after the failure was told, so
-// that the next plan, made at once, found it taken by the plan before and counted that target as full as well. Both were tried again
-// half a second later, in step, until the caller's time was over:
-//
-//	reserve mem-3421 200, reserve mem-d84c 409, release mem-3421 200   (the target with room, again every half second)
-func TestTakeThatFailsHasGivenBack(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
+// Guards against a large prompt being refused although two of three targets had enough free memory. Each plan named the full
+// target and one of the others. The memory at this other target was released in the background after Acquire had failed, so the
+// next plan, made at once, found it in use and counted the target as full as well. Both targets were retried in step every half
+// second until the deadline of the caller.
+func TestFailedAcquireReleasesBeforeReturning(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
 		ft.reserve = func(address string) error {
 			if address == "a" {
 				return &reservation.RefusedError{Address: address}
 			}
 			return nil
 		}
-		_, err := ft.keeper().Acquire(context.Background(), places)
+		_, err := ft.manager().Acquire(context.Background(), allocations)
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(ft.holding()).To(BeZero(), "when the failure is told")
+		g.Expect(ft.holding()).To(BeZero(), "after Acquire has failed")
 	})
 }
 
-// TestTakeThatFailsDoesNotWaitForTheSilent: memory whose order had no answer is given back later, and lapses at the worst.
-func TestTakeThatFailsDoesNotWaitForTheSilent(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
+// Memory whose order had no answer is released in the background, and expires at the latest at the end of its lease.
+func TestFailedAcquireDoesNotWaitForUnresponsiveTarget(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
 		ft.reserve = func(address string) error {
 			if address == "b" {
-				return &LostError{}
+				return &NoAnswerError{}
 			}
 			return nil
 		}
-		kp := ft.keeper()
-		answers := kp.Release
-		kp.Release = func(ctx context.Context, address, id string, heard func(answer.Head)) error {
+		mg := ft.manager()
+		release := mg.Release
+		mg.Release = func(ctx context.Context, address, id string, onAnswer func(answer.Head)) error {
 			if address == "b" {
 				<-ctx.Done()
 				return ctx.Err()
 			}
-			return answers(ctx, address, id, heard)
+			return release(ctx, address, id, onAnswer)
 		}
-		began := time.Now()
-		_, err := kp.Acquire(context.Background(), places)
+		start := time.Now()
+		_, err := mg.Acquire(context.Background(), allocations)
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(time.Since(began)).To(BeNumerically("<", 4*travel))
+		g.Expect(time.Since(start)).To(BeNumerically("<", 4*roundTrip))
 	})
 }
 
-// TestMemoryAtAnIncarnationThatHasEnded: a target that starts again holds nothing. What was set aside there is neither renewed at the
-// incarnation that comes after, which would set it aside anew for nobody, nor given back there.
-func TestMemoryAtAnIncarnationThatHasEnded(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
+// A restarted target holds no memory. A renewal at its next incarnation would reserve memory that nobody uses, so the memory is
+// neither renewed nor released there.
+func TestNoOrdersForSupersededIncarnation(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
 		var ended atomic.Bool
-		kp := ft.keeper()
-		kp.IsCurrent = func(target string) bool { return target != "first" || !ended.Load() }
-		rv, err := kp.Acquire(context.Background(), []reservation.Allocation{
+		mg := ft.manager()
+		mg.IsCurrent = func(target string) bool { return target != "first" || !ended.Load() }
+		rv, err := mg.Acquire(context.Background(), []reservation.Allocation{
 			{Target: "first", Address: "a", Tokens: 100}, {Target: "other", Address: "b", Tokens: 100},
 		})
 		g.Expect(err).NotTo(HaveOccurred())
-		pass(1500 * time.Millisecond)
+		advance(1500 * time.Millisecond)
 		ended.Store(true)
-		orders := ft.count("reserve", "a")
-		g.Expect(orders).To(BeNumerically(">", 1), "it is renewed until then")
-		pass(10 * time.Second)
+		reserved := ft.count("reserve", "a")
+		g.Expect(reserved).To(BeNumerically(">", 1), "renewed until the restart")
+		advance(10 * time.Second)
 		rv.Release()
-		pass(time.Minute)
-		g.Expect(ft.count("reserve", "a")).To(Equal(orders))
+		advance(time.Minute)
+		g.Expect(ft.count("reserve", "a")).To(Equal(reserved))
 		g.Expect(ft.count("release", "a")).To(BeZero())
 		g.Expect(ft.count("release", "b")).To(Equal(1))
 	})
 }
 
-// TestTakeOutlivesItsContext ends the context of the request that took the memory.
-func TestTakeOutlivesItsContext(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
+// The context of the request that acquired the memory is cancelled.
+func TestReservationOutlivesContextOfAcquire(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
 		ctx, cancel := context.WithCancel(context.Background())
-		rv, err := ft.keeper().Acquire(ctx, places)
+		rv, err := ft.manager().Acquire(ctx, allocations)
 		g.Expect(err).NotTo(HaveOccurred())
-		ft.taken = append(ft.taken, rv)
+		ft.acquired = append(ft.acquired, rv)
 		cancel()
-		pass(10 * time.Second)
-		g.Expect(ft.holding()).To(Equal(len(places)))
+		advance(10 * time.Second)
+		g.Expect(ft.holding()).To(Equal(len(allocations)))
 		rv.Release()
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		g.Expect(ft.holding()).To(BeZero())
 	})
 }
 
-func TestAllOrNothing(t *testing.T) {
+func TestAcquireReservesAllOrNothing(t *testing.T) {
 	refuse := func(address string) error { return &reservation.RefusedError{Address: address} }
-	lose := func(string) error { return &LostError{} }
+	loseAnswer := func(string) error { return &NoAnswerError{} }
 	cases := map[string]struct {
 		fail func(address string) error
-		// lost is set when the order at b has no answer, and may be carried out later.
+		// lost is set when the order at b has no answer and may be carried out later.
 		lost bool
 	}{
-		"refused at one": {refuse, false},
-		"lost at one":    {lose, true},
+		"one refusal":     {refuse, false},
+		"one lost answer": {loseAnswer, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(g *WithT, ft *fakeTargets) {
+			runInBubble(t, func(g *WithT, ft *fakeTargets) {
 				ft.reserve = func(address string) error {
 					if address == "b" {
 						return tc.fail(address)
 					}
 					return nil
 				}
-				began := time.Now()
-				_, err := ft.keeper().Acquire(context.Background(), places)
+				start := time.Now()
+				_, err := ft.manager().Acquire(context.Background(), allocations)
 				g.Expect(err).To(HaveOccurred())
 				var re *reservation.RefusedError
 				g.Expect(errors.As(err, &re)).To(Equal(!tc.lost))
-				pass(time.Minute)
+				advance(time.Minute)
 				g.Expect(ft.holding()).To(BeZero())
 				g.Expect(ft.count("release", "a")).To(Equal(1))
 				g.Expect(ft.count("release", "c")).To(Equal(1))
@@ -164,140 +160,140 @@
 					return
 				}
 				g.Expect(ft.count("release", "b")).To(BeNumerically(">", 2))
-				g.Expect(ft.lastAt("release", "b").Sub(began)).To(BeNumerically(">=", lateMost))
+				g.Expect(ft.lastAt("release", "b").Sub(start)).To(BeNumerically(">=", maxOrderDelay))
 			})
 		})
 	}
 }
 
-func TestSilentTargetDoesNotHoldATakeUp(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
-		kp := ft.keeper()
-		kp.Reserve = func(ctx context.Context, address, id string, tokens int64, hold time.Duration, heard func(answer.Head)) error {
+func TestAcquireTimesOutAtUnresponsiveTarget(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
+		mg := ft.manager()
+		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error {
 			if address == "b" {
 				<-ctx.Done()
 				return ctx.Err()
 			}
-			return ft.onReserve(ctx, address, id, tokens, hold, heard)
+			return ft.onReserve(ctx, address, id, tokens, leaseDuration, onAnswer)
 		}
-		began := time.Now()
-		_, err := kp.Acquire(context.Background(), places)
+		start := time.Now()
+		_, err := mg.Acquire(context.Background(), allocations)
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(time.Since(began)).To(BeNumerically("<", time.Second))
-		pass(time.Minute)
+		g.Expect(time.Since(start)).To(BeNumerically("<", time.Second))
+		advance(time.Minute)
 		g.Expect(ft.holding()).To(BeZero())
 	})
 }
 
-func TestReleaseIsRepeatedAfterALostAnswer(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
-		rv, err := ft.keeper().Acquire(context.Background(), places)
+func TestReleaseIsRetriedAfterLostAnswer(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
+		rv, err := ft.manager().Acquire(context.Background(), allocations)
 		g.Expect(err).NotTo(HaveOccurred())
-		ft.taken = append(ft.taken, rv)
+		ft.acquired = append(ft.acquired, rv)
 		lost := 2
 		ft.release = func(address string) error {
 			if address == "b" && lost > 0 {
 				lost--
-				return &LostError{}
+				return &NoAnswerError{}
 			}
 			return nil
 		}
 		rv.Release()
-		pass(time.Minute)
+		advance(time.Minute)
 		g.Expect(ft.holding()).To(BeZero())
 		g.Expect(ft.count("release", "a")).To(Equal(1))
 		g.Expect(ft.count("release", "b")).To(BeNumerically(">=", 3))
 	})
 }
 
-func TestMemoryOfADeadKeeperLapses(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
-		rv, err := ft.keeper().Acquire(context.Background(), places)
+func TestMemoryExpiresWithoutRenewals(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
+		rv, err := ft.manager().Acquire(context.Background(), allocations)
 		g.Expect(err).NotTo(HaveOccurred())
-		ft.taken = append(ft.taken, rv)
-		ft.set(func() { ft.reserve = func(string) error { return &LostError{} } })
-		pass(holdMost)
+		ft.acquired = append(ft.acquired, rv)
+		ft.set(func() { ft.reserve = func(string) error { return &NoAnswerError{} } })
+		advance(maxExpiry)
 		g.Expect(ft.holding()).To(BeZero())
 		rv.Release()
-		pass(time.Minute)
+		advance(time.Minute)
 	})
 }
 
-// TestOneSilentTargetDoesNotLetTheOthersLapse keeps memory at many targets of which some do not answer any more.
-func TestOneSilentTargetDoesNotLetTheOthersLapse(t *testing.T) {
-	const targets, silent = 16, 6
-	bubble(t, func(g *WithT, ft *fakeTargets) {
+// Memory is renewed at many targets, some of which stop answering.
+func TestUnresponsiveTargetsDoNotLetOthersExpire(t *testing.T) {
+	const numTargets, numUnresponsive = 16, 6
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
 		var many []reservation.Allocation
-		for no := range targets {
+		for no := range numTargets {
 			many = append(many, reservation.Allocation{Address: fmt.Sprintf("t%02d", no), Tokens: 100})
 		}
 		var mu sync.Mutex
-		quiet := false
-		kp := ft.keeper()
-		kp.Reserve = func(ctx context.Context, address, id string, tokens int64, hold time.Duration, heard func(answer.Head)) error {
+		stopped := false
+		mg := ft.manager()
+		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error {
 			mu.Lock()
-			stuck := quiet && address < fmt.Sprintf("t%02d", silent)
+			unresponsive := stopped && address < fmt.Sprintf("t%02d", numUnresponsive)
 			mu.Unlock()
-			if stuck {
+			if unresponsive {
 				<-ctx.Done()
 				return ctx.Err()
 			}
-			return ft.onReserve(ctx, address, id, tokens, hold, heard)
+			return ft.onReserve(ctx, address, id, tokens, leaseDuration, onAnswer)
 		}
-		rv, err := kp.Acquire(context.Background(), many)
+		rv, err := mg.Acquire(context.Background(), many)
 		g.Expect(err).NotTo(HaveOccurred())
-		ft.taken = append(ft.taken, rv)
+		ft.acquired = append(ft.acquired, rv)
 		mu.Lock()
-		quiet = true
+		stopped = true
 		mu.Unlock()
 		for range 40 {
-			pass(250 * time.Millisecond)
-			g.Expect(ft.holding()).To(BeNumerically(">=", targets-silent))
+			advance(250 * time.Millisecond)
+			g.Expect(ft.holding()).To(BeNumerically(">=", numTargets-numUnresponsive))
 		}
 		rv.Release()
-		pass(time.Minute)
+		advance(time.Minute)
 	})
 }
 
-// TestReleaseAfterALostRenewal releases while the last renewal at one target has no answer: it may still be carried
-// out, after the release.
-func TestReleaseAfterALostRenewal(t *testing.T) {
-	bubble(t, func(g *WithT, ft *fakeTargets) {
-		kp := ft.keeper()
+// The last renewal at one target has no answer when the reservation is released, and the target carries it out after the
+// release.
+func TestReleaseIsRepeatedAfterRenewalWithoutAnswer(t *testing.T) {
+	runInBubble(t, func(g *WithT, ft *fakeTargets) {
+		mg := ft.manager()
 		var mu sync.Mutex
 		late := false
-		kp.Reserve = func(ctx context.Context, address, id string, tokens int64, hold time.Duration, heard func(answer.Head)) error {
+		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error {
 			mu.Lock()
 			lost := late && address == "b"
 			mu.Unlock()
 			if !lost {
-				return ft.onReserve(ctx, address, id, tokens, hold, heard)
+				return ft.onReserve(ctx, address, id, tokens, leaseDuration, onAnswer)
 			}
 			go func() {
 				time.Sleep(3 * time.Second)
-				_ = ft.onReserve(context.Background(), address, id, tokens, hold, heard) // nobody hears of its end
+				_ = ft.onReserve(context.Background(), address, id, tokens, leaseDuration, onAnswer) // the result of a late order is lost
 			}()
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		rv, err := kp.Acquire(context.Background(), places)
+		rv, err := mg.Acquire(context.Background(), allocations)
 		g.Expect(err).NotTo(HaveOccurred())
-		ft.taken = append(ft.taken, rv)
+		ft.acquired = append(ft.acquired, rv)
 		mu.Lock()
 		late = true
 		mu.Unlock()
-		pass(1100 * time.Millisecond)
+		advance(1100 * time.Millisecond)
 		released := time.Now()
 		rv.Release()
-		pass(time.Minute)
+		advance(time.Minute)
 		g.Expect(ft.holding()).To(BeZero())
 		g.Expect(ft.lastAt("release", "b").Sub(released)).To(BeNumerically(">=", 3*time.Second),
-			"memory that a late renewal sets aside once more is not given back")
+			"no release after a late renewal has reserved the memory again")
 	})
 }
 
-// TestLinesNameTheRequest refuses the memory of a request and one without a name.
-func TestLinesNameTheRequest(t *testing.T) {
+// Memory is refused for a context with a request ID and for one without.
+func TestLogLinesIncludeRequestID(t *testing.T) {
 	cases := map[string]struct {
 		ctx  context.Context
 		want string
@@ -307,31 +303,31 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(g *WithT, ft *fakeTargets) {
+			runInBubble(t, func(g *WithT, ft *fakeTargets) {
 				mh := memory.New()
-				kp := ft.keeper()
-				kp.Log = &log.Logger{Handler: mh, Level: log.InfoLevel}
+				mg := ft.manager()
+				mg.Log = &log.Logger{Handler: mh, Level: log.InfoLevel}
 				ft.reserve = func(string) error { return &reservation.RefusedError{} }
-				_, err := kp.Acquire(tc.ctx, places)
+				_, err := mg.Acquire(tc.ctx, allocations)
 				g.Expect(err).To(HaveOccurred())
-				g.Expect(mh.Entries).To(HaveLen(len(places)))
+				g.Expect(mh.Entries).To(HaveLen(len(allocations)))
 				g.Expect(mh.Entries[0].Fields).To(HaveKeyWithValue("request", tc.want))
-				pass(time.Minute)
+				advance(time.Minute)
 			})
 		})
 	}
 }
 
-// TestReleasedWaitsForWhatIsGivenBack releases memory while its targets answer, and while they do not.
-func TestReleasedWaitsForWhatIsGivenBack(t *testing.T) {
+// Memory is released while its targets answer and while they do not.
+func TestWaitReleasedWaitsForFirstReleases(t *testing.T) {
 	cases := map[string]struct {
 		release func(string) error
-		// least and most bound the wait; the patience is a second.
-		least, most time.Duration
+		// minWait and maxWait limit the wait, which has a timeout of 1 s.
+		minWait, maxWait time.Duration
 	}{
-		"targets answer": {nil, travel, 4 * travel},
-		"an answer is lost: what is told again later is not waited for": {
-			func(string) error { return &LostError{} }, travel, 4 * travel,
+		"targets answer": {nil, roundTrip, 4 * roundTrip},
+		"answers are lost: no wait for retries": {
+			func(string) error { return &NoAnswerError{} }, roundTrip, 4 * roundTrip,
 		},
 	}
 	for name, tc := range cases {
@@ -340,15 +336,15 @@
 				g := NewWithT(t)
 				ft := newFakeTargets()
 				ft.release = tc.release
-				kp := ft.keeper()
-				rv, err := kp.Acquire(t.Context(), []reservation.Allocation{{Address: "a", Tokens: 1}, {Address: "b", Tokens: 1}})
+				mg := ft.manager()
+				rv, err := mg.Acquire(t.Context(), []reservation.Allocation{{Address: "a", Tokens: 1}, {Address: "b", Tokens: 1}})
 				g.Expect(err).NotTo(HaveOccurred())
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				began := time.Now()
+				start := time.Now()
 				rv.Release()
-				g.Expect(kp.WaitReleased(ctx)).To(Succeed())
-				g.Expect(time.Since(began)).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most)))
+				g.Expect(mg.WaitReleased(ctx)).To(Succeed())
+				g.Expect(time.Since(start)).To(And(BeNumerically(">=", tc.minWait), BeNumerically("<=", tc.maxWait)))
 				g.Expect(ft.count("release", "a") + ft.count("release", "b")).To(Equal(2))
 				time.Sleep(time.Minute)
 			})
