--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -265,8 +265,8 @@
 		passes := ceilDiv(pr.AnswerTokens, int64(typicalEngine.StepsPerPass))
 		for _, ta := range ts {
 			first := float64(typicalEngine.TimeToFirstToken(pr, ta))
-			writing := float64(passes) * typicalEngine.decodePassTimeAt(&ta, 1, pr.Tokens+pr.AnswerTokens/2)
-			g.Expect(time.Duration(first + writing)).To(BeNumerically(">=", pr.UntilDeadline))
+			decodeTime := float64(passes) * typicalEngine.decodePassTimeAt(&ta, 1, pr.Tokens+pr.AnswerTokens/2)
+			g.Expect(time.Duration(first + decodeTime)).To(BeNumerically(">=", pr.UntilDeadline))
 		}
 	})
 }
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -74,8 +74,8 @@
 
 // Manager acquires, renews and releases reservations. It is safe for concurrent use.
 type Manager struct {
-	// Reserve reserves or renews memory for the duration of a lease. A RefusedError means that no memory is reserved; any
-	// other error leaves that unknown. The adapter provides Reserve and Release.
+	// Reserve reserves or renews memory for the duration of a lease. After a RefusedError the order was certainly not
+	// carried out; after any other error this is unknown. The adapter provides Reserve and Release.
 	Reserve func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error
 	// Release releases memory. It also succeeds when none is reserved.
 	Release func(ctx context.Context, address, id string, onAnswer func(answer.Head)) error
