--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -8,7 +8,7 @@
 
 // late reports whether an answer is late already or is sure to be. Others need not spare it: nothing more of it is lost.
 func late(as Ask, pr placement.Prompt, pl placement.Plan) bool {
-	return as.Resumed || float64(pr.Used+pl.FirstToken) > lateFrom*float64(pr.Objective)
+	return as.Resumed || float64(pr.Elapsed+pl.TimeToFirstToken) > lateFrom*float64(pr.Objective)
 }
 
 // lateFrom is the share of the objective from which a predicted first token is late for sure: predictions are off by a
@@ -21,9 +21,9 @@
 //
 // One that is late for having waited has no better moment to wait for: refused in the end, its caller comes back once more for nothing.
 func worthwhile(as Ask, pr placement.Prompt, pl placement.Plan) bool {
-	saved := pr.InTime
-	if late(as, pr, pl) && pr.Used > 0 {
-		saved += placement.Worth(refusalCost * float64(pr.InTime))
+	saved := pr.InTimeWorth
+	if late(as, pr, pl) && pr.Elapsed > 0 {
+		saved += placement.Worth(refusalCost * float64(pr.InTimeWorth))
 	}
 	return pl.Loss < saved
 }
@@ -39,14 +39,14 @@
 
 // begins reports whether the first token of a plan comes while the caller waits.
 func begins(pr placement.Prompt, pl placement.Plan) bool {
-	return pr.Patience <= 0 || pr.Used+pl.FirstToken <= pr.Patience
+	return pr.CallerIdleTimeout <= 0 || pr.Elapsed+pl.TimeToFirstToken <= pr.CallerIdleTimeout
 }
 
 // read returns targets with nothing left to read.
 func read(cands []placement.Target) []placement.Target {
 	after := slices.Clone(cands)
 	for i := range after {
-		after[i].Load.Whole, after[i].Load.Parts = placement.Backlog{}, placement.Backlog{}
+		after[i].Load.WholePrefill, after[i].Load.SplitPrefill = placement.Backlog{}, placement.Backlog{}
 		after[i].Closed = false
 	}
 	return after
@@ -57,7 +57,7 @@
 	after := slices.Clone(cands)
 	for i := range after {
 		after[i].Load = placement.Load{}
-		after[i].Helper, after[i].Closed = true, false
+		after[i].CanHelp, after[i].Closed = true, false
 	}
 	return after
 }
@@ -72,10 +72,10 @@
 // betterLater reports whether a long prompt had better wait until what is being read now is read: the parts of two long
 // prompts in one pass make the pauses of all writers there too long, one after the other they do not.
 func betterLater(pr placement.Prompt, pl, later placement.Plan) bool {
-	if float64(pr.Used+later.FirstToken) > waitUpTo*float64(pr.Objective) {
+	if float64(pr.Elapsed+later.TimeToFirstToken) > waitUpTo*float64(pr.Objective) {
 		return false
 	}
-	return float64(pl.Loss-later.Loss) > waitGain*float64(pr.InTime)
+	return float64(pl.Loss-later.Loss) > waitGain*float64(pr.InTimeWorth)
 }
 
 const (
@@ -93,9 +93,9 @@
 	if !late(as, pr, pl) {
 		return false
 	}
-	left := pr.Left - pl.FirstToken
-	if left < pr.Objective || float64(pr.Used) > deferUpTo*float64(pr.Objective) {
+	left := pr.UntilDeadline - pl.TimeToFirstToken
+	if left < pr.Objective || float64(pr.Elapsed) > deferUpTo*float64(pr.Objective) {
 		return false
 	}
-	return float64(pl.Harm) > deferHarm*float64(pr.InTime)
+	return float64(pl.OthersLoss) > deferHarm*float64(pr.InTimeWorth)
 }
--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/demand.go
@@ -14,7 +14,7 @@
 // overload its answers are late and have nothing left at stake, and long prompts were then placed as if nobody arrived,
 // which kept every next answer late as well.
 type demand struct {
-	atRisk placement.Classes
+	atRisk placement.RiskByLimit
 	// known is false before the first request.
 	known bool
 	// shortStake is what a usual short answer has at stake, and shortPause the longest pause that the newest one allows; zero before
@@ -28,7 +28,7 @@
 	if short {
 		dm.observeShort(pr)
 	}
-	next := pr.Writing().AtRisk
+	next := pr.DecodeLoad().PauseRisk
 	if !dm.known {
 		dm.atRisk, dm.known = next, true
 		return
@@ -46,7 +46,7 @@
 // observeShort takes a short prompt that arrives.
 func (dm *demand) observeShort(pr placement.Prompt) {
 	dm.shortPause = pr.LongestPause
-	stake := pr.InTime - pr.Late
+	stake := pr.InTimeWorth - pr.LateWorth
 	if dm.shortStake == 0 {
 		dm.shortStake = stake
 		return
@@ -59,8 +59,8 @@
 func (dm *demand) perSecond(en *placement.Engine, cands []placement.Target) placement.Load {
 	rate := float64(inFlight(cands)) / answerTime(en).Seconds() / float64(len(cands))
 	var sum placement.Load
-	for cl := range sum.AtRisk {
-		sum.AtRisk[cl] = placement.Worth(rate * float64(dm.atRisk[cl]))
+	for cl := range sum.PauseRisk {
+		sum.PauseRisk[cl] = placement.Worth(rate * float64(dm.atRisk[cl]))
 	}
 	return sum
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -92,8 +92,8 @@
 		orders: &orders{reserved: map[string]int{}, released: map[string]int{}, refuse: map[string]bool{}, silent: map[string]bool{}},
 	}
 	var ids atomic.Int64
-	kp := &reservation.Keeper{
-		Timeout: 400 * time.Millisecond, Hold: 3 * time.Second,
+	kp := &reservation.Manager{
+		Timeout: 400 * time.Millisecond, LeaseDuration: 3 * time.Second,
 		Reserve: be.orders.reserve, Release: be.orders.release,
 		NewID: func() string { return strconv.FormatInt(ids.Add(1), 10) },
 		Log:   &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
@@ -139,8 +139,8 @@
 	as := plain()
 	as.PromptTokens, as.MostAnswer, as.LongestPause = tokens, 100, time.Second
 	as.Service.Engine = &placement.Engine{
-		Slots: slots, Stride: 4, Chunk: 2048, Memory: memory, Step: time.Millisecond, PerWriter: 50 * time.Microsecond,
-		PerThousandContext: 5 * time.Microsecond, PerThousandRead: time.Millisecond, UsualPrompt: 1000, UsualAnswer: 100,
+		Slots: slots, StepsPerPass: 4, ChunkTokens: 2048, MemoryTokens: memory, StepTime: time.Millisecond, StepTimePerRequest: 50 * time.Microsecond,
+		StepTimePerThousandContext: 5 * time.Microsecond, PrefillTimePerThousand: time.Millisecond, MeanPromptTokens: 1000, MeanAnswerTokens: 100,
 	}
 	return as
 }
@@ -195,7 +195,7 @@
 			sls = append(sls, be.take(plain()))
 		}
 		for no := range 3 {
-			be.Expect(be.Own()[id(no)].Writers).To(Equal(4))
+			be.Expect(be.Own()[id(no)].Decoding).To(Equal(4))
 		}
 		for _, sl := range sls {
 			sl.Release()
@@ -216,15 +216,15 @@
 			be.take(plain())
 		}, nil, id(1)},
 		"the one that a peer does not use": {func(be *bench) {
-			be.Heard("peer", map[string]placement.Load{id(0): {Writers: 3}})
+			be.Heard("peer", map[string]placement.Load{id(0): {Decoding: 3}})
 		}, nil, id(1)},
 		"loads of several peers count": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Writers: 2}, id(1): {Writers: 3}})
-			be.Heard("p2", map[string]placement.Load{id(0): {Writers: 2}})
+			be.Heard("p1", map[string]placement.Load{id(0): {Decoding: 2}, id(1): {Decoding: 3}})
+			be.Heard("p2", map[string]placement.Load{id(0): {Decoding: 2}})
 		}, nil, id(1)},
 		"a lost peer's load does not": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Writers: 9}})
-			be.Heard("p2", map[string]placement.Load{id(1): {Writers: 1}})
+			be.Heard("p1", map[string]placement.Load{id(0): {Decoding: 9}})
+			be.Heard("p2", map[string]placement.Load{id(1): {Decoding: 1}})
 			be.Heard("p1", nil)
 		}, nil, id(0)},
 		"not the leaving one":    {func(be *bench) { be.put(0, zone, true) }, nil, id(1)},
@@ -290,8 +290,8 @@
 			sls = append(sls, <-got)
 		}
 		for no := range count {
-			be.Expect(be.Own()[id(no)].Readers).To(Equal(1))
-			be.Expect(be.Own()[id(no)].Memory).To(BeNumerically("<=", memory))
+			be.Expect(be.Own()[id(no)].Prefilling).To(Equal(1))
+			be.Expect(be.Own()[id(no)].MemoryTokens).To(BeNumerically("<=", memory))
 		}
 		for _, sl := range sls {
 			sl.Release()
@@ -302,20 +302,20 @@
 
 func TestPeersLoadsCountForPrompts(t *testing.T) {
 	bubble(t, 2, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: 9000, Writers: 1, Context: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(0): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
 		for range 5 {
 			sl := be.take(prompt(4000))
 			be.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
-		be.Heard("peer", map[string]placement.Load{id(1): {Memory: 9000, Writers: 1, Context: 9000}})
+		be.Heard("peer", map[string]placement.Load{id(1): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
 		be.Expect(be.take(prompt(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
 
 func TestPeerWakesARequestThatWaits(t *testing.T) {
 	bubble(t, 3, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: memory}, id(1): {Memory: memory}})
+		be.Heard("peer", map[string]placement.Load{id(0): {MemoryTokens: memory}, id(1): {MemoryTokens: memory}})
 		got := be.send(prompt(largest))
 		time.Sleep(objective / 2)
 		synctest.Wait()
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -22,7 +22,7 @@
 // avoid leaves the targets out for a while that refused or did not answer an order for memory: all of them, since each
 // further plan that names one of them sets memory aside elsewhere for nobody. It reports whether there are any.
 func (ds *Dispatcher) avoid(err error, tgs []targets.Target) bool {
-	var te *reservation.TakeError
+	var te *reservation.AcquireError
 	if !errors.As(err, &te) {
 		return false
 	}
@@ -53,17 +53,17 @@
 	for _, tg := range tgs {
 		address[tg.ID] = tg.Address
 	}
-	places := make([]reservation.Place, 0, len(sl.plan.Reserve))
-	for _, sh := range sl.plan.Reserve {
-		places = append(places, reservation.Place{Target: sh.Target, Address: address[sh.Target], Tokens: sh.Tokens})
+	places := make([]reservation.Allocation, 0, len(sl.plan.MemoryShares))
+	for _, sh := range sl.plan.MemoryShares {
+		places = append(places, reservation.Allocation{Target: sh.Target, Address: address[sh.Target], Tokens: sh.Tokens})
 	}
-	rv, err := ds.keeper.Take(ctx, places)
+	rv, err := ds.keeper.Acquire(ctx, places)
 	if err != nil {
 		return err
 	}
 	sl.reservation = rv
 	sl.Helpers = nil
-	for _, sh := range sl.plan.Reserve {
+	for _, sh := range sl.plan.MemoryShares {
 		sl.Helpers = append(sl.Helpers, Helper{ID: sh.Target, Address: address[sh.Target], Reservation: rv.ID()})
 	}
 	return nil
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -41,7 +41,7 @@
 	bubble(t, 3, func(be *bench) {
 		large := func() dispatch.Ask {
 			as := prompt(50_000)
-			as.Service.Engine.Memory = 30_000
+			as.Service.Engine.MemoryTokens = 30_000
 			return as
 		}
 		first := be.take(large())
@@ -71,7 +71,7 @@
 				}
 				defer sl.Release()
 				for at := range 3 {
-					if held := be.Own()[id(at)].Memory; held > memory {
+					if held := be.Own()[id(at)].MemoryTokens; held > memory {
 						be.t.Errorf("%d tokens are booked at %s", held, id(at))
 					}
 				}
@@ -93,8 +93,8 @@
 		be.Expect(sl.Helpers[0].ID).To(Equal(sl.Target.ID))
 		held := int64(0)
 		for no := range 3 {
-			be.Expect(be.Own()[id(no)].Memory).To(BeNumerically("<=", memory))
-			held += be.Own()[id(no)].Memory
+			be.Expect(be.Own()[id(no)].MemoryTokens).To(BeNumerically("<=", memory))
+			held += be.Own()[id(no)].MemoryTokens
 		}
 		be.Expect(held).To(BeNumerically(">=", 15_000))
 		sl.FirstToken()
@@ -142,7 +142,7 @@
 	bubble(t, 6, func(be *bench) {
 		as := func() dispatch.Ask {
 			as := prompt(9000)
-			as.Service.Engine.PerThousandRead = 300 * time.Millisecond
+			as.Service.Engine.PrefillTimePerThousand = 300 * time.Millisecond
 			return as
 		}
 		sl := be.take(as())
@@ -200,7 +200,7 @@
 			be.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = true
 		}
 		as := prompt(7 * memory / 2)
-		as.Service.Engine.PerThousandRead, as.Objective = 100*time.Millisecond, 600*time.Millisecond
+		as.Service.Engine.PrefillTimePerThousand, as.Objective = 100*time.Millisecond, 600*time.Millisecond
 		sl := be.take(as)
 		be.Expect(sl.Helpers).NotTo(BeEmpty())
 		be.orders.mu.Lock()
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -29,7 +29,7 @@
 	if as.Resumed {
 		return false
 	}
-	inTime := float64(pr.Used+pl.FirstToken) <= crowdedFrom*float64(pr.Objective)
+	inTime := float64(pr.Elapsed+pl.TimeToFirstToken) <= crowdedFrom*float64(pr.Objective)
 	return !inTime && slotsTaken(as.Service.Engine, cands)
 }
 
@@ -40,7 +40,7 @@
 		if cands[i].Closed {
 			continue
 		}
-		taken += cands[i].Load.Readers + cands[i].Load.Writers
+		taken += cands[i].Load.Prefilling + cands[i].Load.Decoding
 		slots += en.Slots
 	}
 	return float64(taken) > overloadedFrom*float64(slots)
@@ -50,7 +50,7 @@
 func inFlight(cands []placement.Target) int {
 	sum := 0
 	for i := range cands {
-		sum += cands[i].Load.Readers + cands[i].Load.Writers
+		sum += cands[i].Load.Prefilling + cands[i].Load.Decoding
 	}
 	return sum
 }
@@ -62,7 +62,7 @@
 // refusal tells the caller of a prompt that was not placed when to come back.
 func (ds *Dispatcher) refusal(as Ask, pr placement.Prompt) error {
 	if as.long() {
-		after := time.Duration(longReturn * float64(max(pr.Left, 0)))
+		after := time.Duration(longReturn * float64(max(pr.UntilDeadline, 0)))
 		return failure.New(failure.Overloaded, failure.NotRun, "the prompt cannot be answered in its caller's time").WithRetryAfter(after)
 	}
 	share := comeBackLeast + (comeBackMost-comeBackLeast)*fraction(as.Request, ds.opts.Instance, "come back")
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -14,7 +14,7 @@
 func crowd(writers int) map[string]placement.Load {
 	loads := map[string]placement.Load{}
 	for no := range 3 {
-		loads[id(no)] = placement.Load{Writers: writers, Context: int64(writers) * 500, Memory: int64(writers) * 600}
+		loads[id(no)] = placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, MemoryTokens: int64(writers) * 600}
 	}
 	return loads
 }
@@ -36,7 +36,7 @@
 			bubble(t, 3, func(be *bench) {
 				be.Heard("peer", crowd(tt.writers))
 				as := prompt(tt.tokens)
-				as.Service.Engine.Memory = 100_000
+				as.Service.Engine.MemoryTokens = 100_000
 				as.Objective, as.Resumed = 300*time.Millisecond, tt.resumed
 				if !tt.refused {
 					be.take(as)
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -31,9 +31,9 @@
 		pause = pauseUnset
 	}
 	return placement.Prompt{
-		Tokens: int64(as.PromptTokens), Answer: int64(expectedAnswer(as)),
-		Objective: max(as.Objective, time.Millisecond), Used: now.Sub(as.Arrived), LongestPause: pause, Patience: as.Patience,
-		InTime: placement.WorthOf(worth), Late: placement.WorthOf(worth * worthLate), Left: ds.due(as).Sub(now),
+		Tokens: int64(as.PromptTokens), AnswerTokens: int64(expectedAnswer(as)),
+		Objective: max(as.Objective, time.Millisecond), Elapsed: now.Sub(as.Arrived), LongestPause: pause, CallerIdleTimeout: as.Patience,
+		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth * worthLate), UntilDeadline: ds.due(as).Sub(now),
 	}
 }
 
@@ -41,14 +41,14 @@
 func expectedAnswer(as Ask) int {
 	expected := as.AnswerHint
 	if expected == 0 {
-		expected = int(as.Service.Engine.UsualAnswer)
+		expected = int(as.Service.Engine.MeanAnswerTokens)
 	}
 	if as.MostAnswer > 0 {
 		expected = min(expected, as.MostAnswer)
 	}
 	// An event holds the tokens of one pass.
-	expected -= as.Events * as.Service.Engine.Stride
-	return max(as.Service.Engine.Stride, expected)
+	expected -= as.Events * as.Service.Engine.StepsPerPass
+	return max(as.Service.Engine.StepsPerPass, expected)
 }
 
 // place chooses the targets of a prompt and books it there.
@@ -61,7 +61,7 @@
 	if err := ds.permit(ctx, as, sl); err != nil {
 		return nil, false, err
 	}
-	if len(sl.plan.Reserve) == 0 {
+	if len(sl.plan.MemoryShares) == 0 {
 		return sl, true, nil
 	}
 	if !ds.takeWork(sl) {
@@ -102,7 +102,7 @@
 	}
 	seed := xxhash.Sum64String(ds.opts.Instance + as.Request)
 	op := placement.Options{
-		Seed: seed, Arrivals: ds.arriving.perSecond(as.Service.Engine, cands), Reading: placement.ReadingShare(cands),
+		Seed: seed, ArrivalsPerSecond: ds.arriving.perSecond(as.Service.Engine, cands), PrefillShare: placement.PrefillShareOf(cands),
 	}
 	if ds.outlives(as, pr, cands, op) {
 		return nil, endRefusal()
@@ -142,7 +142,7 @@
 	if _, ends := ds.ends(as); ok || !as.Resumed || ends {
 		return pl, ok
 	}
-	pr.Left = anyTime
+	pr.UntilDeadline = anyTime
 	return placement.Choose(*as.Service.Engine, pr, cands, op)
 }
 
@@ -154,13 +154,13 @@
 		_, _, closed := ds.closed(as, tg.ID)
 		ph, _ := ds.phase(tg.ID)
 		cands[i] = placement.Target{
-			Name: tg.ID, Near: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.book.total(tg.ID), Pace: 1,
-			Helper: ph == backoff.Open,
-			Closed: closed,
+			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.book.total(tg.ID), Slowdown: 1,
+			CanHelp: ph == backoff.Open,
+			Closed:  closed,
 		}
 		if ds.book.isFull(tg.ID, now) {
-			cands[i].Helper = false
-			cands[i].Load.Memory = max(cands[i].Load.Memory, as.Service.Engine.Memory)
+			cands[i].CanHelp = false
+			cands[i].Load.MemoryTokens = max(cands[i].Load.MemoryTokens, as.Service.Engine.MemoryTokens)
 		}
 	}
 	return cands
@@ -174,24 +174,24 @@
 	}
 	sl := &Slot{
 		ds: ds, engine: as.Service.Engine, Target: byID[pl.Main], Candidates: len(tgs), At: ds.opts.Now(), Priority: priority(as), prompt: pr, plan: pl,
-		FirstPredicted: pl.FirstToken, PausePredicted: pl.Pause, arrived: as.Arrived, late: as.Resumed,
+		FirstPredicted: pl.TimeToFirstToken, PausePredicted: pl.PredictedPause, arrived: as.Arrived, late: as.Resumed,
 	}
 	parts := 1 + len(pl.Helpers)
-	reading := pr.Reading(parts)
+	reading := pr.PrefillLoad(parts)
 	if late(as, pr, pl) {
-		reading = pr.Overdue().Reading(parts)
+		reading = pr.AsLate().PrefillLoad(parts)
 	}
-	if len(pl.Reserve) > 0 {
+	if len(pl.MemoryShares) > 0 {
 		reading = reading.WithMemory(0)
 	}
 	sl.book(pl.Main, reading)
 	ds.tried(pl.Main)
 	for _, id := range pl.Helpers {
 		sl.Helpers = append(sl.Helpers, Helper{ID: id, Address: byID[id].Address})
-		sl.book(id, pr.Helping(parts))
+		sl.book(id, pr.HelperLoad(parts))
 	}
-	for _, sh := range pl.Reserve {
-		sl.bookHeld(sh.Target, placement.Load{Memory: sh.Tokens})
+	for _, sh := range pl.MemoryShares {
+		sl.bookHeld(sh.Target, placement.Load{MemoryTokens: sh.Tokens})
 	}
 	return sl
 }
@@ -204,6 +204,6 @@
 
 // answerTime returns how long a usual answer is written.
 func answerTime(en *placement.Engine) time.Duration {
-	passes := max(1, float64(en.UsualAnswer)/float64(max(1, en.Stride)))
+	passes := max(1, float64(en.MeanAnswerTokens)/float64(max(1, en.StepsPerPass)))
 	return time.Duration(passes * float64(writerPass))
 }
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -40,7 +40,7 @@
 	// Targets that take no request now write no short answers: others take their place in the short pool.
 	open := openFirst(cands)
 	size := shortPoolSize(en, cands[:open], dm)
-	if size == 0 || size > open || len(cands)-size < placement.MostParts {
+	if size == 0 || size > open || len(cands)-size < placement.MaxParts {
 		return pools{long: cands}
 	}
 	at := partition(cands[:open], size)
@@ -85,7 +85,7 @@
 	}
 	var sum placement.Worth
 	for i := range cands {
-		sum += cands[i].Load.AtRisk.Within(dm.shortPause)
+		sum += cands[i].Load.PauseRisk.SumUpTo(dm.shortPause)
 	}
 	answers := float64(sum) / float64(dm.shortStake)
 	return shortSpare + int(math.Ceil(answers/(shortFill*float64(en.Slots))))
@@ -93,17 +93,17 @@
 
 // serves reports whether a short prompt is well served by a plan in the short pool.
 func (ps pools) serves(as Ask, pr placement.Prompt, pl placement.Plan) bool {
-	spared := float64(pl.Loss) <= shortLoss*float64(pr.InTime)
-	return spared && !late(as, pr, pl) && pl.Pause <= pr.LongestPause
+	spared := float64(pl.Loss) <= shortLoss*float64(pr.InTimeWorth)
+	return spared && !late(as, pr, pl) && pl.PredictedPause <= pr.LongestPause
 }
 
 // mayKeep reports whether any plan for a prompt could do as keeps wants: not when the smallest part takes too long by itself.
 func (ps pools) mayKeep(en *placement.Engine, pr placement.Prompt) bool {
-	smallest := pr.Part(min(placement.MostParts, len(ps.short)))
-	return ps.keeps(placement.Plan{Pause: en.Pause(placement.Target{Pace: 1}, smallest)})
+	smallest := pr.Part(min(placement.MaxParts, len(ps.short)))
+	return ps.keeps(placement.Plan{PredictedPause: en.PredictedPause(placement.Target{Slowdown: 1}, smallest)})
 }
 
 // keeps reports whether a plan leaves the pauses in the short pool short enough.
 func (ps pools) keeps(pl placement.Plan) bool {
-	return float64(pl.Pause) <= longPause*float64(ps.pause)
+	return float64(pl.PredictedPause) <= longPause*float64(ps.pause)
 }
--- a/internal/dispatch/replay_engine_test.go
+++ b/internal/dispatch/replay_engine_test.go
@@ -10,9 +10,9 @@
 
 // replayFigures are those of an engine that reads 256,000 tokens a second and writes 52 tokens in a pass.
 var replayFigures = placement.Engine{
-	Slots: 12, Stride: 52, Chunk: 2048, Memory: 382_500, Step: 925 * time.Microsecond, PerWriter: 5 * time.Microsecond,
-	PerThousandContext: 3 * time.Microsecond, PerThousandRead: 3906 * time.Microsecond, PerMillionPairs: 92 * time.Microsecond,
-	Hop: 100 * time.Microsecond, ZoneDelay: 500 * time.Microsecond, UsualPrompt: 5000, UsualAnswer: 1700,
+	Slots: 12, StepsPerPass: 52, ChunkTokens: 2048, MemoryTokens: 382_500, StepTime: 925 * time.Microsecond, StepTimePerRequest: 5 * time.Microsecond,
+	StepTimePerThousandContext: 3 * time.Microsecond, PrefillTimePerThousand: 3906 * time.Microsecond, PrefillTimePerMillionPairs: 92 * time.Microsecond,
+	HopTime: 100 * time.Microsecond, CrossZoneDelay: 500 * time.Microsecond, MeanPromptTokens: 5000, MeanAnswerTokens: 1700,
 }
 
 // part is what an engine reads of a prompt.
@@ -74,23 +74,23 @@
 	if len(en.split)+len(en.whole)+len(en.writers) == 0 {
 		return 0, nil
 	}
-	steps, load := int64(1), placement.Load{Writers: len(en.writers)}
+	steps, load := int64(1), placement.Load{Decoding: len(en.writers)}
 	if len(en.writers) > 0 {
-		steps = int64(replayFigures.Stride)
+		steps = int64(replayFigures.StepsPerPass)
 	}
 	var written []*writer
 	for wr := range en.writers {
-		load.Context += wr.context
+		load.ContextTokens += wr.context
 		written = append(written, wr)
 	}
-	room := steps * replayFigures.Chunk
+	room := steps * replayFigures.ChunkTokens
 	var read []*part
 	for _, queue := range []*[]*part{&en.split, &en.whole} {
 		for len(*queue) > 0 && room > 0 {
 			pt := (*queue)[0]
 			tokens := min(room, pt.tokens)
 			pairs := pt.pairs * tokens / max(1, pt.tokens)
-			load.Whole = load.Whole.Plus(placement.Backlog{Tokens: tokens, Pairs: pairs})
+			load.WholePrefill = load.WholePrefill.Plus(placement.Backlog{Tokens: tokens, Pairs: pairs})
 			pt.tokens, pt.pairs, room = pt.tokens-tokens, pt.pairs-pairs, room-tokens
 			if pt.tokens > 0 {
 				break
@@ -99,7 +99,7 @@
 			*queue = (*queue)[1:]
 		}
 	}
-	return replayFigures.PassTime(placement.Target{Load: load, Pace: 1}), func() { en.finish(read, written) }
+	return replayFigures.PassTime(placement.Target{Load: load, Slowdown: 1}), func() { en.finish(read, written) }
 }
 
 func (en *replayEngine) finish(read []*part, written []*writer) {
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -85,14 +85,14 @@
 	defer sl.ds.book.mu.Unlock()
 	sl.unbook(sl.booked)
 	sl.booked = nil
-	writing := sl.prompt.Writing()
+	writing := sl.prompt.DecodeLoad()
 	if sl.late {
-		writing = sl.prompt.Overdue().Writing()
+		writing = sl.prompt.AsLate().DecodeLoad()
 	}
-	if len(sl.plan.Reserve) > 0 {
-		writing = writing.WithMemory(0).WithContext(sl.plan.Reserve[0].Tokens)
-		for _, sh := range sl.plan.Reserve[1:] {
-			sl.book(sh.Target, placement.Load{Context: sh.Tokens})
+	if len(sl.plan.MemoryShares) > 0 {
+		writing = writing.WithMemory(0).WithContext(sl.plan.MemoryShares[0].Tokens)
+		for _, sh := range sl.plan.MemoryShares[1:] {
+			sl.book(sh.Target, placement.Load{ContextTokens: sh.Tokens})
 		}
 	}
 	sl.book(sl.plan.Main, writing)
@@ -143,7 +143,7 @@
 // lapse books the writer again with its caller's patience alone at stake.
 func (sl *Slot) lapse() {
 	sl.late = true
-	atRisk := sl.prompt.Overdue().Writing().AtRisk
+	atRisk := sl.prompt.AsLate().DecodeLoad().PauseRisk
 	sl.ds.book.mu.Lock()
 	defer sl.ds.book.mu.Unlock()
 	for i := range sl.booked {
@@ -152,7 +152,7 @@
 			continue
 		}
 		sl.ds.book.remove(bk.id, bk.load)
-		bk.load = bk.load.WithRisk(atRisk)
+		bk.load = bk.load.WithPauseRisk(atRisk)
 		sl.ds.book.add(bk.id, bk.load)
 	}
 	sl.ds.changed()
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -16,10 +16,10 @@
 
 // engine has the figures of the users' engines.
 var engine = placement.Engine{
-	Slots: 16, Stride: 43, Chunk: 2048, Memory: 232_000,
-	Step: 1020 * time.Microsecond, PerWriter: 2260 * time.Nanosecond, PerThousandContext: 4310 * time.Nanosecond,
-	PerThousandRead: 4854 * time.Microsecond, PerMillionPairs: 138 * time.Microsecond, Hop: 75 * time.Microsecond,
-	ZoneDelay: 500 * time.Microsecond, UsualPrompt: 16_000, UsualAnswer: 1300,
+	Slots: 16, StepsPerPass: 43, ChunkTokens: 2048, MemoryTokens: 232_000,
+	StepTime: 1020 * time.Microsecond, StepTimePerRequest: 2260 * time.Nanosecond, StepTimePerThousandContext: 4310 * time.Nanosecond,
+	PrefillTimePerThousand: 4854 * time.Microsecond, PrefillTimePerMillionPairs: 138 * time.Microsecond, HopTime: 75 * time.Microsecond,
+	CrossZoneDelay: 500 * time.Microsecond, MeanPromptTokens: 16_000, MeanAnswerTokens: 1300,
 }
 
 // clocked is a dispatcher over targets with a clock that a test moves.
@@ -67,9 +67,9 @@
 func (be *clocked) sums() (placement.Worth, placement.Worth) {
 	var waiting, atRisk placement.Worth
 	for _, lo := range be.ds.Own() {
-		for cl := range lo.AtRisk {
-			waiting += lo.Waiting[cl]
-			atRisk += lo.AtRisk[cl]
+		for cl := range lo.PauseRisk {
+			waiting += lo.FirstTokenRisk[cl]
+			atRisk += lo.PauseRisk[cl]
 		}
 	}
 	return waiting, atRisk
@@ -101,7 +101,7 @@
 			sl.Event()
 			_, atRisk := be.sums()
 			g.Expect(atRisk == 0).To(Equal(ca.late))
-			g.Expect(be.ds.Own()["t1"].Writers).To(Equal(1))
+			g.Expect(be.ds.Own()["t1"].Decoding).To(Equal(1))
 			sl.Release()
 			g.Expect(be.ds.Own()).To(BeEmpty())
 		})
@@ -153,7 +153,7 @@
 	sl.FirstToken()
 	quiet := sl.LongestSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
-	reading := placement.Load{Parts: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
+	reading := placement.Load{SplitPrefill: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
 	be.ds.Heard("peer", map[string]placement.Load{"t1": reading})
 	g.Expect(sl.LongestSilence()).To(BeNumerically(">", quiet+time.Second))
 	be.ds.Heard("peer", nil)
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -102,9 +102,9 @@
 	pl := upstream.NewPool(time.Now, ms, env.Settings.Gateway.DialTimeout.Std())
 	dr := targets.New(time.Now, targets.WithSuperseded(func(tg targets.Target) { pl.Forget(tg.Address) }))
 	ch := &Changed{}
-	kp := &reservation.Keeper{
-		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, Present: dr.Present,
-		Timeout: env.Settings.Gateway.OrderTimeout.Std(), Hold: env.Settings.Gateway.MemoryHold.Std(), Log: env.Logger("memory"),
+	kp := &reservation.Manager{
+		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, IsCurrent: dr.Present,
+		Timeout: env.Settings.Gateway.OrderTimeout.Std(), LeaseDuration: env.Settings.Gateway.MemoryHold.Std(), Log: env.Logger("memory"),
 	}
 	limits := ratelimit.New(time.Now)
 	ms.NewGauge("silvermount_targets_limited", func() float64 { return float64(limits.Limited()) })
@@ -117,7 +117,7 @@
 		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Tell, LimitsChanged: noted.Tell,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
-	kp.Heard = func(pc reservation.Place, hd answer.Head) {
+	kp.OnAnswer = func(pc reservation.Allocation, hd answer.Head) {
 		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(pc.Target), Head: hd, Came: time.Now()})
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
@@ -135,7 +135,7 @@
 	return func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, releaseMost)
 		defer cancel()
-		if err := kp.Released(ctx); err != nil {
+		if err := kp.WaitReleased(ctx); err != nil {
 			kp.Log.WithError(err).Warn("ended before all memory was given back; it lapses")
 		}
 		return nil
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -32,14 +32,14 @@
 	return rapid.Custom(func(t *rapid.T) placement.Load {
 		draw := func(label string) int64 { return num.Draw(t, label) }
 		lo := placement.Load{
-			Whole:   placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
-			Parts:   placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Readers: int(draw("readers")), Writers: int(draw("writers")),
-			Context: draw("context"), Memory: draw("memory"),
+			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
+			SplitPrefill: placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
+			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
+			ContextTokens: draw("context"), MemoryTokens: draw("memory"),
 		}
-		for cl := range lo.AtRisk {
-			lo.AtRisk[cl] = placement.Worth(draw("at risk"))
-			lo.Waiting[cl] = placement.Worth(draw("waiting"))
+		for cl := range lo.PauseRisk {
+			lo.PauseRisk[cl] = placement.Worth(draw("at risk"))
+			lo.FirstTokenRisk[cl] = placement.Worth(draw("waiting"))
 		}
 		return lo
 	})
@@ -118,7 +118,7 @@
 
 // TestWrittenFormIsKept fails when the form changes: the version has to change with it.
 func TestWrittenFormIsKept(t *testing.T) {
-	writer := placement.Load{Writers: 3}
+	writer := placement.Load{Decoding: 3}
 	cases := map[string]struct {
 		state State
 		want  string
@@ -210,7 +210,7 @@
 	g := NewWithT(t)
 	st := State{Loads: map[string]placement.Load{}}
 	for no := range maxTargets {
-		st.Loads[fmt.Sprintf("i-%04x", no)] = placement.Load{Writers: 1}
+		st.Loads[fmt.Sprintf("i-%04x", no)] = placement.Load{Decoding: 1}
 	}
 	b, err := st.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -45,13 +45,13 @@
 func usualLoad(rd *rand.Rand) placement.Load {
 	var lo placement.Load
 	for range rd.IntN(3) {
-		lo = lo.Plus(usualPrompt(rd).Reading(1))
+		lo = lo.Plus(usualPrompt(rd).PrefillLoad(1))
 	}
 	if rd.IntN(3) == 0 {
-		lo = lo.Plus(usualPrompt(rd).Helping(4))
+		lo = lo.Plus(usualPrompt(rd).HelperLoad(4))
 	}
 	for range 1 + rd.IntN(8) {
-		lo = lo.Plus(usualPrompt(rd).Writing())
+		lo = lo.Plus(usualPrompt(rd).DecodeLoad())
 	}
 	return lo
 }
@@ -62,9 +62,9 @@
 	tokens := 200 + rd.Int64N(12_000)
 	worth := 1 + 0.1*float64(tokens)/1000
 	return placement.Prompt{
-		Tokens: tokens, Answer: 50 + rd.Int64N(500),
+		Tokens: tokens, AnswerTokens: 50 + rd.Int64N(500),
 		Objective: objectives[rd.IntN(len(objectives))], LongestPause: pauses[rd.IntN(len(pauses))],
-		InTime: placement.WorthOf(worth), Late: placement.WorthOf(worth / 4), Left: time.Minute,
+		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth / 4), UntilDeadline: time.Minute,
 	}
 }
 
--- a/internal/placement/encode.go
+++ b/internal/placement/encode.go
@@ -5,47 +5,46 @@
 	"math"
 )
 
-// A load is written as a bitmap of the fields that are not zero, and then these fields in the order of their bits. All
-// numbers are variable-length integers. The order puts the fields that most loads have first, so that the bitmap stays
-// short. It must not change without the version of what holds a load.
+// A load is encoded as a bitmap of its non-zero fields, followed by these fields in the order of their bits. All numbers
+// are varints. Fields that most loads have come first, so that the bitmap stays short. A change to the order needs a new
+// version of every message that contains a load.
 const (
-	// plainFields is the number of fields of a Load besides its classes.
-	plainFields = 8
-	// loadFields is the number of all fields.
-	loadFields = plainFields + 2*classes
-	// signedFields is the bit of the bitmap that says that a field is negative; all fields are then written with signs.
-	signedFields = uint64(1) << loadFields
-	// thousandth is the unit of worth in writing: thousandths of a point are far below what predictions tell apart.
+	// scalarFields is the number of fields besides those of the two RiskByLimit.
+	scalarFields = 8
+	numFields    = scalarFields + 2*numClasses
+	// signedFlag is the bit of the bitmap that is set when any field is negative. All fields are then signed varints.
+	signedFlag = uint64(1) << numFields
+	// thousandth is the unit of an encoded worth. A thousandth of a point is far below the accuracy of predictions.
 	thousandth = point / 1000
-	// mostThousandths is the largest number of them that a Worth holds.
-	mostThousandths = math.MaxInt64 / thousandth
+	// maxThousandths is the largest number of thousandths that a Worth can hold.
+	maxThousandths = math.MaxInt64 / thousandth
 )
 
-// EncodingError says that bytes hold no load.
+// EncodingError is returned for bytes that do not encode a load.
 type EncodingError struct{ Reason string }
 
-// Error names the reason.
+// Error includes the reason.
 func (ee *EncodingError) Error() string { return "malformed load: " + ee.Reason }
 
-// Rounded returns the load as Append writes it: each worth is rounded away from zero to a thousandth of a point (down
-// where a Worth holds no larger one), and all else is as it was. A rounded load does not change when it is rounded
-// again, so Plus and Minus of loads that were read are as exact as of others. Minus does not undo a sum of loads that
-// were rounded after they were added up; who reads a load replaces it as a whole.
+// Rounded returns the load as Append encodes it. Each worth is rounded away from zero to a thousandth of a point, or down
+// if a Worth cannot hold the larger value; all other fields are unchanged. Rounding a load again does not change it, so
+// Plus and Minus stay exact for parsed loads. Minus does not undo a sum that was rounded after the addition, so a receiver
+// replaces a load as a whole.
 func (lo Load) Rounded() Load {
 	fs := lo.fields()
-	return loadOf(&fs)
+	return loadFromFields(&fs)
 }
 
-// Append appends the load to bytes.
+// Append appends the encoded load to b.
 func (lo Load) Append(b []byte) []byte {
 	fs := lo.fields()
 	bitmap := uint64(0)
-	for no, val := range fs {
+	for bit, val := range fs {
 		if val != 0 {
-			bitmap |= 1 << no
+			bitmap |= 1 << bit
 		}
 		if val < 0 {
-			bitmap |= signedFields
+			bitmap |= signedFlag
 		}
 	}
 	b = binary.AppendUvarint(b, bitmap)
@@ -55,47 +54,48 @@
 	return b
 }
 
-// appendField appends a field, unless it is zero.
+// appendField appends a field as a varint. It leaves out a zero, which has no bit in the bitmap.
 func appendField(b []byte, val int64, bitmap uint64) []byte {
 	if val == 0 {
 		return b
 	}
-	if bitmap&signedFields != 0 {
+	if bitmap&signedFlag != 0 {
 		return binary.AppendVarint(b, val)
 	}
 	return binary.AppendUvarint(b, uint64(val))
 }
 
-// ReadLoad reads a load that Append wrote, and returns the bytes after it. It takes no memory for what bytes claim.
-func ReadLoad(b []byte) (Load, []byte, error) {
+// ParseLoad parses a load that Append encoded, and returns the bytes after it. It allocates no memory for sizes that the
+// input states.
+func ParseLoad(b []byte) (Load, []byte, error) {
 	bitmap, n := binary.Uvarint(b)
 	if n <= 0 {
-		return Load{}, nil, &EncodingError{Reason: "no bitmap"}
+		return Load{}, nil, &EncodingError{Reason: "bitmap missing or malformed"}
 	}
-	if bitmap >= signedFields<<1 {
-		return Load{}, nil, &EncodingError{Reason: "unknown fields"}
+	if bitmap >= signedFlag<<1 {
+		return Load{}, nil, &EncodingError{Reason: "bitmap has unknown fields"}
 	}
 	b = b[n:]
-	var fs [loadFields]int64
-	for no := range fs {
-		if bitmap&(1<<no) == 0 {
+	var fs [numFields]int64
+	for bit := range fs {
+		if bitmap&(1<<bit) == 0 {
 			continue
 		}
-		fs[no], n = readField(b, bitmap)
+		fs[bit], n = parseField(b, bitmap)
 		if n <= 0 {
-			return Load{}, nil, &EncodingError{Reason: "a field that is cut off or too large"}
+			return Load{}, nil, &EncodingError{Reason: "field truncated or out of range"}
 		}
 		b = b[n:]
 	}
 	if !worthsFit(&fs) {
-		return Load{}, nil, &EncodingError{Reason: "a worth that is too large"}
+		return Load{}, nil, &EncodingError{Reason: "worth out of range"}
 	}
-	return loadOf(&fs), b, nil
+	return loadFromFields(&fs), b, nil
 }
 
-// readField returns a field and its number of bytes, which is not above 0 when there is none.
-func readField(b []byte, bitmap uint64) (int64, int) {
-	if bitmap&signedFields != 0 {
+// parseField returns a field and the number of its bytes, which is 0 or below when the field is malformed.
+func parseField(b []byte, bitmap uint64) (int64, int) {
+	if bitmap&signedFlag != 0 {
 		return binary.Varint(b)
 	}
 	val, n := binary.Uvarint(b)
@@ -105,51 +105,51 @@
 	return int64(val), n
 }
 
-// worthsFit reports whether each worth is one when it is counted in millionths.
-func worthsFit(fs *[loadFields]int64) bool {
-	for _, val := range fs[plainFields:] {
-		if val > mostThousandths || val < -mostThousandths {
+// worthsFit reports whether every worth, in thousandths, fits into a Worth, which counts millionths.
+func worthsFit(fs *[numFields]int64) bool {
+	for _, val := range fs[scalarFields:] {
+		if val > maxThousandths || val < -maxThousandths {
 			return false
 		}
 	}
 	return true
 }
 
-// fields returns the fields in the order of their bits, worths in thousandths.
-func (lo *Load) fields() [loadFields]int64 {
-	fs := [loadFields]int64{
-		int64(lo.Writers), lo.Context, lo.Memory, int64(lo.Readers),
-		lo.Whole.Tokens, lo.Whole.Pairs, lo.Parts.Tokens, lo.Parts.Pairs,
+// fields returns the fields in the order of their bits, with worths in thousandths.
+func (lo *Load) fields() [numFields]int64 {
+	fs := [numFields]int64{
+		int64(lo.Decoding), lo.ContextTokens, lo.MemoryTokens, int64(lo.Prefilling),
+		lo.WholePrefill.Tokens, lo.WholePrefill.Pairs, lo.SplitPrefill.Tokens, lo.SplitPrefill.Pairs,
 	}
-	for cl := range classes {
-		fs[plainFields+cl] = thousandths(lo.AtRisk[cl])
-		fs[plainFields+classes+cl] = thousandths(lo.Waiting[cl])
+	for cl := range numClasses {
+		fs[scalarFields+cl] = toThousandths(lo.PauseRisk[cl])
+		fs[scalarFields+numClasses+cl] = toThousandths(lo.FirstTokenRisk[cl])
 	}
 	return fs
 }
 
-// loadOf returns the load that has the fields.
-func loadOf(fs *[loadFields]int64) Load {
+// loadFromFields is the inverse of fields, except for the rounding of worths.
+func loadFromFields(fs *[numFields]int64) Load {
 	lo := Load{
-		Writers: int(fs[0]), Context: fs[1], Memory: fs[2], Readers: int(fs[3]),
-		Whole: Backlog{Tokens: fs[4], Pairs: fs[5]},
-		Parts: Backlog{Tokens: fs[6], Pairs: fs[7]},
+		Decoding: int(fs[0]), ContextTokens: fs[1], MemoryTokens: fs[2], Prefilling: int(fs[3]),
+		WholePrefill: Backlog{Tokens: fs[4], Pairs: fs[5]},
+		SplitPrefill: Backlog{Tokens: fs[6], Pairs: fs[7]},
 	}
-	for cl := range classes {
-		lo.AtRisk[cl] = Worth(fs[plainFields+cl]) * thousandth
-		lo.Waiting[cl] = Worth(fs[plainFields+classes+cl]) * thousandth
+	for cl := range numClasses {
+		lo.PauseRisk[cl] = Worth(fs[scalarFields+cl]) * thousandth
+		lo.FirstTokenRisk[cl] = Worth(fs[scalarFields+numClasses+cl]) * thousandth
 	}
 	return lo
 }
 
-// thousandths returns a worth in thousandths of a point, rounded away from zero as far as a Worth holds it.
-func thousandths(wo Worth) int64 {
+// toThousandths converts a worth to thousandths of a point, rounded away from zero as far as a Worth can hold the result.
+func toThousandths(wo Worth) int64 {
 	num := int64(wo) / thousandth
 	switch rest := int64(wo) % thousandth; {
 	case rest > 0:
-		return min(num+1, mostThousandths)
+		return min(num+1, maxThousandths)
 	case rest < 0:
-		return max(num-1, -mostThousandths)
+		return max(num-1, -maxThousandths)
 	}
 	return num
 }
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -1,103 +1,106 @@
 package placement
 
 const (
-	// ramp is the share of a limit by which a prediction may be off either way; pauses and first tokens between are
-	// late with a chance that grows evenly.
-	ramp = 0.2
-	// memoryRamp is the same for memory, of which only the answers are not known.
-	memoryRamp = 0.05
-	// earlyShare is the share of the worth at risk that a first token at the objective costs compared with one at
-	// once. It is small beside any chance of being late, and makes the earlier of two good plans win.
-	earlyShare = 0.02
-	// partRisk is the share of the worth in time that each helper costs, since one that is gone or refuses fails the
-	// prompt. It answers to one in 500 parts.
-	partRisk = 0.002
-	// meetRisk is what each helper costs besides where all targets read, and less where fewer do: a part that meets one
-	// placed by others meanwhile delays the whole prompt, and all that is written there.
-	meetRisk = 0.012
-	// exposedShare is the share of its stake that a prompt loses to long parts to come at a target with nothing at
-	// stake, which those choose first: about one short answer in ten is made late so.
-	exposedShare = 0.1
-	// shelterSlots is the share of the slots whose writers' stake keeps long parts away. It leaves slots for a burst.
-	shelterSlots = 0.8
-	// spareSlots is how many slots are left free for prompts that other instances send at the same moment.
+	// predictionError is the share of a latency limit by which a prediction may be off in either direction. Within this
+	// range the probability that a pause or first token is late grows linearly.
+	predictionError = 0.2
+	// memoryPredictionError is the same for the use of memory. It is smaller because only the length of answers is unknown.
+	memoryPredictionError = 0.05
+	// delayCostShare is the share of the worth at risk that a first token at the objective costs compared with an
+	// immediate one. It is small compared with any probability of being late, and makes the earlier of two good plans win.
+	delayCostShare = 0.02
+	// helperFailureCost is the share of the worth in time that each helper costs, since the prompt fails when a helper is
+	// lost or refuses its part. It corresponds to a failure of one part in 500.
+	helperFailureCost = 0.002
+	// helperContentionCost is the further share that each helper costs when all targets have prefill to do; it falls in
+	// proportion to the share of such targets. A part that contends with one that another instance has just placed delays
+	// the whole prompt and all requests that decode at this target.
+	helperContentionCost = 0.012
+	// interferenceShare is the share of its worth at risk that a prompt is expected to lose to later parts of long
+	// prompts at a target with no other worth at risk. Long prompts choose such targets first, which makes about
+	// one short answer in ten late.
+	interferenceShare = 0.1
+	// protectedSlotShare is the share of the slots that requests with equal worth at risk must take to keep long prompts
+	// away. It is below 1 to leave slots for a burst.
+	protectedSlotShare = 0.8
+	// spareSlots is the number of slots that are kept free for prompts that other instances send at the same moment.
 	spareSlots = 1
-	// wholeDelay is the share of the readers that wait for a prompt read in one piece, since only those behind it or in
-	// its pass do.
-	wholeDelay = 0.5
+	// unsplitDelayShare is the share of the prefilling requests that a prompt without split delays. Only requests behind
+	// it or in the same pass wait for it.
+	unsplitDelayShare = 0.5
 )
 
-// loss returns what is expected to be lost at a time that the limits are compared with.
-func (cl *Classes) loss(ns float64) float64 {
+// expectedLoss returns the worth that is expected to be lost when a latency of ns nanoseconds is predicted.
+func (rl *RiskByLimit) expectedLoss(ns float64) float64 {
 	loss := 0.0
-	for no := range cl {
-		if ns <= classBounds[no].from {
+	for cl := range rl {
+		if ns <= softClassLimits[cl].start {
 			break
 		}
-		if cl[no] != 0 {
-			loss += float64(cl[no]) * classBounds[no].chance(ns)
+		if rl[cl] != 0 {
+			loss += float64(rl[cl]) * softClassLimits[cl].exceedProbability(ns)
 		}
 	}
 	return loss
 }
 
-// stake is what a prompt has to lose.
-type stake struct {
-	// inTime and atRisk are the worth of an answer in time, and what of it is lost when the answer is late.
-	inTime, atRisk float64
-	// used is the nanoseconds that have passed since arrival.
-	used float64
-	// objective and pause bound the first token since arrival and the pauses.
-	objective, pause bound
-	// late is the worth of a late answer, which is lost beyond the patience of the caller.
-	late     float64
-	patience bound
-	// early is what a nanosecond up to the first token costs.
-	early float64
+// lossModel gives the worth that a prompt is expected to lose for predicted latencies.
+type lossModel struct {
+	// inTimeWorth is the worth of an answer in time, and worthAtRisk the part of it that a late answer loses.
+	inTimeWorth, worthAtRisk float64
+	// elapsed is the nanoseconds since arrival.
+	elapsed float64
+	// objective limits the time from arrival to the first token, and longestPause the pauses between events.
+	objective, longestPause softLimit
+	// lateWorth is the worth of a late answer, which is lost when the caller times out; it is 0 without such a timeout.
+	lateWorth         float64
+	callerIdleTimeout softLimit
+	// delayCost is the cost of each nanosecond up to the first token.
+	delayCost float64
 }
 
-// stake returns what the prompt has to lose.
-func (pr *Prompt) stake() stake {
-	risk := float64(pr.atRisk())
-	late := float64(pr.Late)
-	if pr.Patience <= 0 {
+func (pr *Prompt) lossModel() lossModel {
+	risk := float64(pr.worthAtRisk())
+	late := float64(pr.LateWorth)
+	if pr.CallerIdleTimeout <= 0 {
 		late = 0
 	}
-	return stake{
-		inTime:    float64(pr.InTime),
-		atRisk:    risk,
-		used:      float64(pr.Used),
-		objective: boundOf(float64(pr.Objective), ramp),
-		pause:     boundOf(float64(pr.LongestPause), ramp),
-		late:      late,
-		patience:  boundOf(float64(max(pr.Patience, 1)), ramp),
-		early:     earlyShare * risk / float64(pr.Objective),
+	return lossModel{
+		inTimeWorth:       float64(pr.InTimeWorth),
+		worthAtRisk:       risk,
+		elapsed:           float64(pr.Elapsed),
+		objective:         newSoftLimit(float64(pr.Objective), predictionError),
+		longestPause:      newSoftLimit(float64(pr.LongestPause), predictionError),
+		lateWorth:         late,
+		callerIdleTimeout: newSoftLimit(float64(max(pr.CallerIdleTimeout, 1)), predictionError),
+		delayCost:         delayCostShare * risk / float64(pr.Objective),
 	}
 }
 
-// firstLoss returns what is expected to be lost by the first token alone.
-func (st *stake) firstLoss(first float64) float64 {
-	return st.loss(first, 1)
+// firstTokenLoss returns the expected loss due to the time to the first token, if all pauses are in time.
+func (lm *lossModel) firstTokenLoss(timeToFirstToken float64) float64 {
+	return lm.expectedLoss(timeToFirstToken, 1)
 }
 
-// loss returns what is expected to be lost by the first token and the pauses, which are in time with a chance.
-func (st *stake) loss(first, pausesInTime float64) float64 {
-	inTime := (1 - st.objective.chance(first+st.used)) * pausesInTime
-	left := st.late * st.patience.chance(first+st.used)
-	return st.atRisk*(1-inTime) + left + st.early*first
+// expectedLoss returns the expected loss due to the time to the first token and to the pauses, which are in time with the
+// given probability.
+func (lm *lossModel) expectedLoss(timeToFirstToken, pausesInTimeProbability float64) float64 {
+	inTime := (1 - lm.objective.exceedProbability(timeToFirstToken+lm.elapsed)) * pausesInTimeProbability
+	abandoned := lm.lateWorth * lm.callerIdleTimeout.exceedProbability(timeToFirstToken+lm.elapsed)
+	return lm.worthAtRisk*(1-inTime) + abandoned + lm.delayCost*timeToFirstToken
 }
 
-// exposure returns what the prompt is expected to lose to long parts to come, where others have a stake of their own
-// that keeps these away.
-func (st *stake) exposure(slots int, sheltered Worth) float64 {
-	if st.atRisk == 0 {
+// interferenceLoss returns the expected loss due to parts of long prompts that are placed at the same target later. The
+// worth at risk of other requests there reduces it, since long prompts avoid it.
+func (lm *lossModel) interferenceLoss(slots int, protection Worth) float64 {
+	if lm.worthAtRisk == 0 {
 		return 0
 	}
-	full := shelterSlots * float64(slots) * st.atRisk
-	return exposedShare * st.atRisk * max(1-float64(sheltered)/full, 0)
+	full := protectedSlotShare * float64(slots) * lm.worthAtRisk
+	return interferenceShare * lm.worthAtRisk * max(1-float64(protection)/full, 0)
 }
 
-// fullLoss returns what is expected to be lost to full memory, where the newest request is preempted.
-func (st *stake) fullLoss(en *Engine, used int64) float64 {
-	return st.inTime * boundOf(float64(en.Memory), memoryRamp).chance(float64(used))
+// preemptionLoss returns the expected loss due to full memory, at which an engine preempts its newest request.
+func (lm *lossModel) preemptionLoss(en *Engine, usedMemory int64) float64 {
+	return lm.inTimeWorth * newSoftLimit(float64(en.MemoryTokens), memoryPredictionError).exceedProbability(float64(usedMemory))
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -7,82 +7,82 @@
 	"pgregory.net/rapid"
 )
 
-// typical holds the figures of a typical deployment.
-var typical = Engine{
-	Slots:              16,
-	Stride:             43,
-	Chunk:              2048,
-	Memory:             232_000,
-	Step:               1020 * time.Microsecond,
-	PerWriter:          2260 * time.Nanosecond,
-	PerThousandContext: 4310 * time.Nanosecond,
-	PerThousandRead:    1000 * time.Second / 206_000,
-	PerMillionPairs:    138 * time.Microsecond,
-	Hop:                75 * time.Microsecond,
-	ZoneDelay:          500 * time.Microsecond,
-	UsualPrompt:        12_331,
-	UsualAnswer:        1303,
+// typicalEngine describes the engines of a typical deployment.
+var typicalEngine = Engine{
+	Slots:                      16,
+	StepsPerPass:               43,
+	ChunkTokens:                2048,
+	MemoryTokens:               232_000,
+	StepTime:                   1020 * time.Microsecond,
+	StepTimePerRequest:         2260 * time.Nanosecond,
+	StepTimePerThousandContext: 4310 * time.Nanosecond,
+	PrefillTimePerThousand:     1000 * time.Second / 206_000,
+	PrefillTimePerMillionPairs: 138 * time.Microsecond,
+	HopTime:                    75 * time.Microsecond,
+	CrossZoneDelay:             500 * time.Microsecond,
+	MeanPromptTokens:           12_331,
+	MeanAnswerTokens:           1303,
 }
 
 func shortPrompt() Prompt {
 	return Prompt{
-		Tokens: 5000, Answer: 600, Objective: 300 * time.Millisecond, LongestPause: 250 * time.Millisecond,
-		InTime: WorthOf(1), Late: WorthOf(0.2), Left: 10 * time.Second,
+		Tokens: 5000, AnswerTokens: 600, Objective: 300 * time.Millisecond, LongestPause: 250 * time.Millisecond,
+		InTimeWorth: WorthOf(1), LateWorth: WorthOf(0.2), UntilDeadline: 10 * time.Second,
 	}
 }
 
 func middlePrompt() Prompt {
 	return Prompt{
-		Tokens: 45_000, Answer: 1300, Objective: 1500 * time.Millisecond, LongestPause: 600 * time.Millisecond,
-		InTime: WorthOf(3), Late: WorthOf(1), Left: 20 * time.Second,
+		Tokens: 45_000, AnswerTokens: 1300, Objective: 1500 * time.Millisecond, LongestPause: 600 * time.Millisecond,
+		InTimeWorth: WorthOf(3), LateWorth: WorthOf(1), UntilDeadline: 20 * time.Second,
 	}
 }
 
 func longPrompt(tokens int64) Prompt {
 	return Prompt{
-		Tokens: tokens, Answer: 2000, Objective: 2500 * time.Millisecond, LongestPause: time.Second,
-		InTime: WorthOf(10), Late: WorthOf(4), Left: 40 * time.Second,
+		Tokens: tokens, AnswerTokens: 2000, Objective: 2500 * time.Millisecond, LongestPause: time.Second,
+		InTimeWorth: WorthOf(10), LateWorth: WorthOf(4), UntilDeadline: 40 * time.Second,
 	}
 }
 
-// idle returns targets without load.
-func idle(count int) []Target {
+// idleTargets returns targets without load.
+func idleTargets(count int) []Target {
 	ts := make([]Target, count)
 	for ix := range ts {
-		ts[ix] = Target{Name: fmt.Sprintf("10.2.64.%d:8080", ix), Near: ix%3 == 0, Pace: 1, Helper: true}
+		ts[ix] = Target{Name: fmt.Sprintf("10.2.64.%d:8080", ix), SameZone: ix%3 == 0, Slowdown: 1, CanHelp: true}
 	}
 	return ts
 }
 
-// busy returns targets with short writers and a few readers.
-func busy(count int) []Target {
-	ts := idle(count)
+// busyTargets returns targets that decode several short requests and prefill up to two.
+func busyTargets(count int) []Target {
+	ts := idleTargets(count)
 	for ix := range ts {
 		for range 2 + ix%7 {
-			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().Writing())
+			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().DecodeLoad())
 		}
 		for range ix % 3 {
-			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().Reading(1))
+			ts[ix].Load = ts[ix].Load.Plus(shortPrompt().PrefillLoad(1))
 		}
 	}
 	return ts
 }
 
-// names returns all targets that a plan touches, the main one first.
-func names(pl Plan) []string {
+// planTargets returns the names of all targets of a plan, the main target first.
+func planTargets(pl Plan) []string {
 	return append([]string{pl.Main}, pl.Helpers...)
 }
 
 func genPrompt() *rapid.Generator[Prompt] {
 	return rapid.Custom(func(t *rapid.T) Prompt {
 		pr := longPrompt(rapid.Int64Range(1, 600_000).Draw(t, "tokens"))
-		pr.Answer = rapid.Int64Range(1, 8000).Draw(t, "answer")
+		pr.AnswerTokens = rapid.Int64Range(1, 8000).Draw(t, "answer")
 		pr.Objective = time.Duration(rapid.IntRange(100, 5000).Draw(t, "objective")) * time.Millisecond
-		pr.LongestPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "pause")) * time.Millisecond
-		pr.Used = time.Duration(rapid.IntRange(0, 3000).Draw(t, "used")) * time.Millisecond
-		pr.InTime = WorthOf(rapid.Float64Range(0, 20).Draw(t, "in time"))
-		pr.Late = pr.InTime / 3
-		pr.Left = time.Duration(rapid.IntRange(1, 120).Draw(t, "left")) * time.Second
+		pr.LongestPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "longest pause")) * time.Millisecond
+		pr.Elapsed = time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond
+		pr.InTimeWorth = WorthOf(rapid.Float64Range(0, 20).Draw(t, "in time"))
+		pr.LateWorth = pr.InTimeWorth / 3
+		pr.UntilDeadline = time.Duration(rapid.IntRange(1, 120).Draw(t, "until deadline")) * time.Second
 		return pr
 	})
 }
@@ -92,8 +92,8 @@
 		var lo Load
 		for range rapid.IntRange(0, 8).Draw(t, "requests") {
 			pr := genPrompt().Draw(t, "prompt")
-			parts := rapid.IntRange(1, MostParts).Draw(t, "parts")
-			kinds := []Load{pr.Reading(parts), pr.Helping(parts), pr.Writing()}
+			parts := rapid.IntRange(1, MaxParts).Draw(t, "parts")
+			kinds := []Load{pr.PrefillLoad(parts), pr.HelperLoad(parts), pr.DecodeLoad()}
 			lo = lo.Plus(rapid.SampledFrom(kinds).Draw(t, "kind"))
 		}
 		return lo
@@ -103,12 +103,12 @@
 func genTarget(name string) *rapid.Generator[Target] {
 	return rapid.Custom(func(t *rapid.T) Target {
 		return Target{
-			Name:   name,
-			Near:   rapid.Bool().Draw(t, "near"),
-			Load:   genLoad().Draw(t, "load"),
-			Pace:   rapid.Float64Range(1, 4).Draw(t, "pace"),
-			Helps:  rapid.IntRange(0, 20).Draw(t, "helps"),
-			Helper: rapid.Bool().Draw(t, "helper"),
+			Name:        name,
+			SameZone:    rapid.Bool().Draw(t, "same zone"),
+			Load:        genLoad().Draw(t, "load"),
+			Slowdown:    rapid.Float64Range(1, 4).Draw(t, "slowdown"),
+			HelperParts: rapid.IntRange(0, 20).Draw(t, "helper parts"),
+			CanHelp:     rapid.Bool().Draw(t, "can help"),
 		}
 	})
 }
