--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -70,7 +70,7 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				return
 			}
-			fe := failure.Of(err)
+			fe := failure.FromError(err)
 			g.Expect(fe.Code).To(Equal(tc.wantCode))
 			g.Expect(fe.Outcome).To(Equal(failure.NotRun))
 			comesBack := tc.wantCode == failure.NoMemory || tc.wantCode == failure.DeadlineExceeded
--- a/internal/dispatch/defer_test.go
+++ b/internal/dispatch/defer_test.go
@@ -90,7 +90,7 @@
 					return
 				}
 				g.Expect(err).To(HaveOccurred())
-				fe := failure.Of(err)
+				fe := failure.FromError(err)
 				g.Expect(fe.Code).To(Equal(failure.Overloaded))
 				g.Expect(fe.Outcome).To(Equal(failure.NotRun))
 				g.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
@@ -141,7 +141,7 @@
 		began := time.Now()
 		_, err := be.ds.Acquire(context.Background(), as)
 		g.Expect(err).To(HaveOccurred())
-		g.Expect(failure.Of(err).Outcome).To(Equal(failure.NotRun))
+		g.Expect(failure.FromError(err).Outcome).To(Equal(failure.NotRun))
 		// It is read in about two seconds.
 		g.Expect(time.Since(began)).To(BeNumerically(">", 7*time.Second))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 9*time.Second))
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -111,7 +111,7 @@
 }
 
 // Of returns the failure in an error. An error without one is a fault inside this instance: it proves nothing.
-func Of(err error) *Error {
+func FromError(err error) *Error {
 	var fe *Error
 	if errors.As(err, &fe) {
 		return fe
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -25,7 +25,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			fe := failure.Of(tc.err)
+			fe := failure.FromError(tc.err)
 			g.Expect(fe.Code).To(Equal(tc.wantCode))
 			g.Expect(fe.Outcome).To(Equal(tc.wantOutcome))
 			if tc.wantCause == nil {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -39,7 +39,7 @@
 		if err == nil {
 			return gw.fire(ctx, rq, life.Finish)
 		}
-		last = failure.Of(err)
+		last = failure.FromError(err)
 		if unsent(last) && dials < dialTries && ctx.Err() == nil {
 			dials++
 			continue
@@ -82,7 +82,7 @@
 		}
 	}
 	err = gw.exchangeWith(ctx, rq, sk, sl)
-	if err != nil && ofTarget(failure.Of(err)) {
+	if err != nil && ofTarget(failure.FromError(err)) {
 		sl.Failed()
 	}
 	return err
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -59,7 +59,7 @@
 		gw.logServed(rq, sk)
 		return
 	}
-	fe := failure.Of(err)
+	fe := failure.FromError(err)
 	// The state that the request ended in tells what it was waiting for.
 	rq.endedIn = rq.life.State
 	gw.endLife(rq, sk, fe)
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -64,8 +64,8 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				return
 			}
-			g.Expect(failure.Of(err).Code).To(Equal(failure.CallerGone))
-			g.Expect(failure.Of(err).Outcome).To(Equal(failure.Failed))
+			g.Expect(failure.FromError(err).Code).To(Equal(failure.CallerGone))
+			g.Expect(failure.FromError(err).Outcome).To(Equal(failure.Failed))
 			g.Expect(errors.Is(err, errBroken)).To(BeTrue())
 		})
 	}
--- a/internal/serve/account.go
+++ b/internal/serve/account.go
@@ -13,14 +13,14 @@
 func (sv *Server) count(name string) { sv.Metrics.GetOrCreateCounter("silvermount_" + name).Inc() }
 
 func (sv *Server) countError(err error) {
-	fe := failure.Of(err)
+	fe := failure.FromError(err)
 	sv.count(fmt.Sprintf("errors_total{code=%q,outcome=%q}", fe.Code, fe.Outcome))
 }
 
 // account counts a request against its class's objective. A caller that went away is no miss.
 func (sv *Server) account(rq *request, err error) {
 	sv.count(fmt.Sprintf("requests_total{class=%q}", rq.class.Name))
-	if err != nil && failure.Of(err).Code == failure.CallerGone {
+	if err != nil && failure.FromError(err).Code == failure.CallerGone {
 		return
 	}
 	took := time.Since(rq.arrived)
--- a/internal/serve/answer.go
+++ b/internal/serve/answer.go
@@ -63,7 +63,7 @@
 
 // fail ends an answer with an error: as a response when nothing was sent, else as an event without a [DONE].
 func (sk *sink) fail(err error) {
-	fe := failure.Of(err)
+	fe := failure.FromError(err)
 	b, merr := json.Marshal(errorBody{Error: errorDetail{
 		Message: fe.Message, Type: errorType(fe.Status()), Code: fe.Code, Outcome: fe.Outcome,
 	}})
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -50,7 +50,7 @@
 	}
 	if err != nil {
 		sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
-		if failure.Of(err).Code == failure.TargetLost {
+		if failure.FromError(err).Code == failure.TargetLost {
 			sv.Fleet.Failure(pl.Target.Name)
 		}
 		return err
@@ -194,7 +194,7 @@
 
 // mayResume reports whether a broken stream can be taken up at the same engine.
 func (sv *Server) mayResume(ctx context.Context, rq *request, sk *sink, err error) bool {
-	return rq.fields.Stream && sk.events > 0 && ctx.Err() == nil && failure.Of(err).Code == failure.TargetLost
+	return rq.fields.Stream && sk.events > 0 && ctx.Err() == nil && failure.FromError(err).Code == failure.TargetLost
 }
 
 func (sv *Server) resume(ctx context.Context, rq *request, sk *sink, pl *router.Place, cl *engine.Client, at engine.Attempt, began time.Time) error {
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -105,7 +105,7 @@
 		switch {
 		case err == nil:
 			cl.Finish(ctx, *ans)
-		case failure.Of(err).Outcome == failure.NotRun:
+		case failure.FromError(err).Outcome == failure.NotRun:
 			cl.Release(ctx)
 		default:
 			cl.Lose(ctx)
@@ -151,7 +151,7 @@
 	var known outcome.Known
 	for {
 		pl, err := sv.Router.Acquire(ctx, ask(tried))
-		if err != nil && len(tried) > 0 && failure.Of(err).Code == failure.NoTarget {
+		if err != nil && len(tried) > 0 && failure.FromError(err).Code == failure.NoTarget {
 			// All were tried: any may be tried again.
 			tried = nil
 			pl, err = sv.Router.Acquire(ctx, ask(tried))
@@ -173,7 +173,7 @@
 		if err == nil {
 			return sv.machine.Fire(ctx, &rq.life, life.Finish)
 		}
-		fe := failure.Of(err)
+		fe := failure.FromError(err)
 		known.Add(fe.Outcome)
 		if !sv.mayRetry(ctx, rq, sk, fe, known) {
 			return sv.end(rq, sk, known.Of(fe))
@@ -191,7 +191,7 @@
 	var ge *GivenUpError
 	switch {
 	case !errors.As(context.Cause(ctx), &ge):
-		return known.Of(failure.Of(err))
+		return known.Of(failure.FromError(err))
 	case known.MayHaveRun():
 		return known.Of(contextFailure(ctx))
 	default:
--- a/internal/serve/tickets.go
+++ b/internal/serve/tickets.go
@@ -62,7 +62,7 @@
 	switch {
 	case err == nil:
 		sv.Tickets.Finish(tk, *sk.record)
-	case failure.Of(err).Outcome == failure.NotRun:
+	case failure.FromError(err).Outcome == failure.NotRun:
 		sv.Tickets.Release(tk)
 	default:
 		sv.Tickets.Lose(tk)
