--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -36,7 +36,7 @@
 	}
 	var unknown *objectstore.UnknownError
 	if errors.As(err, &unknown) {
-		return failure.New(failure.StoreUnknown, failure.Unknown, "it cannot be told whether the store took the change").
+		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store took the change").
 			WithCause(err).WithRetryAfter(time.Second)
 	}
 	return failure.New(failure.StoreUnavailable, failure.NotRun, "the store cannot be reached").WithCause(err).WithRetryAfter(time.Second)
@@ -89,7 +89,7 @@
 	}, body)
 	if err != nil {
 		// The record may have been stored without an answer; then the job runs, and the list shows it.
-		return failure.New(failure.StoreUnknown, failure.Unknown, "it cannot be told whether the store has the job").
+		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store has the job").
 			WithCause(err).WithRetryAfter(time.Second)
 	}
 	serve.JSON(w, v.Record)
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -27,29 +27,29 @@
 
 // The kinds of failure.
 const (
-	BadRequest       Code = "bad_request"
-	Unauthorized     Code = "unauthorized"
-	Forbidden        Code = "forbidden"
-	NotFound         Code = "not_found"
-	TooLarge         Code = "too_large"
-	Overloaded       Code = "overloaded"
-	NoMemory         Code = "no_memory"
-	LimitReached     Code = "limit_reached"
-	DeadlineTooShort Code = "deadline_too_short"
-	DeadlineExceeded Code = "deadline_exceeded"
-	CallerGone       Code = "caller_gone"
-	NoTarget         Code = "no_target"
-	TargetRefused    Code = "target_refused"
-	TargetLost       Code = "target_lost"
-	Stopping         Code = "stopping"
-	InstanceEnded    Code = "instance_ended"
-	KeyInUse         Code = "key_in_use"
-	KeyMismatch      Code = "key_mismatch"
-	TicketUnknown    Code = "ticket_unknown"
-	StoreUnavailable Code = "store_unavailable"
-	StoreUnknown     Code = "store_outcome_unknown"
-	Conflict         Code = "conflict"
-	NotReady         Code = "not_ready"
+	BadRequest          Code = "bad_request"
+	Unauthorized        Code = "unauthorized"
+	Forbidden           Code = "forbidden"
+	NotFound            Code = "not_found"
+	TooLarge            Code = "too_large"
+	Overloaded          Code = "overloaded"
+	NoMemory            Code = "no_memory"
+	LimitReached        Code = "limit_reached"
+	DeadlineTooShort    Code = "deadline_too_short"
+	DeadlineExceeded    Code = "deadline_exceeded"
+	CallerGone          Code = "caller_gone"
+	NoTarget            Code = "no_target"
+	TargetRefused       Code = "target_refused"
+	TargetLost          Code = "target_lost"
+	Stopping            Code = "stopping"
+	InstanceEnded       Code = "instance_ended"
+	KeyInUse            Code = "key_in_use"
+	KeyMismatch         Code = "key_mismatch"
+	TicketUnknown       Code = "ticket_unknown"
+	StoreUnavailable    Code = "store_unavailable"
+	StoreOutcomeUnknown Code = "store_outcome_unknown"
+	Conflict            Code = "conflict"
+	NotReady            Code = "not_ready"
 	// ProofTooOld means that the configuration was not confirmed for so long that a key may have been taken away.
 	ProofTooOld Code = "proof_too_old"
 	// TargetUnreachable means that nothing was sent to the target.
@@ -61,29 +61,29 @@
 )
 
 var statusOf = map[Code]int{
-	BadRequest:       http.StatusBadRequest,
-	Unauthorized:     http.StatusUnauthorized,
-	Forbidden:        http.StatusForbidden,
-	NotFound:         http.StatusNotFound,
-	TooLarge:         http.StatusRequestEntityTooLarge,
-	Overloaded:       http.StatusServiceUnavailable,
-	NoMemory:         http.StatusServiceUnavailable,
-	LimitReached:     http.StatusTooManyRequests,
-	DeadlineTooShort: http.StatusServiceUnavailable,
-	DeadlineExceeded: http.StatusGatewayTimeout,
-	CallerGone:       499,
-	NoTarget:         http.StatusServiceUnavailable,
-	TargetRefused:    http.StatusBadGateway,
-	TargetLost:       http.StatusBadGateway,
-	Stopping:         http.StatusServiceUnavailable,
-	InstanceEnded:    http.StatusBadGateway,
-	KeyInUse:         http.StatusConflict,
-	KeyMismatch:      http.StatusUnprocessableEntity,
-	TicketUnknown:    http.StatusConflict,
-	StoreUnavailable: http.StatusServiceUnavailable,
-	StoreUnknown:     http.StatusServiceUnavailable,
-	Conflict:         http.StatusConflict,
-	NotReady:         http.StatusServiceUnavailable,
+	BadRequest:          http.StatusBadRequest,
+	Unauthorized:        http.StatusUnauthorized,
+	Forbidden:           http.StatusForbidden,
+	NotFound:            http.StatusNotFound,
+	TooLarge:            http.StatusRequestEntityTooLarge,
+	Overloaded:          http.StatusServiceUnavailable,
+	NoMemory:            http.StatusServiceUnavailable,
+	LimitReached:        http.StatusTooManyRequests,
+	DeadlineTooShort:    http.StatusServiceUnavailable,
+	DeadlineExceeded:    http.StatusGatewayTimeout,
+	CallerGone:          499,
+	NoTarget:            http.StatusServiceUnavailable,
+	TargetRefused:       http.StatusBadGateway,
+	TargetLost:          http.StatusBadGateway,
+	Stopping:            http.StatusServiceUnavailable,
+	InstanceEnded:       http.StatusBadGateway,
+	KeyInUse:            http.StatusConflict,
+	KeyMismatch:         http.StatusUnprocessableEntity,
+	TicketUnknown:       http.StatusConflict,
+	StoreUnavailable:    http.StatusServiceUnavailable,
+	StoreOutcomeUnknown: http.StatusServiceUnavailable,
+	Conflict:            http.StatusConflict,
+	NotReady:            http.StatusServiceUnavailable,
 
 	ProofTooOld:       http.StatusServiceUnavailable,
 	TargetUnreachable: http.StatusServiceUnavailable,
