--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -51,7 +51,7 @@
 	// endedIn is the last state before the end.
 	endedIn life.State
 	// known is unknown once a target was sent the request and did not say that it left it alone.
-	known outcome.Known
+	known outcome.Aggregate
 	// tried holds the incarnations that were sent the request.
 	tried []string
 	// avoid holds the incarnations that are not asked again: tried, or not reachable.
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -5,23 +5,23 @@
 
 // Known is what all attempts of a request so far prove. The zero value is that of a request that was not sent. It is used
 // by one goroutine.
-type Known struct {
+type Aggregate struct {
 	// latest is that of the last attempt that may have run the request; empty when none may have.
 	latest failure.Outcome
 }
 
 // Add notes what an attempt proved.
-func (kn *Known) Add(o failure.Outcome) {
+func (kn *Aggregate) Add(o failure.Outcome) {
 	if o != failure.NotRun {
 		kn.latest = o
 	}
 }
 
 // MayHaveRun reports whether an attempt may have run the request.
-func (kn *Known) MayHaveRun() bool { return kn.latest != "" }
+func (kn *Aggregate) MayHaveRun() bool { return kn.latest != "" }
 
 // Outcome is what is known of the whole request.
-func (kn *Known) Outcome() failure.Outcome {
+func (kn *Aggregate) Outcome() failure.Outcome {
 	if kn.MayHaveRun() {
 		return kn.latest
 	}
@@ -30,7 +30,7 @@
 
 // Of returns a failure as that of the whole request: one that happened before anything was sent proves nothing about
 // earlier attempts.
-func (kn *Known) Of(fe *failure.Error) *failure.Error {
+func (kn *Aggregate) Of(fe *failure.Error) *failure.Error {
 	if fe.Outcome != failure.NotRun || !kn.MayHaveRun() {
 		return fe
 	}
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -26,7 +26,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var kn outcome.Known
+			var kn outcome.Aggregate
 			for _, o := range tc.attempts {
 				kn.Add(o)
 			}
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -148,7 +148,7 @@
 	}
 	sv.Retries.First()
 	var tried []string
-	var known outcome.Known
+	var known outcome.Aggregate
 	for {
 		pl, err := sv.Router.Acquire(ctx, ask(tried))
 		if err != nil && len(tried) > 0 && failure.FromError(err).Code == failure.NoTarget {
@@ -187,7 +187,7 @@
 
 // noPlace is the failure of a request that found no place. One that was given up before anything was sent may come back at
 // once, over a new connection.
-func noPlace(ctx context.Context, known outcome.Known, err error) *failure.Error {
+func noPlace(ctx context.Context, known outcome.Aggregate, err error) *failure.Error {
 	var ge *GivenUpError
 	switch {
 	case !errors.As(context.Cause(ctx), &ge):
@@ -201,7 +201,7 @@
 }
 
 // mayRetry decides whether a failed attempt is followed by another.
-func (sv *Server) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Known) bool {
+func (sv *Server) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Aggregate) bool {
 	return retry.Case{
 		Code: fe.Code, Over: ctx.Err() != nil, Once: rq.never, MayHaveRun: known.MayHaveRun(),
 		Attempts: rq.life.Attempts, Most: sv.limits.MaxAttempts, Begun: sk.Started(),
