--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -30,7 +30,7 @@
 
 // Of returns a failure as that of the whole request: one that happened before anything was sent proves nothing about
 // earlier attempts.
-func (kn *Aggregate) Of(fe *failure.Error) *failure.Error {
+func (kn *Aggregate) Apply(fe *failure.Error) *failure.Error {
 	if fe.Outcome != failure.NotRun || !kn.MayHaveRun() {
 		return fe
 	}
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -32,7 +32,7 @@
 			}
 			g.Expect(kn.Outcome()).To(Equal(tc.want))
 			g.Expect(kn.MayHaveRun()).To(Equal(tc.want != failure.NotRun))
-			g.Expect(kn.Of(failure.New(failure.NoTarget, tc.last, "late")).Outcome).To(Equal(tc.wantOf))
+			g.Expect(kn.Apply(failure.New(failure.NoTarget, tc.last, "late")).Outcome).To(Equal(tc.wantOf))
 		})
 	}
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -176,7 +176,7 @@
 		fe := failure.FromError(err)
 		known.Add(fe.Outcome)
 		if !sv.mayRetry(ctx, rq, sk, fe, known) {
-			return sv.end(rq, sk, known.Of(fe))
+			return sv.end(rq, sk, known.Apply(fe))
 		}
 		tried = append(tried, pl.Target.Name)
 		if err := sv.machine.Fire(ctx, &rq.life, life.Retry); err != nil {
@@ -191,9 +191,9 @@
 	var ge *GivenUpError
 	switch {
 	case !errors.As(context.Cause(ctx), &ge):
-		return known.Of(failure.FromError(err))
+		return known.Apply(failure.FromError(err))
 	case known.MayHaveRun():
-		return known.Of(contextFailure(ctx))
+		return known.Apply(contextFailure(ctx))
 	default:
 		return failure.New(failure.Stopping, failure.NotRun, "the instance ends before a place came free").
 			WithCause(ge).WithRetryAfter(time.Second)
