--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -11,28 +11,28 @@
 }
 
 // Add notes what an attempt proved.
-func (kn *Aggregate) Add(o failure.Outcome) {
+func (ag *Aggregate) Add(o failure.Outcome) {
 	if o != failure.NotRun {
-		kn.latest = o
+		ag.latest = o
 	}
 }
 
 // MayHaveRun reports whether an attempt may have run the request.
-func (kn *Aggregate) MayHaveRun() bool { return kn.latest != "" }
+func (ag *Aggregate) MayHaveRun() bool { return ag.latest != "" }
 
 // Outcome is what is known of the whole request.
-func (kn *Aggregate) Outcome() failure.Outcome {
-	if kn.MayHaveRun() {
-		return kn.latest
+func (ag *Aggregate) Outcome() failure.Outcome {
+	if ag.MayHaveRun() {
+		return ag.latest
 	}
 	return failure.NotRun
 }
 
 // Of returns a failure as that of the whole request: one that happened before anything was sent proves nothing about
 // earlier attempts.
-func (kn *Aggregate) Apply(fe *failure.Error) *failure.Error {
-	if fe.Outcome != failure.NotRun || !kn.MayHaveRun() {
+func (ag *Aggregate) Apply(fe *failure.Error) *failure.Error {
+	if fe.Outcome != failure.NotRun || !ag.MayHaveRun() {
 		return fe
 	}
-	return fe.WithOutcome(kn.latest)
+	return fe.WithOutcome(ag.latest)
 }
