--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -134,7 +134,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			targets[t.Name] = t
-			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Wanted: gv.wanted[t.Name]})
+			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: gv.wanted[t.Name]})
 		})
 	}
 	wg.Wait()
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -14,11 +14,11 @@
 	// Models are loaded now.
 	Models []string
 	// Wanted is the end state that was ordered before; nil when none was, or when it is reached.
-	Wanted []string
+	Desired []string
 }
 
 // busy reports whether an order is on its way.
-func (en Engine) busy() bool { return en.Wanted != nil && !slices.Equal(en.Wanted, en.Models) }
+func (en Engine) busy() bool { return en.Desired != nil && !slices.Equal(en.Desired, en.Models) }
 
 // Change is the wanted end state of one engine.
 type Change struct {
@@ -42,10 +42,10 @@
 				serving[m]--
 				coming[m]--
 			}
-			engines[i].Wanted = []string{model}
+			engines[i].Desired = []string{model}
 			coming[model]++
 			loading++
-			changes = append(changes, Change{Engine: engines[i].Name, Models: engines[i].Wanted})
+			changes = append(changes, Change{Engine: engines[i].Name, Models: engines[i].Desired})
 		}
 	}
 	return changes
@@ -61,7 +61,7 @@
 		end := en.Models
 		if en.busy() {
 			loading++
-			end = en.Wanted
+			end = en.Desired
 		}
 		for _, m := range end {
 			coming[m]++
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -20,7 +20,7 @@
 		"surplus is changed":       {engines: []Engine{on("a", "x"), on("b", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1, want: []Change{{"a", []string{"y"}}}},
 		"last copy stays":          {engines: []Engine{on("a", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1},
 		"loads are spread":         {engines: []Engine{on("a"), on("b")}, copies: map[string]int{"x": 2}, loading: 1, want: []Change{{"a", []string{"x"}}}},
-		"one on its way is enough": {engines: []Engine{{Name: "a", Wanted: []string{"x"}}, on("b")}, copies: map[string]int{"x": 1}, loading: 2},
+		"one on its way is enough": {engines: []Engine{{Name: "a", Desired: []string{"x"}}, on("b")}, copies: map[string]int{"x": 1}, loading: 2},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,7 +68,7 @@
 	for _, c := range changes {
 		for i := range engines {
 			if engines[i].Name == c.Engine {
-				engines[i].Models, engines[i].Wanted = nil, c.Models
+				engines[i].Models, engines[i].Desired = nil, c.Models
 			}
 		}
 	}
@@ -76,8 +76,8 @@
 
 func finish(engines []Engine) {
 	for i := range engines {
-		if engines[i].Wanted != nil {
-			engines[i].Models, engines[i].Wanted = engines[i].Wanted, nil
+		if engines[i].Desired != nil {
+			engines[i].Models, engines[i].Desired = engines[i].Desired, nil
 		}
 	}
 }
