--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -143,7 +143,7 @@
 
 // give sends one order. The lease is checked at the last step: a target that checks no fence must get no order from a
 // holder whose time may be over before the order arrives.
-func (gv *giver) give(ctx context.Context, t fleet.Target, ch order.Change) {
+func (gv *giver) give(ctx context.Context, t fleet.Target, ch order.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	gv.sequence++
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -21,17 +21,17 @@
 func (en Engine) busy() bool { return en.Desired != nil && !slices.Equal(en.Desired, en.Models) }
 
 // Change is the wanted end state of one engine.
-type Change struct {
+type Assignment struct {
 	Engine string
 	Models []string
 }
 
 // Plan returns the changes to make now, so that each model comes to its number of copies. It never takes a model's last
 // serving copy away, and lets at most maxLoading engines load at a time.
-func Plan(engines []Engine, copies map[string]int, maxLoading int) []Change {
+func Plan(engines []Engine, copies map[string]int, maxLoading int) []Assignment {
 	engines = slices.SortedFunc(slices.Values(engines), func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
 	serving, coming, loading := count(engines)
-	var changes []Change
+	var changes []Assignment
 	for _, model := range sorted(copies) {
 		for coming[model] < copies[model] && loading < maxLoading {
 			i := spare(engines, serving, copies)
@@ -45,7 +45,7 @@
 			engines[i].Desired = []string{model}
 			coming[model]++
 			loading++
-			changes = append(changes, Change{Engine: engines[i].Name, Models: engines[i].Desired})
+			changes = append(changes, Assignment{Engine: engines[i].Name, Models: engines[i].Desired})
 		}
 	}
 	return changes
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -13,13 +13,13 @@
 		engines []Engine
 		copies  map[string]int
 		loading int
-		want    []Change
+		want    []Assignment
 	}{
 		"nothing to do":            {engines: []Engine{on("a", "x")}, copies: map[string]int{"x": 1}, loading: 1},
-		"empty engine loads":       {engines: []Engine{on("a")}, copies: map[string]int{"x": 1}, loading: 1, want: []Change{{"a", []string{"x"}}}},
-		"surplus is changed":       {engines: []Engine{on("a", "x"), on("b", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1, want: []Change{{"a", []string{"y"}}}},
+		"empty engine loads":       {engines: []Engine{on("a")}, copies: map[string]int{"x": 1}, loading: 1, want: []Assignment{{"a", []string{"x"}}}},
+		"surplus is changed":       {engines: []Engine{on("a", "x"), on("b", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1, want: []Assignment{{"a", []string{"y"}}}},
 		"last copy stays":          {engines: []Engine{on("a", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1},
-		"loads are spread":         {engines: []Engine{on("a"), on("b")}, copies: map[string]int{"x": 2}, loading: 1, want: []Change{{"a", []string{"x"}}}},
+		"loads are spread":         {engines: []Engine{on("a"), on("b")}, copies: map[string]int{"x": 2}, loading: 1, want: []Assignment{{"a", []string{"x"}}}},
 		"one on its way is enough": {engines: []Engine{{Name: "a", Desired: []string{"x"}}, on("b")}, copies: map[string]int{"x": 1}, loading: 2},
 	}
 	for name, tc := range tests {
@@ -64,7 +64,7 @@
 }
 
 // apply unloads what an engine drops, as it does while it loads.
-func apply(engines []Engine, changes []Change) {
+func apply(engines []Engine, changes []Assignment) {
 	for _, c := range changes {
 		for i := range engines {
 			if engines[i].Name == c.Engine {
