--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -98,13 +98,13 @@
 	// held counts the ends that are held against a request, origins the ends and judgements on requests of an origin; entries at zero
 	// are removed.
 	held    map[fingerprint.Fingerprint]int
-	origins map[fingerprint.Origin]int
+	origins map[fingerprint.HeadHash]int
 	// trials holds the requests on trial that were run here.
 	trials map[fingerprint.Fingerprint]trial
 	// sweptAt is when ends and judgements that are too old were last forgotten.
 	sweptAt time.Time
 	// running holds the runs that go on here, by origin, and told those at peers of requests under which targets ended.
-	running map[fingerprint.Origin][]*Running
+	running map[fingerprint.HeadHash][]*Running
 	told    map[string][]Survivor
 }
 
@@ -112,8 +112,8 @@
 func New(op Options) *Ledger {
 	ld := &Ledger{
 		opts: op, ends: map[string]*end{}, judgements: map[fingerprint.Fingerprint]Judgement{},
-		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.Origin]int{},
-		running: map[fingerprint.Origin][]*Running{}, told: map[string][]Survivor{}, trials: map[fingerprint.Fingerprint]trial{},
+		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.HeadHash]int{},
+		running: map[fingerprint.HeadHash][]*Running{}, told: map[string][]Survivor{}, trials: map[fingerprint.Fingerprint]trial{},
 	}
 	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(ld.Judgements())) })
 	return ld
@@ -200,7 +200,7 @@
 }
 
 // Knows reports whether anything is held against a request of an origin. Only then Check and Served have to be asked.
-func (ld *Ledger) Knows(or fingerprint.Origin) bool {
+func (ld *Ledger) Knows(or fingerprint.HeadHash) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if ld.overdue() {
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -11,7 +11,7 @@
 // targets, the request is not judged: it may be answered whole.
 type Running struct {
 	ledger *Ledger
-	origin fingerprint.Origin
+	origin fingerprint.HeadHash
 	// request makes the fingerprint, which costs time for a long body.
 	request func() fingerprint.Fingerprint
 	since   time.Time
@@ -27,7 +27,7 @@
 }
 
 // Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
-func (ld *Ledger) Begin(or fingerprint.Origin, request func() fingerprint.Fingerprint) *Running {
+func (ld *Ledger) Begin(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *Running {
 	ru := &Running{ledger: ld, origin: or, request: request, since: ld.opts.Now()}
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -23,7 +23,7 @@
 
 // Origin is equal for two requests of one caller with the same method, host, path, query and length of the body. It costs the same
 // for a short and a long body.
-type Origin [originSize]byte
+type HeadHash [originSize]byte
 
 // Request is what a fingerprint is made of. What differs between two tries of a caller is no part of it: the id, the deadline
 // and other headers.
@@ -49,9 +49,9 @@
 }
 
 // OriginOf returns the origin of a request.
-func OriginOf(rq Request) Origin {
+func OriginOf(rq Request) HeadHash {
 	sum := sha256.Sum256(rq.head())
-	return Origin(sum[:originSize])
+	return HeadHash(sum[:originSize])
 }
 
 // head returns all but the content of the body. Each part is written after its length, so that none can pass for a piece of another.
@@ -65,7 +65,7 @@
 }
 
 // Origin returns the origin of the request that has the fingerprint.
-func (fp Fingerprint) Origin() Origin { return Origin(fp[:originSize]) }
+func (fp Fingerprint) Origin() HeadHash { return HeadHash(fp[:originSize]) }
 
 // String returns the fingerprint in hex.
 func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:]) }
