--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -43,13 +43,13 @@
 	_, _ = hs.Write(rq.head())
 	_, _ = hs.Write(rq.Body)
 	fp := Fingerprint{}
-	origin := OriginOf(rq)
+	origin := HeadHashOf(rq)
 	copy(fp[copy(fp[:], origin[:]):], hs.Sum(nil))
 	return fp
 }
 
 // OriginOf returns the origin of a request.
-func OriginOf(rq Request) HeadHash {
+func HeadHashOf(rq Request) HeadHash {
 	sum := sha256.Sum256(rq.head())
 	return HeadHash(sum[:originSize])
 }
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -43,9 +43,9 @@
 	two.Body = []byte("two")
 	longer := one
 	longer.Body = []byte("three")
-	g.Expect(fingerprint.Of(one).Origin()).To(Equal(fingerprint.OriginOf(one)))
-	g.Expect(fingerprint.Of(two).Origin()).To(Equal(fingerprint.OriginOf(one)))
-	g.Expect(fingerprint.Of(longer).Origin()).NotTo(Equal(fingerprint.OriginOf(one)))
+	g.Expect(fingerprint.Of(one).Origin()).To(Equal(fingerprint.HeadHashOf(one)))
+	g.Expect(fingerprint.Of(two).Origin()).To(Equal(fingerprint.HeadHashOf(one)))
+	g.Expect(fingerprint.Of(longer).Origin()).NotTo(Equal(fingerprint.HeadHashOf(one)))
 }
 
 func TestParse(t *testing.T) {
@@ -79,6 +79,6 @@
 func BenchmarkOriginOf(b *testing.B) {
 	rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", Target: "/a", Body: make([]byte, 4_000_000)}
 	for b.Loop() {
-		fingerprint.OriginOf(rq)
+		fingerprint.HeadHashOf(rq)
 	}
 }
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -81,7 +81,7 @@
 func (rq *request) fingerprint() fingerprint.Fingerprint { return rq.print() }
 
 // origin returns what a fingerprint begins with; it costs the same for short and long bodies.
-func (rq *request) origin() fingerprint.HeadHash { return fingerprint.OriginOf(rq.identity()) }
+func (rq *request) origin() fingerprint.HeadHash { return fingerprint.HeadHashOf(rq.identity()) }
 
 func (rq *request) identity() fingerprint.Request {
 	return fingerprint.Request{
