--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -214,7 +214,7 @@
 // weigh counts ends that are held against a request, or no longer. The lock is held.
 func (ld *Ledger) weigh(fp fingerprint.Fingerprint, ends int) {
 	add(ld.held, fp, ends)
-	add(ld.origins, fp.Origin(), ends)
+	add(ld.origins, fp.HeadHash(), ends)
 }
 
 // add changes a count, and removes it at zero.
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -80,7 +80,7 @@
 		ld.forgetJudgement()
 	}
 	if _, before := ld.judgements[jd.Request]; !before {
-		add(ld.origins, jd.Request.Origin(), 1)
+		add(ld.origins, jd.Request.HeadHash(), 1)
 	}
 	ld.judgements[jd.Request] = jd
 	fields["fingerprint"] = jd.Request.String()
@@ -104,7 +104,7 @@
 // dropJudgement forgets a judgement. The lock is held.
 func (ld *Ledger) dropJudgement(fp fingerprint.Fingerprint) {
 	delete(ld.judgements, fp)
-	add(ld.origins, fp.Origin(), -1)
+	add(ld.origins, fp.HeadHash(), -1)
 }
 
 // clear takes back all that is held against a request up to a time, and reports whether that was anything. The lock is held.
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -70,7 +70,7 @@
 func (ld *Ledger) outlived(sp suspect) bool {
 	before := ld.opts.Now().Add(-sp.longest)
 	longer := func(sv Survivor) bool { return sv.Request == sp.request && sv.Since.Before(before) }
-	for _, ru := range ld.running[sp.request.Origin()] {
+	for _, ru := range ld.running[sp.request.HeadHash()] {
 		if longer(Survivor{Request: ru.request(), Since: ru.since}) {
 			return true
 		}
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -65,7 +65,7 @@
 }
 
 // Origin returns the origin of the request that has the fingerprint.
-func (fp Fingerprint) Origin() HeadHash { return HeadHash(fp[:originSize]) }
+func (fp Fingerprint) HeadHash() HeadHash { return HeadHash(fp[:originSize]) }
 
 // String returns the fingerprint in hex.
 func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:]) }
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -43,9 +43,9 @@
 	two.Body = []byte("two")
 	longer := one
 	longer.Body = []byte("three")
-	g.Expect(fingerprint.Of(one).Origin()).To(Equal(fingerprint.HeadHashOf(one)))
-	g.Expect(fingerprint.Of(two).Origin()).To(Equal(fingerprint.HeadHashOf(one)))
-	g.Expect(fingerprint.Of(longer).Origin()).NotTo(Equal(fingerprint.HeadHashOf(one)))
+	g.Expect(fingerprint.Of(one).HeadHash()).To(Equal(fingerprint.HeadHashOf(one)))
+	g.Expect(fingerprint.Of(two).HeadHash()).To(Equal(fingerprint.HeadHashOf(one)))
+	g.Expect(fingerprint.Of(longer).HeadHash()).NotTo(Equal(fingerprint.HeadHashOf(one)))
 }
 
 func TestParse(t *testing.T) {
