--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -52,7 +52,7 @@
 }
 
 func request(name string) fingerprint.Fingerprint {
-	return fingerprint.Of(fingerprint.Request{Organisation: "red", Target: name})
+	return fingerprint.Of(fingerprint.Request{Organisation: "red", RequestURI: name})
 }
 
 // broke lets a target break off runs of requests and end, if it does.
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -32,8 +32,8 @@
 	Organisation string
 	Method, Host string
 	// Target is the path and query as they stand on the request line.
-	Target string
-	Body   []byte
+	RequestURI string
+	Body       []byte
 }
 
 // Of returns the fingerprint of a request.
@@ -57,7 +57,7 @@
 // head returns all but the content of the body. Each part is written after its length, so that none can pass for a piece of another.
 func (rq Request) head() []byte {
 	var b []byte
-	for _, part := range []string{rq.Organisation, rq.Method, rq.Host, rq.Target} {
+	for _, part := range []string{rq.Organisation, rq.Method, rq.Host, rq.RequestURI} {
 		b = binary.AppendUvarint(b, uint64(len(part)))
 		b = append(b, part...)
 	}
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestOf(t *testing.T) {
-	base := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", Target: "/a?b", Body: []byte("body")}
+	base := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a?b", Body: []byte("body")}
 	cases := map[string]struct {
 		edit func(*fingerprint.Request)
 		same bool
@@ -21,11 +21,11 @@
 		"another organisation": {func(rq *fingerprint.Request) { rq.Organisation = "blue" }, false},
 		"another method":       {func(rq *fingerprint.Request) { rq.Method = "PUT" }, false},
 		"another host":         {func(rq *fingerprint.Request) { rq.Host = "apis" }, false},
-		"another query":        {func(rq *fingerprint.Request) { rq.Target = "/a?c" }, false},
+		"another query":        {func(rq *fingerprint.Request) { rq.RequestURI = "/a?c" }, false},
 		"another body":         {func(rq *fingerprint.Request) { rq.Body = []byte("bodies") }, false},
 		"no body":              {func(rq *fingerprint.Request) { rq.Body = nil }, false},
-		"a border moved":       {func(rq *fingerprint.Request) { rq.Host, rq.Target = "api/", "a?b" }, false},
-		"a border to the body": {func(rq *fingerprint.Request) { rq.Target, rq.Body = "/a?", []byte("bbody") }, false},
+		"a border moved":       {func(rq *fingerprint.Request) { rq.Host, rq.RequestURI = "api/", "a?b" }, false},
+		"a border to the body": {func(rq *fingerprint.Request) { rq.RequestURI, rq.Body = "/a?", []byte("bbody") }, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 
 func TestOriginIsThatOfTheRequest(t *testing.T) {
 	g := NewWithT(t)
-	one := fingerprint.Request{Organisation: "red", Target: "/a", Body: []byte("one")}
+	one := fingerprint.Request{Organisation: "red", RequestURI: "/a", Body: []byte("one")}
 	two := one
 	two.Body = []byte("two")
 	longer := one
@@ -66,7 +66,7 @@
 func BenchmarkOf(b *testing.B) {
 	for _, size := range []int{1_000, 100_000, 4_000_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", Target: "/a", Body: make([]byte, size)}
+			rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a", Body: make([]byte, size)}
 			b.SetBytes(int64(size))
 			for b.Loop() {
 				fingerprint.Of(rq)
@@ -77,7 +77,7 @@
 
 // BenchmarkOriginOf measures what each request costs while others are suspected.
 func BenchmarkOriginOf(b *testing.B) {
-	rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", Target: "/a", Body: make([]byte, 4_000_000)}
+	rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a", Body: make([]byte, 4_000_000)}
 	for b.Loop() {
 		fingerprint.HeadHashOf(rq)
 	}
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -85,7 +85,7 @@
 
 func (rq *request) identity() fingerprint.Request {
 	return fingerprint.Request{
-		Organisation: rq.org.Name, Method: rq.method, Host: rq.host, Target: rq.target, Body: rq.body,
+		Organisation: rq.org.Name, Method: rq.method, Host: rq.host, RequestURI: rq.target, Body: rq.body,
 	}
 }
 
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -40,7 +40,7 @@
 				Now: time.Now, Targets: func() int { return 12 }, Gone: func(string) bool { return false }, Changed: func() {},
 				Metrics: metrics.NewSet(), Log: gw.Log,
 			})
-			fp := fingerprint.Of(fingerprint.Request{Method: http.MethodGet, Host: "example.com", Target: "/a/"})
+			fp := fingerprint.Of(fingerprint.Request{Method: http.MethodGet, Host: "example.com", RequestURI: "/a/"})
 			if tc.doubtful {
 				doubt(gw.Blame, fp)
 			}
