--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -52,7 +52,7 @@
 type Run struct {
 	Request fingerprint.Fingerprint
 	// Target is the incarnation that ran it.
-	Target string
+	Incarnation string
 	// Exposure is how long the target had run it: since the head of its answer, or since it was sent where none came.
 	Exposure time.Duration
 	// At is when it was broken off.
@@ -124,7 +124,7 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
-	if _, ended := ld.ends[rn.Target]; ended {
+	if _, ended := ld.ends[rn.Incarnation]; ended {
 		ld.hold(rn, true)
 		ld.changed()
 		return
@@ -161,7 +161,7 @@
 	ld.ends[incarnation] = &end{at: at, under: map[fingerprint.Fingerprint]Run{}}
 	kept := ld.broken[:0]
 	for _, rn := range ld.broken {
-		if rn.Target != incarnation {
+		if rn.Incarnation != incarnation {
 			kept = append(kept, rn)
 			continue
 		}
@@ -172,7 +172,7 @@
 
 // hold holds the end of a target against the request that it ran. The lock is held.
 func (ld *Ledger) hold(rn Run, own bool) {
-	en := ld.ends[rn.Target]
+	en := ld.ends[rn.Incarnation]
 	if _, known := en.under[rn.Request]; known || len(en.under) >= maxUnder {
 		return
 	}
@@ -243,8 +243,8 @@
 	now := ld.opts.Now()
 	for ld.overdue() {
 		rn := ld.broken[0]
-		if ld.opts.Gone(rn.Target) {
-			ld.end(rn.Target, rn.At)
+		if ld.opts.Gone(rn.Incarnation) {
+			ld.end(rn.Incarnation, rn.At)
 			continue
 		}
 		ld.broken = ld.broken[1:]
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -134,7 +134,7 @@
 // covers reports whether all runs were at targets that the request ran at too.
 func (sp suspect) covers(runs []Run) bool {
 	for _, rn := range runs {
-		if !slices.ContainsFunc(sp.runs, func(own Run) bool { return own.Target == rn.Target }) {
+		if !slices.ContainsFunc(sp.runs, func(own Run) bool { return own.Incarnation == rn.Incarnation }) {
 			return false
 		}
 	}
@@ -192,7 +192,7 @@
 		}
 	}
 	slices.SortFunc(sp.runs, func(a, b Run) int {
-		return cmp.Or(cmp.Compare(a.Exposure, b.Exposure), strings.Compare(a.Target, b.Target))
+		return cmp.Or(cmp.Compare(a.Exposure, b.Exposure), strings.Compare(a.Incarnation, b.Incarnation))
 	})
 	rates := make([]float64, len(sp.runs))
 	for i, rn := range sp.runs {
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -175,7 +175,7 @@
 func names(runs []Run) string {
 	ids := make([]string, len(runs))
 	for i, rn := range runs {
-		ids[i] = rn.Target
+		ids[i] = rn.Incarnation
 	}
 	slices.Sort(ids)
 	return strings.Join(ids, ",")
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -65,8 +65,8 @@
 		ld.hearClearance(cl)
 	}
 	for _, rn := range nt.Runs {
-		if _, known := ld.ends[rn.Target]; !known {
-			ld.end(rn.Target, rn.At)
+		if _, known := ld.ends[rn.Incarnation]; !known {
+			ld.end(rn.Incarnation, rn.At)
 		}
 		ld.hold(rn, false)
 	}
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -35,7 +35,7 @@
 	b = binary.AppendUvarint(b, uint64(len(runs)))
 	for _, rn := range runs {
 		b = append(b, rn.Request[:]...)
-		b = peerbytes.AppendName(b, rn.Target)
+		b = peerbytes.AppendName(b, rn.Incarnation)
 		b = appendSpan(b, rn.Exposure)
 		b = appendSpan(b, made.Sub(rn.At))
 	}
@@ -89,7 +89,7 @@
 	rd := reader{peerbytes.NewReader(b[1:])}
 	var nt Notes
 	for range rd.count() {
-		rn := Run{Request: rd.fingerprint(), Target: rd.name()}
+		rn := Run{Request: rd.fingerprint(), Incarnation: rd.name()}
 		rn.Exposure = rd.span()
 		rn.At = made.Add(-rd.span())
 		nt.Runs = append(nt.Runs, rn)
