--- a/internal/blame/bench_test.go
+++ b/internal/blame/bench_test.go
@@ -20,7 +20,7 @@
 		var nt blame.Notes
 		for at := range under {
 			nt.Runs = append(nt.Runs, blame.Run{
-				Request: request(fmt.Sprint(no, "-", at)), Incarnation: fmt.Sprint("target-", no), Exposure: lasting, At: ck.now,
+				Request: request(fmt.Sprint(no, "-", at)), Incarnation: fmt.Sprint("target-", no), Elapsed: lasting, At: ck.now,
 			})
 		}
 		in.Hear("peer", nt)
--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -54,7 +54,7 @@
 	// Target is the incarnation that ran it.
 	Incarnation string
 	// Exposure is how long the target had run it: since the head of its answer, or since it was sent where none came.
-	Exposure time.Duration
+	Elapsed time.Duration
 	// At is when it was broken off.
 	At time.Time
 }
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -192,14 +192,14 @@
 		}
 	}
 	slices.SortFunc(sp.runs, func(a, b Run) int {
-		return cmp.Or(cmp.Compare(a.Exposure, b.Exposure), strings.Compare(a.Incarnation, b.Incarnation))
+		return cmp.Or(cmp.Compare(a.Elapsed, b.Elapsed), strings.Compare(a.Incarnation, b.Incarnation))
 	})
 	rates := make([]float64, len(sp.runs))
 	for i, rn := range sp.runs {
 		rates[i] = ld.rate(rn, open)
 	}
 	for n := min(endsLeast, len(sp.runs)); n <= len(sp.runs) && n > 0; n++ {
-		longest := max(exposureLeast, sp.runs[n-1].Exposure)
+		longest := max(exposureLeast, sp.runs[n-1].Elapsed)
 		if chance := chanceOf(rates, n, longest); chance < sp.chance {
 			sp.chance, sp.longest = chance, longest
 		}
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -36,7 +36,7 @@
 	for _, rn := range runs {
 		b = append(b, rn.Request[:]...)
 		b = peerbytes.AppendName(b, rn.Incarnation)
-		b = appendSpan(b, rn.Exposure)
+		b = appendSpan(b, rn.Elapsed)
 		b = appendSpan(b, made.Sub(rn.At))
 	}
 	cleared := newest(nt.Clearances)
@@ -90,7 +90,7 @@
 	var nt Notes
 	for range rd.count() {
 		rn := Run{Request: rd.fingerprint(), Incarnation: rd.name()}
-		rn.Exposure = rd.span()
+		rn.Elapsed = rd.span()
 		rn.At = made.Add(-rd.span())
 		nt.Runs = append(nt.Runs, rn)
 	}
