--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -49,7 +49,7 @@
 )
 
 // Run is one run of a request that its target broke off.
-type Run struct {
+type InterruptedRun struct {
 	Request fingerprint.Fingerprint
 	// Target is the incarnation that ran it.
 	Incarnation string
@@ -63,7 +63,7 @@
 type end struct {
 	at time.Time
 	// under holds the runs that the end broke off, at most maxUnder.
-	under map[fingerprint.Fingerprint]Run
+	under map[fingerprint.Fingerprint]InterruptedRun
 }
 
 // Options are the seams of a Ledger. All are set.
@@ -86,11 +86,11 @@
 
 	mu sync.Mutex
 	// broken holds the runs that were broken off by targets not known to have ended, the oldest first.
-	broken []Run
+	broken []InterruptedRun
 	// ends holds the targets that ended, by incarnation.
 	ends map[string]*end
 	// own holds the runs that this instance saw end with their targets, to be told to peers.
-	own []Run
+	own []InterruptedRun
 	// judgements holds those in force and those that have passed lately.
 	judgements map[fingerprint.Fingerprint]Judgement
 	// cleared holds the requests that were cleared lately.
@@ -120,7 +120,7 @@
 }
 
 // Broke notes a run that its target broke off. It is held against the request if the target turns out to have ended.
-func (ld *Ledger) Broke(rn Run) {
+func (ld *Ledger) Broke(rn InterruptedRun) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
@@ -158,7 +158,7 @@
 	if len(ld.ends) >= maxEnds {
 		ld.forgetOldest()
 	}
-	ld.ends[incarnation] = &end{at: at, under: map[fingerprint.Fingerprint]Run{}}
+	ld.ends[incarnation] = &end{at: at, under: map[fingerprint.Fingerprint]InterruptedRun{}}
 	kept := ld.broken[:0]
 	for _, rn := range ld.broken {
 		if rn.Incarnation != incarnation {
@@ -171,7 +171,7 @@
 }
 
 // hold holds the end of a target against the request that it ran. The lock is held.
-func (ld *Ledger) hold(rn Run, own bool) {
+func (ld *Ledger) hold(rn InterruptedRun, own bool) {
 	en := ld.ends[rn.Incarnation]
 	if _, known := en.under[rn.Request]; known || len(en.under) >= maxUnder {
 		return
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -39,7 +39,7 @@
 type suspect struct {
 	request fingerprint.Fingerprint
 	// runs are those at targets whose ends nothing else explains, the shortest first.
-	runs []Run
+	runs []InterruptedRun
 	// longest is the longest time that one of the runs ran which chance is taken of.
 	longest time.Duration
 	// chance is how likely targets ended by themselves within that time, in so many of the runs. It is the least over the shortest
@@ -132,9 +132,9 @@
 }
 
 // covers reports whether all runs were at targets that the request ran at too.
-func (sp suspect) covers(runs []Run) bool {
+func (sp suspect) covers(runs []InterruptedRun) bool {
 	for _, rn := range runs {
-		if !slices.ContainsFunc(sp.runs, func(own Run) bool { return own.Incarnation == rn.Incarnation }) {
+		if !slices.ContainsFunc(sp.runs, func(own InterruptedRun) bool { return own.Incarnation == rn.Incarnation }) {
 			return false
 		}
 	}
@@ -191,7 +191,7 @@
 			sp.runs = append(sp.runs, rn)
 		}
 	}
-	slices.SortFunc(sp.runs, func(a, b Run) int {
+	slices.SortFunc(sp.runs, func(a, b InterruptedRun) int {
 		return cmp.Or(cmp.Compare(a.Elapsed, b.Elapsed), strings.Compare(a.Incarnation, b.Incarnation))
 	})
 	rates := make([]float64, len(sp.runs))
@@ -220,7 +220,7 @@
 
 // rate is how often a target ended by itself about the time of a run, a second, by the ends under which its request did not run. The
 // lock is held.
-func (ld *Ledger) rate(rn Run, open []*end) float64 {
+func (ld *Ledger) rate(rn InterruptedRun, open []*end) float64 {
 	highest := 0.0
 	for _, span := range []time.Duration{nearby, closeBy} {
 		highest = max(highest, ld.density(rn, open, span, 0))
@@ -229,7 +229,7 @@
 }
 
 // density is the rate within a span before and after a run; unseen is added to the ends in it.
-func (ld *Ledger) density(rn Run, open []*end, span time.Duration, unseen float64) float64 {
+func (ld *Ledger) density(rn InterruptedRun, open []*end, span time.Duration, unseen float64) float64 {
 	ends := unseen
 	for _, en := range open {
 		if _, ran := en.under[rn.Request]; !ran && en.at.Sub(rn.At).Abs() <= span {
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -110,8 +110,8 @@
 // clear takes back all that is held against a request up to a time, and reports whether that was anything. The lock is held.
 func (ld *Ledger) clear(fp fingerprint.Fingerprint, cl clearance) bool {
 	held := ld.release(fp, cl.at)
-	ld.own = slices.DeleteFunc(ld.own, func(rn Run) bool { return rn.Request == fp && !rn.At.After(cl.at) })
-	ld.broken = slices.DeleteFunc(ld.broken, func(rn Run) bool { return rn.Request == fp && !rn.At.After(cl.at) })
+	ld.own = slices.DeleteFunc(ld.own, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
+	ld.broken = slices.DeleteFunc(ld.broken, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
 	if jd, ok := ld.judgements[fp]; ok {
 		held = true
 		cl.until = jd.forgetAt()
@@ -172,7 +172,7 @@
 }
 
 // names lists the targets of runs, separated by commas.
-func names(runs []Run) string {
+func names(runs []InterruptedRun) string {
 	ids := make([]string, len(runs))
 	for i, rn := range runs {
 		ids[i] = rn.Incarnation
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -26,7 +26,7 @@
 // Notes are what an instance tells its peers. Their times are on its own clock; on the wire they are ages.
 type Notes struct {
 	// Runs are those that the instance itself saw end with their targets lately.
-	Runs []Run
+	Runs []InterruptedRun
 	// Clearances are its own lately, and what operators lifted anywhere.
 	Clearances []Clearance
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -89,7 +89,7 @@
 	rd := reader{peerbytes.NewReader(b[1:])}
 	var nt Notes
 	for range rd.count() {
-		rn := Run{Request: rd.fingerprint(), Incarnation: rd.name()}
+		rn := InterruptedRun{Request: rd.fingerprint(), Incarnation: rd.name()}
 		rn.Elapsed = rd.span()
 		rn.At = made.Add(-rd.span())
 		nt.Runs = append(nt.Runs, rn)
