--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -104,7 +104,7 @@
 	// sweptAt is when ends and judgements that are too old were last forgotten.
 	sweptAt time.Time
 	// running holds the runs that go on here, by origin, and told those at peers of requests under which targets ended.
-	running map[fingerprint.HeadHash][]*Running
+	running map[fingerprint.HeadHash][]*ActiveRun
 	told    map[string][]Survivor
 }
 
@@ -113,7 +113,7 @@
 	ld := &Ledger{
 		opts: op, ends: map[string]*end{}, judgements: map[fingerprint.Fingerprint]Judgement{},
 		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.HeadHash]int{},
-		running: map[fingerprint.HeadHash][]*Running{}, told: map[string][]Survivor{}, trials: map[fingerprint.Fingerprint]trial{},
+		running: map[fingerprint.HeadHash][]*ActiveRun{}, told: map[string][]Survivor{}, trials: map[fingerprint.Fingerprint]trial{},
 	}
 	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(ld.Judgements())) })
 	return ld
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -50,7 +50,7 @@
 	sent, done time.Time
 	fatal      bool
 	tries      int
-	running    *blame.Running
+	running    *blame.ActiveRun
 }
 
 // letter is what an instance tells another.
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -9,7 +9,7 @@
 
 // Running is a run of a request that its target has begun to answer. While it goes on for longer than the runs that ended with their
 // targets, the request is not judged: it may be answered whole.
-type Running struct {
+type ActiveRun struct {
 	ledger *Ledger
 	origin fingerprint.HeadHash
 	// request makes the fingerprint, which costs time for a long body.
@@ -27,8 +27,8 @@
 }
 
 // Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
-func (ld *Ledger) Begin(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *Running {
-	ru := &Running{ledger: ld, origin: or, request: request, since: ld.opts.Now()}
+func (ld *Ledger) Begin(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
+	ru := &ActiveRun{ledger: ld, origin: or, request: request, since: ld.opts.Now()}
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.running[or] = append(ld.running[or], ru)
@@ -36,11 +36,11 @@
 }
 
 // End notes that the run is over, however it went.
-func (ru *Running) End() {
+func (ru *ActiveRun) End() {
 	ld := ru.ledger
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	rest := slices.DeleteFunc(ld.running[ru.origin], func(other *Running) bool { return other == ru })
+	rest := slices.DeleteFunc(ld.running[ru.origin], func(other *ActiveRun) bool { return other == ru })
 	if len(rest) == 0 {
 		delete(ld.running, ru.origin)
 	} else {
