--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -36,17 +36,17 @@
 }
 
 // End notes that the run is over, however it went.
-func (ru *ActiveRun) End() {
-	ld := ru.ledger
+func (ar *ActiveRun) End() {
+	ld := ar.ledger
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	rest := slices.DeleteFunc(ld.running[ru.origin], func(other *ActiveRun) bool { return other == ru })
+	rest := slices.DeleteFunc(ld.running[ar.origin], func(other *ActiveRun) bool { return other == ar })
 	if len(rest) == 0 {
-		delete(ld.running, ru.origin)
+		delete(ld.running, ar.origin)
 	} else {
-		ld.running[ru.origin] = rest
+		ld.running[ar.origin] = rest
 	}
-	if ru.told || ld.origins[ru.origin] > 0 {
+	if ar.told || ld.origins[ar.origin] > 0 {
 		ld.opts.Changed()
 	}
 }
