--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -105,7 +105,7 @@
 	sweptAt time.Time
 	// running holds the runs that go on here, by origin, and told those at peers of requests under which targets ended.
 	running map[fingerprint.HeadHash][]*ActiveRun
-	told    map[string][]Survivor
+	told    map[string][]ActiveRunSummary
 }
 
 // New returns an empty ledger.
@@ -113,7 +113,7 @@
 	ld := &Ledger{
 		opts: op, ends: map[string]*end{}, judgements: map[fingerprint.Fingerprint]Judgement{},
 		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.HeadHash]int{},
-		running: map[fingerprint.HeadHash][]*ActiveRun{}, told: map[string][]Survivor{}, trials: map[fingerprint.Fingerprint]trial{},
+		running: map[fingerprint.HeadHash][]*ActiveRun{}, told: map[string][]ActiveRunSummary{}, trials: map[fingerprint.Fingerprint]trial{},
 	}
 	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(ld.Judgements())) })
 	return ld
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -20,7 +20,7 @@
 }
 
 // Survivor tells a peer of a run that goes on of a request under which targets ended.
-type Survivor struct {
+type ActiveRunSummary struct {
 	Request fingerprint.Fingerprint
 	// Since is when its target began to answer.
 	Since time.Time
@@ -52,15 +52,15 @@
 }
 
 // survivors returns the runs that go on here of requests that may come to be judged. The lock is held.
-func (ld *Ledger) survivors() []Survivor {
-	var list []Survivor
+func (ld *Ledger) survivors() []ActiveRunSummary {
+	var list []ActiveRunSummary
 	for or, runs := range ld.running {
 		if ld.origins[or] < endsLeast-1 {
 			continue
 		}
 		for _, ru := range runs {
 			ru.told = true
-			list = append(list, Survivor{Request: ru.request(), Since: ru.since})
+			list = append(list, ActiveRunSummary{Request: ru.request(), Since: ru.since})
 		}
 	}
 	return list
@@ -69,9 +69,9 @@
 // outlived reports whether a run goes on, here or at a peer, for longer than those that ended with their targets. The lock is held.
 func (ld *Ledger) outlived(sp suspect) bool {
 	before := ld.opts.Now().Add(-sp.longest)
-	longer := func(sv Survivor) bool { return sv.Request == sp.request && sv.Since.Before(before) }
+	longer := func(sv ActiveRunSummary) bool { return sv.Request == sp.request && sv.Since.Before(before) }
 	for _, ru := range ld.running[sp.request.HeadHash()] {
-		if longer(Survivor{Request: ru.request(), Since: ru.since}) {
+		if longer(ActiveRunSummary{Request: ru.request(), Since: ru.since}) {
 			return true
 		}
 	}
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -32,7 +32,7 @@
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
 	Judgements []Judgement
 	// Survivors are the runs that go on there of requests under which targets ended.
-	Survivors []Survivor
+	Survivors []ActiveRunSummary
 }
 
 // Notes returns what peers have to hear now. Equal notes are in the same order.
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -108,7 +108,7 @@
 		nt.Judgements = append(nt.Judgements, jd)
 	}
 	for range rd.count() {
-		nt.Survivors = append(nt.Survivors, Survivor{Request: rd.fingerprint(), Since: made.Add(-rd.span())})
+		nt.Survivors = append(nt.Survivors, ActiveRunSummary{Request: rd.fingerprint(), Since: made.Add(-rd.span())})
 	}
 	if err := rd.End(); err != nil {
 		return Notes{}, errors.Wrap(err, "decode notes")
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -20,7 +20,7 @@
 			{Request: request("c"), At: now.Add(-time.Minute), Lifted: true, Until: now.Add(time.Minute)},
 		},
 		Judgements: []blame.Judgement{{Request: request("d"), Ends: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)}},
-		Survivors:  []blame.Survivor{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
+		Survivors:  []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
 	}
 }
 
