--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -19,8 +19,8 @@
 	Request fingerprint.Fingerprint
 	At      time.Time
 	// Lifted is set when an operator cleared it. It stands until Until.
-	Lifted bool
-	Until  time.Time
+	ByOperator bool
+	Until      time.Time
 }
 
 // Notes are what an instance tells its peers. Their times are on its own clock; on the wire they are ages.
@@ -44,7 +44,7 @@
 	nt := Notes{Runs: slices.Clone(ld.own), Survivors: ld.survivors()}
 	for fp, cl := range ld.cleared {
 		if cl.lifted || now.Sub(cl.at) <= tellFor {
-			nt.Clearances = append(nt.Clearances, Clearance{Request: fp, At: cl.at, Lifted: cl.lifted, Until: cl.until})
+			nt.Clearances = append(nt.Clearances, Clearance{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
 		}
 	}
 	for _, jd := range ld.judgements {
@@ -89,7 +89,7 @@
 	if judged && jd.Since.After(cl.At.Add(clearMargin)) {
 		return
 	}
-	ld.clear(cl.Request, clearance{at: cl.At, until: cl.Until, lifted: cl.Lifted})
+	ld.clear(cl.Request, clearance{at: cl.At, until: cl.Until, lifted: cl.ByOperator})
 }
 
 // hearJudgement takes a judgement that a peer tells: a new one, or one that was passed again. The lock is held.
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -69,7 +69,7 @@
 
 // lifted is how long a clearance still stands that an operator made; zero for the others.
 func lifted(cl Clearance, made time.Time) time.Duration {
-	if !cl.Lifted {
+	if !cl.ByOperator {
 		return 0
 	}
 	return max(time.Millisecond, cl.Until.Sub(made))
@@ -97,7 +97,7 @@
 	for range rd.count() {
 		cl := Clearance{Request: rd.fingerprint(), At: made.Add(-rd.span())}
 		if left := rd.span(); left > 0 {
-			cl.Lifted, cl.Until = true, made.Add(left)
+			cl.ByOperator, cl.Until = true, made.Add(left)
 		}
 		nt.Clearances = append(nt.Clearances, cl)
 	}
