--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -15,7 +15,7 @@
 const clearMargin = time.Second
 
 // Clearance tells a peer that nothing is held against a request that happened up to a time.
-type Clearance struct {
+type Tombstone struct {
 	Request fingerprint.Fingerprint
 	At      time.Time
 	// Lifted is set when an operator cleared it. It stands until Until.
@@ -28,7 +28,7 @@
 	// Runs are those that the instance itself saw end with their targets lately.
 	Runs []InterruptedRun
 	// Clearances are its own lately, and what operators lifted anywhere.
-	Clearances []Clearance
+	Clearances []Tombstone
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
 	Judgements []Judgement
 	// Survivors are the runs that go on there of requests under which targets ended.
@@ -44,13 +44,13 @@
 	nt := Notes{Runs: slices.Clone(ld.own), Survivors: ld.survivors()}
 	for fp, cl := range ld.cleared {
 		if cl.lifted || now.Sub(cl.at) <= tellFor {
-			nt.Clearances = append(nt.Clearances, Clearance{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
+			nt.Clearances = append(nt.Clearances, Tombstone{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
 		}
 	}
 	for _, jd := range ld.judgements {
 		nt.Judgements = append(nt.Judgements, jd)
 	}
-	slices.SortFunc(nt.Clearances, func(a, b Clearance) int { return bytes.Compare(a.Request[:], b.Request[:]) })
+	slices.SortFunc(nt.Clearances, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
 	slices.SortFunc(nt.Judgements, func(a, b Judgement) int { return bytes.Compare(a.Request[:], b.Request[:]) })
 	return nt
 }
@@ -81,7 +81,7 @@
 }
 
 // hearClearance takes a clearance that a peer tells. Only what an operator lifted is told on. The lock is held.
-func (ld *Ledger) hearClearance(cl Clearance) {
+func (ld *Ledger) hearClearance(cl Tombstone) {
 	if own, ok := ld.cleared[cl.Request]; ok && !cl.At.After(own.at) {
 		return
 	}
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -68,7 +68,7 @@
 func newest[T any](list []T) []T { return list[max(0, len(list)-maxTold):] }
 
 // lifted is how long a clearance still stands that an operator made; zero for the others.
-func lifted(cl Clearance, made time.Time) time.Duration {
+func lifted(cl Tombstone, made time.Time) time.Duration {
 	if !cl.ByOperator {
 		return 0
 	}
@@ -95,7 +95,7 @@
 		nt.Runs = append(nt.Runs, rn)
 	}
 	for range rd.count() {
-		cl := Clearance{Request: rd.fingerprint(), At: made.Add(-rd.span())}
+		cl := Tombstone{Request: rd.fingerprint(), At: made.Add(-rd.span())}
 		if left := rd.span(); left > 0 {
 			cl.ByOperator, cl.Until = true, made.Add(left)
 		}
