--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -39,7 +39,7 @@
 	defer ld.mu.Unlock()
 	ld.refresh()
 	jd, ok := ld.judgements[fp]
-	return jd.Ends, ok && jd.inForce(ld.opts.Now())
+	return jd.Crashes, ok && jd.inForce(ld.opts.Now())
 }
 
 // refresh judges by what is known now. The lock is held.
@@ -58,7 +58,7 @@
 	ld.refresh()
 	now := ld.opts.Now()
 	if jd, ok := ld.judgements[fp]; ok && jd.inForce(now) {
-		return Verdict{Judged: true, Ends: jd.Ends}
+		return Verdict{Judged: true, Ends: jd.Crashes}
 	}
 	open := ld.open()
 	sp := ld.suspect(fp, open, open)
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -81,7 +81,7 @@
 		before := ld.judgements[sp.request]
 		level := before.Level + 1
 		jd := Judgement{
-			Request: sp.request, Ends: before.Ends + len(sp.runs), Level: level, Since: now, Until: now.Add(term(level)),
+			Request: sp.request, Crashes: before.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(term(level)),
 		}
 		ld.pass(jd, log.Fields{
 			"source": "own", "targets": names(sp.runs), "chance": strconv.FormatFloat(sp.chance, 'e', 1, 64),
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -15,7 +15,7 @@
 type Judgement struct {
 	Request fingerprint.Fingerprint
 	// Ends is how many targets had ended under it.
-	Ends int
+	Crashes int
 	// Level counts the judgements in a row, from 1.
 	Level int
 	// Since is when it was judged, Until how long it is refused.
@@ -84,7 +84,7 @@
 	}
 	ld.judgements[jd.Request] = jd
 	fields["fingerprint"] = jd.Request.String()
-	fields["ends"] = jd.Ends
+	fields["ends"] = jd.Crashes
 	fields["level"] = jd.Level
 	fields["for"] = jd.Until.Sub(ld.opts.Now()).Round(time.Second).String()
 	ld.opts.Log.WithFields(fields).Warn("request judged to end its targets")
@@ -117,7 +117,7 @@
 		cl.until = jd.forgetAt()
 		ld.dropJudgement(fp)
 		ld.opts.Log.WithFields(log.Fields{
-			"fingerprint": fp.String(), "ends": jd.Ends, "lifted": cl.lifted,
+			"fingerprint": fp.String(), "ends": jd.Crashes, "lifted": cl.lifted,
 		}).Warn("judgement taken back")
 	}
 	if !held {
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -50,7 +50,7 @@
 	b = binary.AppendUvarint(b, uint64(len(judged)))
 	for _, jd := range judged {
 		b = append(b, jd.Request[:]...)
-		b = binary.AppendUvarint(b, uint64(jd.Ends))
+		b = binary.AppendUvarint(b, uint64(jd.Crashes))
 		b = binary.AppendUvarint(b, uint64(jd.Level))
 		b = appendSpan(b, made.Sub(jd.Since))
 		b = appendSpan(b, jd.Until.Sub(jd.Since))
@@ -102,7 +102,7 @@
 		nt.Clearances = append(nt.Clearances, cl)
 	}
 	for range rd.count() {
-		jd := Judgement{Request: rd.fingerprint(), Ends: rd.small(), Level: rd.small()}
+		jd := Judgement{Request: rd.fingerprint(), Crashes: rd.small(), Level: rd.small()}
 		jd.Since = made.Add(-rd.span())
 		jd.Until = jd.Since.Add(rd.span())
 		nt.Judgements = append(nt.Judgements, jd)
