--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -92,7 +92,7 @@
 	// own holds the runs that this instance saw end with their targets, to be told to peers.
 	own []InterruptedRun
 	// judgements holds those in force and those that have passed lately.
-	judgements map[fingerprint.Fingerprint]Judgement
+	judgements map[fingerprint.Fingerprint]Quarantine
 	// cleared holds the requests that were cleared lately.
 	cleared map[fingerprint.Fingerprint]clearance
 	// held counts the ends that are held against a request, origins the ends and judgements on requests of an origin; entries at zero
@@ -111,7 +111,7 @@
 // New returns an empty ledger.
 func New(op Options) *Ledger {
 	ld := &Ledger{
-		opts: op, ends: map[string]*end{}, judgements: map[fingerprint.Fingerprint]Judgement{},
+		opts: op, ends: map[string]*end{}, judgements: map[fingerprint.Fingerprint]Quarantine{},
 		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.HeadHash]int{},
 		running: map[fingerprint.HeadHash][]*ActiveRun{}, told: map[string][]ActiveRunSummary{}, trials: map[fingerprint.Fingerprint]trial{},
 	}
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -60,7 +60,7 @@
 
 // likely reports whether so many targets ended under the request that it is to be judged, once all is known of them. before is its
 // judgement that has passed, if any.
-func (sp suspect) likely(before Judgement) bool {
+func (sp suspect) likely(before Quarantine) bool {
 	if before.Level > 0 {
 		return len(sp.runs) > 0 && sp.chance <= chanceAgain
 	}
@@ -80,7 +80,7 @@
 		now := ld.opts.Now()
 		before := ld.judgements[sp.request]
 		level := before.Level + 1
-		jd := Judgement{
+		jd := Quarantine{
 			Request: sp.request, Crashes: before.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(term(level)),
 		}
 		ld.pass(jd, log.Fields{
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -12,7 +12,7 @@
 )
 
 // Judgement says that a request ends the targets that run it.
-type Judgement struct {
+type Quarantine struct {
 	Request fingerprint.Fingerprint
 	// Ends is how many targets had ended under it.
 	Crashes int
@@ -23,10 +23,10 @@
 }
 
 // inForce reports whether the request is refused at a time.
-func (jd Judgement) inForce(now time.Time) bool { return now.Before(jd.Until) }
+func (jd Quarantine) inForce(now time.Time) bool { return now.Before(jd.Until) }
 
 // forgetAt is when a judgement that has passed is forgotten: until then one more end is enough for the next.
-func (jd Judgement) forgetAt() time.Time { return jd.Until.Add(jd.Until.Sub(jd.Since)) }
+func (jd Quarantine) forgetAt() time.Time { return jd.Until.Add(jd.Until.Sub(jd.Since)) }
 
 // term is how long a judgement of a level is in force.
 func term(level int) time.Duration {
@@ -47,17 +47,17 @@
 }
 
 // Judgements returns those in force, by fingerprint.
-func (ld *Ledger) Judgements() []Judgement {
+func (ld *Ledger) Judgements() []Quarantine {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.opts.Now()
-	var list []Judgement
+	var list []Quarantine
 	for _, jd := range ld.judgements {
 		if jd.inForce(now) {
 			list = append(list, jd)
 		}
 	}
-	slices.SortFunc(list, func(a, b Judgement) int { return bytes.Compare(a.Request[:], b.Request[:]) })
+	slices.SortFunc(list, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
 	return list
 }
 
@@ -75,7 +75,7 @@
 }
 
 // pass notes a judgement. The lock is held.
-func (ld *Ledger) pass(jd Judgement, fields log.Fields) {
+func (ld *Ledger) pass(jd Quarantine, fields log.Fields) {
 	if len(ld.judgements) >= maxJudged {
 		ld.forgetJudgement()
 	}
@@ -92,7 +92,7 @@
 
 // forgetJudgement forgets the judgement that passes first. The lock is held.
 func (ld *Ledger) forgetJudgement() {
-	var first Judgement
+	var first Quarantine
 	for _, jd := range ld.judgements {
 		if first.Until.IsZero() || jd.Until.Before(first.Until) {
 			first = jd
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -30,7 +30,7 @@
 	// Clearances are its own lately, and what operators lifted anywhere.
 	Clearances []Tombstone
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
-	Judgements []Judgement
+	Judgements []Quarantine
 	// Survivors are the runs that go on there of requests under which targets ended.
 	Survivors []ActiveRunSummary
 }
@@ -51,7 +51,7 @@
 		nt.Judgements = append(nt.Judgements, jd)
 	}
 	slices.SortFunc(nt.Clearances, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
-	slices.SortFunc(nt.Judgements, func(a, b Judgement) int { return bytes.Compare(a.Request[:], b.Request[:]) })
+	slices.SortFunc(nt.Judgements, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
 	return nt
 }
 
@@ -93,7 +93,7 @@
 }
 
 // hearJudgement takes a judgement that a peer tells: a new one, or one that was passed again. The lock is held.
-func (ld *Ledger) hearJudgement(peer string, jd Judgement) {
+func (ld *Ledger) hearJudgement(peer string, jd Quarantine) {
 	if cl, ok := ld.cleared[jd.Request]; ok && !jd.Since.After(cl.at.Add(clearMargin)) {
 		return
 	}
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -102,7 +102,7 @@
 		nt.Clearances = append(nt.Clearances, cl)
 	}
 	for range rd.count() {
-		jd := Judgement{Request: rd.fingerprint(), Crashes: rd.small(), Level: rd.small()}
+		jd := Quarantine{Request: rd.fingerprint(), Crashes: rd.small(), Level: rd.small()}
 		jd.Since = made.Add(-rd.span())
 		jd.Until = jd.Since.Add(rd.span())
 		nt.Judgements = append(nt.Judgements, jd)
