--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -23,10 +23,10 @@
 }
 
 // inForce reports whether the request is refused at a time.
-func (jd Quarantine) inForce(now time.Time) bool { return now.Before(jd.Until) }
+func (qu Quarantine) inForce(now time.Time) bool { return now.Before(qu.Until) }
 
 // forgetAt is when a judgement that has passed is forgotten: until then one more end is enough for the next.
-func (jd Quarantine) forgetAt() time.Time { return jd.Until.Add(jd.Until.Sub(jd.Since)) }
+func (qu Quarantine) forgetAt() time.Time { return qu.Until.Add(qu.Until.Sub(qu.Since)) }
 
 // term is how long a judgement of a level is in force.
 func term(level int) time.Duration {
