--- a/internal/blame/bench_test.go
+++ b/internal/blame/bench_test.go
@@ -19,7 +19,7 @@
 		ck.pass(time.Millisecond)
 		var nt blame.Notes
 		for at := range under {
-			nt.Runs = append(nt.Runs, blame.InterruptedRun{
+			nt.Evidence = append(nt.Evidence, blame.InterruptedRun{
 				Request: request(fmt.Sprint(no, "-", at)), Incarnation: fmt.Sprint("target-", no), Elapsed: lasting, At: ck.now,
 			})
 		}
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -26,7 +26,7 @@
 // Notes are what an instance tells its peers. Their times are on its own clock; on the wire they are ages.
 type Notes struct {
 	// Runs are those that the instance itself saw end with their targets lately.
-	Runs []InterruptedRun
+	Evidence []InterruptedRun
 	// Clearances are its own lately, and what operators lifted anywhere.
 	Clearances []Tombstone
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
@@ -41,7 +41,7 @@
 	defer ld.mu.Unlock()
 	ld.expire()
 	now := ld.opts.Now()
-	nt := Notes{Runs: slices.Clone(ld.own), Survivors: ld.survivors()}
+	nt := Notes{Evidence: slices.Clone(ld.own), Survivors: ld.survivors()}
 	for fp, cl := range ld.cleared {
 		if cl.lifted || now.Sub(cl.at) <= tellFor {
 			nt.Clearances = append(nt.Clearances, Tombstone{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
@@ -64,7 +64,7 @@
 	for _, cl := range nt.Clearances {
 		ld.hearClearance(cl)
 	}
-	for _, rn := range nt.Runs {
+	for _, rn := range nt.Evidence {
 		if _, known := ld.ends[rn.Incarnation]; !known {
 			ld.end(rn.Incarnation, rn.At)
 		}
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -31,7 +31,7 @@
 // Encode returns the bytes that peers get of notes made at a time. Ages are told in whole milliseconds.
 func (nt Notes) Encode(made time.Time) []byte {
 	b := []byte{wireVersion}
-	runs := newest(nt.Runs)
+	runs := newest(nt.Evidence)
 	b = binary.AppendUvarint(b, uint64(len(runs)))
 	for _, rn := range runs {
 		b = append(b, rn.Request[:]...)
@@ -92,7 +92,7 @@
 		rn := InterruptedRun{Request: rd.fingerprint(), Incarnation: rd.name()}
 		rn.Elapsed = rd.span()
 		rn.At = made.Add(-rd.span())
-		nt.Runs = append(nt.Runs, rn)
+		nt.Evidence = append(nt.Evidence, rn)
 	}
 	for range rd.count() {
 		cl := Tombstone{Request: rd.fingerprint(), At: made.Add(-rd.span())}
