--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -28,7 +28,7 @@
 	// Runs are those that the instance itself saw end with their targets lately.
 	Evidence []InterruptedRun
 	// Clearances are its own lately, and what operators lifted anywhere.
-	Clearances []Tombstone
+	Tombstones []Tombstone
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
 	Judgements []Quarantine
 	// Survivors are the runs that go on there of requests under which targets ended.
@@ -44,13 +44,13 @@
 	nt := Notes{Evidence: slices.Clone(ld.own), Survivors: ld.survivors()}
 	for fp, cl := range ld.cleared {
 		if cl.lifted || now.Sub(cl.at) <= tellFor {
-			nt.Clearances = append(nt.Clearances, Tombstone{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
+			nt.Tombstones = append(nt.Tombstones, Tombstone{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
 		}
 	}
 	for _, jd := range ld.judgements {
 		nt.Judgements = append(nt.Judgements, jd)
 	}
-	slices.SortFunc(nt.Clearances, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
+	slices.SortFunc(nt.Tombstones, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
 	slices.SortFunc(nt.Judgements, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
 	return nt
 }
@@ -61,7 +61,7 @@
 	defer ld.mu.Unlock()
 	ld.expire()
 	before, surviving := len(ld.own), len(ld.survivors())
-	for _, cl := range nt.Clearances {
+	for _, cl := range nt.Tombstones {
 		ld.hearClearance(cl)
 	}
 	for _, rn := range nt.Evidence {
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -39,7 +39,7 @@
 		b = appendSpan(b, rn.Elapsed)
 		b = appendSpan(b, made.Sub(rn.At))
 	}
-	cleared := newest(nt.Clearances)
+	cleared := newest(nt.Tombstones)
 	b = binary.AppendUvarint(b, uint64(len(cleared)))
 	for _, cl := range cleared {
 		b = append(b, cl.Request[:]...)
@@ -99,7 +99,7 @@
 		if left := rd.span(); left > 0 {
 			cl.ByOperator, cl.Until = true, made.Add(left)
 		}
-		nt.Clearances = append(nt.Clearances, cl)
+		nt.Tombstones = append(nt.Tombstones, cl)
 	}
 	for range rd.count() {
 		jd := Quarantine{Request: rd.fingerprint(), Crashes: rd.small(), Level: rd.small()}
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -15,7 +15,7 @@
 func someNotes(now time.Time) blame.Notes {
 	return blame.Notes{
 		Evidence: []blame.InterruptedRun{{Request: request("a"), Incarnation: "i-1@x", Elapsed: brief, At: now.Add(-time.Second)}},
-		Clearances: []blame.Tombstone{
+		Tombstones: []blame.Tombstone{
 			{Request: request("b"), At: now.Add(-2 * time.Second)},
 			{Request: request("c"), At: now.Add(-time.Minute), ByOperator: true, Until: now.Add(time.Minute)},
 		},
