--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -30,7 +30,7 @@
 	// Clearances are its own lately, and what operators lifted anywhere.
 	Tombstones []Tombstone
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
-	Judgements []Quarantine
+	Quarantines []Quarantine
 	// Survivors are the runs that go on there of requests under which targets ended.
 	Survivors []ActiveRunSummary
 }
@@ -48,10 +48,10 @@
 		}
 	}
 	for _, jd := range ld.judgements {
-		nt.Judgements = append(nt.Judgements, jd)
+		nt.Quarantines = append(nt.Quarantines, jd)
 	}
 	slices.SortFunc(nt.Tombstones, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
-	slices.SortFunc(nt.Judgements, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
+	slices.SortFunc(nt.Quarantines, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
 	return nt
 }
 
@@ -70,7 +70,7 @@
 		}
 		ld.hold(rn, false)
 	}
-	for _, jd := range nt.Judgements {
+	for _, jd := range nt.Quarantines {
 		ld.hearJudgement(peer, jd)
 	}
 	ld.told[peer] = nt.Survivors
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -46,7 +46,7 @@
 		b = appendSpan(b, made.Sub(cl.At))
 		b = appendSpan(b, lifted(cl, made))
 	}
-	judged := newest(nt.Judgements)
+	judged := newest(nt.Quarantines)
 	b = binary.AppendUvarint(b, uint64(len(judged)))
 	for _, jd := range judged {
 		b = append(b, jd.Request[:]...)
@@ -105,7 +105,7 @@
 		jd := Quarantine{Request: rd.fingerprint(), Crashes: rd.small(), Level: rd.small()}
 		jd.Since = made.Add(-rd.span())
 		jd.Until = jd.Since.Add(rd.span())
-		nt.Judgements = append(nt.Judgements, jd)
+		nt.Quarantines = append(nt.Quarantines, jd)
 	}
 	for range rd.count() {
 		nt.Survivors = append(nt.Survivors, ActiveRunSummary{Request: rd.fingerprint(), Since: made.Add(-rd.span())})
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -19,8 +19,8 @@
 			{Request: request("b"), At: now.Add(-2 * time.Second)},
 			{Request: request("c"), At: now.Add(-time.Minute), ByOperator: true, Until: now.Add(time.Minute)},
 		},
-		Judgements: []blame.Quarantine{{Request: request("d"), Crashes: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)}},
-		Survivors:  []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
+		Quarantines: []blame.Quarantine{{Request: request("d"), Crashes: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)}},
+		Survivors:   []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
 	}
 }
 
