--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -32,7 +32,7 @@
 	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
 	Quarantines []Quarantine
 	// Survivors are the runs that go on there of requests under which targets ended.
-	Survivors []ActiveRunSummary
+	ActiveRuns []ActiveRunSummary
 }
 
 // Notes returns what peers have to hear now. Equal notes are in the same order.
@@ -41,7 +41,7 @@
 	defer ld.mu.Unlock()
 	ld.expire()
 	now := ld.opts.Now()
-	nt := Notes{Evidence: slices.Clone(ld.own), Survivors: ld.survivors()}
+	nt := Notes{Evidence: slices.Clone(ld.own), ActiveRuns: ld.survivors()}
 	for fp, cl := range ld.cleared {
 		if cl.lifted || now.Sub(cl.at) <= tellFor {
 			nt.Tombstones = append(nt.Tombstones, Tombstone{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
@@ -73,7 +73,7 @@
 	for _, jd := range nt.Quarantines {
 		ld.hearJudgement(peer, jd)
 	}
-	ld.told[peer] = nt.Survivors
+	ld.told[peer] = nt.ActiveRuns
 	judged := ld.judge()
 	if judged || len(ld.own) != before || len(ld.survivors()) != surviving {
 		ld.opts.Changed()
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -55,7 +55,7 @@
 		b = appendSpan(b, made.Sub(jd.Since))
 		b = appendSpan(b, jd.Until.Sub(jd.Since))
 	}
-	surviving := newest(nt.Survivors)
+	surviving := newest(nt.ActiveRuns)
 	b = binary.AppendUvarint(b, uint64(len(surviving)))
 	for _, sv := range surviving {
 		b = append(b, sv.Request[:]...)
@@ -108,7 +108,7 @@
 		nt.Quarantines = append(nt.Quarantines, jd)
 	}
 	for range rd.count() {
-		nt.Survivors = append(nt.Survivors, ActiveRunSummary{Request: rd.fingerprint(), Since: made.Add(-rd.span())})
+		nt.ActiveRuns = append(nt.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: made.Add(-rd.span())})
 	}
 	if err := rd.End(); err != nil {
 		return Notes{}, errors.Wrap(err, "decode notes")
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -20,7 +20,7 @@
 			{Request: request("c"), At: now.Add(-time.Minute), ByOperator: true, Until: now.Add(time.Minute)},
 		},
 		Quarantines: []blame.Quarantine{{Request: request("d"), Crashes: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)}},
-		Survivors:   []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
+		ActiveRuns:  []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
 	}
 }
 
