--- a/internal/blame/bench_test.go
+++ b/internal/blame/bench_test.go
@@ -17,7 +17,7 @@
 	tell := func() {
 		no++
 		ck.pass(time.Millisecond)
-		var nt blame.Notes
+		var nt blame.Snapshot
 		for at := range under {
 			nt.Evidence = append(nt.Evidence, blame.InterruptedRun{
 				Request: request(fmt.Sprint(no, "-", at)), Incarnation: fmt.Sprint("target-", no), Elapsed: lasting, At: ck.now,
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -55,7 +55,7 @@
 
 // letter is what an instance tells another.
 type letter struct {
-	notes blame.Notes
+	notes blame.Snapshot
 	to    *instance
 	at    time.Time
 }
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -24,7 +24,7 @@
 }
 
 // Notes are what an instance tells its peers. Their times are on its own clock; on the wire they are ages.
-type Notes struct {
+type Snapshot struct {
 	// Runs are those that the instance itself saw end with their targets lately.
 	Evidence []InterruptedRun
 	// Clearances are its own lately, and what operators lifted anywhere.
@@ -36,12 +36,12 @@
 }
 
 // Notes returns what peers have to hear now. Equal notes are in the same order.
-func (ld *Ledger) Notes() Notes {
+func (ld *Ledger) Notes() Snapshot {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
 	now := ld.opts.Now()
-	nt := Notes{Evidence: slices.Clone(ld.own), ActiveRuns: ld.survivors()}
+	nt := Snapshot{Evidence: slices.Clone(ld.own), ActiveRuns: ld.survivors()}
 	for fp, cl := range ld.cleared {
 		if cl.lifted || now.Sub(cl.at) <= tellFor {
 			nt.Tombstones = append(nt.Tombstones, Tombstone{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
@@ -56,7 +56,7 @@
 }
 
 // Hear takes what a peer tells.
-func (ld *Ledger) Hear(peer string, nt Notes) {
+func (ld *Ledger) Hear(peer string, nt Snapshot) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -29,7 +29,7 @@
 func (ve *VersionError) Error() string { return "notes of version " + strconv.Itoa(int(ve.Version)) }
 
 // Encode returns the bytes that peers get of notes made at a time. Ages are told in whole milliseconds.
-func (nt Notes) Encode(made time.Time) []byte {
+func (nt Snapshot) Encode(made time.Time) []byte {
 	b := []byte{wireVersion}
 	runs := newest(nt.Evidence)
 	b = binary.AppendUvarint(b, uint64(len(runs)))
@@ -79,15 +79,15 @@
 
 // Decode reads a peer's notes that were made at a time by this instance's clock. It fails with a VersionError or a
 // peerbytes.MalformedError.
-func Decode(b []byte, made time.Time) (Notes, error) {
+func Decode(b []byte, made time.Time) (Snapshot, error) {
 	if len(b) == 0 {
-		return Notes{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode notes")
+		return Snapshot{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode notes")
 	}
 	if b[0] != wireVersion {
-		return Notes{}, errors.Wrap(&VersionError{Version: b[0]}, "decode notes")
+		return Snapshot{}, errors.Wrap(&VersionError{Version: b[0]}, "decode notes")
 	}
 	rd := reader{peerbytes.NewReader(b[1:])}
-	var nt Notes
+	var nt Snapshot
 	for range rd.count() {
 		rn := InterruptedRun{Request: rd.fingerprint(), Incarnation: rd.name()}
 		rn.Elapsed = rd.span()
@@ -111,7 +111,7 @@
 		nt.ActiveRuns = append(nt.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: made.Add(-rd.span())})
 	}
 	if err := rd.End(); err != nil {
-		return Notes{}, errors.Wrap(err, "decode notes")
+		return Snapshot{}, errors.Wrap(err, "decode notes")
 	}
 	return nt, nil
 }
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -12,8 +12,8 @@
 	"github.com/silvermount/silvermount/internal/peerbytes"
 )
 
-func someNotes(now time.Time) blame.Notes {
-	return blame.Notes{
+func someNotes(now time.Time) blame.Snapshot {
+	return blame.Snapshot{
 		Evidence: []blame.InterruptedRun{{Request: request("a"), Incarnation: "i-1@x", Elapsed: brief, At: now.Add(-time.Second)}},
 		Tombstones: []blame.Tombstone{
 			{Request: request("b"), At: now.Add(-2 * time.Second)},
@@ -27,7 +27,7 @@
 func TestNotesAreReadAsWritten(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	for _, nt := range []blame.Notes{{}, someNotes(now)} {
+	for _, nt := range []blame.Snapshot{{}, someNotes(now)} {
 		got, err := blame.Decode(nt.Encode(now), now)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(got).To(Equal(nt))
@@ -68,7 +68,7 @@
 // FuzzDecode reads any bytes; what can be read is written and read alike.
 func FuzzDecode(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
-	f.Add(blame.Notes{}.Encode(now))
+	f.Add(blame.Snapshot{}.Encode(now))
 	f.Add(someNotes(now).Encode(now))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		nt, err := blame.Decode(b, now)
--- a/internal/duty/members/limits_test.go
+++ b/internal/duty/members/limits_test.go
@@ -17,7 +17,7 @@
 func TestNotesWithoutLimitsAreThoseOfTheBuildBefore(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	notes := blame.Notes{}.Encode(now)
+	notes := blame.Snapshot{}.Encode(now)
 	g.Expect(withLimits(notes, nil, now)).To(Equal(notes))
 	g.Expect(notes[0]).NotTo(BeEquivalentTo(limitsVersion))
 	got, limits, err := splitLimits(notes)
@@ -32,7 +32,7 @@
 	du.limits = ratelimit.New(time.Now)
 	du.lg = &log.Logger{Handler: discard.New()}
 	now := time.Now()
-	notes := blame.Notes{}.Encode(now)
+	notes := blame.Snapshot{}.Encode(now)
 	told := []ratelimit.Observation{{Target: "a@1", Limit: ratelimit.Of(1.5), At: now.Add(-time.Second)}}
 	got, limits, err := splitLimits(withLimits(notes, told, now))
 	g.Expect(err).NotTo(HaveOccurred())
