--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -29,9 +29,9 @@
 func (ve *VersionError) Error() string { return "notes of version " + strconv.Itoa(int(ve.Version)) }
 
 // Encode returns the bytes that peers get of notes made at a time. Ages are told in whole milliseconds.
-func (nt Snapshot) Encode(made time.Time) []byte {
+func (sn Snapshot) Encode(made time.Time) []byte {
 	b := []byte{wireVersion}
-	runs := newest(nt.Evidence)
+	runs := newest(sn.Evidence)
 	b = binary.AppendUvarint(b, uint64(len(runs)))
 	for _, rn := range runs {
 		b = append(b, rn.Request[:]...)
@@ -39,14 +39,14 @@
 		b = appendSpan(b, rn.Elapsed)
 		b = appendSpan(b, made.Sub(rn.At))
 	}
-	cleared := newest(nt.Tombstones)
+	cleared := newest(sn.Tombstones)
 	b = binary.AppendUvarint(b, uint64(len(cleared)))
 	for _, cl := range cleared {
 		b = append(b, cl.Request[:]...)
 		b = appendSpan(b, made.Sub(cl.At))
 		b = appendSpan(b, lifted(cl, made))
 	}
-	judged := newest(nt.Quarantines)
+	judged := newest(sn.Quarantines)
 	b = binary.AppendUvarint(b, uint64(len(judged)))
 	for _, jd := range judged {
 		b = append(b, jd.Request[:]...)
@@ -55,7 +55,7 @@
 		b = appendSpan(b, made.Sub(jd.Since))
 		b = appendSpan(b, jd.Until.Sub(jd.Since))
 	}
-	surviving := newest(nt.ActiveRuns)
+	surviving := newest(sn.ActiveRuns)
 	b = binary.AppendUvarint(b, uint64(len(surviving)))
 	for _, sv := range surviving {
 		b = append(b, sv.Request[:]...)
