--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -76,7 +76,7 @@
 	}
 }
 
-func (in *instance) judged(name string) bool { return in.Check(request(name)).Judged }
+func (in *instance) judged(name string) bool { return in.Check(request(name)).Quarantined }
 
 func TestCheck(t *testing.T) {
 	ends := func(in *instance, n int, names ...string) {
@@ -185,10 +185,10 @@
 	}
 	g.Expect(in.Knows(request("fatal").HeadHash())).To(BeTrue())
 	vd := in.Check(request("fatal"))
-	g.Expect(vd.Judged).To(BeFalse())
+	g.Expect(vd.Quarantined).To(BeFalse())
 	g.Expect(vd.Hold).To(BeNumerically(">", 0))
 	in.ck.pass(vd.Hold)
-	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Verdict{Judged: true, Ends: 3}))
+	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Verdict{Quarantined: true, Ends: 3}))
 	g.Expect(in.Knows(request("another").HeadHash())).To(BeFalse())
 }
 
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -26,7 +26,7 @@
 // Verdict says what is to be done with a request.
 type Verdict struct {
 	// Judged is set when it is not to be run.
-	Judged bool
+	Quarantined bool
 	// Ends is how many targets had ended under it.
 	Ends int
 	// Hold is how long it is to wait before it is looked at again; zero when it may run.
@@ -58,7 +58,7 @@
 	ld.refresh()
 	now := ld.opts.Now()
 	if jd, ok := ld.judgements[fp]; ok && jd.inForce(now) {
-		return Verdict{Judged: true, Ends: jd.Crashes}
+		return Verdict{Quarantined: true, Ends: jd.Crashes}
 	}
 	open := ld.open()
 	sp := ld.suspect(fp, open, open)
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -131,10 +131,10 @@
 	jb.tries++
 	vd := jb.at.Check(request(jb.name))
 	switch {
-	case vd.Judged && !jb.fatal:
+	case vd.Quarantined && !jb.fatal:
 		pl.refused[jb.name]++
 		return
-	case vd.Judged || vd.Hold > 0:
+	case vd.Quarantined || vd.Hold > 0:
 		return // what is held back comes again anyway
 	}
 	up := slices.DeleteFunc(upTo(pl.targets), func(no int) bool { return pl.ck.now.Before(pl.downUntil[no]) })
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -17,7 +17,7 @@
 	for held := false; gw.Blame.Knows(rq.origin()); held = true {
 		vd := gw.Blame.Check(rq.fingerprint())
 		switch {
-		case vd.Judged:
+		case vd.Quarantined:
 			return gw.endsTargets(rq, vd.Ends)
 		case vd.Hold <= 0:
 			return nil
