--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -28,7 +28,7 @@
 	// Judged is set when it is not to be run.
 	Quarantined bool
 	// Ends is how many targets had ended under it.
-	Ends int
+	Crashes int
 	// Hold is how long it is to wait before it is looked at again; zero when it may run.
 	Hold time.Duration
 }
@@ -58,14 +58,14 @@
 	ld.refresh()
 	now := ld.opts.Now()
 	if jd, ok := ld.judgements[fp]; ok && jd.inForce(now) {
-		return Verdict{Quarantined: true, Ends: jd.Crashes}
+		return Verdict{Quarantined: true, Crashes: jd.Crashes}
 	}
 	open := ld.open()
 	sp := ld.suspect(fp, open, open)
 	if sp.likely(ld.judgements[fp]) {
-		return Verdict{Ends: len(sp.runs), Hold: max(0, settleFor-now.Sub(sp.last()))}
+		return Verdict{Crashes: len(sp.runs), Hold: max(0, settleFor-now.Sub(sp.last()))}
 	}
-	return Verdict{Ends: len(sp.runs), Hold: ld.untilTrial(sp)}
+	return Verdict{Crashes: len(sp.runs), Hold: ld.untilTrial(sp)}
 }
 
 // untilTrial returns how long a request that may end its targets is to wait before it is run again; zero when it may run now.
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -28,7 +28,7 @@
 	storm(in, "doubtful")
 	for no, pause := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		vd := in.Check(request("doubtful"))
-		g.Expect(vd).To(Equal(blame.Verdict{Ends: 3 + no, Hold: pause}))
+		g.Expect(vd).To(Equal(blame.Verdict{Crashes: 3 + no, Hold: pause}))
 		in.ck.pass(pause)
 		g.Expect(in.Check(request("doubtful")).Hold).To(BeZero(), "trial %d", no)
 		g.Expect(in.Check(request("doubtful")).Hold).To(Equal(2*pause), "one run a trial")
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -18,11 +18,11 @@
 		vd := gw.Blame.Check(rq.fingerprint())
 		switch {
 		case vd.Quarantined:
-			return gw.endsTargets(rq, vd.Ends)
+			return gw.endsTargets(rq, vd.Crashes)
 		case vd.Hold <= 0:
 			return nil
 		case gw.Now().Add(vd.Hold).After(rq.due.At):
-			return refused(failure.Overloaded, vd.Hold, "%d targets ended while they ran this request; it is run seldom", vd.Ends).
+			return refused(failure.Overloaded, vd.Hold, "%d targets ended while they ran this request; it is run seldom", vd.Crashes).
 				WithOutcome(gw.outcome(rq))
 		}
 		if !held {
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -55,7 +55,7 @@
 func (gw *Gateway) logHeld(rq *request, vd blame.Verdict) {
 	fs := gw.fields(rq)
 	fs["fingerprint"] = rq.fingerprint().String()
-	fs["ends"] = vd.Ends
+	fs["ends"] = vd.Crashes
 	fs["for"] = vd.Hold.Round(time.Millisecond).String()
 	gw.Log.WithFields(fs).Info("request held back")
 }
