--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -180,14 +180,14 @@
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	for no := range 3 {
-		g.Expect(in.Check(request("fatal")).Hold).To(BeZero())
+		g.Expect(in.Check(request("fatal")).Delay).To(BeZero())
 		in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
 	}
 	g.Expect(in.Knows(request("fatal").HeadHash())).To(BeTrue())
 	vd := in.Check(request("fatal"))
 	g.Expect(vd.Quarantined).To(BeFalse())
-	g.Expect(vd.Hold).To(BeNumerically(">", 0))
-	in.ck.pass(vd.Hold)
+	g.Expect(vd.Delay).To(BeNumerically(">", 0))
+	in.ck.pass(vd.Delay)
 	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Verdict{Quarantined: true, Crashes: 3}))
 	g.Expect(in.Knows(request("another").HeadHash())).To(BeFalse())
 }
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -30,7 +30,7 @@
 	// Ends is how many targets had ended under it.
 	Crashes int
 	// Hold is how long it is to wait before it is looked at again; zero when it may run.
-	Hold time.Duration
+	Delay time.Duration
 }
 
 // Judged reports whether a request is not to be run, and how many targets had ended under it.
@@ -63,9 +63,9 @@
 	open := ld.open()
 	sp := ld.suspect(fp, open, open)
 	if sp.likely(ld.judgements[fp]) {
-		return Verdict{Crashes: len(sp.runs), Hold: max(0, settleFor-now.Sub(sp.last()))}
+		return Verdict{Crashes: len(sp.runs), Delay: max(0, settleFor-now.Sub(sp.last()))}
 	}
-	return Verdict{Crashes: len(sp.runs), Hold: ld.untilTrial(sp)}
+	return Verdict{Crashes: len(sp.runs), Delay: ld.untilTrial(sp)}
 }
 
 // untilTrial returns how long a request that may end its targets is to wait before it is run again; zero when it may run now.
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -28,10 +28,10 @@
 	storm(in, "doubtful")
 	for no, pause := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		vd := in.Check(request("doubtful"))
-		g.Expect(vd).To(Equal(blame.Verdict{Crashes: 3 + no, Hold: pause}))
+		g.Expect(vd).To(Equal(blame.Verdict{Crashes: 3 + no, Delay: pause}))
 		in.ck.pass(pause)
-		g.Expect(in.Check(request("doubtful")).Hold).To(BeZero(), "trial %d", no)
-		g.Expect(in.Check(request("doubtful")).Hold).To(Equal(2*pause), "one run a trial")
+		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "trial %d", no)
+		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*pause), "one run a trial")
 		in.ck.pass(brief)
 		_, judged := in.Judged(request("doubtful"))
 		g.Expect(judged).To(BeFalse())
@@ -44,8 +44,8 @@
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	storm(in, "harmless")
-	in.ck.pass(in.Check(request("harmless")).Hold)
-	g.Expect(in.Check(request("harmless")).Hold).To(BeZero())
+	in.ck.pass(in.Check(request("harmless")).Delay)
+	g.Expect(in.Check(request("harmless")).Delay).To(BeZero())
 	in.Served(request("harmless"))
 	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Verdict{}))
 }
@@ -55,11 +55,11 @@
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	storm(in, "doubtful")
-	in.ck.pass(in.Check(request("doubtful")).Hold)
+	in.ck.pass(in.Check(request("doubtful")).Delay)
 	for range 5 {
 		ends, judged := in.Judged(request("doubtful"))
 		g.Expect(ends).To(BeZero())
 		g.Expect(judged).To(BeFalse())
 	}
-	g.Expect(in.Check(request("doubtful")).Hold).To(BeZero())
+	g.Expect(in.Check(request("doubtful")).Delay).To(BeZero())
 }
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -134,7 +134,7 @@
 	case vd.Quarantined && !jb.fatal:
 		pl.refused[jb.name]++
 		return
-	case vd.Quarantined || vd.Hold > 0:
+	case vd.Quarantined || vd.Delay > 0:
 		return // what is held back comes again anyway
 	}
 	up := slices.DeleteFunc(upTo(pl.targets), func(no int) bool { return pl.ck.now.Before(pl.downUntil[no]) })
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -19,16 +19,16 @@
 		switch {
 		case vd.Quarantined:
 			return gw.endsTargets(rq, vd.Crashes)
-		case vd.Hold <= 0:
+		case vd.Delay <= 0:
 			return nil
-		case gw.Now().Add(vd.Hold).After(rq.due.At):
-			return refused(failure.Overloaded, vd.Hold, "%d targets ended while they ran this request; it is run seldom", vd.Crashes).
+		case gw.Now().Add(vd.Delay).After(rq.due.At):
+			return refused(failure.Overloaded, vd.Delay, "%d targets ended while they ran this request; it is run seldom", vd.Crashes).
 				WithOutcome(gw.outcome(rq))
 		}
 		if !held {
 			gw.logHeld(rq, vd)
 		}
-		if !sleep(ctx, min(vd.Hold, heldLookMost)) {
+		if !sleep(ctx, min(vd.Delay, heldLookMost)) {
 			return gw.timeUp(ctx, rq)
 		}
 	}
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -56,7 +56,7 @@
 	fs := gw.fields(rq)
 	fs["fingerprint"] = rq.fingerprint().String()
 	fs["ends"] = vd.Crashes
-	fs["for"] = vd.Hold.Round(time.Millisecond).String()
+	fs["for"] = vd.Delay.Round(time.Millisecond).String()
 	gw.Log.WithFields(fs).Info("request held back")
 }
 
