--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -188,7 +188,7 @@
 	g.Expect(vd.Quarantined).To(BeFalse())
 	g.Expect(vd.Delay).To(BeNumerically(">", 0))
 	in.ck.pass(vd.Delay)
-	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Verdict{Quarantined: true, Crashes: 3}))
+	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Decision{Quarantined: true, Crashes: 3}))
 	g.Expect(in.Knows(request("another").HeadHash())).To(BeFalse())
 }
 
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -24,7 +24,7 @@
 }
 
 // Verdict says what is to be done with a request.
-type Verdict struct {
+type Decision struct {
 	// Judged is set when it is not to be run.
 	Quarantined bool
 	// Ends is how many targets had ended under it.
@@ -52,20 +52,20 @@
 
 // Check says what is to be done with a request that is about to be sent to a target. Where it may run, that is its trial if it is on
 // trial.
-func (ld *Ledger) Check(fp fingerprint.Fingerprint) Verdict {
+func (ld *Ledger) Check(fp fingerprint.Fingerprint) Decision {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.refresh()
 	now := ld.opts.Now()
 	if jd, ok := ld.judgements[fp]; ok && jd.inForce(now) {
-		return Verdict{Quarantined: true, Crashes: jd.Crashes}
+		return Decision{Quarantined: true, Crashes: jd.Crashes}
 	}
 	open := ld.open()
 	sp := ld.suspect(fp, open, open)
 	if sp.likely(ld.judgements[fp]) {
-		return Verdict{Crashes: len(sp.runs), Delay: max(0, settleFor-now.Sub(sp.last()))}
+		return Decision{Crashes: len(sp.runs), Delay: max(0, settleFor-now.Sub(sp.last()))}
 	}
-	return Verdict{Crashes: len(sp.runs), Delay: ld.untilTrial(sp)}
+	return Decision{Crashes: len(sp.runs), Delay: ld.untilTrial(sp)}
 }
 
 // untilTrial returns how long a request that may end its targets is to wait before it is run again; zero when it may run now.
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -28,7 +28,7 @@
 	storm(in, "doubtful")
 	for no, pause := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		vd := in.Check(request("doubtful"))
-		g.Expect(vd).To(Equal(blame.Verdict{Crashes: 3 + no, Delay: pause}))
+		g.Expect(vd).To(Equal(blame.Decision{Crashes: 3 + no, Delay: pause}))
 		in.ck.pass(pause)
 		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "trial %d", no)
 		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*pause), "one run a trial")
@@ -47,7 +47,7 @@
 	in.ck.pass(in.Check(request("harmless")).Delay)
 	g.Expect(in.Check(request("harmless")).Delay).To(BeZero())
 	in.Served(request("harmless"))
-	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Verdict{}))
+	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Decision{}))
 }
 
 // TestJudgedTakesNoTrial asks again and again whether a request is judged.
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -52,7 +52,7 @@
 }
 
 // logHeld says that a request waits, since targets ended under it.
-func (gw *Gateway) logHeld(rq *request, vd blame.Verdict) {
+func (gw *Gateway) logHeld(rq *request, vd blame.Decision) {
 	fs := gw.fields(rq)
 	fs["fingerprint"] = rq.fingerprint().String()
 	fs["ends"] = vd.Crashes
