--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -71,7 +71,7 @@
 	// Now is the steady clock.
 	Now func() time.Time
 	// Targets returns how many targets there are.
-	Targets func() int
+	TargetCount func() int
 	// Gone reports whether a target is gone that never said that it would leave.
 	Gone func(incarnation string) bool
 	// Changed is told when peers have to hear something new. It must not call the ledger.
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -237,5 +237,5 @@
 		}
 	}
 	seen := span + min(span, ld.opts.Now().Sub(rn.At))
-	return ends / (float64(max(1, ld.opts.Targets())) * seen.Seconds())
+	return ends / (float64(max(1, ld.opts.TargetCount())) * seen.Seconds())
 }
