--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -73,7 +73,7 @@
 	// Targets returns how many targets there are.
 	TargetCount func() int
 	// Gone reports whether a target is gone that never said that it would leave.
-	Gone func(incarnation string) bool
+	Crashed func(incarnation string) bool
 	// Changed is told when peers have to hear something new. It must not call the ledger.
 	Changed func()
 	Metrics *metrics.Set
@@ -243,7 +243,7 @@
 	now := ld.opts.Now()
 	for ld.overdue() {
 		rn := ld.broken[0]
-		if ld.opts.Gone(rn.Incarnation) {
+		if ld.opts.Crashed(rn.Incarnation) {
 			ld.end(rn.Incarnation, rn.At)
 			continue
 		}
