--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -75,9 +75,9 @@
 	// Gone reports whether a target is gone that never said that it would leave.
 	Crashed func(incarnation string) bool
 	// Changed is told when peers have to hear something new. It must not call the ledger.
-	Changed func()
-	Metrics *metrics.Set
-	Log     log.Interface
+	NotifyPeers func()
+	Metrics     *metrics.Set
+	Log         log.Interface
 }
 
 // Ledger holds what is known of requests under which targets ended. It is safe for use by any goroutine.
@@ -150,7 +150,7 @@
 // changed judges by what is known now, and has peers told. The lock is held.
 func (ld *Ledger) changed() {
 	ld.judge()
-	ld.opts.Changed()
+	ld.opts.NotifyPeers()
 }
 
 // end notes the end of a target, and holds against their requests the runs that it broke off here. The lock is held.
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -45,7 +45,7 @@
 	in := &instance{ck: ck, gone: map[string]bool{}}
 	in.Ledger = blame.New(blame.Options{
 		Now: func() time.Time { return ck.now }, TargetCount: func() int { return targets },
-		Crashed: func(id string) bool { return in.gone[id] }, Changed: func() { in.news++ }, Metrics: metrics.NewSet(),
+		Crashed: func(id string) bool { return in.gone[id] }, NotifyPeers: func() { in.news++ }, Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 	})
 	return in
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -46,7 +46,7 @@
 func (ld *Ledger) refresh() {
 	ld.expire()
 	if ld.judge() {
-		ld.opts.Changed()
+		ld.opts.NotifyPeers()
 	}
 }
 
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -47,7 +47,7 @@
 		ld.running[ar.origin] = rest
 	}
 	if ar.told || ld.origins[ar.origin] > 0 {
-		ld.opts.Changed()
+		ld.opts.NotifyPeers()
 	}
 }
 
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -76,7 +76,7 @@
 	ld.told[peer] = nt.ActiveRuns
 	judged := ld.judge()
 	if judged || len(ld.own) != before || len(ld.survivors()) != surviving {
-		ld.opts.Changed()
+		ld.opts.NotifyPeers()
 	}
 }
 
@@ -104,5 +104,5 @@
 		return
 	}
 	ld.pass(jd, log.Fields{"source": "peer", "peer": peer, "age": ld.opts.Now().Sub(jd.Since).Round(time.Millisecond).String()})
-	ld.opts.Changed()
+	ld.opts.NotifyPeers()
 }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -126,7 +126,7 @@
 		BackOffs: backOffs, Waits: waits(env.Logger("dispatch")),
 	})
 	ld := blame.New(blame.Options{
-		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, Changed: noted.Tell, Metrics: ms, Log: env.Logger("blame"),
+		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Tell, Metrics: ms, Log: env.Logger("blame"),
 	})
 	kernel.Provide(env, &Parts{
 		Blame: ld, Noted: noted, Limits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -37,7 +37,7 @@
 			gw := newWaiting(tc.most)
 			gw.Log = &log.Logger{Handler: h}
 			gw.Blame = blame.New(blame.Options{
-				Now: time.Now, TargetCount: func() int { return 12 }, Crashed: func(string) bool { return false }, Changed: func() {},
+				Now: time.Now, TargetCount: func() int { return 12 }, Crashed: func(string) bool { return false }, NotifyPeers: func() {},
 				Metrics: metrics.NewSet(), Log: gw.Log,
 			})
 			fp := fingerprint.Of(fingerprint.Request{Method: http.MethodGet, Host: "example.com", RequestURI: "/a/"})
