--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -120,7 +120,7 @@
 }
 
 // Broke notes a run that its target broke off. It is held against the request if the target turns out to have ended.
-func (ld *Ledger) Broke(rn InterruptedRun) {
+func (ld *Ledger) RecordInterrupted(rn InterruptedRun) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -58,7 +58,7 @@
 // broke lets a target break off runs of requests and end, if it does.
 func (in *instance) broke(target string, ended bool, exposure time.Duration, names ...string) {
 	for _, name := range names {
-		in.Broke(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: exposure, At: in.ck.now})
+		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: exposure, At: in.ck.now})
 	}
 	if ended {
 		in.Ended(target)
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -203,7 +203,7 @@
 	})
 	for _, jb := range lost {
 		jb.running.End()
-		jb.at.Broke(blame.InterruptedRun{Request: request(jb.name), Incarnation: incarnation, Elapsed: pl.ck.now.Sub(jb.sent), At: pl.ck.now})
+		jb.at.RecordInterrupted(blame.InterruptedRun{Request: request(jb.name), Incarnation: incarnation, Elapsed: pl.ck.now.Sub(jb.sent), At: pl.ck.now})
 	}
 	for _, jb := range lost {
 		jb.at.Ended(incarnation)
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -68,7 +68,7 @@
 	}
 	for no := range 3 {
 		target := fmt.Sprint("target-", no)
-		ld.Broke(blame.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
+		ld.RecordInterrupted(blame.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
 		ld.Ended(target)
 	}
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -52,7 +52,7 @@
 	if !rq.headAt.IsZero() {
 		began = rq.headAt
 	}
-	gw.Blame.Broke(blame.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(began), At: now})
+	gw.Blame.RecordInterrupted(blame.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(began), At: now})
 	var silent *SilentTargetError
 	if !errors.As(cause, &silent) {
 		gw.probeEnd(tg)
