--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -136,7 +136,7 @@
 }
 
 // Ended notes that a target has ended.
-func (ld *Ledger) Ended(incarnation string) {
+func (ld *Ledger) RecordCrash(incarnation string) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -61,7 +61,7 @@
 		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: exposure, At: in.ck.now})
 	}
 	if ended {
-		in.Ended(target)
+		in.RecordCrash(target)
 	}
 }
 
@@ -105,7 +105,7 @@
 		}, false},
 		"the end is known first": {func(in *instance) {
 			for no := range 3 {
-				in.Ended(fmt.Sprint("target-", no))
+				in.RecordCrash(fmt.Sprint("target-", no))
 				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
 			}
 		}, true},
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -206,7 +206,7 @@
 		jb.at.RecordInterrupted(blame.InterruptedRun{Request: request(jb.name), Incarnation: incarnation, Elapsed: pl.ck.now.Sub(jb.sent), At: pl.ck.now})
 	}
 	for _, jb := range lost {
-		jb.at.Ended(incarnation)
+		jb.at.RecordCrash(incarnation)
 	}
 	for _, jb := range lost {
 		if !jb.fatal && jb.tries < tries {
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -64,11 +64,11 @@
 // doubt lets three targets end under a request, and as many others by themselves as leave its part in that open.
 func doubt(ld *blame.Ledger, fp fingerprint.Fingerprint) {
 	for no := range 12 {
-		ld.Ended(fmt.Sprint("other-", no))
+		ld.RecordCrash(fmt.Sprint("other-", no))
 	}
 	for no := range 3 {
 		target := fmt.Sprint("target-", no)
 		ld.RecordInterrupted(blame.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
-		ld.Ended(target)
+		ld.RecordCrash(target)
 	}
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -72,7 +72,7 @@
 			time.Sleep(at - gw.Now().Sub(began))
 			if gw.refuses(tg) {
 				gw.logEnded(tg, "connection refused", gw.Now().Sub(began))
-				gw.Blame.Ended(tg.ID)
+				gw.Blame.RecordCrash(tg.ID)
 				return
 			}
 		}
@@ -87,7 +87,7 @@
 // noticeEnd notes the end of a target that refused a connection and had not begun to leave.
 func (gw *Gateway) noticeEnd(tg targets.Target, err error) {
 	if connectionRefused(err) && gw.Targets.TakesWork(tg.ID) {
-		gw.Blame.Ended(tg.ID)
+		gw.Blame.RecordCrash(tg.ID)
 	}
 }
 
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -29,7 +29,7 @@
 	case answer.Shed:
 		return gw.shed(rq, sl, an)
 	case answer.Misdirected:
-		gw.Blame.Ended(sl.Target.ID)
+		gw.Blame.RecordCrash(sl.Target.ID)
 		gw.Targets.MarkLeaving(sl.Target.ID)
 		gw.logBelief(sl.Target, "gone", "another incarnation has the address")
 		gw.logPassedOver(rq, sl.Target, "another incarnation has the address")
