--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -190,7 +190,7 @@
 }
 
 // Served notes a whole answer, which clears the request of all that happened before.
-func (ld *Ledger) Served(fp fingerprint.Fingerprint) {
+func (ld *Ledger) RecordAnswered(fp fingerprint.Fingerprint) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -125,13 +125,13 @@
 		}, false},
 		"answered whole in between": {func(in *instance) {
 			ends(in, 2, "fatal")
-			in.Served(request("fatal"))
+			in.RecordAnswered(request("fatal"))
 			in.broke("last", true, brief, "fatal")
 		}, false},
 		"answered whole after it was judged": {func(in *instance) {
 			ends(in, 3, "fatal")
 			in.judged("fatal")
-			in.Served(request("fatal"))
+			in.RecordAnswered(request("fatal"))
 		}, false},
 		"lifted": {func(in *instance) {
 			ends(in, 3, "fatal")
@@ -229,7 +229,7 @@
 	}
 	in.ck.pass(settled)
 	g.Expect(in.judged("fatal")).To(BeFalse())
-	in.Served(request("other"))
+	in.RecordAnswered(request("other"))
 	g.Expect(in.judged("fatal")).To(BeTrue())
 	g.Expect(in.judged("other")).To(BeFalse())
 }
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -46,7 +46,7 @@
 	storm(in, "harmless")
 	in.ck.pass(in.Check(request("harmless")).Delay)
 	g.Expect(in.Check(request("harmless")).Delay).To(BeZero())
-	in.Served(request("harmless"))
+	in.RecordAnswered(request("harmless"))
 	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Decision{}))
 }
 
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -182,7 +182,7 @@
 		pl.jobs = slices.DeleteFunc(pl.jobs, func(other job) bool { return other == jb })
 		pl.served++
 		jb.running.End()
-		jb.at.Served(request(jb.name))
+		jb.at.RecordAnswered(request(jb.name))
 	}
 }
 
--- a/internal/blame/share_test.go
+++ b/internal/blame/share_test.go
@@ -74,7 +74,7 @@
 		// heard is set when the one that was cut off is told too, by one that did not take it back itself.
 		heard bool
 	}{
-		"by a whole answer": {func(in *instance) { in.Served(request("fatal")) }, false},
+		"by a whole answer": {func(in *instance) { in.RecordAnswered(request("fatal")) }, false},
 		"by an operator":    {func(in *instance) { in.Lift(request("fatal")) }, true},
 	}
 	for name, tc := range cases {
@@ -117,8 +117,8 @@
 	g.Expect(in.news).To(Equal(1))
 	in.RecordCrash("target")
 	g.Expect(in.news).To(Equal(1))
-	in.Served(request("other"))
+	in.RecordAnswered(request("other"))
 	g.Expect(in.news).To(Equal(1))
-	in.Served(request("fatal"))
+	in.RecordAnswered(request("fatal"))
 	g.Expect(in.news).To(Equal(2))
 }
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -58,7 +58,7 @@
 // clear notes that a request was answered whole, by a target that therefore did not end under it.
 func (gw *Gateway) clear(rq *request) {
 	if gw.Blame.Knows(rq.origin()) {
-		gw.Blame.Served(rq.fingerprint())
+		gw.Blame.RecordAnswered(rq.fingerprint())
 	}
 }
 
