--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -200,7 +200,7 @@
 }
 
 // Knows reports whether anything is held against a request of an origin. Only then Check and Served have to be asked.
-func (ld *Ledger) Knows(or fingerprint.HeadHash) bool {
+func (ld *Ledger) HasEvidence(or fingerprint.HeadHash) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if ld.overdue() {
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -183,13 +183,13 @@
 		g.Expect(in.Check(request("fatal")).Delay).To(BeZero())
 		in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
 	}
-	g.Expect(in.Knows(request("fatal").HeadHash())).To(BeTrue())
+	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
 	vd := in.Check(request("fatal"))
 	g.Expect(vd.Quarantined).To(BeFalse())
 	g.Expect(vd.Delay).To(BeNumerically(">", 0))
 	in.ck.pass(vd.Delay)
 	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Decision{Quarantined: true, Crashes: 3}))
-	g.Expect(in.Knows(request("another").HeadHash())).To(BeFalse())
+	g.Expect(in.HasEvidence(request("another").HeadHash())).To(BeFalse())
 }
 
 // TestNeighboursAreNotJudged lets two requests stand under the same ends.
@@ -285,9 +285,9 @@
 		in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
 		in.gone[fmt.Sprint("target-", no)] = true
 	}
-	g.Expect(in.Knows(request("fatal").HeadHash())).To(BeFalse())
+	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeFalse())
 	in.ck.pass(7 * time.Second)
-	g.Expect(in.Knows(request("fatal").HeadHash())).To(BeTrue())
+	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
 	g.Expect(in.news).To(BeNumerically(">", 0), "peers hear of it")
 	g.Expect(in.judged("fatal")).To(BeTrue())
 }
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -296,8 +296,8 @@
 	for _, in := range pl.fleet {
 		in.Check(request("any"))
 		for no := range max(pl.bodies, pl.fatal) {
-			g.Expect(in.Knows(request(fmt.Sprint("body-", no)).HeadHash())).To(BeFalse())
-			g.Expect(in.Knows(request(fmt.Sprint("fatal-", no)).HeadHash())).To(BeFalse())
+			g.Expect(in.HasEvidence(request(fmt.Sprint("body-", no)).HeadHash())).To(BeFalse())
+			g.Expect(in.HasEvidence(request(fmt.Sprint("fatal-", no)).HeadHash())).To(BeFalse())
 		}
 	}
 	t.Logf("seed %d: targets ended %v, served %d", seed, pl.ended, pl.served)
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -14,7 +14,7 @@
 // notBlamed refuses a request that ends the targets which run it: nothing else tells a copy under a new id from a new request.
 // One that may be judged waits until others that stood under the same ends are known, or until its next trial.
 func (gw *Gateway) notBlamed(ctx context.Context, rq *request) error {
-	for held := false; gw.Blame.Knows(rq.origin()); held = true {
+	for held := false; gw.Blame.HasEvidence(rq.origin()); held = true {
 		vd := gw.Blame.Check(rq.fingerprint())
 		switch {
 		case vd.Quarantined:
@@ -46,7 +46,7 @@
 	if err := gw.keyHolds(rq); err != nil {
 		return err
 	}
-	if !gw.Blame.Knows(rq.origin()) {
+	if !gw.Blame.HasEvidence(rq.origin()) {
 		return nil
 	}
 	if ends, judged := gw.Blame.Judged(rq.fingerprint()); judged {
@@ -57,7 +57,7 @@
 
 // clear notes that a request was answered whole, by a target that therefore did not end under it.
 func (gw *Gateway) clear(rq *request) {
-	if gw.Blame.Knows(rq.origin()) {
+	if gw.Blame.HasEvidence(rq.origin()) {
 		gw.Blame.RecordAnswered(rq.fingerprint())
 	}
 }
