--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -34,7 +34,7 @@
 }
 
 // Judged reports whether a request is not to be run, and how many targets had ended under it.
-func (ld *Ledger) Judged(fp fingerprint.Fingerprint) (ends int, judged bool) {
+func (ld *Ledger) Quarantined(fp fingerprint.Fingerprint) (ends int, judged bool) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.refresh()
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -33,7 +33,7 @@
 		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "trial %d", no)
 		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*pause), "one run a trial")
 		in.ck.pass(brief)
-		_, judged := in.Judged(request("doubtful"))
+		_, judged := in.Quarantined(request("doubtful"))
 		g.Expect(judged).To(BeFalse())
 		in.broke(fmt.Sprint("trial-", no), true, lasting, "doubtful")
 	}
@@ -57,7 +57,7 @@
 	storm(in, "doubtful")
 	in.ck.pass(in.Check(request("doubtful")).Delay)
 	for range 5 {
-		ends, judged := in.Judged(request("doubtful"))
+		ends, judged := in.Quarantined(request("doubtful"))
 		g.Expect(ends).To(BeZero())
 		g.Expect(judged).To(BeFalse())
 	}
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -49,7 +49,7 @@
 	if !gw.Blame.HasEvidence(rq.origin()) {
 		return nil
 	}
-	if ends, judged := gw.Blame.Judged(rq.fingerprint()); judged {
+	if ends, judged := gw.Blame.Quarantined(rq.fingerprint()); judged {
 		return gw.endsTargets(rq, ends)
 	}
 	return nil
