--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -115,7 +115,7 @@
 		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.HeadHash]int{},
 		running: map[fingerprint.HeadHash][]*ActiveRun{}, told: map[string][]ActiveRunSummary{}, trials: map[fingerprint.Fingerprint]trial{},
 	}
-	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(ld.Judgements())) })
+	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(ld.Quarantines())) })
 	return ld
 }
 
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -246,7 +246,7 @@
 		2 * time.Hour, 2 * time.Hour,
 	} {
 		g.Expect(in.judged("fatal")).To(BeTrue())
-		jd := in.Judgements()[0]
+		jd := in.Quarantines()[0]
 		g.Expect(jd.Until.Sub(jd.Since)).To(Equal(want))
 		g.Expect(jd.Level).To(Equal(level + 1))
 		in.ck.pass(want)
@@ -269,7 +269,7 @@
 		in.ck.pass(10 * time.Millisecond)
 	}
 	g.Expect(len(in.Notes().Encode(in.ck.now))).To(BeNumerically("<", 16<<10))
-	g.Expect(in.Judgements()).To(BeEmpty())
+	g.Expect(in.Quarantines()).To(BeEmpty())
 	for no := range 3 {
 		in.broke(fmt.Sprint("fatal-", no), true, time.Millisecond, "fatal")
 	}
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -47,7 +47,7 @@
 }
 
 // Judgements returns those in force, by fingerprint.
-func (ld *Ledger) Judgements() []Quarantine {
+func (ld *Ledger) Quarantines() []Quarantine {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.opts.Now()
--- a/internal/duty/frontend/judgements.go
+++ b/internal/duty/frontend/judgements.go
@@ -28,7 +28,7 @@
 
 func (js judgements) list(w http.ResponseWriter, _ *http.Request) {
 	list := []judgement{}
-	for _, jd := range js.ledger.Judgements() {
+	for _, jd := range js.ledger.Quarantines() {
 		list = append(list, judgement{
 			Fingerprint: jd.Request.String(), Ends: jd.Crashes, Level: jd.Level,
 			Age: time.Since(jd.Since).Round(time.Second).String(), Left: time.Until(jd.Until).Round(time.Second).String(),
