--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -136,7 +136,7 @@
 		"lifted": {func(in *instance) {
 			ends(in, 3, "fatal")
 			in.judged("fatal")
-			in.Lift(request("fatal"))
+			in.LiftQuarantine(request("fatal"))
 		}, false},
 		"after its time": {func(in *instance) {
 			ends(in, 3, "fatal")
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -62,7 +62,7 @@
 }
 
 // Lift takes a judgement back at all instances. It reports whether there was one.
-func (ld *Ledger) Lift(fp fingerprint.Fingerprint) bool {
+func (ld *Ledger) LiftQuarantine(fp fingerprint.Fingerprint) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
--- a/internal/blame/share_test.go
+++ b/internal/blame/share_test.go
@@ -75,7 +75,7 @@
 		heard bool
 	}{
 		"by a whole answer": {func(in *instance) { in.RecordAnswered(request("fatal")) }, false},
-		"by an operator":    {func(in *instance) { in.Lift(request("fatal")) }, true},
+		"by an operator":    {func(in *instance) { in.LiftQuarantine(request("fatal")) }, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/duty/frontend/judgements.go
+++ b/internal/duty/frontend/judgements.go
@@ -43,7 +43,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !js.ledger.Lift(fp) {
+	if !js.ledger.LiftQuarantine(fp) {
 		http.Error(w, "no such judgement", http.StatusNotFound)
 		return
 	}
