--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -151,7 +151,7 @@
 		}
 	}
 	fp := request(jb.name)
-	jb.running = jb.at.Begin(fp.HeadHash(), func() fingerprint.Fingerprint { return fp })
+	jb.running = jb.at.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp })
 	pl.jobs = append(pl.jobs, jb)
 }
 
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -27,7 +27,7 @@
 }
 
 // Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
-func (ld *Ledger) Begin(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
+func (ld *Ledger) BeginRun(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
 	ru := &ActiveRun{ledger: ld, origin: or, request: request, since: ld.opts.Now()}
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
--- a/internal/blame/running_test.go
+++ b/internal/blame/running_test.go
@@ -42,7 +42,7 @@
 					at = judge
 				}
 				fp := request(tc.request)
-				begin := func() func() { return at.Begin(fp.HeadHash(), func() fingerprint.Fingerprint { return fp }).End }
+				begin := func() func() { return at.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp }).End }
 				end := func() {}
 				if tc.age > 0 {
 					end = begin()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -82,7 +82,7 @@
 
 // stream passes on the events of an answer as they come.
 func (gw *Gateway) stream(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Answer) error {
-	ru := gw.Blame.Begin(rq.origin(), rq.fingerprint)
+	ru := gw.Blame.BeginRun(rq.origin(), rq.fingerprint)
 	defer ru.End()
 	br := bufio.NewReader(an.Body)
 	stall := max(stallFloor, stallPauses*rq.route.LongestPause)
