--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -84,7 +84,7 @@
 }
 
 // Lost forgets the runs of a peer that is lost.
-func (ld *Ledger) Lost(peer string) {
+func (ld *Ledger) RemovePeer(peer string) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	delete(ld.told, peer)
--- a/internal/blame/running_test.go
+++ b/internal/blame/running_test.go
@@ -29,7 +29,7 @@
 			end()
 			other.tell(t, judge)
 		}, true, false},
-		"its instance is lost": {lasting, "fatal", func(_ *testing.T, judge, _ *instance, _ func()) { judge.Lost("peer") }, true, true},
+		"its instance is lost": {lasting, "fatal", func(_ *testing.T, judge, _ *instance, _ func()) { judge.RemovePeer("peer") }, true, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
