--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -68,7 +68,7 @@
 // tell brings what an instance knows to others, over the wire.
 func (in *instance) tell(t *testing.T, others ...*instance) {
 	t.Helper()
-	b := in.Notes().Encode(in.ck.now)
+	b := in.Snapshot().Encode(in.ck.now)
 	nt, err := blame.Decode(b, in.ck.now)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for _, other := range others {
@@ -268,7 +268,7 @@
 		in.broke(fmt.Sprint("target-", no), no%2 == 0, lasting, names...)
 		in.ck.pass(10 * time.Millisecond)
 	}
-	g.Expect(len(in.Notes().Encode(in.ck.now))).To(BeNumerically("<", 16<<10))
+	g.Expect(len(in.Snapshot().Encode(in.ck.now))).To(BeNumerically("<", 16<<10))
 	g.Expect(in.Quarantines()).To(BeEmpty())
 	for no := range 3 {
 		in.broke(fmt.Sprint("fatal-", no), true, time.Millisecond, "fatal")
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -225,7 +225,7 @@
 			continue
 		}
 		pl.told[no] = in.news
-		nt := in.Notes()
+		nt := in.Snapshot()
 		for at, other := range pl.fleet {
 			if other != in && no >= pl.cut && at >= pl.cut {
 				late := time.Duration(pl.rd.Int64N(int64(pl.delay)))
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -36,7 +36,7 @@
 }
 
 // Notes returns what peers have to hear now. Equal notes are in the same order.
-func (ld *Ledger) Notes() Snapshot {
+func (ld *Ledger) Snapshot() Snapshot {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
