--- a/internal/blame/bench_test.go
+++ b/internal/blame/bench_test.go
@@ -23,7 +23,7 @@
 				Request: request(fmt.Sprint(no, "-", at)), Incarnation: fmt.Sprint("target-", no), Elapsed: lasting, At: ck.now,
 			})
 		}
-		in.Hear("peer", nt)
+		in.MergePeer("peer", nt)
 	}
 	for range before {
 		tell()
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -72,7 +72,7 @@
 	nt, err := blame.Decode(b, in.ck.now)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for _, other := range others {
-		other.Hear("peer", nt)
+		other.MergePeer("peer", nt)
 	}
 }
 
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -237,7 +237,7 @@
 		if lt.at.After(pl.ck.now) {
 			return false
 		}
-		lt.to.Hear("peer", lt.notes)
+		lt.to.MergePeer("peer", lt.notes)
 		return true
 	})
 }
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -56,7 +56,7 @@
 }
 
 // Hear takes what a peer tells.
-func (ld *Ledger) Hear(peer string, nt Snapshot) {
+func (ld *Ledger) MergePeer(peer string, nt Snapshot) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
--- a/internal/duty/members/notes.go
+++ b/internal/duty/members/notes.go
@@ -29,5 +29,5 @@
 		du.lg.WithError(err).WithField("peer", from.Name).Error("peer's notes cannot be read")
 		return
 	}
-	du.ld.Hear(from.Name, nt)
+	du.ld.MergePeer(from.Name, nt)
 }
