--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -81,7 +81,7 @@
 }
 
 // Ledger holds what is known of requests under which targets ended. It is safe for use by any goroutine.
-type Ledger struct {
+type Tracker struct {
 	opts Options
 
 	mu sync.Mutex
@@ -109,8 +109,8 @@
 }
 
 // New returns an empty ledger.
-func New(op Options) *Ledger {
-	ld := &Ledger{
+func New(op Options) *Tracker {
+	ld := &Tracker{
 		opts: op, ends: map[string]*end{}, judgements: map[fingerprint.Fingerprint]Quarantine{},
 		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.HeadHash]int{},
 		running: map[fingerprint.HeadHash][]*ActiveRun{}, told: map[string][]ActiveRunSummary{}, trials: map[fingerprint.Fingerprint]trial{},
@@ -120,7 +120,7 @@
 }
 
 // Broke notes a run that its target broke off. It is held against the request if the target turns out to have ended.
-func (ld *Ledger) RecordInterrupted(rn InterruptedRun) {
+func (ld *Tracker) RecordInterrupted(rn InterruptedRun) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
@@ -136,7 +136,7 @@
 }
 
 // Ended notes that a target has ended.
-func (ld *Ledger) RecordCrash(incarnation string) {
+func (ld *Tracker) RecordCrash(incarnation string) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
@@ -148,13 +148,13 @@
 }
 
 // changed judges by what is known now, and has peers told. The lock is held.
-func (ld *Ledger) changed() {
+func (ld *Tracker) changed() {
 	ld.judge()
 	ld.opts.NotifyPeers()
 }
 
 // end notes the end of a target, and holds against their requests the runs that it broke off here. The lock is held.
-func (ld *Ledger) end(incarnation string, at time.Time) {
+func (ld *Tracker) end(incarnation string, at time.Time) {
 	if len(ld.ends) >= maxEnds {
 		ld.forgetOldest()
 	}
@@ -171,7 +171,7 @@
 }
 
 // hold holds the end of a target against the request that it ran. The lock is held.
-func (ld *Ledger) hold(rn InterruptedRun, own bool) {
+func (ld *Tracker) hold(rn InterruptedRun, own bool) {
 	en := ld.ends[rn.Incarnation]
 	if _, known := en.under[rn.Request]; known || len(en.under) >= maxUnder {
 		return
@@ -190,7 +190,7 @@
 }
 
 // Served notes a whole answer, which clears the request of all that happened before.
-func (ld *Ledger) RecordAnswered(fp fingerprint.Fingerprint) {
+func (ld *Tracker) RecordAnswered(fp fingerprint.Fingerprint) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
@@ -200,7 +200,7 @@
 }
 
 // Knows reports whether anything is held against a request of an origin. Only then Check and Served have to be asked.
-func (ld *Ledger) HasEvidence(or fingerprint.HeadHash) bool {
+func (ld *Tracker) HasEvidence(or fingerprint.HeadHash) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	if ld.overdue() {
@@ -212,7 +212,7 @@
 }
 
 // weigh counts ends that are held against a request, or no longer. The lock is held.
-func (ld *Ledger) weigh(fp fingerprint.Fingerprint, ends int) {
+func (ld *Tracker) weigh(fp fingerprint.Fingerprint, ends int) {
 	add(ld.held, fp, ends)
 	add(ld.origins, fp.HeadHash(), ends)
 }
@@ -226,7 +226,7 @@
 }
 
 // forget forgets a target that ended. The lock is held.
-func (ld *Ledger) forget(incarnation string) {
+func (ld *Tracker) forget(incarnation string) {
 	for fp := range ld.ends[incarnation].under {
 		ld.weigh(fp, -1)
 	}
@@ -234,12 +234,12 @@
 }
 
 // overdue reports whether the target of a broken run has to be known to have ended by now. The lock is held.
-func (ld *Ledger) overdue() bool {
+func (ld *Tracker) overdue() bool {
 	return len(ld.broken) > 0 && ld.opts.Now().Sub(ld.broken[0].At) > endKnownFor
 }
 
 // expire forgets what is too old, after a last look at whether the targets of broken runs are gone. The lock is held.
-func (ld *Ledger) expire() {
+func (ld *Tracker) expire() {
 	now := ld.opts.Now()
 	for ld.overdue() {
 		rn := ld.broken[0]
@@ -266,7 +266,7 @@
 }
 
 // forgetOldest forgets the end that is longest ago. The lock is held.
-func (ld *Ledger) forgetOldest() {
+func (ld *Tracker) forgetOldest() {
 	oldest := ""
 	for id, en := range ld.ends {
 		if oldest == "" || en.at.Before(ld.ends[oldest].at) {
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -33,7 +33,7 @@
 
 // instance is a ledger and what its targets are believed to be.
 type instance struct {
-	*blame.Ledger
+	*blame.Tracker
 	ck *clock
 	// gone holds targets that are gone by the list.
 	gone map[string]bool
@@ -43,7 +43,7 @@
 
 func newInstance(ck *clock, targets int) *instance {
 	in := &instance{ck: ck, gone: map[string]bool{}}
-	in.Ledger = blame.New(blame.Options{
+	in.Tracker = blame.New(blame.Options{
 		Now: func() time.Time { return ck.now }, TargetCount: func() int { return targets },
 		Crashed: func(id string) bool { return in.gone[id] }, NotifyPeers: func() { in.news++ }, Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -34,7 +34,7 @@
 }
 
 // Judged reports whether a request is not to be run, and how many targets had ended under it.
-func (ld *Ledger) Quarantined(fp fingerprint.Fingerprint) (ends int, judged bool) {
+func (ld *Tracker) Quarantined(fp fingerprint.Fingerprint) (ends int, judged bool) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.refresh()
@@ -43,7 +43,7 @@
 }
 
 // refresh judges by what is known now. The lock is held.
-func (ld *Ledger) refresh() {
+func (ld *Tracker) refresh() {
 	ld.expire()
 	if ld.judge() {
 		ld.opts.NotifyPeers()
@@ -52,7 +52,7 @@
 
 // Check says what is to be done with a request that is about to be sent to a target. Where it may run, that is its trial if it is on
 // trial.
-func (ld *Ledger) Check(fp fingerprint.Fingerprint) Decision {
+func (ld *Tracker) Check(fp fingerprint.Fingerprint) Decision {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.refresh()
@@ -72,7 +72,7 @@
 //
 // While many targets end, too little tells the requests that end them from those beside them, above all at an instance that hears of no
 // peer. Run seldom, the former end few targets, and the latter are answered whole, which clears them. The lock is held.
-func (ld *Ledger) untilTrial(sp suspect) time.Duration {
+func (ld *Tracker) untilTrial(sp suspect) time.Duration {
 	if len(sp.runs) < endsLeast || sp.chance > chanceTrial {
 		return 0
 	}
@@ -93,7 +93,7 @@
 }
 
 // expireTrials forgets the trials of requests that are no longer on trial. The lock is held.
-func (ld *Ledger) expireTrials() {
+func (ld *Tracker) expireTrials() {
 	for fp := range ld.trials {
 		if ld.held[fp] < endsLeast {
 			delete(ld.trials, fp)
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -69,7 +69,7 @@
 
 // judge judges requests by what is known now, the most suspect first: it explains the ends under it, which are then held against
 // nobody else. It reports whether it judged any. The lock is held.
-func (ld *Ledger) judge() bool {
+func (ld *Tracker) judge() bool {
 	judged := false
 	for {
 		sp, ok := ld.mostSuspect()
@@ -90,7 +90,7 @@
 }
 
 // mostSuspect returns the request that is to be judged next. The lock is held.
-func (ld *Ledger) mostSuspect() (suspect, bool) {
+func (ld *Tracker) mostSuspect() (suspect, bool) {
 	suspects := ld.suspects()
 	slices.SortFunc(suspects, func(a, b suspect) int {
 		return cmp.Or(cmp.Compare(len(b.runs), len(a.runs)), cmp.Compare(a.chance, b.chance),
@@ -113,7 +113,7 @@
 
 // alone returns what is held against a request of the ends under which none of the others ran that more ends are held against: it is
 // the likelier cause there, judged or not. The lock is held.
-func (ld *Ledger) alone(sp suspect, others []suspect) suspect {
+func (ld *Tracker) alone(sp suspect, others []suspect) suspect {
 	open := ld.open()
 	mine := slices.DeleteFunc(slices.Clone(open), func(en *end) bool {
 		return slices.ContainsFunc(others, func(other suspect) bool {
@@ -142,7 +142,7 @@
 }
 
 // suspects returns the requests that may have to be judged. The lock is held.
-func (ld *Ledger) suspects() []suspect {
+func (ld *Tracker) suspects() []suspect {
 	var open []*end
 	var list []suspect
 	for fp, n := range ld.held {
@@ -160,7 +160,7 @@
 }
 
 // open returns the ends that no judged request explains. The lock is held.
-func (ld *Ledger) open() []*end {
+func (ld *Tracker) open() []*end {
 	open := make([]*end, 0, len(ld.ends))
 	for _, en := range ld.ends {
 		if !ld.explained(en) {
@@ -171,7 +171,7 @@
 }
 
 // explained reports whether a request that was judged afterwards explains an end. The lock is held.
-func (ld *Ledger) explained(en *end) bool {
+func (ld *Tracker) explained(en *end) bool {
 	if len(ld.judgements) == 0 {
 		return false
 	}
@@ -184,7 +184,7 @@
 }
 
 // suspect returns what some ends are held against a request, among all that are open. The lock is held.
-func (ld *Ledger) suspect(fp fingerprint.Fingerprint, ends, open []*end) suspect {
+func (ld *Tracker) suspect(fp fingerprint.Fingerprint, ends, open []*end) suspect {
 	sp := suspect{request: fp, chance: 1}
 	for _, en := range ends {
 		if rn, ran := en.under[fp]; ran {
@@ -220,7 +220,7 @@
 
 // rate is how often a target ended by itself about the time of a run, a second, by the ends under which its request did not run. The
 // lock is held.
-func (ld *Ledger) rate(rn InterruptedRun, open []*end) float64 {
+func (ld *Tracker) rate(rn InterruptedRun, open []*end) float64 {
 	highest := 0.0
 	for _, span := range []time.Duration{nearby, closeBy} {
 		highest = max(highest, ld.density(rn, open, span, 0))
@@ -229,7 +229,7 @@
 }
 
 // density is the rate within a span before and after a run; unseen is added to the ends in it.
-func (ld *Ledger) density(rn InterruptedRun, open []*end, span time.Duration, unseen float64) float64 {
+func (ld *Tracker) density(rn InterruptedRun, open []*end, span time.Duration, unseen float64) float64 {
 	ends := unseen
 	for _, en := range open {
 		if _, ran := en.under[rn.Request]; !ran && en.at.Sub(rn.At).Abs() <= span {
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -47,7 +47,7 @@
 }
 
 // Judgements returns those in force, by fingerprint.
-func (ld *Ledger) Quarantines() []Quarantine {
+func (ld *Tracker) Quarantines() []Quarantine {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	now := ld.opts.Now()
@@ -62,7 +62,7 @@
 }
 
 // Lift takes a judgement back at all instances. It reports whether there was one.
-func (ld *Ledger) LiftQuarantine(fp fingerprint.Fingerprint) bool {
+func (ld *Tracker) LiftQuarantine(fp fingerprint.Fingerprint) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
@@ -75,7 +75,7 @@
 }
 
 // pass notes a judgement. The lock is held.
-func (ld *Ledger) pass(jd Quarantine, fields log.Fields) {
+func (ld *Tracker) pass(jd Quarantine, fields log.Fields) {
 	if len(ld.judgements) >= maxJudged {
 		ld.forgetJudgement()
 	}
@@ -91,7 +91,7 @@
 }
 
 // forgetJudgement forgets the judgement that passes first. The lock is held.
-func (ld *Ledger) forgetJudgement() {
+func (ld *Tracker) forgetJudgement() {
 	var first Quarantine
 	for _, jd := range ld.judgements {
 		if first.Until.IsZero() || jd.Until.Before(first.Until) {
@@ -102,13 +102,13 @@
 }
 
 // dropJudgement forgets a judgement. The lock is held.
-func (ld *Ledger) dropJudgement(fp fingerprint.Fingerprint) {
+func (ld *Tracker) dropJudgement(fp fingerprint.Fingerprint) {
 	delete(ld.judgements, fp)
 	add(ld.origins, fp.HeadHash(), -1)
 }
 
 // clear takes back all that is held against a request up to a time, and reports whether that was anything. The lock is held.
-func (ld *Ledger) clear(fp fingerprint.Fingerprint, cl clearance) bool {
+func (ld *Tracker) clear(fp fingerprint.Fingerprint, cl clearance) bool {
 	held := ld.release(fp, cl.at)
 	ld.own = slices.DeleteFunc(ld.own, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
 	ld.broken = slices.DeleteFunc(ld.broken, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
@@ -131,7 +131,7 @@
 }
 
 // release takes back the ends that are held against a request up to a time, and reports whether there were any. The lock is held.
-func (ld *Ledger) release(fp fingerprint.Fingerprint, until time.Time) bool {
+func (ld *Tracker) release(fp fingerprint.Fingerprint, until time.Time) bool {
 	if ld.held[fp] == 0 {
 		return false
 	}
@@ -147,7 +147,7 @@
 }
 
 // forgetCleared forgets the clearance that is longest ago. The lock is held.
-func (ld *Ledger) forgetCleared() {
+func (ld *Tracker) forgetCleared() {
 	var oldest fingerprint.Fingerprint
 	for fp, cl := range ld.cleared {
 		if first, ok := ld.cleared[oldest]; !ok || cl.at.Before(first.at) {
@@ -158,7 +158,7 @@
 }
 
 // expireJudgements forgets judgements and clearances that are too old. The lock is held.
-func (ld *Ledger) expireJudgements(now time.Time) {
+func (ld *Tracker) expireJudgements(now time.Time) {
 	for fp, jd := range ld.judgements {
 		if !now.Before(jd.forgetAt()) {
 			ld.dropJudgement(fp)
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -10,7 +10,7 @@
 // Running is a run of a request that its target has begun to answer. While it goes on for longer than the runs that ended with their
 // targets, the request is not judged: it may be answered whole.
 type ActiveRun struct {
-	ledger *Ledger
+	ledger *Tracker
 	origin fingerprint.HeadHash
 	// request makes the fingerprint, which costs time for a long body.
 	request func() fingerprint.Fingerprint
@@ -27,7 +27,7 @@
 }
 
 // Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
-func (ld *Ledger) BeginRun(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
+func (ld *Tracker) BeginRun(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
 	ru := &ActiveRun{ledger: ld, origin: or, request: request, since: ld.opts.Now()}
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // survivors returns the runs that go on here of requests that may come to be judged. The lock is held.
-func (ld *Ledger) survivors() []ActiveRunSummary {
+func (ld *Tracker) survivors() []ActiveRunSummary {
 	var list []ActiveRunSummary
 	for or, runs := range ld.running {
 		if ld.origins[or] < endsLeast-1 {
@@ -67,7 +67,7 @@
 }
 
 // outlived reports whether a run goes on, here or at a peer, for longer than those that ended with their targets. The lock is held.
-func (ld *Ledger) outlived(sp suspect) bool {
+func (ld *Tracker) outlived(sp suspect) bool {
 	before := ld.opts.Now().Add(-sp.longest)
 	longer := func(sv ActiveRunSummary) bool { return sv.Request == sp.request && sv.Since.Before(before) }
 	for _, ru := range ld.running[sp.request.HeadHash()] {
@@ -84,7 +84,7 @@
 }
 
 // Lost forgets the runs of a peer that is lost.
-func (ld *Ledger) RemovePeer(peer string) {
+func (ld *Tracker) RemovePeer(peer string) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	delete(ld.told, peer)
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -36,7 +36,7 @@
 }
 
 // Notes returns what peers have to hear now. Equal notes are in the same order.
-func (ld *Ledger) Snapshot() Snapshot {
+func (ld *Tracker) Snapshot() Snapshot {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
@@ -56,7 +56,7 @@
 }
 
 // Hear takes what a peer tells.
-func (ld *Ledger) MergePeer(peer string, nt Snapshot) {
+func (ld *Tracker) MergePeer(peer string, nt Snapshot) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
@@ -81,7 +81,7 @@
 }
 
 // hearClearance takes a clearance that a peer tells. Only what an operator lifted is told on. The lock is held.
-func (ld *Ledger) hearClearance(cl Tombstone) {
+func (ld *Tracker) hearClearance(cl Tombstone) {
 	if own, ok := ld.cleared[cl.Request]; ok && !cl.At.After(own.at) {
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 // hearJudgement takes a judgement that a peer tells: a new one, or one that was passed again. The lock is held.
-func (ld *Ledger) hearJudgement(peer string, jd Quarantine) {
+func (ld *Tracker) hearJudgement(peer string, jd Quarantine) {
 	if cl, ok := ld.cleared[jd.Request]; ok && !jd.Since.After(cl.at.Add(clearMargin)) {
 		return
 	}
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -43,7 +43,7 @@
 	Metrics    *metrics.Set
 	Changed    *Changed
 	Followers  *Followers
-	Blame      *blame.Ledger
+	Blame      *blame.Tracker
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
 	Noted *Changed
 	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
--- a/internal/duty/frontend/judgements.go
+++ b/internal/duty/frontend/judgements.go
@@ -12,7 +12,7 @@
 )
 
 // judgements shows operators which requests are refused because targets end when they run them, and lifts that.
-type judgements struct{ ledger *blame.Ledger }
+type judgements struct{ ledger *blame.Tracker }
 
 // judgement is one of them as operators see it.
 type judgement struct {
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -67,7 +67,7 @@
 	lg  log.Interface
 	ms  *gossip.Mesh
 	fo  *forwarding.Followers
-	ld  *blame.Ledger
+	ld  *blame.Tracker
 	// limits is what is believed of the rate limits of targets, and permits keeps to them with the others.
 	limits  *ratelimit.Book
 	permits *permits
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -62,7 +62,7 @@
 }
 
 // doubt lets three targets end under a request, and as many others by themselves as leave its part in that open.
-func doubt(ld *blame.Ledger, fp fingerprint.Fingerprint) {
+func doubt(ld *blame.Tracker, fp fingerprint.Fingerprint) {
 	for no := range 12 {
 		ld.RecordCrash(fmt.Sprint("other-", no))
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -32,7 +32,7 @@
 	Dispatcher *dispatch.Dispatcher
 	Pool       *upstream.Pool
 	Retries    *budget.Retries
-	Blame      *blame.Ledger
+	Blame      *blame.Tracker
 	// Feedback takes the head of each answer, and Limits and BackOffs are what follows from them.
 	Feedback *feedback.Recorder
 	Limits   *ratelimit.Book
