--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -76,19 +76,19 @@
 	if len(sp.runs) < endsLeast || sp.chance > chanceTrial {
 		return 0
 	}
-	tr, tried := ld.trials[sp.request]
+	pb, tried := ld.trials[sp.request]
 	if !tried {
-		tr.pause = trialPause
+		pb.pause = trialPause
 	}
 	from := sp.last()
-	if tr.at.After(from) {
-		from = tr.at
+	if pb.at.After(from) {
+		from = pb.at
 	}
 	now := ld.opts.Now()
-	if wait := tr.pause - now.Sub(from); wait > 0 {
+	if wait := pb.pause - now.Sub(from); wait > 0 {
 		return wait
 	}
-	ld.trials[sp.request] = trial{at: now, pause: min(2*tr.pause, trialPauseMost)}
+	ld.trials[sp.request] = trial{at: now, pause: min(2*pb.pause, trialPauseMost)}
 	return 0
 }
 
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -37,17 +37,17 @@
 
 // End notes that the run is over, however it went.
 func (ar *ActiveRun) End() {
-	ld := ar.ledger
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	rest := slices.DeleteFunc(ld.running[ar.origin], func(other *ActiveRun) bool { return other == ar })
+	tr := ar.ledger
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	rest := slices.DeleteFunc(tr.running[ar.origin], func(other *ActiveRun) bool { return other == ar })
 	if len(rest) == 0 {
-		delete(ld.running, ar.origin)
+		delete(tr.running, ar.origin)
 	} else {
-		ld.running[ar.origin] = rest
+		tr.running[ar.origin] = rest
 	}
-	if ar.told || ld.origins[ar.origin] > 0 {
-		ld.opts.NotifyPeers()
+	if ar.told || tr.origins[ar.origin] > 0 {
+		tr.opts.NotifyPeers()
 	}
 }
 
