--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -18,34 +18,34 @@
 
 const (
 	// endsLeast is how many targets end under a request before it may be judged: it is what the operators allow.
-	endsLeast = 3
+	minCrashes = 3
 	// settleFor is how long after its last end a request is held back before it is judged: by then instances have heard of each other's
 	// ends, and it is known which others stood under the same ones.
-	settleFor = 200 * time.Millisecond
+	settleDelay = 200 * time.Millisecond
 	// endKnownFor is how long after a run was broken off its target's end may become known. The entry of a target that says nothing
 	// goes after three of its heartbeats, 3.6 s.
-	endKnownFor = 6 * time.Second
+	crashDetectionTimeout = 6 * time.Second
 	// rememberFor is how long an end is held against what ran there.
-	rememberFor = 10 * time.Minute
+	evidenceTTL = 10 * time.Minute
 	// judgedFor is how long a request is first refused. It doubles with each time that a target ends under it again right afterwards,
 	// up to judgedMost, so that a request which never changes ends ever fewer targets.
-	judgedFor  = 5 * time.Minute
-	judgedMost = 2 * time.Hour
+	initialQuarantine = 5 * time.Minute
+	maxQuarantine     = 2 * time.Hour
 	// tellFor is how long what this instance saw is told to peers: longer than their silence before they are taken for lost.
-	tellFor = 15 * time.Second
+	gossipDuration = 15 * time.Second
 	// sweepEvery is how often ends and judgements are looked through for those that are too old: well below how long they last.
-	sweepEvery = time.Second
+	expiryInterval = time.Second
 )
 
 // The bounds of what is held, each with its memory at the most. They bound a flood of different requests; the oldest gives way.
 const (
 	// maxBroken bounds the runs whose targets may still turn out to have ended, 100 bytes each.
-	maxBroken = 2048
+	maxInterruptedRuns = 2048
 	// maxEnds bounds the ends, and maxUnder what is held at one of them, 80 bytes each.
-	maxEnds  = 512
-	maxUnder = 64
+	maxCrashRecords = 512
+	maxRunsPerCrash = 64
 	// maxJudged bounds the judgements and what was cleared lately, 100 bytes each.
-	maxJudged = 256
+	maxQuarantines = 256
 )
 
 // Run is one run of a request that its target broke off.
@@ -60,10 +60,10 @@
 }
 
 // end is a target that ended.
-type end struct {
+type crash struct {
 	at time.Time
 	// under holds the runs that the end broke off, at most maxUnder.
-	under map[fingerprint.Fingerprint]InterruptedRun
+	runsByRequest map[fingerprint.Fingerprint]InterruptedRun
 }
 
 // Options are the seams of a Ledger. All are set.
@@ -86,34 +86,34 @@
 
 	mu sync.Mutex
 	// broken holds the runs that were broken off by targets not known to have ended, the oldest first.
-	broken []InterruptedRun
+	interrupted []InterruptedRun
 	// ends holds the targets that ended, by incarnation.
-	ends map[string]*end
+	crashes map[string]*crash
 	// own holds the runs that this instance saw end with their targets, to be told to peers.
-	own []InterruptedRun
+	localEvidence []InterruptedRun
 	// judgements holds those in force and those that have passed lately.
-	judgements map[fingerprint.Fingerprint]Quarantine
+	quarantines map[fingerprint.Fingerprint]Quarantine
 	// cleared holds the requests that were cleared lately.
-	cleared map[fingerprint.Fingerprint]clearance
+	tombstones map[fingerprint.Fingerprint]tombstone
 	// held counts the ends that are held against a request, origins the ends and judgements on requests of an origin; entries at zero
 	// are removed.
-	held    map[fingerprint.Fingerprint]int
-	origins map[fingerprint.HeadHash]int
+	evidenceCounts map[fingerprint.Fingerprint]int
+	headCounts     map[fingerprint.HeadHash]int
 	// trials holds the requests on trial that were run here.
-	trials map[fingerprint.Fingerprint]trial
+	probes map[fingerprint.Fingerprint]probe
 	// sweptAt is when ends and judgements that are too old were last forgotten.
-	sweptAt time.Time
+	lastExpiry time.Time
 	// running holds the runs that go on here, by origin, and told those at peers of requests under which targets ended.
-	running map[fingerprint.HeadHash][]*ActiveRun
-	told    map[string][]ActiveRunSummary
+	activeRuns map[fingerprint.HeadHash][]*ActiveRun
+	peerRuns   map[string][]ActiveRunSummary
 }
 
 // New returns an empty ledger.
 func New(op Options) *Tracker {
 	ld := &Tracker{
-		opts: op, ends: map[string]*end{}, judgements: map[fingerprint.Fingerprint]Quarantine{},
-		cleared: map[fingerprint.Fingerprint]clearance{}, held: map[fingerprint.Fingerprint]int{}, origins: map[fingerprint.HeadHash]int{},
-		running: map[fingerprint.HeadHash][]*ActiveRun{}, told: map[string][]ActiveRunSummary{}, trials: map[fingerprint.Fingerprint]trial{},
+		opts: op, crashes: map[string]*crash{}, quarantines: map[fingerprint.Fingerprint]Quarantine{},
+		tombstones: map[fingerprint.Fingerprint]tombstone{}, evidenceCounts: map[fingerprint.Fingerprint]int{}, headCounts: map[fingerprint.HeadHash]int{},
+		activeRuns: map[fingerprint.HeadHash][]*ActiveRun{}, peerRuns: map[string][]ActiveRunSummary{}, probes: map[fingerprint.Fingerprint]probe{},
 	}
 	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(ld.Quarantines())) })
 	return ld
@@ -124,15 +124,15 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
-	if _, ended := ld.ends[rn.Incarnation]; ended {
-		ld.hold(rn, true)
-		ld.changed()
+	if _, ended := ld.crashes[rn.Incarnation]; ended {
+		ld.addEvidence(rn, true)
+		ld.evaluateAndNotify()
 		return
 	}
-	if len(ld.broken) >= maxBroken {
-		ld.broken = ld.broken[1:]
+	if len(ld.interrupted) >= maxInterruptedRuns {
+		ld.interrupted = ld.interrupted[1:]
 	}
-	ld.broken = append(ld.broken, rn)
+	ld.interrupted = append(ld.interrupted, rn)
 }
 
 // Ended notes that a target has ended.
@@ -140,52 +140,52 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
-	if _, known := ld.ends[incarnation]; known {
+	if _, known := ld.crashes[incarnation]; known {
 		return
 	}
-	ld.end(incarnation, ld.opts.Now())
-	ld.changed()
+	ld.addCrash(incarnation, ld.opts.Now())
+	ld.evaluateAndNotify()
 }
 
 // changed judges by what is known now, and has peers told. The lock is held.
-func (ld *Tracker) changed() {
-	ld.judge()
+func (ld *Tracker) evaluateAndNotify() {
+	ld.quarantineSuspects()
 	ld.opts.NotifyPeers()
 }
 
 // end notes the end of a target, and holds against their requests the runs that it broke off here. The lock is held.
-func (ld *Tracker) end(incarnation string, at time.Time) {
-	if len(ld.ends) >= maxEnds {
-		ld.forgetOldest()
+func (ld *Tracker) addCrash(incarnation string, at time.Time) {
+	if len(ld.crashes) >= maxCrashRecords {
+		ld.evictOldestCrash()
 	}
-	ld.ends[incarnation] = &end{at: at, under: map[fingerprint.Fingerprint]InterruptedRun{}}
-	kept := ld.broken[:0]
-	for _, rn := range ld.broken {
+	ld.crashes[incarnation] = &crash{at: at, runsByRequest: map[fingerprint.Fingerprint]InterruptedRun{}}
+	kept := ld.interrupted[:0]
+	for _, rn := range ld.interrupted {
 		if rn.Incarnation != incarnation {
 			kept = append(kept, rn)
 			continue
 		}
-		ld.hold(rn, true)
+		ld.addEvidence(rn, true)
 	}
-	ld.broken = kept
+	ld.interrupted = kept
 }
 
 // hold holds the end of a target against the request that it ran. The lock is held.
-func (ld *Tracker) hold(rn InterruptedRun, own bool) {
-	en := ld.ends[rn.Incarnation]
-	if _, known := en.under[rn.Request]; known || len(en.under) >= maxUnder {
+func (ld *Tracker) addEvidence(rn InterruptedRun, own bool) {
+	en := ld.crashes[rn.Incarnation]
+	if _, known := en.runsByRequest[rn.Request]; known || len(en.runsByRequest) >= maxRunsPerCrash {
 		return
 	}
-	if cl, ok := ld.cleared[rn.Request]; ok && !rn.At.After(cl.at) {
+	if cl, ok := ld.tombstones[rn.Request]; ok && !rn.At.After(cl.at) {
 		return
 	}
-	en.under[rn.Request] = rn
-	ld.weigh(rn.Request, 1)
+	en.runsByRequest[rn.Request] = rn
+	ld.adjustCounts(rn.Request, 1)
 	if rn.At.Before(en.at) {
 		en.at = rn.At
 	}
 	if own {
-		ld.own = append(ld.own, rn)
+		ld.localEvidence = append(ld.localEvidence, rn)
 	}
 }
 
@@ -194,8 +194,8 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
-	if ld.clear(fp, clearance{at: ld.opts.Now()}) {
-		ld.changed()
+	if ld.clear(fp, tombstone{at: ld.opts.Now()}) {
+		ld.evaluateAndNotify()
 	}
 }
 
@@ -203,22 +203,22 @@
 func (ld *Tracker) HasEvidence(or fingerprint.HeadHash) bool {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	if ld.overdue() {
+	if ld.detectionOverdue() {
 		// Ends that the list alone tells come to light when their runs are given up for unexplained.
 		ld.expire()
-		ld.changed()
+		ld.evaluateAndNotify()
 	}
-	return ld.origins[or] > 0
+	return ld.headCounts[or] > 0
 }
 
 // weigh counts ends that are held against a request, or no longer. The lock is held.
-func (ld *Tracker) weigh(fp fingerprint.Fingerprint, ends int) {
-	add(ld.held, fp, ends)
-	add(ld.origins, fp.HeadHash(), ends)
+func (ld *Tracker) adjustCounts(fp fingerprint.Fingerprint, ends int) {
+	adjustCount(ld.evidenceCounts, fp, ends)
+	adjustCount(ld.headCounts, fp.HeadHash(), ends)
 }
 
 // add changes a count, and removes it at zero.
-func add[K comparable](counts map[K]int, key K, n int) {
+func adjustCount[K comparable](counts map[K]int, key K, n int) {
 	counts[key] += n
 	if counts[key] == 0 {
 		delete(counts, key)
@@ -226,52 +226,52 @@
 }
 
 // forget forgets a target that ended. The lock is held.
-func (ld *Tracker) forget(incarnation string) {
-	for fp := range ld.ends[incarnation].under {
-		ld.weigh(fp, -1)
+func (ld *Tracker) removeCrash(incarnation string) {
+	for fp := range ld.crashes[incarnation].runsByRequest {
+		ld.adjustCounts(fp, -1)
 	}
-	delete(ld.ends, incarnation)
+	delete(ld.crashes, incarnation)
 }
 
 // overdue reports whether the target of a broken run has to be known to have ended by now. The lock is held.
-func (ld *Tracker) overdue() bool {
-	return len(ld.broken) > 0 && ld.opts.Now().Sub(ld.broken[0].At) > endKnownFor
+func (ld *Tracker) detectionOverdue() bool {
+	return len(ld.interrupted) > 0 && ld.opts.Now().Sub(ld.interrupted[0].At) > crashDetectionTimeout
 }
 
 // expire forgets what is too old, after a last look at whether the targets of broken runs are gone. The lock is held.
 func (ld *Tracker) expire() {
 	now := ld.opts.Now()
-	for ld.overdue() {
-		rn := ld.broken[0]
+	for ld.detectionOverdue() {
+		rn := ld.interrupted[0]
 		if ld.opts.Crashed(rn.Incarnation) {
-			ld.end(rn.Incarnation, rn.At)
+			ld.addCrash(rn.Incarnation, rn.At)
 			continue
 		}
-		ld.broken = ld.broken[1:]
+		ld.interrupted = ld.interrupted[1:]
 	}
-	for len(ld.own) > 0 && now.Sub(ld.own[0].At) > tellFor {
-		ld.own = ld.own[1:]
+	for len(ld.localEvidence) > 0 && now.Sub(ld.localEvidence[0].At) > gossipDuration {
+		ld.localEvidence = ld.localEvidence[1:]
 	}
-	if now.Sub(ld.sweptAt) < sweepEvery {
+	if now.Sub(ld.lastExpiry) < expiryInterval {
 		return
 	}
-	ld.sweptAt = now
-	for id, en := range ld.ends {
-		if now.Sub(en.at) > rememberFor {
-			ld.forget(id)
+	ld.lastExpiry = now
+	for id, en := range ld.crashes {
+		if now.Sub(en.at) > evidenceTTL {
+			ld.removeCrash(id)
 		}
 	}
-	ld.expireJudgements(now)
-	ld.expireTrials()
+	ld.expireQuarantines(now)
+	ld.expireProbes()
 }
 
 // forgetOldest forgets the end that is longest ago. The lock is held.
-func (ld *Tracker) forgetOldest() {
+func (ld *Tracker) evictOldestCrash() {
 	oldest := ""
-	for id, en := range ld.ends {
-		if oldest == "" || en.at.Before(ld.ends[oldest].at) {
+	for id, en := range ld.crashes {
+		if oldest == "" || en.at.Before(ld.crashes[oldest].at) {
 			oldest = id
 		}
 	}
-	ld.forget(oldest)
+	ld.removeCrash(oldest)
 }
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -9,18 +9,18 @@
 const (
 	// chanceTrial is how likely it may be, at the most, that chance or other requests ended the targets under a request, for it to be
 	// run only on trial.
-	chanceTrial = 1e-2
+	maxProbationPValue = 1e-2
 	// trialPause is how long after an end under it, and after its trial, a request on trial is next run here. It doubles with each trial,
 	// up to trialPauseMost.
-	trialPause     = time.Second
-	trialPauseMost = 8 * time.Second
+	initialProbeInterval = time.Second
+	maxProbeInterval     = 8 * time.Second
 )
 
 // trial is the last run of a request on trial at this instance.
-type trial struct {
+type probe struct {
 	// at is when it was let through, pause how long it is not run after that, or after a later end.
-	at    time.Time
-	pause time.Duration
+	sentAt   time.Time
+	interval time.Duration
 }
 
 // Verdict says what is to be done with a request.
@@ -37,15 +37,15 @@
 func (ld *Tracker) Quarantined(fp fingerprint.Fingerprint) (ends int, judged bool) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.refresh()
-	jd, ok := ld.judgements[fp]
-	return jd.Crashes, ok && jd.inForce(ld.opts.Now())
+	ld.evaluate()
+	jd, ok := ld.quarantines[fp]
+	return jd.Crashes, ok && jd.activeAt(ld.opts.Now())
 }
 
 // refresh judges by what is known now. The lock is held.
-func (ld *Tracker) refresh() {
+func (ld *Tracker) evaluate() {
 	ld.expire()
-	if ld.judge() {
+	if ld.quarantineSuspects() {
 		ld.opts.NotifyPeers()
 	}
 }
@@ -55,48 +55,48 @@
 func (ld *Tracker) Check(fp fingerprint.Fingerprint) Decision {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.refresh()
+	ld.evaluate()
 	now := ld.opts.Now()
-	if jd, ok := ld.judgements[fp]; ok && jd.inForce(now) {
+	if jd, ok := ld.quarantines[fp]; ok && jd.activeAt(now) {
 		return Decision{Quarantined: true, Crashes: jd.Crashes}
 	}
-	open := ld.open()
+	open := ld.unexplained()
 	sp := ld.suspect(fp, open, open)
-	if sp.likely(ld.judgements[fp]) {
-		return Decision{Crashes: len(sp.runs), Delay: max(0, settleFor-now.Sub(sp.last()))}
+	if sp.meetsThresholds(ld.quarantines[fp]) {
+		return Decision{Crashes: len(sp.runs), Delay: max(0, settleDelay-now.Sub(sp.lastInterrupted()))}
 	}
-	return Decision{Crashes: len(sp.runs), Delay: ld.untilTrial(sp)}
+	return Decision{Crashes: len(sp.runs), Delay: ld.probeDelay(sp)}
 }
 
 // untilTrial returns how long a request that may end its targets is to wait before it is run again; zero when it may run now.
 //
 // While many targets end, too little tells the requests that end them from those beside them, above all at an instance that hears of no
 // peer. Run seldom, the former end few targets, and the latter are answered whole, which clears them. The lock is held.
-func (ld *Tracker) untilTrial(sp suspect) time.Duration {
-	if len(sp.runs) < endsLeast || sp.chance > chanceTrial {
+func (ld *Tracker) probeDelay(sp suspect) time.Duration {
+	if len(sp.runs) < minCrashes || sp.pValue > maxProbationPValue {
 		return 0
 	}
-	pb, tried := ld.trials[sp.request]
+	pb, tried := ld.probes[sp.request]
 	if !tried {
-		pb.pause = trialPause
+		pb.interval = initialProbeInterval
 	}
-	from := sp.last()
-	if pb.at.After(from) {
-		from = pb.at
+	from := sp.lastInterrupted()
+	if pb.sentAt.After(from) {
+		from = pb.sentAt
 	}
 	now := ld.opts.Now()
-	if wait := pb.pause - now.Sub(from); wait > 0 {
+	if wait := pb.interval - now.Sub(from); wait > 0 {
 		return wait
 	}
-	ld.trials[sp.request] = trial{at: now, pause: min(2*pb.pause, trialPauseMost)}
+	ld.probes[sp.request] = probe{sentAt: now, interval: min(2*pb.interval, maxProbeInterval)}
 	return 0
 }
 
 // expireTrials forgets the trials of requests that are no longer on trial. The lock is held.
-func (ld *Tracker) expireTrials() {
-	for fp := range ld.trials {
-		if ld.held[fp] < endsLeast {
-			delete(ld.trials, fp)
+func (ld *Tracker) expireProbes() {
+	for fp := range ld.probes {
+		if ld.evidenceCounts[fp] < minCrashes {
+			delete(ld.probes, fp)
 		}
 	}
 }
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -17,22 +17,22 @@
 const (
 	// chanceMost is how likely it may be, at the most, that targets ended by themselves just while a request ran, for it to be
 	// judged.
-	chanceMost = 1e-7
+	maxPValue = 1e-7
 	// chanceAgain is the same for a single end soon after a judgement has passed.
-	chanceAgain = 1e-2
+	maxRepeatPValue = 1e-2
 	// nearby is the time before and after an end in which other ends tell how often targets end anyway.
-	nearby = 5 * time.Second
+	rateWindow = 5 * time.Second
 	// closeBy is the same for the beginning of a bad time, which the longer span would show too late.
-	closeBy = time.Second
+	burstWindow = time.Second
 	// endsUnseen is added to the ends that were seen nearby, so that none seen is not taken for none possible.
-	endsUnseen = 0.5
+	crashPseudocount = 0.5
 	// exposureLeast is the least time that a run is taken to have been at its target: a round trip.
-	exposureLeast = time.Millisecond
+	minElapsed = time.Millisecond
 	// clearer is how much less likely by chance the ends under a request must be than those under another that stood under all of
 	// them too. Between two that are alike the next end decides, or the next whole answer.
-	clearer = 100
+	minPValueRatio = 100
 	// alikeEnds is how many ends judge the likeliest even so: requests that always come together would never be told apart.
-	alikeEnds = endsLeast + 2
+	tieBreakCrashes = minCrashes + 2
 )
 
 // suspect is a request with what is held against it.
@@ -41,14 +41,14 @@
 	// runs are those at targets whose ends nothing else explains, the shortest first.
 	runs []InterruptedRun
 	// longest is the longest time that one of the runs ran which chance is taken of.
-	longest time.Duration
+	maxElapsed time.Duration
 	// chance is how likely targets ended by themselves within that time, in so many of the runs. It is the least over the shortest
 	// runs: at a target where it waited before it ran, a request that ends targets seems to have run for long.
-	chance float64
+	pValue float64
 }
 
 // last returns when the newest of the runs was broken off.
-func (sp suspect) last() time.Time {
+func (sp suspect) lastInterrupted() time.Time {
 	var at time.Time
 	for _, rn := range sp.runs {
 		if rn.At.After(at) {
@@ -60,51 +60,51 @@
 
 // likely reports whether so many targets ended under the request that it is to be judged, once all is known of them. before is its
 // judgement that has passed, if any.
-func (sp suspect) likely(before Quarantine) bool {
+func (sp suspect) meetsThresholds(before Quarantine) bool {
 	if before.Level > 0 {
-		return len(sp.runs) > 0 && sp.chance <= chanceAgain
+		return len(sp.runs) > 0 && sp.pValue <= maxRepeatPValue
 	}
-	return len(sp.runs) >= endsLeast && sp.chance <= chanceMost
+	return len(sp.runs) >= minCrashes && sp.pValue <= maxPValue
 }
 
 // judge judges requests by what is known now, the most suspect first: it explains the ends under it, which are then held against
 // nobody else. It reports whether it judged any. The lock is held.
-func (ld *Tracker) judge() bool {
+func (ld *Tracker) quarantineSuspects() bool {
 	judged := false
 	for {
-		sp, ok := ld.mostSuspect()
+		sp, ok := ld.strongestSuspect()
 		if !ok {
 			return judged
 		}
 		judged = true
 		now := ld.opts.Now()
-		before := ld.judgements[sp.request]
+		before := ld.quarantines[sp.request]
 		level := before.Level + 1
 		jd := Quarantine{
-			Request: sp.request, Crashes: before.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(term(level)),
+			Request: sp.request, Crashes: before.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(quarantineDuration(level)),
 		}
-		ld.pass(jd, log.Fields{
-			"source": "own", "targets": names(sp.runs), "chance": strconv.FormatFloat(sp.chance, 'e', 1, 64),
+		ld.quarantine(jd, log.Fields{
+			"source": "own", "targets": joinTargets(sp.runs), "chance": strconv.FormatFloat(sp.pValue, 'e', 1, 64),
 		})
 	}
 }
 
 // mostSuspect returns the request that is to be judged next. The lock is held.
-func (ld *Tracker) mostSuspect() (suspect, bool) {
+func (ld *Tracker) strongestSuspect() (suspect, bool) {
 	suspects := ld.suspects()
 	slices.SortFunc(suspects, func(a, b suspect) int {
-		return cmp.Or(cmp.Compare(len(b.runs), len(a.runs)), cmp.Compare(a.chance, b.chance),
+		return cmp.Or(cmp.Compare(len(b.runs), len(a.runs)), cmp.Compare(a.pValue, b.pValue),
 			bytes.Compare(a.request[:], b.request[:]))
 	})
 	now := ld.opts.Now()
 	for no, sp := range suspects {
-		before := ld.judgements[sp.request]
-		if now.Sub(sp.last()) < settleFor || !sp.likely(before) {
+		before := ld.quarantines[sp.request]
+		if now.Sub(sp.lastInterrupted()) < settleDelay || !sp.meetsThresholds(before) {
 			continue
 		}
-		sp = ld.alone(sp, suspects[:no])
-		distinct := len(sp.runs) >= alikeEnds || !sp.alike(suspects)
-		if sp.likely(before) && distinct && !ld.outlived(sp) {
+		sp = ld.withoutSharedCrashes(sp, suspects[:no])
+		distinct := len(sp.runs) >= tieBreakCrashes || !sp.indistinguishable(suspects)
+		if sp.meetsThresholds(before) && distinct && !ld.hasLongerActiveRun(sp) {
 			return sp, true
 		}
 	}
@@ -113,11 +113,11 @@
 
 // alone returns what is held against a request of the ends under which none of the others ran that more ends are held against: it is
 // the likelier cause there, judged or not. The lock is held.
-func (ld *Tracker) alone(sp suspect, others []suspect) suspect {
-	open := ld.open()
-	mine := slices.DeleteFunc(slices.Clone(open), func(en *end) bool {
+func (ld *Tracker) withoutSharedCrashes(sp suspect, others []suspect) suspect {
+	open := ld.unexplained()
+	mine := slices.DeleteFunc(slices.Clone(open), func(en *crash) bool {
 		return slices.ContainsFunc(others, func(other suspect) bool {
-			_, ran := en.under[other.request]
+			_, ran := en.runsByRequest[other.request]
 			return ran && len(other.runs) > len(sp.runs)
 		})
 	})
@@ -125,14 +125,14 @@
 }
 
 // alike reports whether another request stood under all the same ends and is not clearly less suspect.
-func (sp suspect) alike(suspects []suspect) bool {
+func (sp suspect) indistinguishable(suspects []suspect) bool {
 	return slices.ContainsFunc(suspects, func(other suspect) bool {
-		return other.request != sp.request && other.chance < clearer*sp.chance && other.covers(sp.runs)
+		return other.request != sp.request && other.pValue < minPValueRatio*sp.pValue && other.ranOnAllTargetsOf(sp.runs)
 	})
 }
 
 // covers reports whether all runs were at targets that the request ran at too.
-func (sp suspect) covers(runs []InterruptedRun) bool {
+func (sp suspect) ranOnAllTargetsOf(runs []InterruptedRun) bool {
 	for _, rn := range runs {
 		if !slices.ContainsFunc(sp.runs, func(own InterruptedRun) bool { return own.Incarnation == rn.Incarnation }) {
 			return false
@@ -143,14 +143,14 @@
 
 // suspects returns the requests that may have to be judged. The lock is held.
 func (ld *Tracker) suspects() []suspect {
-	var open []*end
+	var open []*crash
 	var list []suspect
-	for fp, n := range ld.held {
-		if _, before := ld.judgements[fp]; !before && n < endsLeast {
+	for fp, n := range ld.evidenceCounts {
+		if _, before := ld.quarantines[fp]; !before && n < minCrashes {
 			continue
 		}
 		if open == nil {
-			open = ld.open()
+			open = ld.unexplained()
 		}
 		if sp := ld.suspect(fp, open, open); len(sp.runs) > 0 {
 			list = append(list, sp)
@@ -160,9 +160,9 @@
 }
 
 // open returns the ends that no judged request explains. The lock is held.
-func (ld *Tracker) open() []*end {
-	open := make([]*end, 0, len(ld.ends))
-	for _, en := range ld.ends {
+func (ld *Tracker) unexplained() []*crash {
+	open := make([]*crash, 0, len(ld.crashes))
+	for _, en := range ld.crashes {
 		if !ld.explained(en) {
 			open = append(open, en)
 		}
@@ -171,12 +171,12 @@
 }
 
 // explained reports whether a request that was judged afterwards explains an end. The lock is held.
-func (ld *Tracker) explained(en *end) bool {
-	if len(ld.judgements) == 0 {
+func (ld *Tracker) explained(en *crash) bool {
+	if len(ld.quarantines) == 0 {
 		return false
 	}
-	for fp, rn := range en.under {
-		if jd, judged := ld.judgements[fp]; judged && rn.At.Before(jd.Until) {
+	for fp, rn := range en.runsByRequest {
+		if jd, judged := ld.quarantines[fp]; judged && rn.At.Before(jd.Until) {
 			return true
 		}
 	}
@@ -184,10 +184,10 @@
 }
 
 // suspect returns what some ends are held against a request, among all that are open. The lock is held.
-func (ld *Tracker) suspect(fp fingerprint.Fingerprint, ends, open []*end) suspect {
-	sp := suspect{request: fp, chance: 1}
+func (ld *Tracker) suspect(fp fingerprint.Fingerprint, ends, open []*crash) suspect {
+	sp := suspect{request: fp, pValue: 1}
 	for _, en := range ends {
-		if rn, ran := en.under[fp]; ran {
+		if rn, ran := en.runsByRequest[fp]; ran {
 			sp.runs = append(sp.runs, rn)
 		}
 	}
@@ -196,19 +196,19 @@
 	})
 	rates := make([]float64, len(sp.runs))
 	for i, rn := range sp.runs {
-		rates[i] = ld.rate(rn, open)
+		rates[i] = ld.backgroundCrashRate(rn, open)
 	}
-	for n := min(endsLeast, len(sp.runs)); n <= len(sp.runs) && n > 0; n++ {
-		longest := max(exposureLeast, sp.runs[n-1].Elapsed)
-		if chance := chanceOf(rates, n, longest); chance < sp.chance {
-			sp.chance, sp.longest = chance, longest
+	for n := min(minCrashes, len(sp.runs)); n <= len(sp.runs) && n > 0; n++ {
+		longest := max(minElapsed, sp.runs[n-1].Elapsed)
+		if chance := coincidenceProbability(rates, n, longest); chance < sp.pValue {
+			sp.pValue, sp.maxElapsed = chance, longest
 		}
 	}
 	return sp
 }
 
 // chanceOf is how likely targets ended by themselves within a time in n runs of all, by the rates at which targets ended about each.
-func chanceOf(rates []float64, n int, within time.Duration) float64 {
+func coincidenceProbability(rates []float64, n int, within time.Duration) float64 {
 	chance := 1.0
 	for i, rate := range rates[:n] {
 		// The first factors make the number of ways to take n of the runs.
@@ -220,19 +220,19 @@
 
 // rate is how often a target ended by itself about the time of a run, a second, by the ends under which its request did not run. The
 // lock is held.
-func (ld *Tracker) rate(rn InterruptedRun, open []*end) float64 {
+func (ld *Tracker) backgroundCrashRate(rn InterruptedRun, open []*crash) float64 {
 	highest := 0.0
-	for _, span := range []time.Duration{nearby, closeBy} {
-		highest = max(highest, ld.density(rn, open, span, 0))
+	for _, span := range []time.Duration{rateWindow, burstWindow} {
+		highest = max(highest, ld.crashRate(rn, open, span, 0))
 	}
-	return max(highest, ld.density(rn, open, nearby, endsUnseen))
+	return max(highest, ld.crashRate(rn, open, rateWindow, crashPseudocount))
 }
 
 // density is the rate within a span before and after a run; unseen is added to the ends in it.
-func (ld *Tracker) density(rn InterruptedRun, open []*end, span time.Duration, unseen float64) float64 {
+func (ld *Tracker) crashRate(rn InterruptedRun, open []*crash, span time.Duration, unseen float64) float64 {
 	ends := unseen
 	for _, en := range open {
-		if _, ran := en.under[rn.Request]; !ran && en.at.Sub(rn.At).Abs() <= span {
+		if _, ran := en.runsByRequest[rn.Request]; !ran && en.at.Sub(rn.At).Abs() <= span {
 			ends++
 		}
 	}
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -23,27 +23,27 @@
 }
 
 // inForce reports whether the request is refused at a time.
-func (qu Quarantine) inForce(now time.Time) bool { return now.Before(qu.Until) }
+func (qu Quarantine) activeAt(now time.Time) bool { return now.Before(qu.Until) }
 
 // forgetAt is when a judgement that has passed is forgotten: until then one more end is enough for the next.
-func (qu Quarantine) forgetAt() time.Time { return qu.Until.Add(qu.Until.Sub(qu.Since)) }
+func (qu Quarantine) retainedUntil() time.Time { return qu.Until.Add(qu.Until.Sub(qu.Since)) }
 
 // term is how long a judgement of a level is in force.
-func term(level int) time.Duration {
-	d := judgedFor
+func quarantineDuration(level int) time.Duration {
+	d := initialQuarantine
 	for range level - 1 {
-		d = min(2*d, judgedMost)
+		d = min(2*d, maxQuarantine)
 	}
 	return d
 }
 
 // clearance says that nothing is held against a request that happened up to a time.
-type clearance struct {
+type tombstone struct {
 	at time.Time
 	// until is how long it stands against judgements that peers still tell; zero where there was none.
 	until time.Time
 	// lifted is set when an operator cleared it: then all instances tell it on.
-	lifted bool
+	byOperator bool
 }
 
 // Judgements returns those in force, by fingerprint.
@@ -52,8 +52,8 @@
 	defer ld.mu.Unlock()
 	now := ld.opts.Now()
 	var list []Quarantine
-	for _, jd := range ld.judgements {
-		if jd.inForce(now) {
+	for _, jd := range ld.quarantines {
+		if jd.activeAt(now) {
 			list = append(list, jd)
 		}
 	}
@@ -66,23 +66,23 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
-	if _, judged := ld.judgements[fp]; !judged {
+	if _, judged := ld.quarantines[fp]; !judged {
 		return false
 	}
-	ld.clear(fp, clearance{at: ld.opts.Now(), lifted: true})
-	ld.changed()
+	ld.clear(fp, tombstone{at: ld.opts.Now(), byOperator: true})
+	ld.evaluateAndNotify()
 	return true
 }
 
 // pass notes a judgement. The lock is held.
-func (ld *Tracker) pass(jd Quarantine, fields log.Fields) {
-	if len(ld.judgements) >= maxJudged {
-		ld.forgetJudgement()
+func (ld *Tracker) quarantine(jd Quarantine, fields log.Fields) {
+	if len(ld.quarantines) >= maxQuarantines {
+		ld.evictQuarantine()
 	}
-	if _, before := ld.judgements[jd.Request]; !before {
-		add(ld.origins, jd.Request.HeadHash(), 1)
+	if _, before := ld.quarantines[jd.Request]; !before {
+		adjustCount(ld.headCounts, jd.Request.HeadHash(), 1)
 	}
-	ld.judgements[jd.Request] = jd
+	ld.quarantines[jd.Request] = jd
 	fields["fingerprint"] = jd.Request.String()
 	fields["ends"] = jd.Crashes
 	fields["level"] = jd.Level
@@ -91,55 +91,55 @@
 }
 
 // forgetJudgement forgets the judgement that passes first. The lock is held.
-func (ld *Tracker) forgetJudgement() {
+func (ld *Tracker) evictQuarantine() {
 	var first Quarantine
-	for _, jd := range ld.judgements {
+	for _, jd := range ld.quarantines {
 		if first.Until.IsZero() || jd.Until.Before(first.Until) {
 			first = jd
 		}
 	}
-	ld.dropJudgement(first.Request)
+	ld.removeQuarantine(first.Request)
 }
 
 // dropJudgement forgets a judgement. The lock is held.
-func (ld *Tracker) dropJudgement(fp fingerprint.Fingerprint) {
-	delete(ld.judgements, fp)
-	add(ld.origins, fp.HeadHash(), -1)
+func (ld *Tracker) removeQuarantine(fp fingerprint.Fingerprint) {
+	delete(ld.quarantines, fp)
+	adjustCount(ld.headCounts, fp.HeadHash(), -1)
 }
 
 // clear takes back all that is held against a request up to a time, and reports whether that was anything. The lock is held.
-func (ld *Tracker) clear(fp fingerprint.Fingerprint, cl clearance) bool {
-	held := ld.release(fp, cl.at)
-	ld.own = slices.DeleteFunc(ld.own, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
-	ld.broken = slices.DeleteFunc(ld.broken, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
-	if jd, ok := ld.judgements[fp]; ok {
+func (ld *Tracker) clear(fp fingerprint.Fingerprint, cl tombstone) bool {
+	held := ld.removeEvidence(fp, cl.at)
+	ld.localEvidence = slices.DeleteFunc(ld.localEvidence, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
+	ld.interrupted = slices.DeleteFunc(ld.interrupted, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
+	if jd, ok := ld.quarantines[fp]; ok {
 		held = true
-		cl.until = jd.forgetAt()
-		ld.dropJudgement(fp)
+		cl.until = jd.retainedUntil()
+		ld.removeQuarantine(fp)
 		ld.opts.Log.WithFields(log.Fields{
-			"fingerprint": fp.String(), "ends": jd.Crashes, "lifted": cl.lifted,
+			"fingerprint": fp.String(), "ends": jd.Crashes, "lifted": cl.byOperator,
 		}).Warn("judgement taken back")
 	}
 	if !held {
 		return false
 	}
-	if len(ld.cleared) >= maxJudged {
-		ld.forgetCleared()
+	if len(ld.tombstones) >= maxQuarantines {
+		ld.evictOldestTombstone()
 	}
-	ld.cleared[fp] = cl
+	ld.tombstones[fp] = cl
 	return true
 }
 
 // release takes back the ends that are held against a request up to a time, and reports whether there were any. The lock is held.
-func (ld *Tracker) release(fp fingerprint.Fingerprint, until time.Time) bool {
-	if ld.held[fp] == 0 {
+func (ld *Tracker) removeEvidence(fp fingerprint.Fingerprint, until time.Time) bool {
+	if ld.evidenceCounts[fp] == 0 {
 		return false
 	}
 	released := false
-	for _, en := range ld.ends {
-		if rn, ok := en.under[fp]; ok && !rn.At.After(until) {
-			delete(en.under, fp)
-			ld.weigh(fp, -1)
+	for _, en := range ld.crashes {
+		if rn, ok := en.runsByRequest[fp]; ok && !rn.At.After(until) {
+			delete(en.runsByRequest, fp)
+			ld.adjustCounts(fp, -1)
 			released = true
 		}
 	}
@@ -147,32 +147,32 @@
 }
 
 // forgetCleared forgets the clearance that is longest ago. The lock is held.
-func (ld *Tracker) forgetCleared() {
+func (ld *Tracker) evictOldestTombstone() {
 	var oldest fingerprint.Fingerprint
-	for fp, cl := range ld.cleared {
-		if first, ok := ld.cleared[oldest]; !ok || cl.at.Before(first.at) {
+	for fp, cl := range ld.tombstones {
+		if first, ok := ld.tombstones[oldest]; !ok || cl.at.Before(first.at) {
 			oldest = fp
 		}
 	}
-	delete(ld.cleared, oldest)
+	delete(ld.tombstones, oldest)
 }
 
 // expireJudgements forgets judgements and clearances that are too old. The lock is held.
-func (ld *Tracker) expireJudgements(now time.Time) {
-	for fp, jd := range ld.judgements {
-		if !now.Before(jd.forgetAt()) {
-			ld.dropJudgement(fp)
+func (ld *Tracker) expireQuarantines(now time.Time) {
+	for fp, jd := range ld.quarantines {
+		if !now.Before(jd.retainedUntil()) {
+			ld.removeQuarantine(fp)
 		}
 	}
-	for fp, cl := range ld.cleared {
-		if now.Sub(cl.at) > tellFor && !now.Before(cl.until) {
-			delete(ld.cleared, fp)
+	for fp, cl := range ld.tombstones {
+		if now.Sub(cl.at) > gossipDuration && !now.Before(cl.until) {
+			delete(ld.tombstones, fp)
 		}
 	}
 }
 
 // names lists the targets of runs, separated by commas.
-func names(runs []InterruptedRun) string {
+func joinTargets(runs []InterruptedRun) string {
 	ids := make([]string, len(runs))
 	for i, rn := range runs {
 		ids[i] = rn.Incarnation
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -10,13 +10,13 @@
 // Running is a run of a request that its target has begun to answer. While it goes on for longer than the runs that ended with their
 // targets, the request is not judged: it may be answered whole.
 type ActiveRun struct {
-	ledger *Tracker
-	origin fingerprint.HeadHash
+	tracker  *Tracker
+	headHash fingerprint.HeadHash
 	// request makes the fingerprint, which costs time for a long body.
-	request func() fingerprint.Fingerprint
-	since   time.Time
+	digest func() fingerprint.Fingerprint
+	since  time.Time
 	// told is set once peers heard that it goes on: they have to hear of its end too.
-	told bool
+	reported bool
 }
 
 // Survivor tells a peer of a run that goes on of a request under which targets ended.
@@ -28,54 +28,54 @@
 
 // Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
 func (ld *Tracker) BeginRun(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
-	ru := &ActiveRun{ledger: ld, origin: or, request: request, since: ld.opts.Now()}
+	ru := &ActiveRun{tracker: ld, headHash: or, digest: request, since: ld.opts.Now()}
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	ld.running[or] = append(ld.running[or], ru)
+	ld.activeRuns[or] = append(ld.activeRuns[or], ru)
 	return ru
 }
 
 // End notes that the run is over, however it went.
 func (ar *ActiveRun) End() {
-	tr := ar.ledger
+	tr := ar.tracker
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	rest := slices.DeleteFunc(tr.running[ar.origin], func(other *ActiveRun) bool { return other == ar })
+	rest := slices.DeleteFunc(tr.activeRuns[ar.headHash], func(other *ActiveRun) bool { return other == ar })
 	if len(rest) == 0 {
-		delete(tr.running, ar.origin)
+		delete(tr.activeRuns, ar.headHash)
 	} else {
-		tr.running[ar.origin] = rest
+		tr.activeRuns[ar.headHash] = rest
 	}
-	if ar.told || tr.origins[ar.origin] > 0 {
+	if ar.reported || tr.headCounts[ar.headHash] > 0 {
 		tr.opts.NotifyPeers()
 	}
 }
 
 // survivors returns the runs that go on here of requests that may come to be judged. The lock is held.
-func (ld *Tracker) survivors() []ActiveRunSummary {
+func (ld *Tracker) activeRunSummaries() []ActiveRunSummary {
 	var list []ActiveRunSummary
-	for or, runs := range ld.running {
-		if ld.origins[or] < endsLeast-1 {
+	for or, runs := range ld.activeRuns {
+		if ld.headCounts[or] < minCrashes-1 {
 			continue
 		}
 		for _, ru := range runs {
-			ru.told = true
-			list = append(list, ActiveRunSummary{Request: ru.request(), Since: ru.since})
+			ru.reported = true
+			list = append(list, ActiveRunSummary{Request: ru.digest(), Since: ru.since})
 		}
 	}
 	return list
 }
 
 // outlived reports whether a run goes on, here or at a peer, for longer than those that ended with their targets. The lock is held.
-func (ld *Tracker) outlived(sp suspect) bool {
-	before := ld.opts.Now().Add(-sp.longest)
+func (ld *Tracker) hasLongerActiveRun(sp suspect) bool {
+	before := ld.opts.Now().Add(-sp.maxElapsed)
 	longer := func(sv ActiveRunSummary) bool { return sv.Request == sp.request && sv.Since.Before(before) }
-	for _, ru := range ld.running[sp.request.HeadHash()] {
-		if longer(ActiveRunSummary{Request: ru.request(), Since: ru.since}) {
+	for _, ru := range ld.activeRuns[sp.request.HeadHash()] {
+		if longer(ActiveRunSummary{Request: ru.digest(), Since: ru.since}) {
 			return true
 		}
 	}
-	for _, told := range ld.told {
+	for _, told := range ld.peerRuns {
 		if slices.ContainsFunc(told, longer) {
 			return true
 		}
@@ -87,5 +87,5 @@
 func (ld *Tracker) RemovePeer(peer string) {
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
-	delete(ld.told, peer)
+	delete(ld.peerRuns, peer)
 }
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -12,7 +12,7 @@
 
 // clearMargin is how much later than a clearance a judgement that a peer tells must have been passed to stand against it: ages told
 // by peers are off by what their frames were under way.
-const clearMargin = time.Second
+const ageTolerance = time.Second
 
 // Clearance tells a peer that nothing is held against a request that happened up to a time.
 type Tombstone struct {
@@ -41,13 +41,13 @@
 	defer ld.mu.Unlock()
 	ld.expire()
 	now := ld.opts.Now()
-	nt := Snapshot{Evidence: slices.Clone(ld.own), ActiveRuns: ld.survivors()}
-	for fp, cl := range ld.cleared {
-		if cl.lifted || now.Sub(cl.at) <= tellFor {
-			nt.Tombstones = append(nt.Tombstones, Tombstone{Request: fp, At: cl.at, ByOperator: cl.lifted, Until: cl.until})
+	nt := Snapshot{Evidence: slices.Clone(ld.localEvidence), ActiveRuns: ld.activeRunSummaries()}
+	for fp, cl := range ld.tombstones {
+		if cl.byOperator || now.Sub(cl.at) <= gossipDuration {
+			nt.Tombstones = append(nt.Tombstones, Tombstone{Request: fp, At: cl.at, ByOperator: cl.byOperator, Until: cl.until})
 		}
 	}
-	for _, jd := range ld.judgements {
+	for _, jd := range ld.quarantines {
 		nt.Quarantines = append(nt.Quarantines, jd)
 	}
 	slices.SortFunc(nt.Tombstones, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
@@ -60,49 +60,49 @@
 	ld.mu.Lock()
 	defer ld.mu.Unlock()
 	ld.expire()
-	before, surviving := len(ld.own), len(ld.survivors())
+	before, surviving := len(ld.localEvidence), len(ld.activeRunSummaries())
 	for _, cl := range nt.Tombstones {
-		ld.hearClearance(cl)
+		ld.mergeTombstone(cl)
 	}
 	for _, rn := range nt.Evidence {
-		if _, known := ld.ends[rn.Incarnation]; !known {
-			ld.end(rn.Incarnation, rn.At)
+		if _, known := ld.crashes[rn.Incarnation]; !known {
+			ld.addCrash(rn.Incarnation, rn.At)
 		}
-		ld.hold(rn, false)
+		ld.addEvidence(rn, false)
 	}
 	for _, jd := range nt.Quarantines {
-		ld.hearJudgement(peer, jd)
+		ld.mergeQuarantine(peer, jd)
 	}
-	ld.told[peer] = nt.ActiveRuns
-	judged := ld.judge()
-	if judged || len(ld.own) != before || len(ld.survivors()) != surviving {
+	ld.peerRuns[peer] = nt.ActiveRuns
+	judged := ld.quarantineSuspects()
+	if judged || len(ld.localEvidence) != before || len(ld.activeRunSummaries()) != surviving {
 		ld.opts.NotifyPeers()
 	}
 }
 
 // hearClearance takes a clearance that a peer tells. Only what an operator lifted is told on. The lock is held.
-func (ld *Tracker) hearClearance(cl Tombstone) {
-	if own, ok := ld.cleared[cl.Request]; ok && !cl.At.After(own.at) {
+func (ld *Tracker) mergeTombstone(cl Tombstone) {
+	if own, ok := ld.tombstones[cl.Request]; ok && !cl.At.After(own.at) {
 		return
 	}
-	jd, judged := ld.judgements[cl.Request]
-	if judged && jd.Since.After(cl.At.Add(clearMargin)) {
+	jd, judged := ld.quarantines[cl.Request]
+	if judged && jd.Since.After(cl.At.Add(ageTolerance)) {
 		return
 	}
-	ld.clear(cl.Request, clearance{at: cl.At, until: cl.Until, lifted: cl.ByOperator})
+	ld.clear(cl.Request, tombstone{at: cl.At, until: cl.Until, byOperator: cl.ByOperator})
 }
 
 // hearJudgement takes a judgement that a peer tells: a new one, or one that was passed again. The lock is held.
-func (ld *Tracker) hearJudgement(peer string, jd Quarantine) {
-	if cl, ok := ld.cleared[jd.Request]; ok && !jd.Since.After(cl.at.Add(clearMargin)) {
+func (ld *Tracker) mergeQuarantine(peer string, jd Quarantine) {
+	if cl, ok := ld.tombstones[jd.Request]; ok && !jd.Since.After(cl.at.Add(ageTolerance)) {
 		return
 	}
-	if own, ok := ld.judgements[jd.Request]; ok && own.Level >= jd.Level {
+	if own, ok := ld.quarantines[jd.Request]; ok && own.Level >= jd.Level {
 		return
 	}
-	if !ld.opts.Now().Before(jd.forgetAt()) {
+	if !ld.opts.Now().Before(jd.retainedUntil()) {
 		return
 	}
-	ld.pass(jd, log.Fields{"source": "peer", "peer": peer, "age": ld.opts.Now().Sub(jd.Since).Round(time.Millisecond).String()})
+	ld.quarantine(jd, log.Fields{"source": "peer", "peer": peer, "age": ld.opts.Now().Sub(jd.Since).Round(time.Millisecond).String()})
 	ld.opts.NotifyPeers()
 }
--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -60,7 +60,7 @@
 	EndsTargets Code = "ends_targets"
 )
 
-var statusOf = map[Code]int{
+var statusByCode = map[Code]int{
 	BadRequest:          http.StatusBadRequest,
 	Unauthorized:        http.StatusUnauthorized,
 	Forbidden:           http.StatusForbidden,
@@ -142,7 +142,7 @@
 
 // Status returns the HTTP status of the failure.
 func (fe *Error) Status() int {
-	if s, ok := statusOf[fe.Code]; ok {
+	if s, ok := statusByCode[fe.Code]; ok {
 		return s
 	}
 	return http.StatusInternalServerError
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -11,11 +11,11 @@
 
 const (
 	// originSize is what a fingerprint begins with: enough that a request with another origin is seldom taken for one with this.
-	originSize = 4
+	headHashSize = 4
 	// digestSize is half of a SHA-256: nobody finds a request whose fingerprint is that of another caller's.
 	digestSize = sha256.Size / 2
 	// Size is the length of a fingerprint in bytes.
-	Size = originSize + digestSize
+	Size = headHashSize + digestSize
 )
 
 // Fingerprint is equal for two requests of one caller with the same method, host, path, query and body.
@@ -23,7 +23,7 @@
 
 // Origin is equal for two requests of one caller with the same method, host, path, query and length of the body. It costs the same
 // for a short and a long body.
-type HeadHash [originSize]byte
+type HeadHash [headHashSize]byte
 
 // Request is what a fingerprint is made of. What differs between two tries of a caller is no part of it: the id, the deadline
 // and other headers.
@@ -40,7 +40,7 @@
 func Of(rq Request) Fingerprint {
 	hs := sha256.New()
 	// A hash takes all that is written to it.
-	_, _ = hs.Write(rq.head())
+	_, _ = hs.Write(rq.encodeHead())
 	_, _ = hs.Write(rq.Body)
 	fp := Fingerprint{}
 	origin := HeadHashOf(rq)
@@ -50,12 +50,12 @@
 
 // OriginOf returns the origin of a request.
 func HeadHashOf(rq Request) HeadHash {
-	sum := sha256.Sum256(rq.head())
-	return HeadHash(sum[:originSize])
+	sum := sha256.Sum256(rq.encodeHead())
+	return HeadHash(sum[:headHashSize])
 }
 
 // head returns all but the content of the body. Each part is written after its length, so that none can pass for a piece of another.
-func (rq Request) head() []byte {
+func (rq Request) encodeHead() []byte {
 	var b []byte
 	for _, part := range []string{rq.Organisation, rq.Method, rq.Host, rq.RequestURI} {
 		b = binary.AppendUvarint(b, uint64(len(part)))
@@ -65,7 +65,7 @@
 }
 
 // Origin returns the origin of the request that has the fingerprint.
-func (fp Fingerprint) HeadHash() HeadHash { return HeadHash(fp[:originSize]) }
+func (fp Fingerprint) HeadHash() HeadHash { return HeadHash(fp[:headHashSize]) }
 
 // String returns the fingerprint in hex.
 func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:]) }
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -18,7 +18,7 @@
 }
 
 // busy reports whether an order is on its way.
-func (en Engine) busy() bool { return en.Desired != nil && !slices.Equal(en.Desired, en.Models) }
+func (en Engine) isLoading() bool { return en.Desired != nil && !slices.Equal(en.Desired, en.Models) }
 
 // Change is the wanted end state of one engine.
 type Assignment struct {
@@ -30,11 +30,11 @@
 // serving copy away, and lets at most maxLoading engines load at a time.
 func Plan(engines []Engine, copies map[string]int, maxLoading int) []Assignment {
 	engines = slices.SortedFunc(slices.Values(engines), func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
-	serving, coming, loading := count(engines)
+	serving, coming, loading := countCopies(engines)
 	var changes []Assignment
-	for _, model := range sorted(copies) {
+	for _, model := range sortedModels(copies) {
 		for coming[model] < copies[model] && loading < maxLoading {
-			i := spare(engines, serving, copies)
+			i := findReassignable(engines, serving, copies)
 			if i < 0 {
 				return changes
 			}
@@ -52,14 +52,14 @@
 }
 
 // count returns the copies that serve now, those there will be once all orders are done, and the engines that load.
-func count(engines []Engine) (serving, coming map[string]int, loading int) {
+func countCopies(engines []Engine) (serving, coming map[string]int, loading int) {
 	serving, coming = map[string]int{}, map[string]int{}
 	for _, en := range engines {
 		for _, m := range en.Models {
 			serving[m]++
 		}
 		end := en.Models
-		if en.busy() {
+		if en.isLoading() {
 			loading++
 			end = en.Desired
 		}
@@ -71,9 +71,9 @@
 }
 
 // spare returns an engine that no model needs: idle, and each of its models has more copies than wanted elsewhere.
-func spare(engines []Engine, serving, copies map[string]int) int {
+func findReassignable(engines []Engine, serving, copies map[string]int) int {
 	return slices.IndexFunc(engines, func(en Engine) bool {
-		if en.busy() {
+		if en.isLoading() {
 			return false
 		}
 		for _, m := range en.Models {
@@ -86,7 +86,7 @@
 	})
 }
 
-func sorted(copies map[string]int) []string {
+func sortedModels(copies map[string]int) []string {
 	models := make([]string, 0, len(copies))
 	for m := range copies {
 		models = append(models, m)
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -46,13 +46,13 @@
 		}
 		maxLoading := rapid.IntRange(1, 3).Draw(t, "loading")
 		for range 20 {
-			before, _, _ := count(engines)
+			before, _, _ := countCopies(engines)
 			changes := Plan(engines, copies, maxLoading)
 			if len(changes) > maxLoading {
 				t.Fatalf("%d engines load at once", len(changes))
 			}
 			apply(engines, changes)
-			after, _, _ := count(engines)
+			after, _, _ := countCopies(engines)
 			for m, n := range before {
 				if n > 0 && copies[m] > 0 && after[m] == 0 {
 					t.Fatalf("model %s lost its last copy", m)
