--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -120,101 +120,101 @@
 }
 
 // Broke notes a run that its target broke off. It is held against the request if the target turns out to have ended.
-func (ld *Tracker) RecordInterrupted(rn InterruptedRun) {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.expire()
-	if _, ended := ld.crashes[rn.Incarnation]; ended {
-		ld.addEvidence(rn, true)
-		ld.evaluateAndNotify()
+func (tr *Tracker) RecordInterrupted(rn InterruptedRun) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.expire()
+	if _, ended := tr.crashes[rn.Incarnation]; ended {
+		tr.addEvidence(rn, true)
+		tr.evaluateAndNotify()
 		return
 	}
-	if len(ld.interrupted) >= maxInterruptedRuns {
-		ld.interrupted = ld.interrupted[1:]
+	if len(tr.interrupted) >= maxInterruptedRuns {
+		tr.interrupted = tr.interrupted[1:]
 	}
-	ld.interrupted = append(ld.interrupted, rn)
+	tr.interrupted = append(tr.interrupted, rn)
 }
 
 // Ended notes that a target has ended.
-func (ld *Tracker) RecordCrash(incarnation string) {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.expire()
-	if _, known := ld.crashes[incarnation]; known {
+func (tr *Tracker) RecordCrash(incarnation string) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.expire()
+	if _, known := tr.crashes[incarnation]; known {
 		return
 	}
-	ld.addCrash(incarnation, ld.opts.Now())
-	ld.evaluateAndNotify()
+	tr.addCrash(incarnation, tr.opts.Now())
+	tr.evaluateAndNotify()
 }
 
 // changed judges by what is known now, and has peers told. The lock is held.
-func (ld *Tracker) evaluateAndNotify() {
-	ld.quarantineSuspects()
-	ld.opts.NotifyPeers()
+func (tr *Tracker) evaluateAndNotify() {
+	tr.quarantineSuspects()
+	tr.opts.NotifyPeers()
 }
 
 // end notes the end of a target, and holds against their requests the runs that it broke off here. The lock is held.
-func (ld *Tracker) addCrash(incarnation string, at time.Time) {
-	if len(ld.crashes) >= maxCrashRecords {
-		ld.evictOldestCrash()
+func (tr *Tracker) addCrash(incarnation string, at time.Time) {
+	if len(tr.crashes) >= maxCrashRecords {
+		tr.evictOldestCrash()
 	}
-	ld.crashes[incarnation] = &crash{at: at, runsByRequest: map[fingerprint.Fingerprint]InterruptedRun{}}
-	kept := ld.interrupted[:0]
-	for _, rn := range ld.interrupted {
+	tr.crashes[incarnation] = &crash{at: at, runsByRequest: map[fingerprint.Fingerprint]InterruptedRun{}}
+	kept := tr.interrupted[:0]
+	for _, rn := range tr.interrupted {
 		if rn.Incarnation != incarnation {
 			kept = append(kept, rn)
 			continue
 		}
-		ld.addEvidence(rn, true)
+		tr.addEvidence(rn, true)
 	}
-	ld.interrupted = kept
+	tr.interrupted = kept
 }
 
 // hold holds the end of a target against the request that it ran. The lock is held.
-func (ld *Tracker) addEvidence(rn InterruptedRun, own bool) {
-	en := ld.crashes[rn.Incarnation]
+func (tr *Tracker) addEvidence(rn InterruptedRun, own bool) {
+	en := tr.crashes[rn.Incarnation]
 	if _, known := en.runsByRequest[rn.Request]; known || len(en.runsByRequest) >= maxRunsPerCrash {
 		return
 	}
-	if cl, ok := ld.tombstones[rn.Request]; ok && !rn.At.After(cl.at) {
+	if cl, ok := tr.tombstones[rn.Request]; ok && !rn.At.After(cl.at) {
 		return
 	}
 	en.runsByRequest[rn.Request] = rn
-	ld.adjustCounts(rn.Request, 1)
+	tr.adjustCounts(rn.Request, 1)
 	if rn.At.Before(en.at) {
 		en.at = rn.At
 	}
 	if own {
-		ld.localEvidence = append(ld.localEvidence, rn)
+		tr.localEvidence = append(tr.localEvidence, rn)
 	}
 }
 
 // Served notes a whole answer, which clears the request of all that happened before.
-func (ld *Tracker) RecordAnswered(fp fingerprint.Fingerprint) {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.expire()
-	if ld.clear(fp, tombstone{at: ld.opts.Now()}) {
-		ld.evaluateAndNotify()
+func (tr *Tracker) RecordAnswered(fp fingerprint.Fingerprint) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.expire()
+	if tr.clear(fp, tombstone{at: tr.opts.Now()}) {
+		tr.evaluateAndNotify()
 	}
 }
 
 // Knows reports whether anything is held against a request of an origin. Only then Check and Served have to be asked.
-func (ld *Tracker) HasEvidence(or fingerprint.HeadHash) bool {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	if ld.detectionOverdue() {
+func (tr *Tracker) HasEvidence(or fingerprint.HeadHash) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if tr.detectionOverdue() {
 		// Ends that the list alone tells come to light when their runs are given up for unexplained.
-		ld.expire()
-		ld.evaluateAndNotify()
+		tr.expire()
+		tr.evaluateAndNotify()
 	}
-	return ld.headCounts[or] > 0
+	return tr.headCounts[or] > 0
 }
 
 // weigh counts ends that are held against a request, or no longer. The lock is held.
-func (ld *Tracker) adjustCounts(fp fingerprint.Fingerprint, ends int) {
-	adjustCount(ld.evidenceCounts, fp, ends)
-	adjustCount(ld.headCounts, fp.HeadHash(), ends)
+func (tr *Tracker) adjustCounts(fp fingerprint.Fingerprint, ends int) {
+	adjustCount(tr.evidenceCounts, fp, ends)
+	adjustCount(tr.headCounts, fp.HeadHash(), ends)
 }
 
 // add changes a count, and removes it at zero.
@@ -226,52 +226,52 @@
 }
 
 // forget forgets a target that ended. The lock is held.
-func (ld *Tracker) removeCrash(incarnation string) {
-	for fp := range ld.crashes[incarnation].runsByRequest {
-		ld.adjustCounts(fp, -1)
+func (tr *Tracker) removeCrash(incarnation string) {
+	for fp := range tr.crashes[incarnation].runsByRequest {
+		tr.adjustCounts(fp, -1)
 	}
-	delete(ld.crashes, incarnation)
+	delete(tr.crashes, incarnation)
 }
 
 // overdue reports whether the target of a broken run has to be known to have ended by now. The lock is held.
-func (ld *Tracker) detectionOverdue() bool {
-	return len(ld.interrupted) > 0 && ld.opts.Now().Sub(ld.interrupted[0].At) > crashDetectionTimeout
+func (tr *Tracker) detectionOverdue() bool {
+	return len(tr.interrupted) > 0 && tr.opts.Now().Sub(tr.interrupted[0].At) > crashDetectionTimeout
 }
 
 // expire forgets what is too old, after a last look at whether the targets of broken runs are gone. The lock is held.
-func (ld *Tracker) expire() {
-	now := ld.opts.Now()
-	for ld.detectionOverdue() {
-		rn := ld.interrupted[0]
-		if ld.opts.Crashed(rn.Incarnation) {
-			ld.addCrash(rn.Incarnation, rn.At)
+func (tr *Tracker) expire() {
+	now := tr.opts.Now()
+	for tr.detectionOverdue() {
+		rn := tr.interrupted[0]
+		if tr.opts.Crashed(rn.Incarnation) {
+			tr.addCrash(rn.Incarnation, rn.At)
 			continue
 		}
-		ld.interrupted = ld.interrupted[1:]
+		tr.interrupted = tr.interrupted[1:]
 	}
-	for len(ld.localEvidence) > 0 && now.Sub(ld.localEvidence[0].At) > gossipDuration {
-		ld.localEvidence = ld.localEvidence[1:]
+	for len(tr.localEvidence) > 0 && now.Sub(tr.localEvidence[0].At) > gossipDuration {
+		tr.localEvidence = tr.localEvidence[1:]
 	}
-	if now.Sub(ld.lastExpiry) < expiryInterval {
+	if now.Sub(tr.lastExpiry) < expiryInterval {
 		return
 	}
-	ld.lastExpiry = now
-	for id, en := range ld.crashes {
+	tr.lastExpiry = now
+	for id, en := range tr.crashes {
 		if now.Sub(en.at) > evidenceTTL {
-			ld.removeCrash(id)
+			tr.removeCrash(id)
 		}
 	}
-	ld.expireQuarantines(now)
-	ld.expireProbes()
+	tr.expireQuarantines(now)
+	tr.expireProbes()
 }
 
 // forgetOldest forgets the end that is longest ago. The lock is held.
-func (ld *Tracker) evictOldestCrash() {
+func (tr *Tracker) evictOldestCrash() {
 	oldest := ""
-	for id, en := range ld.crashes {
-		if oldest == "" || en.at.Before(ld.crashes[oldest].at) {
+	for id, en := range tr.crashes {
+		if oldest == "" || en.at.Before(tr.crashes[oldest].at) {
 			oldest = id
 		}
 	}
-	ld.removeCrash(oldest)
+	tr.removeCrash(oldest)
 }
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -34,49 +34,49 @@
 }
 
 // Judged reports whether a request is not to be run, and how many targets had ended under it.
-func (ld *Tracker) Quarantined(fp fingerprint.Fingerprint) (ends int, judged bool) {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.evaluate()
-	jd, ok := ld.quarantines[fp]
-	return jd.Crashes, ok && jd.activeAt(ld.opts.Now())
+func (tr *Tracker) Quarantined(fp fingerprint.Fingerprint) (ends int, judged bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.evaluate()
+	jd, ok := tr.quarantines[fp]
+	return jd.Crashes, ok && jd.activeAt(tr.opts.Now())
 }
 
 // refresh judges by what is known now. The lock is held.
-func (ld *Tracker) evaluate() {
-	ld.expire()
-	if ld.quarantineSuspects() {
-		ld.opts.NotifyPeers()
+func (tr *Tracker) evaluate() {
+	tr.expire()
+	if tr.quarantineSuspects() {
+		tr.opts.NotifyPeers()
 	}
 }
 
 // Check says what is to be done with a request that is about to be sent to a target. Where it may run, that is its trial if it is on
 // trial.
-func (ld *Tracker) Check(fp fingerprint.Fingerprint) Decision {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.evaluate()
-	now := ld.opts.Now()
-	if jd, ok := ld.quarantines[fp]; ok && jd.activeAt(now) {
+func (tr *Tracker) Check(fp fingerprint.Fingerprint) Decision {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.evaluate()
+	now := tr.opts.Now()
+	if jd, ok := tr.quarantines[fp]; ok && jd.activeAt(now) {
 		return Decision{Quarantined: true, Crashes: jd.Crashes}
 	}
-	open := ld.unexplained()
-	sp := ld.suspect(fp, open, open)
-	if sp.meetsThresholds(ld.quarantines[fp]) {
+	open := tr.unexplained()
+	sp := tr.suspect(fp, open, open)
+	if sp.meetsThresholds(tr.quarantines[fp]) {
 		return Decision{Crashes: len(sp.runs), Delay: max(0, settleDelay-now.Sub(sp.lastInterrupted()))}
 	}
-	return Decision{Crashes: len(sp.runs), Delay: ld.probeDelay(sp)}
+	return Decision{Crashes: len(sp.runs), Delay: tr.probeDelay(sp)}
 }
 
 // untilTrial returns how long a request that may end its targets is to wait before it is run again; zero when it may run now.
 //
 // While many targets end, too little tells the requests that end them from those beside them, above all at an instance that hears of no
 // peer. Run seldom, the former end few targets, and the latter are answered whole, which clears them. The lock is held.
-func (ld *Tracker) probeDelay(sp suspect) time.Duration {
+func (tr *Tracker) probeDelay(sp suspect) time.Duration {
 	if len(sp.runs) < minCrashes || sp.pValue > maxProbationPValue {
 		return 0
 	}
-	pb, tried := ld.probes[sp.request]
+	pb, tried := tr.probes[sp.request]
 	if !tried {
 		pb.interval = initialProbeInterval
 	}
@@ -84,19 +84,19 @@
 	if pb.sentAt.After(from) {
 		from = pb.sentAt
 	}
-	now := ld.opts.Now()
+	now := tr.opts.Now()
 	if wait := pb.interval - now.Sub(from); wait > 0 {
 		return wait
 	}
-	ld.probes[sp.request] = probe{sentAt: now, interval: min(2*pb.interval, maxProbeInterval)}
+	tr.probes[sp.request] = probe{sentAt: now, interval: min(2*pb.interval, maxProbeInterval)}
 	return 0
 }
 
 // expireTrials forgets the trials of requests that are no longer on trial. The lock is held.
-func (ld *Tracker) expireProbes() {
-	for fp := range ld.probes {
-		if ld.evidenceCounts[fp] < minCrashes {
-			delete(ld.probes, fp)
+func (tr *Tracker) expireProbes() {
+	for fp := range tr.probes {
+		if tr.evidenceCounts[fp] < minCrashes {
+			delete(tr.probes, fp)
 		}
 	}
 }
--- a/internal/blame/judge.go
+++ b/internal/blame/judge.go
@@ -69,42 +69,42 @@
 
 // judge judges requests by what is known now, the most suspect first: it explains the ends under it, which are then held against
 // nobody else. It reports whether it judged any. The lock is held.
-func (ld *Tracker) quarantineSuspects() bool {
+func (tr *Tracker) quarantineSuspects() bool {
 	judged := false
 	for {
-		sp, ok := ld.strongestSuspect()
+		sp, ok := tr.strongestSuspect()
 		if !ok {
 			return judged
 		}
 		judged = true
-		now := ld.opts.Now()
-		before := ld.quarantines[sp.request]
+		now := tr.opts.Now()
+		before := tr.quarantines[sp.request]
 		level := before.Level + 1
 		jd := Quarantine{
 			Request: sp.request, Crashes: before.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(quarantineDuration(level)),
 		}
-		ld.quarantine(jd, log.Fields{
+		tr.quarantine(jd, log.Fields{
 			"source": "own", "targets": joinTargets(sp.runs), "chance": strconv.FormatFloat(sp.pValue, 'e', 1, 64),
 		})
 	}
 }
 
 // mostSuspect returns the request that is to be judged next. The lock is held.
-func (ld *Tracker) strongestSuspect() (suspect, bool) {
-	suspects := ld.suspects()
+func (tr *Tracker) strongestSuspect() (suspect, bool) {
+	suspects := tr.suspects()
 	slices.SortFunc(suspects, func(a, b suspect) int {
 		return cmp.Or(cmp.Compare(len(b.runs), len(a.runs)), cmp.Compare(a.pValue, b.pValue),
 			bytes.Compare(a.request[:], b.request[:]))
 	})
-	now := ld.opts.Now()
+	now := tr.opts.Now()
 	for no, sp := range suspects {
-		before := ld.quarantines[sp.request]
+		before := tr.quarantines[sp.request]
 		if now.Sub(sp.lastInterrupted()) < settleDelay || !sp.meetsThresholds(before) {
 			continue
 		}
-		sp = ld.withoutSharedCrashes(sp, suspects[:no])
+		sp = tr.withoutSharedCrashes(sp, suspects[:no])
 		distinct := len(sp.runs) >= tieBreakCrashes || !sp.indistinguishable(suspects)
-		if sp.meetsThresholds(before) && distinct && !ld.hasLongerActiveRun(sp) {
+		if sp.meetsThresholds(before) && distinct && !tr.hasLongerActiveRun(sp) {
 			return sp, true
 		}
 	}
@@ -113,15 +113,15 @@
 
 // alone returns what is held against a request of the ends under which none of the others ran that more ends are held against: it is
 // the likelier cause there, judged or not. The lock is held.
-func (ld *Tracker) withoutSharedCrashes(sp suspect, others []suspect) suspect {
-	open := ld.unexplained()
+func (tr *Tracker) withoutSharedCrashes(sp suspect, others []suspect) suspect {
+	open := tr.unexplained()
 	mine := slices.DeleteFunc(slices.Clone(open), func(en *crash) bool {
 		return slices.ContainsFunc(others, func(other suspect) bool {
 			_, ran := en.runsByRequest[other.request]
 			return ran && len(other.runs) > len(sp.runs)
 		})
 	})
-	return ld.suspect(sp.request, mine, open)
+	return tr.suspect(sp.request, mine, open)
 }
 
 // alike reports whether another request stood under all the same ends and is not clearly less suspect.
@@ -142,17 +142,17 @@
 }
 
 // suspects returns the requests that may have to be judged. The lock is held.
-func (ld *Tracker) suspects() []suspect {
+func (tr *Tracker) suspects() []suspect {
 	var open []*crash
 	var list []suspect
-	for fp, n := range ld.evidenceCounts {
-		if _, before := ld.quarantines[fp]; !before && n < minCrashes {
+	for fp, n := range tr.evidenceCounts {
+		if _, before := tr.quarantines[fp]; !before && n < minCrashes {
 			continue
 		}
 		if open == nil {
-			open = ld.unexplained()
+			open = tr.unexplained()
 		}
-		if sp := ld.suspect(fp, open, open); len(sp.runs) > 0 {
+		if sp := tr.suspect(fp, open, open); len(sp.runs) > 0 {
 			list = append(list, sp)
 		}
 	}
@@ -160,10 +160,10 @@
 }
 
 // open returns the ends that no judged request explains. The lock is held.
-func (ld *Tracker) unexplained() []*crash {
-	open := make([]*crash, 0, len(ld.crashes))
-	for _, en := range ld.crashes {
-		if !ld.explained(en) {
+func (tr *Tracker) unexplained() []*crash {
+	open := make([]*crash, 0, len(tr.crashes))
+	for _, en := range tr.crashes {
+		if !tr.explained(en) {
 			open = append(open, en)
 		}
 	}
@@ -171,12 +171,12 @@
 }
 
 // explained reports whether a request that was judged afterwards explains an end. The lock is held.
-func (ld *Tracker) explained(en *crash) bool {
-	if len(ld.quarantines) == 0 {
+func (tr *Tracker) explained(en *crash) bool {
+	if len(tr.quarantines) == 0 {
 		return false
 	}
 	for fp, rn := range en.runsByRequest {
-		if jd, judged := ld.quarantines[fp]; judged && rn.At.Before(jd.Until) {
+		if jd, judged := tr.quarantines[fp]; judged && rn.At.Before(jd.Until) {
 			return true
 		}
 	}
@@ -184,7 +184,7 @@
 }
 
 // suspect returns what some ends are held against a request, among all that are open. The lock is held.
-func (ld *Tracker) suspect(fp fingerprint.Fingerprint, ends, open []*crash) suspect {
+func (tr *Tracker) suspect(fp fingerprint.Fingerprint, ends, open []*crash) suspect {
 	sp := suspect{request: fp, pValue: 1}
 	for _, en := range ends {
 		if rn, ran := en.runsByRequest[fp]; ran {
@@ -196,7 +196,7 @@
 	})
 	rates := make([]float64, len(sp.runs))
 	for i, rn := range sp.runs {
-		rates[i] = ld.backgroundCrashRate(rn, open)
+		rates[i] = tr.backgroundCrashRate(rn, open)
 	}
 	for n := min(minCrashes, len(sp.runs)); n <= len(sp.runs) && n > 0; n++ {
 		longest := max(minElapsed, sp.runs[n-1].Elapsed)
@@ -220,22 +220,22 @@
 
 // rate is how often a target ended by itself about the time of a run, a second, by the ends under which its request did not run. The
 // lock is held.
-func (ld *Tracker) backgroundCrashRate(rn InterruptedRun, open []*crash) float64 {
+func (tr *Tracker) backgroundCrashRate(rn InterruptedRun, open []*crash) float64 {
 	highest := 0.0
 	for _, span := range []time.Duration{rateWindow, burstWindow} {
-		highest = max(highest, ld.crashRate(rn, open, span, 0))
+		highest = max(highest, tr.crashRate(rn, open, span, 0))
 	}
-	return max(highest, ld.crashRate(rn, open, rateWindow, crashPseudocount))
+	return max(highest, tr.crashRate(rn, open, rateWindow, crashPseudocount))
 }
 
 // density is the rate within a span before and after a run; unseen is added to the ends in it.
-func (ld *Tracker) crashRate(rn InterruptedRun, open []*crash, span time.Duration, unseen float64) float64 {
+func (tr *Tracker) crashRate(rn InterruptedRun, open []*crash, span time.Duration, unseen float64) float64 {
 	ends := unseen
 	for _, en := range open {
 		if _, ran := en.runsByRequest[rn.Request]; !ran && en.at.Sub(rn.At).Abs() <= span {
 			ends++
 		}
 	}
-	seen := span + min(span, ld.opts.Now().Sub(rn.At))
-	return ends / (float64(max(1, ld.opts.TargetCount())) * seen.Seconds())
+	seen := span + min(span, tr.opts.Now().Sub(rn.At))
+	return ends / (float64(max(1, tr.opts.TargetCount())) * seen.Seconds())
 }
--- a/internal/blame/judgement.go
+++ b/internal/blame/judgement.go
@@ -47,12 +47,12 @@
 }
 
 // Judgements returns those in force, by fingerprint.
-func (ld *Tracker) Quarantines() []Quarantine {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	now := ld.opts.Now()
+func (tr *Tracker) Quarantines() []Quarantine {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.opts.Now()
 	var list []Quarantine
-	for _, jd := range ld.quarantines {
+	for _, jd := range tr.quarantines {
 		if jd.activeAt(now) {
 			list = append(list, jd)
 		}
@@ -62,84 +62,84 @@
 }
 
 // Lift takes a judgement back at all instances. It reports whether there was one.
-func (ld *Tracker) LiftQuarantine(fp fingerprint.Fingerprint) bool {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.expire()
-	if _, judged := ld.quarantines[fp]; !judged {
+func (tr *Tracker) LiftQuarantine(fp fingerprint.Fingerprint) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.expire()
+	if _, judged := tr.quarantines[fp]; !judged {
 		return false
 	}
-	ld.clear(fp, tombstone{at: ld.opts.Now(), byOperator: true})
-	ld.evaluateAndNotify()
+	tr.clear(fp, tombstone{at: tr.opts.Now(), byOperator: true})
+	tr.evaluateAndNotify()
 	return true
 }
 
 // pass notes a judgement. The lock is held.
-func (ld *Tracker) quarantine(jd Quarantine, fields log.Fields) {
-	if len(ld.quarantines) >= maxQuarantines {
-		ld.evictQuarantine()
+func (tr *Tracker) quarantine(jd Quarantine, fields log.Fields) {
+	if len(tr.quarantines) >= maxQuarantines {
+		tr.evictQuarantine()
 	}
-	if _, before := ld.quarantines[jd.Request]; !before {
-		adjustCount(ld.headCounts, jd.Request.HeadHash(), 1)
+	if _, before := tr.quarantines[jd.Request]; !before {
+		adjustCount(tr.headCounts, jd.Request.HeadHash(), 1)
 	}
-	ld.quarantines[jd.Request] = jd
+	tr.quarantines[jd.Request] = jd
 	fields["fingerprint"] = jd.Request.String()
 	fields["ends"] = jd.Crashes
 	fields["level"] = jd.Level
-	fields["for"] = jd.Until.Sub(ld.opts.Now()).Round(time.Second).String()
-	ld.opts.Log.WithFields(fields).Warn("request judged to end its targets")
+	fields["for"] = jd.Until.Sub(tr.opts.Now()).Round(time.Second).String()
+	tr.opts.Log.WithFields(fields).Warn("request judged to end its targets")
 }
 
 // forgetJudgement forgets the judgement that passes first. The lock is held.
-func (ld *Tracker) evictQuarantine() {
+func (tr *Tracker) evictQuarantine() {
 	var first Quarantine
-	for _, jd := range ld.quarantines {
+	for _, jd := range tr.quarantines {
 		if first.Until.IsZero() || jd.Until.Before(first.Until) {
 			first = jd
 		}
 	}
-	ld.removeQuarantine(first.Request)
+	tr.removeQuarantine(first.Request)
 }
 
 // dropJudgement forgets a judgement. The lock is held.
-func (ld *Tracker) removeQuarantine(fp fingerprint.Fingerprint) {
-	delete(ld.quarantines, fp)
-	adjustCount(ld.headCounts, fp.HeadHash(), -1)
+func (tr *Tracker) removeQuarantine(fp fingerprint.Fingerprint) {
+	delete(tr.quarantines, fp)
+	adjustCount(tr.headCounts, fp.HeadHash(), -1)
 }
 
 // clear takes back all that is held against a request up to a time, and reports whether that was anything. The lock is held.
-func (ld *Tracker) clear(fp fingerprint.Fingerprint, cl tombstone) bool {
-	held := ld.removeEvidence(fp, cl.at)
-	ld.localEvidence = slices.DeleteFunc(ld.localEvidence, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
-	ld.interrupted = slices.DeleteFunc(ld.interrupted, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
-	if jd, ok := ld.quarantines[fp]; ok {
+func (tr *Tracker) clear(fp fingerprint.Fingerprint, cl tombstone) bool {
+	held := tr.removeEvidence(fp, cl.at)
+	tr.localEvidence = slices.DeleteFunc(tr.localEvidence, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
+	tr.interrupted = slices.DeleteFunc(tr.interrupted, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
+	if jd, ok := tr.quarantines[fp]; ok {
 		held = true
 		cl.until = jd.retainedUntil()
-		ld.removeQuarantine(fp)
-		ld.opts.Log.WithFields(log.Fields{
+		tr.removeQuarantine(fp)
+		tr.opts.Log.WithFields(log.Fields{
 			"fingerprint": fp.String(), "ends": jd.Crashes, "lifted": cl.byOperator,
 		}).Warn("judgement taken back")
 	}
 	if !held {
 		return false
 	}
-	if len(ld.tombstones) >= maxQuarantines {
-		ld.evictOldestTombstone()
+	if len(tr.tombstones) >= maxQuarantines {
+		tr.evictOldestTombstone()
 	}
-	ld.tombstones[fp] = cl
+	tr.tombstones[fp] = cl
 	return true
 }
 
 // release takes back the ends that are held against a request up to a time, and reports whether there were any. The lock is held.
-func (ld *Tracker) removeEvidence(fp fingerprint.Fingerprint, until time.Time) bool {
-	if ld.evidenceCounts[fp] == 0 {
+func (tr *Tracker) removeEvidence(fp fingerprint.Fingerprint, until time.Time) bool {
+	if tr.evidenceCounts[fp] == 0 {
 		return false
 	}
 	released := false
-	for _, en := range ld.crashes {
+	for _, en := range tr.crashes {
 		if rn, ok := en.runsByRequest[fp]; ok && !rn.At.After(until) {
 			delete(en.runsByRequest, fp)
-			ld.adjustCounts(fp, -1)
+			tr.adjustCounts(fp, -1)
 			released = true
 		}
 	}
@@ -147,26 +147,26 @@
 }
 
 // forgetCleared forgets the clearance that is longest ago. The lock is held.
-func (ld *Tracker) evictOldestTombstone() {
+func (tr *Tracker) evictOldestTombstone() {
 	var oldest fingerprint.Fingerprint
-	for fp, cl := range ld.tombstones {
-		if first, ok := ld.tombstones[oldest]; !ok || cl.at.Before(first.at) {
+	for fp, cl := range tr.tombstones {
+		if first, ok := tr.tombstones[oldest]; !ok || cl.at.Before(first.at) {
 			oldest = fp
 		}
 	}
-	delete(ld.tombstones, oldest)
+	delete(tr.tombstones, oldest)
 }
 
 // expireJudgements forgets judgements and clearances that are too old. The lock is held.
-func (ld *Tracker) expireQuarantines(now time.Time) {
-	for fp, jd := range ld.quarantines {
+func (tr *Tracker) expireQuarantines(now time.Time) {
+	for fp, jd := range tr.quarantines {
 		if !now.Before(jd.retainedUntil()) {
-			ld.removeQuarantine(fp)
+			tr.removeQuarantine(fp)
 		}
 	}
-	for fp, cl := range ld.tombstones {
+	for fp, cl := range tr.tombstones {
 		if now.Sub(cl.at) > gossipDuration && !now.Before(cl.until) {
-			delete(ld.tombstones, fp)
+			delete(tr.tombstones, fp)
 		}
 	}
 }
--- a/internal/blame/running.go
+++ b/internal/blame/running.go
@@ -27,11 +27,11 @@
 }
 
 // Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
-func (ld *Tracker) BeginRun(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
-	ru := &ActiveRun{tracker: ld, headHash: or, digest: request, since: ld.opts.Now()}
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.activeRuns[or] = append(ld.activeRuns[or], ru)
+func (tr *Tracker) BeginRun(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
+	ru := &ActiveRun{tracker: tr, headHash: or, digest: request, since: tr.opts.Now()}
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.activeRuns[or] = append(tr.activeRuns[or], ru)
 	return ru
 }
 
@@ -52,10 +52,10 @@
 }
 
 // survivors returns the runs that go on here of requests that may come to be judged. The lock is held.
-func (ld *Tracker) activeRunSummaries() []ActiveRunSummary {
+func (tr *Tracker) activeRunSummaries() []ActiveRunSummary {
 	var list []ActiveRunSummary
-	for or, runs := range ld.activeRuns {
-		if ld.headCounts[or] < minCrashes-1 {
+	for or, runs := range tr.activeRuns {
+		if tr.headCounts[or] < minCrashes-1 {
 			continue
 		}
 		for _, ru := range runs {
@@ -67,15 +67,15 @@
 }
 
 // outlived reports whether a run goes on, here or at a peer, for longer than those that ended with their targets. The lock is held.
-func (ld *Tracker) hasLongerActiveRun(sp suspect) bool {
-	before := ld.opts.Now().Add(-sp.maxElapsed)
+func (tr *Tracker) hasLongerActiveRun(sp suspect) bool {
+	before := tr.opts.Now().Add(-sp.maxElapsed)
 	longer := func(sv ActiveRunSummary) bool { return sv.Request == sp.request && sv.Since.Before(before) }
-	for _, ru := range ld.activeRuns[sp.request.HeadHash()] {
+	for _, ru := range tr.activeRuns[sp.request.HeadHash()] {
 		if longer(ActiveRunSummary{Request: ru.digest(), Since: ru.since}) {
 			return true
 		}
 	}
-	for _, told := range ld.peerRuns {
+	for _, told := range tr.peerRuns {
 		if slices.ContainsFunc(told, longer) {
 			return true
 		}
@@ -84,8 +84,8 @@
 }
 
 // Lost forgets the runs of a peer that is lost.
-func (ld *Tracker) RemovePeer(peer string) {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	delete(ld.peerRuns, peer)
+func (tr *Tracker) RemovePeer(peer string) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	delete(tr.peerRuns, peer)
 }
--- a/internal/blame/share.go
+++ b/internal/blame/share.go
@@ -36,18 +36,18 @@
 }
 
 // Notes returns what peers have to hear now. Equal notes are in the same order.
-func (ld *Tracker) Snapshot() Snapshot {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.expire()
-	now := ld.opts.Now()
-	nt := Snapshot{Evidence: slices.Clone(ld.localEvidence), ActiveRuns: ld.activeRunSummaries()}
-	for fp, cl := range ld.tombstones {
+func (tr *Tracker) Snapshot() Snapshot {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.expire()
+	now := tr.opts.Now()
+	nt := Snapshot{Evidence: slices.Clone(tr.localEvidence), ActiveRuns: tr.activeRunSummaries()}
+	for fp, cl := range tr.tombstones {
 		if cl.byOperator || now.Sub(cl.at) <= gossipDuration {
 			nt.Tombstones = append(nt.Tombstones, Tombstone{Request: fp, At: cl.at, ByOperator: cl.byOperator, Until: cl.until})
 		}
 	}
-	for _, jd := range ld.quarantines {
+	for _, jd := range tr.quarantines {
 		nt.Quarantines = append(nt.Quarantines, jd)
 	}
 	slices.SortFunc(nt.Tombstones, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
@@ -56,53 +56,53 @@
 }
 
 // Hear takes what a peer tells.
-func (ld *Tracker) MergePeer(peer string, nt Snapshot) {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.expire()
-	before, surviving := len(ld.localEvidence), len(ld.activeRunSummaries())
+func (tr *Tracker) MergePeer(peer string, nt Snapshot) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.expire()
+	before, surviving := len(tr.localEvidence), len(tr.activeRunSummaries())
 	for _, cl := range nt.Tombstones {
-		ld.mergeTombstone(cl)
+		tr.mergeTombstone(cl)
 	}
 	for _, rn := range nt.Evidence {
-		if _, known := ld.crashes[rn.Incarnation]; !known {
-			ld.addCrash(rn.Incarnation, rn.At)
+		if _, known := tr.crashes[rn.Incarnation]; !known {
+			tr.addCrash(rn.Incarnation, rn.At)
 		}
-		ld.addEvidence(rn, false)
+		tr.addEvidence(rn, false)
 	}
 	for _, jd := range nt.Quarantines {
-		ld.mergeQuarantine(peer, jd)
+		tr.mergeQuarantine(peer, jd)
 	}
-	ld.peerRuns[peer] = nt.ActiveRuns
-	judged := ld.quarantineSuspects()
-	if judged || len(ld.localEvidence) != before || len(ld.activeRunSummaries()) != surviving {
-		ld.opts.NotifyPeers()
+	tr.peerRuns[peer] = nt.ActiveRuns
+	judged := tr.quarantineSuspects()
+	if judged || len(tr.localEvidence) != before || len(tr.activeRunSummaries()) != surviving {
+		tr.opts.NotifyPeers()
 	}
 }
 
 // hearClearance takes a clearance that a peer tells. Only what an operator lifted is told on. The lock is held.
-func (ld *Tracker) mergeTombstone(cl Tombstone) {
-	if own, ok := ld.tombstones[cl.Request]; ok && !cl.At.After(own.at) {
+func (tr *Tracker) mergeTombstone(cl Tombstone) {
+	if own, ok := tr.tombstones[cl.Request]; ok && !cl.At.After(own.at) {
 		return
 	}
-	jd, judged := ld.quarantines[cl.Request]
+	jd, judged := tr.quarantines[cl.Request]
 	if judged && jd.Since.After(cl.At.Add(ageTolerance)) {
 		return
 	}
-	ld.clear(cl.Request, tombstone{at: cl.At, until: cl.Until, byOperator: cl.ByOperator})
+	tr.clear(cl.Request, tombstone{at: cl.At, until: cl.Until, byOperator: cl.ByOperator})
 }
 
 // hearJudgement takes a judgement that a peer tells: a new one, or one that was passed again. The lock is held.
-func (ld *Tracker) mergeQuarantine(peer string, jd Quarantine) {
-	if cl, ok := ld.tombstones[jd.Request]; ok && !jd.Since.After(cl.at.Add(ageTolerance)) {
+func (tr *Tracker) mergeQuarantine(peer string, jd Quarantine) {
+	if cl, ok := tr.tombstones[jd.Request]; ok && !jd.Since.After(cl.at.Add(ageTolerance)) {
 		return
 	}
-	if own, ok := ld.quarantines[jd.Request]; ok && own.Level >= jd.Level {
+	if own, ok := tr.quarantines[jd.Request]; ok && own.Level >= jd.Level {
 		return
 	}
-	if !ld.opts.Now().Before(jd.retainedUntil()) {
+	if !tr.opts.Now().Before(jd.retainedUntil()) {
 		return
 	}
-	ld.quarantine(jd, log.Fields{"source": "peer", "peer": peer, "age": ld.opts.Now().Sub(jd.Since).Round(time.Millisecond).String()})
-	ld.opts.NotifyPeers()
+	tr.quarantine(jd, log.Fields{"source": "peer", "peer": peer, "age": tr.opts.Now().Sub(jd.Since).Round(time.Millisecond).String()})
+	tr.opts.NotifyPeers()
 }
