--- a/internal/blame/activerun.go
+++ b/internal/blame/activerun.go
@@ -27,12 +27,12 @@
 }
 
 // Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
-func (tr *Tracker) BeginRun(or fingerprint.HeadHash, request func() fingerprint.Fingerprint) *ActiveRun {
-	ru := &ActiveRun{tracker: tr, headHash: or, digest: request, since: tr.opts.Now()}
+func (tr *Tracker) BeginRun(hh fingerprint.HeadHash, digest func() fingerprint.Fingerprint) *ActiveRun {
+	ar := &ActiveRun{tracker: tr, headHash: hh, digest: digest, since: tr.opts.Now()}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	tr.activeRuns[or] = append(tr.activeRuns[or], ru)
-	return ru
+	tr.activeRuns[hh] = append(tr.activeRuns[hh], ar)
+	return ar
 }
 
 // End notes that the run is over, however it went.
@@ -54,13 +54,13 @@
 // survivors returns the runs that go on here of requests that may come to be judged. The lock is held.
 func (tr *Tracker) activeRunSummaries() []ActiveRunSummary {
 	var list []ActiveRunSummary
-	for or, runs := range tr.activeRuns {
-		if tr.headCounts[or] < minCrashes-1 {
+	for hh, runs := range tr.activeRuns {
+		if tr.headCounts[hh] < minCrashes-1 {
 			continue
 		}
-		for _, ru := range runs {
-			ru.reported = true
-			list = append(list, ActiveRunSummary{Request: ru.digest(), Since: ru.since})
+		for _, ar := range runs {
+			ar.reported = true
+			list = append(list, ActiveRunSummary{Request: ar.digest(), Since: ar.since})
 		}
 	}
 	return list
@@ -68,15 +68,15 @@
 
 // outlived reports whether a run goes on, here or at a peer, for longer than those that ended with their targets. The lock is held.
 func (tr *Tracker) hasLongerActiveRun(sp suspect) bool {
-	before := tr.opts.Now().Add(-sp.maxElapsed)
-	longer := func(sv ActiveRunSummary) bool { return sv.Request == sp.request && sv.Since.Before(before) }
-	for _, ru := range tr.activeRuns[sp.request.HeadHash()] {
-		if longer(ActiveRunSummary{Request: ru.digest(), Since: ru.since}) {
+	startedBefore := tr.opts.Now().Add(-sp.maxElapsed)
+	longer := func(sm ActiveRunSummary) bool { return sm.Request == sp.request && sm.Since.Before(startedBefore) }
+	for _, ar := range tr.activeRuns[sp.request.HeadHash()] {
+		if longer(ActiveRunSummary{Request: ar.digest(), Since: ar.since}) {
 			return true
 		}
 	}
-	for _, told := range tr.peerRuns {
-		if slices.ContainsFunc(told, longer) {
+	for _, peerRuns := range tr.peerRuns {
+		if slices.ContainsFunc(peerRuns, longer) {
 			return true
 		}
 	}
--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -110,13 +110,13 @@
 
 // New returns an empty ledger.
 func New(op Options) *Tracker {
-	ld := &Tracker{
+	tr := &Tracker{
 		opts: op, crashes: map[string]*crash{}, quarantines: map[fingerprint.Fingerprint]Quarantine{},
 		tombstones: map[fingerprint.Fingerprint]tombstone{}, evidenceCounts: map[fingerprint.Fingerprint]int{}, headCounts: map[fingerprint.HeadHash]int{},
 		activeRuns: map[fingerprint.HeadHash][]*ActiveRun{}, peerRuns: map[string][]ActiveRunSummary{}, probes: map[fingerprint.Fingerprint]probe{},
 	}
-	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(ld.Quarantines())) })
-	return ld
+	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(tr.Quarantines())) })
+	return tr
 }
 
 // Broke notes a run that its target broke off. It is held against the request if the target turns out to have ended.
@@ -124,7 +124,7 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.expire()
-	if _, ended := tr.crashes[rn.Incarnation]; ended {
+	if _, crashed := tr.crashes[rn.Incarnation]; crashed {
 		tr.addEvidence(rn, true)
 		tr.evaluateAndNotify()
 		return
@@ -171,20 +171,20 @@
 }
 
 // hold holds the end of a target against the request that it ran. The lock is held.
-func (tr *Tracker) addEvidence(rn InterruptedRun, own bool) {
-	en := tr.crashes[rn.Incarnation]
-	if _, known := en.runsByRequest[rn.Request]; known || len(en.runsByRequest) >= maxRunsPerCrash {
+func (tr *Tracker) addEvidence(rn InterruptedRun, localEvidence bool) {
+	cr := tr.crashes[rn.Incarnation]
+	if _, known := cr.runsByRequest[rn.Request]; known || len(cr.runsByRequest) >= maxRunsPerCrash {
 		return
 	}
-	if cl, ok := tr.tombstones[rn.Request]; ok && !rn.At.After(cl.at) {
+	if ts, ok := tr.tombstones[rn.Request]; ok && !rn.At.After(ts.at) {
 		return
 	}
-	en.runsByRequest[rn.Request] = rn
+	cr.runsByRequest[rn.Request] = rn
 	tr.adjustCounts(rn.Request, 1)
-	if rn.At.Before(en.at) {
-		en.at = rn.At
+	if rn.At.Before(cr.at) {
+		cr.at = rn.At
 	}
-	if own {
+	if localEvidence {
 		tr.localEvidence = append(tr.localEvidence, rn)
 	}
 }
@@ -200,7 +200,7 @@
 }
 
 // Knows reports whether anything is held against a request of an origin. Only then Check and Served have to be asked.
-func (tr *Tracker) HasEvidence(or fingerprint.HeadHash) bool {
+func (tr *Tracker) HasEvidence(hh fingerprint.HeadHash) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if tr.detectionOverdue() {
@@ -208,13 +208,13 @@
 		tr.expire()
 		tr.evaluateAndNotify()
 	}
-	return tr.headCounts[or] > 0
+	return tr.headCounts[hh] > 0
 }
 
 // weigh counts ends that are held against a request, or no longer. The lock is held.
-func (tr *Tracker) adjustCounts(fp fingerprint.Fingerprint, ends int) {
-	adjustCount(tr.evidenceCounts, fp, ends)
-	adjustCount(tr.headCounts, fp.HeadHash(), ends)
+func (tr *Tracker) adjustCounts(fp fingerprint.Fingerprint, n int) {
+	adjustCount(tr.evidenceCounts, fp, n)
+	adjustCount(tr.headCounts, fp.HeadHash(), n)
 }
 
 // add changes a count, and removes it at zero.
@@ -256,8 +256,8 @@
 		return
 	}
 	tr.lastExpiry = now
-	for id, en := range tr.crashes {
-		if now.Sub(en.at) > evidenceTTL {
+	for id, cr := range tr.crashes {
+		if now.Sub(cr.at) > evidenceTTL {
 			tr.removeCrash(id)
 		}
 	}
@@ -268,8 +268,8 @@
 // forgetOldest forgets the end that is longest ago. The lock is held.
 func (tr *Tracker) evictOldestCrash() {
 	oldest := ""
-	for id, en := range tr.crashes {
-		if oldest == "" || en.at.Before(tr.crashes[oldest].at) {
+	for id, cr := range tr.crashes {
+		if oldest == "" || cr.at.Before(tr.crashes[oldest].at) {
 			oldest = id
 		}
 	}
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -34,12 +34,12 @@
 }
 
 // Judged reports whether a request is not to be run, and how many targets had ended under it.
-func (tr *Tracker) Quarantined(fp fingerprint.Fingerprint) (ends int, judged bool) {
+func (tr *Tracker) Quarantined(fp fingerprint.Fingerprint) (crashes int, quarantined bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.evaluate()
-	jd, ok := tr.quarantines[fp]
-	return jd.Crashes, ok && jd.activeAt(tr.opts.Now())
+	qu, ok := tr.quarantines[fp]
+	return qu.Crashes, ok && qu.activeAt(tr.opts.Now())
 }
 
 // refresh judges by what is known now. The lock is held.
@@ -57,11 +57,11 @@
 	defer tr.mu.Unlock()
 	tr.evaluate()
 	now := tr.opts.Now()
-	if jd, ok := tr.quarantines[fp]; ok && jd.activeAt(now) {
-		return Decision{Quarantined: true, Crashes: jd.Crashes}
+	if qu, ok := tr.quarantines[fp]; ok && qu.activeAt(now) {
+		return Decision{Quarantined: true, Crashes: qu.Crashes}
 	}
-	open := tr.unexplained()
-	sp := tr.suspect(fp, open, open)
+	unexplained := tr.unexplained()
+	sp := tr.suspect(fp, unexplained, unexplained)
 	if sp.meetsThresholds(tr.quarantines[fp]) {
 		return Decision{Crashes: len(sp.runs), Delay: max(0, settleDelay-now.Sub(sp.lastInterrupted()))}
 	}
@@ -76,17 +76,17 @@
 	if len(sp.runs) < minCrashes || sp.pValue > maxProbationPValue {
 		return 0
 	}
-	pb, tried := tr.probes[sp.request]
-	if !tried {
+	pb, probed := tr.probes[sp.request]
+	if !probed {
 		pb.interval = initialProbeInterval
 	}
-	from := sp.lastInterrupted()
-	if pb.sentAt.After(from) {
-		from = pb.sentAt
+	since := sp.lastInterrupted()
+	if pb.sentAt.After(since) {
+		since = pb.sentAt
 	}
 	now := tr.opts.Now()
-	if wait := pb.interval - now.Sub(from); wait > 0 {
-		return wait
+	if remaining := pb.interval - now.Sub(since); remaining > 0 {
+		return remaining
 	}
 	tr.probes[sp.request] = probe{sentAt: now, interval: min(2*pb.interval, maxProbeInterval)}
 	return 0
--- a/internal/blame/detection.go
+++ b/internal/blame/detection.go
@@ -60,8 +60,8 @@
 
 // likely reports whether so many targets ended under the request that it is to be judged, once all is known of them. before is its
 // judgement that has passed, if any.
-func (sp suspect) meetsThresholds(before Quarantine) bool {
-	if before.Level > 0 {
+func (sp suspect) meetsThresholds(previous Quarantine) bool {
+	if previous.Level > 0 {
 		return len(sp.runs) > 0 && sp.pValue <= maxRepeatPValue
 	}
 	return len(sp.runs) >= minCrashes && sp.pValue <= maxPValue
@@ -70,20 +70,20 @@
 // judge judges requests by what is known now, the most suspect first: it explains the ends under it, which are then held against
 // nobody else. It reports whether it judged any. The lock is held.
 func (tr *Tracker) quarantineSuspects() bool {
-	judged := false
+	quarantined := false
 	for {
 		sp, ok := tr.strongestSuspect()
 		if !ok {
-			return judged
+			return quarantined
 		}
-		judged = true
+		quarantined = true
 		now := tr.opts.Now()
-		before := tr.quarantines[sp.request]
-		level := before.Level + 1
-		jd := Quarantine{
-			Request: sp.request, Crashes: before.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(quarantineDuration(level)),
+		previous := tr.quarantines[sp.request]
+		level := previous.Level + 1
+		qu := Quarantine{
+			Request: sp.request, Crashes: previous.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(quarantineDuration(level)),
 		}
-		tr.quarantine(jd, log.Fields{
+		tr.quarantine(qu, log.Fields{
 			"source": "own", "targets": joinTargets(sp.runs), "chance": strconv.FormatFloat(sp.pValue, 'e', 1, 64),
 		})
 	}
@@ -97,14 +97,14 @@
 			bytes.Compare(a.request[:], b.request[:]))
 	})
 	now := tr.opts.Now()
-	for no, sp := range suspects {
-		before := tr.quarantines[sp.request]
-		if now.Sub(sp.lastInterrupted()) < settleDelay || !sp.meetsThresholds(before) {
+	for i, sp := range suspects {
+		previous := tr.quarantines[sp.request]
+		if now.Sub(sp.lastInterrupted()) < settleDelay || !sp.meetsThresholds(previous) {
 			continue
 		}
-		sp = tr.withoutSharedCrashes(sp, suspects[:no])
+		sp = tr.withoutSharedCrashes(sp, suspects[:i])
 		distinct := len(sp.runs) >= tieBreakCrashes || !sp.indistinguishable(suspects)
-		if sp.meetsThresholds(before) && distinct && !tr.hasLongerActiveRun(sp) {
+		if sp.meetsThresholds(previous) && distinct && !tr.hasLongerActiveRun(sp) {
 			return sp, true
 		}
 	}
@@ -114,14 +114,14 @@
 // alone returns what is held against a request of the ends under which none of the others ran that more ends are held against: it is
 // the likelier cause there, judged or not. The lock is held.
 func (tr *Tracker) withoutSharedCrashes(sp suspect, others []suspect) suspect {
-	open := tr.unexplained()
-	mine := slices.DeleteFunc(slices.Clone(open), func(en *crash) bool {
+	unexplained := tr.unexplained()
+	unshared := slices.DeleteFunc(slices.Clone(unexplained), func(cr *crash) bool {
 		return slices.ContainsFunc(others, func(other suspect) bool {
-			_, ran := en.runsByRequest[other.request]
+			_, ran := cr.runsByRequest[other.request]
 			return ran && len(other.runs) > len(sp.runs)
 		})
 	})
-	return tr.suspect(sp.request, mine, open)
+	return tr.suspect(sp.request, unshared, unexplained)
 }
 
 // alike reports whether another request stood under all the same ends and is not clearly less suspect.
@@ -143,16 +143,16 @@
 
 // suspects returns the requests that may have to be judged. The lock is held.
 func (tr *Tracker) suspects() []suspect {
-	var open []*crash
+	var unexplained []*crash
 	var list []suspect
 	for fp, n := range tr.evidenceCounts {
-		if _, before := tr.quarantines[fp]; !before && n < minCrashes {
+		if _, quarantinedBefore := tr.quarantines[fp]; !quarantinedBefore && n < minCrashes {
 			continue
 		}
-		if open == nil {
-			open = tr.unexplained()
+		if unexplained == nil {
+			unexplained = tr.unexplained()
 		}
-		if sp := tr.suspect(fp, open, open); len(sp.runs) > 0 {
+		if sp := tr.suspect(fp, unexplained, unexplained); len(sp.runs) > 0 {
 			list = append(list, sp)
 		}
 	}
@@ -161,22 +161,22 @@
 
 // open returns the ends that no judged request explains. The lock is held.
 func (tr *Tracker) unexplained() []*crash {
-	open := make([]*crash, 0, len(tr.crashes))
-	for _, en := range tr.crashes {
-		if !tr.explained(en) {
-			open = append(open, en)
+	unexplained := make([]*crash, 0, len(tr.crashes))
+	for _, cr := range tr.crashes {
+		if !tr.explained(cr) {
+			unexplained = append(unexplained, cr)
 		}
 	}
-	return open
+	return unexplained
 }
 
 // explained reports whether a request that was judged afterwards explains an end. The lock is held.
-func (tr *Tracker) explained(en *crash) bool {
+func (tr *Tracker) explained(cr *crash) bool {
 	if len(tr.quarantines) == 0 {
 		return false
 	}
-	for fp, rn := range en.runsByRequest {
-		if jd, judged := tr.quarantines[fp]; judged && rn.At.Before(jd.Until) {
+	for fp, rn := range cr.runsByRequest {
+		if qu, ok := tr.quarantines[fp]; ok && rn.At.Before(qu.Until) {
 			return true
 		}
 	}
@@ -184,10 +184,10 @@
 }
 
 // suspect returns what some ends are held against a request, among all that are open. The lock is held.
-func (tr *Tracker) suspect(fp fingerprint.Fingerprint, ends, open []*crash) suspect {
+func (tr *Tracker) suspect(fp fingerprint.Fingerprint, crashes, unexplained []*crash) suspect {
 	sp := suspect{request: fp, pValue: 1}
-	for _, en := range ends {
-		if rn, ran := en.runsByRequest[fp]; ran {
+	for _, cr := range crashes {
+		if rn, ran := cr.runsByRequest[fp]; ran {
 			sp.runs = append(sp.runs, rn)
 		}
 	}
@@ -196,12 +196,12 @@
 	})
 	rates := make([]float64, len(sp.runs))
 	for i, rn := range sp.runs {
-		rates[i] = tr.backgroundCrashRate(rn, open)
+		rates[i] = tr.backgroundCrashRate(rn, unexplained)
 	}
 	for n := min(minCrashes, len(sp.runs)); n <= len(sp.runs) && n > 0; n++ {
-		longest := max(minElapsed, sp.runs[n-1].Elapsed)
-		if chance := coincidenceProbability(rates, n, longest); chance < sp.pValue {
-			sp.pValue, sp.maxElapsed = chance, longest
+		maxElapsed := max(minElapsed, sp.runs[n-1].Elapsed)
+		if pValue := coincidenceProbability(rates, n, maxElapsed); pValue < sp.pValue {
+			sp.pValue, sp.maxElapsed = pValue, maxElapsed
 		}
 	}
 	return sp
@@ -209,33 +209,33 @@
 
 // chanceOf is how likely targets ended by themselves within a time in n runs of all, by the rates at which targets ended about each.
 func coincidenceProbability(rates []float64, n int, within time.Duration) float64 {
-	chance := 1.0
+	probability := 1.0
 	for i, rate := range rates[:n] {
 		// The first factors make the number of ways to take n of the runs.
-		chance *= float64(len(rates)-i) / float64(n-i)
-		chance *= 1 - math.Exp(-rate*within.Seconds())
+		probability *= float64(len(rates)-i) / float64(n-i)
+		probability *= 1 - math.Exp(-rate*within.Seconds())
 	}
-	return chance
+	return probability
 }
 
 // rate is how often a target ended by itself about the time of a run, a second, by the ends under which its request did not run. The
 // lock is held.
-func (tr *Tracker) backgroundCrashRate(rn InterruptedRun, open []*crash) float64 {
+func (tr *Tracker) backgroundCrashRate(rn InterruptedRun, unexplained []*crash) float64 {
 	highest := 0.0
-	for _, span := range []time.Duration{rateWindow, burstWindow} {
-		highest = max(highest, tr.crashRate(rn, open, span, 0))
+	for _, window := range []time.Duration{rateWindow, burstWindow} {
+		highest = max(highest, tr.crashRate(rn, unexplained, window, 0))
 	}
-	return max(highest, tr.crashRate(rn, open, rateWindow, crashPseudocount))
+	return max(highest, tr.crashRate(rn, unexplained, rateWindow, crashPseudocount))
 }
 
 // density is the rate within a span before and after a run; unseen is added to the ends in it.
-func (tr *Tracker) crashRate(rn InterruptedRun, open []*crash, span time.Duration, unseen float64) float64 {
-	ends := unseen
-	for _, en := range open {
-		if _, ran := en.runsByRequest[rn.Request]; !ran && en.at.Sub(rn.At).Abs() <= span {
-			ends++
+func (tr *Tracker) crashRate(rn InterruptedRun, unexplained []*crash, window time.Duration, pseudocount float64) float64 {
+	crashes := pseudocount
+	for _, cr := range unexplained {
+		if _, ran := cr.runsByRequest[rn.Request]; !ran && cr.at.Sub(rn.At).Abs() <= window {
+			crashes++
 		}
 	}
-	seen := span + min(span, tr.opts.Now().Sub(rn.At))
-	return ends / (float64(max(1, tr.opts.TargetCount())) * seen.Seconds())
+	observed := window + min(window, tr.opts.Now().Sub(rn.At))
+	return crashes / (float64(max(1, tr.opts.TargetCount())) * observed.Seconds())
 }
--- a/internal/blame/gossip.go
+++ b/internal/blame/gossip.go
@@ -41,68 +41,68 @@
 	defer tr.mu.Unlock()
 	tr.expire()
 	now := tr.opts.Now()
-	nt := Snapshot{Evidence: slices.Clone(tr.localEvidence), ActiveRuns: tr.activeRunSummaries()}
-	for fp, cl := range tr.tombstones {
-		if cl.byOperator || now.Sub(cl.at) <= gossipDuration {
-			nt.Tombstones = append(nt.Tombstones, Tombstone{Request: fp, At: cl.at, ByOperator: cl.byOperator, Until: cl.until})
+	sn := Snapshot{Evidence: slices.Clone(tr.localEvidence), ActiveRuns: tr.activeRunSummaries()}
+	for fp, ts := range tr.tombstones {
+		if ts.byOperator || now.Sub(ts.at) <= gossipDuration {
+			sn.Tombstones = append(sn.Tombstones, Tombstone{Request: fp, At: ts.at, ByOperator: ts.byOperator, Until: ts.until})
 		}
 	}
-	for _, jd := range tr.quarantines {
-		nt.Quarantines = append(nt.Quarantines, jd)
+	for _, qu := range tr.quarantines {
+		sn.Quarantines = append(sn.Quarantines, qu)
 	}
-	slices.SortFunc(nt.Tombstones, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
-	slices.SortFunc(nt.Quarantines, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
-	return nt
+	slices.SortFunc(sn.Tombstones, func(a, b Tombstone) int { return bytes.Compare(a.Request[:], b.Request[:]) })
+	slices.SortFunc(sn.Quarantines, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
+	return sn
 }
 
 // Hear takes what a peer tells.
-func (tr *Tracker) MergePeer(peer string, nt Snapshot) {
+func (tr *Tracker) MergePeer(peer string, sn Snapshot) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.expire()
-	before, surviving := len(tr.localEvidence), len(tr.activeRunSummaries())
-	for _, cl := range nt.Tombstones {
-		tr.mergeTombstone(cl)
+	evidenceBefore, activeBefore := len(tr.localEvidence), len(tr.activeRunSummaries())
+	for _, ts := range sn.Tombstones {
+		tr.mergeTombstone(ts)
 	}
-	for _, rn := range nt.Evidence {
+	for _, rn := range sn.Evidence {
 		if _, known := tr.crashes[rn.Incarnation]; !known {
 			tr.addCrash(rn.Incarnation, rn.At)
 		}
 		tr.addEvidence(rn, false)
 	}
-	for _, jd := range nt.Quarantines {
-		tr.mergeQuarantine(peer, jd)
+	for _, qu := range sn.Quarantines {
+		tr.mergeQuarantine(peer, qu)
 	}
-	tr.peerRuns[peer] = nt.ActiveRuns
-	judged := tr.quarantineSuspects()
-	if judged || len(tr.localEvidence) != before || len(tr.activeRunSummaries()) != surviving {
+	tr.peerRuns[peer] = sn.ActiveRuns
+	quarantined := tr.quarantineSuspects()
+	if quarantined || len(tr.localEvidence) != evidenceBefore || len(tr.activeRunSummaries()) != activeBefore {
 		tr.opts.NotifyPeers()
 	}
 }
 
 // hearClearance takes a clearance that a peer tells. Only what an operator lifted is told on. The lock is held.
-func (tr *Tracker) mergeTombstone(cl Tombstone) {
-	if own, ok := tr.tombstones[cl.Request]; ok && !cl.At.After(own.at) {
+func (tr *Tracker) mergeTombstone(ts Tombstone) {
+	if own, ok := tr.tombstones[ts.Request]; ok && !ts.At.After(own.at) {
 		return
 	}
-	jd, judged := tr.quarantines[cl.Request]
-	if judged && jd.Since.After(cl.At.Add(ageTolerance)) {
+	qu, quarantined := tr.quarantines[ts.Request]
+	if quarantined && qu.Since.After(ts.At.Add(ageTolerance)) {
 		return
 	}
-	tr.clear(cl.Request, tombstone{at: cl.At, until: cl.Until, byOperator: cl.ByOperator})
+	tr.clear(ts.Request, tombstone{at: ts.At, until: ts.Until, byOperator: ts.ByOperator})
 }
 
 // hearJudgement takes a judgement that a peer tells: a new one, or one that was passed again. The lock is held.
-func (tr *Tracker) mergeQuarantine(peer string, jd Quarantine) {
-	if cl, ok := tr.tombstones[jd.Request]; ok && !jd.Since.After(cl.at.Add(ageTolerance)) {
+func (tr *Tracker) mergeQuarantine(peer string, qu Quarantine) {
+	if ts, ok := tr.tombstones[qu.Request]; ok && !qu.Since.After(ts.at.Add(ageTolerance)) {
 		return
 	}
-	if own, ok := tr.quarantines[jd.Request]; ok && own.Level >= jd.Level {
+	if own, ok := tr.quarantines[qu.Request]; ok && own.Level >= qu.Level {
 		return
 	}
-	if !tr.opts.Now().Before(jd.retainedUntil()) {
+	if !tr.opts.Now().Before(qu.retainedUntil()) {
 		return
 	}
-	tr.quarantine(jd, log.Fields{"source": "peer", "peer": peer, "age": tr.opts.Now().Sub(jd.Since).Round(time.Millisecond).String()})
+	tr.quarantine(qu, log.Fields{"source": "peer", "peer": peer, "age": tr.opts.Now().Sub(qu.Since).Round(time.Millisecond).String()})
 	tr.opts.NotifyPeers()
 }
--- a/internal/blame/quarantine.go
+++ b/internal/blame/quarantine.go
@@ -52,9 +52,9 @@
 	defer tr.mu.Unlock()
 	now := tr.opts.Now()
 	var list []Quarantine
-	for _, jd := range tr.quarantines {
-		if jd.activeAt(now) {
-			list = append(list, jd)
+	for _, qu := range tr.quarantines {
+		if qu.activeAt(now) {
+			list = append(list, qu)
 		}
 	}
 	slices.SortFunc(list, func(a, b Quarantine) int { return bytes.Compare(a.Request[:], b.Request[:]) })
@@ -66,7 +66,7 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	tr.expire()
-	if _, judged := tr.quarantines[fp]; !judged {
+	if _, ok := tr.quarantines[fp]; !ok {
 		return false
 	}
 	tr.clear(fp, tombstone{at: tr.opts.Now(), byOperator: true})
@@ -75,27 +75,27 @@
 }
 
 // pass notes a judgement. The lock is held.
-func (tr *Tracker) quarantine(jd Quarantine, fields log.Fields) {
+func (tr *Tracker) quarantine(qu Quarantine, fields log.Fields) {
 	if len(tr.quarantines) >= maxQuarantines {
 		tr.evictQuarantine()
 	}
-	if _, before := tr.quarantines[jd.Request]; !before {
-		adjustCount(tr.headCounts, jd.Request.HeadHash(), 1)
+	if _, quarantinedBefore := tr.quarantines[qu.Request]; !quarantinedBefore {
+		adjustCount(tr.headCounts, qu.Request.HeadHash(), 1)
 	}
-	tr.quarantines[jd.Request] = jd
-	fields["fingerprint"] = jd.Request.String()
-	fields["ends"] = jd.Crashes
-	fields["level"] = jd.Level
-	fields["for"] = jd.Until.Sub(tr.opts.Now()).Round(time.Second).String()
+	tr.quarantines[qu.Request] = qu
+	fields["fingerprint"] = qu.Request.String()
+	fields["ends"] = qu.Crashes
+	fields["level"] = qu.Level
+	fields["for"] = qu.Until.Sub(tr.opts.Now()).Round(time.Second).String()
 	tr.opts.Log.WithFields(fields).Warn("request judged to end its targets")
 }
 
 // forgetJudgement forgets the judgement that passes first. The lock is held.
 func (tr *Tracker) evictQuarantine() {
 	var first Quarantine
-	for _, jd := range tr.quarantines {
-		if first.Until.IsZero() || jd.Until.Before(first.Until) {
-			first = jd
+	for _, qu := range tr.quarantines {
+		if first.Until.IsZero() || qu.Until.Before(first.Until) {
+			first = qu
 		}
 	}
 	tr.removeQuarantine(first.Request)
@@ -108,25 +108,25 @@
 }
 
 // clear takes back all that is held against a request up to a time, and reports whether that was anything. The lock is held.
-func (tr *Tracker) clear(fp fingerprint.Fingerprint, cl tombstone) bool {
-	held := tr.removeEvidence(fp, cl.at)
-	tr.localEvidence = slices.DeleteFunc(tr.localEvidence, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
-	tr.interrupted = slices.DeleteFunc(tr.interrupted, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(cl.at) })
-	if jd, ok := tr.quarantines[fp]; ok {
-		held = true
-		cl.until = jd.retainedUntil()
+func (tr *Tracker) clear(fp fingerprint.Fingerprint, ts tombstone) bool {
+	cleared := tr.removeEvidence(fp, ts.at)
+	tr.localEvidence = slices.DeleteFunc(tr.localEvidence, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(ts.at) })
+	tr.interrupted = slices.DeleteFunc(tr.interrupted, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(ts.at) })
+	if qu, ok := tr.quarantines[fp]; ok {
+		cleared = true
+		ts.until = qu.retainedUntil()
 		tr.removeQuarantine(fp)
 		tr.opts.Log.WithFields(log.Fields{
-			"fingerprint": fp.String(), "ends": jd.Crashes, "lifted": cl.byOperator,
+			"fingerprint": fp.String(), "ends": qu.Crashes, "lifted": ts.byOperator,
 		}).Warn("judgement taken back")
 	}
-	if !held {
+	if !cleared {
 		return false
 	}
 	if len(tr.tombstones) >= maxQuarantines {
 		tr.evictOldestTombstone()
 	}
-	tr.tombstones[fp] = cl
+	tr.tombstones[fp] = ts
 	return true
 }
 
@@ -135,22 +135,22 @@
 	if tr.evidenceCounts[fp] == 0 {
 		return false
 	}
-	released := false
-	for _, en := range tr.crashes {
-		if rn, ok := en.runsByRequest[fp]; ok && !rn.At.After(until) {
-			delete(en.runsByRequest, fp)
+	removed := false
+	for _, cr := range tr.crashes {
+		if rn, ok := cr.runsByRequest[fp]; ok && !rn.At.After(until) {
+			delete(cr.runsByRequest, fp)
 			tr.adjustCounts(fp, -1)
-			released = true
+			removed = true
 		}
 	}
-	return released
+	return removed
 }
 
 // forgetCleared forgets the clearance that is longest ago. The lock is held.
 func (tr *Tracker) evictOldestTombstone() {
 	var oldest fingerprint.Fingerprint
-	for fp, cl := range tr.tombstones {
-		if first, ok := tr.tombstones[oldest]; !ok || cl.at.Before(first.at) {
+	for fp, ts := range tr.tombstones {
+		if oldestTombstone, ok := tr.tombstones[oldest]; !ok || ts.at.Before(oldestTombstone.at) {
 			oldest = fp
 		}
 	}
@@ -159,13 +159,13 @@
 
 // expireJudgements forgets judgements and clearances that are too old. The lock is held.
 func (tr *Tracker) expireQuarantines(now time.Time) {
-	for fp, jd := range tr.quarantines {
-		if !now.Before(jd.retainedUntil()) {
+	for fp, qu := range tr.quarantines {
+		if !now.Before(qu.retainedUntil()) {
 			tr.removeQuarantine(fp)
 		}
 	}
-	for fp, cl := range tr.tombstones {
-		if now.Sub(cl.at) > gossipDuration && !now.Before(cl.until) {
+	for fp, ts := range tr.tombstones {
+		if now.Sub(ts.at) > gossipDuration && !now.Before(ts.until) {
 			delete(tr.tombstones, fp)
 		}
 	}
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -29,37 +29,37 @@
 func (ve *VersionError) Error() string { return "notes of version " + strconv.Itoa(int(ve.Version)) }
 
 // Encode returns the bytes that peers get of notes made at a time. Ages are told in whole milliseconds.
-func (sn Snapshot) Encode(made time.Time) []byte {
+func (sn Snapshot) Encode(takenAt time.Time) []byte {
 	b := []byte{wireVersion}
-	runs := newest(sn.Evidence)
-	b = binary.AppendUvarint(b, uint64(len(runs)))
-	for _, rn := range runs {
+	evidence := newest(sn.Evidence)
+	b = binary.AppendUvarint(b, uint64(len(evidence)))
+	for _, rn := range evidence {
 		b = append(b, rn.Request[:]...)
 		b = peerbytes.AppendName(b, rn.Incarnation)
 		b = appendDuration(b, rn.Elapsed)
-		b = appendDuration(b, made.Sub(rn.At))
+		b = appendDuration(b, takenAt.Sub(rn.At))
 	}
-	cleared := newest(sn.Tombstones)
-	b = binary.AppendUvarint(b, uint64(len(cleared)))
-	for _, cl := range cleared {
-		b = append(b, cl.Request[:]...)
-		b = appendDuration(b, made.Sub(cl.At))
-		b = appendDuration(b, remainingLift(cl, made))
+	tombstones := newest(sn.Tombstones)
+	b = binary.AppendUvarint(b, uint64(len(tombstones)))
+	for _, ts := range tombstones {
+		b = append(b, ts.Request[:]...)
+		b = appendDuration(b, takenAt.Sub(ts.At))
+		b = appendDuration(b, remainingLift(ts, takenAt))
 	}
-	judged := newest(sn.Quarantines)
-	b = binary.AppendUvarint(b, uint64(len(judged)))
-	for _, jd := range judged {
-		b = append(b, jd.Request[:]...)
-		b = binary.AppendUvarint(b, uint64(jd.Crashes))
-		b = binary.AppendUvarint(b, uint64(jd.Level))
-		b = appendDuration(b, made.Sub(jd.Since))
-		b = appendDuration(b, jd.Until.Sub(jd.Since))
+	quarantines := newest(sn.Quarantines)
+	b = binary.AppendUvarint(b, uint64(len(quarantines)))
+	for _, qu := range quarantines {
+		b = append(b, qu.Request[:]...)
+		b = binary.AppendUvarint(b, uint64(qu.Crashes))
+		b = binary.AppendUvarint(b, uint64(qu.Level))
+		b = appendDuration(b, takenAt.Sub(qu.Since))
+		b = appendDuration(b, qu.Until.Sub(qu.Since))
 	}
-	surviving := newest(sn.ActiveRuns)
-	b = binary.AppendUvarint(b, uint64(len(surviving)))
-	for _, sv := range surviving {
-		b = append(b, sv.Request[:]...)
-		b = appendDuration(b, made.Sub(sv.Since))
+	activeRuns := newest(sn.ActiveRuns)
+	b = binary.AppendUvarint(b, uint64(len(activeRuns)))
+	for _, ar := range activeRuns {
+		b = append(b, ar.Request[:]...)
+		b = appendDuration(b, takenAt.Sub(ar.Since))
 	}
 	return b
 }
@@ -68,18 +68,18 @@
 func newest[T any](list []T) []T { return list[max(0, len(list)-maxListLength):] }
 
 // lifted is how long a clearance still stands that an operator made; zero for the others.
-func remainingLift(cl Tombstone, made time.Time) time.Duration {
-	if !cl.ByOperator {
+func remainingLift(ts Tombstone, takenAt time.Time) time.Duration {
+	if !ts.ByOperator {
 		return 0
 	}
-	return max(time.Millisecond, cl.Until.Sub(made))
+	return max(time.Millisecond, ts.Until.Sub(takenAt))
 }
 
 func appendDuration(b []byte, d time.Duration) []byte { return peerbytes.AppendSpan(b, d, maxDuration) }
 
 // Decode reads a peer's notes that were made at a time by this instance's clock. It fails with a VersionError or a
 // peerbytes.MalformedError.
-func Decode(b []byte, made time.Time) (Snapshot, error) {
+func Decode(b []byte, takenAt time.Time) (Snapshot, error) {
 	if len(b) == 0 {
 		return Snapshot{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode notes")
 	}
@@ -87,33 +87,33 @@
 		return Snapshot{}, errors.Wrap(&VersionError{Version: b[0]}, "decode notes")
 	}
 	rd := reader{peerbytes.NewReader(b[1:])}
-	var nt Snapshot
+	var sn Snapshot
 	for range rd.count() {
 		rn := InterruptedRun{Request: rd.fingerprint(), Incarnation: rd.incarnation()}
 		rn.Elapsed = rd.duration()
-		rn.At = made.Add(-rd.duration())
-		nt.Evidence = append(nt.Evidence, rn)
+		rn.At = takenAt.Add(-rd.duration())
+		sn.Evidence = append(sn.Evidence, rn)
 	}
 	for range rd.count() {
-		cl := Tombstone{Request: rd.fingerprint(), At: made.Add(-rd.duration())}
+		ts := Tombstone{Request: rd.fingerprint(), At: takenAt.Add(-rd.duration())}
 		if left := rd.duration(); left > 0 {
-			cl.ByOperator, cl.Until = true, made.Add(left)
+			ts.ByOperator, ts.Until = true, takenAt.Add(left)
 		}
-		nt.Tombstones = append(nt.Tombstones, cl)
+		sn.Tombstones = append(sn.Tombstones, ts)
 	}
 	for range rd.count() {
-		jd := Quarantine{Request: rd.fingerprint(), Crashes: rd.boundedInt(), Level: rd.boundedInt()}
-		jd.Since = made.Add(-rd.duration())
-		jd.Until = jd.Since.Add(rd.duration())
-		nt.Quarantines = append(nt.Quarantines, jd)
+		qu := Quarantine{Request: rd.fingerprint(), Crashes: rd.boundedInt(), Level: rd.boundedInt()}
+		qu.Since = takenAt.Add(-rd.duration())
+		qu.Until = qu.Since.Add(rd.duration())
+		sn.Quarantines = append(sn.Quarantines, qu)
 	}
 	for range rd.count() {
-		nt.ActiveRuns = append(nt.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: made.Add(-rd.duration())})
+		sn.ActiveRuns = append(sn.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: takenAt.Add(-rd.duration())})
 	}
 	if err := rd.End(); err != nil {
 		return Snapshot{}, errors.Wrap(err, "decode notes")
 	}
-	return nt, nil
+	return sn, nil
 }
 
 // reader reads notes from their start. After a failure it reads zeros.
