--- a/internal/blame/activerun.go
+++ b/internal/blame/activerun.go
@@ -7,26 +7,27 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-// Running is a run of a request that its target has begun to answer. While it goes on for longer than the runs that ended with their
-// targets, the request is not judged: it may be answered whole.
+// ActiveRun is a run of a request that its target has begun to answer. A request is not quarantined while one of its runs lasts
+// longer than the runs that were interrupted by crashes, because that run may still be answered completely.
 type ActiveRun struct {
 	tracker  *Tracker
 	headHash fingerprint.HeadHash
-	// request makes the fingerprint, which costs time for a long body.
+	// digest computes the fingerprint, which takes long for a long body.
 	digest func() fingerprint.Fingerprint
 	since  time.Time
-	// told is set once peers heard that it goes on: they have to hear of its end too.
+	// reported is set once peers were told of the run. They must be told of its end, too.
 	reported bool
 }
 
-// Survivor tells a peer of a run that goes on of a request under which targets ended.
+// ActiveRunSummary is what peers are told of an active run of a request under evidence.
 type ActiveRunSummary struct {
 	Request fingerprint.Fingerprint
-	// Since is when its target began to answer.
+	// Since is when the target began to answer.
 	Since time.Time
 }
 
-// Begin notes a run that its target has begun to answer. End must be called. request may be called at any time before that.
+// BeginRun records a run that its target has begun to answer. The caller must call End. digest may be called at any time until
+// then.
 func (tr *Tracker) BeginRun(hh fingerprint.HeadHash, digest func() fingerprint.Fingerprint) *ActiveRun {
 	ar := &ActiveRun{tracker: tr, headHash: hh, digest: digest, since: tr.opts.Now()}
 	tr.mu.Lock()
@@ -35,7 +36,7 @@
 	return ar
 }
 
-// End notes that the run is over, however it went.
+// End records that the run is over, whether it was answered or interrupted.
 func (ar *ActiveRun) End() {
 	tr := ar.tracker
 	tr.mu.Lock()
@@ -51,7 +52,7 @@
 	}
 }
 
-// survivors returns the runs that go on here of requests that may come to be judged. The lock is held.
+// activeRunSummaries returns the active runs on this instance of requests that may soon be quarantined. The lock is held.
 func (tr *Tracker) activeRunSummaries() []ActiveRunSummary {
 	var list []ActiveRunSummary
 	for hh, runs := range tr.activeRuns {
@@ -66,7 +67,8 @@
 	return list
 }
 
-// outlived reports whether a run goes on, here or at a peer, for longer than those that ended with their targets. The lock is held.
+// hasLongerActiveRun reports whether an active run of the suspect, on this instance or a peer, has lasted longer than those that
+// crashes interrupted. The lock is held.
 func (tr *Tracker) hasLongerActiveRun(sp suspect) bool {
 	startedBefore := tr.opts.Now().Add(-sp.maxElapsed)
 	longer := func(sm ActiveRunSummary) bool { return sm.Request == sp.request && sm.Since.Before(startedBefore) }
@@ -83,7 +85,7 @@
 	return false
 }
 
-// Lost forgets the runs of a peer that is lost.
+// RemovePeer discards the active runs of a lost peer.
 func (tr *Tracker) RemovePeer(peer string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -1,9 +1,10 @@
-// Package blame finds the requests that end the targets which run them, and names them again when they come under another id.
+// Package blame detects requests that crash the targets which run them, and quarantines them. It identifies requests by
+// fingerprint, so that a quarantine also holds when the caller sends the request again under another id.
 //
-// Each run that a target broke off by ending is held against its request. Many requests run beside each other, so one end is held
-// against many, and targets also end by themselves. A request is judged when so many targets ended under it that neither chance
-// nor another request explains it; before that it is on trial, run seldom. A whole answer clears it. Instances tell each other what
-// they saw, so that all judge alike.
+// Each run that is interrupted by the crash of its target is evidence against its request. One crash interrupts many concurrent
+// runs, and targets also crash for other reasons. A request is therefore quarantined only when more targets crashed while running
+// it than coincidence or another request explains. On weaker evidence it is put on probation: it is run only as an occasional
+// probe. A complete answer clears it. Instances exchange their evidence, so that all come to the same decision.
 package blame
 
 import (
@@ -17,109 +18,115 @@
 )
 
 const (
-	// endsLeast is how many targets end under a request before it may be judged: it is what the operators allow.
+	// minCrashes is the number of targets that must crash while running a request before it may be quarantined. Operators accept
+	// this many crashes per request.
 	minCrashes = 3
-	// settleFor is how long after its last end a request is held back before it is judged: by then instances have heard of each other's
-	// ends, and it is known which others stood under the same ones.
+	// settleDelay is the time between the last crash under a request and its quarantine. The request is held back meanwhile, so
+	// that instances learn of each other's crashes and of the other requests that ran on the same targets.
 	settleDelay = 200 * time.Millisecond
-	// endKnownFor is how long after a run was broken off its target's end may become known. The entry of a target that says nothing
-	// goes after three of its heartbeats, 3.6 s.
+	// crashDetectionTimeout bounds the time between the interruption of a run and the detection of its target's crash. The entry
+	// of a target that stops sending heartbeats is removed after three heartbeats, 3.6 s.
 	crashDetectionTimeout = 6 * time.Second
-	// rememberFor is how long an end is held against what ran there.
+	// evidenceTTL is how long a crash counts against the requests that ran on the target.
 	evidenceTTL = 10 * time.Minute
-	// judgedFor is how long a request is first refused. It doubles with each time that a target ends under it again right afterwards,
-	// up to judgedMost, so that a request which never changes ends ever fewer targets.
+	// initialQuarantine is the duration of the first quarantine. The duration doubles, up to maxQuarantine, each time that
+	// another target crashes under the request soon after its quarantine ends, so that a request that never changes crashes ever
+	// fewer targets.
 	initialQuarantine = 5 * time.Minute
 	maxQuarantine     = 2 * time.Hour
-	// tellFor is how long what this instance saw is told to peers: longer than their silence before they are taken for lost.
+	// gossipDuration is how long local evidence is sent to peers. It exceeds the silence after which a peer is considered lost.
 	gossipDuration = 15 * time.Second
-	// sweepEvery is how often ends and judgements are looked through for those that are too old: well below how long they last.
+	// expiryInterval is the time between two scans for expired crashes and quarantines. It is far below their lifetimes.
 	expiryInterval = time.Second
 )
 
-// The bounds of what is held, each with its memory at the most. They bound a flood of different requests; the oldest gives way.
+// Bounds of the state, with the maximum memory of an entry. They hold in a flood of different requests: old entries are evicted, and
+// runs beyond maxRunsPerCrash are ignored.
 const (
-	// maxBroken bounds the runs whose targets may still turn out to have ended, 100 bytes each.
+	// maxInterruptedRuns bounds the runs whose targets may still prove to have crashed; 100 bytes each.
 	maxInterruptedRuns = 2048
-	// maxEnds bounds the ends, and maxUnder what is held at one of them, 80 bytes each.
+	// maxCrashRecords bounds the crashes, and maxRunsPerCrash the runs recorded for each of them; 80 bytes each.
 	maxCrashRecords = 512
 	maxRunsPerCrash = 64
-	// maxJudged bounds the judgements and what was cleared lately, 100 bytes each.
+	// maxQuarantines bounds the quarantines, and separately the tombstones; 100 bytes each.
 	maxQuarantines = 256
 )
 
-// Run is one run of a request that its target broke off.
+// InterruptedRun is a run of a request that its target broke off: no answer came, or an incomplete one.
 type InterruptedRun struct {
 	Request fingerprint.Fingerprint
-	// Target is the incarnation that ran it.
+	// Incarnation identifies the process of the target that ran the request.
 	Incarnation string
-	// Exposure is how long the target had run it: since the head of its answer, or since it was sent where none came.
+	// Elapsed is how long the target had run the request: since the head of its answer, or since the request was sent if no head
+	// came.
 	Elapsed time.Duration
-	// At is when it was broken off.
+	// At is when the run was interrupted.
 	At time.Time
 }
 
-// end is a target that ended.
+// crash is the crash of one incarnation of a target.
 type crash struct {
 	at time.Time
-	// under holds the runs that the end broke off, at most maxUnder.
+	// runsByRequest holds the runs that the crash interrupted, at most maxRunsPerCrash.
 	runsByRequest map[fingerprint.Fingerprint]InterruptedRun
 }
 
-// Options are the seams of a Ledger. All are set.
+// Options are the dependencies of a Tracker. All fields are required.
 type Options struct {
-	// Now is the steady clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Time
-	// Targets returns how many targets there are.
+	// TargetCount returns the current number of targets.
 	TargetCount func() int
-	// Gone reports whether a target is gone that never said that it would leave.
+	// Crashed reports whether a target has disappeared without having announced that it would leave.
 	Crashed func(incarnation string) bool
-	// Changed is told when peers have to hear something new. It must not call the ledger.
+	// NotifyPeers is called when peers need a new snapshot. It must not call the Tracker.
 	NotifyPeers func()
 	Metrics     *metrics.Set
 	Log         log.Interface
 }
 
-// Ledger holds what is known of requests under which targets ended. It is safe for use by any goroutine.
+// Tracker holds the evidence against requests and their quarantines. It is safe for concurrent use.
 type Tracker struct {
 	opts Options
 
 	mu sync.Mutex
-	// broken holds the runs that were broken off by targets not known to have ended, the oldest first.
+	// interrupted holds the runs whose targets are not known to have crashed, oldest first.
 	interrupted []InterruptedRun
-	// ends holds the targets that ended, by incarnation.
+	// crashes holds the targets that crashed, by incarnation.
 	crashes map[string]*crash
-	// own holds the runs that this instance saw end with their targets, to be told to peers.
+	// localEvidence holds the interrupted runs of this instance whose targets crashed. They are sent to peers.
 	localEvidence []InterruptedRun
-	// judgements holds those in force and those that have passed lately.
+	// quarantines holds the active quarantines and those that ended recently.
 	quarantines map[fingerprint.Fingerprint]Quarantine
-	// cleared holds the requests that were cleared lately.
+	// tombstones holds the requests that were cleared recently.
 	tombstones map[fingerprint.Fingerprint]tombstone
-	// held counts the ends that are held against a request, origins the ends and judgements on requests of an origin; entries at zero
-	// are removed.
+	// evidenceCounts counts the crashes held against a request; headCounts counts those crashes and the quarantines of all
+	// requests with a head hash. Entries at zero are removed.
 	evidenceCounts map[fingerprint.Fingerprint]int
 	headCounts     map[fingerprint.HeadHash]int
-	// trials holds the requests on trial that were run here.
+	// probes holds the last probes that this instance sent of requests on probation.
 	probes map[fingerprint.Fingerprint]probe
-	// sweptAt is when ends and judgements that are too old were last forgotten.
+	// lastExpiry is the time of the last scan for expired crashes and quarantines.
 	lastExpiry time.Time
-	// running holds the runs that go on here, by origin, and told those at peers of requests under which targets ended.
+	// activeRuns holds the runs in progress on this instance, by head hash; peerRuns holds those that each peer reports for
+	// requests under evidence.
 	activeRuns map[fingerprint.HeadHash][]*ActiveRun
 	peerRuns   map[string][]ActiveRunSummary
 }
 
-// New returns an empty ledger.
+// New returns a Tracker without any evidence.
 func New(op Options) *Tracker {
 	tr := &Tracker{
 		opts: op, crashes: map[string]*crash{}, quarantines: map[fingerprint.Fingerprint]Quarantine{},
-		tombstones: map[fingerprint.Fingerprint]tombstone{}, evidenceCounts: map[fingerprint.Fingerprint]int{}, headCounts: map[fingerprint.HeadHash]int{},
-		activeRuns: map[fingerprint.HeadHash][]*ActiveRun{}, peerRuns: map[string][]ActiveRunSummary{}, probes: map[fingerprint.Fingerprint]probe{},
+		tombstones: map[fingerprint.Fingerprint]tombstone{}, evidenceCounts: map[fingerprint.Fingerprint]int{},
+		headCounts: map[fingerprint.HeadHash]int{}, activeRuns: map[fingerprint.HeadHash][]*ActiveRun{},
+		peerRuns: map[string][]ActiveRunSummary{}, probes: map[fingerprint.Fingerprint]probe{},
 	}
 	op.Metrics.NewGauge("silvermount_requests_judged", func() float64 { return float64(len(tr.Quarantines())) })
 	return tr
 }
 
-// Broke notes a run that its target broke off. It is held against the request if the target turns out to have ended.
+// RecordInterrupted records a run that was interrupted. The run counts against the request if its target proves to have crashed.
 func (tr *Tracker) RecordInterrupted(rn InterruptedRun) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -135,7 +142,7 @@
 	tr.interrupted = append(tr.interrupted, rn)
 }
 
-// Ended notes that a target has ended.
+// RecordCrash records that an incarnation of a target has crashed.
 func (tr *Tracker) RecordCrash(incarnation string) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -147,13 +154,13 @@
 	tr.evaluateAndNotify()
 }
 
-// changed judges by what is known now, and has peers told. The lock is held.
+// evaluateAndNotify quarantines requests by the present evidence and notifies peers. The lock is held.
 func (tr *Tracker) evaluateAndNotify() {
 	tr.quarantineSuspects()
 	tr.opts.NotifyPeers()
 }
 
-// end notes the end of a target, and holds against their requests the runs that it broke off here. The lock is held.
+// addCrash records the crash of a target and turns the runs that it interrupted on this instance into evidence. The lock is held.
 func (tr *Tracker) addCrash(incarnation string, at time.Time) {
 	if len(tr.crashes) >= maxCrashRecords {
 		tr.evictOldestCrash()
@@ -170,7 +177,7 @@
 	tr.interrupted = kept
 }
 
-// hold holds the end of a target against the request that it ran. The lock is held.
+// addEvidence counts the crash of a target against the request of an interrupted run. The lock is held.
 func (tr *Tracker) addEvidence(rn InterruptedRun, localEvidence bool) {
 	cr := tr.crashes[rn.Incarnation]
 	if _, known := cr.runsByRequest[rn.Request]; known || len(cr.runsByRequest) >= maxRunsPerCrash {
@@ -189,7 +196,7 @@
 	}
 }
 
-// Served notes a whole answer, which clears the request of all that happened before.
+// RecordAnswered records a complete answer, which voids all earlier evidence against the request.
 func (tr *Tracker) RecordAnswered(fp fingerprint.Fingerprint) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -199,25 +206,26 @@
 	}
 }
 
-// Knows reports whether anything is held against a request of an origin. Only then Check and Served have to be asked.
+// HasEvidence reports whether there is evidence or a quarantine for any request with a head hash. If there is none, calls of
+// Check and RecordAnswered are not needed.
 func (tr *Tracker) HasEvidence(hh fingerprint.HeadHash) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if tr.detectionOverdue() {
-		// Ends that the list alone tells come to light when their runs are given up for unexplained.
+		// A crash that only the list of targets shows is detected when the time limit of the interrupted run expires.
 		tr.expire()
 		tr.evaluateAndNotify()
 	}
 	return tr.headCounts[hh] > 0
 }
 
-// weigh counts ends that are held against a request, or no longer. The lock is held.
+// adjustCounts changes the number of crashes held against a request. The lock is held.
 func (tr *Tracker) adjustCounts(fp fingerprint.Fingerprint, n int) {
 	adjustCount(tr.evidenceCounts, fp, n)
 	adjustCount(tr.headCounts, fp.HeadHash(), n)
 }
 
-// add changes a count, and removes it at zero.
+// adjustCount changes a count and deletes it at zero.
 func adjustCount[K comparable](counts map[K]int, key K, n int) {
 	counts[key] += n
 	if counts[key] == 0 {
@@ -225,7 +233,7 @@
 	}
 }
 
-// forget forgets a target that ended. The lock is held.
+// removeCrash removes the crash of a target and the evidence that it gave. The lock is held.
 func (tr *Tracker) removeCrash(incarnation string) {
 	for fp := range tr.crashes[incarnation].runsByRequest {
 		tr.adjustCounts(fp, -1)
@@ -233,12 +241,14 @@
 	delete(tr.crashes, incarnation)
 }
 
-// overdue reports whether the target of a broken run has to be known to have ended by now. The lock is held.
+// detectionOverdue reports whether the crash of the target of the oldest interrupted run, if it crashed, must be visible by now.
+// The lock is held.
 func (tr *Tracker) detectionOverdue() bool {
 	return len(tr.interrupted) > 0 && tr.opts.Now().Sub(tr.interrupted[0].At) > crashDetectionTimeout
 }
 
-// expire forgets what is too old, after a last look at whether the targets of broken runs are gone. The lock is held.
+// expire removes what is too old. It first checks a last time whether the targets of interrupted runs have crashed. The lock is
+// held.
 func (tr *Tracker) expire() {
 	now := tr.opts.Now()
 	for tr.detectionOverdue() {
@@ -265,7 +275,7 @@
 	tr.expireProbes()
 }
 
-// forgetOldest forgets the end that is longest ago. The lock is held.
+// evictOldestCrash removes the oldest crash. The lock is held.
 func (tr *Tracker) evictOldestCrash() {
 	oldest := ""
 	for id, cr := range tr.crashes {
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -7,33 +7,35 @@
 )
 
 const (
-	// chanceTrial is how likely it may be, at the most, that chance or other requests ended the targets under a request, for it to be
-	// run only on trial.
+	// maxProbationPValue is the p-value above which a request with enough crashes is not put on probation. It is higher than
+	// maxPValue: coincidence or other requests may well explain the crashes.
 	maxProbationPValue = 1e-2
-	// trialPause is how long after an end under it, and after its trial, a request on trial is next run here. It doubles with each trial,
-	// up to trialPauseMost.
+	// initialProbeInterval is the minimum time from a crash under a request on probation, or from its last probe, to its next
+	// probe on this instance. It doubles with each probe, up to maxProbeInterval.
 	initialProbeInterval = time.Second
 	maxProbeInterval     = 8 * time.Second
 )
 
-// trial is the last run of a request on trial at this instance.
+// probe is the last run of a request on probation on this instance.
 type probe struct {
-	// at is when it was let through, pause how long it is not run after that, or after a later end.
-	sentAt   time.Time
+	// sentAt is when the request was let through.
+	sentAt time.Time
+	// interval is the minimum time from sentAt, or from a later crash under the request, to the next probe.
 	interval time.Duration
 }
 
-// Verdict says what is to be done with a request.
+// Decision says whether a request may be sent to a target now.
 type Decision struct {
-	// Judged is set when it is not to be run.
+	// Quarantined is set when the request must not be run.
 	Quarantined bool
-	// Ends is how many targets had ended under it.
+	// Crashes is the number of targets that had crashed under the request.
 	Crashes int
-	// Hold is how long it is to wait before it is looked at again; zero when it may run.
+	// Delay is how long the request has to wait before it is checked again; zero when it may run.
 	Delay time.Duration
 }
 
-// Judged reports whether a request is not to be run, and how many targets had ended under it.
+// Quarantined reports whether a request must not be run, and how many targets had crashed under it. Unlike Check it sends no
+// probe.
 func (tr *Tracker) Quarantined(fp fingerprint.Fingerprint) (crashes int, quarantined bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -42,7 +44,7 @@
 	return qu.Crashes, ok && qu.activeAt(tr.opts.Now())
 }
 
-// refresh judges by what is known now. The lock is held.
+// evaluate quarantines requests by the present evidence, and notifies peers if there is a new quarantine. The lock is held.
 func (tr *Tracker) evaluate() {
 	tr.expire()
 	if tr.quarantineSuspects() {
@@ -50,8 +52,7 @@
 	}
 }
 
-// Check says what is to be done with a request that is about to be sent to a target. Where it may run, that is its trial if it is on
-// trial.
+// Check decides whether a request may be sent to a target now. If it may and is on probation, the call counts as its probe.
 func (tr *Tracker) Check(fp fingerprint.Fingerprint) Decision {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -68,10 +69,11 @@
 	return Decision{Crashes: len(sp.runs), Delay: tr.probeDelay(sp)}
 }
 
-// untilTrial returns how long a request that may end its targets is to wait before it is run again; zero when it may run now.
+// probeDelay returns how long a request that may crash its targets has to wait before its next probe; zero when it may run now.
 //
-// While many targets end, too little tells the requests that end them from those beside them, above all at an instance that hears of no
-// peer. Run seldom, the former end few targets, and the latter are answered whole, which clears them. The lock is held.
+// While many targets crash, there is too little evidence to tell the requests that crash them from those that run beside them,
+// above all on an instance that is cut off from its peers. Run seldom, the former crash few targets, and the latter are answered
+// completely, which clears them. The lock is held.
 func (tr *Tracker) probeDelay(sp suspect) time.Duration {
 	if len(sp.runs) < minCrashes || sp.pValue > maxProbationPValue {
 		return 0
@@ -92,7 +94,7 @@
 	return 0
 }
 
-// expireTrials forgets the trials of requests that are no longer on trial. The lock is held.
+// expireProbes removes the probes of requests that are no longer on probation. The lock is held.
 func (tr *Tracker) expireProbes() {
 	for fp := range tr.probes {
 		if tr.evidenceCounts[fp] < minCrashes {
--- a/internal/blame/detection.go
+++ b/internal/blame/detection.go
@@ -15,39 +15,41 @@
 )
 
 const (
-	// chanceMost is how likely it may be, at the most, that targets ended by themselves just while a request ran, for it to be
-	// judged.
+	// maxPValue is the p-value above which a request is not quarantined: the probability that as many targets would have crashed
+	// for other reasons during its runs.
 	maxPValue = 1e-7
-	// chanceAgain is the same for a single end soon after a judgement has passed.
+	// maxRepeatPValue takes the place of maxPValue for a single crash soon after a quarantine has ended.
 	maxRepeatPValue = 1e-2
-	// nearby is the time before and after an end in which other ends tell how often targets end anyway.
+	// rateWindow is the time before and after a crash in which other crashes show how often targets crash for other reasons.
 	rateWindow = 5 * time.Second
-	// closeBy is the same for the beginning of a bad time, which the longer span would show too late.
+	// burstWindow is a shorter window that shows the start of a burst of crashes, which rateWindow would show too late.
 	burstWindow = time.Second
-	// endsUnseen is added to the ends that were seen nearby, so that none seen is not taken for none possible.
+	// crashPseudocount is added to the crashes observed in rateWindow, so that a window without crashes does not give a rate of
+	// zero.
 	crashPseudocount = 0.5
-	// exposureLeast is the least time that a run is taken to have been at its target: a round trip.
+	// minElapsed is the minimum time that a run counts as having been on its target: one round trip.
 	minElapsed = time.Millisecond
-	// clearer is how much less likely by chance the ends under a request must be than those under another that stood under all of
-	// them too. Between two that are alike the next end decides, or the next whole answer.
+	// minPValueRatio is how many times smaller the p-value of a request must be than that of another request that ran on all the
+	// same targets. Between two similar requests the next crash decides, or the next complete answer.
 	minPValueRatio = 100
-	// alikeEnds is how many ends judge the likeliest even so: requests that always come together would never be told apart.
+	// tieBreakCrashes is the number of crashes from which the likelier of two similar requests is quarantined even so. Requests
+	// that always run together could otherwise never be told apart.
 	tieBreakCrashes = minCrashes + 2
 )
 
-// suspect is a request with what is held against it.
+// suspect is a request with the evidence against it.
 type suspect struct {
 	request fingerprint.Fingerprint
-	// runs are those at targets whose ends nothing else explains, the shortest first.
+	// runs are the interrupted runs on targets whose crashes no quarantined request explains, shortest first.
 	runs []InterruptedRun
-	// longest is the longest time that one of the runs ran which chance is taken of.
+	// maxElapsed is the duration of the longest of the runs that pValue is computed from.
 	maxElapsed time.Duration
-	// chance is how likely targets ended by themselves within that time, in so many of the runs. It is the least over the shortest
-	// runs: at a target where it waited before it ran, a request that ends targets seems to have run for long.
+	// pValue is the probability that as many targets crashed for other reasons within that time. It is the minimum over the
+	// shortest runs, because a request that waited on a target before it was executed seems to have run there for long.
 	pValue float64
 }
 
-// last returns when the newest of the runs was broken off.
+// lastInterrupted returns when the most recent of the runs was interrupted.
 func (sp suspect) lastInterrupted() time.Time {
 	var at time.Time
 	for _, rn := range sp.runs {
@@ -58,8 +60,8 @@
 	return at
 }
 
-// likely reports whether so many targets ended under the request that it is to be judged, once all is known of them. before is its
-// judgement that has passed, if any.
+// meetsThresholds reports whether the evidence suffices for a quarantine, provided that it is complete. previous is the last
+// quarantine of the request, if any.
 func (sp suspect) meetsThresholds(previous Quarantine) bool {
 	if previous.Level > 0 {
 		return len(sp.runs) > 0 && sp.pValue <= maxRepeatPValue
@@ -67,8 +69,9 @@
 	return len(sp.runs) >= minCrashes && sp.pValue <= maxPValue
 }
 
-// judge judges requests by what is known now, the most suspect first: it explains the ends under it, which are then held against
-// nobody else. It reports whether it judged any. The lock is held.
+// quarantineSuspects quarantines requests by the present evidence, the strongest suspect first: the crashes under a quarantined
+// request count as explained, and no longer as evidence against other requests. It reports whether it quarantined any. The lock
+// is held.
 func (tr *Tracker) quarantineSuspects() bool {
 	quarantined := false
 	for {
@@ -81,7 +84,8 @@
 		previous := tr.quarantines[sp.request]
 		level := previous.Level + 1
 		qu := Quarantine{
-			Request: sp.request, Crashes: previous.Crashes + len(sp.runs), Level: level, Since: now, Until: now.Add(quarantineDuration(level)),
+			Request: sp.request, Crashes: previous.Crashes + len(sp.runs), Level: level,
+			Since: now, Until: now.Add(quarantineDuration(level)),
 		}
 		tr.quarantine(qu, log.Fields{
 			"source": "own", "targets": joinTargets(sp.runs), "chance": strconv.FormatFloat(sp.pValue, 'e', 1, 64),
@@ -89,7 +93,7 @@
 	}
 }
 
-// mostSuspect returns the request that is to be judged next. The lock is held.
+// strongestSuspect returns the next request to quarantine. The lock is held.
 func (tr *Tracker) strongestSuspect() (suspect, bool) {
 	suspects := tr.suspects()
 	slices.SortFunc(suspects, func(a, b suspect) int {
@@ -111,8 +115,8 @@
 	return suspect{}, false
 }
 
-// alone returns what is held against a request of the ends under which none of the others ran that more ends are held against: it is
-// the likelier cause there, judged or not. The lock is held.
+// withoutSharedCrashes returns the suspect without the crashes of targets that also ran a request with more crashes. That request
+// is the likelier cause of these, whether it is quarantined or not. The lock is held.
 func (tr *Tracker) withoutSharedCrashes(sp suspect, others []suspect) suspect {
 	unexplained := tr.unexplained()
 	unshared := slices.DeleteFunc(slices.Clone(unexplained), func(cr *crash) bool {
@@ -124,14 +128,14 @@
 	return tr.suspect(sp.request, unshared, unexplained)
 }
 
-// alike reports whether another request stood under all the same ends and is not clearly less suspect.
+// indistinguishable reports whether another request ran on all the same targets and has no clearly larger p-value.
 func (sp suspect) indistinguishable(suspects []suspect) bool {
 	return slices.ContainsFunc(suspects, func(other suspect) bool {
 		return other.request != sp.request && other.pValue < minPValueRatio*sp.pValue && other.ranOnAllTargetsOf(sp.runs)
 	})
 }
 
-// covers reports whether all runs were at targets that the request ran at too.
+// ranOnAllTargetsOf reports whether the request ran on the targets of all the given runs.
 func (sp suspect) ranOnAllTargetsOf(runs []InterruptedRun) bool {
 	for _, rn := range runs {
 		if !slices.ContainsFunc(sp.runs, func(own InterruptedRun) bool { return own.Incarnation == rn.Incarnation }) {
@@ -141,7 +145,7 @@
 	return true
 }
 
-// suspects returns the requests that may have to be judged. The lock is held.
+// suspects returns the requests that may have to be quarantined. The lock is held.
 func (tr *Tracker) suspects() []suspect {
 	var unexplained []*crash
 	var list []suspect
@@ -159,7 +163,7 @@
 	return list
 }
 
-// open returns the ends that no judged request explains. The lock is held.
+// unexplained returns the crashes that no quarantined request explains. The lock is held.
 func (tr *Tracker) unexplained() []*crash {
 	unexplained := make([]*crash, 0, len(tr.crashes))
 	for _, cr := range tr.crashes {
@@ -170,7 +174,7 @@
 	return unexplained
 }
 
-// explained reports whether a request that was judged afterwards explains an end. The lock is held.
+// explained reports whether a crash is explained by a request that was quarantined after it. The lock is held.
 func (tr *Tracker) explained(cr *crash) bool {
 	if len(tr.quarantines) == 0 {
 		return false
@@ -183,7 +187,7 @@
 	return false
 }
 
-// suspect returns what some ends are held against a request, among all that are open. The lock is held.
+// suspect returns a request with the evidence from the given crashes, assessed against all unexplained crashes. The lock is held.
 func (tr *Tracker) suspect(fp fingerprint.Fingerprint, crashes, unexplained []*crash) suspect {
 	sp := suspect{request: fp, pValue: 1}
 	for _, cr := range crashes {
@@ -207,19 +211,20 @@
 	return sp
 }
 
-// chanceOf is how likely targets ended by themselves within a time in n runs of all, by the rates at which targets ended about each.
+// coincidenceProbability returns the probability that targets crashed for other reasons in n of the runs, each within the given
+// time. rates are the background crash rates at the times of all the runs.
 func coincidenceProbability(rates []float64, n int, within time.Duration) float64 {
 	probability := 1.0
 	for i, rate := range rates[:n] {
-		// The first factors make the number of ways to take n of the runs.
+		// The product of these factors is the binomial coefficient: the number of ways to choose n of the runs.
 		probability *= float64(len(rates)-i) / float64(n-i)
 		probability *= 1 - math.Exp(-rate*within.Seconds())
 	}
 	return probability
 }
 
-// rate is how often a target ended by itself about the time of a run, a second, by the ends under which its request did not run. The
-// lock is held.
+// backgroundCrashRate returns how many times per second a target crashed for other reasons around the time of a run. It counts
+// the crashes of targets on which the request did not run. The lock is held.
 func (tr *Tracker) backgroundCrashRate(rn InterruptedRun, unexplained []*crash) float64 {
 	highest := 0.0
 	for _, window := range []time.Duration{rateWindow, burstWindow} {
@@ -228,7 +233,8 @@
 	return max(highest, tr.crashRate(rn, unexplained, rateWindow, crashPseudocount))
 }
 
-// density is the rate within a span before and after a run; unseen is added to the ends in it.
+// crashRate returns the crashes per target and second within a window before and after a run; pseudocount is added to their
+// number.
 func (tr *Tracker) crashRate(rn InterruptedRun, unexplained []*crash, window time.Duration, pseudocount float64) float64 {
 	crashes := pseudocount
 	for _, cr := range unexplained {
--- a/internal/blame/gossip.go
+++ b/internal/blame/gossip.go
@@ -10,32 +10,32 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-// clearMargin is how much later than a clearance a judgement that a peer tells must have been passed to stand against it: ages told
-// by peers are off by what their frames were under way.
+// ageTolerance is the minimum time by which a peer's quarantine must be newer than a tombstone to override it. Ages received from
+// peers are off by the transit time of their frames.
 const ageTolerance = time.Second
 
-// Clearance tells a peer that nothing is held against a request that happened up to a time.
+// Tombstone tells a peer that the evidence against a request is void up to a time.
 type Tombstone struct {
 	Request fingerprint.Fingerprint
 	At      time.Time
-	// Lifted is set when an operator cleared it. It stands until Until.
+	// ByOperator is set when an operator lifted the quarantine. The tombstone then holds until Until.
 	ByOperator bool
 	Until      time.Time
 }
 
-// Notes are what an instance tells its peers. Their times are on its own clock; on the wire they are ages.
+// Snapshot is the state that an instance gossips to its peers. Times are on the local clock; on the wire they are ages.
 type Snapshot struct {
-	// Runs are those that the instance itself saw end with their targets lately.
+	// Evidence holds recent interrupted runs of the instance itself whose targets crashed.
 	Evidence []InterruptedRun
-	// Clearances are its own lately, and what operators lifted anywhere.
+	// Tombstones holds the recent ones of the instance itself, and those by operators on any instance.
 	Tombstones []Tombstone
-	// Judgements are all that it knows of, so that one that starts hears of them from whoever it meets first.
+	// Quarantines holds all that the instance knows, so that a starting instance learns of them from the first peer it reaches.
 	Quarantines []Quarantine
-	// Survivors are the runs that go on there of requests under which targets ended.
+	// ActiveRuns holds the active runs of requests under evidence.
 	ActiveRuns []ActiveRunSummary
 }
 
-// Notes returns what peers have to hear now. Equal notes are in the same order.
+// Snapshot returns the state to send to peers. Its tombstones and quarantines are sorted by fingerprint.
 func (tr *Tracker) Snapshot() Snapshot {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -55,7 +55,7 @@
 	return sn
 }
 
-// Hear takes what a peer tells.
+// MergePeer merges the snapshot of a peer.
 func (tr *Tracker) MergePeer(peer string, sn Snapshot) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -80,7 +80,7 @@
 	}
 }
 
-// hearClearance takes a clearance that a peer tells. Only what an operator lifted is told on. The lock is held.
+// mergeTombstone merges a tombstone from a peer. Only those by operators are forwarded to other peers. The lock is held.
 func (tr *Tracker) mergeTombstone(ts Tombstone) {
 	if own, ok := tr.tombstones[ts.Request]; ok && !ts.At.After(own.at) {
 		return
@@ -92,7 +92,7 @@
 	tr.clear(ts.Request, tombstone{at: ts.At, until: ts.Until, byOperator: ts.ByOperator})
 }
 
-// hearJudgement takes a judgement that a peer tells: a new one, or one that was passed again. The lock is held.
+// mergeQuarantine merges a quarantine from a peer if it is new here or has a higher level. The lock is held.
 func (tr *Tracker) mergeQuarantine(peer string, qu Quarantine) {
 	if ts, ok := tr.tombstones[qu.Request]; ok && !qu.Since.After(ts.at.Add(ageTolerance)) {
 		return
@@ -103,6 +103,8 @@
 	if !tr.opts.Now().Before(qu.retainedUntil()) {
 		return
 	}
-	tr.quarantine(qu, log.Fields{"source": "peer", "peer": peer, "age": tr.opts.Now().Sub(qu.Since).Round(time.Millisecond).String()})
+	tr.quarantine(qu, log.Fields{
+		"source": "peer", "peer": peer, "age": tr.opts.Now().Sub(qu.Since).Round(time.Millisecond).String(),
+	})
 	tr.opts.NotifyPeers()
 }
--- a/internal/blame/quarantine.go
+++ b/internal/blame/quarantine.go
@@ -11,24 +11,24 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-// Judgement says that a request ends the targets that run it.
+// Quarantine is the decision that a request crashes its targets and is refused for a time.
 type Quarantine struct {
 	Request fingerprint.Fingerprint
-	// Ends is how many targets had ended under it.
+	// Crashes is the number of targets that had crashed under the request.
 	Crashes int
-	// Level counts the judgements in a row, from 1.
+	// Level is the number of consecutive quarantines of the request, from 1.
 	Level int
-	// Since is when it was judged, Until how long it is refused.
+	// Since is when the request was quarantined, Until when it is no longer refused.
 	Since, Until time.Time
 }
 
-// inForce reports whether the request is refused at a time.
+// activeAt reports whether the request is refused at a time.
 func (qu Quarantine) activeAt(now time.Time) bool { return now.Before(qu.Until) }
 
-// forgetAt is when a judgement that has passed is forgotten: until then one more end is enough for the next.
+// retainedUntil returns when a quarantine that has ended is forgotten. Until then a single crash can lead to the next quarantine.
 func (qu Quarantine) retainedUntil() time.Time { return qu.Until.Add(qu.Until.Sub(qu.Since)) }
 
-// term is how long a judgement of a level is in force.
+// quarantineDuration returns the duration of a quarantine of the given level.
 func quarantineDuration(level int) time.Duration {
 	d := initialQuarantine
 	for range level - 1 {
@@ -37,16 +37,17 @@
 	return d
 }
 
-// clearance says that nothing is held against a request that happened up to a time.
+// tombstone voids the evidence against a request up to a time.
 type tombstone struct {
+	// at is the time up to which evidence and quarantines are void.
 	at time.Time
-	// until is how long it stands against judgements that peers still tell; zero where there was none.
+	// until is how long the tombstone overrides quarantines that peers still send; zero if there was no quarantine.
 	until time.Time
-	// lifted is set when an operator cleared it: then all instances tell it on.
+	// byOperator is set when an operator lifted the quarantine. All instances then forward the tombstone.
 	byOperator bool
 }
 
-// Judgements returns those in force, by fingerprint.
+// Quarantines returns the active quarantines, sorted by fingerprint.
 func (tr *Tracker) Quarantines() []Quarantine {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -61,7 +62,8 @@
 	return list
 }
 
-// Lift takes a judgement back at all instances. It reports whether there was one.
+// LiftQuarantine ends the quarantine of a request on all instances, at the request of an operator. It reports whether there was
+// one.
 func (tr *Tracker) LiftQuarantine(fp fingerprint.Fingerprint) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -74,7 +76,7 @@
 	return true
 }
 
-// pass notes a judgement. The lock is held.
+// quarantine stores a quarantine and logs it. The lock is held.
 func (tr *Tracker) quarantine(qu Quarantine, fields log.Fields) {
 	if len(tr.quarantines) >= maxQuarantines {
 		tr.evictQuarantine()
@@ -87,10 +89,10 @@
 	fields["ends"] = qu.Crashes
 	fields["level"] = qu.Level
 	fields["for"] = qu.Until.Sub(tr.opts.Now()).Round(time.Second).String()
-	tr.opts.Log.WithFields(fields).Warn("request judged to end its targets")
+	tr.opts.Log.WithFields(fields).Warn("request quarantined: targets crashed while they ran it")
 }
 
-// forgetJudgement forgets the judgement that passes first. The lock is held.
+// evictQuarantine removes the quarantine that ends first. The lock is held.
 func (tr *Tracker) evictQuarantine() {
 	var first Quarantine
 	for _, qu := range tr.quarantines {
@@ -101,24 +103,29 @@
 	tr.removeQuarantine(first.Request)
 }
 
-// dropJudgement forgets a judgement. The lock is held.
+// removeQuarantine removes the quarantine of a request. The lock is held.
 func (tr *Tracker) removeQuarantine(fp fingerprint.Fingerprint) {
 	delete(tr.quarantines, fp)
 	adjustCount(tr.headCounts, fp.HeadHash(), -1)
 }
 
-// clear takes back all that is held against a request up to a time, and reports whether that was anything. The lock is held.
+// clear voids the evidence against a request up to the time of the tombstone, and any quarantine. It reports whether there was
+// anything to void. The lock is held.
 func (tr *Tracker) clear(fp fingerprint.Fingerprint, ts tombstone) bool {
 	cleared := tr.removeEvidence(fp, ts.at)
-	tr.localEvidence = slices.DeleteFunc(tr.localEvidence, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(ts.at) })
-	tr.interrupted = slices.DeleteFunc(tr.interrupted, func(rn InterruptedRun) bool { return rn.Request == fp && !rn.At.After(ts.at) })
+	tr.localEvidence = slices.DeleteFunc(tr.localEvidence, func(rn InterruptedRun) bool {
+		return rn.Request == fp && !rn.At.After(ts.at)
+	})
+	tr.interrupted = slices.DeleteFunc(tr.interrupted, func(rn InterruptedRun) bool {
+		return rn.Request == fp && !rn.At.After(ts.at)
+	})
 	if qu, ok := tr.quarantines[fp]; ok {
 		cleared = true
 		ts.until = qu.retainedUntil()
 		tr.removeQuarantine(fp)
 		tr.opts.Log.WithFields(log.Fields{
 			"fingerprint": fp.String(), "ends": qu.Crashes, "lifted": ts.byOperator,
-		}).Warn("judgement taken back")
+		}).Warn("request released from quarantine")
 	}
 	if !cleared {
 		return false
@@ -130,7 +137,7 @@
 	return true
 }
 
-// release takes back the ends that are held against a request up to a time, and reports whether there were any. The lock is held.
+// removeEvidence removes the evidence against a request up to a time, and reports whether there was any. The lock is held.
 func (tr *Tracker) removeEvidence(fp fingerprint.Fingerprint, until time.Time) bool {
 	if tr.evidenceCounts[fp] == 0 {
 		return false
@@ -146,7 +153,7 @@
 	return removed
 }
 
-// forgetCleared forgets the clearance that is longest ago. The lock is held.
+// evictOldestTombstone removes the oldest tombstone. The lock is held.
 func (tr *Tracker) evictOldestTombstone() {
 	var oldest fingerprint.Fingerprint
 	for fp, ts := range tr.tombstones {
@@ -157,7 +164,7 @@
 	delete(tr.tombstones, oldest)
 }
 
-// expireJudgements forgets judgements and clearances that are too old. The lock is held.
+// expireQuarantines removes quarantines and tombstones that are too old. The lock is held.
 func (tr *Tracker) expireQuarantines(now time.Time) {
 	for fp, qu := range tr.quarantines {
 		if !now.Before(qu.retainedUntil()) {
@@ -171,7 +178,7 @@
 	}
 }
 
-// names lists the targets of runs, separated by commas.
+// joinTargets returns the targets of the runs, sorted and separated by commas.
 func joinTargets(runs []InterruptedRun) string {
 	ids := make([]string, len(runs))
 	for i, rn := range runs {
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -12,23 +12,25 @@
 )
 
 const (
-	// wireVersion is the first byte of encoded notes. It changes with their form.
+	// wireVersion is the first byte of an encoded snapshot. It changes with the encoding.
 	wireVersion = 1
-	// maxTold bounds each list that is told, the newest or first of them: 10 kB a list, and what decoding allocates.
+	// maxListLength bounds each list in an encoded snapshot to 10 kB, and the memory that decoding allocates.
 	maxListLength = 256
-	// maxName bounds the name of an incarnation, in bytes.
+	// maxIncarnationLength bounds the identifier of an incarnation, in bytes.
 	maxIncarnationLength = 256
-	// maxSpan is the longest time that is told, far beyond every use, and safe to add to a time.
+	// maxDuration bounds the durations on the wire. It is far longer than any in use, and safe to add to a time.
 	maxDuration = 24 * time.Hour
 )
 
-// VersionError says that a peer tells its notes in another form.
+// VersionError means that a peer sent a snapshot in another encoding.
 type VersionError struct{ Version byte }
 
-// Error names the form.
-func (ve *VersionError) Error() string { return "notes of version " + strconv.Itoa(int(ve.Version)) }
+// Error names the version.
+func (ve *VersionError) Error() string {
+	return "unsupported snapshot version " + strconv.Itoa(int(ve.Version))
+}
 
-// Encode returns the bytes that peers get of notes made at a time. Ages are told in whole milliseconds.
+// Encode returns the wire form of a snapshot taken at the given time. Ages are in whole milliseconds.
 func (sn Snapshot) Encode(takenAt time.Time) []byte {
 	b := []byte{wireVersion}
 	evidence := newest(sn.Evidence)
@@ -64,10 +66,10 @@
 	return b
 }
 
-// newest returns the last of a list that is too long to be told.
+// newest returns the last maxListLength elements of a list.
 func newest[T any](list []T) []T { return list[max(0, len(list)-maxListLength):] }
 
-// lifted is how long a clearance still stands that an operator made; zero for the others.
+// remainingLift returns how long a tombstone by an operator still holds; zero for other tombstones.
 func remainingLift(ts Tombstone, takenAt time.Time) time.Duration {
 	if !ts.ByOperator {
 		return 0
@@ -77,14 +79,14 @@
 
 func appendDuration(b []byte, d time.Duration) []byte { return peerbytes.AppendSpan(b, d, maxDuration) }
 
-// Decode reads a peer's notes that were made at a time by this instance's clock. It fails with a VersionError or a
+// Decode reads the snapshot of a peer. takenAt is when it was taken, on the local clock. It fails with a VersionError or a
 // peerbytes.MalformedError.
 func Decode(b []byte, takenAt time.Time) (Snapshot, error) {
 	if len(b) == 0 {
-		return Snapshot{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode notes")
+		return Snapshot{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode snapshot")
 	}
 	if b[0] != wireVersion {
-		return Snapshot{}, errors.Wrap(&VersionError{Version: b[0]}, "decode notes")
+		return Snapshot{}, errors.Wrap(&VersionError{Version: b[0]}, "decode snapshot")
 	}
 	rd := reader{peerbytes.NewReader(b[1:])}
 	var sn Snapshot
@@ -111,17 +113,17 @@
 		sn.ActiveRuns = append(sn.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: takenAt.Add(-rd.duration())})
 	}
 	if err := rd.End(); err != nil {
-		return Snapshot{}, errors.Wrap(err, "decode notes")
+		return Snapshot{}, errors.Wrap(err, "decode snapshot")
 	}
 	return sn, nil
 }
 
-// reader reads notes from their start. After a failure it reads zeros.
+// reader reads the parts of a snapshot. After a failure it returns zero values.
 type reader struct{ *peerbytes.Reader }
 
 func (rd *reader) count() int { return int(rd.Number(maxListLength)) }
 
-// small reads a count of ends or judgements.
+// boundedInt reads a number of crashes or a quarantine level.
 func (rd *reader) boundedInt() int { return int(rd.Number(1 << 16)) }
 
 func (rd *reader) duration() time.Duration { return rd.Span(maxDuration) }
