--- a/internal/blame/activerun_test.go
+++ b/internal/blame/activerun_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestRunThatOutlivesTheOthers lets a run go on while targets ended under others of the same request.
-func TestRunThatOutlivesTheOthers(t *testing.T) {
+func TestLongerActiveRunPreventsQuarantine(t *testing.T) {
 	cases := map[string]struct {
 		// age is how long the run has gone on when the first target ends, request what it runs.
 		age     time.Duration
@@ -22,14 +22,14 @@
 		// far is set when only a run at a peer is meant.
 		far bool
 	}{
-		"it goes on":              {lasting, "fatal", func(*testing.T, *instance, *instance, func()) {}, false, false},
+		"it goes on":              {longRun, "fatal", func(*testing.T, *instance, *instance, func()) {}, false, false},
 		"it began just now":       {-time.Second, "fatal", func(*testing.T, *instance, *instance, func()) {}, true, false},
-		"another request goes on": {lasting, "other", func(*testing.T, *instance, *instance, func()) {}, true, false},
-		"it is over": {lasting, "fatal", func(t *testing.T, judge, other *instance, end func()) {
+		"another request goes on": {longRun, "other", func(*testing.T, *instance, *instance, func()) {}, true, false},
+		"it is over": {longRun, "fatal", func(t *testing.T, judge, other *instance, end func()) {
 			end()
-			other.tell(t, judge)
+			other.gossipTo(t, judge)
 		}, true, false},
-		"its instance is lost": {lasting, "fatal", func(_ *testing.T, judge, _ *instance, _ func()) { judge.RemovePeer("peer") }, true, true},
+		"its instance is lost": {longRun, "fatal", func(_ *testing.T, judge, _ *instance, _ func()) { judge.RemovePeer("peer") }, true, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -46,19 +46,19 @@
 				end := func() {}
 				if tc.age > 0 {
 					end = begin()
-					ck.pass(tc.age)
+					ck.advance(tc.age)
 				}
 				for no := range 3 {
-					judge.broke(fmt.Sprint("target-", no), true, brief, "fatal")
+					judge.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
 				}
-				ck.pass(settled)
+				ck.advance(afterSettleDelay)
 				if tc.age <= 0 {
 					end = begin()
 				}
-				judge.tell(t, other)
-				other.tell(t, judge)
+				judge.gossipTo(t, other)
+				other.gossipTo(t, judge)
 				tc.after(t, judge, other, end)
-				g.Expect(judge.judged("fatal")).To(Equal(tc.want), "the run is near: %v", near)
+				g.Expect(judge.quarantined("fatal")).To(Equal(tc.want), "the run is near: %v", near)
 			}
 		})
 	}
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -16,12 +16,12 @@
 
 const (
 	// settled is longer than a request is held back before it is judged.
-	settled = 250 * time.Millisecond
+	afterSettleDelay = 250 * time.Millisecond
 	// brief is how long a run lasts that ends its target; lasting is that of a long answer.
-	brief   = 100 * time.Millisecond
-	lasting = 4 * time.Second
+	shortRun = 100 * time.Millisecond
+	longRun  = 4 * time.Second
 	// lapse is how long a request is first refused.
-	lapse = 5 * time.Minute
+	firstQuarantine = 5 * time.Minute
 )
 
 // clock is a steady clock that a test sets.
@@ -29,23 +29,23 @@
 
 func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0)} }
 
-func (ck *clock) pass(d time.Duration) { ck.now = ck.now.Add(d) }
+func (ck *clock) advance(d time.Duration) { ck.now = ck.now.Add(d) }
 
 // instance is a ledger and what its targets are believed to be.
 type instance struct {
 	*blame.Tracker
 	ck *clock
 	// gone holds targets that are gone by the list.
-	gone map[string]bool
+	crashed map[string]bool
 	// news counts how often peers were to hear something.
-	news int
+	notifications int
 }
 
 func newInstance(ck *clock, targets int) *instance {
-	in := &instance{ck: ck, gone: map[string]bool{}}
+	in := &instance{ck: ck, crashed: map[string]bool{}}
 	in.Tracker = blame.New(blame.Options{
 		Now: func() time.Time { return ck.now }, TargetCount: func() int { return targets },
-		Crashed: func(id string) bool { return in.gone[id] }, NotifyPeers: func() { in.news++ }, Metrics: metrics.NewSet(),
+		Crashed: func(id string) bool { return in.crashed[id] }, NotifyPeers: func() { in.notifications++ }, Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 	})
 	return in
@@ -56,7 +56,7 @@
 }
 
 // broke lets a target break off runs of requests and end, if it does.
-func (in *instance) broke(target string, ended bool, exposure time.Duration, names ...string) {
+func (in *instance) interrupt(target string, ended bool, exposure time.Duration, names ...string) {
 	for _, name := range names {
 		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: exposure, At: in.ck.now})
 	}
@@ -66,7 +66,7 @@
 }
 
 // tell brings what an instance knows to others, over the wire.
-func (in *instance) tell(t *testing.T, others ...*instance) {
+func (in *instance) gossipTo(t *testing.T, others ...*instance) {
 	t.Helper()
 	b := in.Snapshot().Encode(in.ck.now)
 	nt, err := blame.Decode(b, in.ck.now)
@@ -76,13 +76,13 @@
 	}
 }
 
-func (in *instance) judged(name string) bool { return in.Check(request(name)).Quarantined }
+func (in *instance) quarantined(name string) bool { return in.Check(request(name)).Quarantined }
 
-func TestCheck(t *testing.T) {
+func TestCheckQuarantinesRequestsThatCrashTargets(t *testing.T) {
 	ends := func(in *instance, n int, names ...string) {
 		for no := range n {
-			in.broke(fmt.Sprint("target-", no), true, brief, names...)
-			in.ck.pass(time.Second)
+			in.interrupt(fmt.Sprint("target-", no), true, shortRun, names...)
+			in.ck.advance(time.Second)
 		}
 	}
 	cases := map[string]struct {
@@ -95,73 +95,73 @@
 		"another request": {func(in *instance) { ends(in, 3, "other") }, false},
 		"broken off by targets that did not end": {func(in *instance) {
 			for no := range 9 {
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
+				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
 			}
 		}, false},
 		"one target, many runs": {func(in *instance) {
 			for range 9 {
-				in.broke("target", true, brief, "fatal")
+				in.interrupt("target", true, shortRun, "fatal")
 			}
 		}, false},
 		"the end is known first": {func(in *instance) {
 			for no := range 3 {
 				in.RecordCrash(fmt.Sprint("target-", no))
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
+				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
 			}
 		}, true},
 		"by entries that go seconds later": {func(in *instance) {
 			for no := range 3 {
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
-				in.gone[fmt.Sprint("target-", no)] = true
+				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
+				in.crashed[fmt.Sprint("target-", no)] = true
 			}
-			in.ck.pass(7 * time.Second)
+			in.ck.advance(7 * time.Second)
 		}, true},
 		"long after they were broken off": {func(in *instance) {
 			for no := range 3 {
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
+				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
 			}
-			in.ck.pass(7 * time.Second)
+			in.ck.advance(7 * time.Second)
 			ends(in, 3)
 		}, false},
 		"answered whole in between": {func(in *instance) {
 			ends(in, 2, "fatal")
 			in.RecordAnswered(request("fatal"))
-			in.broke("last", true, brief, "fatal")
+			in.interrupt("last", true, shortRun, "fatal")
 		}, false},
 		"answered whole after it was judged": {func(in *instance) {
 			ends(in, 3, "fatal")
-			in.judged("fatal")
+			in.quarantined("fatal")
 			in.RecordAnswered(request("fatal"))
 		}, false},
 		"lifted": {func(in *instance) {
 			ends(in, 3, "fatal")
-			in.judged("fatal")
+			in.quarantined("fatal")
 			in.LiftQuarantine(request("fatal"))
 		}, false},
 		"after its time": {func(in *instance) {
 			ends(in, 3, "fatal")
-			in.judged("fatal")
-			in.ck.pass(lapse)
+			in.quarantined("fatal")
+			in.ck.advance(firstQuarantine)
 		}, false},
 		"again after its time": {func(in *instance) {
 			ends(in, 3, "fatal")
-			in.judged("fatal")
-			in.ck.pass(lapse)
-			in.broke("again", true, brief, "fatal")
+			in.quarantined("fatal")
+			in.ck.advance(firstQuarantine)
+			in.interrupt("again", true, shortRun, "fatal")
 		}, true},
 		"ends a quarter of an hour apart": {func(in *instance) {
 			for no := range 3 {
-				in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
-				in.ck.pass(15 * time.Minute)
+				in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+				in.ck.advance(15 * time.Minute)
 			}
 		}, false},
 		"beside the one that is judged": {func(in *instance) { ends(in, 3, "other") }, false},
 		"long runs while other targets end too": {func(in *instance) {
 			for no := range 24 {
-				in.broke(fmt.Sprint("other-", no), true, lasting, fmt.Sprint("other-", no))
-				in.ck.pass(400 * time.Millisecond)
+				in.interrupt(fmt.Sprint("other-", no), true, longRun, fmt.Sprint("other-", no))
+				in.ck.advance(400 * time.Millisecond)
 				if no%8 == 0 {
-					in.broke(fmt.Sprint("target-", no), true, lasting, "fatal")
+					in.interrupt(fmt.Sprint("target-", no), true, longRun, "fatal")
 				}
 			}
 		}, false},
@@ -170,39 +170,39 @@
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(newClock(), 12)
 			tc.act(in)
-			in.ck.pass(settled)
-			NewWithT(t).Expect(in.judged("fatal")).To(Equal(tc.want))
+			in.ck.advance(afterSettleDelay)
+			NewWithT(t).Expect(in.quarantined("fatal")).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestSuspectIsHeldBackBeforeItIsJudged(t *testing.T) {
+func TestSuspectIsDelayedBeforeQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	for no := range 3 {
 		g.Expect(in.Check(request("fatal")).Delay).To(BeZero())
-		in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
+		in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
 	}
 	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
 	vd := in.Check(request("fatal"))
 	g.Expect(vd.Quarantined).To(BeFalse())
 	g.Expect(vd.Delay).To(BeNumerically(">", 0))
-	in.ck.pass(vd.Delay)
+	in.ck.advance(vd.Delay)
 	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Decision{Quarantined: true, Crashes: 3}))
 	g.Expect(in.HasEvidence(request("another").HeadHash())).To(BeFalse())
 }
 
 // TestNeighboursAreNotJudged lets two requests stand under the same ends.
-func TestNeighboursAreNotJudged(t *testing.T) {
+func TestConcurrentRequestIsNotQuarantined(t *testing.T) {
 	cases := map[string]struct {
 		ends                 int
 		neighbour            time.Duration
 		wantFatal, wantOther bool
 	}{
-		"the neighbour ran for long":         {3, lasting, true, false},
-		"alike":                              {3, brief, false, false},
-		"alike, once more":                   {4, brief, false, false},
-		"always together: one of the two is": {5, brief / 2, false, true},
+		"the neighbour ran for long":         {3, longRun, true, false},
+		"alike":                              {3, shortRun, false, false},
+		"alike, once more":                   {4, shortRun, false, false},
+		"always together: one of the two is": {5, shortRun / 2, false, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -210,54 +210,54 @@
 			in := newInstance(newClock(), 12)
 			for no := range tc.ends {
 				target := fmt.Sprint("target-", no)
-				in.broke(target, false, tc.neighbour, "other")
-				in.broke(target, true, brief, "fatal")
-				in.ck.pass(time.Second)
+				in.interrupt(target, false, tc.neighbour, "other")
+				in.interrupt(target, true, shortRun, "fatal")
+				in.ck.advance(time.Second)
 			}
-			g.Expect(in.judged("fatal")).To(Equal(tc.wantFatal))
-			g.Expect(in.judged("other")).To(Equal(tc.wantOther))
+			g.Expect(in.quarantined("fatal")).To(Equal(tc.wantFatal))
+			g.Expect(in.quarantined("other")).To(Equal(tc.wantOther))
 		})
 	}
 }
 
 // TestLikeRequestsAreToldApart lets two that were alike run apart.
-func TestLikeRequestsAreToldApart(t *testing.T) {
+func TestSimilarRequestsAreDistinguishedByAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), true, brief, "fatal", "other")
+		in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal", "other")
 	}
-	in.ck.pass(settled)
-	g.Expect(in.judged("fatal")).To(BeFalse())
+	in.ck.advance(afterSettleDelay)
+	g.Expect(in.quarantined("fatal")).To(BeFalse())
 	in.RecordAnswered(request("other"))
-	g.Expect(in.judged("fatal")).To(BeTrue())
-	g.Expect(in.judged("other")).To(BeFalse())
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
+	g.Expect(in.quarantined("other")).To(BeFalse())
 }
 
-func TestTermsGrow(t *testing.T) {
+func TestRepeatedQuarantinesDoubleInDuration(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
+		in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
 	}
-	in.ck.pass(settled)
+	in.ck.advance(afterSettleDelay)
 	for level, want := range []time.Duration{
 		5 * time.Minute, 10 * time.Minute, 20 * time.Minute, 40 * time.Minute, 80 * time.Minute,
 		2 * time.Hour, 2 * time.Hour,
 	} {
-		g.Expect(in.judged("fatal")).To(BeTrue())
+		g.Expect(in.quarantined("fatal")).To(BeTrue())
 		jd := in.Quarantines()[0]
 		g.Expect(jd.Until.Sub(jd.Since)).To(Equal(want))
 		g.Expect(jd.Level).To(Equal(level + 1))
-		in.ck.pass(want)
-		g.Expect(in.judged("fatal")).To(BeFalse())
-		in.broke(fmt.Sprint("once-more-", level), true, brief, "fatal")
-		in.ck.pass(settled)
+		in.ck.advance(want)
+		g.Expect(in.quarantined("fatal")).To(BeFalse())
+		in.interrupt(fmt.Sprint("once-more-", level), true, shortRun, "fatal")
+		in.ck.advance(afterSettleDelay)
 	}
 }
 
 // TestFloodOfRequests holds far more against different requests than is remembered.
-func TestFloodOfRequests(t *testing.T) {
+func TestStateIsBoundedInAFloodOfRequests(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	for no := range 1000 {
@@ -265,50 +265,50 @@
 		for at := range 100 {
 			names = append(names, fmt.Sprint("flood-", no, "-", at))
 		}
-		in.broke(fmt.Sprint("target-", no), no%2 == 0, lasting, names...)
-		in.ck.pass(10 * time.Millisecond)
+		in.interrupt(fmt.Sprint("target-", no), no%2 == 0, longRun, names...)
+		in.ck.advance(10 * time.Millisecond)
 	}
 	g.Expect(len(in.Snapshot().Encode(in.ck.now))).To(BeNumerically("<", 16<<10))
 	g.Expect(in.Quarantines()).To(BeEmpty())
 	for no := range 3 {
-		in.broke(fmt.Sprint("fatal-", no), true, time.Millisecond, "fatal")
+		in.interrupt(fmt.Sprint("fatal-", no), true, time.Millisecond, "fatal")
 	}
-	in.ck.pass(settled)
-	g.Expect(in.judged("fatal")).To(BeTrue())
+	in.ck.advance(afterSettleDelay)
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
 }
 
 // TestEndsThatTheListAloneTells lets targets end that nobody saw refuse a connection: their entries go seconds later.
-func TestEndsThatTheListAloneTells(t *testing.T) {
+func TestCrashesSeenOnlyInTheTargetListCount(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
-		in.gone[fmt.Sprint("target-", no)] = true
+		in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
+		in.crashed[fmt.Sprint("target-", no)] = true
 	}
 	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeFalse())
-	in.ck.pass(7 * time.Second)
+	in.ck.advance(7 * time.Second)
 	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
-	g.Expect(in.news).To(BeNumerically(">", 0), "peers hear of it")
-	g.Expect(in.judged("fatal")).To(BeTrue())
+	g.Expect(in.notifications).To(BeNumerically(">", 0), "peers hear of it")
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
 }
 
 // TestRunsThatWaitedTellLittle lets a request that ends its targets wait at some of them, behind others, before it ends them: how long
 // it ran there is not known. A request that stood beside it at fewer ends, by chance briefly, is not taken for the cause.
-func TestRunsThatWaitedTellLittle(t *testing.T) {
+func TestQueuedRunsDoNotHideTheCause(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 7)
 	for no := range 8 {
-		in.broke(fmt.Sprint("by-itself-", no), true, lasting, fmt.Sprint("once-", no))
-		in.ck.pass(100 * time.Millisecond)
+		in.interrupt(fmt.Sprint("by-itself-", no), true, longRun, fmt.Sprint("once-", no))
+		in.ck.advance(100 * time.Millisecond)
 	}
 	for no := range 3 {
 		target := fmt.Sprint("waited-", no)
-		in.broke(target, false, lasting, "fatal")
-		in.broke(target, true, time.Millisecond, "other")
-		in.broke(fmt.Sprint("at-once-", no), true, time.Millisecond, "fatal")
+		in.interrupt(target, false, longRun, "fatal")
+		in.interrupt(target, true, time.Millisecond, "other")
+		in.interrupt(fmt.Sprint("at-once-", no), true, time.Millisecond, "fatal")
 	}
-	in.ck.pass(settled)
-	g.Expect(in.judged("other")).To(BeFalse())
-	g.Expect(in.judged("fatal")).To(BeTrue())
-	g.Expect(in.judged("other")).To(BeFalse())
+	in.ck.advance(afterSettleDelay)
+	g.Expect(in.quarantined("other")).To(BeFalse())
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
+	g.Expect(in.quarantined("other")).To(BeFalse())
 }
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -11,51 +11,51 @@
 )
 
 // storm ends three targets under a request while others end too, so that neither is shown to be the cause.
-func storm(in *instance, name string) {
+func crashBurst(in *instance, name string) {
 	for no := range 12 {
-		in.broke(fmt.Sprint("other-", no), true, lasting, fmt.Sprint("other-", no))
-		in.ck.pass(100 * time.Millisecond)
+		in.interrupt(fmt.Sprint("other-", no), true, longRun, fmt.Sprint("other-", no))
+		in.ck.advance(100 * time.Millisecond)
 	}
 	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), true, brief, name)
+		in.interrupt(fmt.Sprint("target-", no), true, shortRun, name)
 	}
 }
 
 // TestRequestOnTrialIsRunSeldom looks at a request that may end targets, at each of its trials.
-func TestRequestOnTrialIsRunSeldom(t *testing.T) {
+func TestRequestOnProbationIsProbedWithBackOff(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	storm(in, "doubtful")
+	crashBurst(in, "doubtful")
 	for no, pause := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		vd := in.Check(request("doubtful"))
 		g.Expect(vd).To(Equal(blame.Decision{Crashes: 3 + no, Delay: pause}))
-		in.ck.pass(pause)
+		in.ck.advance(pause)
 		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "trial %d", no)
 		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*pause), "one run a trial")
-		in.ck.pass(brief)
+		in.ck.advance(shortRun)
 		_, judged := in.Quarantined(request("doubtful"))
 		g.Expect(judged).To(BeFalse())
-		in.broke(fmt.Sprint("trial-", no), true, lasting, "doubtful")
+		in.interrupt(fmt.Sprint("trial-", no), true, longRun, "doubtful")
 	}
 }
 
 // TestRequestOnTrialIsClearedByAnAnswer has a trial of a request answered whole.
-func TestRequestOnTrialIsClearedByAnAnswer(t *testing.T) {
+func TestRequestOnProbationIsClearedByAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	storm(in, "harmless")
-	in.ck.pass(in.Check(request("harmless")).Delay)
+	crashBurst(in, "harmless")
+	in.ck.advance(in.Check(request("harmless")).Delay)
 	g.Expect(in.Check(request("harmless")).Delay).To(BeZero())
 	in.RecordAnswered(request("harmless"))
 	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Decision{}))
 }
 
 // TestJudgedTakesNoTrial asks again and again whether a request is judged.
-func TestJudgedTakesNoTrial(t *testing.T) {
+func TestQuarantinedSendsNoProbe(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	storm(in, "doubtful")
-	in.ck.pass(in.Check(request("doubtful")).Delay)
+	crashBurst(in, "doubtful")
+	in.ck.advance(in.Check(request("doubtful")).Delay)
 	for range 5 {
 		ends, judged := in.Quarantined(request("doubtful"))
 		g.Expect(ends).To(BeZero())
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -12,9 +12,9 @@
 	"github.com/silvermount/silvermount/internal/peerbytes"
 )
 
-func someNotes(now time.Time) blame.Snapshot {
+func sampleSnapshot(now time.Time) blame.Snapshot {
 	return blame.Snapshot{
-		Evidence: []blame.InterruptedRun{{Request: request("a"), Incarnation: "i-1@x", Elapsed: brief, At: now.Add(-time.Second)}},
+		Evidence: []blame.InterruptedRun{{Request: request("a"), Incarnation: "i-1@x", Elapsed: shortRun, At: now.Add(-time.Second)}},
 		Tombstones: []blame.Tombstone{
 			{Request: request("b"), At: now.Add(-2 * time.Second)},
 			{Request: request("c"), At: now.Add(-time.Minute), ByOperator: true, Until: now.Add(time.Minute)},
@@ -24,19 +24,19 @@
 	}
 }
 
-func TestNotesAreReadAsWritten(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	for _, nt := range []blame.Snapshot{{}, someNotes(now)} {
+	for _, nt := range []blame.Snapshot{{}, sampleSnapshot(now)} {
 		got, err := blame.Decode(nt.Encode(now), now)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(got).To(Equal(nt))
 	}
 }
 
-func TestNotesThatCannotBeRead(t *testing.T) {
+func TestDecodeRejectsMalformedSnapshots(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	whole := someNotes(now).Encode(now)
+	whole := sampleSnapshot(now).Encode(now)
 	cases := map[string]struct {
 		bytes []byte
 		// version is set when the form is another one; else the notes are malformed.
@@ -69,7 +69,7 @@
 func FuzzDecode(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
 	f.Add(blame.Snapshot{}.Encode(now))
-	f.Add(someNotes(now).Encode(now))
+	f.Add(sampleSnapshot(now).Encode(now))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		nt, err := blame.Decode(b, now)
 		if err != nil {
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -9,7 +9,7 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-func TestOf(t *testing.T) {
+func TestFromError(t *testing.T) {
 	full := failure.New(failure.Overloaded, failure.NotRun, "no room")
 	plain := errors.New("broken")
 	tests := map[string]struct {
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -10,7 +10,7 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-func TestOf(t *testing.T) {
+func TestOfDistinguishesRequests(t *testing.T) {
 	base := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a?b", Body: []byte("body")}
 	cases := map[string]struct {
 		edit func(*fingerprint.Request)
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestOriginIsThatOfTheRequest(t *testing.T) {
+func TestHeadHashIgnoresBodyContent(t *testing.T) {
 	g := NewWithT(t)
 	one := fingerprint.Request{Organisation: "red", RequestURI: "/a", Body: []byte("one")}
 	two := one
@@ -48,7 +48,7 @@
 	g.Expect(fingerprint.Of(longer).HeadHash()).NotTo(Equal(fingerprint.HeadHashOf(one)))
 }
 
-func TestParse(t *testing.T) {
+func TestParseRoundTripAndMalformedText(t *testing.T) {
 	g := NewWithT(t)
 	fp := fingerprint.Of(fingerprint.Request{Organisation: "red"})
 	got, err := fingerprint.Parse(fp.String())
@@ -76,7 +76,7 @@
 }
 
 // BenchmarkOriginOf measures what each request costs while others are suspected.
-func BenchmarkOriginOf(b *testing.B) {
+func BenchmarkHeadHashOf(b *testing.B) {
 	rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a", Body: make([]byte, 4_000_000)}
 	for b.Loop() {
 		fingerprint.HeadHashOf(rq)
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPlan(t *testing.T) {
+func TestPlanAssignments(t *testing.T) {
 	on := func(name string, models ...string) Engine { return Engine{Name: name, Models: models} }
 	tests := map[string]struct {
 		engines []Engine
@@ -30,7 +30,7 @@
 }
 
 // TestPlanKeepsEveryServedModel runs plans to their end over drawn fleets: no wanted model that is served ever stops.
-func TestPlanKeepsEveryServedModel(t *testing.T) {
+func TestPlanNeverRemovesLastServingCopy(t *testing.T) {
 	models := []string{"x", "y", "z"}
 	rapid.Check(t, func(t *rapid.T) {
 		engines := make([]Engine, rapid.IntRange(1, 8).Draw(t, "engines"))
@@ -51,20 +51,20 @@
 			if len(changes) > maxLoading {
 				t.Fatalf("%d engines load at once", len(changes))
 			}
-			apply(engines, changes)
+			startLoading(engines, changes)
 			after, _, _ := countCopies(engines)
 			for m, n := range before {
 				if n > 0 && copies[m] > 0 && after[m] == 0 {
 					t.Fatalf("model %s lost its last copy", m)
 				}
 			}
-			finish(engines)
+			finishLoading(engines)
 		}
 	})
 }
 
 // apply unloads what an engine drops, as it does while it loads.
-func apply(engines []Engine, changes []Assignment) {
+func startLoading(engines []Engine, changes []Assignment) {
 	for _, c := range changes {
 		for i := range engines {
 			if engines[i].Name == c.Engine {
@@ -74,7 +74,7 @@
 	}
 }
 
-func finish(engines []Engine) {
+func finishLoading(engines []Engine) {
 	for i := range engines {
 		if engines[i].Desired != nil {
 			engines[i].Models, engines[i].Desired = engines[i].Desired, nil
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -9,7 +9,7 @@
 	"github.com/silvermount/silvermount/internal/outcome"
 )
 
-func TestKnown(t *testing.T) {
+func TestAggregateCombinesAttempts(t *testing.T) {
 	tests := map[string]struct {
 		attempts []failure.Outcome
 		last     failure.Outcome
