--- a/internal/blame/activerun_test.go
+++ b/internal/blame/activerun_test.go
@@ -17,48 +17,48 @@
 		age     time.Duration
 		request string
 		// after is what happens once three targets have ended.
-		after func(t *testing.T, judge, other *instance, end func())
+		after func(t *testing.T, local, peer *instance, endRun func())
 		want  bool
 		// far is set when only a run at a peer is meant.
-		far bool
+		peerOnly bool
 	}{
 		"it goes on":              {longRun, "fatal", func(*testing.T, *instance, *instance, func()) {}, false, false},
 		"it began just now":       {-time.Second, "fatal", func(*testing.T, *instance, *instance, func()) {}, true, false},
 		"another request goes on": {longRun, "other", func(*testing.T, *instance, *instance, func()) {}, true, false},
-		"it is over": {longRun, "fatal", func(t *testing.T, judge, other *instance, end func()) {
-			end()
-			other.gossipTo(t, judge)
+		"it is over": {longRun, "fatal", func(t *testing.T, local, peer *instance, endRun func()) {
+			endRun()
+			peer.gossipTo(t, local)
 		}, true, false},
-		"its instance is lost": {longRun, "fatal", func(_ *testing.T, judge, _ *instance, _ func()) { judge.RemovePeer("peer") }, true, true},
+		"its instance is lost": {longRun, "fatal", func(_ *testing.T, local, _ *instance, _ func()) { local.RemovePeer("peer") }, true, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			for _, near := range []bool{!tc.far, false} {
+			for _, onLocal := range []bool{!tc.peerOnly, false} {
 				g := NewWithT(t)
 				ck := newClock()
-				judge, other := newInstance(ck, 12), newInstance(ck, 12)
-				at := other
-				if near {
-					at = judge
+				local, peer := newInstance(ck, 12), newInstance(ck, 12)
+				host := peer
+				if onLocal {
+					host = local
 				}
 				fp := request(tc.request)
-				begin := func() func() { return at.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp }).End }
-				end := func() {}
+				beginRun := func() func() { return host.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp }).End }
+				endRun := func() {}
 				if tc.age > 0 {
-					end = begin()
+					endRun = beginRun()
 					ck.advance(tc.age)
 				}
-				for no := range 3 {
-					judge.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+				for i := range 3 {
+					local.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 				}
 				ck.advance(afterSettleDelay)
 				if tc.age <= 0 {
-					end = begin()
+					endRun = beginRun()
 				}
-				judge.gossipTo(t, other)
-				other.gossipTo(t, judge)
-				tc.after(t, judge, other, end)
-				g.Expect(judge.quarantined("fatal")).To(Equal(tc.want), "the run is near: %v", near)
+				local.gossipTo(t, peer)
+				peer.gossipTo(t, local)
+				tc.after(t, local, peer, endRun)
+				g.Expect(local.quarantined("fatal")).To(Equal(tc.want), "on the local instance: %v", onLocal)
 			}
 		})
 	}
--- a/internal/blame/bench_test.go
+++ b/internal/blame/bench_test.go
@@ -10,25 +10,25 @@
 
 // BenchmarkHear measures what one more end costs that a peer tells, with eight runs under it, when as many ends are held as may be.
 func BenchmarkMergePeer(b *testing.B) {
-	const targets, under, before = 150, 8, 512
+	const targets, runsPerCrash, crashesBefore = 150, 8, 512
 	ck := newClock()
 	in := newInstance(ck, targets)
-	no := 0
-	tell := func() {
-		no++
+	i := 0
+	merge := func() {
+		i++
 		ck.advance(time.Millisecond)
-		var nt blame.Snapshot
-		for at := range under {
-			nt.Evidence = append(nt.Evidence, blame.InterruptedRun{
-				Request: request(fmt.Sprint(no, "-", at)), Incarnation: fmt.Sprint("target-", no), Elapsed: longRun, At: ck.now,
+		var sn blame.Snapshot
+		for j := range runsPerCrash {
+			sn.Evidence = append(sn.Evidence, blame.InterruptedRun{
+				Request: request(fmt.Sprint(i, "-", j)), Incarnation: fmt.Sprint("target-", i), Elapsed: longRun, At: ck.now,
 			})
 		}
-		in.MergePeer("peer", nt)
+		in.MergePeer("peer", sn)
 	}
-	for range before {
-		tell()
+	for range crashesBefore {
+		merge()
 	}
 	for b.Loop() {
-		tell()
+		merge()
 	}
 }
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -56,11 +56,11 @@
 }
 
 // broke lets a target break off runs of requests and end, if it does.
-func (in *instance) interrupt(target string, ended bool, exposure time.Duration, names ...string) {
+func (in *instance) interrupt(target string, crashes bool, elapsed time.Duration, names ...string) {
 	for _, name := range names {
-		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: exposure, At: in.ck.now})
+		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: elapsed, At: in.ck.now})
 	}
-	if ended {
+	if crashes {
 		in.RecordCrash(target)
 	}
 }
@@ -69,19 +69,19 @@
 func (in *instance) gossipTo(t *testing.T, others ...*instance) {
 	t.Helper()
 	b := in.Snapshot().Encode(in.ck.now)
-	nt, err := blame.Decode(b, in.ck.now)
+	sn, err := blame.Decode(b, in.ck.now)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for _, other := range others {
-		other.MergePeer("peer", nt)
+		other.MergePeer("peer", sn)
 	}
 }
 
 func (in *instance) quarantined(name string) bool { return in.Check(request(name)).Quarantined }
 
 func TestCheckQuarantinesRequestsThatCrashTargets(t *testing.T) {
-	ends := func(in *instance, n int, names ...string) {
-		for no := range n {
-			in.interrupt(fmt.Sprint("target-", no), true, shortRun, names...)
+	crash := func(in *instance, n int, names ...string) {
+		for i := range n {
+			in.interrupt(fmt.Sprint("target-", i), true, shortRun, names...)
 			in.ck.advance(time.Second)
 		}
 	}
@@ -90,12 +90,12 @@
 		want bool
 	}{
 		"nothing":         {func(*instance) {}, false},
-		"two ends":        {func(in *instance) { ends(in, 2, "fatal") }, false},
-		"three ends":      {func(in *instance) { ends(in, 3, "fatal") }, true},
-		"another request": {func(in *instance) { ends(in, 3, "other") }, false},
+		"two ends":        {func(in *instance) { crash(in, 2, "fatal") }, false},
+		"three ends":      {func(in *instance) { crash(in, 3, "fatal") }, true},
+		"another request": {func(in *instance) { crash(in, 3, "other") }, false},
 		"broken off by targets that did not end": {func(in *instance) {
-			for no := range 9 {
-				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
+			for i := range 9 {
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
 		}, false},
 		"one target, many runs": {func(in *instance) {
@@ -104,64 +104,64 @@
 			}
 		}, false},
 		"the end is known first": {func(in *instance) {
-			for no := range 3 {
-				in.RecordCrash(fmt.Sprint("target-", no))
-				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
+			for i := range 3 {
+				in.RecordCrash(fmt.Sprint("target-", i))
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
 		}, true},
 		"by entries that go seconds later": {func(in *instance) {
-			for no := range 3 {
-				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
-				in.crashed[fmt.Sprint("target-", no)] = true
+			for i := range 3 {
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
+				in.crashed[fmt.Sprint("target-", i)] = true
 			}
 			in.ck.advance(7 * time.Second)
 		}, true},
 		"long after they were broken off": {func(in *instance) {
-			for no := range 3 {
-				in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
+			for i := range 3 {
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
 			in.ck.advance(7 * time.Second)
-			ends(in, 3)
+			crash(in, 3)
 		}, false},
 		"answered whole in between": {func(in *instance) {
-			ends(in, 2, "fatal")
+			crash(in, 2, "fatal")
 			in.RecordAnswered(request("fatal"))
 			in.interrupt("last", true, shortRun, "fatal")
 		}, false},
 		"answered whole after it was judged": {func(in *instance) {
-			ends(in, 3, "fatal")
+			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.RecordAnswered(request("fatal"))
 		}, false},
 		"lifted": {func(in *instance) {
-			ends(in, 3, "fatal")
+			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.LiftQuarantine(request("fatal"))
 		}, false},
 		"after its time": {func(in *instance) {
-			ends(in, 3, "fatal")
+			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.ck.advance(firstQuarantine)
 		}, false},
 		"again after its time": {func(in *instance) {
-			ends(in, 3, "fatal")
+			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.ck.advance(firstQuarantine)
 			in.interrupt("again", true, shortRun, "fatal")
 		}, true},
 		"ends a quarter of an hour apart": {func(in *instance) {
-			for no := range 3 {
-				in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+			for i := range 3 {
+				in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 				in.ck.advance(15 * time.Minute)
 			}
 		}, false},
-		"beside the one that is judged": {func(in *instance) { ends(in, 3, "other") }, false},
+		"beside the one that is judged": {func(in *instance) { crash(in, 3, "other") }, false},
 		"long runs while other targets end too": {func(in *instance) {
-			for no := range 24 {
-				in.interrupt(fmt.Sprint("other-", no), true, longRun, fmt.Sprint("other-", no))
+			for i := range 24 {
+				in.interrupt(fmt.Sprint("other-", i), true, longRun, fmt.Sprint("other-", i))
 				in.ck.advance(400 * time.Millisecond)
-				if no%8 == 0 {
-					in.interrupt(fmt.Sprint("target-", no), true, longRun, "fatal")
+				if i%8 == 0 {
+					in.interrupt(fmt.Sprint("target-", i), true, longRun, "fatal")
 				}
 			}
 		}, false},
@@ -179,15 +179,15 @@
 func TestSuspectIsDelayedBeforeQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
+	for i := range 3 {
 		g.Expect(in.Check(request("fatal")).Delay).To(BeZero())
-		in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 	}
 	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
-	vd := in.Check(request("fatal"))
-	g.Expect(vd.Quarantined).To(BeFalse())
-	g.Expect(vd.Delay).To(BeNumerically(">", 0))
-	in.ck.advance(vd.Delay)
+	dc := in.Check(request("fatal"))
+	g.Expect(dc.Quarantined).To(BeFalse())
+	g.Expect(dc.Delay).To(BeNumerically(">", 0))
+	in.ck.advance(dc.Delay)
 	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Decision{Quarantined: true, Crashes: 3}))
 	g.Expect(in.HasEvidence(request("another").HeadHash())).To(BeFalse())
 }
@@ -195,8 +195,8 @@
 // TestNeighboursAreNotJudged lets two requests stand under the same ends.
 func TestConcurrentRequestIsNotQuarantined(t *testing.T) {
 	cases := map[string]struct {
-		ends                 int
-		neighbour            time.Duration
+		crashes                 int
+		otherElapsed            time.Duration
 		wantFatal, wantOther bool
 	}{
 		"the neighbour ran for long":         {3, longRun, true, false},
@@ -208,9 +208,9 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			in := newInstance(newClock(), 12)
-			for no := range tc.ends {
-				target := fmt.Sprint("target-", no)
-				in.interrupt(target, false, tc.neighbour, "other")
+			for i := range tc.crashes {
+				target := fmt.Sprint("target-", i)
+				in.interrupt(target, false, tc.otherElapsed, "other")
 				in.interrupt(target, true, shortRun, "fatal")
 				in.ck.advance(time.Second)
 			}
@@ -224,8 +224,8 @@
 func TestSimilarRequestsAreDistinguishedByAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
-		in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal", "other")
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal", "other")
 	}
 	in.ck.advance(afterSettleDelay)
 	g.Expect(in.quarantined("fatal")).To(BeFalse())
@@ -237,8 +237,8 @@
 func TestRepeatedQuarantinesDoubleInDuration(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
-		in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 	}
 	in.ck.advance(afterSettleDelay)
 	for level, want := range []time.Duration{
@@ -260,18 +260,18 @@
 func TestStateIsBoundedInAFloodOfRequests(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 1000 {
+	for i := range 1000 {
 		var names []string
-		for at := range 100 {
-			names = append(names, fmt.Sprint("flood-", no, "-", at))
+		for j := range 100 {
+			names = append(names, fmt.Sprint("flood-", i, "-", j))
 		}
-		in.interrupt(fmt.Sprint("target-", no), no%2 == 0, longRun, names...)
+		in.interrupt(fmt.Sprint("target-", i), i%2 == 0, longRun, names...)
 		in.ck.advance(10 * time.Millisecond)
 	}
 	g.Expect(len(in.Snapshot().Encode(in.ck.now))).To(BeNumerically("<", 16<<10))
 	g.Expect(in.Quarantines()).To(BeEmpty())
-	for no := range 3 {
-		in.interrupt(fmt.Sprint("fatal-", no), true, time.Millisecond, "fatal")
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("fatal-", i), true, time.Millisecond, "fatal")
 	}
 	in.ck.advance(afterSettleDelay)
 	g.Expect(in.quarantined("fatal")).To(BeTrue())
@@ -281,9 +281,9 @@
 func TestCrashesSeenOnlyInTheTargetListCount(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
-		in.interrupt(fmt.Sprint("target-", no), false, shortRun, "fatal")
-		in.crashed[fmt.Sprint("target-", no)] = true
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
+		in.crashed[fmt.Sprint("target-", i)] = true
 	}
 	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeFalse())
 	in.ck.advance(7 * time.Second)
@@ -297,15 +297,15 @@
 func TestQueuedRunsDoNotHideTheCause(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 7)
-	for no := range 8 {
-		in.interrupt(fmt.Sprint("by-itself-", no), true, longRun, fmt.Sprint("once-", no))
+	for i := range 8 {
+		in.interrupt(fmt.Sprint("by-itself-", i), true, longRun, fmt.Sprint("once-", i))
 		in.ck.advance(100 * time.Millisecond)
 	}
-	for no := range 3 {
-		target := fmt.Sprint("waited-", no)
+	for i := range 3 {
+		target := fmt.Sprint("waited-", i)
 		in.interrupt(target, false, longRun, "fatal")
 		in.interrupt(target, true, time.Millisecond, "other")
-		in.interrupt(fmt.Sprint("at-once-", no), true, time.Millisecond, "fatal")
+		in.interrupt(fmt.Sprint("at-once-", i), true, time.Millisecond, "fatal")
 	}
 	in.ck.advance(afterSettleDelay)
 	g.Expect(in.quarantined("other")).To(BeFalse())
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -12,12 +12,12 @@
 
 // storm ends three targets under a request while others end too, so that neither is shown to be the cause.
 func crashBurst(in *instance, name string) {
-	for no := range 12 {
-		in.interrupt(fmt.Sprint("other-", no), true, longRun, fmt.Sprint("other-", no))
+	for i := range 12 {
+		in.interrupt(fmt.Sprint("other-", i), true, longRun, fmt.Sprint("other-", i))
 		in.ck.advance(100 * time.Millisecond)
 	}
-	for no := range 3 {
-		in.interrupt(fmt.Sprint("target-", no), true, shortRun, name)
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, name)
 	}
 }
 
@@ -26,16 +26,16 @@
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	crashBurst(in, "doubtful")
-	for no, pause := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
-		vd := in.Check(request("doubtful"))
-		g.Expect(vd).To(Equal(blame.Decision{Crashes: 3 + no, Delay: pause}))
-		in.ck.advance(pause)
-		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "trial %d", no)
-		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*pause), "one run a trial")
+	for i, interval := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
+		dc := in.Check(request("doubtful"))
+		g.Expect(dc).To(Equal(blame.Decision{Crashes: 3 + i, Delay: interval}))
+		in.ck.advance(interval)
+		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "trial %d", i)
+		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*interval), "one run a trial")
 		in.ck.advance(shortRun)
-		_, judged := in.Quarantined(request("doubtful"))
-		g.Expect(judged).To(BeFalse())
-		in.interrupt(fmt.Sprint("trial-", no), true, longRun, "doubtful")
+		_, quarantined := in.Quarantined(request("doubtful"))
+		g.Expect(quarantined).To(BeFalse())
+		in.interrupt(fmt.Sprint("trial-", i), true, longRun, "doubtful")
 	}
 }
 
@@ -57,9 +57,9 @@
 	crashBurst(in, "doubtful")
 	in.ck.advance(in.Check(request("doubtful")).Delay)
 	for range 5 {
-		ends, judged := in.Quarantined(request("doubtful"))
-		g.Expect(ends).To(BeZero())
-		g.Expect(judged).To(BeFalse())
+		crashes, quarantined := in.Quarantined(request("doubtful"))
+		g.Expect(crashes).To(BeZero())
+		g.Expect(quarantined).To(BeFalse())
 	}
 	g.Expect(in.Check(request("doubtful")).Delay).To(BeZero())
 }
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -17,7 +17,7 @@
 	// step is that of the clock of a small fleet.
 	step = 5 * time.Millisecond
 	// known is the time after the third end in which all instances must know a request that ends targets.
-	lateRunBound = 2900 * time.Millisecond
+	quarantineDeadline = 2900 * time.Millisecond
 	// away is how long a target is away that ended.
 	downtime = 2 * time.Second
 	// tries is how often a request is sent that was broken off: by its instance and by its caller.
@@ -44,7 +44,7 @@
 // job is a request at a target.
 type job struct {
 	name   string
-	at     *instance
+	entry  *instance
 	target int
 	// sent is when it came there, done when it will be answered or, when fatal, ends its target.
 	sentAt, endsAt time.Time
@@ -55,9 +55,9 @@
 
 // letter is what an instance tells another.
 type message struct {
-	notes blame.Snapshot
-	to    *instance
-	at    time.Time
+	snapshot  blame.Snapshot
+	to        *instance
+	deliverAt time.Time
 }
 
 // play is a small fleet under way.
@@ -81,16 +81,16 @@
 	served  int
 }
 
-func newSimulation(seed uint64, we scenario) *simulation {
-	pl := &simulation{
-		scenario: we, rd: rand.New(rand.NewPCG(seed, 0)), ck: newClock(), incarnations: make([]int, we.targets),
-		downUntil: make([]time.Time, we.targets), gossiped: make([]int, we.instances),
+func newSimulation(seed uint64, sc scenario) *simulation {
+	sm := &simulation{
+		scenario: sc, rd: rand.New(rand.NewPCG(seed, 0)), ck: newClock(), incarnations: make([]int, sc.targets),
+		downUntil: make([]time.Time, sc.targets), gossiped: make([]int, sc.instances),
 		thirdCrash: map[string]time.Time{}, crashes: map[string]int{}, lateRuns: map[string]int{}, refused: map[string]int{},
 	}
-	for range we.instances {
-		pl.fleet = append(pl.fleet, newInstance(pl.ck, we.targets))
+	for range sc.instances {
+		sm.fleet = append(sm.fleet, newInstance(sm.ck, sc.targets))
 	}
-	return pl
+	return sm
 }
 
 // run plays a time.
@@ -111,9 +111,9 @@
 }
 
 func (sm *simulation) arrive() {
-	for no := range sm.fatal {
+	for i := range sm.fatal {
 		if sm.happens(float64(sm.fatalRate)) {
-			sm.send(job{name: fmt.Sprint("fatal-", no), fatal: true})
+			sm.send(job{name: fmt.Sprint("fatal-", i), fatal: true})
 		}
 	}
 	const perSecond = 40
@@ -129,17 +129,17 @@
 
 // send sends a request by some instance to some target that is there.
 func (sm *simulation) send(jb job) {
-	jb.at = sm.fleet[sm.rd.IntN(len(sm.fleet))]
+	jb.entry = sm.fleet[sm.rd.IntN(len(sm.fleet))]
 	jb.tries++
-	vd := jb.at.Check(request(jb.name))
+	dc := jb.entry.Check(request(jb.name))
 	switch {
-	case vd.Quarantined && !jb.fatal:
+	case dc.Quarantined && !jb.fatal:
 		sm.refused[jb.name]++
 		return
-	case vd.Quarantined || vd.Delay > 0:
+	case dc.Quarantined || dc.Delay > 0:
 		return // what is held back comes again anyway
 	}
-	up := slices.DeleteFunc(indices(sm.targets), func(no int) bool { return sm.ck.now.Before(sm.downUntil[no]) })
+	up := slices.DeleteFunc(indices(sm.targets), func(i int) bool { return sm.ck.now.Before(sm.downUntil[i]) })
 	if len(up) == 0 {
 		return
 	}
@@ -148,19 +148,19 @@
 	jb.endsAt = sm.ck.now.Add(time.Duration(sm.rd.ExpFloat64() * float64(sm.meanDuration)))
 	if jb.fatal {
 		jb.endsAt = sm.ck.now.Add(20*time.Millisecond + time.Duration(sm.rd.IntN(280))*time.Millisecond)
-		if third, ok := sm.thirdCrash[jb.name]; ok && sm.ck.now.Sub(third) > lateRunBound && sm.connected(jb) {
+		if third, ok := sm.thirdCrash[jb.name]; ok && sm.ck.now.Sub(third) > quarantineDeadline && sm.connected(jb) {
 			sm.lateRuns[jb.name]++
 		}
 	}
 	fp := request(jb.name)
-	jb.running = jb.at.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp })
+	jb.running = jb.entry.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp })
 	sm.jobs = append(sm.jobs, jb)
 }
 
 func indices(n int) []int {
 	list := make([]int, n)
-	for no := range list {
-		list[no] = no
+	for i := range list {
+		list[i] = i
 	}
 	return list
 }
@@ -184,31 +184,31 @@
 		sm.jobs = slices.DeleteFunc(sm.jobs, func(other job) bool { return other == jb })
 		sm.served++
 		jb.running.End()
-		jb.at.RecordAnswered(request(jb.name))
+		jb.entry.RecordAnswered(request(jb.name))
 	}
 }
 
 // end ends a target under all that it runs. What was broken off is sent again.
-func (sm *simulation) crash(no int) {
-	if sm.ck.now.Before(sm.downUntil[no]) {
+func (sm *simulation) crash(i int) {
+	if sm.ck.now.Before(sm.downUntil[i]) {
 		return
 	}
-	incarnation := fmt.Sprint(no, "@", sm.incarnations[no])
-	sm.incarnations[no]++
-	sm.downUntil[no] = sm.ck.now.Add(downtime)
+	incarnation := fmt.Sprint(i, "@", sm.incarnations[i])
+	sm.incarnations[i]++
+	sm.downUntil[i] = sm.ck.now.Add(downtime)
 	var lost []job
 	sm.jobs = slices.DeleteFunc(sm.jobs, func(jb job) bool {
-		if jb.target == no {
+		if jb.target == i {
 			lost = append(lost, jb)
 		}
-		return jb.target == no
+		return jb.target == i
 	})
 	for _, jb := range lost {
 		jb.running.End()
-		jb.at.RecordInterrupted(blame.InterruptedRun{Request: request(jb.name), Incarnation: incarnation, Elapsed: sm.ck.now.Sub(jb.sentAt), At: sm.ck.now})
+		jb.entry.RecordInterrupted(blame.InterruptedRun{Request: request(jb.name), Incarnation: incarnation, Elapsed: sm.ck.now.Sub(jb.sentAt), At: sm.ck.now})
 	}
 	for _, jb := range lost {
-		jb.at.RecordCrash(incarnation)
+		jb.entry.RecordCrash(incarnation)
 	}
 	for _, jb := range lost {
 		if !jb.fatal && jb.tries < maxTries {
@@ -218,28 +218,30 @@
 }
 
 // inTouch reports whether a request came to an instance that is not cut off.
-func (sm *simulation) connected(jb job) bool { return !slices.Contains(sm.fleet[:sm.isolated], jb.at) }
+func (sm *simulation) connected(jb job) bool {
+	return !slices.Contains(sm.fleet[:sm.isolated], jb.entry)
+}
 
 // exchange lets instances hear what the others tell, some time after it is new.
 func (sm *simulation) deliverGossip() {
-	for no, in := range sm.fleet {
-		if in.notifications == sm.gossiped[no] {
+	for i, in := range sm.fleet {
+		if in.notifications == sm.gossiped[i] {
 			continue
 		}
-		sm.gossiped[no] = in.notifications
-		nt := in.Snapshot()
-		for at, other := range sm.fleet {
-			if other != in && no >= sm.isolated && at >= sm.isolated {
-				late := time.Duration(sm.rd.Int64N(int64(sm.maxGossipDelay)))
-				sm.messages = append(sm.messages, message{notes: nt, to: other, at: sm.ck.now.Add(late)})
+		sm.gossiped[i] = in.notifications
+		sn := in.Snapshot()
+		for j, other := range sm.fleet {
+			if other != in && i >= sm.isolated && j >= sm.isolated {
+				delay := time.Duration(sm.rd.Int64N(int64(sm.maxGossipDelay)))
+				sm.messages = append(sm.messages, message{snapshot: sn, to: other, deliverAt: sm.ck.now.Add(delay)})
 			}
 		}
 	}
-	sm.messages = slices.DeleteFunc(sm.messages, func(lt message) bool {
-		if lt.at.After(sm.ck.now) {
+	sm.messages = slices.DeleteFunc(sm.messages, func(ms message) bool {
+		if ms.deliverAt.After(sm.ck.now) {
 			return false
 		}
-		lt.to.MergePeer("peer", lt.notes)
+		ms.to.MergePeer("peer", ms.snapshot)
 		return true
 	})
 }
@@ -248,38 +250,38 @@
 func TestSimulatedFleets(t *testing.T) {
 	usual := scenario{instances: 8, targets: 18, fatalRate: 5, repeated: 10, meanDuration: 300 * time.Millisecond, maxGossipDelay: 50 * time.Millisecond}
 	with := func(edit func(*scenario)) scenario {
-		we := usual
-		edit(&we)
-		return we
+		sc := usual
+		edit(&sc)
+		return sc
 	}
 	cases := map[string]scenario{
-		"one request that ends targets":       with(func(we *scenario) { we.fatal = 1 }),
-		"one, beside ends by themselves":      with(func(we *scenario) { we.fatal, we.crashRate = 1, 1 }),
-		"several at a time":                   with(func(we *scenario) { we.fatal = 5 }),
-		"several, beside ends by themselves":  with(func(we *scenario) { we.fatal, we.crashRate = 3, 1 }),
-		"many copies a second":                with(func(we *scenario) { we.fatal, we.fatalRate = 1, 40 }),
-		"a slow one":                          with(func(we *scenario) { we.fatal, we.fatalRate = 1, 1 }),
-		"few targets":                         with(func(we *scenario) { we.fatal, we.targets = 2, 6 }),
-		"many ends, none by a request":        with(func(we *scenario) { we.crashRate, we.targets = 2.5, 12 }),
-		"many ends under long requests":       with(func(we *scenario) { we.crashRate, we.meanDuration = 2.5, 3*time.Second }),
-		"long requests beside one that ends":  with(func(we *scenario) { we.fatal, we.meanDuration = 1, 3*time.Second }),
-		"long requests, many ends, and a few": with(func(we *scenario) { we.fatal, we.crashRate, we.meanDuration = 3, 1, 3*time.Second }),
-		"some instances cut off": with(func(we *scenario) {
-			we.fatal, we.instances, we.isolated, we.targets = 2, 3, 2, 7
+		"one request that ends targets":       with(func(sc *scenario) { sc.fatal = 1 }),
+		"one, beside ends by themselves":      with(func(sc *scenario) { sc.fatal, sc.crashRate = 1, 1 }),
+		"several at a time":                   with(func(sc *scenario) { sc.fatal = 5 }),
+		"several, beside ends by themselves":  with(func(sc *scenario) { sc.fatal, sc.crashRate = 3, 1 }),
+		"many copies a second":                with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 40 }),
+		"a slow one":                          with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 1 }),
+		"few targets":                         with(func(sc *scenario) { sc.fatal, sc.targets = 2, 6 }),
+		"many ends, none by a request":        with(func(sc *scenario) { sc.crashRate, sc.targets = 2.5, 12 }),
+		"many ends under long requests":       with(func(sc *scenario) { sc.crashRate, sc.meanDuration = 2.5, 3*time.Second }),
+		"long requests beside one that ends":  with(func(sc *scenario) { sc.fatal, sc.meanDuration = 1, 3*time.Second }),
+		"long requests, many ends, and a few": with(func(sc *scenario) { sc.fatal, sc.crashRate, sc.meanDuration = 3, 1, 3*time.Second }),
+		"some instances cut off": with(func(sc *scenario) {
+			sc.fatal, sc.instances, sc.isolated, sc.targets = 2, 3, 2, 7
 		}),
-		"some cut off, ends by themselves": with(func(we *scenario) {
-			we.fatal, we.crashRate, we.instances, we.isolated, we.targets, we.meanDuration = 2, 1, 3, 2, 7, 100*time.Millisecond
+		"some cut off, ends by themselves": with(func(sc *scenario) {
+			sc.fatal, sc.crashRate, sc.instances, sc.isolated, sc.targets, sc.meanDuration = 2, 1, 3, 2, 7, 100*time.Millisecond
 		}),
-		"many instances, slow news": with(func(we *scenario) { we.fatal, we.instances, we.maxGossipDelay = 2, 24, 150*time.Millisecond }),
+		"many instances, slow news": with(func(sc *scenario) { sc.fatal, sc.instances, sc.maxGossipDelay = 2, 24, 150*time.Millisecond }),
 	}
 	const seeds = 4
-	for name, we := range cases {
+	for name, sc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds) {
-				pl := newSimulation(seed, we)
-				pl.run(20 * time.Second)
-				pl.checkResults(t, seed)
+				sm := newSimulation(seed, sc)
+				sm.run(20 * time.Second)
+				sm.checkResults(t, seed)
 			}
 		})
 	}
@@ -297,9 +299,9 @@
 	sm.ck.advance(10 * time.Hour)
 	for _, in := range sm.fleet {
 		in.Check(request("any"))
-		for no := range max(sm.repeated, sm.fatal) {
-			g.Expect(in.HasEvidence(request(fmt.Sprint("body-", no)).HeadHash())).To(BeFalse())
-			g.Expect(in.HasEvidence(request(fmt.Sprint("fatal-", no)).HeadHash())).To(BeFalse())
+		for i := range max(sm.repeated, sm.fatal) {
+			g.Expect(in.HasEvidence(request(fmt.Sprint("body-", i)).HeadHash())).To(BeFalse())
+			g.Expect(in.HasEvidence(request(fmt.Sprint("fatal-", i)).HeadHash())).To(BeFalse())
 		}
 	}
 	t.Logf("seed %d: targets ended %v, served %d", seed, sm.crashes, sm.served)
--- a/internal/blame/gossip_test.go
+++ b/internal/blame/gossip_test.go
@@ -13,8 +13,8 @@
 	g := NewWithT(t)
 	ck := newClock()
 	a, b, c := newInstance(ck, 12), newInstance(ck, 12), newInstance(ck, 12)
-	for no, in := range []*instance{a, b, c} {
-		in.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+	for i, in := range []*instance{a, b, c} {
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 	}
 	a.gossipTo(t, b, c)
 	b.gossipTo(t, a, c)
@@ -30,8 +30,8 @@
 	g := NewWithT(t)
 	ck := newClock()
 	a, b := newInstance(ck, 12), newInstance(ck, 12)
-	for no := range 3 {
-		target := fmt.Sprint("target-", no)
+	for i := range 3 {
+		target := fmt.Sprint("target-", i)
 		a.interrupt(target, false, shortRun, "fatal")
 		b.interrupt(target, true, longRun, "other")
 	}
@@ -48,8 +48,8 @@
 	g := NewWithT(t)
 	ck := newClock()
 	a, b, late := newInstance(ck, 12), newInstance(ck, 12), newInstance(ck, 12)
-	for no := range 3 {
-		a.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+	for i := range 3 {
+		a.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 	}
 	ck.advance(afterSettleDelay)
 	g.Expect(a.quarantined("fatal")).To(BeTrue())
@@ -70,9 +70,9 @@
 // TestWhatWasTakenBackStaysSo lets a peer that was cut off tell a judgement that the others have taken back.
 func TestStaleQuarantineFromAPeerIsIgnored(t *testing.T) {
 	cases := map[string]struct {
-		take func(in *instance)
+		release func(in *instance)
 		// heard is set when the one that was cut off is told too, by one that did not take it back itself.
-		heard bool
+		propagated bool
 	}{
 		"by a whole answer": {func(in *instance) { in.RecordAnswered(request("fatal")) }, false},
 		"by an operator":    {func(in *instance) { in.LiftQuarantine(request("fatal")) }, true},
@@ -81,26 +81,26 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			ck := newClock()
-			a, b, cut := newInstance(ck, 12), newInstance(ck, 12), newInstance(ck, 12)
-			for no := range 3 {
-				a.interrupt(fmt.Sprint("target-", no), true, shortRun, "fatal")
+			a, b, isolated := newInstance(ck, 12), newInstance(ck, 12), newInstance(ck, 12)
+			for i := range 3 {
+				a.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 			}
 			ck.advance(afterSettleDelay)
 			g.Expect(a.quarantined("fatal")).To(BeTrue())
-			a.gossipTo(t, b, cut)
+			a.gossipTo(t, b, isolated)
 			ck.advance(time.Second)
-			tc.take(a)
+			tc.release(a)
 			a.gossipTo(t, b)
 			g.Expect(b.quarantined("fatal")).To(BeFalse())
 			ck.advance(30 * time.Second)
-			cut.gossipTo(t, a, b)
+			isolated.gossipTo(t, a, b)
 			g.Expect(a.quarantined("fatal")).To(BeFalse())
 			g.Expect(b.quarantined("fatal")).To(BeFalse())
-			b.gossipTo(t, cut)
-			g.Expect(cut.quarantined("fatal")).To(Equal(!tc.heard))
+			b.gossipTo(t, isolated)
+			g.Expect(isolated.quarantined("fatal")).To(Equal(!tc.propagated))
 			// It is judged again for what it does afterwards.
-			for no := range 3 {
-				b.interrupt(fmt.Sprint("later-", no), true, shortRun, "fatal")
+			for i := range 3 {
+				b.interrupt(fmt.Sprint("later-", i), true, shortRun, "fatal")
 			}
 			ck.advance(afterSettleDelay)
 			g.Expect(b.quarantined("fatal")).To(BeTrue())
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -27,10 +27,10 @@
 func TestSnapshotRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	for _, nt := range []blame.Snapshot{{}, sampleSnapshot(now)} {
-		got, err := blame.Decode(nt.Encode(now), now)
+	for _, sn := range []blame.Snapshot{{}, sampleSnapshot(now)} {
+		got, err := blame.Decode(sn.Encode(now), now)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(got).To(Equal(nt))
+		g.Expect(got).To(Equal(sn))
 	}
 }
 
@@ -71,13 +71,13 @@
 	f.Add(blame.Snapshot{}.Encode(now))
 	f.Add(sampleSnapshot(now).Encode(now))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		nt, err := blame.Decode(b, now)
+		sn, err := blame.Decode(b, now)
 		if err != nil {
 			return
 		}
-		again, err := blame.Decode(nt.Encode(now), now)
+		again, err := blame.Decode(sn.Encode(now), now)
 		g := NewWithT(t)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(again).To(Equal(nt))
+		g.Expect(again).To(Equal(sn))
 	})
 }
