--- a/internal/blame/activerun_test.go
+++ b/internal/blame/activerun_test.go
@@ -10,26 +10,28 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-// TestRunThatOutlivesTheOthers lets a run go on while targets ended under others of the same request.
+// TestLongerActiveRunPreventsQuarantine keeps a run of a request active while targets crash under other runs of it.
 func TestLongerActiveRunPreventsQuarantine(t *testing.T) {
 	cases := map[string]struct {
-		// age is how long the run has gone on when the first target ends, request what it runs.
+		// age is how long the run has been active when the first target crashes; request is the request that it runs.
 		age     time.Duration
 		request string
-		// after is what happens once three targets have ended.
+		// after is called once three targets have crashed.
 		after func(t *testing.T, local, peer *instance, endRun func())
 		want  bool
-		// far is set when only a run at a peer is meant.
+		// peerOnly is set when the case applies only to a run on a peer.
 		peerOnly bool
 	}{
-		"it goes on":              {longRun, "fatal", func(*testing.T, *instance, *instance, func()) {}, false, false},
-		"it began just now":       {-time.Second, "fatal", func(*testing.T, *instance, *instance, func()) {}, true, false},
-		"another request goes on": {longRun, "other", func(*testing.T, *instance, *instance, func()) {}, true, false},
-		"it is over": {longRun, "fatal", func(t *testing.T, local, peer *instance, endRun func()) {
+		"still active":            {longRun, "fatal", func(*testing.T, *instance, *instance, func()) {}, false, false},
+		"began after the crashes": {-time.Second, "fatal", func(*testing.T, *instance, *instance, func()) {}, true, false},
+		"run of another request":  {longRun, "other", func(*testing.T, *instance, *instance, func()) {}, true, false},
+		"ended": {longRun, "fatal", func(t *testing.T, local, peer *instance, endRun func()) {
 			endRun()
 			peer.gossipTo(t, local)
 		}, true, false},
-		"its instance is lost": {longRun, "fatal", func(_ *testing.T, local, _ *instance, _ func()) { local.RemovePeer("peer") }, true, true},
+		"its instance was lost": {longRun, "fatal", func(_ *testing.T, local, _ *instance, _ func()) {
+			local.RemovePeer("peer")
+		}, true, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/blame/bench_test.go
+++ b/internal/blame/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/silvermount/silvermount/internal/blame"
 )
 
-// BenchmarkHear measures what one more end costs that a peer tells, with eight runs under it, when as many ends are held as may be.
+// BenchmarkMergePeer measures the merge of one more crash, with eight runs interrupted by it, into the maximum number of crashes.
 func BenchmarkMergePeer(b *testing.B) {
 	const targets, runsPerCrash, crashesBefore = 150, 8, 512
 	ck := newClock()
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// settled is longer than a request is held back before it is judged.
+	// afterSettleDelay is longer than a request is held back before its quarantine.
 	afterSettleDelay = 250 * time.Millisecond
-	// brief is how long a run lasts that ends its target; lasting is that of a long answer.
+	// shortRun is the duration of a run that crashes its target, longRun that of a long answer.
 	shortRun = 100 * time.Millisecond
 	longRun  = 4 * time.Second
-	// lapse is how long a request is first refused.
+	// firstQuarantine is the duration of the first quarantine of a request.
 	firstQuarantine = 5 * time.Minute
 )
 
-// clock is a steady clock that a test sets.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0)} }
 
 func (ck *clock) advance(d time.Duration) { ck.now = ck.now.Add(d) }
 
-// instance is a ledger and what its targets are believed to be.
+// instance is a Tracker with a simulated list of targets.
 type instance struct {
 	*blame.Tracker
 	ck *clock
-	// gone holds targets that are gone by the list.
+	// crashed holds the targets that have disappeared from the list of targets.
 	crashed map[string]bool
-	// news counts how often peers were to hear something.
+	// notifications counts the calls of NotifyPeers.
 	notifications int
 }
 
@@ -55,7 +55,7 @@
 	return fingerprint.Of(fingerprint.Request{Organisation: "red", RequestURI: name})
 }
 
-// broke lets a target break off runs of requests and end, if it does.
+// interrupt lets a target break off runs of the named requests and, if crashes is set, crash.
 func (in *instance) interrupt(target string, crashes bool, elapsed time.Duration, names ...string) {
 	for _, name := range names {
 		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: elapsed, At: in.ck.now})
@@ -65,7 +65,7 @@
 	}
 }
 
-// tell brings what an instance knows to others, over the wire.
+// gossipTo sends the encoded snapshot of the instance to others.
 func (in *instance) gossipTo(t *testing.T, others ...*instance) {
 	t.Helper()
 	b := in.Snapshot().Encode(in.ck.now)
@@ -90,10 +90,10 @@
 		want bool
 	}{
 		"nothing":         {func(*instance) {}, false},
-		"two ends":        {func(in *instance) { crash(in, 2, "fatal") }, false},
-		"three ends":      {func(in *instance) { crash(in, 3, "fatal") }, true},
+		"two crashes":     {func(in *instance) { crash(in, 2, "fatal") }, false},
+		"three crashes":   {func(in *instance) { crash(in, 3, "fatal") }, true},
 		"another request": {func(in *instance) { crash(in, 3, "other") }, false},
-		"broken off by targets that did not end": {func(in *instance) {
+		"interrupted by targets that did not crash": {func(in *instance) {
 			for i := range 9 {
 				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
@@ -103,60 +103,60 @@
 				in.interrupt("target", true, shortRun, "fatal")
 			}
 		}, false},
-		"the end is known first": {func(in *instance) {
+		"crashes recorded before the interrupted runs": {func(in *instance) {
 			for i := range 3 {
 				in.RecordCrash(fmt.Sprint("target-", i))
 				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
 		}, true},
-		"by entries that go seconds later": {func(in *instance) {
+		"crashes detected by entries that disappear seconds later": {func(in *instance) {
 			for i := range 3 {
 				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 				in.crashed[fmt.Sprint("target-", i)] = true
 			}
 			in.ck.advance(7 * time.Second)
 		}, true},
-		"long after they were broken off": {func(in *instance) {
+		"crashes recorded long after the interruptions": {func(in *instance) {
 			for i := range 3 {
 				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
 			in.ck.advance(7 * time.Second)
 			crash(in, 3)
 		}, false},
-		"answered whole in between": {func(in *instance) {
+		"answered between the crashes": {func(in *instance) {
 			crash(in, 2, "fatal")
 			in.RecordAnswered(request("fatal"))
 			in.interrupt("last", true, shortRun, "fatal")
 		}, false},
-		"answered whole after it was judged": {func(in *instance) {
+		"answered after its quarantine began": {func(in *instance) {
 			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.RecordAnswered(request("fatal"))
 		}, false},
-		"lifted": {func(in *instance) {
+		"quarantine lifted by an operator": {func(in *instance) {
 			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.LiftQuarantine(request("fatal"))
 		}, false},
-		"after its time": {func(in *instance) {
+		"after its quarantine ended": {func(in *instance) {
 			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.ck.advance(firstQuarantine)
 		}, false},
-		"again after its time": {func(in *instance) {
+		"another crash after its quarantine ended": {func(in *instance) {
 			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.ck.advance(firstQuarantine)
 			in.interrupt("again", true, shortRun, "fatal")
 		}, true},
-		"ends a quarter of an hour apart": {func(in *instance) {
+		"crashes a quarter of an hour apart": {func(in *instance) {
 			for i := range 3 {
 				in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 				in.ck.advance(15 * time.Minute)
 			}
 		}, false},
-		"beside the one that is judged": {func(in *instance) { crash(in, 3, "other") }, false},
-		"long runs while other targets end too": {func(in *instance) {
+		"another request is quarantined": {func(in *instance) { crash(in, 3, "other") }, false},
+		"long runs while other targets crash too": {func(in *instance) {
 			for i := range 24 {
 				in.interrupt(fmt.Sprint("other-", i), true, longRun, fmt.Sprint("other-", i))
 				in.ck.advance(400 * time.Millisecond)
@@ -192,17 +192,18 @@
 	g.Expect(in.HasEvidence(request("another").HeadHash())).To(BeFalse())
 }
 
-// TestNeighboursAreNotJudged lets two requests stand under the same ends.
-func TestConcurrentRequestIsNotQuarantined(t *testing.T) {
+// TestConcurrentRequestsAreDistinguishedByEvidence runs two requests on the same crashing targets. Only clearly stronger evidence
+// or many crashes lead to the quarantine of one of them.
+func TestConcurrentRequestsAreDistinguishedByEvidence(t *testing.T) {
 	cases := map[string]struct {
-		crashes                 int
-		otherElapsed            time.Duration
+		crashes              int
+		otherElapsed         time.Duration
 		wantFatal, wantOther bool
 	}{
-		"the neighbour ran for long":         {3, longRun, true, false},
-		"alike":                              {3, shortRun, false, false},
-		"alike, once more":                   {4, shortRun, false, false},
-		"always together: one of the two is": {5, shortRun / 2, false, true},
+		"the other request ran for long":                        {3, longRun, true, false},
+		"equal evidence from three crashes":                     {3, shortRun, false, false},
+		"equal evidence from four crashes":                      {4, shortRun, false, false},
+		"always together for five crashes: the likelier one is": {5, shortRun / 2, false, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -220,7 +221,7 @@
 	}
 }
 
-// TestLikeRequestsAreToldApart lets two that were alike run apart.
+// TestSimilarRequestsAreDistinguishedByAnAnswer guards against a quarantine of the wrong one of two requests with equal evidence.
 func TestSimilarRequestsAreDistinguishedByAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
@@ -246,9 +247,9 @@
 		2 * time.Hour, 2 * time.Hour,
 	} {
 		g.Expect(in.quarantined("fatal")).To(BeTrue())
-		jd := in.Quarantines()[0]
-		g.Expect(jd.Until.Sub(jd.Since)).To(Equal(want))
-		g.Expect(jd.Level).To(Equal(level + 1))
+		qu := in.Quarantines()[0]
+		g.Expect(qu.Until.Sub(qu.Since)).To(Equal(want))
+		g.Expect(qu.Level).To(Equal(level + 1))
 		in.ck.advance(want)
 		g.Expect(in.quarantined("fatal")).To(BeFalse())
 		in.interrupt(fmt.Sprint("once-more-", level), true, shortRun, "fatal")
@@ -256,7 +257,7 @@
 	}
 }
 
-// TestFloodOfRequests holds far more against different requests than is remembered.
+// TestStateIsBoundedInAFloodOfRequests collects evidence against far more requests than the Tracker holds.
 func TestStateIsBoundedInAFloodOfRequests(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
@@ -277,7 +278,7 @@
 	g.Expect(in.quarantined("fatal")).To(BeTrue())
 }
 
-// TestEndsThatTheListAloneTells lets targets end that nobody saw refuse a connection: their entries go seconds later.
+// TestCrashesSeenOnlyInTheTargetListCount lets targets crash without a refused connection: their entries disappear seconds later.
 func TestCrashesSeenOnlyInTheTargetListCount(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
@@ -288,12 +289,13 @@
 	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeFalse())
 	in.ck.advance(7 * time.Second)
 	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
-	g.Expect(in.notifications).To(BeNumerically(">", 0), "peers hear of it")
+	g.Expect(in.notifications).To(BeNumerically(">", 0), "peers are notified")
 	g.Expect(in.quarantined("fatal")).To(BeTrue())
 }
 
-// TestRunsThatWaitedTellLittle lets a request that ends its targets wait at some of them, behind others, before it ends them: how long
-// it ran there is not known. A request that stood beside it at fewer ends, by chance briefly, is not taken for the cause.
+// TestQueuedRunsDoNotHideTheCause queues a request behind others on some of the targets before it crashes them, so that the time
+// it ran there is unknown. Another request that ran on fewer of the crashed targets, by coincidence for a short time, must not be
+// quarantined in its place.
 func TestQueuedRunsDoNotHideTheCause(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 7)
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -10,7 +10,8 @@
 	"github.com/silvermount/silvermount/internal/blame"
 )
 
-// storm ends three targets under a request while others end too, so that neither is shown to be the cause.
+// crashBurst crashes three targets under a request while other targets crash too, so that the request is not shown to be the
+// cause.
 func crashBurst(in *instance, name string) {
 	for i := range 12 {
 		in.interrupt(fmt.Sprint("other-", i), true, longRun, fmt.Sprint("other-", i))
@@ -21,7 +22,7 @@
 	}
 }
 
-// TestRequestOnTrialIsRunSeldom looks at a request that may end targets, at each of its trials.
+// TestRequestOnProbationIsProbedWithBackOff checks the interval before each probe of a request that may crash its targets.
 func TestRequestOnProbationIsProbedWithBackOff(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
@@ -30,8 +31,8 @@
 		dc := in.Check(request("doubtful"))
 		g.Expect(dc).To(Equal(blame.Decision{Crashes: 3 + i, Delay: interval}))
 		in.ck.advance(interval)
-		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "trial %d", i)
-		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*interval), "one run a trial")
+		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "probe %d", i)
+		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*interval), "one run per probe")
 		in.ck.advance(shortRun)
 		_, quarantined := in.Quarantined(request("doubtful"))
 		g.Expect(quarantined).To(BeFalse())
@@ -39,7 +40,7 @@
 	}
 }
 
-// TestRequestOnTrialIsClearedByAnAnswer has a trial of a request answered whole.
+// TestRequestOnProbationIsClearedByAnAnswer answers a probe completely.
 func TestRequestOnProbationIsClearedByAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
@@ -50,7 +51,7 @@
 	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Decision{}))
 }
 
-// TestJudgedTakesNoTrial asks again and again whether a request is judged.
+// TestQuarantinedSendsNoProbe guards against calls of Quarantined that use up the next probe of a request.
 func TestQuarantinedSendsNoProbe(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -14,69 +14,71 @@
 )
 
 const (
-	// step is that of the clock of a small fleet.
+	// step is the interval of the simulated clock.
 	step = 5 * time.Millisecond
-	// known is the time after the third end in which all instances must know a request that ends targets.
+	// quarantineDeadline is the time after the third crash in which all instances must quarantine a request that crashes targets.
 	quarantineDeadline = 2900 * time.Millisecond
-	// away is how long a target is away that ended.
+	// downtime is how long a crashed target takes to restart.
 	downtime = 2 * time.Second
-	// tries is how often a request is sent that was broken off: by its instance and by its caller.
+	// maxTries is how often an interrupted request is sent, by retries of its instance and of its caller.
 	maxTries = 4
 )
 
-// weather is what a small fleet goes through.
+// scenario describes a small fleet and its load.
 type scenario struct {
 	instances, targets int
-	// fatal is the number of different requests that end their targets, each sent so often a second as fatalRate says.
+	// fatal is the number of different requests that crash their targets; each is sent fatalRate times per second.
 	fatal, fatalRate int
-	// ends is how many targets a second end by themselves.
+	// crashRate is how many targets per second crash for other reasons.
 	crashRate float64
-	// bodies is the number of different requests that come again and again; others come once.
+	// repeated is the number of harmless requests that are sent repeatedly. All others are sent once.
 	repeated int
-	// work is the mean time that a request runs.
+	// meanDuration is the mean duration of a run.
 	meanDuration time.Duration
-	// delay is the longest time until the notes of an instance are heard.
+	// maxGossipDelay is the maximum time until peers receive the snapshot of an instance.
 	maxGossipDelay time.Duration
-	// cut is the number of instances that neither tell the others anything nor hear of them. Their ends and runs are not counted.
+	// isolated is the number of instances that neither send gossip nor receive any. Crashes and runs through them are not
+	// counted.
 	isolated int
 }
 
-// job is a request at a target.
+// job is a request that a target runs.
 type job struct {
 	name   string
 	entry  *instance
 	target int
-	// sent is when it came there, done when it will be answered or, when fatal, ends its target.
+	// sentAt is when the request was sent, endsAt when it will be answered or, if fatal, crash its target.
 	sentAt, endsAt time.Time
 	fatal          bool
 	tries          int
 	running        *blame.ActiveRun
 }
 
-// letter is what an instance tells another.
+// message is a snapshot on its way from one instance to another.
 type message struct {
 	snapshot  blame.Snapshot
 	to        *instance
 	deliverAt time.Time
 }
 
-// play is a small fleet under way.
+// simulation is a small fleet on a simulated clock.
 type simulation struct {
 	scenario
 	rd    *rand.Rand
 	ck    *clock
 	fleet []*instance
-	// births counts the incarnations of each target; downUntil is when the next one is there.
+	// incarnations counts the restarts of each target; downUntil is when the next incarnation starts.
 	incarnations []int
 	downUntil    []time.Time
 	jobs         []job
 	messages     []message
 	gossiped     []int
-	// thirdEnd is when the third target ended under a fatal request, ended counts them, late the runs that came too late.
+	// thirdCrash is when the third target crashed under a fatal request. crashes counts the crashes under it, and lateRuns its
+	// runs after the deadline for its quarantine.
 	thirdCrash map[string]time.Time
 	crashes    map[string]int
 	lateRuns   map[string]int
-	// refused counts the requests that end nothing and were refused, by name; served counts those that were answered.
+	// refused counts the harmless requests that were refused, by name; served counts those that were answered.
 	refused map[string]int
 	served  int
 }
@@ -93,7 +95,7 @@
 	return sm
 }
 
-// run plays a time.
+// run simulates the given time.
 func (sm *simulation) run(length time.Duration) {
 	for end := sm.ck.now.Add(length); sm.ck.now.Before(end); sm.ck.advance(step) {
 		sm.arrive()
@@ -105,7 +107,7 @@
 	}
 }
 
-// drawn reports whether something that happens so often a second happens in this step.
+// happens reports whether an event of the given rate occurs in this step.
 func (sm *simulation) happens(perSecond float64) bool {
 	return sm.rd.Float64() < perSecond*step.Seconds()
 }
@@ -127,7 +129,7 @@
 	sm.send(job{name: name})
 }
 
-// send sends a request by some instance to some target that is there.
+// send sends a request through a random instance to a random target that is up.
 func (sm *simulation) send(jb job) {
 	jb.entry = sm.fleet[sm.rd.IntN(len(sm.fleet))]
 	jb.tries++
@@ -137,7 +139,7 @@
 		sm.refused[jb.name]++
 		return
 	case dc.Quarantined || dc.Delay > 0:
-		return // what is held back comes again anyway
+		return // Fatal and repeated requests arrive again anyway.
 	}
 	up := slices.DeleteFunc(indices(sm.targets), func(i int) bool { return sm.ck.now.Before(sm.downUntil[i]) })
 	if len(up) == 0 {
@@ -188,7 +190,7 @@
 	}
 }
 
-// end ends a target under all that it runs. What was broken off is sent again.
+// crash crashes a target and interrupts all that it runs. Harmless requests are sent again.
 func (sm *simulation) crash(i int) {
 	if sm.ck.now.Before(sm.downUntil[i]) {
 		return
@@ -205,7 +207,9 @@
 	})
 	for _, jb := range lost {
 		jb.running.End()
-		jb.entry.RecordInterrupted(blame.InterruptedRun{Request: request(jb.name), Incarnation: incarnation, Elapsed: sm.ck.now.Sub(jb.sentAt), At: sm.ck.now})
+		jb.entry.RecordInterrupted(blame.InterruptedRun{
+			Request: request(jb.name), Incarnation: incarnation, Elapsed: sm.ck.now.Sub(jb.sentAt), At: sm.ck.now,
+		})
 	}
 	for _, jb := range lost {
 		jb.entry.RecordCrash(incarnation)
@@ -217,12 +221,12 @@
 	}
 }
 
-// inTouch reports whether a request came to an instance that is not cut off.
+// connected reports whether a request came through an instance that is not isolated.
 func (sm *simulation) connected(jb job) bool {
 	return !slices.Contains(sm.fleet[:sm.isolated], jb.entry)
 }
 
-// exchange lets instances hear what the others tell, some time after it is new.
+// deliverGossip sends new snapshots to all connected peers, with a random delay, and delivers those that are due.
 func (sm *simulation) deliverGossip() {
 	for i, in := range sm.fleet {
 		if in.notifications == sm.gossiped[i] {
@@ -246,33 +250,37 @@
 	})
 }
 
-// TestSmallFleets plays fleets in which targets end under requests and by themselves.
+// TestSimulatedFleets checks fleets in which targets crash under fatal requests and for other reasons: harmless requests are
+// never refused, and fatal ones are quarantined in time.
 func TestSimulatedFleets(t *testing.T) {
-	usual := scenario{instances: 8, targets: 18, fatalRate: 5, repeated: 10, meanDuration: 300 * time.Millisecond, maxGossipDelay: 50 * time.Millisecond}
+	usual := scenario{
+		instances: 8, targets: 18, fatalRate: 5, repeated: 10, meanDuration: 300 * time.Millisecond,
+		maxGossipDelay: 50 * time.Millisecond,
+	}
 	with := func(edit func(*scenario)) scenario {
 		sc := usual
 		edit(&sc)
 		return sc
 	}
 	cases := map[string]scenario{
-		"one request that ends targets":       with(func(sc *scenario) { sc.fatal = 1 }),
-		"one, beside ends by themselves":      with(func(sc *scenario) { sc.fatal, sc.crashRate = 1, 1 }),
-		"several at a time":                   with(func(sc *scenario) { sc.fatal = 5 }),
-		"several, beside ends by themselves":  with(func(sc *scenario) { sc.fatal, sc.crashRate = 3, 1 }),
-		"many copies a second":                with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 40 }),
-		"a slow one":                          with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 1 }),
-		"few targets":                         with(func(sc *scenario) { sc.fatal, sc.targets = 2, 6 }),
-		"many ends, none by a request":        with(func(sc *scenario) { sc.crashRate, sc.targets = 2.5, 12 }),
-		"many ends under long requests":       with(func(sc *scenario) { sc.crashRate, sc.meanDuration = 2.5, 3*time.Second }),
-		"long requests beside one that ends":  with(func(sc *scenario) { sc.fatal, sc.meanDuration = 1, 3*time.Second }),
-		"long requests, many ends, and a few": with(func(sc *scenario) { sc.fatal, sc.crashRate, sc.meanDuration = 3, 1, 3*time.Second }),
-		"some instances cut off": with(func(sc *scenario) {
+		"one fatal request":                                   with(func(sc *scenario) { sc.fatal = 1 }),
+		"one fatal request, other crashes":                    with(func(sc *scenario) { sc.fatal, sc.crashRate = 1, 1 }),
+		"five fatal requests":                                 with(func(sc *scenario) { sc.fatal = 5 }),
+		"three fatal requests, other crashes":                 with(func(sc *scenario) { sc.fatal, sc.crashRate = 3, 1 }),
+		"one fatal request at a high rate":                    with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 40 }),
+		"one fatal request at a low rate":                     with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 1 }),
+		"few targets":                                         with(func(sc *scenario) { sc.fatal, sc.targets = 2, 6 }),
+		"many other crashes, no fatal request":                with(func(sc *scenario) { sc.crashRate, sc.targets = 2.5, 12 }),
+		"many other crashes, long requests":                   with(func(sc *scenario) { sc.crashRate, sc.meanDuration = 2.5, 3*time.Second }),
+		"one fatal request among long ones":                   with(func(sc *scenario) { sc.fatal, sc.meanDuration = 1, 3*time.Second }),
+		"three fatal requests among long ones, other crashes": with(func(sc *scenario) { sc.fatal, sc.crashRate, sc.meanDuration = 3, 1, 3*time.Second }),
+		"isolated instances": with(func(sc *scenario) {
 			sc.fatal, sc.instances, sc.isolated, sc.targets = 2, 3, 2, 7
 		}),
-		"some cut off, ends by themselves": with(func(sc *scenario) {
+		"isolated instances, other crashes": with(func(sc *scenario) {
 			sc.fatal, sc.crashRate, sc.instances, sc.isolated, sc.targets, sc.meanDuration = 2, 1, 3, 2, 7, 100*time.Millisecond
 		}),
-		"many instances, slow news": with(func(sc *scenario) { sc.fatal, sc.instances, sc.maxGossipDelay = 2, 24, 150*time.Millisecond }),
+		"many instances, slow gossip": with(func(sc *scenario) { sc.fatal, sc.instances, sc.maxGossipDelay = 2, 24, 150*time.Millisecond }),
 	}
 	const seeds = 4
 	for name, sc := range cases {
@@ -287,15 +295,15 @@
 	}
 }
 
-// check looks at a play that has ended.
+// checkResults checks the results of a simulation that has ended.
 func (sm *simulation) checkResults(t *testing.T, seed uint64) {
 	g := NewWithT(t)
 	for name, n := range sm.lateRuns {
-		g.Expect(n).To(BeNumerically("<=", 3), "%s, seed %d: runs later than the bound after the third end", name, seed)
+		g.Expect(n).To(BeNumerically("<=", 3), "%s, seed %d: runs after the deadline for its quarantine", name, seed)
 	}
-	g.Expect(sm.refused).To(BeEmpty(), "seed %d: requests refused that end nothing", seed)
+	g.Expect(sm.refused).To(BeEmpty(), "seed %d: harmless requests were refused", seed)
 	g.Expect(sm.served).To(BeNumerically(">", 0))
-	// In the end nothing is held against anybody.
+	// All evidence has expired in the end.
 	sm.ck.advance(10 * time.Hour)
 	for _, in := range sm.fleet {
 		in.Check(request("any"))
@@ -304,5 +312,5 @@
 			g.Expect(in.HasEvidence(request(fmt.Sprint("fatal-", i)).HeadHash())).To(BeFalse())
 		}
 	}
-	t.Logf("seed %d: targets ended %v, served %d", seed, sm.crashes, sm.served)
+	t.Logf("seed %d: crashes per fatal request %v, requests served %d", seed, sm.crashes, sm.served)
 }
--- a/internal/blame/gossip_test.go
+++ b/internal/blame/gossip_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestInstancesAddUpWhatTheySaw lets each of three instances see one end.
+// TestEvidenceOfAllInstancesCounts shows each of three instances one crash only.
 func TestEvidenceOfAllInstancesCounts(t *testing.T) {
 	g := NewWithT(t)
 	ck := newClock()
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestEndThatAPeerSaw lets one instance see the end of a target that broke off the runs of another.
+// TestCrashDetectedByAPeerCounts lets one instance detect the crash of a target that interrupted a run of another instance.
 func TestCrashDetectedByAPeerCounts(t *testing.T) {
 	g := NewWithT(t)
 	ck := newClock()
@@ -43,7 +43,8 @@
 	g.Expect(a.quarantined("other")).To(BeFalse())
 }
 
-// TestOneThatStartsHears lets an instance start after the others judged, and hear of it from one that did not see the ends.
+// TestStartingInstanceLearnsQuarantinesFromAPeer starts an instance after a quarantine. It learns of it from a peer that did not
+// see the crashes.
 func TestStartingInstanceLearnsQuarantinesFromAPeer(t *testing.T) {
 	g := NewWithT(t)
 	ck := newClock()
@@ -63,19 +64,19 @@
 		in.gossipTo(t, a, b, late)
 	}
 	for _, in := range []*instance{a, b, late} {
-		g.Expect(in.quarantined("fatal")).To(BeFalse(), "told again after its time")
+		g.Expect(in.quarantined("fatal")).To(BeFalse(), "an ended quarantine is not renewed by gossip")
 	}
 }
 
-// TestWhatWasTakenBackStaysSo lets a peer that was cut off tell a judgement that the others have taken back.
+// TestStaleQuarantineFromAPeerIsIgnored lets a peer that was cut off send a quarantine that the other instances have ended since.
 func TestStaleQuarantineFromAPeerIsIgnored(t *testing.T) {
 	cases := map[string]struct {
 		release func(in *instance)
-		// heard is set when the one that was cut off is told too, by one that did not take it back itself.
+		// propagated is set when an instance that did not end the quarantine itself also tells the isolated peer of its end.
 		propagated bool
 	}{
-		"by a whole answer": {func(in *instance) { in.RecordAnswered(request("fatal")) }, false},
-		"by an operator":    {func(in *instance) { in.LiftQuarantine(request("fatal")) }, true},
+		"by an answer":   {func(in *instance) { in.RecordAnswered(request("fatal")) }, false},
+		"by an operator": {func(in *instance) { in.LiftQuarantine(request("fatal")) }, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -98,7 +99,7 @@
 			g.Expect(b.quarantined("fatal")).To(BeFalse())
 			b.gossipTo(t, isolated)
 			g.Expect(isolated.quarantined("fatal")).To(Equal(!tc.propagated))
-			// It is judged again for what it does afterwards.
+			// Crashes after the release lead to a new quarantine.
 			for i := range 3 {
 				b.interrupt(fmt.Sprint("later-", i), true, shortRun, "fatal")
 			}
@@ -112,7 +113,7 @@
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
 	in.interrupt("target", false, shortRun, "fatal")
-	g.Expect(in.notifications).To(BeZero(), "nothing is known of the target yet")
+	g.Expect(in.notifications).To(BeZero(), "the target is not known to have crashed")
 	in.RecordCrash("target")
 	g.Expect(in.notifications).To(Equal(1))
 	in.RecordCrash("target")
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -19,8 +19,10 @@
 			{Request: request("b"), At: now.Add(-2 * time.Second)},
 			{Request: request("c"), At: now.Add(-time.Minute), ByOperator: true, Until: now.Add(time.Minute)},
 		},
-		Quarantines: []blame.Quarantine{{Request: request("d"), Crashes: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)}},
-		ActiveRuns:  []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
+		Quarantines: []blame.Quarantine{
+			{Request: request("d"), Crashes: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)},
+		},
+		ActiveRuns: []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
 	}
 }
 
@@ -39,15 +41,15 @@
 	whole := sampleSnapshot(now).Encode(now)
 	cases := map[string]struct {
 		bytes []byte
-		// version is set when the form is another one; else the notes are malformed.
+		// version is set when a VersionError is expected; otherwise a MalformedError is.
 		version bool
 	}{
-		"nothing":              {nil, false},
-		"another version":      {[]byte{9}, true},
-		"too many":             {[]byte{1, 0xff, 0xff, 0x7f}, false},
-		"a long name":          {append(append([]byte{1, 1}, make([]byte, 20)...), 0xff, 0x7f), false},
-		"bytes after the end":  {append(bytes.Clone(whole), 0), false},
-		"cut off in the lists": {whole[:len(whole)-1], false},
+		"no bytes":         {nil, false},
+		"another version":  {[]byte{9}, true},
+		"too many entries": {[]byte{1, 0xff, 0xff, 0x7f}, false},
+		"name too long":    {append(append([]byte{1, 1}, make([]byte, 20)...), 0xff, 0x7f), false},
+		"trailing bytes":   {append(bytes.Clone(whole), 0), false},
+		"truncated":        {whole[:len(whole)-1], false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,7 +67,7 @@
 	}
 }
 
-// FuzzDecode reads any bytes; what can be read is written and read alike.
+// FuzzDecode checks that a snapshot decoded from arbitrary bytes survives another round trip.
 func FuzzDecode(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
 	f.Add(blame.Snapshot{}.Encode(now))
