--- a/internal/failure/failure.go
+++ b/internal/failure/failure.go
@@ -9,23 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Outcome says what is known about whether a request was run.
+// Outcome says whether a request was run, as far as it is known.
 type Outcome string
 
-// The outcomes a caller can be told.
+// The outcomes that are reported to callers.
 const (
-	// NotRun means that nothing of the request reached a target, or that the target said it did not start it.
+	// NotRun means that no part of the request reached a target, or that the target reported that it did not start it.
 	NotRun Outcome = "not_run"
-	// Failed means that the request was started and did not give a whole answer.
+	// Failed means that the request was started and gave no complete answer.
 	Failed Outcome = "failed"
-	// Unknown means that it cannot be told whether the request took effect.
+	// Unknown means that it is not known whether the request took effect.
 	Unknown Outcome = "unknown"
 )
 
-// Code names the kind of a failure.
+// Code is the kind of a failure.
 type Code string
 
-// The kinds of failure.
+// The codes of failures.
 const (
 	BadRequest          Code = "bad_request"
 	Unauthorized        Code = "unauthorized"
@@ -50,13 +50,13 @@
 	StoreOutcomeUnknown Code = "store_outcome_unknown"
 	Conflict            Code = "conflict"
 	NotReady            Code = "not_ready"
-	// ProofTooOld means that the configuration was not confirmed for so long that a key may have been taken away.
+	// ProofTooOld means that the configuration was last confirmed so long ago that a key may have been revoked since.
 	ProofTooOld Code = "proof_too_old"
 	// TargetUnreachable means that nothing was sent to the target.
 	TargetUnreachable Code = "target_unreachable"
-	// TargetShed means that the target turned the request away without running it.
+	// TargetShed means that the target rejected the request without running it.
 	TargetShed Code = "target_shed"
-	// EndsTargets means that the request ends the targets that run it, whatever is known of its earlier attempts.
+	// EndsTargets means that the request crashes the targets that run it. It says nothing about the outcome of earlier attempts.
 	EndsTargets Code = "ends_targets"
 )
 
@@ -91,26 +91,27 @@
 	EndsTargets:       http.StatusBadRequest,
 }
 
-// Error is a failure with its kind and outcome. It is immutable; the With methods return copies.
+// Error is a failure with its code and outcome. It is immutable; the With methods return copies.
 type Error struct {
 	// Code is never empty.
 	Code Code
 	// Outcome is never empty.
 	Outcome Outcome
-	// Message is one sentence for a person.
+	// Message is one sentence for humans.
 	Message string
-	// RetryAfter is zero when trying again cannot help.
+	// RetryAfter is zero when a retry cannot help.
 	RetryAfter time.Duration
-	// Cause is nil when the failure starts here.
+	// Cause is nil when the failure has no underlying error.
 	Cause error
 }
 
-// New returns a failure of the given kind and outcome.
+// New returns a failure with the given code and outcome.
 func New(code Code, outcome Outcome, format string, args ...any) *Error {
 	return &Error{Code: code, Outcome: outcome, Message: fmt.Sprintf(format, args...)}
 }
 
-// Of returns the failure in an error. An error without one is a fault inside this instance: it proves nothing.
+// FromError returns the failure that an error wraps. Any other error is an internal fault of this instance, so its outcome is
+// unknown.
 func FromError(err error) *Error {
 	var fe *Error
 	if errors.As(err, &fe) {
@@ -126,7 +127,7 @@
 	return &c
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy that tells the caller when to retry.
 func (fe *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *fe
 	c.RetryAfter = d
@@ -140,7 +141,7 @@
 	return &c
 }
 
-// Status returns the HTTP status of the failure.
+// Status returns the HTTP status code of the failure.
 func (fe *Error) Status() int {
 	if s, ok := statusByCode[fe.Code]; ok {
 		return s
@@ -148,7 +149,7 @@
 	return http.StatusInternalServerError
 }
 
-// Error returns the kind, the outcome and the message.
+// Error returns the code, the outcome, the message and the cause.
 func (fe *Error) Error() string {
 	s := string(fe.Code) + " (" + string(fe.Outcome) + "): " + fe.Message
 	if fe.Cause != nil {
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -18,9 +18,9 @@
 		wantOutcome failure.Outcome
 		wantCause   error
 	}{
-		"a failure":                    {full, failure.Overloaded, failure.NotRun, nil},
-		"a wrapped failure":            {errors.Wrap(full, "acquire"), failure.Overloaded, failure.NotRun, nil},
-		"anything else proves nothing": {plain, failure.TargetLost, failure.Unknown, plain},
+		"a failure":                              {full, failure.Overloaded, failure.NotRun, nil},
+		"a wrapped failure":                      {errors.Wrap(full, "acquire"), failure.Overloaded, failure.NotRun, nil},
+		"any other error has an unknown outcome": {plain, failure.TargetLost, failure.Unknown, plain},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/fingerprint/fingerprint.go
+++ b/internal/fingerprint/fingerprint.go
@@ -1,4 +1,4 @@
-// Package fingerprint names a request by what stays the same when its caller sends it again.
+// Package fingerprint identifies a request by the parts that stay the same when its caller sends it again.
 package fingerprint
 
 import (
@@ -10,9 +10,10 @@
 )
 
 const (
-	// originSize is what a fingerprint begins with: enough that a request with another origin is seldom taken for one with this.
+	// headHashSize is the length of the head hash at the start of a fingerprint. Four bytes make a collision of two heads rare.
 	headHashSize = 4
-	// digestSize is half of a SHA-256: nobody finds a request whose fingerprint is that of another caller's.
+	// digestSize is half the length of a SHA-256 hash: enough that nobody can find a request whose fingerprint equals that of
+	// another caller's request.
 	digestSize = sha256.Size / 2
 	// Size is the length of a fingerprint in bytes.
 	Size = headHashSize + digestSize
@@ -21,17 +22,17 @@
 // Fingerprint is equal for two requests of one caller with the same method, host, path, query and body.
 type Fingerprint [Size]byte
 
-// Origin is equal for two requests of one caller with the same method, host, path, query and length of the body. It costs the same
-// for a short and a long body.
+// HeadHash is equal for two requests of one caller with the same method, host, path, query and body length. Its cost does not
+// depend on the length of the body.
 type HeadHash [headHashSize]byte
 
-// Request is what a fingerprint is made of. What differs between two tries of a caller is no part of it: the id, the deadline
-// and other headers.
+// Request holds what a fingerprint is computed from. Parts that differ between two attempts of a caller are left out: the id, the
+// deadline and other headers.
 type Request struct {
-	// Organisation is whose request it is; empty for callers without a key.
+	// Organisation is the owner of the request; empty for callers without a key.
 	Organisation string
 	Method, Host string
-	// Target is the path and query as they stand on the request line.
+	// RequestURI is the path and query as they stand on the request line.
 	RequestURI string
 	Body       []byte
 }
@@ -39,22 +40,23 @@
 // Of returns the fingerprint of a request.
 func Of(rq Request) Fingerprint {
 	hs := sha256.New()
-	// A hash takes all that is written to it.
+	// Writing to a hash never fails.
 	_, _ = hs.Write(rq.encodeHead())
 	_, _ = hs.Write(rq.Body)
 	fp := Fingerprint{}
-	origin := HeadHashOf(rq)
-	copy(fp[copy(fp[:], origin[:]):], hs.Sum(nil))
+	headHash := HeadHashOf(rq)
+	copy(fp[copy(fp[:], headHash[:]):], hs.Sum(nil))
 	return fp
 }
 
-// OriginOf returns the origin of a request.
+// HeadHashOf returns the head hash of a request.
 func HeadHashOf(rq Request) HeadHash {
 	sum := sha256.Sum256(rq.encodeHead())
 	return HeadHash(sum[:headHashSize])
 }
 
-// head returns all but the content of the body. Each part is written after its length, so that none can pass for a piece of another.
+// encodeHead encodes everything but the content of the body. Each part is prefixed with its length, so that moving bytes from one
+// part to the next changes the encoding.
 func (rq Request) encodeHead() []byte {
 	var b []byte
 	for _, part := range []string{rq.Organisation, rq.Method, rq.Host, rq.RequestURI} {
@@ -64,19 +66,19 @@
 	return binary.AppendUvarint(b, uint64(len(rq.Body)))
 }
 
-// Origin returns the origin of the request that has the fingerprint.
+// HeadHash returns the head hash of the request that has the fingerprint.
 func (fp Fingerprint) HeadHash() HeadHash { return HeadHash(fp[:headHashSize]) }
 
-// String returns the fingerprint in hex.
+// String returns the fingerprint in hexadecimal.
 func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:]) }
 
-// MalformedError says that a text is no fingerprint.
+// MalformedError means that a text is not a fingerprint.
 type MalformedError struct{ Text string }
 
 // Error quotes the text.
 func (me *MalformedError) Error() string { return "no fingerprint: " + me.Text }
 
-// Parse reads what String wrote.
+// Parse reads the output of String.
 func Parse(text string) (Fingerprint, error) {
 	b, err := hex.DecodeString(text)
 	if err != nil || len(b) != Size {
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -16,16 +16,16 @@
 		edit func(*fingerprint.Request)
 		same bool
 	}{
-		"the same":             {func(*fingerprint.Request) {}, true},
-		"another copy":         {func(rq *fingerprint.Request) { rq.Body = []byte("bo" + "dy") }, true},
-		"another organisation": {func(rq *fingerprint.Request) { rq.Organisation = "blue" }, false},
-		"another method":       {func(rq *fingerprint.Request) { rq.Method = "PUT" }, false},
-		"another host":         {func(rq *fingerprint.Request) { rq.Host = "apis" }, false},
-		"another query":        {func(rq *fingerprint.Request) { rq.RequestURI = "/a?c" }, false},
-		"another body":         {func(rq *fingerprint.Request) { rq.Body = []byte("bodies") }, false},
-		"no body":              {func(rq *fingerprint.Request) { rq.Body = nil }, false},
-		"a border moved":       {func(rq *fingerprint.Request) { rq.Host, rq.RequestURI = "api/", "a?b" }, false},
-		"a border to the body": {func(rq *fingerprint.Request) { rq.RequestURI, rq.Body = "/a?", []byte("bbody") }, false},
+		"the same":                        {func(*fingerprint.Request) {}, true},
+		"an equal body in other memory":   {func(rq *fingerprint.Request) { rq.Body = []byte("bo" + "dy") }, true},
+		"another organisation":            {func(rq *fingerprint.Request) { rq.Organisation = "blue" }, false},
+		"another method":                  {func(rq *fingerprint.Request) { rq.Method = "PUT" }, false},
+		"another host":                    {func(rq *fingerprint.Request) { rq.Host = "apis" }, false},
+		"another query":                   {func(rq *fingerprint.Request) { rq.RequestURI = "/a?c" }, false},
+		"another body":                    {func(rq *fingerprint.Request) { rq.Body = []byte("bodies") }, false},
+		"no body":                         {func(rq *fingerprint.Request) { rq.Body = nil }, false},
+		"a byte moved from path to host":  {func(rq *fingerprint.Request) { rq.Host, rq.RequestURI = "api/", "a?b" }, false},
+		"a byte moved from query to body": {func(rq *fingerprint.Request) { rq.RequestURI, rq.Body = "/a?", []byte("bbody") }, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,8 @@
 	}
 }
 
-// BenchmarkOf measures the digest of a body. It is made only while requests are suspected, or one was broken off.
+// BenchmarkOf measures the fingerprint of a body. It is computed only for requests with a suspected head hash and for interrupted
+// ones.
 func BenchmarkOf(b *testing.B) {
 	for _, size := range []int{1_000, 100_000, 4_000_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// BenchmarkOriginOf measures what each request costs while others are suspected.
+// BenchmarkHeadHashOf measures the cost per request while other requests are suspected.
 func BenchmarkHeadHashOf(b *testing.B) {
 	rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a", Body: make([]byte, 4_000_000)}
 	for b.Loop() {
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,5 +1,5 @@
-// Package order plans which engine is to serve which model. The plan is pure: what is wanted and what is there in, the
-// wanted end state of some engines out.
+// Package order plans which engine is to load which model. Planning is a pure function from the current and desired states to the
+// orders for engines.
 package order
 
 import (
@@ -7,78 +7,80 @@
 	"slices"
 )
 
-// Engine is one engine as its report shows it.
+// Engine is the state of an engine as it reports it.
 type Engine struct {
 	// Name is unique.
 	Name string
-	// Models are loaded now.
+	// Models are the models that the engine serves now.
 	Models []string
-	// Wanted is the end state that was ordered before; nil when none was, or when it is reached.
+	// Desired holds the models that the engine was ordered to serve; nil if there was no order or it is complete.
 	Desired []string
 }
 
-// busy reports whether an order is on its way.
+// isLoading reports whether the engine has not yet completed an order.
 func (en Engine) isLoading() bool { return en.Desired != nil && !slices.Equal(en.Desired, en.Models) }
 
-// Change is the wanted end state of one engine.
+// Assignment is an order for an engine to serve the given models and no others.
 type Assignment struct {
 	Engine string
 	Models []string
 }
 
-// Plan returns the changes to make now, so that each model comes to its number of copies. It never takes a model's last
-// serving copy away, and lets at most maxLoading engines load at a time.
+// Plan returns the assignments to make now, so that each model gets its number of copies. It never removes the last serving copy
+// of a model that is wanted, and lets at most maxLoading engines load at a time.
 func Plan(engines []Engine, copies map[string]int, maxLoading int) []Assignment {
 	engines = slices.SortedFunc(slices.Values(engines), func(a, b Engine) int { return cmp.Compare(a.Name, b.Name) })
-	serving, coming, loading := countCopies(engines)
-	var changes []Assignment
+	serving, planned, loading := countCopies(engines)
+	var assignments []Assignment
 	for _, model := range sortedModels(copies) {
-		for coming[model] < copies[model] && loading < maxLoading {
+		for planned[model] < copies[model] && loading < maxLoading {
 			i := findReassignable(engines, serving, copies)
 			if i < 0 {
-				return changes
+				return assignments
 			}
 			for _, m := range engines[i].Models {
 				serving[m]--
-				coming[m]--
+				planned[m]--
 			}
 			engines[i].Desired = []string{model}
-			coming[model]++
+			planned[model]++
 			loading++
-			changes = append(changes, Assignment{Engine: engines[i].Name, Models: engines[i].Desired})
+			assignments = append(assignments, Assignment{Engine: engines[i].Name, Models: engines[i].Desired})
 		}
 	}
-	return changes
+	return assignments
 }
 
-// count returns the copies that serve now, those there will be once all orders are done, and the engines that load.
-func countCopies(engines []Engine) (serving, coming map[string]int, loading int) {
-	serving, coming = map[string]int{}, map[string]int{}
+// countCopies returns the copies that serve now, those that will serve once all orders are complete, and the number of loading
+// engines.
+func countCopies(engines []Engine) (serving, planned map[string]int, loading int) {
+	serving, planned = map[string]int{}, map[string]int{}
 	for _, en := range engines {
 		for _, m := range en.Models {
 			serving[m]++
 		}
-		end := en.Models
+		models := en.Models
 		if en.isLoading() {
 			loading++
-			end = en.Desired
+			models = en.Desired
 		}
-		for _, m := range end {
-			coming[m]++
+		for _, m := range models {
+			planned[m]++
 		}
 	}
-	return serving, coming, loading
+	return serving, planned, loading
 }
 
-// spare returns an engine that no model needs: idle, and each of its models has more copies than wanted elsewhere.
+// findReassignable returns the index of an engine that can be reassigned, or -1: it is not loading, and each of its models is
+// served by more copies than are wanted.
 func findReassignable(engines []Engine, serving, copies map[string]int) int {
 	return slices.IndexFunc(engines, func(en Engine) bool {
 		if en.isLoading() {
 			return false
 		}
 		for _, m := range en.Models {
-			last := serving[m] <= 1 && copies[m] > 0
-			if last || serving[m] <= copies[m] {
+			isLastCopy := serving[m] <= 1 && copies[m] > 0
+			if isLastCopy || serving[m] <= copies[m] {
 				return false
 			}
 		}
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -8,19 +8,19 @@
 )
 
 func TestPlanAssignments(t *testing.T) {
-	on := func(name string, models ...string) Engine { return Engine{Name: name, Models: models} }
+	serving := func(name string, models ...string) Engine { return Engine{Name: name, Models: models} }
 	tests := map[string]struct {
 		engines []Engine
 		copies  map[string]int
 		loading int
 		want    []Assignment
 	}{
-		"nothing to do":            {engines: []Engine{on("a", "x")}, copies: map[string]int{"x": 1}, loading: 1},
-		"empty engine loads":       {engines: []Engine{on("a")}, copies: map[string]int{"x": 1}, loading: 1, want: []Assignment{{"a", []string{"x"}}}},
-		"surplus is changed":       {engines: []Engine{on("a", "x"), on("b", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1, want: []Assignment{{"a", []string{"y"}}}},
-		"last copy stays":          {engines: []Engine{on("a", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1},
-		"loads are spread":         {engines: []Engine{on("a"), on("b")}, copies: map[string]int{"x": 2}, loading: 1, want: []Assignment{{"a", []string{"x"}}}},
-		"one on its way is enough": {engines: []Engine{{Name: "a", Desired: []string{"x"}}, on("b")}, copies: map[string]int{"x": 1}, loading: 2},
+		"nothing to do":                {engines: []Engine{serving("a", "x")}, copies: map[string]int{"x": 1}, loading: 1},
+		"empty engine loads the model": {engines: []Engine{serving("a")}, copies: map[string]int{"x": 1}, loading: 1, want: []Assignment{{"a", []string{"x"}}}},
+		"surplus copy is reassigned":   {engines: []Engine{serving("a", "x"), serving("b", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1, want: []Assignment{{"a", []string{"y"}}}},
+		"last copy is kept":            {engines: []Engine{serving("a", "x")}, copies: map[string]int{"x": 1, "y": 1}, loading: 1},
+		"concurrent loads are limited": {engines: []Engine{serving("a"), serving("b")}, copies: map[string]int{"x": 2}, loading: 1, want: []Assignment{{"a", []string{"x"}}}},
+		"copy being loaded is counted": {engines: []Engine{{Name: "a", Desired: []string{"x"}}, serving("b")}, copies: map[string]int{"x": 1}, loading: 2},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestPlanKeepsEveryServedModel runs plans to their end over drawn fleets: no wanted model that is served ever stops.
+// TestPlanNeverRemovesLastServingCopy completes successive plans for random fleets: a wanted model that is served stays served.
 func TestPlanNeverRemovesLastServingCopy(t *testing.T) {
 	models := []string{"x", "y", "z"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,11 +47,11 @@
 		maxLoading := rapid.IntRange(1, 3).Draw(t, "loading")
 		for range 20 {
 			before, _, _ := countCopies(engines)
-			changes := Plan(engines, copies, maxLoading)
-			if len(changes) > maxLoading {
-				t.Fatalf("%d engines load at once", len(changes))
+			assignments := Plan(engines, copies, maxLoading)
+			if len(assignments) > maxLoading {
+				t.Fatalf("%d engines load at once", len(assignments))
 			}
-			startLoading(engines, changes)
+			startLoading(engines, assignments)
 			after, _, _ := countCopies(engines)
 			for m, n := range before {
 				if n > 0 && copies[m] > 0 && after[m] == 0 {
@@ -63,12 +63,12 @@
 	})
 }
 
-// apply unloads what an engine drops, as it does while it loads.
-func startLoading(engines []Engine, changes []Assignment) {
-	for _, c := range changes {
+// startLoading unloads the models of each assigned engine, as an engine does when it starts loading.
+func startLoading(engines []Engine, assignments []Assignment) {
+	for _, as := range assignments {
 		for i := range engines {
-			if engines[i].Name == c.Engine {
-				engines[i].Models, engines[i].Desired = nil, c.Models
+			if engines[i].Name == as.Engine {
+				engines[i].Models, engines[i].Desired = nil, as.Models
 			}
 		}
 	}
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,16 +1,16 @@
-// Package outcome adds up what the attempts of one request prove about whether it was run.
+// Package outcome combines the outcomes of all attempts of one request.
 package outcome
 
 import "github.com/silvermount/silvermount/internal/failure"
 
-// Known is what all attempts of a request so far prove. The zero value is that of a request that was not sent. It is used
-// by one goroutine.
+// Aggregate is the combined outcome of all attempts of a request so far. The zero value is that of a request that was never sent.
+// It is not safe for concurrent use.
 type Aggregate struct {
-	// latest is that of the last attempt that may have run the request; empty when none may have.
+	// latest is the outcome of the last attempt that may have run the request; empty if there is none.
 	latest failure.Outcome
 }
 
-// Add notes what an attempt proved.
+// Add adds the outcome of an attempt.
 func (ag *Aggregate) Add(o failure.Outcome) {
 	if o != failure.NotRun {
 		ag.latest = o
@@ -20,7 +20,7 @@
 // MayHaveRun reports whether an attempt may have run the request.
 func (ag *Aggregate) MayHaveRun() bool { return ag.latest != "" }
 
-// Outcome is what is known of the whole request.
+// Outcome returns the outcome of the whole request.
 func (ag *Aggregate) Outcome() failure.Outcome {
 	if ag.MayHaveRun() {
 		return ag.latest
@@ -28,8 +28,8 @@
 	return failure.NotRun
 }
 
-// Of returns a failure as that of the whole request: one that happened before anything was sent proves nothing about
-// earlier attempts.
+// Apply returns a failure with the outcome of the whole request. A failure that happened before anything was sent does not show
+// that earlier attempts were not run.
 func (ag *Aggregate) Apply(fe *failure.Error) *failure.Error {
 	if fe.Outcome != failure.NotRun || !ag.MayHaveRun() {
 		return fe
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -16,12 +16,12 @@
 		want     failure.Outcome
 		wantOf   failure.Outcome
 	}{
-		"nothing sent":                         {nil, failure.NotRun, failure.NotRun, failure.NotRun},
-		"no attempt was run":                   {[]failure.Outcome{failure.NotRun, failure.NotRun}, failure.NotRun, failure.NotRun, failure.NotRun},
-		"an earlier one may have run":          {[]failure.Outcome{failure.Unknown, failure.NotRun}, failure.NotRun, failure.Unknown, failure.Unknown},
-		"an earlier one failed":                {[]failure.Outcome{failure.Failed}, failure.NotRun, failure.Failed, failure.Failed},
-		"the latest that may have run decides": {[]failure.Outcome{failure.Unknown, failure.Failed}, failure.NotRun, failure.Failed, failure.Failed},
-		"a failure that was sent says itself":  {[]failure.Outcome{failure.Failed}, failure.Unknown, failure.Failed, failure.Unknown},
+		"no attempts":                          {nil, failure.NotRun, failure.NotRun, failure.NotRun},
+		"no attempt ran":                       {[]failure.Outcome{failure.NotRun, failure.NotRun}, failure.NotRun, failure.NotRun, failure.NotRun},
+		"an earlier attempt may have run":      {[]failure.Outcome{failure.Unknown, failure.NotRun}, failure.NotRun, failure.Unknown, failure.Unknown},
+		"an earlier attempt failed":            {[]failure.Outcome{failure.Failed}, failure.NotRun, failure.Failed, failure.Failed},
+		"the last attempt that may have run":   {[]failure.Outcome{failure.Unknown, failure.Failed}, failure.NotRun, failure.Failed, failure.Failed},
+		"a failure with an outcome of its own": {[]failure.Outcome{failure.Failed}, failure.Unknown, failure.Failed, failure.Unknown},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
