--- a/internal/blame/activerun_test.go
+++ b/internal/blame/activerun_test.go
@@ -25,7 +25,7 @@
 		"still active":            {longRun, "fatal", func(*testing.T, *instance, *instance, func()) {}, false, false},
 		"began after the crashes": {-time.Second, "fatal", func(*testing.T, *instance, *instance, func()) {}, true, false},
 		"run of another request":  {longRun, "other", func(*testing.T, *instance, *instance, func()) {}, true, false},
-		"ended": {longRun, "fatal", func(t *testing.T, local, peer *instance, endRun func()) {
+		"no longer active": {longRun, "fatal", func(t *testing.T, local, peer *instance, endRun func()) {
 			endRun()
 			peer.gossipTo(t, local)
 		}, true, false},
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -133,7 +133,7 @@
 			in.quarantined("fatal")
 			in.RecordAnswered(request("fatal"))
 		}, false},
-		"quarantine lifted by an operator": {func(in *instance) {
+		"lifted": {func(in *instance) {
 			crash(in, 3, "fatal")
 			in.quarantined("fatal")
 			in.LiftQuarantine(request("fatal"))
@@ -200,9 +200,9 @@
 		otherElapsed         time.Duration
 		wantFatal, wantOther bool
 	}{
-		"the other request ran for long":                        {3, longRun, true, false},
-		"equal evidence from three crashes":                     {3, shortRun, false, false},
-		"equal evidence from four crashes":                      {4, shortRun, false, false},
+		"the other request ran for long": {3, longRun, true, false},
+		"alike":                          {3, shortRun, false, false},
+		"alike after four crashes":       {4, shortRun, false, false},
 		"always together for five crashes: the likelier one is": {5, shortRun / 2, false, true},
 	}
 	for name, tc := range cases {
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -44,12 +44,12 @@
 		// version is set when a VersionError is expected; otherwise a MalformedError is.
 		version bool
 	}{
-		"no bytes":         {nil, false},
+		"nothing":          {nil, false},
 		"another version":  {[]byte{9}, true},
 		"too many entries": {[]byte{1, 0xff, 0xff, 0x7f}, false},
 		"name too long":    {append(append([]byte{1, 1}, make([]byte, 20)...), 0xff, 0x7f), false},
 		"trailing bytes":   {append(bytes.Clone(whole), 0), false},
-		"truncated":        {whole[:len(whole)-1], false},
+		"truncated list":   {whole[:len(whole)-1], false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
