--- a/internal/blame/detection.go
+++ b/internal/blame/detection.go
@@ -174,7 +174,7 @@
 	return unexplained
 }
 
-// explained reports whether a crash is explained by a request that was quarantined after it. The lock is held.
+// explained reports whether a crash interrupted a run of a quarantined request before the end of its quarantine. The lock is held.
 func (tr *Tracker) explained(cr *crash) bool {
 	if len(tr.quarantines) == 0 {
 		return false
--- a/internal/blame/gossip.go
+++ b/internal/blame/gossip.go
@@ -27,9 +27,9 @@
 type Snapshot struct {
 	// Evidence holds recent interrupted runs of the instance itself whose targets crashed.
 	Evidence []InterruptedRun
-	// Tombstones holds the recent ones of the instance itself, and those by operators on any instance.
+	// Tombstones holds the recent tombstones of the instance itself, and those by operators on any instance.
 	Tombstones []Tombstone
-	// Quarantines holds all that the instance knows, so that a starting instance learns of them from the first peer it reaches.
+	// Quarantines holds all quarantines that the instance knows, so that a starting instance learns of them from the first peer it reaches.
 	Quarantines []Quarantine
 	// ActiveRuns holds the active runs of requests under evidence.
 	ActiveRuns []ActiveRunSummary
