--- a/internal/blame/quarantine.go
+++ b/internal/blame/quarantine.go
@@ -125,7 +125,7 @@
 		tr.removeQuarantine(fp)
 		tr.opts.Log.WithFields(log.Fields{
 			"fingerprint": fp.String(), "ends": qu.Crashes, "lifted": ts.byOperator,
-		}).Warn("request released from quarantine")
+		}).Warn("quarantine cleared")
 	}
 	if !cleared {
 		return false
