--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -33,7 +33,7 @@
 // Encode returns the wire form of a snapshot taken at the given time. Ages are in whole milliseconds.
 func (sn Snapshot) Encode(takenAt time.Time) []byte {
 	b := []byte{wireVersion}
-	evidence := newest(sn.Evidence)
+	evidence := lastEntries(sn.Evidence)
 	b = binary.AppendUvarint(b, uint64(len(evidence)))
 	for _, rn := range evidence {
 		b = append(b, rn.Request[:]...)
@@ -41,14 +41,14 @@
 		b = appendDuration(b, rn.Elapsed)
 		b = appendDuration(b, takenAt.Sub(rn.At))
 	}
-	tombstones := newest(sn.Tombstones)
+	tombstones := lastEntries(sn.Tombstones)
 	b = binary.AppendUvarint(b, uint64(len(tombstones)))
 	for _, ts := range tombstones {
 		b = append(b, ts.Request[:]...)
 		b = appendDuration(b, takenAt.Sub(ts.At))
 		b = appendDuration(b, remainingLift(ts, takenAt))
 	}
-	quarantines := newest(sn.Quarantines)
+	quarantines := lastEntries(sn.Quarantines)
 	b = binary.AppendUvarint(b, uint64(len(quarantines)))
 	for _, qu := range quarantines {
 		b = append(b, qu.Request[:]...)
@@ -57,7 +57,7 @@
 		b = appendDuration(b, takenAt.Sub(qu.Since))
 		b = appendDuration(b, qu.Until.Sub(qu.Since))
 	}
-	activeRuns := newest(sn.ActiveRuns)
+	activeRuns := lastEntries(sn.ActiveRuns)
 	b = binary.AppendUvarint(b, uint64(len(activeRuns)))
 	for _, ar := range activeRuns {
 		b = append(b, ar.Request[:]...)
@@ -66,8 +66,8 @@
 	return b
 }
 
-// newest returns the last maxListLength elements of a list.
-func newest[T any](list []T) []T { return list[max(0, len(list)-maxListLength):] }
+// lastEntries returns the last maxListLength elements of a list.
+func lastEntries[T any](list []T) []T { return list[max(0, len(list)-maxListLength):] }
 
 // remainingLift returns how long a tombstone by an operator still holds; zero for other tombstones.
 func remainingLift(ts Tombstone, takenAt time.Time) time.Duration {
