--- a/internal/blame/bench_test.go
+++ b/internal/blame/bench_test.go
@@ -8,27 +8,27 @@
 	"github.com/silvermount/silvermount/internal/blame"
 )
 
-// BenchmarkHear measures what one more end costs that a peer tells, with eight runs under it, when as many ends are held as may be.
-func BenchmarkHear(b *testing.B) {
-	const targets, under, before = 150, 8, 512
+// BenchmarkMergePeer measures the merge of one more crash, with eight runs interrupted by it, into the maximum number of crashes.
+func BenchmarkMergePeer(b *testing.B) {
+	const targets, runsPerCrash, crashesBefore = 150, 8, 512
 	ck := newClock()
 	in := newInstance(ck, targets)
-	no := 0
-	tell := func() {
-		no++
-		ck.pass(time.Millisecond)
-		var nt blame.Notes
-		for at := range under {
-			nt.Runs = append(nt.Runs, blame.Run{
-				Request: request(fmt.Sprint(no, "-", at)), Target: fmt.Sprint("target-", no), Exposure: lasting, At: ck.now,
+	i := 0
+	merge := func() {
+		i++
+		ck.advance(time.Millisecond)
+		var sn blame.Snapshot
+		for j := range runsPerCrash {
+			sn.Evidence = append(sn.Evidence, blame.InterruptedRun{
+				Request: request(fmt.Sprint(i, "-", j)), Incarnation: fmt.Sprint("target-", i), Elapsed: longRun, At: ck.now,
 			})
 		}
-		in.Hear("peer", nt)
+		in.MergePeer("peer", sn)
 	}
-	for range before {
-		tell()
+	for range crashesBefore {
+		merge()
 	}
 	for b.Loop() {
-		tell()
+		merge()
 	}
 }
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -15,74 +15,74 @@
 )
 
 const (
-	// settled is longer than a request is held back before it is judged.
-	settled = 250 * time.Millisecond
-	// brief is how long a run lasts that ends its target; lasting is that of a long answer.
-	brief   = 100 * time.Millisecond
-	lasting = 4 * time.Second
-	// lapse is how long a request is first refused.
-	lapse = 5 * time.Minute
+	// afterSettleDelay is longer than a request is held back before its quarantine.
+	afterSettleDelay = 250 * time.Millisecond
+	// shortRun is the duration of a run that crashes its target, longRun that of a long answer.
+	shortRun = 100 * time.Millisecond
+	longRun  = 4 * time.Second
+	// firstQuarantine is the duration of the first quarantine of a request.
+	firstQuarantine = 5 * time.Minute
 )
 
-// clock is a steady clock that a test sets.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func newClock() *clock { return &clock{now: time.Unix(1_000_000, 0)} }
 
-func (ck *clock) pass(d time.Duration) { ck.now = ck.now.Add(d) }
+func (ck *clock) advance(d time.Duration) { ck.now = ck.now.Add(d) }
 
-// instance is a ledger and what its targets are believed to be.
+// instance is a Tracker with a simulated list of targets.
 type instance struct {
-	*blame.Ledger
+	*blame.Tracker
 	ck *clock
-	// gone holds targets that are gone by the list.
-	gone map[string]bool
-	// news counts how often peers were to hear something.
-	news int
+	// crashed holds the targets that have disappeared from the list of targets.
+	crashed map[string]bool
+	// notifications counts the calls of NotifyPeers.
+	notifications int
 }
 
 func newInstance(ck *clock, targets int) *instance {
-	in := &instance{ck: ck, gone: map[string]bool{}}
-	in.Ledger = blame.New(blame.Options{
-		Now: func() time.Time { return ck.now }, Targets: func() int { return targets },
-		Gone: func(id string) bool { return in.gone[id] }, Changed: func() { in.news++ }, Metrics: metrics.NewSet(),
+	in := &instance{ck: ck, crashed: map[string]bool{}}
+	in.Tracker = blame.New(blame.Options{
+		Now: func() time.Time { return ck.now }, TargetCount: func() int { return targets },
+		Crashed: func(id string) bool { return in.crashed[id] }, NotifyPeers: func() { in.notifications++ }, Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 	})
 	return in
 }
 
 func request(name string) fingerprint.Fingerprint {
-	return fingerprint.Of(fingerprint.Request{Organisation: "red", Target: name})
+	return fingerprint.Of(fingerprint.Request{Organisation: "red", RequestURI: name})
 }
 
-// broke lets a target break off runs of requests and end, if it does.
-func (in *instance) broke(target string, ended bool, exposure time.Duration, names ...string) {
+// interrupt lets a target break off runs of the named requests and, if crashes is set, crash.
+func (in *instance) interrupt(target string, crashes bool, elapsed time.Duration, names ...string) {
 	for _, name := range names {
-		in.Broke(blame.Run{Request: request(name), Target: target, Exposure: exposure, At: in.ck.now})
+		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: elapsed, At: in.ck.now})
 	}
-	if ended {
-		in.Ended(target)
+	if crashes {
+		in.RecordCrash(target)
 	}
 }
 
-// tell brings what an instance knows to others, over the wire.
-func (in *instance) tell(t *testing.T, others ...*instance) {
+// gossipTo sends the encoded snapshot of the instance to others.
+func (in *instance) gossipTo(t *testing.T, others ...*instance) {
 	t.Helper()
-	b := in.Notes().Encode(in.ck.now)
-	nt, err := blame.Decode(b, in.ck.now)
+	b := in.Snapshot().Encode(in.ck.now)
+	sn, err := blame.Decode(b, in.ck.now)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for _, other := range others {
-		other.Hear("peer", nt)
+		other.MergePeer("peer", sn)
 	}
 }
 
-func (in *instance) judged(name string) bool { return in.Check(request(name)).Judged }
+func (in *instance) quarantined(name string) bool { return in.Check(request(name)).Quarantined }
 
-func TestCheck(t *testing.T) {
-	ends := func(in *instance, n int, names ...string) {
-		for no := range n {
-			in.broke(fmt.Sprint("target-", no), true, brief, names...)
-			in.ck.pass(time.Second)
+func TestCheckQuarantinesRequestsThatCrashTargets(t *testing.T) {
+	crash := func(in *instance, n int, names ...string) {
+		for i := range n {
+			in.interrupt(fmt.Sprint("target-", i), true, shortRun, names...)
+			in.ck.advance(time.Second)
 		}
 	}
 	cases := map[string]struct {
@@ -90,78 +90,78 @@
 		want bool
 	}{
 		"nothing":         {func(*instance) {}, false},
-		"two ends":        {func(in *instance) { ends(in, 2, "fatal") }, false},
-		"three ends":      {func(in *instance) { ends(in, 3, "fatal") }, true},
-		"another request": {func(in *instance) { ends(in, 3, "other") }, false},
-		"broken off by targets that did not end": {func(in *instance) {
-			for no := range 9 {
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
+		"two crashes":     {func(in *instance) { crash(in, 2, "fatal") }, false},
+		"three crashes":   {func(in *instance) { crash(in, 3, "fatal") }, true},
+		"another request": {func(in *instance) { crash(in, 3, "other") }, false},
+		"interrupted by targets that did not crash": {func(in *instance) {
+			for i := range 9 {
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
 		}, false},
 		"one target, many runs": {func(in *instance) {
 			for range 9 {
-				in.broke("target", true, brief, "fatal")
+				in.interrupt("target", true, shortRun, "fatal")
 			}
 		}, false},
-		"the end is known first": {func(in *instance) {
-			for no := range 3 {
-				in.Ended(fmt.Sprint("target-", no))
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
+		"crashes recorded before the interrupted runs": {func(in *instance) {
+			for i := range 3 {
+				in.RecordCrash(fmt.Sprint("target-", i))
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
 		}, true},
-		"by entries that go seconds later": {func(in *instance) {
-			for no := range 3 {
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
-				in.gone[fmt.Sprint("target-", no)] = true
+		"crashes detected by entries that disappear seconds later": {func(in *instance) {
+			for i := range 3 {
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
+				in.crashed[fmt.Sprint("target-", i)] = true
 			}
-			in.ck.pass(7 * time.Second)
+			in.ck.advance(7 * time.Second)
 		}, true},
-		"long after they were broken off": {func(in *instance) {
-			for no := range 3 {
-				in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
+		"crashes recorded long after the interruptions": {func(in *instance) {
+			for i := range 3 {
+				in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
 			}
-			in.ck.pass(7 * time.Second)
-			ends(in, 3)
+			in.ck.advance(7 * time.Second)
+			crash(in, 3)
 		}, false},
-		"answered whole in between": {func(in *instance) {
-			ends(in, 2, "fatal")
-			in.Served(request("fatal"))
-			in.broke("last", true, brief, "fatal")
+		"answered between the crashes": {func(in *instance) {
+			crash(in, 2, "fatal")
+			in.RecordAnswered(request("fatal"))
+			in.interrupt("last", true, shortRun, "fatal")
 		}, false},
-		"answered whole after it was judged": {func(in *instance) {
-			ends(in, 3, "fatal")
-			in.judged("fatal")
-			in.Served(request("fatal"))
+		"answered after its quarantine began": {func(in *instance) {
+			crash(in, 3, "fatal")
+			in.quarantined("fatal")
+			in.RecordAnswered(request("fatal"))
 		}, false},
 		"lifted": {func(in *instance) {
-			ends(in, 3, "fatal")
-			in.judged("fatal")
-			in.Lift(request("fatal"))
+			crash(in, 3, "fatal")
+			in.quarantined("fatal")
+			in.LiftQuarantine(request("fatal"))
 		}, false},
-		"after its time": {func(in *instance) {
-			ends(in, 3, "fatal")
-			in.judged("fatal")
-			in.ck.pass(lapse)
+		"after its quarantine ended": {func(in *instance) {
+			crash(in, 3, "fatal")
+			in.quarantined("fatal")
+			in.ck.advance(firstQuarantine)
 		}, false},
-		"again after its time": {func(in *instance) {
-			ends(in, 3, "fatal")
-			in.judged("fatal")
-			in.ck.pass(lapse)
-			in.broke("again", true, brief, "fatal")
+		"another crash after its quarantine ended": {func(in *instance) {
+			crash(in, 3, "fatal")
+			in.quarantined("fatal")
+			in.ck.advance(firstQuarantine)
+			in.interrupt("again", true, shortRun, "fatal")
 		}, true},
-		"ends a quarter of an hour apart": {func(in *instance) {
-			for no := range 3 {
-				in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
-				in.ck.pass(15 * time.Minute)
+		"crashes a quarter of an hour apart": {func(in *instance) {
+			for i := range 3 {
+				in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
+				in.ck.advance(15 * time.Minute)
 			}
 		}, false},
-		"beside the one that is judged": {func(in *instance) { ends(in, 3, "other") }, false},
-		"long runs while other targets end too": {func(in *instance) {
-			for no := range 24 {
-				in.broke(fmt.Sprint("other-", no), true, lasting, fmt.Sprint("other-", no))
-				in.ck.pass(400 * time.Millisecond)
-				if no%8 == 0 {
-					in.broke(fmt.Sprint("target-", no), true, lasting, "fatal")
+		"another request is quarantined": {func(in *instance) { crash(in, 3, "other") }, false},
+		"long runs while other targets crash too": {func(in *instance) {
+			for i := range 24 {
+				in.interrupt(fmt.Sprint("other-", i), true, longRun, fmt.Sprint("other-", i))
+				in.ck.advance(400 * time.Millisecond)
+				if i%8 == 0 {
+					in.interrupt(fmt.Sprint("target-", i), true, longRun, "fatal")
 				}
 			}
 		}, false},
@@ -170,145 +170,147 @@
 		t.Run(name, func(t *testing.T) {
 			in := newInstance(newClock(), 12)
 			tc.act(in)
-			in.ck.pass(settled)
-			NewWithT(t).Expect(in.judged("fatal")).To(Equal(tc.want))
+			in.ck.advance(afterSettleDelay)
+			NewWithT(t).Expect(in.quarantined("fatal")).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestSuspectIsHeldBackBeforeItIsJudged(t *testing.T) {
+func TestSuspectIsDelayedBeforeQuarantine(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
-		g.Expect(in.Check(request("fatal")).Hold).To(BeZero())
-		in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
+	for i := range 3 {
+		g.Expect(in.Check(request("fatal")).Delay).To(BeZero())
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 	}
-	g.Expect(in.Knows(request("fatal").Origin())).To(BeTrue())
-	vd := in.Check(request("fatal"))
-	g.Expect(vd.Judged).To(BeFalse())
-	g.Expect(vd.Hold).To(BeNumerically(">", 0))
-	in.ck.pass(vd.Hold)
-	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Verdict{Judged: true, Ends: 3}))
-	g.Expect(in.Knows(request("another").Origin())).To(BeFalse())
+	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
+	dc := in.Check(request("fatal"))
+	g.Expect(dc.Quarantined).To(BeFalse())
+	g.Expect(dc.Delay).To(BeNumerically(">", 0))
+	in.ck.advance(dc.Delay)
+	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Decision{Quarantined: true, Crashes: 3}))
+	g.Expect(in.HasEvidence(request("another").HeadHash())).To(BeFalse())
 }
 
-// TestNeighboursAreNotJudged lets two requests stand under the same ends.
-func TestNeighboursAreNotJudged(t *testing.T) {
+// TestConcurrentRequestsAreDistinguishedByEvidence runs two requests on the same crashing targets. Only clearly stronger evidence
+// or many crashes lead to the quarantine of one of them.
+func TestConcurrentRequestsAreDistinguishedByEvidence(t *testing.T) {
 	cases := map[string]struct {
-		ends                 int
-		neighbour            time.Duration
+		crashes              int
+		otherElapsed         time.Duration
 		wantFatal, wantOther bool
 	}{
-		"the neighbour ran for long":         {3, lasting, true, false},
-		"alike":                              {3, brief, false, false},
-		"alike, once more":                   {4, brief, false, false},
-		"always together: one of the two is": {5, brief / 2, false, true},
+		"the other request ran for long": {3, longRun, true, false},
+		"alike":                          {3, shortRun, false, false},
+		"alike after four crashes":       {4, shortRun, false, false},
+		"always together for five crashes: the likelier one is": {5, shortRun / 2, false, true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			in := newInstance(newClock(), 12)
-			for no := range tc.ends {
-				target := fmt.Sprint("target-", no)
-				in.broke(target, false, tc.neighbour, "other")
-				in.broke(target, true, brief, "fatal")
-				in.ck.pass(time.Second)
+			for i := range tc.crashes {
+				target := fmt.Sprint("target-", i)
+				in.interrupt(target, false, tc.otherElapsed, "other")
+				in.interrupt(target, true, shortRun, "fatal")
+				in.ck.advance(time.Second)
 			}
-			g.Expect(in.judged("fatal")).To(Equal(tc.wantFatal))
-			g.Expect(in.judged("other")).To(Equal(tc.wantOther))
+			g.Expect(in.quarantined("fatal")).To(Equal(tc.wantFatal))
+			g.Expect(in.quarantined("other")).To(Equal(tc.wantOther))
 		})
 	}
 }
 
-// TestLikeRequestsAreToldApart lets two that were alike run apart.
-func TestLikeRequestsAreToldApart(t *testing.T) {
+// TestSimilarRequestsAreDistinguishedByAnAnswer guards against a quarantine of the wrong one of two requests with equal evidence.
+func TestSimilarRequestsAreDistinguishedByAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), true, brief, "fatal", "other")
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal", "other")
 	}
-	in.ck.pass(settled)
-	g.Expect(in.judged("fatal")).To(BeFalse())
-	in.Served(request("other"))
-	g.Expect(in.judged("fatal")).To(BeTrue())
-	g.Expect(in.judged("other")).To(BeFalse())
+	in.ck.advance(afterSettleDelay)
+	g.Expect(in.quarantined("fatal")).To(BeFalse())
+	in.RecordAnswered(request("other"))
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
+	g.Expect(in.quarantined("other")).To(BeFalse())
 }
 
-func TestTermsGrow(t *testing.T) {
+func TestRepeatedQuarantinesDoubleInDuration(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), true, brief, "fatal")
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, "fatal")
 	}
-	in.ck.pass(settled)
+	in.ck.advance(afterSettleDelay)
 	for level, want := range []time.Duration{
 		5 * time.Minute, 10 * time.Minute, 20 * time.Minute, 40 * time.Minute, 80 * time.Minute,
 		2 * time.Hour, 2 * time.Hour,
 	} {
-		g.Expect(in.judged("fatal")).To(BeTrue())
-		jd := in.Judgements()[0]
-		g.Expect(jd.Until.Sub(jd.Since)).To(Equal(want))
-		g.Expect(jd.Level).To(Equal(level + 1))
-		in.ck.pass(want)
-		g.Expect(in.judged("fatal")).To(BeFalse())
-		in.broke(fmt.Sprint("once-more-", level), true, brief, "fatal")
-		in.ck.pass(settled)
+		g.Expect(in.quarantined("fatal")).To(BeTrue())
+		qu := in.Quarantines()[0]
+		g.Expect(qu.Until.Sub(qu.Since)).To(Equal(want))
+		g.Expect(qu.Level).To(Equal(level + 1))
+		in.ck.advance(want)
+		g.Expect(in.quarantined("fatal")).To(BeFalse())
+		in.interrupt(fmt.Sprint("once-more-", level), true, shortRun, "fatal")
+		in.ck.advance(afterSettleDelay)
 	}
 }
 
-// TestFloodOfRequests holds far more against different requests than is remembered.
-func TestFloodOfRequests(t *testing.T) {
+// TestStateIsBoundedInAFloodOfRequests collects evidence against far more requests than the Tracker holds.
+func TestStateIsBoundedInAFloodOfRequests(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 1000 {
+	for i := range 1000 {
 		var names []string
-		for at := range 100 {
-			names = append(names, fmt.Sprint("flood-", no, "-", at))
+		for j := range 100 {
+			names = append(names, fmt.Sprint("flood-", i, "-", j))
 		}
-		in.broke(fmt.Sprint("target-", no), no%2 == 0, lasting, names...)
-		in.ck.pass(10 * time.Millisecond)
+		in.interrupt(fmt.Sprint("target-", i), i%2 == 0, longRun, names...)
+		in.ck.advance(10 * time.Millisecond)
 	}
-	g.Expect(len(in.Notes().Encode(in.ck.now))).To(BeNumerically("<", 16<<10))
-	g.Expect(in.Judgements()).To(BeEmpty())
-	for no := range 3 {
-		in.broke(fmt.Sprint("fatal-", no), true, time.Millisecond, "fatal")
+	g.Expect(len(in.Snapshot().Encode(in.ck.now))).To(BeNumerically("<", 16<<10))
+	g.Expect(in.Quarantines()).To(BeEmpty())
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("fatal-", i), true, time.Millisecond, "fatal")
 	}
-	in.ck.pass(settled)
-	g.Expect(in.judged("fatal")).To(BeTrue())
+	in.ck.advance(afterSettleDelay)
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
 }
 
-// TestEndsThatTheListAloneTells lets targets end that nobody saw refuse a connection: their entries go seconds later.
-func TestEndsThatTheListAloneTells(t *testing.T) {
+// TestCrashesSeenOnlyInTheTargetListCount lets targets crash without a refused connection: their entries disappear seconds later.
+func TestCrashesSeenOnlyInTheTargetListCount(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), false, brief, "fatal")
-		in.gone[fmt.Sprint("target-", no)] = true
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), false, shortRun, "fatal")
+		in.crashed[fmt.Sprint("target-", i)] = true
 	}
-	g.Expect(in.Knows(request("fatal").Origin())).To(BeFalse())
-	in.ck.pass(7 * time.Second)
-	g.Expect(in.Knows(request("fatal").Origin())).To(BeTrue())
-	g.Expect(in.news).To(BeNumerically(">", 0), "peers hear of it")
-	g.Expect(in.judged("fatal")).To(BeTrue())
+	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeFalse())
+	in.ck.advance(7 * time.Second)
+	g.Expect(in.HasEvidence(request("fatal").HeadHash())).To(BeTrue())
+	g.Expect(in.notifications).To(BeNumerically(">", 0), "peers are notified")
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
 }
 
-// TestRunsThatWaitedTellLittle lets a request that ends its targets wait at some of them, behind others, before it ends them: how long
-// it ran there is not known. A request that stood beside it at fewer ends, by chance briefly, is not taken for the cause.
-func TestRunsThatWaitedTellLittle(t *testing.T) {
+// TestQueuedRunsDoNotHideTheCause queues a request behind others on some of the targets before it crashes them, so that the time
+// it ran there is unknown. Another request that ran on fewer of the crashed targets, by coincidence for a short time, must not be
+// quarantined in its place.
+func TestQueuedRunsDoNotHideTheCause(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 7)
-	for no := range 8 {
-		in.broke(fmt.Sprint("by-itself-", no), true, lasting, fmt.Sprint("once-", no))
-		in.ck.pass(100 * time.Millisecond)
+	for i := range 8 {
+		in.interrupt(fmt.Sprint("by-itself-", i), true, longRun, fmt.Sprint("once-", i))
+		in.ck.advance(100 * time.Millisecond)
 	}
-	for no := range 3 {
-		target := fmt.Sprint("waited-", no)
-		in.broke(target, false, lasting, "fatal")
-		in.broke(target, true, time.Millisecond, "other")
-		in.broke(fmt.Sprint("at-once-", no), true, time.Millisecond, "fatal")
+	for i := range 3 {
+		target := fmt.Sprint("waited-", i)
+		in.interrupt(target, false, longRun, "fatal")
+		in.interrupt(target, true, time.Millisecond, "other")
+		in.interrupt(fmt.Sprint("at-once-", i), true, time.Millisecond, "fatal")
 	}
-	in.ck.pass(settled)
-	g.Expect(in.judged("other")).To(BeFalse())
-	g.Expect(in.judged("fatal")).To(BeTrue())
-	g.Expect(in.judged("other")).To(BeFalse())
+	in.ck.advance(afterSettleDelay)
+	g.Expect(in.quarantined("other")).To(BeFalse())
+	g.Expect(in.quarantined("fatal")).To(BeTrue())
+	g.Expect(in.quarantined("other")).To(BeFalse())
 }
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -7,96 +7,98 @@
 )
 
 const (
-	// chanceTrial is how likely it may be, at the most, that chance or other requests ended the targets under a request, for it to be
-	// run only on trial.
-	chanceTrial = 1e-2
-	// trialPause is how long after an end under it, and after its trial, a request on trial is next run here. It doubles with each trial,
-	// up to trialPauseMost.
-	trialPause     = time.Second
-	trialPauseMost = 8 * time.Second
+	// maxProbationPValue is the p-value above which a request with enough crashes is not put on probation. It is higher than
+	// maxPValue: coincidence or other requests may well explain the crashes.
+	maxProbationPValue = 1e-2
+	// initialProbeInterval is the minimum time from a crash under a request on probation, or from its last probe, to its next
+	// probe on this instance. It doubles with each probe, up to maxProbeInterval.
+	initialProbeInterval = time.Second
+	maxProbeInterval     = 8 * time.Second
 )
 
-// trial is the last run of a request on trial at this instance.
-type trial struct {
-	// at is when it was let through, pause how long it is not run after that, or after a later end.
-	at    time.Time
-	pause time.Duration
+// probe is the last run of a request on probation on this instance.
+type probe struct {
+	// sentAt is when the request was let through.
+	sentAt time.Time
+	// interval is the minimum time from sentAt, or from a later crash under the request, to the next probe.
+	interval time.Duration
 }
 
-// Verdict says what is to be done with a request.
-type Verdict struct {
-	// Judged is set when it is not to be run.
-	Judged bool
-	// Ends is how many targets had ended under it.
-	Ends int
-	// Hold is how long it is to wait before it is looked at again; zero when it may run.
-	Hold time.Duration
+// Decision says whether a request may be sent to a target now.
+type Decision struct {
+	// Quarantined is set when the request must not be run.
+	Quarantined bool
+	// Crashes is the number of targets that had crashed under the request.
+	Crashes int
+	// Delay is how long the request has to wait before it is checked again; zero when it may run.
+	Delay time.Duration
 }
 
-// Judged reports whether a request is not to be run, and how many targets had ended under it.
-func (ld *Ledger) Judged(fp fingerprint.Fingerprint) (ends int, judged bool) {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.refresh()
-	jd, ok := ld.judgements[fp]
-	return jd.Ends, ok && jd.inForce(ld.opts.Now())
+// Quarantined reports whether a request must not be run, and how many targets had crashed under it. Unlike Check it sends no
+// probe.
+func (tr *Tracker) Quarantined(fp fingerprint.Fingerprint) (crashes int, quarantined bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.evaluate()
+	qu, ok := tr.quarantines[fp]
+	return qu.Crashes, ok && qu.activeAt(tr.opts.Now())
 }
 
-// refresh judges by what is known now. The lock is held.
-func (ld *Ledger) refresh() {
-	ld.expire()
-	if ld.judge() {
-		ld.opts.Changed()
+// evaluate quarantines requests by the present evidence, and notifies peers if there is a new quarantine. The lock is held.
+func (tr *Tracker) evaluate() {
+	tr.expire()
+	if tr.quarantineSuspects() {
+		tr.opts.NotifyPeers()
 	}
 }
 
-// Check says what is to be done with a request that is about to be sent to a target. Where it may run, that is its trial if it is on
-// trial.
-func (ld *Ledger) Check(fp fingerprint.Fingerprint) Verdict {
-	ld.mu.Lock()
-	defer ld.mu.Unlock()
-	ld.refresh()
-	now := ld.opts.Now()
-	if jd, ok := ld.judgements[fp]; ok && jd.inForce(now) {
-		return Verdict{Judged: true, Ends: jd.Ends}
+// Check decides whether a request may be sent to a target now. If it may and is on probation, the call counts as its probe.
+func (tr *Tracker) Check(fp fingerprint.Fingerprint) Decision {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	tr.evaluate()
+	now := tr.opts.Now()
+	if qu, ok := tr.quarantines[fp]; ok && qu.activeAt(now) {
+		return Decision{Quarantined: true, Crashes: qu.Crashes}
 	}
-	open := ld.open()
-	sp := ld.suspect(fp, open, open)
-	if sp.likely(ld.judgements[fp]) {
-		return Verdict{Ends: len(sp.runs), Hold: max(0, settleFor-now.Sub(sp.last()))}
+	unexplained := tr.unexplained()
+	sp := tr.suspect(fp, unexplained, unexplained)
+	if sp.meetsThresholds(tr.quarantines[fp]) {
+		return Decision{Crashes: len(sp.runs), Delay: max(0, settleDelay-now.Sub(sp.lastInterrupted()))}
 	}
-	return Verdict{Ends: len(sp.runs), Hold: ld.untilTrial(sp)}
+	return Decision{Crashes: len(sp.runs), Delay: tr.probeDelay(sp)}
 }
 
-// untilTrial returns how long a request that may end its targets is to wait before it is run again; zero when it may run now.
+// probeDelay returns how long a request that may crash its targets has to wait before its next probe; zero when it may run now.
 //
-// While many targets end, too little tells the requests that end them from those beside them, above all at an instance that hears of no
-// peer. Run seldom, the former end few targets, and the latter are answered whole, which clears them. The lock is held.
-func (ld *Ledger) untilTrial(sp suspect) time.Duration {
-	if len(sp.runs) < endsLeast || sp.chance > chanceTrial {
+// While many targets crash, there is too little evidence to tell the requests that crash them from those that run beside them,
+// above all on an instance that is cut off from its peers. Run seldom, the former crash few targets, and the latter are answered
+// completely, which clears them. The lock is held.
+func (tr *Tracker) probeDelay(sp suspect) time.Duration {
+	if len(sp.runs) < minCrashes || sp.pValue > maxProbationPValue {
 		return 0
 	}
-	tr, tried := ld.trials[sp.request]
-	if !tried {
-		tr.pause = trialPause
+	pb, probed := tr.probes[sp.request]
+	if !probed {
+		pb.interval = initialProbeInterval
 	}
-	from := sp.last()
-	if tr.at.After(from) {
-		from = tr.at
+	since := sp.lastInterrupted()
+	if pb.sentAt.After(since) {
+		since = pb.sentAt
 	}
-	now := ld.opts.Now()
-	if wait := tr.pause - now.Sub(from); wait > 0 {
-		return wait
+	now := tr.opts.Now()
+	if remaining := pb.interval - now.Sub(since); remaining > 0 {
+		return remaining
 	}
-	ld.trials[sp.request] = trial{at: now, pause: min(2*tr.pause, trialPauseMost)}
+	tr.probes[sp.request] = probe{sentAt: now, interval: min(2*pb.interval, maxProbeInterval)}
 	return 0
 }
 
-// expireTrials forgets the trials of requests that are no longer on trial. The lock is held.
-func (ld *Ledger) expireTrials() {
-	for fp := range ld.trials {
-		if ld.held[fp] < endsLeast {
-			delete(ld.trials, fp)
+// expireProbes removes the probes of requests that are no longer on probation. The lock is held.
+func (tr *Tracker) expireProbes() {
+	for fp := range tr.probes {
+		if tr.evidenceCounts[fp] < minCrashes {
+			delete(tr.probes, fp)
 		}
 	}
 }
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -10,56 +10,57 @@
 	"github.com/silvermount/silvermount/internal/blame"
 )
 
-// storm ends three targets under a request while others end too, so that neither is shown to be the cause.
-func storm(in *instance, name string) {
-	for no := range 12 {
-		in.broke(fmt.Sprint("other-", no), true, lasting, fmt.Sprint("other-", no))
-		in.ck.pass(100 * time.Millisecond)
+// crashBurst crashes three targets under a request while other targets crash too, so that the request is not shown to be the
+// cause.
+func crashBurst(in *instance, name string) {
+	for i := range 12 {
+		in.interrupt(fmt.Sprint("other-", i), true, longRun, fmt.Sprint("other-", i))
+		in.ck.advance(100 * time.Millisecond)
 	}
-	for no := range 3 {
-		in.broke(fmt.Sprint("target-", no), true, brief, name)
+	for i := range 3 {
+		in.interrupt(fmt.Sprint("target-", i), true, shortRun, name)
 	}
 }
 
-// TestRequestOnTrialIsRunSeldom looks at a request that may end targets, at each of its trials.
-func TestRequestOnTrialIsRunSeldom(t *testing.T) {
+// TestRequestOnProbationIsProbedWithBackOff checks the interval before each probe of a request that may crash its targets.
+func TestRequestOnProbationIsProbedWithBackOff(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	storm(in, "doubtful")
-	for no, pause := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
-		vd := in.Check(request("doubtful"))
-		g.Expect(vd).To(Equal(blame.Verdict{Ends: 3 + no, Hold: pause}))
-		in.ck.pass(pause)
-		g.Expect(in.Check(request("doubtful")).Hold).To(BeZero(), "trial %d", no)
-		g.Expect(in.Check(request("doubtful")).Hold).To(Equal(2*pause), "one run a trial")
-		in.ck.pass(brief)
-		_, judged := in.Judged(request("doubtful"))
-		g.Expect(judged).To(BeFalse())
-		in.broke(fmt.Sprint("trial-", no), true, lasting, "doubtful")
+	crashBurst(in, "doubtful")
+	for i, interval := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
+		dc := in.Check(request("doubtful"))
+		g.Expect(dc).To(Equal(blame.Decision{Crashes: 3 + i, Delay: interval}))
+		in.ck.advance(interval)
+		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "probe %d", i)
+		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*interval), "one run per probe")
+		in.ck.advance(shortRun)
+		_, quarantined := in.Quarantined(request("doubtful"))
+		g.Expect(quarantined).To(BeFalse())
+		in.interrupt(fmt.Sprint("trial-", i), true, longRun, "doubtful")
 	}
 }
 
-// TestRequestOnTrialIsClearedByAnAnswer has a trial of a request answered whole.
-func TestRequestOnTrialIsClearedByAnAnswer(t *testing.T) {
+// TestRequestOnProbationIsClearedByAnAnswer answers a probe completely.
+func TestRequestOnProbationIsClearedByAnAnswer(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	storm(in, "harmless")
-	in.ck.pass(in.Check(request("harmless")).Hold)
-	g.Expect(in.Check(request("harmless")).Hold).To(BeZero())
-	in.Served(request("harmless"))
-	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Verdict{}))
+	crashBurst(in, "harmless")
+	in.ck.advance(in.Check(request("harmless")).Delay)
+	g.Expect(in.Check(request("harmless")).Delay).To(BeZero())
+	in.RecordAnswered(request("harmless"))
+	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Decision{}))
 }
 
-// TestJudgedTakesNoTrial asks again and again whether a request is judged.
-func TestJudgedTakesNoTrial(t *testing.T) {
+// TestQuarantinedSendsNoProbe guards against calls of Quarantined that use up the next probe of a request.
+func TestQuarantinedSendsNoProbe(t *testing.T) {
 	g := NewWithT(t)
 	in := newInstance(newClock(), 12)
-	storm(in, "doubtful")
-	in.ck.pass(in.Check(request("doubtful")).Hold)
+	crashBurst(in, "doubtful")
+	in.ck.advance(in.Check(request("doubtful")).Delay)
 	for range 5 {
-		ends, judged := in.Judged(request("doubtful"))
-		g.Expect(ends).To(BeZero())
-		g.Expect(judged).To(BeFalse())
+		crashes, quarantined := in.Quarantined(request("doubtful"))
+		g.Expect(crashes).To(BeZero())
+		g.Expect(quarantined).To(BeFalse())
 	}
-	g.Expect(in.Check(request("doubtful")).Hold).To(BeZero())
+	g.Expect(in.Check(request("doubtful")).Delay).To(BeZero())
 }
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -14,291 +14,303 @@
 )
 
 const (
-	// step is that of the clock of a small fleet.
+	// step is the interval of the simulated clock.
 	step = 5 * time.Millisecond
-	// known is the time after the third end in which all instances must know a request that ends targets.
-	known = 2900 * time.Millisecond
-	// away is how long a target is away that ended.
-	away = 2 * time.Second
-	// tries is how often a request is sent that was broken off: by its instance and by its caller.
-	tries = 4
+	// quarantineDeadline is the time after the third crash in which all instances must quarantine a request that crashes targets.
+	quarantineDeadline = 2900 * time.Millisecond
+	// downtime is how long a crashed target takes to restart.
+	downtime = 2 * time.Second
+	// maxTries is how often an interrupted request is sent, by retries of its instance and of its caller.
+	maxTries = 4
 )
 
-// weather is what a small fleet goes through.
-type weather struct {
+// scenario describes a small fleet and its load.
+type scenario struct {
 	instances, targets int
-	// fatal is the number of different requests that end their targets, each sent so often a second as fatalRate says.
+	// fatal is the number of different requests that crash their targets; each is sent fatalRate times per second.
 	fatal, fatalRate int
-	// ends is how many targets a second end by themselves.
-	ends float64
-	// bodies is the number of different requests that come again and again; others come once.
-	bodies int
-	// work is the mean time that a request runs.
-	work time.Duration
-	// delay is the longest time until the notes of an instance are heard.
-	delay time.Duration
-	// cut is the number of instances that neither tell the others anything nor hear of them. Their ends and runs are not counted.
-	cut int
+	// crashRate is how many targets per second crash for other reasons.
+	crashRate float64
+	// repeated is the number of harmless requests that are sent repeatedly. All others are sent once.
+	repeated int
+	// meanDuration is the mean duration of a run.
+	meanDuration time.Duration
+	// maxGossipDelay is the maximum time until peers receive the snapshot of an instance.
+	maxGossipDelay time.Duration
+	// isolated is the number of instances that neither send gossip nor receive any. Crashes and runs through them are not
+	// counted.
+	isolated int
 }
 
-// job is a request at a target.
+// job is a request that a target runs.
 type job struct {
 	name   string
-	at     *instance
+	entry  *instance
 	target int
-	// sent is when it came there, done when it will be answered or, when fatal, ends its target.
-	sent, done time.Time
-	fatal      bool
-	tries      int
-	running    *blame.Running
+	// sentAt is when the request was sent, endsAt when it will be answered or, if fatal, crash its target.
+	sentAt, endsAt time.Time
+	fatal          bool
+	tries          int
+	running        *blame.ActiveRun
 }
 
-// letter is what an instance tells another.
-type letter struct {
-	notes blame.Notes
-	to    *instance
-	at    time.Time
+// message is a snapshot on its way from one instance to another.
+type message struct {
+	snapshot  blame.Snapshot
+	to        *instance
+	deliverAt time.Time
 }
 
-// play is a small fleet under way.
-type play struct {
-	weather
+// simulation is a small fleet on a simulated clock.
+type simulation struct {
+	scenario
 	rd    *rand.Rand
 	ck    *clock
 	fleet []*instance
-	// births counts the incarnations of each target; downUntil is when the next one is there.
-	births    []int
-	downUntil []time.Time
-	jobs      []job
-	letters   []letter
-	told      []int
-	// thirdEnd is when the third target ended under a fatal request, ended counts them, late the runs that came too late.
-	thirdEnd map[string]time.Time
-	ended    map[string]int
-	late     map[string]int
-	// refused counts the requests that end nothing and were refused, by name; served counts those that were answered.
+	// incarnations counts the restarts of each target; downUntil is when the next incarnation starts.
+	incarnations []int
+	downUntil    []time.Time
+	jobs         []job
+	messages     []message
+	gossiped     []int
+	// thirdCrash is when the third target crashed under a fatal request. crashes counts the crashes under it, and lateRuns its
+	// runs after the deadline for its quarantine.
+	thirdCrash map[string]time.Time
+	crashes    map[string]int
+	lateRuns   map[string]int
+	// refused counts the harmless requests that were refused, by name; served counts those that were answered.
 	refused map[string]int
 	served  int
 }
 
-func newPlay(seed uint64, we weather) *play {
-	pl := &play{
-		weather: we, rd: rand.New(rand.NewPCG(seed, 0)), ck: newClock(), births: make([]int, we.targets),
-		downUntil: make([]time.Time, we.targets), told: make([]int, we.instances),
-		thirdEnd: map[string]time.Time{}, ended: map[string]int{}, late: map[string]int{}, refused: map[string]int{},
+func newSimulation(seed uint64, sc scenario) *simulation {
+	sm := &simulation{
+		scenario: sc, rd: rand.New(rand.NewPCG(seed, 0)), ck: newClock(), incarnations: make([]int, sc.targets),
+		downUntil: make([]time.Time, sc.targets), gossiped: make([]int, sc.instances),
+		thirdCrash: map[string]time.Time{}, crashes: map[string]int{}, lateRuns: map[string]int{}, refused: map[string]int{},
 	}
-	for range we.instances {
-		pl.fleet = append(pl.fleet, newInstance(pl.ck, we.targets))
+	for range sc.instances {
+		sm.fleet = append(sm.fleet, newInstance(sm.ck, sc.targets))
 	}
-	return pl
+	return sm
 }
 
-// run plays a time.
-func (pl *play) run(length time.Duration) {
-	for end := pl.ck.now.Add(length); pl.ck.now.Before(end); pl.ck.pass(step) {
-		pl.arrive()
-		pl.finish()
-		if pl.drawn(pl.ends) {
-			pl.end(pl.rd.IntN(pl.targets))
+// run simulates the given time.
+func (sm *simulation) run(length time.Duration) {
+	for end := sm.ck.now.Add(length); sm.ck.now.Before(end); sm.ck.advance(step) {
+		sm.arrive()
+		sm.finish()
+		if sm.happens(sm.crashRate) {
+			sm.crash(sm.rd.IntN(sm.targets))
 		}
-		pl.exchange()
+		sm.deliverGossip()
 	}
 }
 
-// drawn reports whether something that happens so often a second happens in this step.
-func (pl *play) drawn(perSecond float64) bool { return pl.rd.Float64() < perSecond*step.Seconds() }
+// happens reports whether an event of the given rate occurs in this step.
+func (sm *simulation) happens(perSecond float64) bool {
+	return sm.rd.Float64() < perSecond*step.Seconds()
+}
 
-func (pl *play) arrive() {
-	for no := range pl.fatal {
-		if pl.drawn(float64(pl.fatalRate)) {
-			pl.send(job{name: fmt.Sprint("fatal-", no), fatal: true})
+func (sm *simulation) arrive() {
+	for i := range sm.fatal {
+		if sm.happens(float64(sm.fatalRate)) {
+			sm.send(job{name: fmt.Sprint("fatal-", i), fatal: true})
 		}
 	}
 	const perSecond = 40
-	if !pl.drawn(perSecond) {
+	if !sm.happens(perSecond) {
 		return
 	}
-	name := fmt.Sprint("once-", pl.ck.now.UnixMilli())
-	if pl.rd.IntN(2) == 0 {
-		name = fmt.Sprint("body-", pl.rd.IntN(pl.bodies))
+	name := fmt.Sprint("once-", sm.ck.now.UnixMilli())
+	if sm.rd.IntN(2) == 0 {
+		name = fmt.Sprint("body-", sm.rd.IntN(sm.repeated))
 	}
-	pl.send(job{name: name})
+	sm.send(job{name: name})
 }
 
-// send sends a request by some instance to some target that is there.
-func (pl *play) send(jb job) {
-	jb.at = pl.fleet[pl.rd.IntN(len(pl.fleet))]
+// send sends a request through a random instance to a random target that is up.
+func (sm *simulation) send(jb job) {
+	jb.entry = sm.fleet[sm.rd.IntN(len(sm.fleet))]
 	jb.tries++
-	vd := jb.at.Check(request(jb.name))
+	dc := jb.entry.Check(request(jb.name))
 	switch {
-	case vd.Judged && !jb.fatal:
-		pl.refused[jb.name]++
+	case dc.Quarantined && !jb.fatal:
+		sm.refused[jb.name]++
 		return
-	case vd.Judged || vd.Hold > 0:
-		return // what is held back comes again anyway
+	case dc.Quarantined || dc.Delay > 0:
+		return // Fatal and repeated requests arrive again anyway.
 	}
-	up := slices.DeleteFunc(upTo(pl.targets), func(no int) bool { return pl.ck.now.Before(pl.downUntil[no]) })
+	up := slices.DeleteFunc(indices(sm.targets), func(i int) bool { return sm.ck.now.Before(sm.downUntil[i]) })
 	if len(up) == 0 {
 		return
 	}
-	jb.target = up[pl.rd.IntN(len(up))]
-	jb.sent = pl.ck.now
-	jb.done = pl.ck.now.Add(time.Duration(pl.rd.ExpFloat64() * float64(pl.work)))
+	jb.target = up[sm.rd.IntN(len(up))]
+	jb.sentAt = sm.ck.now
+	jb.endsAt = sm.ck.now.Add(time.Duration(sm.rd.ExpFloat64() * float64(sm.meanDuration)))
 	if jb.fatal {
-		jb.done = pl.ck.now.Add(20*time.Millisecond + time.Duration(pl.rd.IntN(280))*time.Millisecond)
-		if third, ok := pl.thirdEnd[jb.name]; ok && pl.ck.now.Sub(third) > known && pl.inTouch(jb) {
-			pl.late[jb.name]++
+		jb.endsAt = sm.ck.now.Add(20*time.Millisecond + time.Duration(sm.rd.IntN(280))*time.Millisecond)
+		if third, ok := sm.thirdCrash[jb.name]; ok && sm.ck.now.Sub(third) > quarantineDeadline && sm.connected(jb) {
+			sm.lateRuns[jb.name]++
 		}
 	}
 	fp := request(jb.name)
-	jb.running = jb.at.Begin(fp.Origin(), func() fingerprint.Fingerprint { return fp })
-	pl.jobs = append(pl.jobs, jb)
+	jb.running = jb.entry.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp })
+	sm.jobs = append(sm.jobs, jb)
 }
 
-func upTo(n int) []int {
+func indices(n int) []int {
 	list := make([]int, n)
-	for no := range list {
-		list[no] = no
+	for i := range list {
+		list[i] = i
 	}
 	return list
 }
 
 // finish ends the requests whose time has come.
-func (pl *play) finish() {
-	for _, jb := range slices.Clone(pl.jobs) {
-		if pl.ck.now.Before(jb.done) || !slices.Contains(pl.jobs, jb) {
+func (sm *simulation) finish() {
+	for _, jb := range slices.Clone(sm.jobs) {
+		if sm.ck.now.Before(jb.endsAt) || !slices.Contains(sm.jobs, jb) {
 			continue
 		}
 		if jb.fatal {
-			if pl.inTouch(jb) {
-				pl.ended[jb.name]++
+			if sm.connected(jb) {
+				sm.crashes[jb.name]++
 			}
-			if _, known := pl.thirdEnd[jb.name]; !known && pl.ended[jb.name] == 3 {
-				pl.thirdEnd[jb.name] = pl.ck.now
+			if _, known := sm.thirdCrash[jb.name]; !known && sm.crashes[jb.name] == 3 {
+				sm.thirdCrash[jb.name] = sm.ck.now
 			}
-			pl.end(jb.target)
+			sm.crash(jb.target)
 			continue
 		}
-		pl.jobs = slices.DeleteFunc(pl.jobs, func(other job) bool { return other == jb })
-		pl.served++
+		sm.jobs = slices.DeleteFunc(sm.jobs, func(other job) bool { return other == jb })
+		sm.served++
 		jb.running.End()
-		jb.at.Served(request(jb.name))
+		jb.entry.RecordAnswered(request(jb.name))
 	}
 }
 
-// end ends a target under all that it runs. What was broken off is sent again.
-func (pl *play) end(no int) {
-	if pl.ck.now.Before(pl.downUntil[no]) {
+// crash crashes a target and interrupts all that it runs. Harmless requests are sent again.
+func (sm *simulation) crash(i int) {
+	if sm.ck.now.Before(sm.downUntil[i]) {
 		return
 	}
-	incarnation := fmt.Sprint(no, "@", pl.births[no])
-	pl.births[no]++
-	pl.downUntil[no] = pl.ck.now.Add(away)
+	incarnation := fmt.Sprint(i, "@", sm.incarnations[i])
+	sm.incarnations[i]++
+	sm.downUntil[i] = sm.ck.now.Add(downtime)
 	var lost []job
-	pl.jobs = slices.DeleteFunc(pl.jobs, func(jb job) bool {
-		if jb.target == no {
+	sm.jobs = slices.DeleteFunc(sm.jobs, func(jb job) bool {
+		if jb.target == i {
 			lost = append(lost, jb)
 		}
-		return jb.target == no
+		return jb.target == i
 	})
 	for _, jb := range lost {
 		jb.running.End()
-		jb.at.Broke(blame.Run{Request: request(jb.name), Target: incarnation, Exposure: pl.ck.now.Sub(jb.sent), At: pl.ck.now})
+		jb.entry.RecordInterrupted(blame.InterruptedRun{
+			Request: request(jb.name), Incarnation: incarnation, Elapsed: sm.ck.now.Sub(jb.sentAt), At: sm.ck.now,
+		})
 	}
 	for _, jb := range lost {
-		jb.at.Ended(incarnation)
+		jb.entry.RecordCrash(incarnation)
 	}
 	for _, jb := range lost {
-		if !jb.fatal && jb.tries < tries {
-			pl.send(job{name: jb.name, tries: jb.tries})
+		if !jb.fatal && jb.tries < maxTries {
+			sm.send(job{name: jb.name, tries: jb.tries})
 		}
 	}
 }
 
-// inTouch reports whether a request came to an instance that is not cut off.
-func (pl *play) inTouch(jb job) bool { return !slices.Contains(pl.fleet[:pl.cut], jb.at) }
+// connected reports whether a request came through an instance that is not isolated.
+func (sm *simulation) connected(jb job) bool {
+	return !slices.Contains(sm.fleet[:sm.isolated], jb.entry)
+}
 
-// exchange lets instances hear what the others tell, some time after it is new.
-func (pl *play) exchange() {
-	for no, in := range pl.fleet {
-		if in.news == pl.told[no] {
+// deliverGossip sends new snapshots to all connected peers, with a random delay, and delivers those that are due.
+func (sm *simulation) deliverGossip() {
+	for i, in := range sm.fleet {
+		if in.notifications == sm.gossiped[i] {
 			continue
 		}
-		pl.told[no] = in.news
-		nt := in.Notes()
-		for at, other := range pl.fleet {
-			if other != in && no >= pl.cut && at >= pl.cut {
-				late := time.Duration(pl.rd.Int64N(int64(pl.delay)))
-				pl.letters = append(pl.letters, letter{notes: nt, to: other, at: pl.ck.now.Add(late)})
+		sm.gossiped[i] = in.notifications
+		sn := in.Snapshot()
+		for j, other := range sm.fleet {
+			if other != in && i >= sm.isolated && j >= sm.isolated {
+				delay := time.Duration(sm.rd.Int64N(int64(sm.maxGossipDelay)))
+				sm.messages = append(sm.messages, message{snapshot: sn, to: other, deliverAt: sm.ck.now.Add(delay)})
 			}
 		}
 	}
-	pl.letters = slices.DeleteFunc(pl.letters, func(lt letter) bool {
-		if lt.at.After(pl.ck.now) {
+	sm.messages = slices.DeleteFunc(sm.messages, func(ms message) bool {
+		if ms.deliverAt.After(sm.ck.now) {
 			return false
 		}
-		lt.to.Hear("peer", lt.notes)
+		ms.to.MergePeer("peer", ms.snapshot)
 		return true
 	})
 }
 
-// TestSmallFleets plays fleets in which targets end under requests and by themselves.
-func TestSmallFleets(t *testing.T) {
-	usual := weather{instances: 8, targets: 18, fatalRate: 5, bodies: 10, work: 300 * time.Millisecond, delay: 50 * time.Millisecond}
-	with := func(edit func(*weather)) weather {
-		we := usual
-		edit(&we)
-		return we
+// TestSimulatedFleets checks fleets in which targets crash under fatal requests and for other reasons: harmless requests are
+// never refused, and fatal ones are quarantined in time.
+func TestSimulatedFleets(t *testing.T) {
+	usual := scenario{
+		instances: 8, targets: 18, fatalRate: 5, repeated: 10, meanDuration: 300 * time.Millisecond,
+		maxGossipDelay: 50 * time.Millisecond,
+	}
+	with := func(edit func(*scenario)) scenario {
+		sc := usual
+		edit(&sc)
+		return sc
 	}
-	cases := map[string]weather{
-		"one request that ends targets":       with(func(we *weather) { we.fatal = 1 }),
-		"one, beside ends by themselves":      with(func(we *weather) { we.fatal, we.ends = 1, 1 }),
-		"several at a time":                   with(func(we *weather) { we.fatal = 5 }),
-		"several, beside ends by themselves":  with(func(we *weather) { we.fatal, we.ends = 3, 1 }),
-		"many copies a second":                with(func(we *weather) { we.fatal, we.fatalRate = 1, 40 }),
-		"a slow one":                          with(func(we *weather) { we.fatal, we.fatalRate = 1, 1 }),
-		"few targets":                         with(func(we *weather) { we.fatal, we.targets = 2, 6 }),
-		"many ends, none by a request":        with(func(we *weather) { we.ends, we.targets = 2.5, 12 }),
-		"many ends under long requests":       with(func(we *weather) { we.ends, we.work = 2.5, 3*time.Second }),
-		"long requests beside one that ends":  with(func(we *weather) { we.fatal, we.work = 1, 3*time.Second }),
-		"long requests, many ends, and a few": with(func(we *weather) { we.fatal, we.ends, we.work = 3, 1, 3*time.Second }),
-		"some instances cut off": with(func(we *weather) {
-			we.fatal, we.instances, we.cut, we.targets = 2, 3, 2, 7
+	cases := map[string]scenario{
+		"one fatal request":                                   with(func(sc *scenario) { sc.fatal = 1 }),
+		"one fatal request, other crashes":                    with(func(sc *scenario) { sc.fatal, sc.crashRate = 1, 1 }),
+		"five fatal requests":                                 with(func(sc *scenario) { sc.fatal = 5 }),
+		"three fatal requests, other crashes":                 with(func(sc *scenario) { sc.fatal, sc.crashRate = 3, 1 }),
+		"one fatal request at a high rate":                    with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 40 }),
+		"one fatal request at a low rate":                     with(func(sc *scenario) { sc.fatal, sc.fatalRate = 1, 1 }),
+		"few targets":                                         with(func(sc *scenario) { sc.fatal, sc.targets = 2, 6 }),
+		"many other crashes, no fatal request":                with(func(sc *scenario) { sc.crashRate, sc.targets = 2.5, 12 }),
+		"many other crashes, long requests":                   with(func(sc *scenario) { sc.crashRate, sc.meanDuration = 2.5, 3*time.Second }),
+		"one fatal request among long ones":                   with(func(sc *scenario) { sc.fatal, sc.meanDuration = 1, 3*time.Second }),
+		"three fatal requests among long ones, other crashes": with(func(sc *scenario) { sc.fatal, sc.crashRate, sc.meanDuration = 3, 1, 3*time.Second }),
+		"isolated instances": with(func(sc *scenario) {
+			sc.fatal, sc.instances, sc.isolated, sc.targets = 2, 3, 2, 7
 		}),
-		"some cut off, ends by themselves": with(func(we *weather) {
-			we.fatal, we.ends, we.instances, we.cut, we.targets, we.work = 2, 1, 3, 2, 7, 100*time.Millisecond
+		"isolated instances, other crashes": with(func(sc *scenario) {
+			sc.fatal, sc.crashRate, sc.instances, sc.isolated, sc.targets, sc.meanDuration = 2, 1, 3, 2, 7, 100*time.Millisecond
 		}),
-		"many instances, slow news": with(func(we *weather) { we.fatal, we.instances, we.delay = 2, 24, 150*time.Millisecond }),
+		"many instances, slow gossip": with(func(sc *scenario) { sc.fatal, sc.instances, sc.maxGossipDelay = 2, 24, 150*time.Millisecond }),
 	}
 	const seeds = 4
-	for name, we := range cases {
+	for name, sc := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range uint64(seeds) {
-				pl := newPlay(seed, we)
-				pl.run(20 * time.Second)
-				pl.check(t, seed)
+				sm := newSimulation(seed, sc)
+				sm.run(20 * time.Second)
+				sm.checkResults(t, seed)
 			}
 		})
 	}
 }
 
-// check looks at a play that has ended.
-func (pl *play) check(t *testing.T, seed uint64) {
+// checkResults checks the results of a simulation that has ended.
+func (sm *simulation) checkResults(t *testing.T, seed uint64) {
 	g := NewWithT(t)
-	for name, n := range pl.late {
-		g.Expect(n).To(BeNumerically("<=", 3), "%s, seed %d: runs later than the bound after the third end", name, seed)
+	for name, n := range sm.lateRuns {
+		g.Expect(n).To(BeNumerically("<=", 3), "%s, seed %d: runs after the deadline for its quarantine", name, seed)
 	}
-	g.Expect(pl.refused).To(BeEmpty(), "seed %d: requests refused that end nothing", seed)
-	g.Expect(pl.served).To(BeNumerically(">", 0))
-	// In the end nothing is held against anybody.
-	pl.ck.pass(10 * time.Hour)
-	for _, in := range pl.fleet {
+	g.Expect(sm.refused).To(BeEmpty(), "seed %d: harmless requests were refused", seed)
+	g.Expect(sm.served).To(BeNumerically(">", 0))
+	// All evidence has expired in the end.
+	sm.ck.advance(10 * time.Hour)
+	for _, in := range sm.fleet {
 		in.Check(request("any"))
-		for no := range max(pl.bodies, pl.fatal) {
-			g.Expect(in.Knows(request(fmt.Sprint("body-", no)).Origin())).To(BeFalse())
-			g.Expect(in.Knows(request(fmt.Sprint("fatal-", no)).Origin())).To(BeFalse())
+		for i := range max(sm.repeated, sm.fatal) {
+			g.Expect(in.HasEvidence(request(fmt.Sprint("body-", i)).HeadHash())).To(BeFalse())
+			g.Expect(in.HasEvidence(request(fmt.Sprint("fatal-", i)).HeadHash())).To(BeFalse())
 		}
 	}
-	t.Logf("seed %d: targets ended %v, served %d", seed, pl.ended, pl.served)
+	t.Logf("seed %d: crashes per fatal request %v, requests served %d", seed, sm.crashes, sm.served)
 }
--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -12,119 +12,121 @@
 )
 
 const (
-	// wireVersion is the first byte of encoded notes. It changes with their form.
+	// wireVersion is the first byte of an encoded snapshot. It changes with the encoding.
 	wireVersion = 1
-	// maxTold bounds each list that is told, the newest or first of them: 10 kB a list, and what decoding allocates.
-	maxTold = 256
-	// maxName bounds the name of an incarnation, in bytes.
-	maxName = 256
-	// maxSpan is the longest time that is told, far beyond every use, and safe to add to a time.
-	maxSpan = 24 * time.Hour
+	// maxListLength bounds each list in an encoded snapshot to 10 kB, and the memory that decoding allocates.
+	maxListLength = 256
+	// maxIncarnationLength bounds the identifier of an incarnation, in bytes.
+	maxIncarnationLength = 256
+	// maxDuration bounds the durations on the wire. It is far longer than any in use, and safe to add to a time.
+	maxDuration = 24 * time.Hour
 )
 
-// VersionError says that a peer tells its notes in another form.
+// VersionError means that a peer sent a snapshot in another encoding.
 type VersionError struct{ Version byte }
 
-// Error names the form.
-func (ve *VersionError) Error() string { return "notes of version " + strconv.Itoa(int(ve.Version)) }
+// Error names the version.
+func (ve *VersionError) Error() string {
+	return "unsupported snapshot version " + strconv.Itoa(int(ve.Version))
+}
 
-// Encode returns the bytes that peers get of notes made at a time. Ages are told in whole milliseconds.
-func (nt Notes) Encode(made time.Time) []byte {
+// Encode returns the wire form of a snapshot taken at the given time. Ages are in whole milliseconds.
+func (sn Snapshot) Encode(takenAt time.Time) []byte {
 	b := []byte{wireVersion}
-	runs := newest(nt.Runs)
-	b = binary.AppendUvarint(b, uint64(len(runs)))
-	for _, rn := range runs {
+	evidence := lastEntries(sn.Evidence)
+	b = binary.AppendUvarint(b, uint64(len(evidence)))
+	for _, rn := range evidence {
 		b = append(b, rn.Request[:]...)
-		b = peerbytes.AppendName(b, rn.Target)
-		b = appendSpan(b, rn.Exposure)
-		b = appendSpan(b, made.Sub(rn.At))
+		b = peerbytes.AppendName(b, rn.Incarnation)
+		b = appendDuration(b, rn.Elapsed)
+		b = appendDuration(b, takenAt.Sub(rn.At))
 	}
-	cleared := newest(nt.Clearances)
-	b = binary.AppendUvarint(b, uint64(len(cleared)))
-	for _, cl := range cleared {
-		b = append(b, cl.Request[:]...)
-		b = appendSpan(b, made.Sub(cl.At))
-		b = appendSpan(b, lifted(cl, made))
+	tombstones := lastEntries(sn.Tombstones)
+	b = binary.AppendUvarint(b, uint64(len(tombstones)))
+	for _, ts := range tombstones {
+		b = append(b, ts.Request[:]...)
+		b = appendDuration(b, takenAt.Sub(ts.At))
+		b = appendDuration(b, remainingLift(ts, takenAt))
 	}
-	judged := newest(nt.Judgements)
-	b = binary.AppendUvarint(b, uint64(len(judged)))
-	for _, jd := range judged {
-		b = append(b, jd.Request[:]...)
-		b = binary.AppendUvarint(b, uint64(jd.Ends))
-		b = binary.AppendUvarint(b, uint64(jd.Level))
-		b = appendSpan(b, made.Sub(jd.Since))
-		b = appendSpan(b, jd.Until.Sub(jd.Since))
+	quarantines := lastEntries(sn.Quarantines)
+	b = binary.AppendUvarint(b, uint64(len(quarantines)))
+	for _, qu := range quarantines {
+		b = append(b, qu.Request[:]...)
+		b = binary.AppendUvarint(b, uint64(qu.Crashes))
+		b = binary.AppendUvarint(b, uint64(qu.Level))
+		b = appendDuration(b, takenAt.Sub(qu.Since))
+		b = appendDuration(b, qu.Until.Sub(qu.Since))
 	}
-	surviving := newest(nt.Survivors)
-	b = binary.AppendUvarint(b, uint64(len(surviving)))
-	for _, sv := range surviving {
-		b = append(b, sv.Request[:]...)
-		b = appendSpan(b, made.Sub(sv.Since))
+	activeRuns := lastEntries(sn.ActiveRuns)
+	b = binary.AppendUvarint(b, uint64(len(activeRuns)))
+	for _, ar := range activeRuns {
+		b = append(b, ar.Request[:]...)
+		b = appendDuration(b, takenAt.Sub(ar.Since))
 	}
 	return b
 }
 
-// newest returns the last of a list that is too long to be told.
-func newest[T any](list []T) []T { return list[max(0, len(list)-maxTold):] }
+// lastEntries returns the last maxListLength elements of a list.
+func lastEntries[T any](list []T) []T { return list[max(0, len(list)-maxListLength):] }
 
-// lifted is how long a clearance still stands that an operator made; zero for the others.
-func lifted(cl Clearance, made time.Time) time.Duration {
-	if !cl.Lifted {
+// remainingLift returns how long a tombstone by an operator still holds; zero for other tombstones.
+func remainingLift(ts Tombstone, takenAt time.Time) time.Duration {
+	if !ts.ByOperator {
 		return 0
 	}
-	return max(time.Millisecond, cl.Until.Sub(made))
+	return max(time.Millisecond, ts.Until.Sub(takenAt))
 }
 
-func appendSpan(b []byte, d time.Duration) []byte { return peerbytes.AppendSpan(b, d, maxSpan) }
+func appendDuration(b []byte, d time.Duration) []byte { return peerbytes.AppendSpan(b, d, maxDuration) }
 
-// Decode reads a peer's notes that were made at a time by this instance's clock. It fails with a VersionError or a
+// Decode reads the snapshot of a peer. takenAt is when it was taken, on the local clock. It fails with a VersionError or a
 // peerbytes.MalformedError.
-func Decode(b []byte, made time.Time) (Notes, error) {
+func Decode(b []byte, takenAt time.Time) (Snapshot, error) {
 	if len(b) == 0 {
-		return Notes{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode notes")
+		return Snapshot{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode snapshot")
 	}
 	if b[0] != wireVersion {
-		return Notes{}, errors.Wrap(&VersionError{Version: b[0]}, "decode notes")
+		return Snapshot{}, errors.Wrap(&VersionError{Version: b[0]}, "decode snapshot")
 	}
 	rd := reader{peerbytes.NewReader(b[1:])}
-	var nt Notes
+	var sn Snapshot
 	for range rd.count() {
-		rn := Run{Request: rd.fingerprint(), Target: rd.name()}
-		rn.Exposure = rd.span()
-		rn.At = made.Add(-rd.span())
-		nt.Runs = append(nt.Runs, rn)
+		rn := InterruptedRun{Request: rd.fingerprint(), Incarnation: rd.incarnation()}
+		rn.Elapsed = rd.duration()
+		rn.At = takenAt.Add(-rd.duration())
+		sn.Evidence = append(sn.Evidence, rn)
 	}
 	for range rd.count() {
-		cl := Clearance{Request: rd.fingerprint(), At: made.Add(-rd.span())}
-		if left := rd.span(); left > 0 {
-			cl.Lifted, cl.Until = true, made.Add(left)
+		ts := Tombstone{Request: rd.fingerprint(), At: takenAt.Add(-rd.duration())}
+		if left := rd.duration(); left > 0 {
+			ts.ByOperator, ts.Until = true, takenAt.Add(left)
 		}
-		nt.Clearances = append(nt.Clearances, cl)
+		sn.Tombstones = append(sn.Tombstones, ts)
 	}
 	for range rd.count() {
-		jd := Judgement{Request: rd.fingerprint(), Ends: rd.small(), Level: rd.small()}
-		jd.Since = made.Add(-rd.span())
-		jd.Until = jd.Since.Add(rd.span())
-		nt.Judgements = append(nt.Judgements, jd)
+		qu := Quarantine{Request: rd.fingerprint(), Crashes: rd.boundedInt(), Level: rd.boundedInt()}
+		qu.Since = takenAt.Add(-rd.duration())
+		qu.Until = qu.Since.Add(rd.duration())
+		sn.Quarantines = append(sn.Quarantines, qu)
 	}
 	for range rd.count() {
-		nt.Survivors = append(nt.Survivors, Survivor{Request: rd.fingerprint(), Since: made.Add(-rd.span())})
+		sn.ActiveRuns = append(sn.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: takenAt.Add(-rd.duration())})
 	}
 	if err := rd.End(); err != nil {
-		return Notes{}, errors.Wrap(err, "decode notes")
+		return Snapshot{}, errors.Wrap(err, "decode snapshot")
 	}
-	return nt, nil
+	return sn, nil
 }
 
-// reader reads notes from their start. After a failure it reads zeros.
+// reader reads the parts of a snapshot. After a failure it returns zero values.
 type reader struct{ *peerbytes.Reader }
 
-func (rd *reader) count() int { return int(rd.Number(maxTold)) }
+func (rd *reader) count() int { return int(rd.Number(maxListLength)) }
 
-// small reads a count of ends or judgements.
-func (rd *reader) small() int { return int(rd.Number(1 << 16)) }
+// boundedInt reads a number of crashes or a quarantine level.
+func (rd *reader) boundedInt() int { return int(rd.Number(1 << 16)) }
 
-func (rd *reader) span() time.Duration { return rd.Span(maxSpan) }
+func (rd *reader) duration() time.Duration { return rd.Span(maxDuration) }
 
 func (rd *reader) fingerprint() fingerprint.Fingerprint {
 	var fp fingerprint.Fingerprint
@@ -132,4 +134,4 @@
 	return fp
 }
 
-func (rd *reader) name() string { return rd.Name(maxName) }
+func (rd *reader) incarnation() string { return rd.Name(maxIncarnationLength) }
--- a/internal/blame/wire_test.go
+++ b/internal/blame/wire_test.go
@@ -12,42 +12,44 @@
 	"github.com/silvermount/silvermount/internal/peerbytes"
 )
 
-func someNotes(now time.Time) blame.Notes {
-	return blame.Notes{
-		Runs: []blame.Run{{Request: request("a"), Target: "i-1@x", Exposure: brief, At: now.Add(-time.Second)}},
-		Clearances: []blame.Clearance{
+func sampleSnapshot(now time.Time) blame.Snapshot {
+	return blame.Snapshot{
+		Evidence: []blame.InterruptedRun{{Request: request("a"), Incarnation: "i-1@x", Elapsed: shortRun, At: now.Add(-time.Second)}},
+		Tombstones: []blame.Tombstone{
 			{Request: request("b"), At: now.Add(-2 * time.Second)},
-			{Request: request("c"), At: now.Add(-time.Minute), Lifted: true, Until: now.Add(time.Minute)},
+			{Request: request("c"), At: now.Add(-time.Minute), ByOperator: true, Until: now.Add(time.Minute)},
 		},
-		Judgements: []blame.Judgement{{Request: request("d"), Ends: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)}},
-		Survivors:  []blame.Survivor{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
+		Quarantines: []blame.Quarantine{
+			{Request: request("d"), Crashes: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)},
+		},
+		ActiveRuns: []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
 	}
 }
 
-func TestNotesAreReadAsWritten(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	for _, nt := range []blame.Notes{{}, someNotes(now)} {
-		got, err := blame.Decode(nt.Encode(now), now)
+	for _, sn := range []blame.Snapshot{{}, sampleSnapshot(now)} {
+		got, err := blame.Decode(sn.Encode(now), now)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(got).To(Equal(nt))
+		g.Expect(got).To(Equal(sn))
 	}
 }
 
-func TestNotesThatCannotBeRead(t *testing.T) {
+func TestDecodeRejectsMalformedSnapshots(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
-	whole := someNotes(now).Encode(now)
+	whole := sampleSnapshot(now).Encode(now)
 	cases := map[string]struct {
 		bytes []byte
-		// version is set when the form is another one; else the notes are malformed.
+		// version is set when a VersionError is expected; otherwise a MalformedError is.
 		version bool
 	}{
-		"nothing":              {nil, false},
-		"another version":      {[]byte{9}, true},
-		"too many":             {[]byte{1, 0xff, 0xff, 0x7f}, false},
-		"a long name":          {append(append([]byte{1, 1}, make([]byte, 20)...), 0xff, 0x7f), false},
-		"bytes after the end":  {append(bytes.Clone(whole), 0), false},
-		"cut off in the lists": {whole[:len(whole)-1], false},
+		"nothing":          {nil, false},
+		"another version":  {[]byte{9}, true},
+		"too many entries": {[]byte{1, 0xff, 0xff, 0x7f}, false},
+		"name too long":    {append(append([]byte{1, 1}, make([]byte, 20)...), 0xff, 0x7f), false},
+		"trailing bytes":   {append(bytes.Clone(whole), 0), false},
+		"truncated list":   {whole[:len(whole)-1], false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,19 +67,19 @@
 	}
 }
 
-// FuzzDecode reads any bytes; what can be read is written and read alike.
+// FuzzDecode checks that a snapshot decoded from arbitrary bytes survives another round trip.
 func FuzzDecode(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
-	f.Add(blame.Notes{}.Encode(now))
-	f.Add(someNotes(now).Encode(now))
+	f.Add(blame.Snapshot{}.Encode(now))
+	f.Add(sampleSnapshot(now).Encode(now))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		nt, err := blame.Decode(b, now)
+		sn, err := blame.Decode(b, now)
 		if err != nil {
 			return
 		}
-		again, err := blame.Decode(nt.Encode(now), now)
+		again, err := blame.Decode(sn.Encode(now), now)
 		g := NewWithT(t)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(again).To(Equal(nt))
+		g.Expect(again).To(Equal(sn))
 	})
 }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -43,7 +43,7 @@
 	Metrics    *metrics.Set
 	Changed    *Changed
 	Followers  *Followers
-	Blame      *blame.Ledger
+	Blame      *blame.Tracker
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
 	Noted *Changed
 	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
@@ -126,7 +126,7 @@
 		BackOffs: backOffs, Waits: waits(env.Logger("dispatch")),
 	})
 	ld := blame.New(blame.Options{
-		Now: time.Now, Targets: dr.Len, Gone: dr.Lost, Changed: noted.Tell, Metrics: ms, Log: env.Logger("blame"),
+		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Tell, Metrics: ms, Log: env.Logger("blame"),
 	})
 	kernel.Provide(env, &Parts{
 		Blame: ld, Noted: noted, Limits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
--- a/internal/duty/frontend/judgements.go
+++ b/internal/duty/frontend/judgements.go
@@ -12,7 +12,7 @@
 )
 
 // judgements shows operators which requests are refused because targets end when they run them, and lifts that.
-type judgements struct{ ledger *blame.Ledger }
+type judgements struct{ ledger *blame.Tracker }
 
 // judgement is one of them as operators see it.
 type judgement struct {
@@ -28,9 +28,9 @@
 
 func (js judgements) list(w http.ResponseWriter, _ *http.Request) {
 	list := []judgement{}
-	for _, jd := range js.ledger.Judgements() {
+	for _, jd := range js.ledger.Quarantines() {
 		list = append(list, judgement{
-			Fingerprint: jd.Request.String(), Ends: jd.Ends, Level: jd.Level,
+			Fingerprint: jd.Request.String(), Ends: jd.Crashes, Level: jd.Level,
 			Age: time.Since(jd.Since).Round(time.Second).String(), Left: time.Until(jd.Until).Round(time.Second).String(),
 		})
 	}
@@ -43,7 +43,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !js.ledger.Lift(fp) {
+	if !js.ledger.LiftQuarantine(fp) {
 		http.Error(w, "no such judgement", http.StatusNotFound)
 		return
 	}
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -67,7 +67,7 @@
 	lg  log.Interface
 	ms  *gossip.Mesh
 	fo  *forwarding.Followers
-	ld  *blame.Ledger
+	ld  *blame.Tracker
 	// limits is what is believed of the rate limits of targets, and permits keeps to them with the others.
 	limits  *ratelimit.Book
 	permits *permits
@@ -256,7 +256,7 @@
 
 func (du *duty) lost(mb gossip.Member) {
 	du.ds.Heard(mb.Name, nil)
-	du.ld.Lost(mb.Name)
+	du.ld.RemovePeer(mb.Name)
 	if silentZone(mb, du.ms.Live()) && du.dr.PeerLost(mb.AvailabilityZone, mb.Name) {
 		du.lg.WithFields(log.Fields{"zone": mb.AvailabilityZone, "cause": "instances lost"}).Warn("availability zone left out")
 	}
--- a/internal/failure/failure_test.go
+++ b/internal/failure/failure_test.go
@@ -9,7 +9,7 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-func TestOf(t *testing.T) {
+func TestFromError(t *testing.T) {
 	full := failure.New(failure.Overloaded, failure.NotRun, "no room")
 	plain := errors.New("broken")
 	tests := map[string]struct {
@@ -18,14 +18,14 @@
 		wantOutcome failure.Outcome
 		wantCause   error
 	}{
-		"a failure":                    {full, failure.Overloaded, failure.NotRun, nil},
-		"a wrapped failure":            {errors.Wrap(full, "acquire"), failure.Overloaded, failure.NotRun, nil},
-		"anything else proves nothing": {plain, failure.TargetLost, failure.Unknown, plain},
+		"a failure":                              {full, failure.Overloaded, failure.NotRun, nil},
+		"a wrapped failure":                      {errors.Wrap(full, "acquire"), failure.Overloaded, failure.NotRun, nil},
+		"any other error has an unknown outcome": {plain, failure.TargetLost, failure.Unknown, plain},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			fe := failure.Of(tc.err)
+			fe := failure.FromError(tc.err)
 			g.Expect(fe.Code).To(Equal(tc.wantCode))
 			g.Expect(fe.Outcome).To(Equal(tc.wantOutcome))
 			if tc.wantCause == nil {
--- a/internal/fingerprint/fingerprint_test.go
+++ b/internal/fingerprint/fingerprint_test.go
@@ -10,22 +10,22 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-func TestOf(t *testing.T) {
-	base := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", Target: "/a?b", Body: []byte("body")}
+func TestOfDistinguishesRequests(t *testing.T) {
+	base := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a?b", Body: []byte("body")}
 	cases := map[string]struct {
 		edit func(*fingerprint.Request)
 		same bool
 	}{
-		"the same":             {func(*fingerprint.Request) {}, true},
-		"another copy":         {func(rq *fingerprint.Request) { rq.Body = []byte("bo" + "dy") }, true},
-		"another organisation": {func(rq *fingerprint.Request) { rq.Organisation = "blue" }, false},
-		"another method":       {func(rq *fingerprint.Request) { rq.Method = "PUT" }, false},
-		"another host":         {func(rq *fingerprint.Request) { rq.Host = "apis" }, false},
-		"another query":        {func(rq *fingerprint.Request) { rq.Target = "/a?c" }, false},
-		"another body":         {func(rq *fingerprint.Request) { rq.Body = []byte("bodies") }, false},
-		"no body":              {func(rq *fingerprint.Request) { rq.Body = nil }, false},
-		"a border moved":       {func(rq *fingerprint.Request) { rq.Host, rq.Target = "api/", "a?b" }, false},
-		"a border to the body": {func(rq *fingerprint.Request) { rq.Target, rq.Body = "/a?", []byte("bbody") }, false},
+		"the same":                        {func(*fingerprint.Request) {}, true},
+		"an equal body in other memory":   {func(rq *fingerprint.Request) { rq.Body = []byte("bo" + "dy") }, true},
+		"another organisation":            {func(rq *fingerprint.Request) { rq.Organisation = "blue" }, false},
+		"another method":                  {func(rq *fingerprint.Request) { rq.Method = "PUT" }, false},
+		"another host":                    {func(rq *fingerprint.Request) { rq.Host = "apis" }, false},
+		"another query":                   {func(rq *fingerprint.Request) { rq.RequestURI = "/a?c" }, false},
+		"another body":                    {func(rq *fingerprint.Request) { rq.Body = []byte("bodies") }, false},
+		"no body":                         {func(rq *fingerprint.Request) { rq.Body = nil }, false},
+		"a byte moved from path to host":  {func(rq *fingerprint.Request) { rq.Host, rq.RequestURI = "api/", "a?b" }, false},
+		"a byte moved from query to body": {func(rq *fingerprint.Request) { rq.RequestURI, rq.Body = "/a?", []byte("bbody") }, false},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -36,19 +36,19 @@
 	}
 }
 
-func TestOriginIsThatOfTheRequest(t *testing.T) {
+func TestHeadHashIgnoresBodyContent(t *testing.T) {
 	g := NewWithT(t)
-	one := fingerprint.Request{Organisation: "red", Target: "/a", Body: []byte("one")}
+	one := fingerprint.Request{Organisation: "red", RequestURI: "/a", Body: []byte("one")}
 	two := one
 	two.Body = []byte("two")
 	longer := one
 	longer.Body = []byte("three")
-	g.Expect(fingerprint.Of(one).Origin()).To(Equal(fingerprint.OriginOf(one)))
-	g.Expect(fingerprint.Of(two).Origin()).To(Equal(fingerprint.OriginOf(one)))
-	g.Expect(fingerprint.Of(longer).Origin()).NotTo(Equal(fingerprint.OriginOf(one)))
+	g.Expect(fingerprint.Of(one).HeadHash()).To(Equal(fingerprint.HeadHashOf(one)))
+	g.Expect(fingerprint.Of(two).HeadHash()).To(Equal(fingerprint.HeadHashOf(one)))
+	g.Expect(fingerprint.Of(longer).HeadHash()).NotTo(Equal(fingerprint.HeadHashOf(one)))
 }
 
-func TestParse(t *testing.T) {
+func TestParseRoundTripAndMalformedText(t *testing.T) {
 	g := NewWithT(t)
 	fp := fingerprint.Of(fingerprint.Request{Organisation: "red"})
 	got, err := fingerprint.Parse(fp.String())
@@ -62,11 +62,12 @@
 	}
 }
 
-// BenchmarkOf measures the digest of a body. It is made only while requests are suspected, or one was broken off.
+// BenchmarkOf measures the fingerprint of a body. It is computed only for requests with a suspected head hash and for interrupted
+// ones.
 func BenchmarkOf(b *testing.B) {
 	for _, size := range []int{1_000, 100_000, 4_000_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", Target: "/a", Body: make([]byte, size)}
+			rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a", Body: make([]byte, size)}
 			b.SetBytes(int64(size))
 			for b.Loop() {
 				fingerprint.Of(rq)
@@ -75,10 +76,10 @@
 	}
 }
 
-// BenchmarkOriginOf measures what each request costs while others are suspected.
-func BenchmarkOriginOf(b *testing.B) {
-	rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", Target: "/a", Body: make([]byte, 4_000_000)}
+// BenchmarkHeadHashOf measures the cost per request while other requests are suspected.
+func BenchmarkHeadHashOf(b *testing.B) {
+	rq := fingerprint.Request{Organisation: "red", Method: "POST", Host: "api", RequestURI: "/a", Body: make([]byte, 4_000_000)}
 	for b.Loop() {
-		fingerprint.OriginOf(rq)
+		fingerprint.HeadHashOf(rq)
 	}
 }
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -51,7 +51,7 @@
 	// endedIn is the last state before the end.
 	endedIn life.State
 	// known is unknown once a target was sent the request and did not say that it left it alone.
-	known outcome.Known
+	known outcome.Aggregate
 	// tried holds the incarnations that were sent the request.
 	tried []string
 	// avoid holds the incarnations that are not asked again: tried, or not reachable.
@@ -81,11 +81,11 @@
 func (rq *request) fingerprint() fingerprint.Fingerprint { return rq.print() }
 
 // origin returns what a fingerprint begins with; it costs the same for short and long bodies.
-func (rq *request) origin() fingerprint.Origin { return fingerprint.OriginOf(rq.identity()) }
+func (rq *request) origin() fingerprint.HeadHash { return fingerprint.HeadHashOf(rq.identity()) }
 
 func (rq *request) identity() fingerprint.Request {
 	return fingerprint.Request{
-		Organisation: rq.org.Name, Method: rq.method, Host: rq.host, Target: rq.target, Body: rq.body,
+		Organisation: rq.org.Name, Method: rq.method, Host: rq.host, RequestURI: rq.target, Body: rq.body,
 	}
 }
 
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -14,21 +14,21 @@
 // notBlamed refuses a request that ends the targets which run it: nothing else tells a copy under a new id from a new request.
 // One that may be judged waits until others that stood under the same ends are known, or until its next trial.
 func (gw *Gateway) notBlamed(ctx context.Context, rq *request) error {
-	for held := false; gw.Blame.Knows(rq.origin()); held = true {
+	for held := false; gw.Blame.HasEvidence(rq.origin()); held = true {
 		vd := gw.Blame.Check(rq.fingerprint())
 		switch {
-		case vd.Judged:
-			return gw.endsTargets(rq, vd.Ends)
-		case vd.Hold <= 0:
+		case vd.Quarantined:
+			return gw.endsTargets(rq, vd.Crashes)
+		case vd.Delay <= 0:
 			return nil
-		case gw.Now().Add(vd.Hold).After(rq.due.At):
-			return refused(failure.Overloaded, vd.Hold, "%d targets ended while they ran this request; it is run seldom", vd.Ends).
+		case gw.Now().Add(vd.Delay).After(rq.due.At):
+			return refused(failure.Overloaded, vd.Delay, "%d targets ended while they ran this request; it is run seldom", vd.Crashes).
 				WithOutcome(gw.outcome(rq))
 		}
 		if !held {
 			gw.logHeld(rq, vd)
 		}
-		if !sleep(ctx, min(vd.Hold, heldLookMost)) {
+		if !sleep(ctx, min(vd.Delay, heldLookMost)) {
 			return gw.timeUp(ctx, rq)
 		}
 	}
@@ -46,10 +46,10 @@
 	if err := gw.keyHolds(rq); err != nil {
 		return err
 	}
-	if !gw.Blame.Knows(rq.origin()) {
+	if !gw.Blame.HasEvidence(rq.origin()) {
 		return nil
 	}
-	if ends, judged := gw.Blame.Judged(rq.fingerprint()); judged {
+	if ends, judged := gw.Blame.Quarantined(rq.fingerprint()); judged {
 		return gw.endsTargets(rq, ends)
 	}
 	return nil
@@ -57,8 +57,8 @@
 
 // clear notes that a request was answered whole, by a target that therefore did not end under it.
 func (gw *Gateway) clear(rq *request) {
-	if gw.Blame.Knows(rq.origin()) {
-		gw.Blame.Served(rq.fingerprint())
+	if gw.Blame.HasEvidence(rq.origin()) {
+		gw.Blame.RecordAnswered(rq.fingerprint())
 	}
 }
 
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -37,10 +37,10 @@
 			gw := newWaiting(tc.most)
 			gw.Log = &log.Logger{Handler: h}
 			gw.Blame = blame.New(blame.Options{
-				Now: time.Now, Targets: func() int { return 12 }, Gone: func(string) bool { return false }, Changed: func() {},
+				Now: time.Now, TargetCount: func() int { return 12 }, Crashed: func(string) bool { return false }, NotifyPeers: func() {},
 				Metrics: metrics.NewSet(), Log: gw.Log,
 			})
-			fp := fingerprint.Of(fingerprint.Request{Method: http.MethodGet, Host: "example.com", Target: "/a/"})
+			fp := fingerprint.Of(fingerprint.Request{Method: http.MethodGet, Host: "example.com", RequestURI: "/a/"})
 			if tc.doubtful {
 				doubt(gw.Blame, fp)
 			}
@@ -62,13 +62,13 @@
 }
 
 // doubt lets three targets end under a request, and as many others by themselves as leave its part in that open.
-func doubt(ld *blame.Ledger, fp fingerprint.Fingerprint) {
+func doubt(ld *blame.Tracker, fp fingerprint.Fingerprint) {
 	for no := range 12 {
-		ld.Ended(fmt.Sprint("other-", no))
+		ld.RecordCrash(fmt.Sprint("other-", no))
 	}
 	for no := range 3 {
 		target := fmt.Sprint("target-", no)
-		ld.Broke(blame.Run{Request: fp, Target: target, Exposure: 100 * time.Millisecond, At: time.Now()})
-		ld.Ended(target)
+		ld.RecordInterrupted(blame.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
+		ld.RecordCrash(target)
 	}
 }
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -52,11 +52,11 @@
 }
 
 // logHeld says that a request waits, since targets ended under it.
-func (gw *Gateway) logHeld(rq *request, vd blame.Verdict) {
+func (gw *Gateway) logHeld(rq *request, vd blame.Decision) {
 	fs := gw.fields(rq)
 	fs["fingerprint"] = rq.fingerprint().String()
-	fs["ends"] = vd.Ends
-	fs["for"] = vd.Hold.Round(time.Millisecond).String()
+	fs["ends"] = vd.Crashes
+	fs["for"] = vd.Delay.Round(time.Millisecond).String()
 	gw.Log.WithFields(fs).Info("request held back")
 }
 
--- a/internal/outcome/outcome.go
+++ b/internal/outcome/outcome.go
@@ -1,38 +1,38 @@
-// Package outcome adds up what the attempts of one request prove about whether it was run.
+// Package outcome combines the outcomes of all attempts of one request.
 package outcome
 
 import "github.com/silvermount/silvermount/internal/failure"
 
-// Known is what all attempts of a request so far prove. The zero value is that of a request that was not sent. It is used
-// by one goroutine.
-type Known struct {
-	// latest is that of the last attempt that may have run the request; empty when none may have.
+// Aggregate is the combined outcome of all attempts of a request so far. The zero value is that of a request that was never sent.
+// It is not safe for concurrent use.
+type Aggregate struct {
+	// latest is the outcome of the last attempt that may have run the request; empty if there is none.
 	latest failure.Outcome
 }
 
-// Add notes what an attempt proved.
-func (kn *Known) Add(o failure.Outcome) {
+// Add adds the outcome of an attempt.
+func (ag *Aggregate) Add(o failure.Outcome) {
 	if o != failure.NotRun {
-		kn.latest = o
+		ag.latest = o
 	}
 }
 
 // MayHaveRun reports whether an attempt may have run the request.
-func (kn *Known) MayHaveRun() bool { return kn.latest != "" }
+func (ag *Aggregate) MayHaveRun() bool { return ag.latest != "" }
 
-// Outcome is what is known of the whole request.
-func (kn *Known) Outcome() failure.Outcome {
-	if kn.MayHaveRun() {
-		return kn.latest
+// Outcome returns the outcome of the whole request.
+func (ag *Aggregate) Outcome() failure.Outcome {
+	if ag.MayHaveRun() {
+		return ag.latest
 	}
 	return failure.NotRun
 }
 
-// Of returns a failure as that of the whole request: one that happened before anything was sent proves nothing about
-// earlier attempts.
-func (kn *Known) Of(fe *failure.Error) *failure.Error {
-	if fe.Outcome != failure.NotRun || !kn.MayHaveRun() {
+// Apply returns a failure with the outcome of the whole request. A failure that happened before anything was sent does not show
+// that earlier attempts were not run.
+func (ag *Aggregate) Apply(fe *failure.Error) *failure.Error {
+	if fe.Outcome != failure.NotRun || !ag.MayHaveRun() {
 		return fe
 	}
-	return fe.WithOutcome(kn.latest)
+	return fe.WithOutcome(ag.latest)
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -105,7 +105,7 @@
 		switch {
 		case err == nil:
 			cl.Complete(ctx, *ans)
-		case failure.Of(err).Outcome == failure.NotRun:
+		case failure.FromError(err).Outcome == failure.NotRun:
 			cl.Release(ctx)
 		default:
 			cl.MarkLost(ctx)
@@ -148,10 +148,10 @@
 	}
 	sv.Retries.First()
 	var tried []string
-	var known outcome.Known
+	var known outcome.Aggregate
 	for {
 		pl, err := sv.Router.Acquire(ctx, ask(tried))
-		if err != nil && len(tried) > 0 && failure.Of(err).Code == failure.NoTarget {
+		if err != nil && len(tried) > 0 && failure.FromError(err).Code == failure.NoTarget {
 			// All were tried: any may be tried again.
 			tried = nil
 			pl, err = sv.Router.Acquire(ctx, ask(tried))
@@ -173,10 +173,10 @@
 		if err == nil {
 			return sv.machine.Fire(ctx, &rq.life, life.Finish)
 		}
-		fe := failure.Of(err)
+		fe := failure.FromError(err)
 		known.Add(fe.Outcome)
 		if !sv.mayRetry(ctx, rq, sk, fe, known) {
-			return sv.end(rq, sk, known.Of(fe))
+			return sv.end(rq, sk, known.Apply(fe))
 		}
 		tried = append(tried, pl.Target.Name)
 		if err := sv.machine.Fire(ctx, &rq.life, life.Retry); err != nil {
@@ -187,13 +187,13 @@
 
 // noPlace is the failure of a request that found no place. One that was given up before anything was sent may come back at
 // once, over a new connection.
-func noPlace(ctx context.Context, known outcome.Known, err error) *failure.Error {
+func noPlace(ctx context.Context, known outcome.Aggregate, err error) *failure.Error {
 	var ge *GivenUpError
 	switch {
 	case !errors.As(context.Cause(ctx), &ge):
-		return known.Of(failure.Of(err))
+		return known.Apply(failure.FromError(err))
 	case known.MayHaveRun():
-		return known.Of(contextFailure(ctx))
+		return known.Apply(contextFailure(ctx))
 	default:
 		return failure.New(failure.Stopping, failure.NotRun, "the instance ends before a place came free").
 			WithCause(ge).WithRetryAfter(time.Second)
@@ -201,7 +201,7 @@
 }
 
 // mayRetry decides whether a failed attempt is followed by another.
-func (sv *Server) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Known) bool {
+func (sv *Server) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Aggregate) bool {
 	return retry.Case{
 		Code: fe.Code, Over: ctx.Err() != nil, Once: rq.never, MayHaveRun: known.MayHaveRun(),
 		Attempts: rq.life.Attempts, Most: sv.limits.MaxAttempts, Begun: sk.Started(),
