--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -119,12 +119,12 @@
 	}
 	if ds.opts.Now().Add(wait).After(as.patience()) {
 		// Those that were refused at one moment do not come back at one moment.
-		again := wait + time.Duration(fraction(as.Request, ds.opts.Instance)*float64(comeBack))
+		again := wait + time.Duration(fraction(as.ID, ds.opts.Instance)*float64(comeBack))
 		return failure.New(failure.Overloaded, failure.NotRun, "all targets want no requests for now").
 			WithCause(&BackedOffError{Target: first.target.ID, After: wait}).WithRetryAfter(max(again, comeBack))
 	}
 	if ds.opts.Waits != nil && !over {
-		ds.opts.Waits(as.Request, first.target, wait)
+		ds.opts.Waits(as.ID, first.target, wait)
 	}
 	// The more urgent look first.
 	return sleep(ctx, wait+time.Duration(as.Priority)*rankStep)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -21,7 +21,7 @@
 // Ask is a request that needs a target.
 type Ask struct {
 	// Request is the caller's id; it breaks ties.
-	Request string
+	ID      string
 	Service routes.Service
 	// Avoid are incarnations that are not to be chosen.
 	Avoid []string
@@ -193,7 +193,7 @@
 	if as.long() {
 		woken = nil
 		left := as.Objective - ds.opts.Now().Sub(as.Arrived)
-		step = time.Duration((minSpread + fraction(as.Request, ds.opts.Now().String())) * float64(min(spreadMost, max(waitStep, left/spreadShare))))
+		step = time.Duration((minSpread + fraction(as.ID, ds.opts.Now().String())) * float64(min(spreadMost, max(waitStep, left/spreadShare))))
 	}
 	timer := time.NewTimer(step)
 	defer timer.Stop()
@@ -284,7 +284,7 @@
 		if tg.AvailabilityZone != ds.opts.AvailabilityZone {
 			cost += farCost
 		}
-		cost += tieCost * fraction(as.Request, ds.opts.Instance, tg.ID)
+		cost += tieCost * fraction(as.ID, ds.opts.Instance, tg.ID)
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -129,7 +129,7 @@
 	no := asks.Add(1)
 	now := time.Now()
 	return dispatch.Ask{
-		Request: strconv.FormatInt(no, 10), Service: routes.Service{Name: "s"}, Objective: objective,
+		ID: strconv.FormatInt(no, 10), Service: routes.Service{Name: "s"}, Objective: objective,
 		Arrived: now, Deadline: now.Add(deadline),
 	}
 }
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -64,7 +64,7 @@
 func (ds *Dispatcher) take(ctx context.Context, as Ask, tg targets.Target, wait time.Duration) permit.Answer {
 	an := ds.opts.Permits.Take(ctx, tg, wait)
 	if !an.Granted && ds.opts.TurnedElsewhere != nil {
-		ds.opts.TurnedElsewhere(as.Request, tg, an.After)
+		ds.opts.TurnedElsewhere(as.ID, tg, an.After)
 	}
 	return an
 }
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -65,7 +65,7 @@
 		after := time.Duration(longReturn * float64(max(pr.Left, 0)))
 		return failure.New(failure.Overloaded, failure.NotRun, "the prompt cannot be answered in its caller's time").WithRetryAfter(after)
 	}
-	share := comeBackLeast + (comeBackMost-comeBackLeast)*fraction(as.Request, ds.opts.Instance, "come back")
+	share := comeBackLeast + (comeBackMost-comeBackLeast)*fraction(as.ID, ds.opts.Instance, "come back")
 	after := time.Duration(share * float64(answerTime(as.Service.Engine)))
 	return failure.New(failure.Overloaded, failure.NotRun, "all slots are taken").WithRetryAfter(after)
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -100,7 +100,7 @@
 	if as.long() && !as.Resumed {
 		cands = ps.long
 	}
-	seed := xxhash.Sum64String(ds.opts.Instance + as.Request)
+	seed := xxhash.Sum64String(ds.opts.Instance + as.ID)
 	op := placement.Options{
 		Seed: seed, Arrivals: ds.arriving.perSecond(as.Service.Engine, cands), Reading: placement.ReadingShare(cands),
 	}
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -185,7 +185,7 @@
 	tokens := int(float64(cl.tokens) * math.Exp(sizeSpread*fl.rd.NormFloat64()-sizeSpread*sizeSpread/2))
 	be := fl.instances[fl.rd.IntN(len(fl.instances))]
 	as := plain()
-	as.Request = fmt.Sprint("request-", asks.Add(1))
+	as.ID = fmt.Sprint("request-", asks.Add(1))
 	as.PromptTokens, as.MostAnswer, as.LongestPause = tokens, cl.events*replayFigures.Stride, cl.pause
 	as.Objective, as.Deadline, as.Patience = cl.objective, as.Arrived.Add(cl.deadline), 4*cl.objective
 	as.Service = routes.Service{Name: "s", Engine: &replayFigures}
--- a/internal/dispatch/unseen.go
+++ b/internal/dispatch/unseen.go
@@ -46,7 +46,7 @@
 	share := float64(size) / float64(len(cands))
 	drawn := make([]placement.Target, 0, 2*size)
 	for i := range cands {
-		if fraction(as.Request, ds.opts.Instance, cands[i].Name, "sample") < share {
+		if fraction(as.ID, ds.opts.Instance, cands[i].Name, "sample") < share {
 			drawn = append(drawn, cands[i])
 		}
 	}
--- a/internal/dispatch/unseen_test.go
+++ b/internal/dispatch/unseen_test.go
@@ -16,7 +16,7 @@
 	chosen := map[string]int{}
 	for no := range prompts {
 		as := prompt(500)
-		as.Request = "request-" + strconv.Itoa(no)
+		as.ID = "request-" + strconv.Itoa(no)
 		as.Service.Engine.Slots = 16
 		sl := be.take(as)
 		chosen[sl.Target.ID]++
