--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -94,7 +94,7 @@
 	backOffBench(t, 1, func(be *bench, bk *backoff.Book) {
 		bk.Ask(id(0), 5*time.Second, time.Now())
 		as := plain()
-		as.Avoid = []string{id(0)}
+		as.Exclude = []string{id(0)}
 		be.Expect(be.refused(as).RetryAfter).To(Equal(5 * time.Second))
 	})
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -24,7 +24,7 @@
 	ID      string
 	Service routes.Service
 	// Avoid are incarnations that are not to be chosen.
-	Avoid []string
+	Exclude []string
 	// PromptTokens, MostAnswer and AnswerHint are zero when not known.
 	PromptTokens, MostAnswer, AnswerHint int
 	// Events is how many events of the answer were passed on already.
@@ -247,7 +247,7 @@
 	all := ds.targets.Usable(as.Service.Name, ca)
 	left := make([]targets.Target, 0, len(all))
 	for _, tg := range all {
-		if !contains(as.Avoid, tg.ID) {
+		if !contains(as.Exclude, tg.ID) {
 			left = append(left, tg)
 		}
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -238,7 +238,7 @@
 			bubble(t, 2, func(be *bench) {
 				tc.prepare(be)
 				as := plain()
-				as.Avoid = tc.avoid
+				as.Exclude = tc.avoid
 				be.Expect(be.take(as).Target.ID).To(Equal(tc.want))
 			})
 		})
@@ -263,7 +263,7 @@
 		t.Run(name, func(t *testing.T) {
 			bubble(t, tc.count, func(be *bench) {
 				as := plain()
-				as.Avoid = tc.avoid
+				as.Exclude = tc.avoid
 				began := time.Now()
 				fe := be.refused(as)
 				be.Expect(fe.Code).To(Equal(failure.NoTarget))
@@ -380,7 +380,7 @@
 	short := func() dispatch.Ask { return prompt(1000) }
 	avoiding := func() dispatch.Ask {
 		as := prompt(1000)
-		as.Avoid = []string{id(0), id(1)}
+		as.Exclude = []string{id(0), id(1)}
 		return as
 	}
 	cases := map[string]struct {
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -210,7 +210,7 @@
 			counted = outcomeOf(cl, first, pause)
 			break
 		}
-		as.Avoid = append(as.Avoid, sl.Target.ID)
+		as.Exclude = append(as.Exclude, sl.Target.ID)
 		as.Caution = targets.Proven
 		counted = func(ta *tally) { ta.failed++ }
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -107,7 +107,7 @@
 	sv, _ := rq.table.Service(rq.service)
 	sv.Name = rq.service
 	return dispatch.Ask{
-		ID: rq.RequestID, Service: sv, Avoid: rq.avoid,
+		ID: rq.RequestID, Service: sv, Exclude: rq.avoid,
 		PromptTokens: rq.PromptTokens, MostAnswer: rq.MostAnswerTokens, AnswerHint: rq.AnswerHint, Events: rq.events,
 		Objective: rq.route.Objective, LongestPause: rq.route.LongestPause, Patience: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
