--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -43,8 +43,8 @@
 	if expected == 0 {
 		expected = int(as.Service.Engine.UsualAnswer)
 	}
-	if as.MostAnswer > 0 {
-		expected = min(expected, as.MostAnswer)
+	if as.MaxAnswerTokens > 0 {
+		expected = min(expected, as.MaxAnswerTokens)
 	}
 	// An event holds the tokens of one pass.
 	expected -= as.Events * as.Service.Engine.Stride
