--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -26,7 +26,7 @@
 	// Avoid are incarnations that are not to be chosen.
 	Exclude []string
 	// PromptTokens, MostAnswer and AnswerHint are zero when not known.
-	PromptTokens, MaxAnswerTokens, AnswerHint int
+	PromptTokens, MaxAnswerTokens, AnswerTokensHint int
 	// Events is how many events of the answer were passed on already.
 	Events int
 	// Objective and LongestPause are the route's; zero when it has none.
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -39,7 +39,7 @@
 
 // expectedAnswer is the caller's guess, else the usual answer, at most the bound that the caller set.
 func expectedAnswer(as Ask) int {
-	expected := as.AnswerHint
+	expected := as.AnswerTokensHint
 	if expected == 0 {
 		expected = int(as.Service.Engine.UsualAnswer)
 	}
