--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -28,7 +28,7 @@
 	// PromptTokens, MostAnswer and AnswerHint are zero when not known.
 	PromptTokens, MaxAnswerTokens, AnswerTokensHint int
 	// Events is how many events of the answer were passed on already.
-	Events int
+	EventsForwarded int
 	// Objective and LongestPause are the route's; zero when it has none.
 	Objective, LongestPause time.Duration
 	// Patience is how long the caller waits without an event; zero is no bound.
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -22,7 +22,7 @@
 // begun: that one goes on for as long as it can, and its caller loses nothing by what still comes.
 func (ds *Dispatcher) ends(as Ask) (at time.Time, earlier bool) {
 	end := ds.end.Load()
-	if end == nil || as.Events > 0 || as.Deadline.Before(*end) {
+	if end == nil || as.EventsForwarded > 0 || as.Deadline.Before(*end) {
 		return time.Time{}, false
 	}
 	return *end, true
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/end_test.go
@@ -30,7 +30,7 @@
 	large := func() dispatch.Ask { return prompt(17_000) }
 	begun := func() dispatch.Ask {
 		as := short()
-		as.Resumed, as.Events = true, 3
+		as.Resumed, as.EventsForwarded = true, 3
 		return as
 	}
 	soonDue := func() dispatch.Ask {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -47,7 +47,7 @@
 		expected = min(expected, as.MaxAnswerTokens)
 	}
 	// An event holds the tokens of one pass.
-	expected -= as.Events * as.Service.Engine.Stride
+	expected -= as.EventsForwarded * as.Service.Engine.Stride
 	return max(as.Service.Engine.Stride, expected)
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -108,7 +108,7 @@
 	sv.Name = rq.service
 	return dispatch.Ask{
 		ID: rq.RequestID, Service: sv, Exclude: rq.avoid,
-		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MostAnswerTokens, AnswerTokensHint: rq.AnswerHint, Events: rq.events,
+		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MostAnswerTokens, AnswerTokensHint: rq.AnswerHint, EventsForwarded: rq.events,
 		Objective: rq.route.Objective, LongestPause: rq.route.LongestPause, Patience: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
 		Caution: rq.caution(), Allowed: func() error { return gw.stillAllowed(rq) },
