--- a/internal/dispatch/defer_test.go
+++ b/internal/dispatch/defer_test.go
@@ -17,7 +17,7 @@
 	as := be.short()
 	as.PromptTokens = 140_000
 	as.Objective = 2500 * time.Millisecond
-	as.LongestPause = time.Second
+	as.MaxPause = time.Second
 	as.Deadline = as.Arrived.Add(15 * time.Second)
 	return as
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -30,7 +30,7 @@
 	// Events is how many events of the answer were passed on already.
 	EventsForwarded int
 	// Objective and LongestPause are the route's; zero when it has none.
-	Objective, LongestPause time.Duration
+	Objective, MaxPause time.Duration
 	// Patience is how long the caller waits without an event; zero is no bound.
 	Patience          time.Duration
 	Arrived, Deadline time.Time
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -137,7 +137,7 @@
 // prompt asks for room for that many tokens at a model engine.
 func prompt(tokens int) dispatch.Ask {
 	as := plain()
-	as.PromptTokens, as.MaxAnswerTokens, as.LongestPause = tokens, 100, time.Second
+	as.PromptTokens, as.MaxAnswerTokens, as.MaxPause = tokens, 100, time.Second
 	as.Service.Engine = &placement.Engine{
 		Slots: slots, Stride: 4, Chunk: 2048, Memory: memory, Step: time.Millisecond, PerWriter: 50 * time.Microsecond,
 		PerThousandContext: 5 * time.Microsecond, PerThousandRead: time.Millisecond, UsualPrompt: 1000, UsualAnswer: 100,
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -26,7 +26,7 @@
 func (ds *Dispatcher) prompt(as Ask) placement.Prompt {
 	worth := worthBase + worthPerThousand*float64(as.PromptTokens)/1000
 	now := ds.opts.Now()
-	pause := as.LongestPause
+	pause := as.MaxPause
 	if pause <= 0 {
 		pause = pauseUnset
 	}
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -186,7 +186,7 @@
 	be := fl.instances[fl.rd.IntN(len(fl.instances))]
 	as := plain()
 	as.ID = fmt.Sprint("request-", asks.Add(1))
-	as.PromptTokens, as.MaxAnswerTokens, as.LongestPause = tokens, cl.events*replayFigures.Stride, cl.pause
+	as.PromptTokens, as.MaxAnswerTokens, as.MaxPause = tokens, cl.events*replayFigures.Stride, cl.pause
 	as.Objective, as.Deadline, as.Patience = cl.objective, as.Arrived.Add(cl.deadline), 4*cl.objective
 	as.Service = routes.Service{Name: "s", Engine: &replayFigures}
 	fl.wg.Go(func() { fl.ask(be, cl, as) })
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -58,7 +58,7 @@
 func (be *clocked) short() dispatch.Ask {
 	return dispatch.Ask{
 		ID: "r", Service: routes.Service{Name: "s", Engine: &engine}, PromptTokens: 5000, AnswerTokensHint: 1300,
-		Objective: 300 * time.Millisecond, LongestPause: 250 * time.Millisecond,
+		Objective: 300 * time.Millisecond, MaxPause: 250 * time.Millisecond,
 		Arrived: be.now(), Deadline: be.now().Add(10 * time.Second),
 	}
 }
