--- a/internal/dispatch/defer_test.go
+++ b/internal/dispatch/defer_test.go
@@ -137,7 +137,7 @@
 		be := newClockedAt(time.Now, "t1")
 		be.writing(g, 8)
 		as := be.long()
-		as.Patience = 10 * time.Second
+		as.CallerIdleTimeout = 10 * time.Second
 		began := time.Now()
 		_, err := be.ds.Acquire(context.Background(), as)
 		g.Expect(err).To(HaveOccurred())
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -32,7 +32,7 @@
 	// Objective and LongestPause are the route's; zero when it has none.
 	Objective, MaxPause time.Duration
 	// Patience is how long the caller waits without an event; zero is no bound.
-	Patience          time.Duration
+	CallerIdleTimeout time.Duration
 	Arrived, Deadline time.Time
 	// Priority is the organisation's or the route's rank, zero first.
 	Priority int
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -32,7 +32,7 @@
 	}
 	return placement.Prompt{
 		Tokens: int64(as.PromptTokens), Answer: int64(expectedAnswer(as)),
-		Objective: max(as.Objective, time.Millisecond), Used: now.Sub(as.Arrived), LongestPause: pause, Patience: as.Patience,
+		Objective: max(as.Objective, time.Millisecond), Used: now.Sub(as.Arrived), LongestPause: pause, Patience: as.CallerIdleTimeout,
 		InTime: placement.WorthOf(worth), Late: placement.WorthOf(worth * worthLate), Left: ds.due(as).Sub(now),
 	}
 }
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -187,7 +187,7 @@
 	as := plain()
 	as.ID = fmt.Sprint("request-", asks.Add(1))
 	as.PromptTokens, as.MaxAnswerTokens, as.MaxPause = tokens, cl.events*replayFigures.Stride, cl.pause
-	as.Objective, as.Deadline, as.Patience = cl.objective, as.Arrived.Add(cl.deadline), 4*cl.objective
+	as.Objective, as.Deadline, as.CallerIdleTimeout = cl.objective, as.Arrived.Add(cl.deadline), 4*cl.objective
 	as.Service = routes.Service{Name: "s", Engine: &replayFigures}
 	fl.wg.Go(func() { fl.ask(be, cl, as) })
 }
