--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -42,7 +42,7 @@
 	Caution targets.Caution
 	// Allowed returns why the request may not be sent any more, and is asked at each look for a target: what allowed it when
 	// it came may be taken away while it waits. It is nil when nothing can be.
-	Allowed func() error
+	Authorise func() error
 	// Spare is set when the request can go to another target should this one turn it away, and Retried when one did.
 	Spare, Retried bool
 	// probe is set when the request may go to a target that is on trial after a back-off.
@@ -125,8 +125,8 @@
 	ds.arrive(as)
 	for {
 		woken := ds.book.woken()
-		if as.Allowed != nil {
-			if err := as.Allowed(); err != nil {
+		if as.Authorise != nil {
+			if err := as.Authorise(); err != nil {
 				return nil, err
 			}
 		}
