--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -28,7 +28,7 @@
 // spare returns a request that can go elsewhere when it is turned away.
 func spare() dispatch.Ask {
 	as := plain()
-	as.Spare = true
+	as.CanRetry = true
 	return as
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -44,7 +44,7 @@
 	// it came may be taken away while it waits. It is nil when nothing can be.
 	Authorise func() error
 	// Spare is set when the request can go to another target should this one turn it away, and Retried when one did.
-	Spare, Retried bool
+	CanRetry, Retried bool
 	// probe is set when the request may go to a target that is on trial after a back-off.
 	probe bool
 	// permitted is the target whose permit the request holds; empty for none.
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -269,7 +269,7 @@
 	for len(tried) < simAttempts && !ca.served {
 		sl, err := be.dispatcher.Acquire(ctx, dispatch.Ask{
 			ID: strconv.Itoa(no), Service: routes.Service{Name: "s"}, Exclude: tried, Objective: simObjective,
-			Arrived: ca.sent, Deadline: ca.sent.Add(simDeadline), Spare: len(tried) == 0, Retried: len(tried) > 0,
+			Arrived: ca.sent, Deadline: ca.sent.Add(simDeadline), CanRetry: len(tried) == 0, Retried: len(tried) > 0,
 		})
 		if err != nil {
 			return
