--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -19,13 +19,13 @@
 const unprobedFor = time.Second
 
 // probes reports whether a request may find out whether a target takes work again: it loses nothing when it is turned away.
-func (as Ask) probes() bool {
+func (as Request) probes() bool {
 	return as.CanRetry && as.Caution == targets.Any && !as.long() && !as.Resumed
 }
 
 // backedOff reports whether a target is closed to a request for a back-off, and when it may be asked again. One that is on trial may be at
 // once where there is no other.
-func (ds *Dispatcher) backedOff(as Ask, id string) (opens time.Time, by backoff.Phase, closed bool) {
+func (ds *Dispatcher) backedOff(as Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
 	by, at := ds.phase(id)
 	switch by {
 	case backoff.Closed:
@@ -110,7 +110,7 @@
 
 // awaitBackOff waits until a target may be on trial, the earliest of all, where a request has the time. Else it fails at once with the time
 // at which to come back.
-func (ds *Dispatcher) awaitBackOff(ctx context.Context, as Ask, first opening) error {
+func (ds *Dispatcher) awaitBackOff(ctx context.Context, as Request, first opening) error {
 	wait := first.at.Sub(ds.opts.Now())
 	over := !ds.isBackedOff(first.target.ID)
 	if over {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -26,16 +26,16 @@
 }
 
 // spare returns a request that can go elsewhere when it is turned away.
-func spare() dispatch.Ask {
+func spare() dispatch.Request {
 	as := plain()
 	as.CanRetry = true
 	return as
 }
 
 func TestRequestsGoAroundTargetsThatWantNone(t *testing.T) {
-	asks := map[string]func() dispatch.Ask{
-		"plain": plain, "short prompt": func() dispatch.Ask { return prompt(1000) },
-		"large prompt": func() dispatch.Ask { return prompt(memory + 1000) },
+	asks := map[string]func() dispatch.Request{
+		"plain": plain, "short prompt": func() dispatch.Request { return prompt(1000) },
+		"large prompt": func() dispatch.Request { return prompt(memory + 1000) },
 	}
 	for name, ask := range asks {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 
 func TestRequestWaitsForTheEndOfTheFirstBackOff(t *testing.T) {
 	const soon = objective / 4
-	for name, ask := range map[string]func() dispatch.Ask{"plain": plain, "prompt": func() dispatch.Ask { return prompt(1000) }} {
+	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
 			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
 				began := time.Now()
@@ -72,7 +72,7 @@
 }
 
 func TestRequestWithoutTimeForABackOffIsRefusedAtOnce(t *testing.T) {
-	for name, ask := range map[string]func() dispatch.Ask{"plain": plain, "prompt": func() dispatch.Ask { return prompt(1000) }} {
+	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
 			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
 				began := time.Now()
@@ -132,7 +132,7 @@
 
 func TestOnlyARequestThatCanGoElsewhereIsTheProbe(t *testing.T) {
 	tests := map[string]struct {
-		ask    func() dispatch.Ask
+		ask    func() dispatch.Request
 		probes bool
 	}{
 		"a first attempt":  {spare, true},
@@ -157,7 +157,7 @@
 
 // TestPeersPreferTargetsThatTurnNobodyAway plays with two instances of which one was turned away.
 func TestPeersPreferTargetsThatTurnNobodyAway(t *testing.T) {
-	for name, ask := range map[string]func() dispatch.Ask{"plain": plain, "prompt": func() dispatch.Ask { return prompt(1000) }} {
+	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
 			backOffBench(t, 2, func(be *bench, _ *backoff.Book) {
 				peer := newBench(be.t, 2)
@@ -188,14 +188,14 @@
 
 // TestClosedTargetsOfAProbeOrASureChoiceLeaveTheOthers: what a request would rather choose from wants no requests, and others do.
 func TestClosedTargetsOfAProbeOrASureChoiceLeaveTheOthers(t *testing.T) {
-	tests := map[string]func(be *bench, as *dispatch.Ask){
-		"one that runs once, beside a target that failed": func(be *bench, as *dispatch.Ask) {
+	tests := map[string]func(be *bench, as *dispatch.Request){
+		"one that runs once, beside a target that failed": func(be *bench, as *dispatch.Request) {
 			as.Caution = targets.Sure
 			for range 2 {
 				be.directory.Failure(id(0))
 			}
 		},
-		"the probe of an availability zone": func(be *bench, _ *dispatch.Ask) {
+		"the probe of an availability zone": func(be *bench, _ *dispatch.Request) {
 			be.directory.Unreachable(id(1))
 			be.directory.Unreachable(id(2))
 			time.Sleep(time.Second)
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -12,7 +12,7 @@
 
 // BenchmarkDecision measures one choice for a short and for a long prompt, with short answers in flight at a tenth of the targets.
 func BenchmarkDecision(b *testing.B) {
-	kinds := map[string]func(*clocked) dispatch.Ask{"short": (*clocked).short, "long": (*clocked).long}
+	kinds := map[string]func(*clocked) dispatch.Request{"short": (*clocked).short, "long": (*clocked).long}
 	for _, count := range []int{60, 295, 1600} {
 		for name, ask := range kinds {
 			b.Run(fmt.Sprint(name, "/", count), func(b *testing.B) {
@@ -24,7 +24,7 @@
 					ids[no] = "t" + strconv.Itoa(no)
 				}
 				be := newClockedAt(func() time.Time { return time.Unix(1000, 0) }, ids...)
-				take := func(as dispatch.Ask) *dispatch.Slot {
+				take := func(as dispatch.Request) *dispatch.Slot {
 					sl, err := be.ds.Acquire(ctx, as)
 					if err != nil {
 						b.Fatal(err)
--- a/internal/dispatch/decide.go
+++ b/internal/dispatch/decide.go
@@ -15,7 +15,7 @@
 )
 
 // decide says whether a prompt runs as planned, looks again later, or is refused. The plan is the best one now, if any.
-func decide(as Ask, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
+func decide(as Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
 	switch {
 	case as.long() && !as.Resumed:
 		return decideLong(as, pr, pl, planned, cands, op)
@@ -29,7 +29,7 @@
 }
 
 // decideLong decides about a long prompt that nobody reads yet.
-func decideLong(as Ask, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
+func decideLong(as Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
 	later, feasible := placement.Choose(*as.Service.Engine, pr, read(cands), op)
 	feasible = feasible && begins(pr, later)
 	switch {
--- a/internal/dispatch/defer.go
+++ b/internal/dispatch/defer.go
@@ -7,7 +7,7 @@
 )
 
 // late reports whether an answer is late already or is sure to be. Others need not spare it: nothing more of it is lost.
-func late(as Ask, pr placement.Prompt, pl placement.Plan) bool {
+func late(as Request, pr placement.Prompt, pl placement.Plan) bool {
 	return as.Resumed || float64(pr.Used+pl.FirstToken) > lateFrom*float64(pr.Objective)
 }
 
@@ -20,7 +20,7 @@
 // begin with one such prompt.
 //
 // One that is late for having waited has no better moment to wait for: refused in the end, its caller comes back once more for nothing.
-func worthwhile(as Ask, pr placement.Prompt, pl placement.Plan) bool {
+func worthwhile(as Request, pr placement.Prompt, pl placement.Plan) bool {
 	saved := pr.InTime
 	if late(as, pr, pl) && pr.Used > 0 {
 		saved += placement.Worth(refusalCost * float64(pr.InTime))
@@ -32,7 +32,7 @@
 const refusalCost = 0.3
 
 // hopeless reports whether a long prompt cannot be answered in its caller's time even at idle targets.
-func hopeless(as Ask, pr placement.Prompt, cands []placement.Target, op placement.Options) bool {
+func hopeless(as Request, pr placement.Prompt, cands []placement.Target, op placement.Options) bool {
 	best, ok := placement.Choose(*as.Service.Engine, pr, idle(cands), op)
 	return !ok || !begins(pr, best)
 }
@@ -89,7 +89,7 @@
 
 // defers reports whether a prompt that is late in any case had better wait: what is left of its worth does not fall with
 // time, and the others at its targets are in time now.
-func defers(as Ask, pr placement.Prompt, pl placement.Plan) bool {
+func defers(as Request, pr placement.Prompt, pl placement.Plan) bool {
 	if !late(as, pr, pl) {
 		return false
 	}
--- a/internal/dispatch/defer_test.go
+++ b/internal/dispatch/defer_test.go
@@ -13,7 +13,7 @@
 )
 
 // long asks for a prompt that is read for two seconds.
-func (be *clocked) long() dispatch.Ask {
+func (be *clocked) long() dispatch.Request {
 	as := be.short()
 	as.PromptTokens = 140_000
 	as.Objective = 2500 * time.Millisecond
@@ -23,7 +23,7 @@
 }
 
 // longAfter asks for the same, and was asked a time ago.
-func (be *clocked) longAfter(used time.Duration) dispatch.Ask {
+func (be *clocked) longAfter(used time.Duration) dispatch.Request {
 	as := be.long()
 	as.Arrived, as.Deadline = as.Arrived.Add(-used), as.Deadline.Add(-used)
 	return as
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -19,7 +19,7 @@
 )
 
 // Ask is a request that needs a target.
-type Ask struct {
+type Request struct {
 	// Request is the caller's id; it breaks ties.
 	ID      string
 	Service routes.Service
@@ -116,7 +116,7 @@
 // Acquire chooses a target and books the request there. A short prompt without room waits for a part of its objective, a
 // longer one for as long as it can still be answered.
 // Release must be called on the slot.
-func (ds *Dispatcher) Acquire(ctx context.Context, as Ask) (*Slot, error) {
+func (ds *Dispatcher) Acquire(ctx context.Context, as Request) (*Slot, error) {
 	patience := as.soon()
 	if as.long() || as.Resumed {
 		patience = as.Deadline
@@ -163,12 +163,12 @@
 }
 
 // soon is until when a request waits whose answer would else be late.
-func (as Ask) soon() time.Time {
+func (as Request) soon() time.Time {
 	return as.Arrived.Add(time.Duration(waitShare * float64(as.Objective)))
 }
 
 // patience is until when a request waits for a target that takes requests again. One whose caller reads already goes on as long as it can.
-func (as Ask) patience() time.Time {
+func (as Request) patience() time.Time {
 	if as.Resumed {
 		return as.Deadline
 	}
@@ -176,7 +176,7 @@
 }
 
 // arrive notes a prompt that arrives.
-func (ds *Dispatcher) arrive(as Ask) {
+func (ds *Dispatcher) arrive(as Request) {
 	if as.Service.Engine == nil || as.PromptTokens == 0 || as.Resumed {
 		return
 	}
@@ -188,7 +188,7 @@
 
 // pause waits until it is time to look for room again. Long prompts of several instances wait for the same room: they
 // look at different moments, the pressed ones more often, so that the first is known to the others before they look.
-func (ds *Dispatcher) pause(ctx context.Context, as Ask, woken <-chan struct{}) {
+func (ds *Dispatcher) pause(ctx context.Context, as Request, woken <-chan struct{}) {
 	step := waitStep
 	if as.long() {
 		woken = nil
@@ -215,7 +215,7 @@
 )
 
 // try makes one choice. It reports false when there is no room now.
-func (ds *Dispatcher) try(ctx context.Context, as Ask) (*Slot, bool, error) {
+func (ds *Dispatcher) try(ctx context.Context, as Request) (*Slot, bool, error) {
 	tgs := ds.usable(as)
 	if len(tgs) == 0 {
 		return nil, false, failure.New(failure.NoTarget, failure.NotRun, "no target of the service takes work").
@@ -235,7 +235,7 @@
 }
 
 // usable returns the service's targets without those to avoid.
-func (ds *Dispatcher) usable(as Ask) []targets.Target {
+func (ds *Dispatcher) usable(as Request) []targets.Target {
 	left := ds.allowed(as, as.caution())
 	if len(left) == 0 {
 		left = ds.allowed(as, targets.Proven)
@@ -243,7 +243,7 @@
 	return left
 }
 
-func (ds *Dispatcher) allowed(as Ask, ca targets.Caution) []targets.Target {
+func (ds *Dispatcher) allowed(as Request, ca targets.Caution) []targets.Target {
 	all := ds.targets.Usable(as.Service.Name, ca)
 	left := make([]targets.Target, 0, len(all))
 	for _, tg := range all {
@@ -255,7 +255,7 @@
 }
 
 // caution is the request's own, but for longer prompts: one that takes several targets is no probe.
-func (as Ask) caution() targets.Caution {
+func (as Request) caution() targets.Caution {
 	if as.long() {
 		return max(as.Caution, targets.Proven)
 	}
@@ -272,7 +272,7 @@
 }
 
 // leastBusy chooses the target of a plain service with the fewest requests in flight, near ones first. It returns nil when all are closed.
-func (ds *Dispatcher) leastBusy(as Ask, tgs []targets.Target) *Slot {
+func (ds *Dispatcher) leastBusy(as Request, tgs []targets.Target) *Slot {
 	ds.book.mu.Lock()
 	defer ds.book.mu.Unlock()
 	best, bestCost := -1, 0.0
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -125,17 +125,17 @@
 
 var asks atomic.Int64
 
-func plain() dispatch.Ask {
+func plain() dispatch.Request {
 	no := asks.Add(1)
 	now := time.Now()
-	return dispatch.Ask{
+	return dispatch.Request{
 		ID: strconv.FormatInt(no, 10), Service: routes.Service{Name: "s"}, Objective: objective,
 		Arrived: now, Deadline: now.Add(deadline),
 	}
 }
 
 // prompt asks for room for that many tokens at a model engine.
-func prompt(tokens int) dispatch.Ask {
+func prompt(tokens int) dispatch.Request {
 	as := plain()
 	as.PromptTokens, as.MaxAnswerTokens, as.MaxPause = tokens, 100, time.Second
 	as.Service.Engine = &placement.Engine{
@@ -145,7 +145,7 @@
 	return as
 }
 
-func (be *bench) take(as dispatch.Ask) *dispatch.Slot {
+func (be *bench) take(as dispatch.Request) *dispatch.Slot {
 	sl, err := be.Acquire(context.Background(), as)
 	be.Expect(err).NotTo(HaveOccurred())
 	be.t.Cleanup(func() {
@@ -156,7 +156,7 @@
 }
 
 // send asks for a target in the background.
-func (be *bench) send(as dispatch.Ask) <-chan *dispatch.Slot {
+func (be *bench) send(as dispatch.Request) <-chan *dispatch.Slot {
 	got := make(chan *dispatch.Slot, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	be.t.Cleanup(func() {
@@ -181,7 +181,7 @@
 }
 
 // refused returns the failure of a request that gets no target.
-func (be *bench) refused(as dispatch.Ask) *failure.Error {
+func (be *bench) refused(as dispatch.Request) *failure.Error {
 	_, err := be.Acquire(context.Background(), as)
 	var fe *failure.Error
 	be.Expect(errors.As(err, &fe)).To(BeTrue())
@@ -371,14 +371,14 @@
 
 // TestOneProbeForAnAvailabilityZone cuts an availability zone off and lets the pause pass.
 func TestOneProbeForAnAvailabilityZone(t *testing.T) {
-	long := func() dispatch.Ask { return prompt(20_000) }
-	proven := func() dispatch.Ask {
+	long := func() dispatch.Request { return prompt(20_000) }
+	proven := func() dispatch.Request {
 		as := prompt(1000)
 		as.Caution = targets.Proven
 		return as
 	}
-	short := func() dispatch.Ask { return prompt(1000) }
-	avoiding := func() dispatch.Ask {
+	short := func() dispatch.Request { return prompt(1000) }
+	avoiding := func() dispatch.Request {
 		as := prompt(1000)
 		as.Exclude = []string{id(0), id(1)}
 		return as
@@ -386,16 +386,16 @@
 	cases := map[string]struct {
 		// others is how many targets there are elsewhere.
 		others int
-		asks   []func() dispatch.Ask
+		asks   []func() dispatch.Request
 		// there is how many of them get a target of that availability zone.
 		there int
 	}{
-		"a short prompt is the probe, and no other beside it":         {1, []func() dispatch.Ask{short, short, short}, 1},
-		"a plain request is one":                                      {1, []func() dispatch.Ask{plain, plain}, 1},
-		"a long prompt is none":                                       {4, []func() dispatch.Ask{long}, 0},
-		"nor a request that must be sure":                             {1, []func() dispatch.Ask{proven, proven}, 0},
-		"a probe that must not go there goes elsewhere":               {1, []func() dispatch.Ask{avoiding}, 0},
-		"those that are no probes do not keep another from being one": {2, []func() dispatch.Ask{proven, proven, short}, 1},
+		"a short prompt is the probe, and no other beside it":         {1, []func() dispatch.Request{short, short, short}, 1},
+		"a plain request is one":                                      {1, []func() dispatch.Request{plain, plain}, 1},
+		"a long prompt is none":                                       {4, []func() dispatch.Request{long}, 0},
+		"nor a request that must be sure":                             {1, []func() dispatch.Request{proven, proven}, 0},
+		"a probe that must not go there goes elsewhere":               {1, []func() dispatch.Request{avoiding}, 0},
+		"those that are no probes do not keep another from being one": {2, []func() dispatch.Request{proven, proven, short}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -20,7 +20,7 @@
 
 // ends returns when this instance ends, if that is before a request's deadline. It does not count for an answer that has
 // begun: that one goes on for as long as it can, and its caller loses nothing by what still comes.
-func (ds *Dispatcher) ends(as Ask) (at time.Time, earlier bool) {
+func (ds *Dispatcher) ends(as Request) (at time.Time, earlier bool) {
 	end := ds.end.Load()
 	if end == nil || as.EventsForwarded > 0 || as.Deadline.Before(*end) {
 		return time.Time{}, false
@@ -29,7 +29,7 @@
 }
 
 // due is when the answer must be whole: at the request's deadline, or earlier at the end of this instance.
-func (ds *Dispatcher) due(as Ask) time.Time {
+func (ds *Dispatcher) due(as Request) time.Time {
 	if end, earlier := ds.ends(as); earlier {
 		return end
 	}
@@ -39,7 +39,7 @@
 // outlives reports whether the answer to a prompt is expected to end after this instance even at idle targets. It is refused
 // at once, while its caller still has the time to be answered by another instance. One that may end in time is
 // not: callers come back once or twice, often to the next instance that ends.
-func (ds *Dispatcher) outlives(as Ask, pr placement.Prompt, cands []placement.Target, op placement.Options) bool {
+func (ds *Dispatcher) outlives(as Request, pr placement.Prompt, cands []placement.Target, op placement.Options) bool {
 	_, earlier := ds.ends(as)
 	return earlier && hopeless(as, pr, cands, op)
 }
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/end_test.go
@@ -25,21 +25,21 @@
 // TestPromptsAtTheEndOfTheInstance asks for room while the instance ends: reading and writing take 0.15 s at idle targets.
 func TestPromptsAtTheEndOfTheInstance(t *testing.T) {
 	const targets = 3
-	short := func() dispatch.Ask { return prompt(1000) }
+	short := func() dispatch.Request { return prompt(1000) }
 	// large needs the memory of two targets, and waits for it until its deadline.
-	large := func() dispatch.Ask { return prompt(17_000) }
-	begun := func() dispatch.Ask {
+	large := func() dispatch.Request { return prompt(17_000) }
+	begun := func() dispatch.Request {
 		as := short()
 		as.Resumed, as.EventsForwarded = true, 3
 		return as
 	}
-	soonDue := func() dispatch.Ask {
+	soonDue := func() dispatch.Request {
 		as := large()
 		as.Deadline = as.Arrived.Add(500 * time.Millisecond)
 		return as
 	}
 	cases := map[string]struct {
-		ask func() dispatch.Ask
+		ask func() dispatch.Request
 		// full is set when no target has room at first. They have some from freedAt on; zero is never.
 		full    bool
 		freedAt time.Duration
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -25,7 +25,7 @@
 
 // closed reports whether a target takes no request of this one's now, and when it may be asked again.
 // The phase is that of the back-off that closes it; Open where it lacks permits.
-func (ds *Dispatcher) closed(as Ask, id string) (opens time.Time, by backoff.Phase, closed bool) {
+func (ds *Dispatcher) closed(as Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
 	if opens, by, closed = ds.backedOff(as, id); closed {
 		return opens, by, true
 	}
@@ -34,7 +34,7 @@
 }
 
 // unpermitted reports whether a target has no permit for a request now, and when it may be asked again.
-func (ds *Dispatcher) unpermitted(as Ask, id string) (opens time.Time, closed bool) {
+func (ds *Dispatcher) unpermitted(as Request, id string) (opens time.Time, closed bool) {
 	if ds.opts.Permits == nil || as.permitted == id {
 		return time.Time{}, false
 	}
@@ -46,7 +46,7 @@
 
 // permit asks for what the chosen target needs, before anything else is spent on it. Without a permit it fails with a noPermitError, and
 // the slot is released.
-func (ds *Dispatcher) permit(ctx context.Context, as Ask, sl *Slot) error {
+func (ds *Dispatcher) permit(ctx context.Context, as Request, sl *Slot) error {
 	if ds.opts.Permits == nil || as.permitted == sl.Target.ID {
 		return nil
 	}
@@ -61,7 +61,7 @@
 }
 
 // take asks for a permit, and tells of a refusal.
-func (ds *Dispatcher) take(ctx context.Context, as Ask, tg targets.Target, wait time.Duration) permit.Answer {
+func (ds *Dispatcher) take(ctx context.Context, as Request, tg targets.Target, wait time.Duration) permit.Answer {
 	an := ds.opts.Permits.Take(ctx, tg, wait)
 	if !an.Granted && ds.opts.TurnedElsewhere != nil {
 		ds.opts.TurnedElsewhere(as.ID, tg, an.After)
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -50,7 +50,7 @@
 }
 
 func TestRequestsGoAroundTargetsWithoutPermits(t *testing.T) {
-	asks := map[string]func() dispatch.Ask{"plain": plain, "short prompt": func() dispatch.Ask { return prompt(1000) }, "large prompt": func() dispatch.Ask { return prompt(memory + 1000) }}
+	asks := map[string]func() dispatch.Request{"plain": plain, "short prompt": func() dispatch.Request { return prompt(1000) }, "large prompt": func() dispatch.Request { return prompt(memory + 1000) }}
 	for name, ask := range asks {
 		t.Run(name, func(t *testing.T) {
 			pm := &permits{limited: []string{id(0), id(1)}, answer: never(time.Minute)}
@@ -80,7 +80,7 @@
 func TestRequestWithoutAnyPermitIsRefusedAtOnce(t *testing.T) {
 	pm := &permits{limited: []string{id(0), id(1)}, answer: never(7 * time.Second)}
 	limitedBench(t, 2, pm, func(be *bench) {
-		for name, as := range map[string]dispatch.Ask{"plain": plain(), "prompt": prompt(1000)} {
+		for name, as := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
 			began := time.Now()
 			fe := be.refused(as)
 			be.Expect(time.Since(began)).To(BeNumerically("<", objective/4), name)
@@ -99,7 +99,7 @@
 		return permit.Answer{Granted: after <= wait, After: after}
 	}}
 	limitedBench(t, 2, pm, func(be *bench) {
-		for name, as := range map[string]dispatch.Ask{"plain": plain(), "prompt": prompt(1000)} {
+		for name, as := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
 			began := time.Now()
 			free = began.Add(turn)
 			as.Arrived, as.Deadline = began, began.Add(time.Minute)
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -39,7 +39,7 @@
 // TestALongPromptWaitsForMemory keeps a prompt that lacks memory only because another one holds it from being refused.
 func TestALongPromptWaitsForMemory(t *testing.T) {
 	bubble(t, 3, func(be *bench) {
-		large := func() dispatch.Ask {
+		large := func() dispatch.Request {
 			as := prompt(50_000)
 			as.Service.Engine.Memory = 30_000
 			return as
@@ -140,7 +140,7 @@
 // TestHelperThatIsGoneIsNotChosenAgain has a target turn a prompt away for one of its helpers.
 func TestHelperThatIsGoneIsNotChosenAgain(t *testing.T) {
 	bubble(t, 6, func(be *bench) {
-		as := func() dispatch.Ask {
+		as := func() dispatch.Request {
 			as := prompt(9000)
 			as.Service.Engine.PerThousandRead = 300 * time.Millisecond
 			return as
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -25,7 +25,7 @@
 // sheds reports whether a short prompt is refused at once: all slots are taken, and its first token would hardly be in
 // time. Let in, it would make the next one late as well, and in the end all of them: every answer takes a slot for as
 // long, in time or not.
-func sheds(as Ask, pr placement.Prompt, pl placement.Plan, cands []placement.Target) bool {
+func sheds(as Request, pr placement.Prompt, pl placement.Plan, cands []placement.Target) bool {
 	if as.Resumed {
 		return false
 	}
@@ -60,7 +60,7 @@
 const longReturn = 0.33
 
 // refusal tells the caller of a prompt that was not placed when to come back.
-func (ds *Dispatcher) refusal(as Ask, pr placement.Prompt) error {
+func (ds *Dispatcher) refusal(as Request, pr placement.Prompt) error {
 	if as.long() {
 		after := time.Duration(longReturn * float64(max(pr.Left, 0)))
 		return failure.New(failure.Overloaded, failure.NotRun, "the prompt cannot be answered in its caller's time").WithRetryAfter(after)
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -23,7 +23,7 @@
 )
 
 // prompt describes a request to the placement.
-func (ds *Dispatcher) prompt(as Ask) placement.Prompt {
+func (ds *Dispatcher) prompt(as Request) placement.Prompt {
 	worth := worthBase + worthPerThousand*float64(as.PromptTokens)/1000
 	now := ds.opts.Now()
 	pause := as.MaxPause
@@ -38,7 +38,7 @@
 }
 
 // expectedAnswer is the caller's guess, else the usual answer, at most the bound that the caller set.
-func expectedAnswer(as Ask) int {
+func expectedAnswer(as Request) int {
 	expected := as.AnswerTokensHint
 	if expected == 0 {
 		expected = int(as.Service.Engine.UsualAnswer)
@@ -52,7 +52,7 @@
 }
 
 // place chooses the targets of a prompt and books it there.
-func (ds *Dispatcher) place(ctx context.Context, as Ask, tgs []targets.Target) (*Slot, bool, error) {
+func (ds *Dispatcher) place(ctx context.Context, as Request, tgs []targets.Target) (*Slot, bool, error) {
 	pr := ds.prompt(as)
 	sl, err := ds.choose(as, pr, tgs)
 	if err != nil || sl == nil {
@@ -91,7 +91,7 @@
 
 // choose books the plan of least expected loss under the book's lock, so that two requests do not see the same room. It
 // returns nil when the prompt has to wait, and an error when it is refused.
-func (ds *Dispatcher) choose(as Ask, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
+func (ds *Dispatcher) choose(as Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
 	lag := ds.lagNow()
 	ds.book.mu.Lock()
 	defer ds.book.mu.Unlock()
@@ -120,7 +120,7 @@
 
 // plan returns the best plan for a prompt, if any. Short prompts go to the short pool while they are in time there, and long ones
 // only where their parts are so small that nobody there has to wait for them.
-func (ds *Dispatcher) plan(as Ask, pr placement.Prompt, cands []placement.Target, ps pools, op placement.Options, lag time.Duration) (placement.Plan, bool) {
+func (ds *Dispatcher) plan(as Request, pr placement.Prompt, cands []placement.Target, ps pools, op placement.Options, lag time.Duration) (placement.Plan, bool) {
 	if as.Resumed || len(ps.short) == 0 || as.long() && !ps.mayKeep(as.Service.Engine, pr) {
 		return ds.planAnywhere(as, pr, cands, op, lag)
 	}
@@ -137,7 +137,7 @@
 
 // planAnywhere returns the best plan among all targets that are left. A stream that goes on elsewhere may end late: its caller reads
 // already.
-func (ds *Dispatcher) planAnywhere(as Ask, pr placement.Prompt, cands []placement.Target, op placement.Options, lag time.Duration) (placement.Plan, bool) {
+func (ds *Dispatcher) planAnywhere(as Request, pr placement.Prompt, cands []placement.Target, op placement.Options, lag time.Duration) (placement.Plan, bool) {
 	pl, ok := ds.chooseFrom(as, pr, cands, op, lag)
 	if _, ends := ds.ends(as); ok || !as.Resumed || ends {
 		return pl, ok
@@ -147,7 +147,7 @@
 }
 
 // candidates returns targets with their loads as the placement takes them. The book's lock is held.
-func (ds *Dispatcher) candidates(as Ask, tgs []targets.Target) []placement.Target {
+func (ds *Dispatcher) candidates(as Request, tgs []targets.Target) []placement.Target {
 	now := ds.opts.Now()
 	cands := make([]placement.Target, len(tgs))
 	for i, tg := range tgs {
@@ -167,7 +167,7 @@
 }
 
 // bookPlan books a plan at its targets. The book's lock is held.
-func (ds *Dispatcher) bookPlan(as Ask, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
+func (ds *Dispatcher) bookPlan(as Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
 	byID := make(map[string]targets.Target, len(tgs))
 	for _, tg := range tgs {
 		byID[tg.ID] = tg
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -92,7 +92,7 @@
 }
 
 // serves reports whether a short prompt is well served by a plan in the short pool.
-func (ps pools) serves(as Ask, pr placement.Prompt, pl placement.Plan) bool {
+func (ps pools) serves(as Request, pr placement.Prompt, pl placement.Plan) bool {
 	spared := float64(pl.Loss) <= shortLoss*float64(pr.InTime)
 	return spared && !late(as, pr, pl) && pl.Pause <= pr.LongestPause
 }
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -71,7 +71,7 @@
 }
 
 // urgent asks for a short prompt whose first token must come soon.
-func urgent() dispatch.Ask {
+func urgent() dispatch.Request {
 	as := prompt(1000)
 	as.Objective = 300 * time.Millisecond
 	return as
--- a/internal/dispatch/rank.go
+++ b/internal/dispatch/rank.go
@@ -13,10 +13,10 @@
 const shortTokens = 16_000
 
 // long reports whether a prompt is read in parts that others wait for.
-func (as Ask) long() bool { return as.PromptTokens > shortTokens }
+func (as Request) long() bool { return as.PromptTokens > shortTokens }
 
 // priority is the rank at the engine: that of the caller's organisation or route.
-func priority(as Ask) int {
+func priority(as Request) int {
 	if as.Resumed {
 		return rankResumed
 	}
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -193,7 +193,7 @@
 }
 
 // ask takes a request through its attempts, and counts what became of it.
-func (fl *replayFleet) ask(be *replayInstance, cl class, as dispatch.Ask) {
+func (fl *replayFleet) ask(be *replayInstance, cl class, as dispatch.Request) {
 	ctx, cancel := context.WithDeadline(context.Background(), as.Deadline)
 	defer cancel()
 	const attempts = 3
@@ -241,7 +241,7 @@
 }
 
 // serve runs an attempt, and returns the time to the first token, the longest pause, and whether the answer is whole.
-func (fl *replayFleet) serve(ctx context.Context, cl class, as dispatch.Ask, sl *dispatch.Slot) (first, pause time.Duration, whole bool) {
+func (fl *replayFleet) serve(ctx context.Context, cl class, as dispatch.Request, sl *dispatch.Slot) (first, pause time.Duration, whole bool) {
 	defer sl.Release()
 	main := fl.engines[sl.Target.ID]
 	if main.arrive() {
@@ -268,7 +268,7 @@
 }
 
 // read has a prompt read in even parts.
-func (fl *replayFleet) read(as dispatch.Ask, sl *dispatch.Slot) {
+func (fl *replayFleet) read(as dispatch.Request, sl *dispatch.Slot) {
 	// The first helper of a prompt with memory set aside is its main target.
 	reserved := len(sl.Helpers) > 0 && sl.Helpers[0].Reservation != ""
 	count := int64(len(sl.Helpers))
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -55,8 +55,8 @@
 func (be *clocked) pass(d time.Duration) { be.passed += d }
 
 // short asks for a prompt of the kind with the shortest objective.
-func (be *clocked) short() dispatch.Ask {
-	return dispatch.Ask{
+func (be *clocked) short() dispatch.Request {
+	return dispatch.Request{
 		ID: "r", Service: routes.Service{Name: "s", Engine: &engine}, PromptTokens: 5000, AnswerTokensHint: 1300,
 		Objective: 300 * time.Millisecond, MaxPause: 250 * time.Millisecond,
 		Arrived: be.now(), Deadline: be.now().Add(10 * time.Second),
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -20,7 +20,7 @@
 }
 
 // firstOpening returns the target of a request that may be asked for again first; it reports false unless all are closed.
-func (ds *Dispatcher) firstOpening(as Ask) (first opening, allClosed bool) {
+func (ds *Dispatcher) firstOpening(as Request) (first opening, allClosed bool) {
 	for no, tg := range ds.usable(as) {
 		at, by, closed := ds.closed(as, tg.ID)
 		if !closed {
@@ -37,7 +37,7 @@
 // turn gets a request whose targets are all closed to the one that opens first, and returns it changed accordingly: it waits for the end of
 // a back-off, is the one to find out whether there is one still, or books the next permit and waits for its turn. Where that does not come in
 // time, the request is refused at once with the time at which a target takes requests again. It reports false where a target is open.
-func (ds *Dispatcher) turn(ctx context.Context, as Ask) (Ask, bool, error) {
+func (ds *Dispatcher) turn(ctx context.Context, as Request) (Request, bool, error) {
 	as.permitted = ""
 	for tries := 0; ; tries++ {
 		first, allClosed := ds.firstOpening(as)
--- a/internal/dispatch/unseen.go
+++ b/internal/dispatch/unseen.go
@@ -24,7 +24,7 @@
 }
 
 // chooseFrom returns the best plan of a sample of the targets, and of all when that one would be late.
-func (ds *Dispatcher) chooseFrom(as Ask, pr placement.Prompt, cands []placement.Target, op placement.Options, lag time.Duration) (placement.Plan, bool) {
+func (ds *Dispatcher) chooseFrom(as Request, pr placement.Prompt, cands []placement.Target, op placement.Options, lag time.Duration) (placement.Plan, bool) {
 	drawn := ds.sample(as, cands, lag)
 	pl, ok := placement.Choose(*as.Service.Engine, pr, drawn, op)
 	if len(drawn) == len(cands) || ok && !late(as, pr, pl) {
@@ -37,7 +37,7 @@
 // in a large fleet many prompts are placed before the others hear of the first: sent to one target they would fill it
 // well beyond its slots. So each prompt chooses from targets drawn by itself, the fewer the more prompts are placed
 // unseen, such that about one of these finds the same target the best.
-func (ds *Dispatcher) sample(as Ask, cands []placement.Target, lag time.Duration) []placement.Target {
+func (ds *Dispatcher) sample(as Request, cands []placement.Target, lag time.Duration) []placement.Target {
 	unseen := unseenPlacements(as.Service.Engine, cands, lag)
 	size := max(leastSample, int(float64(len(cands))/max(1, unseen)))
 	if as.long() || size >= len(cands) {
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -267,7 +267,7 @@
 	defer cancel()
 	var tried []string
 	for len(tried) < simAttempts && !ca.served {
-		sl, err := be.dispatcher.Acquire(ctx, dispatch.Ask{
+		sl, err := be.dispatcher.Acquire(ctx, dispatch.Request{
 			ID: strconv.Itoa(no), Service: routes.Service{Name: "s"}, Exclude: tried, Objective: simObjective,
 			Arrived: ca.sent, Deadline: ca.sent.Add(simDeadline), CanRetry: len(tried) == 0, Retried: len(tried) > 0,
 		})
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -103,10 +103,10 @@
 	return gw.receive(ctx, rq, sk, sl, an)
 }
 
-func (gw *Gateway) ask(rq *request) dispatch.Ask {
+func (gw *Gateway) ask(rq *request) dispatch.Request {
 	sv, _ := rq.table.Service(rq.service)
 	sv.Name = rq.service
-	return dispatch.Ask{
+	return dispatch.Request{
 		ID: rq.RequestID, Service: sv, Exclude: rq.avoid,
 		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MostAnswerTokens, AnswerTokensHint: rq.AnswerHint, EventsForwarded: rq.events,
 		Objective: rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
