--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -19,8 +19,8 @@
 const unprobedFor = time.Second
 
 // probes reports whether a request may find out whether a target takes work again: it loses nothing when it is turned away.
-func (as Request) probes() bool {
-	return as.CanRetry && as.Caution == targets.Any && !as.long() && !as.Resumed
+func (rq Request) probes() bool {
+	return rq.CanRetry && rq.Caution == targets.Any && !rq.long() && !rq.Resumed
 }
 
 // backedOff reports whether a target is closed to a request for a back-off, and when it may be asked again. One that is on trial may be at
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -163,16 +163,16 @@
 }
 
 // soon is until when a request waits whose answer would else be late.
-func (as Request) soon() time.Time {
-	return as.Arrived.Add(time.Duration(waitShare * float64(as.Objective)))
+func (rq Request) soon() time.Time {
+	return rq.Arrived.Add(time.Duration(waitShare * float64(rq.Objective)))
 }
 
 // patience is until when a request waits for a target that takes requests again. One whose caller reads already goes on as long as it can.
-func (as Request) patience() time.Time {
-	if as.Resumed {
-		return as.Deadline
+func (rq Request) patience() time.Time {
+	if rq.Resumed {
+		return rq.Deadline
 	}
-	return as.soon()
+	return rq.soon()
 }
 
 // arrive notes a prompt that arrives.
@@ -255,11 +255,11 @@
 }
 
 // caution is the request's own, but for longer prompts: one that takes several targets is no probe.
-func (as Request) caution() targets.Caution {
-	if as.long() {
-		return max(as.Caution, targets.Proven)
+func (rq Request) caution() targets.Caution {
+	if rq.long() {
+		return max(rq.Caution, targets.Proven)
 	}
-	return as.Caution
+	return rq.Caution
 }
 
 func contains(ids []string, id string) bool {
--- a/internal/dispatch/rank.go
+++ b/internal/dispatch/rank.go
@@ -13,7 +13,7 @@
 const shortTokens = 16_000
 
 // long reports whether a prompt is read in parts that others wait for.
-func (as Request) long() bool { return as.PromptTokens > shortTokens }
+func (rq Request) long() bool { return rq.PromptTokens > shortTokens }
 
 // priority is the rank at the engine: that of the caller's organisation or route.
 func priority(as Request) int {
