--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -80,7 +80,7 @@
 	// Now is the steady clock.
 	Now func() time.Time
 	// Changed is told when what this instance has in flight changes.
-	Changed func()
+	OnLoadChange func()
 	// Permits is asked before a request goes to a target that names a rate limit; nil lets all go.
 	Permits *permit.Client
 	// BackOffs is which targets want no requests of this instance; nil for none.
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -174,7 +174,7 @@
 }
 
 func (ds *Dispatcher) changed() {
-	if ds.opts.Changed != nil {
-		ds.opts.Changed()
+	if ds.opts.OnLoadChange != nil {
+		ds.opts.OnLoadChange()
 	}
 }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -121,7 +121,7 @@
 		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(pc.Target), Head: hd, Came: time.Now()})
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
-		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, Changed: ch.Tell,
+		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, OnLoadChange: ch.Tell,
 		Permits: permits, TurnedElsewhere: turnedElsewhere(env.Logger("dispatch"), limits),
 		BackOffs: backOffs, Waits: waits(env.Logger("dispatch")),
 	})
