--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -123,8 +123,8 @@
 		return failure.New(failure.Overloaded, failure.NotRun, "all targets want no requests for now").
 			WithCause(&BackedOffError{Target: first.target.ID, After: wait}).WithRetryAfter(max(again, comeBack))
 	}
-	if ds.opts.Waits != nil && !over {
-		ds.opts.Waits(as.ID, first.target, wait)
+	if ds.opts.OnBackOffWait != nil && !over {
+		ds.opts.OnBackOffWait(as.ID, first.target, wait)
 	}
 	// The more urgent look first.
 	return sleep(ctx, wait+time.Duration(as.Priority)*rankStep)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -86,7 +86,7 @@
 	// BackOffs is which targets want no requests of this instance; nil for none.
 	BackOffs *backoff.Book
 	// Waits is told of each request that waits for the end of a target's back-off; it may be nil.
-	Waits func(request string, tg targets.Target, wait time.Duration)
+	OnBackOffWait func(request string, tg targets.Target, wait time.Duration)
 	// TurnedElsewhere is told of each request that was not let to a target; it may be nil.
 	TurnedElsewhere func(request string, tg targets.Target, again time.Duration)
 }
