--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -88,7 +88,7 @@
 	// Waits is told of each request that waits for the end of a target's back-off; it may be nil.
 	OnBackOffWait func(request string, tg targets.Target, wait time.Duration)
 	// TurnedElsewhere is told of each request that was not let to a target; it may be nil.
-	TurnedElsewhere func(request string, tg targets.Target, again time.Duration)
+	OnPermitRefused func(request string, tg targets.Target, again time.Duration)
 }
 
 // New returns a dispatcher.
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -63,8 +63,8 @@
 // take asks for a permit, and tells of a refusal.
 func (ds *Dispatcher) take(ctx context.Context, as Request, tg targets.Target, wait time.Duration) permit.Answer {
 	an := ds.opts.Permits.Take(ctx, tg, wait)
-	if !an.Granted && ds.opts.TurnedElsewhere != nil {
-		ds.opts.TurnedElsewhere(as.ID, tg, an.After)
+	if !an.Granted && ds.opts.OnPermitRefused != nil {
+		ds.opts.OnPermitRefused(as.ID, tg, an.After)
 	}
 	return an
 }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -122,7 +122,7 @@
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
 		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, OnLoadChange: ch.Tell,
-		Permits: permits, TurnedElsewhere: turnedElsewhere(env.Logger("dispatch"), limits),
+		Permits: permits, OnPermitRefused: turnedElsewhere(env.Logger("dispatch"), limits),
 		BackOffs: backOffs, OnBackOffWait: waits(env.Logger("dispatch")),
 	})
 	ld := blame.New(blame.Options{
