--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -48,7 +48,7 @@
 					be.Expect(sl.Targets()).NotTo(ContainElements(id(1)))
 					sl.Release()
 				}
-				be.Expect(be.Own()).To(BeEmpty(), "nothing stays booked")
+				be.Expect(be.OwnLoads()).To(BeEmpty(), "nothing stays booked")
 			})
 		})
 	}
@@ -165,12 +165,12 @@
 				sl.TurnedAway(time.Second)
 				sl.TurnedAway(time.Second)
 				sl.Release()
-				peer.Heard("i", be.Own())
+				peer.Heard("i", be.OwnLoads())
 				for range 2 {
 					be.Expect(peer.take(ask()).Target.ID).NotTo(Equal(sl.Target.ID))
 				}
 				time.Sleep(2 * time.Second)
-				be.Expect(be.Own()).To(BeEmpty(), "it is over with the back-off")
+				be.Expect(be.OwnLoads()).To(BeEmpty(), "it is over with the back-off")
 			})
 		})
 	}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -97,7 +97,7 @@
 }
 
 // Own returns what this instance has in flight, by incarnation.
-func (ds *Dispatcher) Own() map[string]placement.Load { return ds.book.ownLoads() }
+func (ds *Dispatcher) OwnLoads() map[string]placement.Load { return ds.book.ownLoads() }
 
 // Heard takes what a peer has in flight; nil forgets the peer.
 func (ds *Dispatcher) Heard(peer string, loads map[string]placement.Load) {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -195,12 +195,12 @@
 			sls = append(sls, be.take(plain()))
 		}
 		for no := range 3 {
-			be.Expect(be.Own()[id(no)].Writers).To(Equal(4))
+			be.Expect(be.OwnLoads()[id(no)].Writers).To(Equal(4))
 		}
 		for _, sl := range sls {
 			sl.Release()
 		}
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -290,13 +290,13 @@
 			sls = append(sls, <-got)
 		}
 		for no := range count {
-			be.Expect(be.Own()[id(no)].Readers).To(Equal(1))
-			be.Expect(be.Own()[id(no)].Memory).To(BeNumerically("<=", memory))
+			be.Expect(be.OwnLoads()[id(no)].Readers).To(Equal(1))
+			be.Expect(be.OwnLoads()[id(no)].Memory).To(BeNumerically("<=", memory))
 		}
 		for _, sl := range sls {
 			sl.Release()
 		}
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -361,11 +361,11 @@
 		sl.FirstToken()
 		sl.FirstToken()
 		sl.Release()
-		before := be.Own()
+		before := be.OwnLoads()
 		sl.Release()
-		be.Expect(be.Own()).To(Equal(before))
+		be.Expect(be.OwnLoads()).To(Equal(before))
 		other.Release()
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/end_test.go
@@ -90,7 +90,7 @@
 				if tc.code == failure.Stopping {
 					be.Expect(fe.RetryAfter).To(Equal(dispatch.ComeBackElsewhere))
 				}
-				be.Expect(be.Own()).To(BeEmpty())
+				be.Expect(be.OwnLoads()).To(BeEmpty())
 			})
 		})
 	}
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -61,7 +61,7 @@
 					sl.Release()
 				}
 				be.Expect(pm.asked.Load()).To(BeNumerically("<=", 2), "a target that was refused is not asked for again")
-				be.Expect(be.Own()).To(BeEmpty(), "nothing stays booked")
+				be.Expect(be.OwnLoads()).To(BeEmpty(), "nothing stays booked")
 			})
 		})
 	}
@@ -139,7 +139,7 @@
 		time.AfterFunc(objective/20, cancel)
 		_, err := be.Acquire(ctx, plain())
 		be.Expect(err).To(MatchError(context.Canceled))
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -32,7 +32,7 @@
 		be.Expect(second).To(HaveLen(1), "the release did not wake the request that waits")
 		(<-second).Release()
 		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -56,7 +56,7 @@
 		be.Expect(second).To(HaveLen(1))
 		(<-second).Release()
 		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -71,7 +71,7 @@
 				}
 				defer sl.Release()
 				for at := range 3 {
-					if held := be.Own()[id(at)].Memory; held > memory {
+					if held := be.OwnLoads()[id(at)].Memory; held > memory {
 						be.t.Errorf("%d tokens are booked at %s", held, id(at))
 					}
 				}
@@ -82,7 +82,7 @@
 		}
 		wg.Wait()
 		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -93,8 +93,8 @@
 		be.Expect(sl.Helpers[0].ID).To(Equal(sl.Target.ID))
 		held := int64(0)
 		for no := range 3 {
-			be.Expect(be.Own()[id(no)].Memory).To(BeNumerically("<=", memory))
-			held += be.Own()[id(no)].Memory
+			be.Expect(be.OwnLoads()[id(no)].Memory).To(BeNumerically("<=", memory))
+			held += be.OwnLoads()[id(no)].Memory
 		}
 		be.Expect(held).To(BeNumerically(">=", 15_000))
 		sl.FirstToken()
@@ -103,7 +103,7 @@
 		reserved, released := be.orders.sums()
 		be.Expect(reserved).To(Equal(len(sl.Helpers)))
 		be.Expect(released).To(Equal(reserved))
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -169,7 +169,7 @@
 		be.Expect(fe.Outcome).To(Equal(failure.NotRun))
 		be.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
 		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 		be.orders.mu.Lock()
 		defer be.orders.mu.Unlock()
 		be.Expect(be.orders.released).To(Equal(be.orders.reserved))
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -86,7 +86,7 @@
 		failed := sl.Target.ID
 		sl.Failed()
 		sl.Release()
-		told := be.Own()
+		told := be.OwnLoads()
 		be.Expect(told).To(HaveKey(failed), "peers hear of it")
 		for range 3 {
 			next := be.take(urgent())
@@ -94,6 +94,6 @@
 			next.Release()
 		}
 		time.Sleep(3 * time.Second)
-		be.Expect(be.Own()).To(BeEmpty())
+		be.Expect(be.OwnLoads()).To(BeEmpty())
 	})
 }
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -294,7 +294,7 @@
 	for ctx.Err() == nil {
 		time.Sleep(replayTell)
 		for _, from := range fl.instances {
-			loads := from.Own()
+			loads := from.OwnLoads()
 			if maps.Equal(loads, from.told) {
 				continue
 			}
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -66,7 +66,7 @@
 // sums returns what this instance's readers and writers lose together when they are late, at all targets.
 func (be *clocked) sums() (placement.Worth, placement.Worth) {
 	var waiting, atRisk placement.Worth
-	for _, lo := range be.ds.Own() {
+	for _, lo := range be.ds.OwnLoads() {
 		for cl := range lo.AtRisk {
 			waiting += lo.Waiting[cl]
 			atRisk += lo.AtRisk[cl]
@@ -101,9 +101,9 @@
 			sl.Event()
 			_, atRisk := be.sums()
 			g.Expect(atRisk == 0).To(Equal(ca.late))
-			g.Expect(be.ds.Own()["t1"].Writers).To(Equal(1))
+			g.Expect(be.ds.OwnLoads()["t1"].Writers).To(Equal(1))
 			sl.Release()
-			g.Expect(be.ds.Own()).To(BeEmpty())
+			g.Expect(be.ds.OwnLoads()).To(BeEmpty())
 		})
 	}
 }
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -158,7 +158,7 @@
 func (du *duty) body() []byte {
 	st := peerstate.State{Leaving: du.dr.Leaving()}
 	if !du.left.Load() {
-		st.Loads = du.ds.Own()
+		st.Loads = du.ds.OwnLoads()
 	}
 	at, heard := du.dr.ChangedAt()
 	st.Targets = at
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -180,7 +180,7 @@
 	fl.wg.Go(func() {
 		time.Sleep(fl.within(simTold))
 		loads := map[string]placement.Load{}
-		for id, lo := range be.dispatcher.Own() {
+		for id, lo := range be.dispatcher.OwnLoads() {
 			if _, backedOff := be.recorder.BackOffs.Until(id); backedOff {
 				loads[id] = lo
 			}
