--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -165,7 +165,7 @@
 				sl.TurnedAway(time.Second)
 				sl.TurnedAway(time.Second)
 				sl.Release()
-				peer.Heard("i", be.OwnLoads())
+				peer.SetPeerLoads("i", be.OwnLoads())
 				for range 2 {
 					be.Expect(peer.take(ask()).Target.ID).NotTo(Equal(sl.Target.ID))
 				}
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -100,7 +100,7 @@
 func (ds *Dispatcher) OwnLoads() map[string]placement.Load { return ds.book.ownLoads() }
 
 // Heard takes what a peer has in flight; nil forgets the peer.
-func (ds *Dispatcher) Heard(peer string, loads map[string]placement.Load) {
+func (ds *Dispatcher) SetPeerLoads(peer string, loads map[string]placement.Load) {
 	ds.book.setPeer(peer, loads)
 }
 
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -216,16 +216,16 @@
 			be.take(plain())
 		}, nil, id(1)},
 		"the one that a peer does not use": {func(be *bench) {
-			be.Heard("peer", map[string]placement.Load{id(0): {Writers: 3}})
+			be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 3}})
 		}, nil, id(1)},
 		"loads of several peers count": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Writers: 2}, id(1): {Writers: 3}})
-			be.Heard("p2", map[string]placement.Load{id(0): {Writers: 2}})
+			be.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 2}, id(1): {Writers: 3}})
+			be.SetPeerLoads("p2", map[string]placement.Load{id(0): {Writers: 2}})
 		}, nil, id(1)},
 		"a lost peer's load does not": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Writers: 9}})
-			be.Heard("p2", map[string]placement.Load{id(1): {Writers: 1}})
-			be.Heard("p1", nil)
+			be.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 9}})
+			be.SetPeerLoads("p2", map[string]placement.Load{id(1): {Writers: 1}})
+			be.SetPeerLoads("p1", nil)
 		}, nil, id(0)},
 		"not the leaving one":    {func(be *bench) { be.put(0, zone, true) }, nil, id(1)},
 		"not the one to avoid":   {func(*bench) {}, []string{id(0)}, id(1)},
@@ -302,25 +302,25 @@
 
 func TestPeersLoadsCountForPrompts(t *testing.T) {
 	bubble(t, 2, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: 9000, Writers: 1, Context: 9000}})
+		be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: 9000, Writers: 1, Context: 9000}})
 		for range 5 {
 			sl := be.take(prompt(4000))
 			be.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
-		be.Heard("peer", map[string]placement.Load{id(1): {Memory: 9000, Writers: 1, Context: 9000}})
+		be.SetPeerLoads("peer", map[string]placement.Load{id(1): {Memory: 9000, Writers: 1, Context: 9000}})
 		be.Expect(be.take(prompt(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
 
 func TestPeerWakesARequestThatWaits(t *testing.T) {
 	bubble(t, 3, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {Memory: memory}, id(1): {Memory: memory}})
+		be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: memory}, id(1): {Memory: memory}})
 		got := be.send(prompt(largest))
 		time.Sleep(objective / 2)
 		synctest.Wait()
 		be.Expect(got).To(BeEmpty())
-		be.Heard("peer", map[string]placement.Load{})
+		be.SetPeerLoads("peer", map[string]placement.Load{})
 		time.Sleep(2 * travel)
 		synctest.Wait()
 		be.Expect(got).To(HaveLen(1))
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/end_test.go
@@ -19,7 +19,7 @@
 	for no := range count {
 		loads[id(no)] = placement.Load{Memory: memory}
 	}
-	be.Heard("peer", loads)
+	be.SetPeerLoads("peer", loads)
 }
 
 // TestPromptsAtTheEndOfTheInstance asks for room while the instance ends: reading and writing take 0.15 s at idle targets.
@@ -65,7 +65,7 @@
 					be.full(targets)
 				}
 				if tc.freedAt > 0 {
-					time.AfterFunc(tc.freedAt, func() { be.Heard("peer", nil) })
+					time.AfterFunc(tc.freedAt, func() { be.SetPeerLoads("peer", nil) })
 				}
 				tell := func() { be.SetEnd(time.Now().Add(tc.endsIn)) }
 				if tc.toldAt == 0 {
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -34,7 +34,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, 3, func(be *bench) {
-				be.Heard("peer", crowd(tt.writers))
+				be.SetPeerLoads("peer", crowd(tt.writers))
 				as := prompt(tt.tokens)
 				as.Service.Engine.Memory = 100_000
 				as.Objective, as.Resumed = 300*time.Millisecond, tt.resumed
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -301,7 +301,7 @@
 			from.told = loads
 			for _, to := range fl.instances {
 				if to != from {
-					to.Heard(from.name, loads)
+					to.SetPeerLoads(from.name, loads)
 				}
 			}
 		}
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -154,8 +154,8 @@
 	quiet := sl.LongestSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
 	reading := placement.Load{Parts: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
-	be.ds.Heard("peer", map[string]placement.Load{"t1": reading})
+	be.ds.SetPeerLoads("peer", map[string]placement.Load{"t1": reading})
 	g.Expect(sl.LongestSilence()).To(BeNumerically(">", quiet+time.Second))
-	be.ds.Heard("peer", nil)
+	be.ds.SetPeerLoads("peer", nil)
 	g.Expect(sl.LongestSilence()).To(Equal(quiet))
 }
--- a/internal/dispatch/unseen_test.go
+++ b/internal/dispatch/unseen_test.go
@@ -62,7 +62,7 @@
 		t.Run(name, func(t *testing.T) {
 			bubble(t, 64, func(be *bench) {
 				be.SetLag(func() time.Duration { return tt.lag })
-				be.Heard("peer", fleetLoads())
+				be.SetPeerLoads("peer", fleetLoads())
 				be.Expect(be.busiest(prompts)).To(BeNumerically("<=", tt.most))
 				if tt.most == prompts {
 					be.Expect(be.busiest(prompts)).To(BeNumerically(">", 16))
@@ -76,7 +76,7 @@
 func TestLongPromptsSeeAllTargets(t *testing.T) {
 	bubble(t, 17, func(be *bench) {
 		be.SetLag(func() time.Duration { return time.Hour })
-		be.Heard("peer", map[string]placement.Load{id(0): {Writers: 1, Context: 100, Memory: 100}})
+		be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 1, Context: 100, Memory: 100}})
 		as := prompt(17_000)
 		as.Service.Engine.Memory, as.Service.Engine.PerThousandRead = 100_000, 100*time.Millisecond
 		as.Objective = 150 * time.Millisecond
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -189,7 +189,7 @@
 	if loads == nil {
 		loads = map[string]placement.Load{}
 	}
-	du.ds.Heard(from.Name, loads)
+	du.ds.SetPeerLoads(from.Name, loads)
 	for _, id := range st.Leaving {
 		if du.dr.MarkLeaving(id) {
 			du.lg.WithFields(log.Fields{"target": id, "peer": from.Name, "age": time.Since(made).String(), "source": "peer"}).Info("target leaving")
@@ -255,7 +255,7 @@
 }
 
 func (du *duty) lost(mb gossip.Member) {
-	du.ds.Heard(mb.Name, nil)
+	du.ds.SetPeerLoads(mb.Name, nil)
 	du.ld.Lost(mb.Name)
 	if silentZone(mb, du.ms.Live()) && du.dr.PeerLost(mb.AvailabilityZone, mb.Name) {
 		du.lg.WithFields(log.Fields{"zone": mb.AvailabilityZone, "cause": "instances lost"}).Warn("availability zone left out")
--- a/internal/feedback/fleet_test.go
+++ b/internal/feedback/fleet_test.go
@@ -135,7 +135,7 @@
 			fl.mu.Lock()
 			in.up = false
 			for _, peer := range fl.instances {
-				peer.dispatcher.Heard(strconv.Itoa(in.no), nil)
+				peer.dispatcher.SetPeerLoads(strconv.Itoa(in.no), nil)
 			}
 			fl.mu.Unlock()
 			time.Sleep(500 * time.Millisecond)
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -190,7 +190,7 @@
 		in.hinting = false
 		for _, peer := range fl.instances {
 			if peer != in && in.up && in.life == life && !in.cut && peer.up && !peer.cut {
-				peer.dispatcher.Heard(strconv.Itoa(in.no), loads)
+				peer.dispatcher.SetPeerLoads(strconv.Itoa(in.no), loads)
 			}
 		}
 	})
