--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -163,7 +163,7 @@
 
 func newReplayInstance(t *testing.T, no, targets int) *replayInstance {
 	be := newBench(t, targets, func(op *dispatch.Options) { op.Instance = fmt.Sprint("instance-", no) })
-	be.SetLag(func() time.Duration { return replayTell })
+	be.SetPropagationDelay(func() time.Duration { return replayTell })
 	return &replayInstance{bench: be, name: fmt.Sprint("instance-", no)}
 }
 
--- a/internal/dispatch/unseen.go
+++ b/internal/dispatch/unseen.go
@@ -12,7 +12,7 @@
 
 // SetLag sets what tells how long it takes until an instance's choice is known to the others. Without it the choice
 // counts as known at once.
-func (ds *Dispatcher) SetLag(lag func() time.Duration) { ds.lag.Store(&lag) }
+func (ds *Dispatcher) SetPropagationDelay(lag func() time.Duration) { ds.lag.Store(&lag) }
 
 // lagNow returns how long it takes until an instance's choice is known to the others.
 func (ds *Dispatcher) lagNow() time.Duration {
--- a/internal/dispatch/unseen_test.go
+++ b/internal/dispatch/unseen_test.go
@@ -61,7 +61,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, 64, func(be *bench) {
-				be.SetLag(func() time.Duration { return tt.lag })
+				be.SetPropagationDelay(func() time.Duration { return tt.lag })
 				be.SetPeerLoads("peer", fleetLoads())
 				be.Expect(be.busiest(prompts)).To(BeNumerically("<=", tt.most))
 				if tt.most == prompts {
@@ -75,7 +75,7 @@
 // TestLongPromptsSeeAllTargets has a long prompt that needs every target to read it.
 func TestLongPromptsSeeAllTargets(t *testing.T) {
 	bubble(t, 17, func(be *bench) {
-		be.SetLag(func() time.Duration { return time.Hour })
+		be.SetPropagationDelay(func() time.Duration { return time.Hour })
 		be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 1, Context: 100, Memory: 100}})
 		as := prompt(17_000)
 		as.Service.Engine.Memory, as.Service.Engine.PerThousandRead = 100_000, 100*time.Millisecond
