--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -13,7 +13,7 @@
 
 // SetEnd sets when this instance ends. From now on an answer must be whole by then; a request that waits for room looks
 // again at once.
-func (ds *Dispatcher) SetEnd(at time.Time) {
+func (ds *Dispatcher) SetShutdownTime(at time.Time) {
 	ds.end.Store(&at)
 	ds.book.wake()
 }
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/end_test.go
@@ -67,7 +67,7 @@
 				if tc.freedAt > 0 {
 					time.AfterFunc(tc.freedAt, func() { be.SetPeerLoads("peer", nil) })
 				}
-				tell := func() { be.SetEnd(time.Now().Add(tc.endsIn)) }
+				tell := func() { be.SetShutdownTime(time.Now().Add(tc.endsIn)) }
 				if tc.toldAt == 0 {
 					tell()
 				} else {
