--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -135,7 +135,7 @@
 
 // ReturnAfter returns when the caller of a request that was turned away may come back: at once, but for where all targets of the service are
 // backed off from.
-func (ds *Dispatcher) ReturnAfter(service string) time.Duration {
+func (ds *Dispatcher) RetryAfter(service string) time.Duration {
 	var first time.Time
 	for _, tg := range ds.targets.Usable(service, targets.Proven) {
 		ph, at := ds.phase(tg.ID)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -219,7 +219,7 @@
 	tgs := ds.usable(as)
 	if len(tgs) == 0 {
 		return nil, false, failure.New(failure.NoTarget, failure.NotRun, "no target of the service takes work").
-			WithRetryAfter(ds.ReturnAfter(as.Service.Name))
+			WithRetryAfter(ds.RetryAfter(as.Service.Name))
 	}
 	if as.Service.Engine != nil && as.PromptTokens > 0 {
 		return ds.place(ctx, as, tgs)
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -75,7 +75,7 @@
 	sl.Shed(atFault)
 	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, AtFault: atFault}, true)
 	return failure.New(failure.TargetShed, gw.outcome(rq), "the target has no room").
-		WithRetryAfter(gw.Dispatcher.ReturnAfter(rq.service))
+		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
 
 // ShedError says that a target turned a request away without running it.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -275,7 +275,7 @@
 	rq.avoid = slices.DeleteFunc(rq.avoid, func(id string) bool { return id == sl.Target.ID })
 	gw.logPassedOver(rq, sl.Target, ce.Error())
 	return failure.New(failure.TargetUnreachable, gw.outcome(rq), "the target takes no requests now").
-		WithRetryAfter(gw.Dispatcher.ReturnAfter(rq.service))
+		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
 
 // failed notes a failed attempt at a target.
