--- a/internal/dispatch/end.go
+++ b/internal/dispatch/end.go
@@ -9,7 +9,7 @@
 
 // ComeBackElsewhere is when a caller of an instance that ends should come back, over a new connection to another one: about a
 // round trip.
-const ComeBackElsewhere = 50 * time.Millisecond
+const RetryElsewhereAfter = 50 * time.Millisecond
 
 // SetEnd sets when this instance ends. From now on an answer must be whole by then; a request that waits for room looks
 // again at once.
@@ -47,5 +47,5 @@
 // endRefusal tells a caller that this instance ends before it could answer.
 func endRefusal() error {
 	return failure.New(failure.Stopping, failure.NotRun, "the instance ends before the answer would; another takes the request").
-		WithRetryAfter(ComeBackElsewhere)
+		WithRetryAfter(RetryElsewhereAfter)
 }
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/end_test.go
@@ -88,7 +88,7 @@
 				be.Expect(fe.Code).To(Equal(tc.code))
 				be.Expect(fe.Outcome).To(Equal(failure.NotRun))
 				if tc.code == failure.Stopping {
-					be.Expect(fe.RetryAfter).To(Equal(dispatch.ComeBackElsewhere))
+					be.Expect(fe.RetryAfter).To(Equal(dispatch.RetryElsewhereAfter))
 				}
 				be.Expect(be.OwnLoads()).To(BeEmpty())
 			})
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -107,7 +107,7 @@
 	rq.Facts = fa
 	rq.lastEvent = fa.ResumeAfter
 	if gw.closed.Load() {
-		return rq, refused(failure.Stopping, dispatch.ComeBackElsewhere, "the instance ends soon; another takes the request")
+		return rq, refused(failure.Stopping, dispatch.RetryElsewhereAfter, "the instance ends soon; another takes the request")
 	}
 	if err := gw.allow(rq); err != nil {
 		return rq, err
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -39,5 +39,5 @@
 // cutShort is the failure of a request that the end of the instance ended.
 func (gw *Gateway) cutShort(rq *request) *failure.Error {
 	return failure.New(failure.Stopping, gw.outcome(rq), "the instance has ended; another takes the request").
-		WithRetryAfter(dispatch.ComeBackElsewhere)
+		WithRetryAfter(dispatch.RetryElsewhereAfter)
 }
