--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -99,13 +99,13 @@
 // BackedOffError says that a request finds no target for the back-offs of all.
 type BackedOffError struct {
 	// Target is the incarnation whose back-off ends first, and After the time until then.
-	Target string
-	After  time.Duration
+	Target    string
+	Remaining time.Duration
 }
 
 // Error names the target.
 func (be *BackedOffError) Error() string {
-	return "target " + be.Target + " wants no requests for " + be.After.Round(time.Millisecond).String()
+	return "target " + be.Target + " wants no requests for " + be.Remaining.Round(time.Millisecond).String()
 }
 
 // awaitBackOff waits until a target may be on trial, the earliest of all, where a request has the time. Else it fails at once with the time
@@ -121,7 +121,7 @@
 		// Those that were refused at one moment do not come back at one moment.
 		again := wait + time.Duration(fraction(as.ID, ds.opts.Instance)*float64(comeBack))
 		return failure.New(failure.Overloaded, failure.NotRun, "all targets want no requests for now").
-			WithCause(&BackedOffError{Target: first.target.ID, After: wait}).WithRetryAfter(max(again, comeBack))
+			WithCause(&BackedOffError{Target: first.target.ID, Remaining: wait}).WithRetryAfter(max(again, comeBack))
 	}
 	if ds.opts.OnBackOffWait != nil && !over {
 		ds.opts.OnBackOffWait(as.ID, first.target, wait)
