--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -66,7 +66,7 @@
 
 // TurnedAway notes that the target turned the request away for a time. For peers, who may be welcome there, that is a load like any other:
 // they prefer other targets as long as these have room, and need not all be turned away before they know.
-func (sl *Slot) TurnedAway(backOff time.Duration) {
+func (sl *Slot) RecordBackOff(backOff time.Duration) {
 	if !sl.ds.hint(sl.Target.ID) {
 		return
 	}
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -162,8 +162,8 @@
 			backOffBench(t, 2, func(be *bench, _ *backoff.Book) {
 				peer := newBench(be.t, 2)
 				sl := be.take(ask())
-				sl.TurnedAway(time.Second)
-				sl.TurnedAway(time.Second)
+				sl.RecordBackOff(time.Second)
+				sl.RecordBackOff(time.Second)
 				sl.Release()
 				peer.SetPeerLoads("i", be.OwnLoads())
 				for range 2 {
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -326,7 +326,7 @@
 	be.recorder.Record(feedback.Report{Source: feedback.Request, Target: meant, Head: hd, Sent: sent, Came: time.Now()})
 	be.directory.Reached(meant.ID)
 	if hd.BackOff > 0 {
-		sl.TurnedAway(hd.BackOff)
+		sl.RecordBackOff(hd.BackOff)
 		fl.hint(in, life, be)
 		time.AfterFunc(hd.BackOff, func() { fl.hint(in, life, be) })
 	}
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -23,7 +23,7 @@
 		rq.tried = append(rq.tried, sl.Target.ID)
 	}
 	if rq.head.BackOff > 0 {
-		sl.TurnedAway(rq.head.BackOff)
+		sl.RecordBackOff(rq.head.BackOff)
 	}
 	switch verdict {
 	case answer.Shed:
