--- a/internal/dispatch/failed.go
+++ b/internal/dispatch/failed.go
@@ -20,7 +20,7 @@
 )
 
 // Failed notes that the target broke the attempt off or failed it.
-func (sl *Slot) Failed() {
+func (sl *Slot) RecordFailure() {
 	if sl.engine == nil {
 		return
 	}
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -84,7 +84,7 @@
 	bubble(t, 2, func(be *bench) {
 		sl := be.take(urgent())
 		failed := sl.Target.ID
-		sl.Failed()
+		sl.RecordFailure()
 		sl.Release()
 		told := be.OwnLoads()
 		be.Expect(told).To(HaveKey(failed), "peers hear of it")
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -245,7 +245,7 @@
 	defer sl.Release()
 	main := fl.engines[sl.Target.ID]
 	if main.arrive() {
-		sl.Failed()
+		sl.RecordFailure()
 		return 0, 0, false
 	}
 	main.slots <- struct{}{}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -83,7 +83,7 @@
 	}
 	err = gw.exchangeWith(ctx, rq, sk, sl)
 	if err != nil && ofTarget(failure.Of(err)) {
-		sl.Failed()
+		sl.RecordFailure()
 	}
 	return err
 }
