--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -148,7 +148,7 @@
 		sl := be.take(as())
 		be.Expect(sl.Helpers).NotTo(BeEmpty())
 		gone := sl.Helpers[0]
-		sl.Shed(gone.Address)
+		sl.RecordShed(gone.Address)
 		sl.Release()
 		for range 4 {
 			next := be.take(as())
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -115,7 +115,7 @@
 
 // Shed notes that the target turned the request away for lack of room; address names the target at fault when it is a
 // helper, which is then no helper for others either.
-func (sl *Slot) Shed(address string) {
+func (sl *Slot) RecordShed(address string) {
 	now := sl.ds.opts.Now()
 	for _, hp := range sl.Helpers {
 		if hp.Address == address {
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -72,7 +72,7 @@
 		an.Whole()
 	}
 	atFault := rq.head.AtFault
-	sl.Shed(atFault)
+	sl.RecordShed(atFault)
 	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, AtFault: atFault}, true)
 	return failure.New(failure.TargetShed, gw.outcome(rq), "the target has no room").
 		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
