--- a/internal/dispatch/defer_test.go
+++ b/internal/dispatch/defer_test.go
@@ -175,7 +175,7 @@
 		slots := be.writing(g, 12)
 		time.Sleep(time.Second)
 		for _, sl := range slots {
-			sl.Event()
+			sl.RecordEvent()
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -262,7 +262,7 @@
 		<-wr.events
 		pause = max(pause, time.Since(at))
 		at = time.Now()
-		sl.Event()
+		sl.RecordEvent()
 	}
 	return first, pause, true
 }
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -128,7 +128,7 @@
 
 // Event notes an event passed on. A pause that was too long makes the answer late: its target need not be spared for
 // it any more.
-func (sl *Slot) Event() {
+func (sl *Slot) RecordEvent() {
 	if !sl.writing || sl.late {
 		return
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -117,7 +117,7 @@
 		}
 		wd.reset(stall)
 		gw.Targets.Reached(sl.Target.ID)
-		sl.Event()
+		sl.RecordEvent()
 		if ev.id >= 0 && ev.id <= rq.lastEvent {
 			// The event was passed on before the stream moved here.
 			continue
