--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -32,7 +32,7 @@
 					return sl
 				}
 				for range count / 10 {
-					take(be.short()).FirstToken()
+					take(be.short()).RecordFirstToken()
 				}
 				for b.Loop() {
 					take(ask(be)).Release()
--- a/internal/dispatch/defer_test.go
+++ b/internal/dispatch/defer_test.go
@@ -154,7 +154,7 @@
 	for range count {
 		sl, err := be.ds.Acquire(context.Background(), be.short())
 		g.Expect(err).NotTo(HaveOccurred())
-		sl.FirstToken()
+		sl.RecordFirstToken()
 		slots = append(slots, sl)
 	}
 	return slots
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -358,8 +358,8 @@
 	bubble(t, 1, func(be *bench) {
 		other := be.take(prompt(1000))
 		sl := be.take(prompt(1000))
-		sl.FirstToken()
-		sl.FirstToken()
+		sl.RecordFirstToken()
+		sl.RecordFirstToken()
 		sl.Release()
 		before := be.OwnLoads()
 		sl.Release()
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -45,7 +45,7 @@
 			return as
 		}
 		first := be.take(large())
-		first.FirstToken()
+		first.RecordFirstToken()
 		second := be.send(large())
 		time.Sleep(objective / 2)
 		synctest.Wait()
@@ -76,7 +76,7 @@
 					}
 				}
 				time.Sleep(50 * time.Millisecond)
-				sl.FirstToken()
+				sl.RecordFirstToken()
 				time.Sleep(50 * time.Millisecond)
 			})
 		}
@@ -97,7 +97,7 @@
 			held += be.OwnLoads()[id(no)].Memory
 		}
 		be.Expect(held).To(BeNumerically(">=", 15_000))
-		sl.FirstToken()
+		sl.RecordFirstToken()
 		sl.Release()
 		time.Sleep(time.Second)
 		reserved, released := be.orders.sums()
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -62,7 +62,7 @@
 	for range 3 * engine.Slots {
 		sl, err := be.ds.Acquire(t.Context(), be.short())
 		g.Expect(err).NotTo(HaveOccurred())
-		sl.FirstToken()
+		sl.RecordFirstToken()
 		used[sl.Target.ID]++
 	}
 	for id, n := range used {
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -255,7 +255,7 @@
 		return 0, 0, false
 	}
 	first = time.Since(as.Arrived)
-	sl.FirstToken()
+	sl.RecordFirstToken()
 	wr := main.write(int64(as.PromptTokens), cl.events)
 	defer main.done(wr)
 	for at := time.Now(); cl.events > 0; cl.events-- {
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -74,7 +74,7 @@
 }
 
 // FirstToken notes that the answer has begun: the prompt is read everywhere.
-func (sl *Slot) FirstToken() {
+func (sl *Slot) RecordFirstToken() {
 	if sl.prompt.Tokens == 0 || sl.writing {
 		return
 	}
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -95,7 +95,7 @@
 			waiting, _ := be.sums()
 			g.Expect(waiting).To(BeNumerically(">", 0))
 			be.pass(ca.first)
-			sl.FirstToken()
+			sl.RecordFirstToken()
 			sl.RecordEvent()
 			be.pass(ca.pause)
 			sl.RecordEvent()
@@ -139,7 +139,7 @@
 	sl, err := be.ds.Acquire(context.Background(), as)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer sl.Release()
-	sl.FirstToken()
+	sl.RecordFirstToken()
 	waiting, atRisk := be.sums()
 	g.Expect(waiting + atRisk).To(BeZero())
 }
@@ -150,7 +150,7 @@
 	be := newClocked("t1")
 	sl, err := be.ds.Acquire(context.Background(), be.short())
 	g.Expect(err).NotTo(HaveOccurred())
-	sl.FirstToken()
+	sl.RecordFirstToken()
 	quiet := sl.LongestSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
 	reading := placement.Load{Parts: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -116,7 +116,7 @@
 	} else {
 		gw.held(sl.Target)
 	}
-	sl.FirstToken()
+	sl.RecordFirstToken()
 	if err := gw.fire(ctx, rq, life.FirstToken); err != nil {
 		return err
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -109,7 +109,7 @@
 		}
 		if fresh {
 			fresh = false
-			sl.FirstToken()
+			sl.RecordFirstToken()
 			gw.observeFirst(rq, sl)
 			if err := gw.fire(ctx, rq, life.FirstToken); err != nil {
 				return err
