--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -103,7 +103,7 @@
 const passMargin = 1.2
 
 // LongestSilence is how long the target may be silent with all that is read there now; zero for plain services.
-func (sl *Slot) LongestSilence() time.Duration {
+func (sl *Slot) MaxSilence() time.Duration {
 	if sl.engine == nil {
 		return 0
 	}
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -151,11 +151,11 @@
 	sl, err := be.ds.Acquire(context.Background(), be.short())
 	g.Expect(err).NotTo(HaveOccurred())
 	sl.RecordFirstToken()
-	quiet := sl.LongestSilence()
+	quiet := sl.MaxSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
 	reading := placement.Load{Parts: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
 	be.ds.SetPeerLoads("peer", map[string]placement.Load{"t1": reading})
-	g.Expect(sl.LongestSilence()).To(BeNumerically(">", quiet+time.Second))
+	g.Expect(sl.MaxSilence()).To(BeNumerically(">", quiet+time.Second))
 	be.ds.SetPeerLoads("peer", nil)
-	g.Expect(sl.LongestSilence()).To(Equal(quiet))
+	g.Expect(sl.MaxSilence()).To(Equal(quiet))
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -89,7 +89,7 @@
 	// A copy: the timer may look at it while the next attempt begins.
 	tried := slices.Clone(rq.tried)
 	wd := newWatchdog(an, stall, func(silence time.Duration) bool {
-		if silence <= sl.LongestSilence() {
+		if silence <= sl.MaxSilence() {
 			return false
 		}
 		gw.silent(sl.Target)
