--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -44,8 +44,8 @@
 				bk.Ask(id(1), time.Minute, time.Now())
 				for range 6 {
 					sl := be.take(ask())
-					be.Expect(sl.Targets()).NotTo(ContainElements(id(0)))
-					be.Expect(sl.Targets()).NotTo(ContainElements(id(1)))
+					be.Expect(sl.TargetIDs()).NotTo(ContainElements(id(0)))
+					be.Expect(sl.TargetIDs()).NotTo(ContainElements(id(1)))
 					sl.Release()
 				}
 				be.Expect(be.OwnLoads()).To(BeEmpty(), "nothing stays booked")
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -81,7 +81,7 @@
 
 // takeWork reports whether all targets of a slot still take work: an order for memory begins some.
 func (ds *Dispatcher) takeWork(sl *Slot) bool {
-	for _, id := range sl.Targets() {
+	for _, id := range sl.TargetIDs() {
 		if !ds.targets.TakesWork(id) || ds.isBackedOff(id) {
 			return false
 		}
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -44,7 +44,7 @@
 }
 
 // Targets returns the incarnations that take part: the main one and its helpers.
-func (sl *Slot) Targets() []string {
+func (sl *Slot) TargetIDs() []string {
 	ids := []string{sl.Target.ID}
 	for _, hp := range sl.Helpers {
 		if hp.ID != sl.Target.ID {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -259,7 +259,7 @@
 // mayLeave returns a ClosedTargetError when one of the targets of a slot takes no work any more: what was known when it was chosen may have
 // changed during the waits since.
 func (gw *Gateway) mayLeave(sl *dispatch.Slot) error {
-	for _, id := range sl.Targets() {
+	for _, id := range sl.TargetIDs() {
 		if !gw.Targets.TakesWork(id) {
 			return &ClosedTargetError{Target: id, Cause: "began to leave"}
 		}
