--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -15,7 +15,7 @@
 	// Priority is the rank at the target; negative for plain services.
 	Priority int
 	// Candidates is how many targets there were to choose from.
-	Candidates int
+	CandidateCount int
 	// FirstPredicted and PausePredicted are what the choice expects; zero for plain services.
 	FirstPredicted, PausePredicted time.Duration
 
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -37,7 +37,7 @@
 	fs["target"] = sl.Target.ID
 	fs["helpers"] = helperNames(sl)
 	fs["prompt_tokens"] = rq.PromptTokens
-	fs["candidates"] = sl.Candidates
+	fs["candidates"] = sl.CandidateCount
 	if li := gw.Limits.Of(sl.Target.ID); li.Named {
 		fs["limit"] = li.String()
 	}
