--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -44,7 +44,7 @@
 	if n := gw.BackOffs.Len(); n > 0 {
 		fs["backed_off"] = n
 	}
-	fs["predicted_first"] = sl.FirstPredicted.Round(time.Millisecond).String()
+	fs["predicted_first"] = sl.PredictedFirstToken.Round(time.Millisecond).String()
 	fs["predicted_pause"] = sl.PausePredicted.Round(time.Millisecond).String()
 	fs["list_age"] = since(gw.Targets.HeardAt(), gw.Now()).String()
 	fs["attempt"] = len(rq.tried) + 1
@@ -246,7 +246,7 @@
 func (gw *Gateway) observeFirst(rq *request, sl *dispatch.Slot) {
 	took := gw.Now().Sub(sl.At)
 	gw.observe("silvermount_first_event_seconds", gw.Now().Sub(rq.arrived))
-	gw.observe("silvermount_first_event_prediction_error_seconds", (took - sl.FirstPredicted).Abs())
+	gw.observe("silvermount_first_event_prediction_error_seconds", (took - sl.PredictedFirstToken).Abs())
 }
 
 // logZoneOut tells that the availability zone of a target is left out until a probe is answered there.
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -119,7 +119,7 @@
 	case rq.route.Exclusive() || len(rq.tried) > 0 || rq.route.MaxAttempts < 2:
 		return 0
 	case rq.route.Streaming:
-		return max(stallFloor, most, silencePredictions*sl.FirstPredicted)
+		return max(stallFloor, most, silencePredictions*sl.PredictedFirstToken)
 	default:
 		return most
 	}
@@ -127,7 +127,7 @@
 
 // unanswered notes that nothing came until the end of a request's time, or until its caller went away.
 func (gw *Gateway) unanswered(rq *request, sl *dispatch.Slot, waited time.Duration) {
-	if waited < max(stallFloor, silenceShare*rq.route.Objective, silencePredictions*sl.FirstPredicted) {
+	if waited < max(stallFloor, silenceShare*rq.route.Objective, silencePredictions*sl.PredictedFirstToken) {
 		return
 	}
 	gw.silent(sl.Target)
