--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -174,7 +174,7 @@
 	}
 	sl := &Slot{
 		ds: ds, engine: as.Service.Engine, Target: byID[pl.Main], CandidateCount: len(tgs), At: ds.opts.Now(), Priority: priority(as), prompt: pr, plan: pl,
-		PredictedFirstToken: pl.FirstToken, PausePredicted: pl.Pause, arrived: as.Arrived, late: as.Resumed,
+		PredictedFirstToken: pl.FirstToken, PredictedPause: pl.Pause, arrived: as.Arrived, late: as.Resumed,
 	}
 	parts := 1 + len(pl.Helpers)
 	reading := pr.Reading(parts)
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -17,7 +17,7 @@
 	// Candidates is how many targets there were to choose from.
 	CandidateCount int
 	// FirstPredicted and PausePredicted are what the choice expects; zero for plain services.
-	PredictedFirstToken, PausePredicted time.Duration
+	PredictedFirstToken, PredictedPause time.Duration
 
 	// At is when the target was chosen.
 	At time.Time
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -45,7 +45,7 @@
 		fs["backed_off"] = n
 	}
 	fs["predicted_first"] = sl.PredictedFirstToken.Round(time.Millisecond).String()
-	fs["predicted_pause"] = sl.PausePredicted.Round(time.Millisecond).String()
+	fs["predicted_pause"] = sl.PredictedPause.Round(time.Millisecond).String()
 	fs["list_age"] = since(gw.Targets.HeardAt(), gw.Now()).String()
 	fs["attempt"] = len(rq.tried) + 1
 	gw.Log.WithFields(fs).Info("request sent")
