--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -292,7 +292,7 @@
 	if best < 0 {
 		return nil
 	}
-	sl := &Slot{ds: ds, Target: tgs[best], CandidateCount: len(tgs), At: ds.opts.Now(), Priority: -1}
+	sl := &Slot{ds: ds, Target: tgs[best], CandidateCount: len(tgs), ChosenAt: ds.opts.Now(), Priority: -1}
 	sl.book(tgs[best].ID, placement.Load{Writers: 1})
 	ds.tried(tgs[best].ID)
 	return sl
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -173,7 +173,7 @@
 		byID[tg.ID] = tg
 	}
 	sl := &Slot{
-		ds: ds, engine: as.Service.Engine, Target: byID[pl.Main], CandidateCount: len(tgs), At: ds.opts.Now(), Priority: priority(as), prompt: pr, plan: pl,
+		ds: ds, engine: as.Service.Engine, Target: byID[pl.Main], CandidateCount: len(tgs), ChosenAt: ds.opts.Now(), Priority: priority(as), prompt: pr, plan: pl,
 		PredictedFirstToken: pl.FirstToken, PredictedPause: pl.Pause, arrived: as.Arrived, late: as.Resumed,
 	}
 	parts := 1 + len(pl.Helpers)
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -20,7 +20,7 @@
 	PredictedFirstToken, PredictedPause time.Duration
 
 	// At is when the target was chosen.
-	At time.Time
+	ChosenAt time.Time
 
 	ds *Dispatcher
 	// engine is nil for plain services.
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -244,7 +244,7 @@
 
 // observeFirst notes the time to the first event and how far the prediction was off.
 func (gw *Gateway) observeFirst(rq *request, sl *dispatch.Slot) {
-	took := gw.Now().Sub(sl.At)
+	took := gw.Now().Sub(sl.ChosenAt)
 	gw.observe("silvermount_first_event_seconds", gw.Now().Sub(rq.arrived))
 	gw.observe("silvermount_first_event_prediction_error_seconds", (took - sl.PredictedFirstToken).Abs())
 }
