--- a/internal/dispatch/demand.go
+++ b/internal/dispatch/arrivals.go
@@ -8,59 +8,59 @@
 
 // demandWeight is what one request counts in the mean of what arrives: about the last twenty count, a second or a few of
 // an instance's requests, so that a swing of the mix is followed within about that time.
-const demandWeight = 0.05
+const arrivalWeight = 0.05
 
 // demand is what a usual request has at stake when it arrives, by class. What is in flight would tell less: under
 // overload its answers are late and have nothing left at stake, and long prompts were then placed as if nobody arrived,
 // which kept every next answer late as well.
-type demand struct {
+type arrivalStats struct {
 	atRisk placement.Classes
 	// known is false before the first request.
-	known bool
+	hasSample bool
 	// shortStake is what a usual short answer has at stake, and shortPause the longest pause that the newest one allows; zero before
 	// the first.
-	shortStake placement.Worth
-	shortPause time.Duration
+	shortAtRisk   placement.Worth
+	shortMaxPause time.Duration
 }
 
 // observe takes a request that arrives, and whether it is a short one.
-func (dm *demand) observe(pr placement.Prompt, short bool) {
+func (st *arrivalStats) observe(pr placement.Prompt, short bool) {
 	if short {
-		dm.observeShort(pr)
+		st.observeShort(pr)
 	}
 	next := pr.Writing().AtRisk
-	if !dm.known {
-		dm.atRisk, dm.known = next, true
+	if !st.hasSample {
+		st.atRisk, st.hasSample = next, true
 		return
 	}
-	for cl := range dm.atRisk {
-		dm.atRisk[cl] = blend(dm.atRisk[cl], next[cl])
+	for cl := range st.atRisk {
+		st.atRisk[cl] = updateMean(st.atRisk[cl], next[cl])
 	}
 }
 
 // blend returns a mean once one more request has come.
-func blend(mean, next placement.Worth) placement.Worth {
-	return mean + placement.Worth(demandWeight*float64(next-mean))
+func updateMean(mean, next placement.Worth) placement.Worth {
+	return mean + placement.Worth(arrivalWeight*float64(next-mean))
 }
 
 // observeShort takes a short prompt that arrives.
-func (dm *demand) observeShort(pr placement.Prompt) {
-	dm.shortPause = pr.LongestPause
+func (st *arrivalStats) observeShort(pr placement.Prompt) {
+	st.shortMaxPause = pr.LongestPause
 	stake := pr.InTime - pr.Late
-	if dm.shortStake == 0 {
-		dm.shortStake = stake
+	if st.shortAtRisk == 0 {
+		st.shortAtRisk = stake
 		return
 	}
-	dm.shortStake = blend(dm.shortStake, stake)
+	st.shortAtRisk = updateMean(st.shortAtRisk, stake)
 }
 
 // perSecond returns what begins to write at one of some targets in a second: by Little's law what is in flight there,
 // over the time for which an answer is written.
-func (dm *demand) perSecond(en *placement.Engine, cands []placement.Target) placement.Load {
-	rate := float64(inFlight(cands)) / answerTime(en).Seconds() / float64(len(cands))
+func (st *arrivalStats) perTargetPerSecond(en *placement.Engine, cands []placement.Target) placement.Load {
+	rate := float64(inFlight(cands)) / usualAnswerTime(en).Seconds() / float64(len(cands))
 	var sum placement.Load
 	for cl := range sum.AtRisk {
-		sum.AtRisk[cl] = placement.Worth(rate * float64(dm.atRisk[cl]))
+		sum.AtRisk[cl] = placement.Worth(rate * float64(st.atRisk[cl]))
 	}
 	return sum
 }
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -16,29 +16,29 @@
 
 // unprobedFor is the time after a back-off from which any request may go there that was not turned away yet, if none that can go elsewhere
 // came by.
-const unprobedFor = time.Second
+const probeOnlyPeriod = time.Second
 
 // probes reports whether a request may find out whether a target takes work again: it loses nothing when it is turned away.
-func (rq Request) probes() bool {
-	return rq.CanRetry && rq.Caution == targets.Any && !rq.long() && !rq.Resumed
+func (rq Request) canProbe() bool {
+	return rq.CanRetry && rq.Caution == targets.Any && !rq.isLong() && !rq.Resumed
 }
 
 // backedOff reports whether a target is closed to a request for a back-off, and when it may be asked again. One that is on trial may be at
 // once where there is no other.
-func (ds *Dispatcher) backedOff(as Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
-	by, at := ds.phase(id)
+func (ds *Dispatcher) closedByBackOff(rq Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
+	by, at := ds.backOffPhase(id)
 	switch by {
 	case backoff.Closed:
 		return at, by, true
 	case backoff.OnTrial:
 		now := ds.opts.Now()
-		return now, by, !as.probe && (as.Retried || now.Sub(at) < unprobedFor)
+		return now, by, !rq.mayProbe && (rq.Retried || now.Sub(at) < probeOnlyPeriod)
 	case backoff.Open:
 	}
 	return time.Time{}, by, false
 }
 
-func (ds *Dispatcher) phase(id string) (backoff.Phase, time.Time) {
+func (ds *Dispatcher) backOffPhase(id string) (backoff.Phase, time.Time) {
 	if ds.opts.BackOffs == nil {
 		return backoff.Open, time.Time{}
 	}
@@ -55,45 +55,45 @@
 }
 
 // tried notes that a request goes to a target.
-func (ds *Dispatcher) tried(id string) {
+func (ds *Dispatcher) recordChosen(id string) {
 	if ds.opts.BackOffs != nil {
 		ds.opts.BackOffs.Chosen(id)
 	}
 }
 
 // hintMost bounds how long a back-off of this instance is a load in the eyes of its peers.
-const hintMost = 10 * time.Second
+const maxBackOffLoadPeriod = 10 * time.Second
 
 // TurnedAway notes that the target turned the request away for a time. For peers, who may be welcome there, that is a load like any other:
 // they prefer other targets as long as these have room, and need not all be turned away before they know.
 func (sl *Slot) RecordBackOff(backOff time.Duration) {
-	if !sl.ds.hint(sl.Target.ID) {
+	if !sl.ds.beginBackOffLoad(sl.Target.ID) {
 		return
 	}
 	load := placement.Load{Writers: max(1, sl.Target.Slots)}
 	if sl.engine != nil {
-		load = placement.Load{Parts: sl.engine.ReadWithin(failedReading)}
+		load = placement.Load{Parts: sl.engine.ReadWithin(failurePrefillTime)}
 	}
-	span := min(backOff, hintMost)
-	sl.ds.addFor(span, sl.Target.ID, load)
-	time.AfterFunc(span, func() { sl.ds.unhint(sl.Target.ID) })
+	span := min(backOff, maxBackOffLoadPeriod)
+	sl.ds.addLoadFor(span, sl.Target.ID, load)
+	time.AfterFunc(span, func() { sl.ds.endBackOffLoad(sl.Target.ID) })
 }
 
 // hint reports whether peers are not told of a back-off yet.
-func (ds *Dispatcher) hint(id string) bool {
-	ds.book.mu.Lock()
-	defer ds.book.mu.Unlock()
-	if _, hinted := ds.book.hinted[id]; hinted {
+func (ds *Dispatcher) beginBackOffLoad(id string) bool {
+	ds.loads.mu.Lock()
+	defer ds.loads.mu.Unlock()
+	if _, hinted := ds.loads.backOffLoads[id]; hinted {
 		return false
 	}
-	ds.book.hinted[id] = struct{}{}
+	ds.loads.backOffLoads[id] = struct{}{}
 	return true
 }
 
-func (ds *Dispatcher) unhint(id string) {
-	ds.book.mu.Lock()
-	defer ds.book.mu.Unlock()
-	delete(ds.book.hinted, id)
+func (ds *Dispatcher) endBackOffLoad(id string) {
+	ds.loads.mu.Lock()
+	defer ds.loads.mu.Unlock()
+	delete(ds.loads.backOffLoads, id)
 }
 
 // BackedOffError says that a request finds no target for the back-offs of all.
@@ -110,44 +110,44 @@
 
 // awaitBackOff waits until a target may be on trial, the earliest of all, where a request has the time. Else it fails at once with the time
 // at which to come back.
-func (ds *Dispatcher) awaitBackOff(ctx context.Context, as Request, first opening) error {
+func (ds *Dispatcher) waitForBackOff(ctx context.Context, rq Request, first reopening) error {
 	wait := first.at.Sub(ds.opts.Now())
 	over := !ds.isBackedOff(first.target.ID)
 	if over {
 		// The answer to the request that is on its way may come at any time.
-		wait = min(wait, waitStep)
+		wait = min(wait, pollInterval)
 	}
-	if ds.opts.Now().Add(wait).After(as.patience()) {
+	if ds.opts.Now().Add(wait).After(rq.backOffWaitDeadline()) {
 		// Those that were refused at one moment do not come back at one moment.
-		again := wait + time.Duration(fraction(as.ID, ds.opts.Instance)*float64(comeBack))
+		again := wait + time.Duration(hashFraction(rq.ID, ds.opts.Instance)*float64(roomRetryAfter))
 		return failure.New(failure.Overloaded, failure.NotRun, "all targets want no requests for now").
-			WithCause(&BackedOffError{Target: first.target.ID, Remaining: wait}).WithRetryAfter(max(again, comeBack))
+			WithCause(&BackedOffError{Target: first.target.ID, Remaining: wait}).WithRetryAfter(max(again, roomRetryAfter))
 	}
 	if ds.opts.OnBackOffWait != nil && !over {
-		ds.opts.OnBackOffWait(as.ID, first.target, wait)
+		ds.opts.OnBackOffWait(rq.ID, first.target, wait)
 	}
 	// The more urgent look first.
-	return sleep(ctx, wait+time.Duration(as.Priority)*rankStep)
+	return sleep(ctx, wait+time.Duration(rq.Priority)*priorityStagger)
 }
 
 // rankStep is the time between the looks of requests of neighbouring ranks when a back-off ends: enough for a choice.
-const rankStep = time.Millisecond
+const priorityStagger = time.Millisecond
 
 // ReturnAfter returns when the caller of a request that was turned away may come back: at once, but for where all targets of the service are
 // backed off from.
 func (ds *Dispatcher) RetryAfter(service string) time.Duration {
 	var first time.Time
 	for _, tg := range ds.targets.Usable(service, targets.Proven) {
-		ph, at := ds.phase(tg.ID)
+		ph, at := ds.backOffPhase(tg.ID)
 		if ph != backoff.Closed {
-			return comeBack
+			return roomRetryAfter
 		}
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
 	}
 	if first.IsZero() {
-		return comeBack
+		return roomRetryAfter
 	}
-	return max(comeBack, first.Sub(ds.opts.Now()))
+	return max(roomRetryAfter, first.Sub(ds.opts.Now()))
 }
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -17,7 +17,7 @@
 )
 
 // backOffBench plays with targets that want no requests for a while.
-func backOffBench(t *testing.T, count int, play func(be *bench, bk *backoff.Book)) {
+func backOffBench(t *testing.T, count int, play func(hs *bench, bk *backoff.Book)) {
 	synctest.Test(t, func(t *testing.T) {
 		bk := backoff.New(time.Now, func() float64 { return 0 })
 		play(newBench(t, count, func(op *dispatch.Options) { op.BackOffs = bk }), bk)
@@ -27,9 +27,9 @@
 
 // spare returns a request that can go elsewhere when it is turned away.
 func spare() dispatch.Request {
-	as := plain()
-	as.CanRetry = true
-	return as
+	rq := plain()
+	rq.CanRetry = true
+	return rq
 }
 
 func TestRequestsGoAroundTargetsThatWantNone(t *testing.T) {
@@ -39,16 +39,16 @@
 	}
 	for name, ask := range asks {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 4, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 4, func(hs *bench, bk *backoff.Book) {
 				bk.Ask(id(0), time.Minute, time.Now())
 				bk.Ask(id(1), time.Minute, time.Now())
 				for range 6 {
-					sl := be.take(ask())
-					be.Expect(sl.TargetIDs()).NotTo(ContainElements(id(0)))
-					be.Expect(sl.TargetIDs()).NotTo(ContainElements(id(1)))
+					sl := hs.take(ask())
+					hs.Expect(sl.TargetIDs()).NotTo(ContainElements(id(0)))
+					hs.Expect(sl.TargetIDs()).NotTo(ContainElements(id(1)))
 					sl.Release()
 				}
-				be.Expect(be.OwnLoads()).To(BeEmpty(), "nothing stays booked")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "nothing stays booked")
 			})
 		})
 	}
@@ -58,14 +58,14 @@
 	const soon = objective / 4
 	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
 				began := time.Now()
 				bk.Ask(id(0), time.Minute, began)
 				bk.Ask(id(1), soon, began)
-				sl := be.take(ask())
-				be.Expect(sl.Target.ID).To(Equal(id(1)))
-				be.Expect(time.Since(began)).To(BeNumerically(">=", soon))
-				be.Expect(time.Since(began)).To(BeNumerically("<", soon+objective/10))
+				sl := hs.take(ask())
+				hs.Expect(sl.Target.ID).To(Equal(id(1)))
+				hs.Expect(time.Since(began)).To(BeNumerically(">=", soon))
+				hs.Expect(time.Since(began)).To(BeNumerically("<", soon+objective/10))
 			})
 		})
 	}
@@ -74,16 +74,16 @@
 func TestRequestWithoutTimeForABackOffIsRefusedAtOnce(t *testing.T) {
 	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
 				began := time.Now()
 				bk.Ask(id(0), time.Minute, began)
 				bk.Ask(id(1), 7*time.Second, began)
-				fe := be.refused(ask())
-				be.Expect(time.Since(began)).To(BeZero())
-				be.Expect(fe.Code).To(Equal(failure.Overloaded))
-				be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-				be.Expect(fe.RetryAfter).To(BeNumerically(">=", 7*time.Second))
-				be.Expect(fe.RetryAfter).To(BeNumerically("<", 8*time.Second))
+				fe := hs.refused(ask())
+				hs.Expect(time.Since(began)).To(BeZero())
+				hs.Expect(fe.Code).To(Equal(failure.Overloaded))
+				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+				hs.Expect(fe.RetryAfter).To(BeNumerically(">=", 7*time.Second))
+				hs.Expect(fe.RetryAfter).To(BeNumerically("<", 8*time.Second))
 			})
 		})
 	}
@@ -91,25 +91,25 @@
 
 // TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime was turned away by the one target there is.
 func TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime(t *testing.T) {
-	backOffBench(t, 1, func(be *bench, bk *backoff.Book) {
+	backOffBench(t, 1, func(hs *bench, bk *backoff.Book) {
 		bk.Ask(id(0), 5*time.Second, time.Now())
-		as := plain()
-		as.Exclude = []string{id(0)}
-		be.Expect(be.refused(as).RetryAfter).To(Equal(5 * time.Second))
+		rq := plain()
+		rq.Exclude = []string{id(0)}
+		hs.Expect(hs.refused(rq).RetryAfter).To(Equal(5 * time.Second))
 	})
 }
 
 // TestWaitersDoNotAllComeAtOnce lets many requests wait for the end of the only target's back-off.
 func TestWaitersDoNotAllComeAtOnce(t *testing.T) {
 	const waiters = 60
-	backOffBench(t, 1, func(be *bench, bk *backoff.Book) {
+	backOffBench(t, 1, func(hs *bench, bk *backoff.Book) {
 		bk.Ask(id(0), objective/4, time.Now())
 		var mu sync.Mutex
 		var came []time.Time
 		var wg sync.WaitGroup
 		for range waiters {
 			wg.Go(func() {
-				sl, err := be.Acquire(context.Background(), spare())
+				sl, err := hs.Acquire(context.Background(), spare())
 				if err != nil {
 					return // it ran out of time
 				}
@@ -124,9 +124,9 @@
 		}
 		wg.Wait()
 		slices.SortFunc(came, time.Time.Compare)
-		be.Expect(came).To(HaveLen(waiters), "the target is back in use for all")
-		be.Expect(came[1].Sub(came[0])).To(BeNumerically(">=", 20*time.Millisecond), "the second waits for the first answer")
-		be.Expect(came[waiters-1].Sub(came[0])).To(BeNumerically("<", objective/2))
+		hs.Expect(came).To(HaveLen(waiters), "the target is back in use for all")
+		hs.Expect(came[1].Sub(came[0])).To(BeNumerically(">=", 20*time.Millisecond), "the second waits for the first answer")
+		hs.Expect(came[waiters-1].Sub(came[0])).To(BeNumerically("<", objective/2))
 	})
 }
 
@@ -140,16 +140,16 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
 				bk.Ask(id(0), time.Second, time.Now())
 				// The other target is busy, so that this one is the better choice.
 				for range slots {
-					be.take(plain())
+					hs.take(plain())
 				}
 				time.Sleep(time.Second)
-				be.Expect(be.take(tc.ask()).Target.ID == id(0)).To(Equal(tc.probes))
+				hs.Expect(hs.take(tc.ask()).Target.ID == id(0)).To(Equal(tc.probes))
 				time.Sleep(2 * time.Second)
-				be.Expect(be.take(tc.ask()).Target.ID).To(Equal(id(0)), "nobody else came by")
+				hs.Expect(hs.take(tc.ask()).Target.ID).To(Equal(id(0)), "nobody else came by")
 			})
 		})
 	}
@@ -159,60 +159,60 @@
 func TestPeersPreferTargetsThatTurnNobodyAway(t *testing.T) {
 	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, _ *backoff.Book) {
-				peer := newBench(be.t, 2)
-				sl := be.take(ask())
+			backOffBench(t, 2, func(hs *bench, _ *backoff.Book) {
+				peer := newBench(hs.t, 2)
+				sl := hs.take(ask())
 				sl.RecordBackOff(time.Second)
 				sl.RecordBackOff(time.Second)
 				sl.Release()
-				peer.SetPeerLoads("i", be.OwnLoads())
+				peer.SetPeerLoads("i", hs.OwnLoads())
 				for range 2 {
-					be.Expect(peer.take(ask()).Target.ID).NotTo(Equal(sl.Target.ID))
+					hs.Expect(peer.take(ask()).Target.ID).NotTo(Equal(sl.Target.ID))
 				}
 				time.Sleep(2 * time.Second)
-				be.Expect(be.OwnLoads()).To(BeEmpty(), "it is over with the back-off")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "it is over with the back-off")
 			})
 		})
 	}
 }
 
 func TestRetriedRequestIsNoProbe(t *testing.T) {
-	backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+	backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
 		bk.Ask(id(0), time.Second, time.Now())
 		time.Sleep(time.Minute)
-		as := plain()
-		as.Retried = true
-		be.Expect(be.take(as).Target.ID).To(Equal(id(1)))
+		rq := plain()
+		rq.Retried = true
+		hs.Expect(hs.take(rq).Target.ID).To(Equal(id(1)))
 	})
 }
 
 // TestClosedTargetsOfAProbeOrASureChoiceLeaveTheOthers: what a request would rather choose from wants no requests, and others do.
 func TestClosedTargetsOfAProbeOrASureChoiceLeaveTheOthers(t *testing.T) {
-	tests := map[string]func(be *bench, as *dispatch.Request){
-		"one that runs once, beside a target that failed": func(be *bench, as *dispatch.Request) {
-			as.Caution = targets.Sure
+	tests := map[string]func(hs *bench, rq *dispatch.Request){
+		"one that runs once, beside a target that failed": func(hs *bench, rq *dispatch.Request) {
+			rq.Caution = targets.Sure
 			for range 2 {
-				be.directory.Failure(id(0))
+				hs.directory.Failure(id(0))
 			}
 		},
-		"the probe of an availability zone": func(be *bench, _ *dispatch.Request) {
-			be.directory.Unreachable(id(1))
-			be.directory.Unreachable(id(2))
+		"the probe of an availability zone": func(hs *bench, _ *dispatch.Request) {
+			hs.directory.Unreachable(id(1))
+			hs.directory.Unreachable(id(2))
 			time.Sleep(time.Second)
 		},
 	}
 	for name, edit := range tests {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 1, func(be *bench, bk *backoff.Book) {
-				be.put(1, "far", false)
-				be.put(2, "far", false)
-				as := plain()
-				edit(be, &as)
+			backOffBench(t, 1, func(hs *bench, bk *backoff.Book) {
+				hs.put(1, "far", false)
+				hs.put(2, "far", false)
+				rq := plain()
+				edit(hs, &rq)
 				for no := 1; no <= 2; no++ {
 					bk.Ask(id(no), time.Minute, time.Now())
 				}
-				as.Arrived, as.Deadline = time.Now(), time.Now().Add(deadline)
-				be.Expect(be.take(as).Target.ID).To(Equal(id(0)))
+				rq.Arrived, rq.Deadline = time.Now(), time.Now().Add(deadline)
+				hs.Expect(hs.take(rq).Target.ID).To(Equal(id(0)))
 			})
 		})
 	}
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -23,19 +23,19 @@
 				for no := range ids {
 					ids[no] = "t" + strconv.Itoa(no)
 				}
-				be := newClockedAt(func() time.Time { return time.Unix(1000, 0) }, ids...)
-				take := func(as dispatch.Request) *dispatch.Slot {
-					sl, err := be.ds.Acquire(ctx, as)
+				hs := newClockedAt(func() time.Time { return time.Unix(1000, 0) }, ids...)
+				take := func(rq dispatch.Request) *dispatch.Slot {
+					sl, err := hs.ds.Acquire(ctx, rq)
 					if err != nil {
 						b.Fatal(err)
 					}
 					return sl
 				}
 				for range count / 10 {
-					take(be.short()).RecordFirstToken()
+					take(hs.short()).RecordFirstToken()
 				}
 				for b.Loop() {
-					take(ask(be)).Release()
+					take(ask(hs)).Release()
 				}
 			})
 		}
--- a/internal/dispatch/decide.go
+++ b/internal/dispatch/decide.go
@@ -15,13 +15,13 @@
 )
 
 // decide says whether a prompt runs as planned, looks again later, or is refused. The plan is the best one now, if any.
-func decide(as Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
+func decide(rq Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
 	switch {
-	case as.long() && !as.Resumed:
-		return decideLong(as, pr, pl, planned, cands, op)
+	case rq.isLong() && !rq.Resumed:
+		return decideLong(rq, pr, pl, planned, cands, op)
 	case !planned:
 		return decisionWait
-	case sheds(as, pr, pl, cands):
+	case shouldShed(rq, pr, pl, cands):
 		return decisionRefuse
 	default:
 		return decisionPlace
@@ -29,13 +29,13 @@
 }
 
 // decideLong decides about a long prompt that nobody reads yet.
-func decideLong(as Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
-	later, feasible := placement.Choose(*as.Service.Engine, pr, read(cands), op)
-	feasible = feasible && begins(pr, later)
+func decideLong(rq Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
+	later, feasible := placement.Choose(*rq.Service.Engine, pr, withoutPrefill(cands), op)
+	feasible = feasible && meetsCallerTimeout(pr, later)
 	switch {
-	case !feasible && hopeless(as, pr, cands, op):
+	case !feasible && infeasibleWhenIdle(rq, pr, cands, op):
 		return decisionRefuse
-	case !feasible || !planned || !worthwhile(as, pr, pl) || betterLater(pr, pl, later) || defers(as, pr, pl):
+	case !feasible || !planned || !isWorthPlacing(rq, pr, pl) || isBetterLater(pr, pl, later) || shouldDefer(rq, pr, pl):
 		return decisionWait
 	default:
 		return decisionPlace
--- a/internal/dispatch/defer_test.go
+++ b/internal/dispatch/deferral_test.go
@@ -13,20 +13,20 @@
 )
 
 // long asks for a prompt that is read for two seconds.
-func (be *clocked) long() dispatch.Request {
-	as := be.short()
-	as.PromptTokens = 140_000
-	as.Objective = 2500 * time.Millisecond
-	as.MaxPause = time.Second
-	as.Deadline = as.Arrived.Add(15 * time.Second)
-	return as
+func (hs *clocked) long() dispatch.Request {
+	rq := hs.short()
+	rq.PromptTokens = 140_000
+	rq.Objective = 2500 * time.Millisecond
+	rq.MaxPause = time.Second
+	rq.Deadline = rq.Arrived.Add(15 * time.Second)
+	return rq
 }
 
 // longAfter asks for the same, and was asked a time ago.
-func (be *clocked) longAfter(used time.Duration) dispatch.Request {
-	as := be.long()
-	as.Arrived, as.Deadline = as.Arrived.Add(-used), as.Deadline.Add(-used)
-	return as
+func (hs *clocked) longAfter(used time.Duration) dispatch.Request {
+	rq := hs.long()
+	rq.Arrived, rq.Deadline = rq.Arrived.Add(-used), rq.Deadline.Add(-used)
+	return rq
 }
 
 func TestALateLongPromptWaitsWhileItWouldHarmOthers(t *testing.T) {
@@ -40,19 +40,19 @@
 		"it has waited for long":  {writers: 1, used: 7 * time.Second},
 		"it can still be in time": {writers: 1},
 	}
-	for name, ca := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				be := newClockedAt(time.Now, "t1")
-				be.writing(g, ca.writers)
-				as := be.longAfter(ca.used)
+				hs := newClockedAt(time.Now, "t1")
+				hs.writing(g, tc.writers)
+				rq := hs.longAfter(tc.used)
 				began := time.Now()
-				sl, err := be.ds.Acquire(context.Background(), as)
+				sl, err := hs.ds.Acquire(context.Background(), rq)
 				g.Expect(err).NotTo(HaveOccurred())
 				sl.Release()
-				g.Expect(time.Since(began)).To(BeNumerically(">=", ca.least))
-				g.Expect(time.Since(began)).To(BeNumerically("<=", ca.most))
+				g.Expect(time.Since(began)).To(BeNumerically(">=", tc.least))
+				g.Expect(time.Since(began)).To(BeNumerically("<=", tc.most))
 			})
 		})
 	}
@@ -72,19 +72,19 @@
 		"they do not end":     {writers: 8, most: 13 * time.Second, refused: true},
 		"they are worth less": {writers: 2},
 	}
-	for name, ca := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				be := newClockedAt(time.Now, "t1")
-				slots := be.writing(g, ca.writers)
-				if ca.ends > 0 {
-					time.AfterFunc(ca.ends, func() { release(slots) })
+				hs := newClockedAt(time.Now, "t1")
+				slots := hs.writing(g, tc.writers)
+				if tc.ends > 0 {
+					time.AfterFunc(tc.ends, func() { release(slots) })
 				}
 				began := time.Now()
-				sl, err := be.ds.Acquire(context.Background(), be.long())
-				g.Expect(time.Since(began)).To(BeNumerically("<=", ca.most))
-				if !ca.refused {
+				sl, err := hs.ds.Acquire(context.Background(), hs.long())
+				g.Expect(time.Since(began)).To(BeNumerically("<=", tc.most))
+				if !tc.refused {
 					g.Expect(err).NotTo(HaveOccurred())
 					sl.Release()
 					return
@@ -112,17 +112,17 @@
 		"more than it is worth":    {writers: 7, refused: true},
 		"a target that is for all": {},
 	}
-	for name, ca := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				be := newClockedAt(time.Now, "t1")
-				be.writing(g, ca.writers)
-				as := be.longAfter(7 * time.Second)
+				hs := newClockedAt(time.Now, "t1")
+				hs.writing(g, tc.writers)
+				rq := hs.longAfter(7 * time.Second)
 				began := time.Now()
-				sl, err := be.ds.Acquire(context.Background(), as)
-				g.Expect(err != nil).To(Equal(ca.refused))
-				if !ca.refused {
+				sl, err := hs.ds.Acquire(context.Background(), rq)
+				g.Expect(err != nil).To(Equal(tc.refused))
+				if !tc.refused {
 					g.Expect(time.Since(began)).To(BeZero())
 					sl.Release()
 				}
@@ -134,12 +134,12 @@
 func TestALongPromptIsHeldNoLongerThanItsCallerWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		be := newClockedAt(time.Now, "t1")
-		be.writing(g, 8)
-		as := be.long()
-		as.CallerIdleTimeout = 10 * time.Second
+		hs := newClockedAt(time.Now, "t1")
+		hs.writing(g, 8)
+		rq := hs.long()
+		rq.CallerIdleTimeout = 10 * time.Second
 		began := time.Now()
-		_, err := be.ds.Acquire(context.Background(), as)
+		_, err := hs.ds.Acquire(context.Background(), rq)
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(failure.Of(err).Outcome).To(Equal(failure.NotRun))
 		// It is read in about two seconds.
@@ -149,10 +149,10 @@
 }
 
 // writing starts short answers that are in time.
-func (be *clocked) writing(g *WithT, count int) []*dispatch.Slot {
+func (hs *clocked) writing(g *WithT, count int) []*dispatch.Slot {
 	var slots []*dispatch.Slot
 	for range count {
-		sl, err := be.ds.Acquire(context.Background(), be.short())
+		sl, err := hs.ds.Acquire(context.Background(), hs.short())
 		g.Expect(err).NotTo(HaveOccurred())
 		sl.RecordFirstToken()
 		slots = append(slots, sl)
@@ -171,15 +171,15 @@
 func TestArrivalsAreWhatArrives(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		be := newClockedAt(time.Now, "t1")
-		slots := be.writing(g, 12)
+		hs := newClockedAt(time.Now, "t1")
+		slots := hs.writing(g, 12)
 		time.Sleep(time.Second)
 		for _, sl := range slots {
 			sl.RecordEvent()
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := be.ds.Acquire(ctx, be.long())
+		_, err := hs.ds.Acquire(ctx, hs.long())
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 	})
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -46,11 +46,11 @@
 	// Spare is set when the request can go to another target should this one turn it away, and Retried when one did.
 	CanRetry, Retried bool
 	// probe is set when the request may go to a target that is on trial after a back-off.
-	probe bool
+	mayProbe bool
 	// permitted is the target whose permit the request holds; empty for none.
-	permitted string
+	permitTarget string
 	// refusals counts the permits that it was refused.
-	refusals int
+	permitRefusals int
 }
 
 // Helper is a target that reads a part of the prompt.
@@ -62,15 +62,15 @@
 
 // Dispatcher chooses targets. Its methods may be called by any goroutine.
 type Dispatcher struct {
-	targets *targets.Directory
-	keeper  *reservation.Keeper
-	opts    Options
-	book    *book
-	lag     atomic.Pointer[func() time.Duration]
+	targets              *targets.Directory
+	keeper               *reservation.Keeper
+	opts                 Options
+	loads                *loadTable
+	propagationDelayFunc atomic.Pointer[func() time.Duration]
 	// end is when this instance ends; nil until it is asked to stop.
-	end atomic.Pointer[time.Time]
+	shutdownAt atomic.Pointer[time.Time]
 	// arriving is what arrives at this instance; the book's lock guards it.
-	arriving demand
+	arrivals arrivalStats
 }
 
 // Options are the settings and seams of a Dispatcher.
@@ -93,47 +93,47 @@
 
 // New returns a dispatcher.
 func New(dr *targets.Directory, kp *reservation.Keeper, op Options) *Dispatcher {
-	return &Dispatcher{targets: dr, keeper: kp, opts: op, book: newBook()}
+	return &Dispatcher{targets: dr, keeper: kp, opts: op, loads: newLoadTable()}
 }
 
 // Own returns what this instance has in flight, by incarnation.
-func (ds *Dispatcher) OwnLoads() map[string]placement.Load { return ds.book.ownLoads() }
+func (ds *Dispatcher) OwnLoads() map[string]placement.Load { return ds.loads.ownLoads() }
 
 // Heard takes what a peer has in flight; nil forgets the peer.
 func (ds *Dispatcher) SetPeerLoads(peer string, loads map[string]placement.Load) {
-	ds.book.setPeer(peer, loads)
+	ds.loads.setPeer(peer, loads)
 }
 
 const (
 	// waitStep is how often a request without room looks again when nothing wakes it: a few passes of an engine.
-	waitStep = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 	// waitShare is the share of the objective for which a request waits for room before it is refused.
-	waitShare = 0.8
+	maxRoomWaitShare = 0.8
 	// comeBack is when a caller should come back after a refusal for lack of room: a few passes of an engine.
-	comeBack = 300 * time.Millisecond
+	roomRetryAfter = 300 * time.Millisecond
 )
 
 // Acquire chooses a target and books the request there. A short prompt without room waits for a part of its objective, a
 // longer one for as long as it can still be answered.
 // Release must be called on the slot.
-func (ds *Dispatcher) Acquire(ctx context.Context, as Request) (*Slot, error) {
-	patience := as.soon()
-	if as.long() || as.Resumed {
-		patience = as.Deadline
+func (ds *Dispatcher) Acquire(ctx context.Context, rq Request) (*Slot, error) {
+	patience := rq.roomWaitDeadline()
+	if rq.isLong() || rq.Resumed {
+		patience = rq.Deadline
 	}
-	as.probe = as.probes()
-	ds.arrive(as)
+	rq.mayProbe = rq.canProbe()
+	ds.recordArrival(rq)
 	for {
-		woken := ds.book.woken()
-		if as.Authorise != nil {
-			if err := as.Authorise(); err != nil {
+		roomFreed := ds.loads.roomFreedChan()
+		if rq.Authorise != nil {
+			if err := rq.Authorise(); err != nil {
 				return nil, err
 			}
 		}
-		sl, ok, err := ds.try(ctx, as)
+		sl, ok, err := ds.tryOnce(ctx, rq)
 		var ne *noPermitError
 		if errors.As(err, &ne) {
-			as.refusals++
+			rq.permitRefusals++
 			continue
 		}
 		if err != nil {
@@ -143,7 +143,7 @@
 			ds.targets.Chosen(sl.Target.ID)
 			return sl, nil
 		}
-		as, ok, err = ds.turn(ctx, as)
+		rq, ok, err = ds.waitForReopening(ctx, rq)
 		if err != nil {
 			return nil, err
 		}
@@ -151,11 +151,11 @@
 			continue
 		}
 		// A probe goes out at once or not at all.
-		as.Caution = max(as.Caution, targets.Proven)
+		rq.Caution = max(rq.Caution, targets.Proven)
 		if ds.opts.Now().After(patience) {
-			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(comeBack)
+			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(roomRetryAfter)
 		}
-		ds.pause(ctx, as, woken)
+		ds.waitForRoom(ctx, rq, roomFreed)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
@@ -163,42 +163,42 @@
 }
 
 // soon is until when a request waits whose answer would else be late.
-func (rq Request) soon() time.Time {
-	return rq.Arrived.Add(time.Duration(waitShare * float64(rq.Objective)))
+func (rq Request) roomWaitDeadline() time.Time {
+	return rq.Arrived.Add(time.Duration(maxRoomWaitShare * float64(rq.Objective)))
 }
 
 // patience is until when a request waits for a target that takes requests again. One whose caller reads already goes on as long as it can.
-func (rq Request) patience() time.Time {
+func (rq Request) backOffWaitDeadline() time.Time {
 	if rq.Resumed {
 		return rq.Deadline
 	}
-	return rq.soon()
+	return rq.roomWaitDeadline()
 }
 
 // arrive notes a prompt that arrives.
-func (ds *Dispatcher) arrive(as Request) {
-	if as.Service.Engine == nil || as.PromptTokens == 0 || as.Resumed {
+func (ds *Dispatcher) recordArrival(rq Request) {
+	if rq.Service.Engine == nil || rq.PromptTokens == 0 || rq.Resumed {
 		return
 	}
-	pr := ds.prompt(as)
-	ds.book.mu.Lock()
-	ds.arriving.observe(pr, !as.long())
-	ds.book.mu.Unlock()
+	pr := ds.newPrompt(rq)
+	ds.loads.mu.Lock()
+	ds.arrivals.observe(pr, !rq.isLong())
+	ds.loads.mu.Unlock()
 }
 
 // pause waits until it is time to look for room again. Long prompts of several instances wait for the same room: they
 // look at different moments, the pressed ones more often, so that the first is known to the others before they look.
-func (ds *Dispatcher) pause(ctx context.Context, as Request, woken <-chan struct{}) {
-	step := waitStep
-	if as.long() {
-		woken = nil
-		left := as.Objective - ds.opts.Now().Sub(as.Arrived)
-		step = time.Duration((minSpread + fraction(as.ID, ds.opts.Now().String())) * float64(min(spreadMost, max(waitStep, left/spreadShare))))
+func (ds *Dispatcher) waitForRoom(ctx context.Context, rq Request, roomFreed <-chan struct{}) {
+	step := pollInterval
+	if rq.isLong() {
+		roomFreed = nil
+		left := rq.Objective - ds.opts.Now().Sub(rq.Arrived)
+		step = time.Duration((minPollShare + hashFraction(rq.ID, ds.opts.Now().String())) * float64(min(maxPollSpread, max(pollInterval, left/pollsInTimeLeft))))
 	}
 	timer := time.NewTimer(step)
 	defer timer.Stop()
 	select {
-	case <-woken:
+	case <-roomFreed:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
@@ -207,47 +207,47 @@
 const (
 	// spreadMost is the longest time over which the next looks of long prompts are spread: ten times what it takes
 	// until peers know of a choice.
-	spreadMost = 60 * time.Millisecond
+	maxPollSpread = 60 * time.Millisecond
 	// spreadShare is how many looks fit into the time that is left.
-	spreadShare = 20
+	pollsInTimeLeft = 20
 	// minSpread keeps two looks apart.
-	minSpread = 0.1
+	minPollShare = 0.1
 )
 
 // try makes one choice. It reports false when there is no room now.
-func (ds *Dispatcher) try(ctx context.Context, as Request) (*Slot, bool, error) {
-	tgs := ds.usable(as)
+func (ds *Dispatcher) tryOnce(ctx context.Context, rq Request) (*Slot, bool, error) {
+	tgs := ds.usable(rq)
 	if len(tgs) == 0 {
 		return nil, false, failure.New(failure.NoTarget, failure.NotRun, "no target of the service takes work").
-			WithRetryAfter(ds.RetryAfter(as.Service.Name))
+			WithRetryAfter(ds.RetryAfter(rq.Service.Name))
 	}
-	if as.Service.Engine != nil && as.PromptTokens > 0 {
-		return ds.place(ctx, as, tgs)
+	if rq.Service.Engine != nil && rq.PromptTokens > 0 {
+		return ds.place(ctx, rq, tgs)
 	}
-	sl := ds.leastBusy(as, tgs)
+	sl := ds.chooseLeastBusy(rq, tgs)
 	if sl == nil {
 		return nil, false, nil
 	}
-	if err := ds.permit(ctx, as, sl); err != nil {
+	if err := ds.obtainPermit(ctx, rq, sl); err != nil {
 		return nil, false, err
 	}
 	return sl, true, nil
 }
 
 // usable returns the service's targets without those to avoid.
-func (ds *Dispatcher) usable(as Request) []targets.Target {
-	left := ds.allowed(as, as.caution())
+func (ds *Dispatcher) usable(rq Request) []targets.Target {
+	left := ds.usableExceptExcluded(rq, rq.effectiveCaution())
 	if len(left) == 0 {
-		left = ds.allowed(as, targets.Proven)
+		left = ds.usableExceptExcluded(rq, targets.Proven)
 	}
 	return left
 }
 
-func (ds *Dispatcher) allowed(as Request, ca targets.Caution) []targets.Target {
-	all := ds.targets.Usable(as.Service.Name, ca)
+func (ds *Dispatcher) usableExceptExcluded(rq Request, ca targets.Caution) []targets.Target {
+	all := ds.targets.Usable(rq.Service.Name, ca)
 	left := make([]targets.Target, 0, len(all))
 	for _, tg := range all {
-		if !contains(as.Exclude, tg.ID) {
+		if !contains(rq.Exclude, tg.ID) {
 			left = append(left, tg)
 		}
 	}
@@ -255,8 +255,8 @@
 }
 
 // caution is the request's own, but for longer prompts: one that takes several targets is no probe.
-func (rq Request) caution() targets.Caution {
-	if rq.long() {
+func (rq Request) effectiveCaution() targets.Caution {
+	if rq.isLong() {
 		return max(rq.Caution, targets.Proven)
 	}
 	return rq.Caution
@@ -272,19 +272,19 @@
 }
 
 // leastBusy chooses the target of a plain service with the fewest requests in flight, near ones first. It returns nil when all are closed.
-func (ds *Dispatcher) leastBusy(as Request, tgs []targets.Target) *Slot {
-	ds.book.mu.Lock()
-	defer ds.book.mu.Unlock()
+func (ds *Dispatcher) chooseLeastBusy(rq Request, tgs []targets.Target) *Slot {
+	ds.loads.mu.Lock()
+	defer ds.loads.mu.Unlock()
 	best, bestCost := -1, 0.0
 	for i, tg := range tgs {
-		if _, _, closed := ds.closed(as, tg.ID); closed {
+		if _, _, closed := ds.closed(rq, tg.ID); closed {
 			continue
 		}
-		cost := float64(ds.book.total(tg.ID).Writers) / float64(max(1, tg.Slots))
+		cost := float64(ds.loads.total(tg.ID).Writers) / float64(max(1, tg.Slots))
 		if tg.AvailabilityZone != ds.opts.AvailabilityZone {
-			cost += farCost
+			cost += otherZoneCost
 		}
-		cost += tieCost * fraction(as.ID, ds.opts.Instance, tg.ID)
+		cost += tieBreakCost * hashFraction(rq.ID, ds.opts.Instance, tg.ID)
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -293,21 +293,21 @@
 		return nil
 	}
 	sl := &Slot{ds: ds, Target: tgs[best], CandidateCount: len(tgs), ChosenAt: ds.opts.Now(), Priority: -1}
-	sl.book(tgs[best].ID, placement.Load{Writers: 1})
-	ds.tried(tgs[best].ID)
+	sl.addStageLoad(tgs[best].ID, placement.Load{Writers: 1})
+	ds.recordChosen(tgs[best].ID)
 	return sl
 }
 
 const (
 	// farCost is what another availability zone counts, in shares of a target's slots: one more request at the near
 	// target outweighs it.
-	farCost = 0.1
+	otherZoneCost = 0.1
 	// tieCost spreads equal targets and stays below one request.
-	tieCost = 0.05
+	tieBreakCost = 0.05
 )
 
 // fraction is a number in [0, 1) that differs by request, instance and target.
-func fraction(parts ...string) float64 {
+func hashFraction(parts ...string) float64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, p := range parts {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -87,14 +87,14 @@
 const settle = time.Minute
 
 func newBench(t *testing.T, count int, opts ...func(*dispatch.Options)) *bench {
-	be := &bench{
+	hs := &bench{
 		WithT: NewWithT(t), t: t, directory: targets.New(time.Now),
 		orders: &orders{reserved: map[string]int{}, released: map[string]int{}, refuse: map[string]bool{}, silent: map[string]bool{}},
 	}
 	var ids atomic.Int64
 	kp := &reservation.Keeper{
 		Timeout: 400 * time.Millisecond, Hold: 3 * time.Second,
-		Reserve: be.orders.reserve, Release: be.orders.release,
+		Reserve: hs.orders.reserve, Release: hs.orders.release,
 		NewID: func() string { return strconv.FormatInt(ids.Add(1), 10) },
 		Log:   &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
 	}
@@ -102,23 +102,23 @@
 	for _, edit := range opts {
 		edit(&op)
 	}
-	be.Dispatcher = dispatch.New(be.directory, kp, op)
+	hs.Dispatcher = dispatch.New(hs.directory, kp, op)
 	for no := range count {
-		be.put(no, zone, false)
+		hs.put(no, zone, false)
 	}
-	return be
+	return hs
 }
 
 func id(no int) string { return "t" + strconv.Itoa(no) }
 
-func (be *bench) put(no int, at string, leaving bool) {
+func (hs *bench) put(no int, at string, leaving bool) {
 	tg := targets.Target{
 		ID: id(no), Service: "s", Address: "10.0.0." + strconv.Itoa(no) + ":80", AvailabilityZone: at, Slots: slots, Leaving: leaving,
 	}
-	be.directory.TakeChanges([]targets.Entry{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
+	hs.directory.TakeChanges([]targets.Entry{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
 }
 
-func bubble(t *testing.T, count int, run func(be *bench)) {
+func bubble(t *testing.T, count int, run func(hs *bench)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { run(newBench(t, count)) })
 }
@@ -136,19 +136,19 @@
 
 // prompt asks for room for that many tokens at a model engine.
 func prompt(tokens int) dispatch.Request {
-	as := plain()
-	as.PromptTokens, as.MaxAnswerTokens, as.MaxPause = tokens, 100, time.Second
-	as.Service.Engine = &placement.Engine{
+	rq := plain()
+	rq.PromptTokens, rq.MaxAnswerTokens, rq.MaxPause = tokens, 100, time.Second
+	rq.Service.Engine = &placement.Engine{
 		Slots: slots, Stride: 4, Chunk: 2048, Memory: memory, Step: time.Millisecond, PerWriter: 50 * time.Microsecond,
 		PerThousandContext: 5 * time.Microsecond, PerThousandRead: time.Millisecond, UsualPrompt: 1000, UsualAnswer: 100,
 	}
-	return as
+	return rq
 }
 
-func (be *bench) take(as dispatch.Request) *dispatch.Slot {
-	sl, err := be.Acquire(context.Background(), as)
-	be.Expect(err).NotTo(HaveOccurred())
-	be.t.Cleanup(func() {
+func (hs *bench) take(rq dispatch.Request) *dispatch.Slot {
+	sl, err := hs.Acquire(context.Background(), rq)
+	hs.Expect(err).NotTo(HaveOccurred())
+	hs.t.Cleanup(func() {
 		sl.Release()
 		time.Sleep(settle)
 	})
@@ -156,10 +156,10 @@
 }
 
 // send asks for a target in the background.
-func (be *bench) send(as dispatch.Request) <-chan *dispatch.Slot {
+func (hs *bench) send(rq dispatch.Request) <-chan *dispatch.Slot {
 	got := make(chan *dispatch.Slot, 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	be.t.Cleanup(func() {
+	hs.t.Cleanup(func() {
 		cancel()
 		synctest.Wait()
 		select {
@@ -171,7 +171,7 @@
 		time.Sleep(settle)
 	})
 	go func() {
-		sl, err := be.Acquire(ctx, as)
+		sl, err := hs.Acquire(ctx, rq)
 		if err != nil {
 			return // the test sees that nothing came
 		}
@@ -181,73 +181,73 @@
 }
 
 // refused returns the failure of a request that gets no target.
-func (be *bench) refused(as dispatch.Request) *failure.Error {
-	_, err := be.Acquire(context.Background(), as)
+func (hs *bench) refused(rq dispatch.Request) *failure.Error {
+	_, err := hs.Acquire(context.Background(), rq)
 	var fe *failure.Error
-	be.Expect(errors.As(err, &fe)).To(BeTrue())
+	hs.Expect(errors.As(err, &fe)).To(BeTrue())
 	return fe
 }
 
 func TestLeastBusyPlainTarget(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
+	bubble(t, 3, func(hs *bench) {
 		var sls []*dispatch.Slot
 		for range 3 * 4 {
-			sls = append(sls, be.take(plain()))
+			sls = append(sls, hs.take(plain()))
 		}
 		for no := range 3 {
-			be.Expect(be.OwnLoads()[id(no)].Writers).To(Equal(4))
+			hs.Expect(hs.OwnLoads()[id(no)].Writers).To(Equal(4))
 		}
 		for _, sl := range sls {
 			sl.Release()
 		}
-		be.Expect(be.OwnLoads()).To(BeEmpty())
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
 func TestWhichPlainTarget(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(be *bench)
+		prepare func(hs *bench)
 		avoid   []string
 		want    string
 	}{
-		"the near one": {func(be *bench) { be.put(1, "z2", false) }, nil, id(0)},
-		"the far one when the near one is busy": {func(be *bench) {
-			be.put(1, "z2", false)
-			be.take(plain())
+		"the near one": {func(hs *bench) { hs.put(1, "z2", false) }, nil, id(0)},
+		"the far one when the near one is busy": {func(hs *bench) {
+			hs.put(1, "z2", false)
+			hs.take(plain())
 		}, nil, id(1)},
-		"the one that a peer does not use": {func(be *bench) {
-			be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 3}})
+		"the one that a peer does not use": {func(hs *bench) {
+			hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 3}})
 		}, nil, id(1)},
-		"loads of several peers count": {func(be *bench) {
-			be.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 2}, id(1): {Writers: 3}})
-			be.SetPeerLoads("p2", map[string]placement.Load{id(0): {Writers: 2}})
+		"loads of several peers count": {func(hs *bench) {
+			hs.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 2}, id(1): {Writers: 3}})
+			hs.SetPeerLoads("p2", map[string]placement.Load{id(0): {Writers: 2}})
 		}, nil, id(1)},
-		"a lost peer's load does not": {func(be *bench) {
-			be.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 9}})
-			be.SetPeerLoads("p2", map[string]placement.Load{id(1): {Writers: 1}})
-			be.SetPeerLoads("p1", nil)
+		"a lost peer's load does not": {func(hs *bench) {
+			hs.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 9}})
+			hs.SetPeerLoads("p2", map[string]placement.Load{id(1): {Writers: 1}})
+			hs.SetPeerLoads("p1", nil)
 		}, nil, id(0)},
-		"not the leaving one":    {func(be *bench) { be.put(0, zone, true) }, nil, id(1)},
+		"not the leaving one":    {func(hs *bench) { hs.put(0, zone, true) }, nil, id(1)},
 		"not the one to avoid":   {func(*bench) {}, []string{id(0)}, id(1)},
-		"not the one told gone":  {func(be *bench) { be.directory.MarkLeaving(id(1)) }, nil, id(0)},
-		"not the one unreached":  {func(be *bench) { be.directory.Unreachable(id(0)) }, nil, id(1)},
-		"not the one that fails": {func(be *bench) { failing(be, id(1)) }, nil, id(0)},
+		"not the one told gone":  {func(hs *bench) { hs.directory.MarkLeaving(id(1)) }, nil, id(0)},
+		"not the one unreached":  {func(hs *bench) { hs.directory.Unreachable(id(0)) }, nil, id(1)},
+		"not the one that fails": {func(hs *bench) { failing(hs, id(1)) }, nil, id(0)},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 2, func(be *bench) {
-				tc.prepare(be)
-				as := plain()
-				as.Exclude = tc.avoid
-				be.Expect(be.take(as).Target.ID).To(Equal(tc.want))
+			bubble(t, 2, func(hs *bench) {
+				tc.prepare(hs)
+				rq := plain()
+				rq.Exclude = tc.avoid
+				hs.Expect(hs.take(rq).Target.ID).To(Equal(tc.want))
 			})
 		})
 	}
 }
 
-func failing(be *bench, which string) {
+func failing(hs *bench, which string) {
 	for range 3 {
-		be.directory.Failure(which)
+		hs.directory.Failure(which)
 	}
 }
 
@@ -261,15 +261,15 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, tc.count, func(be *bench) {
-				as := plain()
-				as.Exclude = tc.avoid
+			bubble(t, tc.count, func(hs *bench) {
+				rq := plain()
+				rq.Exclude = tc.avoid
 				began := time.Now()
-				fe := be.refused(as)
-				be.Expect(fe.Code).To(Equal(failure.NoTarget))
-				be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-				be.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
-				be.Expect(time.Since(began)).To(BeZero())
+				fe := hs.refused(rq)
+				hs.Expect(fe.Code).To(Equal(failure.NoTarget))
+				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+				hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
+				hs.Expect(time.Since(began)).To(BeZero())
 			})
 		})
 	}
@@ -278,94 +278,94 @@
 // TestTwoRequestsDoNotSeeTheSameRoom sends prompts at once to as many idle targets.
 func TestTwoRequestsDoNotSeeTheSameRoom(t *testing.T) {
 	const count = 3
-	bubble(t, count, func(be *bench) {
+	bubble(t, count, func(hs *bench) {
 		var all []<-chan *dispatch.Slot
 		for range count {
-			all = append(all, be.send(prompt(8000)))
+			all = append(all, hs.send(prompt(8000)))
 		}
 		synctest.Wait()
 		var sls []*dispatch.Slot
 		for _, got := range all {
-			be.Expect(got).To(HaveLen(1))
+			hs.Expect(got).To(HaveLen(1))
 			sls = append(sls, <-got)
 		}
 		for no := range count {
-			be.Expect(be.OwnLoads()[id(no)].Readers).To(Equal(1))
-			be.Expect(be.OwnLoads()[id(no)].Memory).To(BeNumerically("<=", memory))
+			hs.Expect(hs.OwnLoads()[id(no)].Readers).To(Equal(1))
+			hs.Expect(hs.OwnLoads()[id(no)].Memory).To(BeNumerically("<=", memory))
 		}
 		for _, sl := range sls {
 			sl.Release()
 		}
-		be.Expect(be.OwnLoads()).To(BeEmpty())
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
 func TestPeersLoadsCountForPrompts(t *testing.T) {
-	bubble(t, 2, func(be *bench) {
-		be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: 9000, Writers: 1, Context: 9000}})
+	bubble(t, 2, func(hs *bench) {
+		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: 9000, Writers: 1, Context: 9000}})
 		for range 5 {
-			sl := be.take(prompt(4000))
-			be.Expect(sl.Target.ID).To(Equal(id(1)))
+			sl := hs.take(prompt(4000))
+			hs.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
-		be.SetPeerLoads("peer", map[string]placement.Load{id(1): {Memory: 9000, Writers: 1, Context: 9000}})
-		be.Expect(be.take(prompt(4000)).Target.ID).To(Equal(id(0)))
+		hs.SetPeerLoads("peer", map[string]placement.Load{id(1): {Memory: 9000, Writers: 1, Context: 9000}})
+		hs.Expect(hs.take(prompt(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
 
 func TestPeerWakesARequestThatWaits(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: memory}, id(1): {Memory: memory}})
-		got := be.send(prompt(largest))
+	bubble(t, 3, func(hs *bench) {
+		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: memory}, id(1): {Memory: memory}})
+		got := hs.send(prompt(largest))
 		time.Sleep(objective / 2)
 		synctest.Wait()
-		be.Expect(got).To(BeEmpty())
-		be.SetPeerLoads("peer", map[string]placement.Load{})
+		hs.Expect(got).To(BeEmpty())
+		hs.SetPeerLoads("peer", map[string]placement.Load{})
 		time.Sleep(2 * travel)
 		synctest.Wait()
-		be.Expect(got).To(HaveLen(1))
+		hs.Expect(got).To(HaveLen(1))
 		(<-got).Release()
 		time.Sleep(settle)
 	})
 }
 
 func TestRequestWithoutRoomIsRefusedInTime(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		be.take(prompt(largest))
+	bubble(t, 3, func(hs *bench) {
+		hs.take(prompt(largest))
 		began := time.Now()
-		fe := be.refused(prompt(largest))
-		be.Expect(fe.Code).To(Equal(failure.Overloaded))
-		be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-		be.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
-		be.Expect(time.Since(began)).To(BeNumerically("<=", objective))
-		be.Expect(time.Since(began)).To(BeNumerically(">", 0))
+		fe := hs.refused(prompt(largest))
+		hs.Expect(fe.Code).To(Equal(failure.Overloaded))
+		hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+		hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
+		hs.Expect(time.Since(began)).To(BeNumerically("<=", objective))
+		hs.Expect(time.Since(began)).To(BeNumerically(">", 0))
 	})
 }
 
 func TestWaitEndsWithItsContext(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		be.take(prompt(largest))
+	bubble(t, 3, func(hs *bench) {
+		hs.take(prompt(largest))
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		_, err := be.Acquire(ctx, prompt(largest))
-		be.Expect(err).To(MatchError(context.DeadlineExceeded))
-		be.Expect(time.Since(began)).To(Equal(100 * time.Millisecond))
+		_, err := hs.Acquire(ctx, prompt(largest))
+		hs.Expect(err).To(MatchError(context.DeadlineExceeded))
+		hs.Expect(time.Since(began)).To(Equal(100 * time.Millisecond))
 	})
 }
 
 func TestReleaseTwiceChangesNothing(t *testing.T) {
-	bubble(t, 1, func(be *bench) {
-		other := be.take(prompt(1000))
-		sl := be.take(prompt(1000))
+	bubble(t, 1, func(hs *bench) {
+		other := hs.take(prompt(1000))
+		sl := hs.take(prompt(1000))
 		sl.RecordFirstToken()
 		sl.RecordFirstToken()
 		sl.Release()
-		before := be.OwnLoads()
+		before := hs.OwnLoads()
 		sl.Release()
-		be.Expect(be.OwnLoads()).To(Equal(before))
+		hs.Expect(hs.OwnLoads()).To(Equal(before))
 		other.Release()
-		be.Expect(be.OwnLoads()).To(BeEmpty())
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -373,15 +373,15 @@
 func TestOneProbeForAnAvailabilityZone(t *testing.T) {
 	long := func() dispatch.Request { return prompt(20_000) }
 	proven := func() dispatch.Request {
-		as := prompt(1000)
-		as.Caution = targets.Proven
-		return as
+		rq := prompt(1000)
+		rq.Caution = targets.Proven
+		return rq
 	}
 	short := func() dispatch.Request { return prompt(1000) }
 	avoiding := func() dispatch.Request {
-		as := prompt(1000)
-		as.Exclude = []string{id(0), id(1)}
-		return as
+		rq := prompt(1000)
+		rq.Exclude = []string{id(0), id(1)}
+		return rq
 	}
 	cases := map[string]struct {
 		// others is how many targets there are elsewhere.
@@ -399,23 +399,23 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 0, func(be *bench) {
-				be.put(0, "far", false)
-				be.put(1, "far", false)
+			bubble(t, 0, func(hs *bench) {
+				hs.put(0, "far", false)
+				hs.put(1, "far", false)
 				for no := range tc.others {
-					be.put(2+no, "farther", false)
+					hs.put(2+no, "farther", false)
 				}
 				for no := range 2 {
-					be.directory.Unreachable(id(no))
+					hs.directory.Unreachable(id(no))
 				}
 				time.Sleep(time.Second)
 				there := 0
 				for _, ask := range tc.asks {
-					if be.take(ask()).Target.AvailabilityZone == "far" {
+					if hs.take(ask()).Target.AvailabilityZone == "far" {
 						there++
 					}
 				}
-				be.Expect(there).To(Equal(tc.there))
+				hs.Expect(there).To(Equal(tc.there))
 			})
 		})
 	}
--- a/internal/dispatch/failed.go
+++ b/internal/dispatch/failures.go
@@ -14,9 +14,9 @@
 const (
 	// failedReading is what a failed attempt counts, as time of reading: about the objective of short prompts, which then prefer any
 	// other target.
-	failedReading = 300 * time.Millisecond
+	failurePrefillTime = 300 * time.Millisecond
 	// failedFor is how long it counts: several attempts of the instances that know, one after the other.
-	failedFor = 2 * time.Second
+	failureLoadPeriod = 2 * time.Second
 )
 
 // Failed notes that the target broke the attempt off or failed it.
@@ -24,20 +24,20 @@
 	if sl.engine == nil {
 		return
 	}
-	load := placement.Load{Parts: sl.engine.ReadWithin(failedReading)}
-	sl.ds.addFor(failedFor, sl.Target.ID, load)
+	load := placement.Load{Parts: sl.engine.ReadWithin(failurePrefillTime)}
+	sl.ds.addLoadFor(failureLoadPeriod, sl.Target.ID, load)
 }
 
 // addFor adds a load at a target for a time.
-func (ds *Dispatcher) addFor(span time.Duration, id string, lo placement.Load) {
-	ds.book.mu.Lock()
-	ds.book.add(id, lo)
-	ds.book.mu.Unlock()
-	ds.changed()
+func (ds *Dispatcher) addLoadFor(span time.Duration, id string, lo placement.Load) {
+	ds.loads.mu.Lock()
+	ds.loads.add(id, lo)
+	ds.loads.mu.Unlock()
+	ds.notifyLoadChange()
 	time.AfterFunc(span, func() {
-		ds.book.mu.Lock()
-		ds.book.remove(id, lo)
-		ds.book.mu.Unlock()
-		ds.changed()
+		ds.loads.mu.Lock()
+		ds.loads.remove(id, lo)
+		ds.loads.mu.Unlock()
+		ds.notifyLoadChange()
 	})
 }
--- a/internal/dispatch/book_test.go
+++ b/internal/dispatch/loads_test.go
@@ -25,7 +25,7 @@
 func TestTotalIsTheSumOfWhatIsInFlight(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
-		bk := newBook()
+		lt := newLoadTable()
 		newest := map[string]map[string]placement.Load{}
 		for range rapid.IntRange(0, 30).Draw(rt, "steps") {
 			peer := rapid.SampledFrom([]string{"p", "q", "r"}).Draw(rt, "peer")
@@ -33,7 +33,7 @@
 			if rapid.Bool().Draw(rt, "goes") {
 				loads = nil
 			}
-			bk.setPeer(peer, maps.Clone(loads))
+			lt.setPeer(peer, maps.Clone(loads))
 			newest[peer] = loads
 		}
 		for _, id := range []string{"a", "b", "c"} {
@@ -41,10 +41,10 @@
 			for _, loads := range newest {
 				want = want.Plus(loads[id])
 			}
-			g.Expect(bk.total(id)).To(Equal(want))
+			g.Expect(lt.total(id)).To(Equal(want))
 		}
 		if want := 0; len(newest["p"])+len(newest["q"])+len(newest["r"]) == 0 {
-			g.Expect(bk.told).To(HaveLen(want), "nothing is kept of who is gone")
+			g.Expect(lt.peerTotals).To(HaveLen(want), "nothing is kept of who is gone")
 		}
 	})
 }
@@ -52,7 +52,7 @@
 // BenchmarkTotals adds up the loads at 150 targets of which 294 peers use three each. It took 931,037 ns while each total
 // went through all peers, and takes 8,389 ns.
 func BenchmarkTotals(b *testing.B) {
-	bk := newBook()
+	lt := newLoadTable()
 	ids := make([]string, 150)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("i-%010x", i)
@@ -62,11 +62,11 @@
 		for k := range 3 {
 			loads[ids[(p*7+k*31)%len(ids)]] = placement.Load{Writers: 1}
 		}
-		bk.setPeer(fmt.Sprint("p", p), loads)
+		lt.setPeer(fmt.Sprint("p", p), loads)
 	}
 	for b.Loop() {
 		for _, id := range ids {
-			_ = bk.total(id)
+			_ = lt.total(id)
 		}
 	}
 }
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -13,15 +13,15 @@
 const (
 	// fullFor is how long a target that refused to set memory aside counts as full: about an answer's time, in which
 	// some of its requests end.
-	fullFor = 500 * time.Millisecond
+	fullPeriod = 500 * time.Millisecond
 	// absentFor is the same for a target that another one named as an absent helper, and for one that gave no answer to
 	// an order: about the time in which peers and the store tell that it is gone.
-	absentFor = 2 * time.Second
+	absentPeriod = 2 * time.Second
 )
 
 // avoid leaves the targets out for a while that refused or did not answer an order for memory: all of them, since each
 // further plan that names one of them sets memory aside elsewhere for nobody. It reports whether there are any.
-func (ds *Dispatcher) avoid(err error, tgs []targets.Target) bool {
+func (ds *Dispatcher) markReservationFailures(err error, tgs []targets.Target) bool {
 	var te *reservation.TakeError
 	if !errors.As(err, &te) {
 		return false
@@ -31,24 +31,24 @@
 		var ue *reservation.UnansweredError
 		switch {
 		case errors.As(cause, &re):
-			ds.noteFull(re.Address, tgs, fullFor)
+			ds.markFull(re.Address, tgs, fullPeriod)
 		case errors.As(cause, &ue):
-			ds.noteFull(ue.Address, tgs, absentFor)
+			ds.markFull(ue.Address, tgs, absentPeriod)
 		}
 	}
 	return true
 }
 
-func (ds *Dispatcher) noteFull(address string, tgs []targets.Target, span time.Duration) {
+func (ds *Dispatcher) markFull(address string, tgs []targets.Target, span time.Duration) {
 	for _, tg := range tgs {
 		if tg.Address == address {
-			ds.book.full(tg.ID, ds.opts.Now().Add(span))
+			ds.loads.markFull(tg.ID, ds.opts.Now().Add(span))
 		}
 	}
 }
 
 // reserve sets aside the memory of a plan. The main target's own reservation comes first among the helpers.
-func (ds *Dispatcher) reserve(ctx context.Context, sl *Slot, tgs []targets.Target) error {
+func (ds *Dispatcher) reserveMemory(ctx context.Context, sl *Slot, tgs []targets.Target) error {
 	address := map[string]string{}
 	for _, tg := range tgs {
 		address[tg.ID] = tg.Address
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -31,24 +31,24 @@
 		"slots are taken, stream goes on": {writers: 3 * slots, tokens: 500, resumed: true},
 		"half of the slots are taken":     {writers: slots / 2, tokens: 500},
 	}
-	for name, tt := range tests {
+	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 3, func(be *bench) {
-				be.SetPeerLoads("peer", crowd(tt.writers))
-				as := prompt(tt.tokens)
-				as.Service.Engine.Memory = 100_000
-				as.Objective, as.Resumed = 300*time.Millisecond, tt.resumed
-				if !tt.refused {
-					be.take(as)
+			bubble(t, 3, func(hs *bench) {
+				hs.SetPeerLoads("peer", crowd(tc.writers))
+				rq := prompt(tc.tokens)
+				rq.Service.Engine.Memory = 100_000
+				rq.Objective, rq.Resumed = 300*time.Millisecond, tc.resumed
+				if !tc.refused {
+					hs.take(rq)
 					return
 				}
 				start := time.Now()
-				fe := be.refused(as)
-				be.Expect(time.Since(start)).To(BeZero())
-				be.Expect(fe.Code).To(Equal(failure.Overloaded))
-				be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-				be.Expect(fe.RetryAfter).To(BeNumerically(">", 500*time.Millisecond))
-				be.Expect(fe.RetryAfter).To(BeNumerically("<", 3*time.Second))
+				fe := hs.refused(rq)
+				hs.Expect(time.Since(start)).To(BeZero())
+				hs.Expect(fe.Code).To(Equal(failure.Overloaded))
+				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+				hs.Expect(fe.RetryAfter).To(BeNumerically(">", 500*time.Millisecond))
+				hs.Expect(fe.RetryAfter).To(BeNumerically("<", 3*time.Second))
 			})
 		})
 	}
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/permits.go
@@ -21,36 +21,36 @@
 
 // permitTries bounds the permits that one request is refused before it looks for targets without a limit alone: each takes a round trip
 // to another instance, all of them well within the shortest objective.
-const permitTries = 8
+const maxPermitTries = 8
 
 // closed reports whether a target takes no request of this one's now, and when it may be asked again.
 // The phase is that of the back-off that closes it; Open where it lacks permits.
-func (ds *Dispatcher) closed(as Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
-	if opens, by, closed = ds.backedOff(as, id); closed {
+func (ds *Dispatcher) closed(rq Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
+	if opens, by, closed = ds.closedByBackOff(rq, id); closed {
 		return opens, by, true
 	}
-	opens, closed = ds.unpermitted(as, id)
+	opens, closed = ds.closedByRateLimit(rq, id)
 	return opens, backoff.Open, closed
 }
 
 // unpermitted reports whether a target has no permit for a request now, and when it may be asked again.
-func (ds *Dispatcher) unpermitted(as Request, id string) (opens time.Time, closed bool) {
-	if ds.opts.Permits == nil || as.permitted == id {
+func (ds *Dispatcher) closedByRateLimit(rq Request, id string) (opens time.Time, closed bool) {
+	if ds.opts.Permits == nil || rq.permitTarget == id {
 		return time.Time{}, false
 	}
 	if opens, closed = ds.opts.Permits.Closed(id); closed {
 		return opens, true
 	}
-	return ds.opts.Now(), as.refusals >= permitTries && ds.opts.Permits.Limited(id)
+	return ds.opts.Now(), rq.permitRefusals >= maxPermitTries && ds.opts.Permits.Limited(id)
 }
 
 // permit asks for what the chosen target needs, before anything else is spent on it. Without a permit it fails with a noPermitError, and
 // the slot is released.
-func (ds *Dispatcher) permit(ctx context.Context, as Request, sl *Slot) error {
-	if ds.opts.Permits == nil || as.permitted == sl.Target.ID {
+func (ds *Dispatcher) obtainPermit(ctx context.Context, rq Request, sl *Slot) error {
+	if ds.opts.Permits == nil || rq.permitTarget == sl.Target.ID {
 		return nil
 	}
-	if an := ds.take(ctx, as, sl.Target, 0); an.Granted {
+	if an := ds.requestPermit(ctx, rq, sl.Target, 0); an.Granted {
 		return nil
 	}
 	sl.Release()
@@ -61,10 +61,10 @@
 }
 
 // take asks for a permit, and tells of a refusal.
-func (ds *Dispatcher) take(ctx context.Context, as Request, tg targets.Target, wait time.Duration) permit.Answer {
+func (ds *Dispatcher) requestPermit(ctx context.Context, rq Request, tg targets.Target, wait time.Duration) permit.Answer {
 	an := ds.opts.Permits.Take(ctx, tg, wait)
 	if !an.Granted && ds.opts.OnPermitRefused != nil {
-		ds.opts.OnPermitRefused(as.ID, tg, an.After)
+		ds.opts.OnPermitRefused(rq.ID, tg, an.After)
 	}
 	return an
 }
--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/permits_test.go
@@ -25,7 +25,7 @@
 }
 
 // limitedBench plays with targets that name a limit.
-func limitedBench(t *testing.T, count int, pm *permits, play func(be *bench), opts ...func(*dispatch.Options)) {
+func limitedBench(t *testing.T, count int, pm *permits, play func(hs *bench), opts ...func(*dispatch.Options)) {
 	synctest.Test(t, func(t *testing.T) {
 		limitOf := func(target string) ratelimit.Limit {
 			if slices.Contains(pm.limited, target) {
@@ -54,14 +54,14 @@
 	for name, ask := range asks {
 		t.Run(name, func(t *testing.T) {
 			pm := &permits{limited: []string{id(0), id(1)}, answer: never(time.Minute)}
-			limitedBench(t, 4, pm, func(be *bench) {
+			limitedBench(t, 4, pm, func(hs *bench) {
 				for range 6 {
-					sl := be.take(ask())
-					be.Expect(pm.limited).NotTo(ContainElement(sl.Target.ID))
+					sl := hs.take(ask())
+					hs.Expect(pm.limited).NotTo(ContainElement(sl.Target.ID))
 					sl.Release()
 				}
-				be.Expect(pm.asked.Load()).To(BeNumerically("<=", 2), "a target that was refused is not asked for again")
-				be.Expect(be.OwnLoads()).To(BeEmpty(), "nothing stays booked")
+				hs.Expect(pm.asked.Load()).To(BeNumerically("<=", 2), "a target that was refused is not asked for again")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "nothing stays booked")
 			})
 		})
 	}
@@ -69,24 +69,24 @@
 
 func TestTargetsWithoutPermitsStillHelp(t *testing.T) {
 	pm := &permits{limited: []string{id(0)}, answer: never(time.Minute)}
-	limitedBench(t, 2, pm, func(be *bench) {
-		sl := be.take(prompt(largest))
-		be.Expect(sl.Target.ID).To(Equal(id(1)))
-		be.Expect(sl.Helpers).To(HaveLen(2))
+	limitedBench(t, 2, pm, func(hs *bench) {
+		sl := hs.take(prompt(largest))
+		hs.Expect(sl.Target.ID).To(Equal(id(1)))
+		hs.Expect(sl.Helpers).To(HaveLen(2))
 		sl.Release()
 	})
 }
 
 func TestRequestWithoutAnyPermitIsRefusedAtOnce(t *testing.T) {
 	pm := &permits{limited: []string{id(0), id(1)}, answer: never(7 * time.Second)}
-	limitedBench(t, 2, pm, func(be *bench) {
-		for name, as := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
+	limitedBench(t, 2, pm, func(hs *bench) {
+		for name, rq := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
 			began := time.Now()
-			fe := be.refused(as)
-			be.Expect(time.Since(began)).To(BeNumerically("<", objective/4), name)
-			be.Expect(fe.Code).To(Equal(failure.Overloaded))
-			be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-			be.Expect(fe.RetryAfter).To(BeNumerically("~", 7*time.Second, time.Second), name)
+			fe := hs.refused(rq)
+			hs.Expect(time.Since(began)).To(BeNumerically("<", objective/4), name)
+			hs.Expect(fe.Code).To(Equal(failure.Overloaded))
+			hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+			hs.Expect(fe.RetryAfter).To(BeNumerically("~", 7*time.Second, time.Second), name)
 		}
 	})
 }
@@ -98,15 +98,15 @@
 		after := max(0, time.Until(free))
 		return permit.Answer{Granted: after <= wait, After: after}
 	}}
-	limitedBench(t, 2, pm, func(be *bench) {
-		for name, as := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
+	limitedBench(t, 2, pm, func(hs *bench) {
+		for name, rq := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
 			began := time.Now()
 			free = began.Add(turn)
-			as.Arrived, as.Deadline = began, began.Add(time.Minute)
-			sl := be.take(as)
-			be.Expect(time.Since(began)).To(BeNumerically(">=", turn), name)
-			be.Expect(time.Since(began)).To(BeNumerically("<", turn+objective/10), name)
-			be.Expect(pm.asked.Swap(0)).To(BeNumerically("<=", 4), "both targets are asked, and the turn is booked")
+			rq.Arrived, rq.Deadline = began, began.Add(time.Minute)
+			sl := hs.take(rq)
+			hs.Expect(time.Since(began)).To(BeNumerically(">=", turn), name)
+			hs.Expect(time.Since(began)).To(BeNumerically("<", turn+objective/10), name)
+			hs.Expect(pm.asked.Swap(0)).To(BeNumerically("<=", 4), "both targets are asked, and the turn is booked")
 			sl.Release()
 			time.Sleep(objective)
 		}
@@ -120,13 +120,13 @@
 		longest = max(longest, wait)
 		return permit.Answer{After: 300 * time.Millisecond}
 	}}
-	limitedBench(t, 1, pm, func(be *bench) {
-		as := plain()
-		as.Objective = 30 * time.Second
+	limitedBench(t, 1, pm, func(hs *bench) {
+		rq := plain()
+		rq.Objective = 30 * time.Second
 		began := time.Now()
-		be.refused(as)
-		be.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is told at once when to come back")
-		be.Expect(longest).To(BeNumerically("<=", 300*time.Millisecond), "a short request may wait as long")
+		hs.refused(rq)
+		hs.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is told at once when to come back")
+		hs.Expect(longest).To(BeNumerically("<=", 300*time.Millisecond), "a short request may wait as long")
 	})
 }
 
@@ -134,12 +134,12 @@
 	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
 		return permit.Answer{Granted: wait > 0, After: objective / 10}
 	}}
-	limitedBench(t, 1, pm, func(be *bench) {
+	limitedBench(t, 1, pm, func(hs *bench) {
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(objective/20, cancel)
-		_, err := be.Acquire(ctx, plain())
-		be.Expect(err).To(MatchError(context.Canceled))
-		be.Expect(be.OwnLoads()).To(BeEmpty())
+		_, err := hs.Acquire(ctx, plain())
+		hs.Expect(err).To(MatchError(context.Canceled))
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
@@ -149,11 +149,11 @@
 	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
 		return permit.Answer{Granted: wait > 0, After: objective / 16}
 	}}
-	limitedBench(t, 1, pm, func(be *bench) {
+	limitedBench(t, 1, pm, func(hs *bench) {
 		// It was refused, waits for its turn, and is frozen for longer than a turn may be late.
 		time.AfterFunc(objective/32, func() { frozen.Store(int64(300 * time.Millisecond)) })
-		sl := be.take(plain())
-		be.Expect(pm.asked.Load()).To(BeNumerically(">=", 3), "refused, missed, and asked for again")
+		sl := hs.take(plain())
+		hs.Expect(pm.asked.Load()).To(BeNumerically(">=", 3), "refused, missed, and asked for again")
 		sl.Release()
 	}, func(op *dispatch.Options) {
 		op.Now = func() time.Time { return time.Now().Add(time.Duration(frozen.Load())) }
@@ -166,8 +166,8 @@
 	for no := range count {
 		pm.limited = append(pm.limited, id(no))
 	}
-	limitedBench(t, count, pm, func(be *bench) {
-		be.refused(plain())
-		be.Expect(pm.asked.Load()).To(BeNumerically("<", count/2))
+	limitedBench(t, count, pm, func(hs *bench) {
+		hs.refused(plain())
+		hs.Expect(pm.asked.Load()).To(BeNumerically("<", count/2))
 	})
 }
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -15,15 +15,15 @@
 const (
 	// shortFill is the share of the slots of the short pool that short answers are expected to take. The rest is for what
 	// arrives before the others know of it.
-	shortFill = 0.6
+	shortPoolUtilisation = 0.6
 	// shortSpare is how many targets are in the short pool beyond those that the short answers in flight need, for those of the next moment.
-	shortSpare = 1
+	spareShortTargets = 1
 	// shortLoss is the share of its worth that a short answer may be expected to lose in the short pool: above it, as where
 	// memory or slots are taken, it is placed among all targets.
-	shortLoss = 0.5
+	maxShortPoolLoss = 0.5
 	// longPause is the share of the pause that short answers allow up to which a pass in the short pool may be made longer by
 	// parts of longer prompts: predictions are off by a fifth.
-	longPause = 0.8
+	maxLongPauseShare = 0.8
 )
 
 // pools divides targets by whether long parts stay away from them. All instances see about the same loads, and order the targets
@@ -31,24 +31,24 @@
 type pools struct {
 	short, long []placement.Target
 	// pause is the longest pause that the answers in the short pool allow.
-	pause time.Duration
+	shortMaxPause time.Duration
 }
 
 // newPools divides targets, whose order it changes, by what short answers have at stake there. The short pool is empty where it would leave fewer targets than
 // a long prompt can be read by.
-func newPools(en *placement.Engine, cands []placement.Target, dm demand) pools {
+func newPools(en *placement.Engine, cands []placement.Target, st arrivalStats) pools {
 	// Targets that take no request now write no short answers: others take their place in the short pool.
-	open := openFirst(cands)
-	size := shortPoolSize(en, cands[:open], dm)
+	open := moveOpenFirst(cands)
+	size := shortPoolSize(en, cands[:open], st)
 	if size == 0 || size > open || len(cands)-size < placement.MostParts {
 		return pools{long: cands}
 	}
-	at := partition(cands[:open], size)
-	return pools{short: cands[:at], long: cands[at:], pause: dm.shortPause}
+	at := moveLowestHashesFirst(cands[:open], size)
+	return pools{short: cands[:at], long: cands[at:], shortMaxPause: st.shortMaxPause}
 }
 
 // openFirst puts the targets that take requests first, and returns how many those are.
-func openFirst(cands []placement.Target) int {
+func moveOpenFirst(cands []placement.Target) int {
 	at := 0
 	for ix := range cands {
 		if !cands[ix].Closed {
@@ -60,10 +60,10 @@
 }
 
 // partition puts so many targets first, by places that depend on their names alone, and returns how many that are.
-func partition(cands []placement.Target, size int) int {
+func moveLowestHashesFirst(cands []placement.Target, size int) int {
 	places := make([]float64, len(cands))
 	for ix := range cands {
-		places[ix] = fraction(cands[ix].Name, "short")
+		places[ix] = hashFraction(cands[ix].Name, "short")
 	}
 	sorted := slices.Clone(places)
 	slices.Sort(sorted)
@@ -79,31 +79,31 @@
 }
 
 // shortPoolSize is how many targets the short answers in flight need, by what they have at stake together and one has usually.
-func shortPoolSize(en *placement.Engine, cands []placement.Target, dm demand) int {
-	if dm.shortStake <= 0 {
+func shortPoolSize(en *placement.Engine, cands []placement.Target, st arrivalStats) int {
+	if st.shortAtRisk <= 0 {
 		return 0
 	}
 	var sum placement.Worth
 	for i := range cands {
-		sum += cands[i].Load.AtRisk.Within(dm.shortPause)
+		sum += cands[i].Load.AtRisk.Within(st.shortMaxPause)
 	}
-	answers := float64(sum) / float64(dm.shortStake)
-	return shortSpare + int(math.Ceil(answers/(shortFill*float64(en.Slots))))
+	answers := float64(sum) / float64(st.shortAtRisk)
+	return spareShortTargets + int(math.Ceil(answers/(shortPoolUtilisation*float64(en.Slots))))
 }
 
 // serves reports whether a short prompt is well served by a plan in the short pool.
-func (ps pools) serves(as Request, pr placement.Prompt, pl placement.Plan) bool {
-	spared := float64(pl.Loss) <= shortLoss*float64(pr.InTime)
-	return spared && !late(as, pr, pl) && pl.Pause <= pr.LongestPause
+func (ps pools) servesShort(rq Request, pr placement.Prompt, pl placement.Plan) bool {
+	spared := float64(pl.Loss) <= maxShortPoolLoss*float64(pr.InTime)
+	return spared && !willBeLate(rq, pr, pl) && pl.Pause <= pr.LongestPause
 }
 
 // mayKeep reports whether any plan for a prompt could do as keeps wants: not when the smallest part takes too long by itself.
-func (ps pools) mayKeep(en *placement.Engine, pr placement.Prompt) bool {
+func (ps pools) canKeepPauses(en *placement.Engine, pr placement.Prompt) bool {
 	smallest := pr.Part(min(placement.MostParts, len(ps.short)))
-	return ps.keeps(placement.Plan{Pause: en.Pause(placement.Target{Pace: 1}, smallest)})
+	return ps.keepsPauses(placement.Plan{Pause: en.Pause(placement.Target{Pace: 1}, smallest)})
 }
 
 // keeps reports whether a plan leaves the pauses in the short pool short enough.
-func (ps pools) keeps(pl placement.Plan) bool {
-	return float64(pl.Pause) <= longPause*float64(ps.pause)
+func (ps pools) keepsPauses(pl placement.Plan) bool {
+	return float64(pl.Pause) <= maxLongPauseShare*float64(ps.shortMaxPause)
 }
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -35,18 +35,18 @@
 	var pooled []string
 	for _, instance := range []string{"a", "b", "c"} {
 		g := NewWithT(t)
-		be := newClockedOf(instance, func() time.Time { return time.Unix(1000, 0) }, ids...)
-		first, err := be.ds.Acquire(t.Context(), be.short())
+		hs := newClockedOf(instance, func() time.Time { return time.Unix(1000, 0) }, ids...)
+		first, err := hs.ds.Acquire(t.Context(), hs.short())
 		g.Expect(err).NotTo(HaveOccurred())
 		first.Release()
 		var reading []string
 		for range longs {
-			sl, err := be.ds.Acquire(t.Context(), be.long())
+			sl, err := hs.ds.Acquire(t.Context(), hs.long())
 			g.Expect(err).NotTo(HaveOccurred())
 			reading = append(reading, readAt(sl)...)
 		}
 		g.Expect(len(reading)).To(BeNumerically(">=", count-2))
-		next, err := be.ds.Acquire(t.Context(), be.short())
+		next, err := hs.ds.Acquire(t.Context(), hs.short())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(reading).NotTo(ContainElement(next.Target.ID), "a short one is written where no part is read")
 		pooled = append(pooled, next.Target.ID)
@@ -57,10 +57,10 @@
 // TestAFullShortPoolIsLeft: short answers take all slots of the short pool, and the next one is placed elsewhere.
 func TestAFullShortPoolIsLeft(t *testing.T) {
 	g := NewWithT(t)
-	be := newClocked("t0", "t1", "t2", "t3")
+	hs := newClocked("t0", "t1", "t2", "t3")
 	used := map[string]int{}
 	for range 3 * engine.Slots {
-		sl, err := be.ds.Acquire(t.Context(), be.short())
+		sl, err := hs.ds.Acquire(t.Context(), hs.short())
 		g.Expect(err).NotTo(HaveOccurred())
 		sl.RecordFirstToken()
 		used[sl.Target.ID]++
@@ -72,28 +72,28 @@
 
 // urgent asks for a short prompt whose first token must come soon.
 func urgent() dispatch.Request {
-	as := prompt(1000)
-	as.Objective = 300 * time.Millisecond
-	return as
+	rq := prompt(1000)
+	rq.Objective = 300 * time.Millisecond
+	return rq
 }
 
 // TestAFailedAttemptCountsAtItsTargetForAWhile.
 //
 // A target that resets every connection looks idle, and was chosen first by each instance until that had failed there itself.
 func TestAFailedAttemptCountsAtItsTargetForAWhile(t *testing.T) {
-	bubble(t, 2, func(be *bench) {
-		sl := be.take(urgent())
+	bubble(t, 2, func(hs *bench) {
+		sl := hs.take(urgent())
 		failed := sl.Target.ID
 		sl.RecordFailure()
 		sl.Release()
-		told := be.OwnLoads()
-		be.Expect(told).To(HaveKey(failed), "peers hear of it")
+		told := hs.OwnLoads()
+		hs.Expect(told).To(HaveKey(failed), "peers hear of it")
 		for range 3 {
-			next := be.take(urgent())
-			be.Expect(next.Target.ID).NotTo(Equal(failed))
+			next := hs.take(urgent())
+			hs.Expect(next.Target.ID).NotTo(Equal(failed))
 			next.Release()
 		}
 		time.Sleep(3 * time.Second)
-		be.Expect(be.OwnLoads()).To(BeEmpty())
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -162,9 +162,9 @@
 }
 
 func newReplayInstance(t *testing.T, no, targets int) *replayInstance {
-	be := newBench(t, targets, func(op *dispatch.Options) { op.Instance = fmt.Sprint("instance-", no) })
-	be.SetPropagationDelay(func() time.Duration { return replayTell })
-	return &replayInstance{bench: be, name: fmt.Sprint("instance-", no)}
+	hs := newBench(t, targets, func(op *dispatch.Options) { op.Instance = fmt.Sprint("instance-", no) })
+	hs.SetPropagationDelay(func() time.Duration { return replayTell })
+	return &replayInstance{bench: hs, name: fmt.Sprint("instance-", no)}
 }
 
 // play sends the requests of all phases.
@@ -183,35 +183,35 @@
 // send sends a request of a drawn size to a drawn instance.
 func (fl *replayFleet) send(cl class) {
 	tokens := int(float64(cl.tokens) * math.Exp(sizeSpread*fl.rd.NormFloat64()-sizeSpread*sizeSpread/2))
-	be := fl.instances[fl.rd.IntN(len(fl.instances))]
-	as := plain()
-	as.ID = fmt.Sprint("request-", asks.Add(1))
-	as.PromptTokens, as.MaxAnswerTokens, as.MaxPause = tokens, cl.events*replayFigures.Stride, cl.pause
-	as.Objective, as.Deadline, as.CallerIdleTimeout = cl.objective, as.Arrived.Add(cl.deadline), 4*cl.objective
-	as.Service = routes.Service{Name: "s", Engine: &replayFigures}
-	fl.wg.Go(func() { fl.ask(be, cl, as) })
+	hs := fl.instances[fl.rd.IntN(len(fl.instances))]
+	rq := plain()
+	rq.ID = fmt.Sprint("request-", asks.Add(1))
+	rq.PromptTokens, rq.MaxAnswerTokens, rq.MaxPause = tokens, cl.events*replayFigures.Stride, cl.pause
+	rq.Objective, rq.Deadline, rq.CallerIdleTimeout = cl.objective, rq.Arrived.Add(cl.deadline), 4*cl.objective
+	rq.Service = routes.Service{Name: "s", Engine: &replayFigures}
+	fl.wg.Go(func() { fl.ask(hs, cl, rq) })
 }
 
 // ask takes a request through its attempts, and counts what became of it.
-func (fl *replayFleet) ask(be *replayInstance, cl class, as dispatch.Request) {
-	ctx, cancel := context.WithDeadline(context.Background(), as.Deadline)
+func (fl *replayFleet) ask(hs *replayInstance, cl class, rq dispatch.Request) {
+	ctx, cancel := context.WithDeadline(context.Background(), rq.Deadline)
 	defer cancel()
 	const attempts = 3
 	var counted func(*tally)
 	for range attempts {
-		sl, err := be.Acquire(ctx, as)
+		sl, err := hs.Acquire(ctx, rq)
 		if err != nil {
-			waited := time.Since(as.Arrived)
+			waited := time.Since(rq.Arrived)
 			counted = func(ta *tally) { ta.refused++; ta.waited += waited }
 			break
 		}
-		first, pause, whole := fl.serve(ctx, cl, as, sl)
+		first, pause, whole := fl.serve(ctx, cl, rq, sl)
 		if whole {
 			counted = outcomeOf(cl, first, pause)
 			break
 		}
-		as.Exclude = append(as.Exclude, sl.Target.ID)
-		as.Caution = targets.Proven
+		rq.Exclude = append(rq.Exclude, sl.Target.ID)
+		rq.Caution = targets.Proven
 		counted = func(ta *tally) { ta.failed++ }
 	}
 	fl.count(cl, counted)
@@ -241,7 +241,7 @@
 }
 
 // serve runs an attempt, and returns the time to the first token, the longest pause, and whether the answer is whole.
-func (fl *replayFleet) serve(ctx context.Context, cl class, as dispatch.Request, sl *dispatch.Slot) (first, pause time.Duration, whole bool) {
+func (fl *replayFleet) serve(ctx context.Context, cl class, rq dispatch.Request, sl *dispatch.Slot) (first, pause time.Duration, whole bool) {
 	defer sl.Release()
 	main := fl.engines[sl.Target.ID]
 	if main.arrive() {
@@ -250,13 +250,13 @@
 	}
 	main.slots <- struct{}{}
 	defer func() { <-main.slots }()
-	fl.read(as, sl)
+	fl.read(rq, sl)
 	if ctx.Err() != nil {
 		return 0, 0, false
 	}
-	first = time.Since(as.Arrived)
+	first = time.Since(rq.Arrived)
 	sl.RecordFirstToken()
-	wr := main.write(int64(as.PromptTokens), cl.events)
+	wr := main.write(int64(rq.PromptTokens), cl.events)
 	defer main.done(wr)
 	for at := time.Now(); cl.events > 0; cl.events-- {
 		<-wr.events
@@ -268,14 +268,14 @@
 }
 
 // read has a prompt read in even parts.
-func (fl *replayFleet) read(as dispatch.Request, sl *dispatch.Slot) {
+func (fl *replayFleet) read(rq dispatch.Request, sl *dispatch.Slot) {
 	// The first helper of a prompt with memory set aside is its main target.
 	reserved := len(sl.Helpers) > 0 && sl.Helpers[0].Reservation != ""
 	count := int64(len(sl.Helpers))
 	if !reserved {
 		count++
 	}
-	tokens := int64(as.PromptTokens)
+	tokens := int64(rq.PromptTokens)
 	share := func(en *replayEngine) *part { return en.add(tokens/count, tokens*tokens/2/count, count > 1) }
 	parts := []*part{}
 	if !reserved {
--- a/internal/dispatch/unseen_test.go
+++ b/internal/dispatch/sampling_test.go
@@ -12,13 +12,13 @@
 )
 
 // busiest returns how many of the prompts that do not know of each other choose the same target, at most.
-func (be *bench) busiest(prompts int) int {
+func (hs *bench) busiest(prompts int) int {
 	chosen := map[string]int{}
 	for no := range prompts {
-		as := prompt(500)
-		as.ID = "request-" + strconv.Itoa(no)
-		as.Service.Engine.Slots = 16
-		sl := be.take(as)
+		rq := prompt(500)
+		rq.ID = "request-" + strconv.Itoa(no)
+		rq.Service.Engine.Slots = 16
+		sl := hs.take(rq)
 		chosen[sl.Target.ID]++
 		sl.Release()
 	}
@@ -58,14 +58,14 @@
 		"known after a short lag": {lag: 3 * time.Millisecond, most: prompts},
 		"known after a long lag":  {lag: 100 * time.Millisecond, most: 16},
 	}
-	for name, tt := range tests {
+	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 64, func(be *bench) {
-				be.SetPropagationDelay(func() time.Duration { return tt.lag })
-				be.SetPeerLoads("peer", fleetLoads())
-				be.Expect(be.busiest(prompts)).To(BeNumerically("<=", tt.most))
-				if tt.most == prompts {
-					be.Expect(be.busiest(prompts)).To(BeNumerically(">", 16))
+			bubble(t, 64, func(hs *bench) {
+				hs.SetPropagationDelay(func() time.Duration { return tc.lag })
+				hs.SetPeerLoads("peer", fleetLoads())
+				hs.Expect(hs.busiest(prompts)).To(BeNumerically("<=", tc.most))
+				if tc.most == prompts {
+					hs.Expect(hs.busiest(prompts)).To(BeNumerically(">", 16))
 				}
 			})
 		})
@@ -74,20 +74,20 @@
 
 // TestLongPromptsSeeAllTargets has a long prompt that needs every target to read it.
 func TestLongPromptsSeeAllTargets(t *testing.T) {
-	bubble(t, 17, func(be *bench) {
-		be.SetPropagationDelay(func() time.Duration { return time.Hour })
-		be.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 1, Context: 100, Memory: 100}})
-		as := prompt(17_000)
-		as.Service.Engine.Memory, as.Service.Engine.PerThousandRead = 100_000, 100*time.Millisecond
-		as.Objective = 150 * time.Millisecond
-		sl := be.take(as)
+	bubble(t, 17, func(hs *bench) {
+		hs.SetPropagationDelay(func() time.Duration { return time.Hour })
+		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 1, Context: 100, Memory: 100}})
+		rq := prompt(17_000)
+		rq.Service.Engine.Memory, rq.Service.Engine.PerThousandRead = 100_000, 100*time.Millisecond
+		rq.Objective = 150 * time.Millisecond
+		sl := hs.take(rq)
 		read := []string{sl.Target.ID}
 		for _, he := range sl.Helpers {
 			read = append(read, he.ID)
 		}
 		slices.Sort(read)
-		be.Expect(slices.Compact(read)).To(HaveLen(len(sl.Helpers) + 1))
-		be.Expect(len(sl.Helpers)).To(BeNumerically(">", leastSampled))
+		hs.Expect(slices.Compact(read)).To(HaveLen(len(sl.Helpers) + 1))
+		hs.Expect(len(sl.Helpers)).To(BeNumerically(">", leastSampled))
 	})
 }
 
--- a/internal/dispatch/end_test.go
+++ b/internal/dispatch/shutdown_test.go
@@ -14,12 +14,12 @@
 )
 
 // full makes the memory of some targets look taken by a peer; none frees it.
-func (be *bench) full(count int) {
+func (hs *bench) full(count int) {
 	loads := map[string]placement.Load{}
 	for no := range count {
 		loads[id(no)] = placement.Load{Memory: memory}
 	}
-	be.SetPeerLoads("peer", loads)
+	hs.SetPeerLoads("peer", loads)
 }
 
 // TestPromptsAtTheEndOfTheInstance asks for room while the instance ends: reading and writing take 0.15 s at idle targets.
@@ -29,14 +29,14 @@
 	// large needs the memory of two targets, and waits for it until its deadline.
 	large := func() dispatch.Request { return prompt(17_000) }
 	begun := func() dispatch.Request {
-		as := short()
-		as.Resumed, as.EventsForwarded = true, 3
-		return as
+		rq := short()
+		rq.Resumed, rq.EventsForwarded = true, 3
+		return rq
 	}
 	soonDue := func() dispatch.Request {
-		as := large()
-		as.Deadline = as.Arrived.Add(500 * time.Millisecond)
-		return as
+		rq := large()
+		rq.Deadline = rq.Arrived.Add(500 * time.Millisecond)
+		return rq
 	}
 	cases := map[string]struct {
 		ask func() dispatch.Request
@@ -60,37 +60,37 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, targets, func(be *bench) {
+			bubble(t, targets, func(hs *bench) {
 				if tc.full {
-					be.full(targets)
+					hs.full(targets)
 				}
 				if tc.freedAt > 0 {
-					time.AfterFunc(tc.freedAt, func() { be.SetPeerLoads("peer", nil) })
+					time.AfterFunc(tc.freedAt, func() { hs.SetPeerLoads("peer", nil) })
 				}
-				tell := func() { be.SetShutdownTime(time.Now().Add(tc.endsIn)) }
+				tell := func() { hs.SetShutdownTime(time.Now().Add(tc.endsIn)) }
 				if tc.toldAt == 0 {
 					tell()
 				} else {
 					time.AfterFunc(tc.toldAt, tell)
 				}
 				began := time.Now()
-				sl, err := be.Acquire(context.Background(), tc.ask())
+				sl, err := hs.Acquire(context.Background(), tc.ask())
 				took := time.Since(began)
-				be.Expect(took).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most+travel)))
+				hs.Expect(took).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most+travel)))
 				if tc.code == "" {
-					be.Expect(err).NotTo(HaveOccurred())
+					hs.Expect(err).NotTo(HaveOccurred())
 					sl.Release()
 					time.Sleep(settle)
 					return
 				}
 				var fe *failure.Error
-				be.Expect(errors.As(err, &fe)).To(BeTrue())
-				be.Expect(fe.Code).To(Equal(tc.code))
-				be.Expect(fe.Outcome).To(Equal(failure.NotRun))
+				hs.Expect(errors.As(err, &fe)).To(BeTrue())
+				hs.Expect(fe.Code).To(Equal(tc.code))
+				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
 				if tc.code == failure.Stopping {
-					be.Expect(fe.RetryAfter).To(Equal(dispatch.RetryElsewhereAfter))
+					hs.Expect(fe.RetryAfter).To(Equal(dispatch.RetryElsewhereAfter))
 				}
-				be.Expect(be.OwnLoads()).To(BeEmpty())
+				hs.Expect(hs.OwnLoads()).To(BeEmpty())
 			})
 		})
 	}
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -29,16 +29,16 @@
 	plan        placement.Plan
 	reservation *reservation.Reservation
 	// booked is what the book holds for this slot until its next step, held what it holds until the end.
-	booked, held []booking
-	writing      bool
+	stageLoads, lifetimeLoads []bookedLoad
+	generating                bool
 	// arrived is when the request came, and eventAt when its last event passed; zero before the first.
-	arrived, eventAt time.Time
+	arrived, lastEventAt time.Time
 	// late is set once the answer is late for good: no delay can cost it more.
 	late bool
 }
 
 // booking is one slot's share of the load at one target.
-type booking struct {
+type bookedLoad struct {
 	id   string
 	load placement.Load
 }
@@ -55,36 +55,36 @@
 }
 
 // book adds a load that lasts until the slot's next step. The book's lock is held.
-func (sl *Slot) book(id string, lo placement.Load) {
-	sl.booked = append(sl.booked, booking{id: id, load: lo})
-	sl.ds.book.add(id, lo)
-	sl.ds.changed()
+func (sl *Slot) addStageLoad(id string, lo placement.Load) {
+	sl.stageLoads = append(sl.stageLoads, bookedLoad{id: id, load: lo})
+	sl.ds.loads.add(id, lo)
+	sl.ds.notifyLoadChange()
 }
 
 // bookHeld adds a load that lasts until the slot is released. The book's lock is held.
-func (sl *Slot) bookHeld(id string, lo placement.Load) {
-	sl.held = append(sl.held, booking{id: id, load: lo})
-	sl.ds.book.add(id, lo)
+func (sl *Slot) addLifetimeLoad(id string, lo placement.Load) {
+	sl.lifetimeLoads = append(sl.lifetimeLoads, bookedLoad{id: id, load: lo})
+	sl.ds.loads.add(id, lo)
 }
 
-func (sl *Slot) unbook(list []booking) {
-	for _, bk := range list {
-		sl.ds.book.remove(bk.id, bk.load)
+func (sl *Slot) removeLoads(list []bookedLoad) {
+	for _, bl := range list {
+		sl.ds.loads.remove(bl.id, bl.load)
 	}
 }
 
 // FirstToken notes that the answer has begun: the prompt is read everywhere.
 func (sl *Slot) RecordFirstToken() {
-	if sl.prompt.Tokens == 0 || sl.writing {
+	if sl.prompt.Tokens == 0 || sl.generating {
 		return
 	}
-	sl.writing = true
-	sl.eventAt = sl.ds.opts.Now()
-	sl.late = sl.late || sl.eventAt.Sub(sl.arrived) > sl.prompt.Objective
-	sl.ds.book.mu.Lock()
-	defer sl.ds.book.mu.Unlock()
-	sl.unbook(sl.booked)
-	sl.booked = nil
+	sl.generating = true
+	sl.lastEventAt = sl.ds.opts.Now()
+	sl.late = sl.late || sl.lastEventAt.Sub(sl.arrived) > sl.prompt.Objective
+	sl.ds.loads.mu.Lock()
+	defer sl.ds.loads.mu.Unlock()
+	sl.removeLoads(sl.stageLoads)
+	sl.stageLoads = nil
 	writing := sl.prompt.Writing()
 	if sl.late {
 		writing = sl.prompt.Overdue().Writing()
@@ -92,25 +92,25 @@
 	if len(sl.plan.Reserve) > 0 {
 		writing = writing.WithMemory(0).WithContext(sl.plan.Reserve[0].Tokens)
 		for _, sh := range sl.plan.Reserve[1:] {
-			sl.book(sh.Target, placement.Load{Context: sh.Tokens})
+			sl.addStageLoad(sh.Target, placement.Load{Context: sh.Tokens})
 		}
 	}
-	sl.book(sl.plan.Main, writing)
+	sl.addStageLoad(sl.plan.Main, writing)
 }
 
 // passMargin is how much longer than predicted a pass may take before the target seems lost: predictions are off by about
 // a tenth, and the loads they rest on are some milliseconds old.
-const passMargin = 1.2
+const silenceMargin = 1.2
 
 // LongestSilence is how long the target may be silent with all that is read there now; zero for plain services.
 func (sl *Slot) MaxSilence() time.Duration {
 	if sl.engine == nil {
 		return 0
 	}
-	sl.ds.book.mu.Lock()
-	load := sl.ds.book.total(sl.Target.ID)
-	sl.ds.book.mu.Unlock()
-	return time.Duration(passMargin * float64(sl.engine.PassTime(placement.Target{Load: load})))
+	sl.ds.loads.mu.Lock()
+	load := sl.ds.loads.total(sl.Target.ID)
+	sl.ds.loads.mu.Unlock()
+	return time.Duration(silenceMargin * float64(sl.engine.PassTime(placement.Target{Load: load})))
 }
 
 // Shed notes that the target turned the request away for lack of room; address names the target at fault when it is a
@@ -119,61 +119,61 @@
 	now := sl.ds.opts.Now()
 	for _, hp := range sl.Helpers {
 		if hp.Address == address {
-			sl.ds.book.full(hp.ID, now.Add(absentFor))
+			sl.ds.loads.markFull(hp.ID, now.Add(absentPeriod))
 			return
 		}
 	}
-	sl.ds.book.full(sl.Target.ID, now.Add(fullFor))
+	sl.ds.loads.markFull(sl.Target.ID, now.Add(fullPeriod))
 }
 
 // Event notes an event passed on. A pause that was too long makes the answer late: its target need not be spared for
 // it any more.
 func (sl *Slot) RecordEvent() {
-	if !sl.writing || sl.late {
+	if !sl.generating || sl.late {
 		return
 	}
 	now := sl.ds.opts.Now()
-	pause := now.Sub(sl.eventAt)
-	sl.eventAt = now
+	pause := now.Sub(sl.lastEventAt)
+	sl.lastEventAt = now
 	if pause > sl.prompt.LongestPause {
-		sl.lapse()
+		sl.markLate()
 	}
 }
 
 // lapse books the writer again with its caller's patience alone at stake.
-func (sl *Slot) lapse() {
+func (sl *Slot) markLate() {
 	sl.late = true
 	atRisk := sl.prompt.Overdue().Writing().AtRisk
-	sl.ds.book.mu.Lock()
-	defer sl.ds.book.mu.Unlock()
-	for i := range sl.booked {
-		bk := &sl.booked[i]
-		if bk.id != sl.plan.Main {
+	sl.ds.loads.mu.Lock()
+	defer sl.ds.loads.mu.Unlock()
+	for i := range sl.stageLoads {
+		bl := &sl.stageLoads[i]
+		if bl.id != sl.plan.Main {
 			continue
 		}
-		sl.ds.book.remove(bk.id, bk.load)
-		bk.load = bk.load.WithRisk(atRisk)
-		sl.ds.book.add(bk.id, bk.load)
+		sl.ds.loads.remove(bl.id, bl.load)
+		bl.load = bl.load.WithRisk(atRisk)
+		sl.ds.loads.add(bl.id, bl.load)
 	}
-	sl.ds.changed()
+	sl.ds.notifyLoadChange()
 }
 
 // Release ends the slot.
 func (sl *Slot) Release() {
-	sl.ds.book.mu.Lock()
-	sl.unbook(sl.booked)
-	sl.unbook(sl.held)
-	sl.booked, sl.held = nil, nil
-	sl.ds.book.mu.Unlock()
-	sl.ds.changed()
-	sl.ds.book.wake()
+	sl.ds.loads.mu.Lock()
+	sl.removeLoads(sl.stageLoads)
+	sl.removeLoads(sl.lifetimeLoads)
+	sl.stageLoads, sl.lifetimeLoads = nil, nil
+	sl.ds.loads.mu.Unlock()
+	sl.ds.notifyLoadChange()
+	sl.ds.loads.wakeWaiters()
 	if sl.reservation != nil {
 		sl.reservation.Release()
 		sl.reservation = nil
 	}
 }
 
-func (ds *Dispatcher) changed() {
+func (ds *Dispatcher) notifyLoadChange() {
 	if ds.opts.OnLoadChange != nil {
 		ds.opts.OnLoadChange()
 	}
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -40,33 +40,33 @@
 }
 
 func newClockedOf(instance string, clock func() time.Time, ids ...string) *clocked {
-	be := &clocked{clock: clock}
-	dr := targets.New(be.now)
+	hs := &clocked{clock: clock}
+	dr := targets.New(hs.now)
 	var listed []targets.Target
 	for _, id := range ids {
 		listed = append(listed, targets.Target{ID: id, Service: "s", Slots: engine.Slots, AvailabilityZone: "a"})
 	}
-	dr.TakeList(listed, nil, position.Position{}, be.now())
-	be.ds = dispatch.New(dr, nil, dispatch.Options{Instance: instance, AvailabilityZone: "a", Now: be.now})
-	return be
+	dr.TakeList(listed, nil, position.Position{}, hs.now())
+	hs.ds = dispatch.New(dr, nil, dispatch.Options{Instance: instance, AvailabilityZone: "a", Now: hs.now})
+	return hs
 }
 
-func (be *clocked) now() time.Time       { return be.clock().Add(be.passed) }
-func (be *clocked) pass(d time.Duration) { be.passed += d }
+func (hs *clocked) now() time.Time       { return hs.clock().Add(hs.passed) }
+func (hs *clocked) pass(d time.Duration) { hs.passed += d }
 
 // short asks for a prompt of the kind with the shortest objective.
-func (be *clocked) short() dispatch.Request {
+func (hs *clocked) short() dispatch.Request {
 	return dispatch.Request{
 		ID: "r", Service: routes.Service{Name: "s", Engine: &engine}, PromptTokens: 5000, AnswerTokensHint: 1300,
 		Objective: 300 * time.Millisecond, MaxPause: 250 * time.Millisecond,
-		Arrived: be.now(), Deadline: be.now().Add(10 * time.Second),
+		Arrived: hs.now(), Deadline: hs.now().Add(10 * time.Second),
 	}
 }
 
 // sums returns what this instance's readers and writers lose together when they are late, at all targets.
-func (be *clocked) sums() (placement.Worth, placement.Worth) {
+func (hs *clocked) sums() (placement.Worth, placement.Worth) {
 	var waiting, atRisk placement.Worth
-	for _, lo := range be.ds.OwnLoads() {
+	for _, lo := range hs.ds.OwnLoads() {
 		for cl := range lo.AtRisk {
 			waiting += lo.Waiting[cl]
 			atRisk += lo.AtRisk[cl]
@@ -86,24 +86,24 @@
 		"both limits just kept":  {first: 300 * time.Millisecond, pause: 250 * time.Millisecond},
 		"both limits are passed": {first: time.Second, pause: time.Second, late: true},
 	}
-	for name, ca := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			be := newClocked("t1")
-			sl, err := be.ds.Acquire(context.Background(), be.short())
+			hs := newClocked("t1")
+			sl, err := hs.ds.Acquire(context.Background(), hs.short())
 			g.Expect(err).NotTo(HaveOccurred())
-			waiting, _ := be.sums()
+			waiting, _ := hs.sums()
 			g.Expect(waiting).To(BeNumerically(">", 0))
-			be.pass(ca.first)
+			hs.pass(tc.first)
 			sl.RecordFirstToken()
 			sl.RecordEvent()
-			be.pass(ca.pause)
+			hs.pass(tc.pause)
 			sl.RecordEvent()
-			_, atRisk := be.sums()
-			g.Expect(atRisk == 0).To(Equal(ca.late))
-			g.Expect(be.ds.OwnLoads()["t1"].Writers).To(Equal(1))
+			_, atRisk := hs.sums()
+			g.Expect(atRisk == 0).To(Equal(tc.late))
+			g.Expect(hs.ds.OwnLoads()["t1"].Writers).To(Equal(1))
 			sl.Release()
-			g.Expect(be.ds.OwnLoads()).To(BeEmpty())
+			g.Expect(hs.ds.OwnLoads()).To(BeEmpty())
 		})
 	}
 }
@@ -116,46 +116,46 @@
 		"just arrived":         {},
 		"the objective passed": {used: 400 * time.Millisecond, late: true},
 	}
-	for name, ca := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			be := newClocked("t1")
-			as := be.short()
-			be.pass(ca.used)
-			sl, err := be.ds.Acquire(context.Background(), as)
+			hs := newClocked("t1")
+			rq := hs.short()
+			hs.pass(tc.used)
+			sl, err := hs.ds.Acquire(context.Background(), rq)
 			g.Expect(err).NotTo(HaveOccurred())
 			defer sl.Release()
-			waiting, _ := be.sums()
-			g.Expect(waiting == 0).To(Equal(ca.late))
+			waiting, _ := hs.sums()
+			g.Expect(waiting == 0).To(Equal(tc.late))
 		})
 	}
 }
 
 func TestAStreamThatGoesOnElsewhereHasNothingAtStake(t *testing.T) {
 	g := NewWithT(t)
-	be := newClocked("t1")
-	as := be.short()
-	as.Resumed = true
-	sl, err := be.ds.Acquire(context.Background(), as)
+	hs := newClocked("t1")
+	rq := hs.short()
+	rq.Resumed = true
+	sl, err := hs.ds.Acquire(context.Background(), rq)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer sl.Release()
 	sl.RecordFirstToken()
-	waiting, atRisk := be.sums()
+	waiting, atRisk := hs.sums()
 	g.Expect(waiting + atRisk).To(BeZero())
 }
 
 // TestLongestSilenceFollowsWhatIsRead lets a target be silent for as long as it reads what others brought.
 func TestLongestSilenceFollowsWhatIsRead(t *testing.T) {
 	g := NewWithT(t)
-	be := newClocked("t1")
-	sl, err := be.ds.Acquire(context.Background(), be.short())
+	hs := newClocked("t1")
+	sl, err := hs.ds.Acquire(context.Background(), hs.short())
 	g.Expect(err).NotTo(HaveOccurred())
 	sl.RecordFirstToken()
 	quiet := sl.MaxSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
 	reading := placement.Load{Parts: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
-	be.ds.SetPeerLoads("peer", map[string]placement.Load{"t1": reading})
+	hs.ds.SetPeerLoads("peer", map[string]placement.Load{"t1": reading})
 	g.Expect(sl.MaxSilence()).To(BeNumerically(">", quiet+time.Second))
-	be.ds.SetPeerLoads("peer", nil)
+	hs.ds.SetPeerLoads("peer", nil)
 	g.Expect(sl.MaxSilence()).To(Equal(quiet))
 }
