--- a/internal/dispatch/arrivals.go
+++ b/internal/dispatch/arrivals.go
@@ -6,24 +6,24 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// demandWeight is what one request counts in the mean of what arrives: about the last twenty count, a second or a few of
-// an instance's requests, so that a swing of the mix is followed within about that time.
+// arrivalWeight is the weight of one request in the moving average of arrivals. About the last 20 requests count, which an
+// instance receives within one to a few seconds, so the average follows a change of the traffic mix within that time.
 const arrivalWeight = 0.05
 
-// demand is what a usual request has at stake when it arrives, by class. What is in flight would tell less: under
-// overload its answers are late and have nothing left at stake, and long prompts were then placed as if nobody arrived,
-// which kept every next answer late as well.
+// arrivalStats is a moving average of the worth that arriving requests have at risk, by class. The load in flight is no
+// substitute: in overload its answers are late and have nothing left at risk, so long prompts were placed as if no requests
+// arrived, which made each following answer late as well.
 type arrivalStats struct {
 	atRisk placement.Classes
-	// known is false before the first request.
+	// hasSample is false before the first request.
 	hasSample bool
-	// shortStake is what a usual short answer has at stake, and shortPause the longest pause that the newest one allows; zero before
-	// the first.
+	// shortAtRisk is the average worth that a short answer has at risk, and shortMaxPause the longest pause that the latest
+	// short request allows. Both are zero before the first short request.
 	shortAtRisk   placement.Worth
 	shortMaxPause time.Duration
 }
 
-// observe takes a request that arrives, and whether it is a short one.
+// observe adds an arriving request to the average.
 func (st *arrivalStats) observe(pr placement.Prompt, short bool) {
 	if short {
 		st.observeShort(pr)
@@ -38,12 +38,12 @@
 	}
 }
 
-// blend returns a mean once one more request has come.
+// updateMean returns the moving average after one more sample.
 func updateMean(mean, next placement.Worth) placement.Worth {
 	return mean + placement.Worth(arrivalWeight*float64(next-mean))
 }
 
-// observeShort takes a short prompt that arrives.
+// observeShort adds an arriving short prompt to the average of short prompts.
 func (st *arrivalStats) observeShort(pr placement.Prompt) {
 	st.shortMaxPause = pr.LongestPause
 	stake := pr.InTime - pr.Late
@@ -54,8 +54,8 @@
 	st.shortAtRisk = updateMean(st.shortAtRisk, stake)
 }
 
-// perSecond returns what begins to write at one of some targets in a second: by Little's law what is in flight there,
-// over the time for which an answer is written.
+// perTargetPerSecond returns the expected load of the answers that start at one target within a second. By Little's law
+// their rate is the number of requests in flight divided by the time that an answer takes.
 func (st *arrivalStats) perTargetPerSecond(en *placement.Engine, cands []placement.Target) placement.Load {
 	rate := float64(inFlight(cands)) / usualAnswerTime(en).Seconds() / float64(len(cands))
 	var sum placement.Load
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -10,32 +10,32 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// The load that back-offs answer: a target that turns requests away answers faster than those that do the work, and so looks idle to every
-// choice. It is closed until its back-off is over, as one without a permit is, and helps nobody either. A request that can go elsewhere then
-// finds out whether it takes work again.
+// A target that rejects requests with a back-off answers faster than one that does the work, and therefore looks idle to
+// target selection. During its back-off it is closed: it is sent no requests and is not used as a helper. After the back-off
+// it is half-open: a request that can be retried elsewhere probes whether the target takes work again.
 
-// unprobedFor is the time after a back-off from which any request may go there that was not turned away yet, if none that can go elsewhere
-// came by.
+// probeOnlyPeriod is how long after a back-off only a request that can be retried elsewhere may probe the target. After it,
+// any request may that no target has turned away yet, in case no such probe came along.
 const probeOnlyPeriod = time.Second
 
-// probes reports whether a request may find out whether a target takes work again: it loses nothing when it is turned away.
+// canProbe reports whether the request may probe a half-open target, because being turned away costs it nothing.
 func (rq Request) canProbe() bool {
 	return rq.CanRetry && rq.Caution == targets.Any && !rq.isLong() && !rq.Resumed
 }
 
-// backedOff reports whether a target is closed to a request for a back-off, and when it may be asked again. One that is on trial may be at
-// once where there is no other.
-func (ds *Dispatcher) closedByBackOff(rq Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
-	by, at := ds.backOffPhase(id)
-	switch by {
+// closedByBackOff reports whether a back-off closes a target to the request, in which phase it is, and when it may be tried
+// again. A half-open target may be tried at once if all other targets are closed too.
+func (ds *Dispatcher) closedByBackOff(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
+	ph, at := ds.backOffPhase(id)
+	switch ph {
 	case backoff.Closed:
-		return at, by, true
+		return at, ph, true
 	case backoff.OnTrial:
 		now := ds.opts.Now()
-		return now, by, !rq.mayProbe && (rq.Retried || now.Sub(at) < probeOnlyPeriod)
+		return now, ph, !rq.mayProbe && (rq.Retried || now.Sub(at) < probeOnlyPeriod)
 	case backoff.Open:
 	}
-	return time.Time{}, by, false
+	return time.Time{}, ph, false
 }
 
 func (ds *Dispatcher) backOffPhase(id string) (backoff.Phase, time.Time) {
@@ -45,7 +45,7 @@
 	return ds.opts.BackOffs.Of(id)
 }
 
-// isBackedOff reports whether a target wants no requests now.
+// isBackedOff reports whether the target's back-off is still running.
 func (ds *Dispatcher) isBackedOff(id string) bool {
 	if ds.opts.BackOffs == nil {
 		return false
@@ -54,18 +54,19 @@
 	return backedOff
 }
 
-// tried notes that a request goes to a target.
+// recordChosen tells the back-off state that a request is about to be sent to the target.
 func (ds *Dispatcher) recordChosen(id string) {
 	if ds.opts.BackOffs != nil {
 		ds.opts.BackOffs.Chosen(id)
 	}
 }
 
-// hintMost bounds how long a back-off of this instance is a load in the eyes of its peers.
+// maxBackOffLoadPeriod bounds how long peers see a back-off of this instance as load on the target.
 const maxBackOffLoadPeriod = 10 * time.Second
 
-// TurnedAway notes that the target turned the request away for a time. For peers, who may be welcome there, that is a load like any other:
-// they prefer other targets as long as these have room, and need not all be turned away before they know.
+// RecordBackOff notes that the target rejected the request with a back-off. The back-off binds this instance only, and the
+// target may still accept requests from peers. Peers therefore see it as additional load: they prefer other targets while
+// those have room, so that not every instance has to be rejected first.
 func (sl *Slot) RecordBackOff(backOff time.Duration) {
 	if !sl.ds.beginBackOffLoad(sl.Target.ID) {
 		return
@@ -79,62 +80,63 @@
 	time.AfterFunc(span, func() { sl.ds.endBackOffLoad(sl.Target.ID) })
 }
 
-// hint reports whether peers are not told of a back-off yet.
+// beginBackOffLoad marks the target's back-off as published to peers, and reports whether it was not yet.
 func (ds *Dispatcher) beginBackOffLoad(id string) bool {
-	ds.loads.mu.Lock()
-	defer ds.loads.mu.Unlock()
-	if _, hinted := ds.loads.backOffLoads[id]; hinted {
+	ds.loadTable.mu.Lock()
+	defer ds.loadTable.mu.Unlock()
+	if _, published := ds.loadTable.backOffLoads[id]; published {
 		return false
 	}
-	ds.loads.backOffLoads[id] = struct{}{}
+	ds.loadTable.backOffLoads[id] = struct{}{}
 	return true
 }
 
 func (ds *Dispatcher) endBackOffLoad(id string) {
-	ds.loads.mu.Lock()
-	defer ds.loads.mu.Unlock()
-	delete(ds.loads.backOffLoads, id)
+	ds.loadTable.mu.Lock()
+	defer ds.loadTable.mu.Unlock()
+	delete(ds.loadTable.backOffLoads, id)
 }
 
-// BackedOffError says that a request finds no target for the back-offs of all.
+// BackedOffError reports that all targets for a request are in back-off.
 type BackedOffError struct {
-	// Target is the incarnation whose back-off ends first, and After the time until then.
+	// Target is the incarnation whose back-off ends first, and Remaining the time until then.
 	Target    string
 	Remaining time.Duration
 }
 
-// Error names the target.
+// Error names the target and the remaining back-off.
 func (be *BackedOffError) Error() string {
-	return "target " + be.Target + " wants no requests for " + be.Remaining.Round(time.Millisecond).String()
+	return "target " + be.Target + " is backed off for another " + be.Remaining.Round(time.Millisecond).String()
 }
 
-// awaitBackOff waits until a target may be on trial, the earliest of all, where a request has the time. Else it fails at once with the time
-// at which to come back.
+// waitForBackOff waits until the target that reopens first may be probed. If that is after the request's wait deadline, it
+// fails at once and tells the caller when to retry.
 func (ds *Dispatcher) waitForBackOff(ctx context.Context, rq Request, first reopening) error {
 	wait := first.at.Sub(ds.opts.Now())
-	over := !ds.isBackedOff(first.target.ID)
-	if over {
-		// The answer to the request that is on its way may come at any time.
+	probing := !ds.isBackedOff(first.target.ID)
+	if probing {
+		// The probe is in flight, and its answer may reopen the target at any time.
 		wait = min(wait, pollInterval)
 	}
 	if ds.opts.Now().Add(wait).After(rq.backOffWaitDeadline()) {
-		// Those that were refused at one moment do not come back at one moment.
-		again := wait + time.Duration(hashFraction(rq.ID, ds.opts.Instance)*float64(roomRetryAfter))
+		// Jitter keeps requests that are refused at the same moment from being retried at the same moment.
+		retryAfter := wait + time.Duration(hashFraction(rq.ID, ds.opts.Instance)*float64(roomRetryAfter))
 		return failure.New(failure.Overloaded, failure.NotRun, "all targets want no requests for now").
-			WithCause(&BackedOffError{Target: first.target.ID, Remaining: wait}).WithRetryAfter(max(again, roomRetryAfter))
+			WithCause(&BackedOffError{Target: first.target.ID, Remaining: wait}).WithRetryAfter(max(retryAfter, roomRetryAfter))
 	}
-	if ds.opts.OnBackOffWait != nil && !over {
+	if ds.opts.OnBackOffWait != nil && !probing {
 		ds.opts.OnBackOffWait(rq.ID, first.target, wait)
 	}
-	// The more urgent look first.
+	// Staggering lets requests of higher priority choose a target first.
 	return sleep(ctx, wait+time.Duration(rq.Priority)*priorityStagger)
 }
 
-// rankStep is the time between the looks of requests of neighbouring ranks when a back-off ends: enough for a choice.
+// priorityStagger is the delay between requests of adjacent priorities after a back-off ends: enough for one to choose its
+// target before the next looks.
 const priorityStagger = time.Millisecond
 
-// ReturnAfter returns when the caller of a request that was turned away may come back: at once, but for where all targets of the service are
-// backed off from.
+// RetryAfter returns when the caller of a request that was turned away should retry: after the usual short delay, or at the
+// end of the first back-off if all targets of the service are backed off.
 func (ds *Dispatcher) RetryAfter(service string) time.Duration {
 	var first time.Time
 	for _, tg := range ds.targets.Usable(service, targets.Proven) {
--- a/internal/dispatch/decide.go
+++ b/internal/dispatch/decide.go
@@ -2,19 +2,20 @@
 
 import "github.com/silvermount/silvermount/internal/placement"
 
-// decision is what becomes of a prompt now.
+// decision is the outcome of looking for a plan for a prompt.
 type decision int
 
 const (
-	// decisionPlace is to run it as planned.
+	// decisionPlace runs the prompt as planned.
 	decisionPlace decision = iota
-	// decisionWait is to look again later.
+	// decisionWait keeps the prompt waiting for another try.
 	decisionWait
-	// decisionRefuse is to refuse it at once.
+	// decisionRefuse refuses the prompt at once.
 	decisionRefuse
 )
 
-// decide says whether a prompt runs as planned, looks again later, or is refused. The plan is the best one now, if any.
+// decide returns whether a prompt runs as planned, waits, or is refused. pl is the best plan at this moment, and planned is
+// false if there is none.
 func decide(rq Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
 	switch {
 	case rq.isLong() && !rq.Resumed:
@@ -28,7 +29,8 @@
 	}
 }
 
-// decideLong decides about a long prompt that nobody reads yet.
+// decideLong decides on a long prompt that has not been started anywhere. It compares pl with the plan that would be best
+// once all current prefill is done.
 func decideLong(rq Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
 	later, feasible := placement.Choose(*rq.Service.Engine, pr, withoutPrefill(cands), op)
 	feasible = feasible && meetsCallerTimeout(pr, later)
--- a/internal/dispatch/deferral.go
+++ b/internal/dispatch/deferral.go
@@ -6,20 +6,22 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// late reports whether an answer is late already or is sure to be. Others need not spare it: nothing more of it is lost.
+// willBeLate reports whether an answer has missed its objective or is almost certain to. A late answer has nothing more to
+// lose, so other requests need not be kept from delaying it.
 func willBeLate(rq Request, pr placement.Prompt, pl placement.Plan) bool {
 	return rq.Resumed || float64(pr.Used+pl.FirstToken) > lateThreshold*float64(pr.Objective)
 }
 
-// lateFrom is the share of the objective from which a predicted first token is late for sure: predictions are off by a
-// fifth.
+// lateThreshold is the share of the objective above which a predicted first token is considered certain to be late:
+// predictions are off by up to a fifth.
 const lateThreshold = 1.2
 
-// worthwhile reports whether a long prompt is expected to bring more than it costs the others. One that is late already
-// brings little, and read by a few targets in long passes it makes all that arrives there late as well: an overload may
-// begin with one such prompt.
+// isWorthPlacing reports whether a long prompt is expected to be worth more than the loss it causes to other requests. A
+// long prompt that is already late is worth little, and when a few targets read it in long passes, every request that
+// arrives there becomes late as well: a single such prompt can start an overload.
 //
-// One that is late for having waited has no better moment to wait for: refused in the end, its caller comes back once more for nothing.
+// A prompt that is late because it had to wait also gets the cost of a refusal credited: there is no better moment to wait
+// for, and after a refusal its caller would only retry in vain.
 func isWorthPlacing(rq Request, pr placement.Prompt, pl placement.Plan) bool {
 	saved := pr.InTime
 	if willBeLate(rq, pr, pl) && pr.Used > 0 {
@@ -28,21 +30,23 @@
 	return pl.Loss < saved
 }
 
-// refusalCost is what a caller loses by a refusal after a long wait beside the answer, as a share of its worth in time.
+// refusalCost is what a refusal after a long wait costs a caller on top of the lost answer, as a share of the answer's in-time
+// worth.
 const refusalCost = 0.3
 
-// hopeless reports whether a long prompt cannot be answered in its caller's time even at idle targets.
+// infeasibleWhenIdle reports whether a long prompt could not be answered within its caller's time even if all targets were
+// idle.
 func infeasibleWhenIdle(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options) bool {
 	best, ok := placement.Choose(*rq.Service.Engine, pr, withoutLoad(cands), op)
 	return !ok || !meetsCallerTimeout(pr, best)
 }
 
-// begins reports whether the first token of a plan comes while the caller waits.
+// meetsCallerTimeout reports whether the first token of a plan is predicted before the caller's idle timeout.
 func meetsCallerTimeout(pr placement.Prompt, pl placement.Plan) bool {
 	return pr.Patience <= 0 || pr.Used+pl.FirstToken <= pr.Patience
 }
 
-// read returns targets with nothing left to read.
+// withoutPrefill returns copies of the targets with all pending prefill done and none closed.
 func withoutPrefill(cands []placement.Target) []placement.Target {
 	after := slices.Clone(cands)
 	for i := range after {
@@ -52,7 +56,7 @@
 	return after
 }
 
-// idle returns targets with nothing in flight: neither slots nor memory are taken.
+// withoutLoad returns copies of the targets with nothing in flight, so that no slots or memory are taken.
 func withoutLoad(cands []placement.Target) []placement.Target {
 	after := slices.Clone(cands)
 	for i := range after {
@@ -63,14 +67,15 @@
 }
 
 const (
-	// waitGain is the share of an answer's worth that waiting for others' reading to end must save.
+	// minWaitGain is the least loss that waiting for current prefill to end must save, as a share of the prompt's in-time
+	// worth.
 	minWaitGain = 0.04
-	// waitUpTo is the share of the objective by which the first token must still be expected after a wait.
+	// maxWaitFirstToken is the latest first token that may still be predicted after a wait, as a share of the objective.
 	maxWaitFirstToken = 0.75
 )
 
-// betterLater reports whether a long prompt had better wait until what is being read now is read: the parts of two long
-// prompts in one pass make the pauses of all writers there too long, one after the other they do not.
+// isBetterLater reports whether a long prompt should wait until current prefill has ended. Parts of two long prompts in one
+// engine pass make the pauses of all answers generated there too long; one after the other they do not.
 func isBetterLater(pr placement.Prompt, pl, later placement.Plan) bool {
 	if float64(pr.Used+later.FirstToken) > maxWaitFirstToken*float64(pr.Objective) {
 		return false
@@ -79,16 +84,16 @@
 }
 
 const (
-	// deferHarm is the share of its worth in time that a late prompt may cost others at once: about one short
-	// answer for a long prompt.
+	// minDeferHarm is the harm to other requests above which a late prompt is deferred, as a share of the prompt's in-time
+	// worth: for a long prompt, about one short answer.
 	minDeferHarm = 0.05
-	// deferUpTo is how many objectives a late prompt waits at most. Callers give a stream up after four, and a large
-	// prompt is read for over one.
+	// maxDeferral is how long a late prompt is deferred at most, in multiples of its objective. Callers give up a stream
+	// after four objectives, and reading a large prompt takes more than one.
 	maxDeferral = 2.5
 )
 
-// defers reports whether a prompt that is late in any case had better wait: what is left of its worth does not fall with
-// time, and the others at its targets are in time now.
+// shouldDefer reports whether a prompt that will be late anyway should wait: its remaining worth does not fall with time,
+// whereas other requests at its targets are in time now.
 func shouldDefer(rq Request, pr placement.Prompt, pl placement.Plan) bool {
 	if !willBeLate(rq, pr, pl) {
 		return false
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,4 +1,4 @@
-// Package dispatch chooses the target of each request from what this instance and its peers have in flight.
+// Package dispatch chooses a target for each request, based on the requests that this instance and its peers have in flight.
 package dispatch
 
 import (
@@ -18,113 +18,115 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// Ask is a request that needs a target.
+// Request is a request that needs a target.
 type Request struct {
-	// Request is the caller's id; it breaks ties.
+	// ID is the request id from the caller. Its hash breaks ties between equal targets.
 	ID      string
 	Service routes.Service
-	// Avoid are incarnations that are not to be chosen.
+	// Exclude holds incarnations that must not be chosen.
 	Exclude []string
-	// PromptTokens, MostAnswer and AnswerHint are zero when not known.
+	// PromptTokens, MaxAnswerTokens and AnswerTokensHint are zero if unknown.
 	PromptTokens, MaxAnswerTokens, AnswerTokensHint int
-	// Events is how many events of the answer were passed on already.
+	// EventsForwarded is the number of answer events already sent to the caller.
 	EventsForwarded int
-	// Objective and LongestPause are the route's; zero when it has none.
+	// Objective is the route's limit on the time to the first token, MaxPause its limit on the time between two events; zero
+	// if the route sets none.
 	Objective, MaxPause time.Duration
-	// Patience is how long the caller waits without an event; zero is no bound.
+	// CallerIdleTimeout is how long the caller waits without receiving an event; zero means no limit.
 	CallerIdleTimeout time.Duration
 	Arrived, Deadline time.Time
-	// Priority is the organisation's or the route's rank, zero first.
+	// Priority is that of the organisation or the route; 0 is the most urgent.
 	Priority int
-	// Resumed is set when the answer goes on after some event.
+	// Resumed is set if a stream that already sent events continues on another target.
 	Resumed bool
-	// Caution is how sure the request must be of its target.
+	// Caution is how certain the request must be that its target works.
 	Caution targets.Caution
-	// Allowed returns why the request may not be sent any more, and is asked at each look for a target: what allowed it when
-	// it came may be taken away while it waits. It is nil when nothing can be.
+	// Authorise returns an error if the request may no longer be sent. It is called before each try, since an authorisation
+	// that held on arrival can be withdrawn while the request waits. It is nil for a request whose authorisation cannot
+	// change.
 	Authorise func() error
-	// Spare is set when the request can go to another target should this one turn it away, and Retried when one did.
+	// CanRetry is set if the request may be retried on another target when this one turns it away, Retried if it was turned
+	// away before.
 	CanRetry, Retried bool
-	// probe is set when the request may go to a target that is on trial after a back-off.
+	// mayProbe is set if the request may be sent to a half-open target.
 	mayProbe bool
-	// permitted is the target whose permit the request holds; empty for none.
+	// permitTarget is the target for which the request holds a permit; empty if it holds none.
 	permitTarget string
-	// refusals counts the permits that it was refused.
+	// permitRefusals counts the permits that the request was refused.
 	permitRefusals int
 }
 
-// Helper is a target that reads a part of the prompt.
+// Helper is a target that reads part of the prompt for the main target.
 type Helper struct {
 	ID, Address string
-	// Reservation names memory set aside there; empty when none is.
+	// Reservation identifies memory reserved at the helper; empty if none is.
 	Reservation string
 }
 
-// Dispatcher chooses targets. Its methods may be called by any goroutine.
+// Dispatcher chooses targets. It is safe for concurrent use.
 type Dispatcher struct {
 	targets              *targets.Directory
 	keeper               *reservation.Keeper
 	opts                 Options
-	loads                *loadTable
+	loadTable            *loadTable
 	propagationDelayFunc atomic.Pointer[func() time.Duration]
-	// end is when this instance ends; nil until it is asked to stop.
+	// shutdownAt is when this instance stops; nil until it is asked to stop.
 	shutdownAt atomic.Pointer[time.Time]
-	// arriving is what arrives at this instance; the book's lock guards it.
+	// arrivals describes the requests that arrive at this instance; the load table's lock guards it.
 	arrivals arrivalStats
 }
 
-// Options are the settings and seams of a Dispatcher.
+// Options holds the settings, dependencies and callbacks of a Dispatcher.
 type Options struct {
-	// Instance and AvailabilityZone are this instance's own.
+	// Instance and AvailabilityZone identify this instance.
 	Instance, AvailabilityZone string
-	// Now is the steady clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Time
-	// Changed is told when what this instance has in flight changes.
+	// OnLoadChange is called when the load of this instance at any target changes; it may be nil.
 	OnLoadChange func()
-	// Permits is asked before a request goes to a target that names a rate limit; nil lets all go.
+	// Permits grants requests to targets with a rate limit; nil disables rate limits.
 	Permits *permit.Client
-	// BackOffs is which targets want no requests of this instance; nil for none.
+	// BackOffs holds the targets that asked this instance to back off; nil disables back-offs.
 	BackOffs *backoff.Book
-	// Waits is told of each request that waits for the end of a target's back-off; it may be nil.
+	// OnBackOffWait is called each time a request starts to wait for the end of a target's back-off; it may be nil.
 	OnBackOffWait func(request string, tg targets.Target, wait time.Duration)
-	// TurnedElsewhere is told of each request that was not let to a target; it may be nil.
+	// OnPermitRefused is called each time a request is refused a permit for a target; it may be nil.
 	OnPermitRefused func(request string, tg targets.Target, again time.Duration)
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher without any load.
 func New(dr *targets.Directory, kp *reservation.Keeper, op Options) *Dispatcher {
-	return &Dispatcher{targets: dr, keeper: kp, opts: op, loads: newLoadTable()}
+	return &Dispatcher{targets: dr, keeper: kp, opts: op, loadTable: newLoadTable()}
 }
 
-// Own returns what this instance has in flight, by incarnation.
-func (ds *Dispatcher) OwnLoads() map[string]placement.Load { return ds.loads.ownLoads() }
+// OwnLoads returns the load of this instance at each target, by incarnation.
+func (ds *Dispatcher) OwnLoads() map[string]placement.Load { return ds.loadTable.ownLoads() }
 
-// Heard takes what a peer has in flight; nil forgets the peer.
+// SetPeerLoads replaces the loads that a peer reported, by incarnation; nil removes the peer.
 func (ds *Dispatcher) SetPeerLoads(peer string, loads map[string]placement.Load) {
-	ds.loads.setPeer(peer, loads)
+	ds.loadTable.setPeer(peer, loads)
 }
 
 const (
-	// waitStep is how often a request without room looks again when nothing wakes it: a few passes of an engine.
+	// pollInterval is how often a waiting request retries if nothing wakes it earlier: a few passes of an engine.
 	pollInterval = 20 * time.Millisecond
-	// waitShare is the share of the objective for which a request waits for room before it is refused.
+	// maxRoomWaitShare is how long a request waits for room before it is refused, as a share of its objective.
 	maxRoomWaitShare = 0.8
-	// comeBack is when a caller should come back after a refusal for lack of room: a few passes of an engine.
+	// roomRetryAfter is when a caller should retry after a refusal for lack of room: a few passes of an engine.
 	roomRetryAfter = 300 * time.Millisecond
 )
 
-// Acquire chooses a target and books the request there. A short prompt without room waits for a part of its objective, a
-// longer one for as long as it can still be answered.
-// Release must be called on the slot.
+// Acquire chooses a target and books the request's load there. If there is no room, a short prompt waits for part of its
+// objective, and a longer one for as long as it can still be answered. The caller must release the slot.
 func (ds *Dispatcher) Acquire(ctx context.Context, rq Request) (*Slot, error) {
-	patience := rq.roomWaitDeadline()
+	deadline := rq.roomWaitDeadline()
 	if rq.isLong() || rq.Resumed {
-		patience = rq.Deadline
+		deadline = rq.Deadline
 	}
 	rq.mayProbe = rq.canProbe()
 	ds.recordArrival(rq)
 	for {
-		roomFreed := ds.loads.roomFreedChan()
+		roomFreedChan := ds.loadTable.roomFreedChan()
 		if rq.Authorise != nil {
 			if err := rq.Authorise(); err != nil {
 				return nil, err
@@ -150,24 +152,25 @@
 		if ok {
 			continue
 		}
-		// A probe goes out at once or not at all.
+		// A request probes an availability zone on its first try or not at all.
 		rq.Caution = max(rq.Caution, targets.Proven)
-		if ds.opts.Now().After(patience) {
+		if ds.opts.Now().After(deadline) {
 			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(roomRetryAfter)
 		}
-		ds.waitForRoom(ctx, rq, roomFreed)
+		ds.waitForRoom(ctx, rq, roomFreedChan)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// soon is until when a request waits whose answer would else be late.
+// roomWaitDeadline is the time after which a request no longer waits, since its answer would be late.
 func (rq Request) roomWaitDeadline() time.Time {
 	return rq.Arrived.Add(time.Duration(maxRoomWaitShare * float64(rq.Objective)))
 }
 
-// patience is until when a request waits for a target that takes requests again. One whose caller reads already goes on as long as it can.
+// backOffWaitDeadline is the time until which a request waits for a closed target to reopen. A resumed request waits until
+// its deadline, because its caller is already reading the answer.
 func (rq Request) backOffWaitDeadline() time.Time {
 	if rq.Resumed {
 		return rq.Deadline
@@ -175,46 +178,47 @@
 	return rq.roomWaitDeadline()
 }
 
-// arrive notes a prompt that arrives.
+// recordArrival adds a prompt to the arrival statistics.
 func (ds *Dispatcher) recordArrival(rq Request) {
 	if rq.Service.Engine == nil || rq.PromptTokens == 0 || rq.Resumed {
 		return
 	}
 	pr := ds.newPrompt(rq)
-	ds.loads.mu.Lock()
+	ds.loadTable.mu.Lock()
 	ds.arrivals.observe(pr, !rq.isLong())
-	ds.loads.mu.Unlock()
+	ds.loadTable.mu.Unlock()
 }
 
-// pause waits until it is time to look for room again. Long prompts of several instances wait for the same room: they
-// look at different moments, the pressed ones more often, so that the first is known to the others before they look.
-func (ds *Dispatcher) waitForRoom(ctx context.Context, rq Request, roomFreed <-chan struct{}) {
-	step := pollInterval
+// waitForRoom waits until it is time to look for room again. Long prompts on several instances wait for the same room. They
+// poll at random moments, more often the less time is left, so that peers know of the first choice before they look
+// themselves.
+func (ds *Dispatcher) waitForRoom(ctx context.Context, rq Request, roomFreedChan <-chan struct{}) {
+	interval := pollInterval
 	if rq.isLong() {
-		roomFreed = nil
-		left := rq.Objective - ds.opts.Now().Sub(rq.Arrived)
-		step = time.Duration((minPollShare + hashFraction(rq.ID, ds.opts.Now().String())) * float64(min(maxPollSpread, max(pollInterval, left/pollsInTimeLeft))))
+		roomFreedChan = nil
+		timeLeft := rq.Objective - ds.opts.Now().Sub(rq.Arrived)
+		interval = time.Duration((minPollShare + hashFraction(rq.ID, ds.opts.Now().String())) * float64(min(maxPollSpread, max(pollInterval, timeLeft/pollsInTimeLeft))))
 	}
-	timer := time.NewTimer(step)
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
-	case <-roomFreed:
+	case <-roomFreedChan:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
 const (
-	// spreadMost is the longest time over which the next looks of long prompts are spread: ten times what it takes
-	// until peers know of a choice.
+	// maxPollSpread is the longest interval over which the next polls of long prompts are spread: ten times the time until
+	// peers know of a choice.
 	maxPollSpread = 60 * time.Millisecond
-	// spreadShare is how many looks fit into the time that is left.
+	// pollsInTimeLeft is the number of polls that fit into the time left until the objective.
 	pollsInTimeLeft = 20
-	// minSpread keeps two looks apart.
+	// minPollShare is the least distance of two polls, as a share of the poll interval.
 	minPollShare = 0.1
 )
 
-// try makes one choice. It reports false when there is no room now.
+// tryOnce tries once to choose a target. It reports false if there is no room now.
 func (ds *Dispatcher) tryOnce(ctx context.Context, rq Request) (*Slot, bool, error) {
 	tgs := ds.usable(rq)
 	if len(tgs) == 0 {
@@ -234,27 +238,29 @@
 	return sl, true, nil
 }
 
-// usable returns the service's targets without those to avoid.
+// usable returns the usable targets of the service that the request does not exclude. If none match the request's caution,
+// it returns all that are proven.
 func (ds *Dispatcher) usable(rq Request) []targets.Target {
-	left := ds.usableExceptExcluded(rq, rq.effectiveCaution())
-	if len(left) == 0 {
-		left = ds.usableExceptExcluded(rq, targets.Proven)
+	kept := ds.usableNotExcluded(rq, rq.effectiveCaution())
+	if len(kept) == 0 {
+		kept = ds.usableNotExcluded(rq, targets.Proven)
 	}
-	return left
+	return kept
 }
 
-func (ds *Dispatcher) usableExceptExcluded(rq Request, ca targets.Caution) []targets.Target {
+func (ds *Dispatcher) usableNotExcluded(rq Request, ca targets.Caution) []targets.Target {
 	all := ds.targets.Usable(rq.Service.Name, ca)
-	left := make([]targets.Target, 0, len(all))
+	kept := make([]targets.Target, 0, len(all))
 	for _, tg := range all {
 		if !contains(rq.Exclude, tg.ID) {
-			left = append(left, tg)
+			kept = append(kept, tg)
 		}
 	}
-	return left
+	return kept
 }
 
-// caution is the request's own, but for longer prompts: one that takes several targets is no probe.
+// effectiveCaution raises the caution of long prompts: a request that involves several targets must not probe an
+// availability zone.
 func (rq Request) effectiveCaution() targets.Caution {
 	if rq.isLong() {
 		return max(rq.Caution, targets.Proven)
@@ -271,16 +277,17 @@
 	return false
 }
 
-// leastBusy chooses the target of a plain service with the fewest requests in flight, near ones first. It returns nil when all are closed.
+// chooseLeastBusy chooses the target of a plain service with the lowest utilisation, preferring the local availability zone.
+// It returns nil if all targets are closed.
 func (ds *Dispatcher) chooseLeastBusy(rq Request, tgs []targets.Target) *Slot {
-	ds.loads.mu.Lock()
-	defer ds.loads.mu.Unlock()
+	ds.loadTable.mu.Lock()
+	defer ds.loadTable.mu.Unlock()
 	best, bestCost := -1, 0.0
 	for i, tg := range tgs {
 		if _, _, closed := ds.closed(rq, tg.ID); closed {
 			continue
 		}
-		cost := float64(ds.loads.total(tg.ID).Writers) / float64(max(1, tg.Slots))
+		cost := float64(ds.loadTable.total(tg.ID).Writers) / float64(max(1, tg.Slots))
 		if tg.AvailabilityZone != ds.opts.AvailabilityZone {
 			cost += otherZoneCost
 		}
@@ -299,19 +306,19 @@
 }
 
 const (
-	// farCost is what another availability zone counts, in shares of a target's slots: one more request at the near
-	// target outweighs it.
+	// otherZoneCost is the penalty for a target in another availability zone, as a share of its slots. One more request at
+	// the local target outweighs it.
 	otherZoneCost = 0.1
-	// tieCost spreads equal targets and stays below one request.
+	// tieBreakCost spreads requests over equal targets. It is below the cost of one request.
 	tieBreakCost = 0.05
 )
 
-// fraction is a number in [0, 1) that differs by request, instance and target.
+// hashFraction returns a pseudo-random number in [0, 1) that depends on the given parts only.
 func hashFraction(parts ...string) float64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, p := range parts {
-		// A hash takes every write.
+		// Digest.WriteString never returns an error.
 		_, _ = h.WriteString(p)
 	}
 	return float64(h.Sum64()>>11) / (1 << 53)
--- a/internal/dispatch/failures.go
+++ b/internal/dispatch/failures.go
@@ -6,20 +6,21 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// The load that a failed attempt answers: a target that fails all that it is sent, and says that it is well, looks idle. Every
-// instance chooses it first, and each has to learn that by failures of its own. A failed attempt therefore counts as reading at its
-// target for a while, here and, since that is a load like any other, at the others. It leaves out nothing that answers: where all
-// targets fail some, they all look a little busier.
+// A target that fails every request while reporting itself healthy looks idle. Every instance would choose it first, and
+// would have to learn about it from failures of its own. A failed attempt therefore counts as prefill load at its target for
+// a while, on this instance and, since it is published like any other load, on its peers. No target that works is excluded:
+// where all targets fail some requests, all of them just look slightly busier.
 
 const (
-	// failedReading is what a failed attempt counts, as time of reading: about the objective of short prompts, which then prefer any
-	// other target.
+	// failurePrefillTime is the prefill load that one failed attempt counts as: about the objective of short prompts, which
+	// then prefer any other target.
 	failurePrefillTime = 300 * time.Millisecond
-	// failedFor is how long it counts: several attempts of the instances that know, one after the other.
+	// failureLoadPeriod is how long that load counts: the time of several consecutive attempts by the instances that know of
+	// it.
 	failureLoadPeriod = 2 * time.Second
 )
 
-// Failed notes that the target broke the attempt off or failed it.
+// RecordFailure notes that the target broke off or failed the attempt.
 func (sl *Slot) RecordFailure() {
 	if sl.engine == nil {
 		return
@@ -28,16 +29,16 @@
 	sl.ds.addLoadFor(failureLoadPeriod, sl.Target.ID, load)
 }
 
-// addFor adds a load at a target for a time.
+// addLoadFor adds a load at a target and removes it after a period.
 func (ds *Dispatcher) addLoadFor(span time.Duration, id string, lo placement.Load) {
-	ds.loads.mu.Lock()
-	ds.loads.add(id, lo)
-	ds.loads.mu.Unlock()
+	ds.loadTable.mu.Lock()
+	ds.loadTable.add(id, lo)
+	ds.loadTable.mu.Unlock()
 	ds.notifyLoadChange()
 	time.AfterFunc(span, func() {
-		ds.loads.mu.Lock()
-		ds.loads.remove(id, lo)
-		ds.loads.mu.Unlock()
+		ds.loadTable.mu.Lock()
+		ds.loadTable.remove(id, lo)
+		ds.loadTable.mu.Unlock()
 		ds.notifyLoadChange()
 	})
 }
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -8,21 +8,22 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// book is what is in flight at each target, here and as peers tell.
+// loadTable holds the load in flight at each target, from this instance and as reported by peers.
 type loadTable struct {
 	mu sync.Mutex
-	// own has no empty loads.
+	// ownByTarget is the load of this instance by incarnation. It holds no empty loads.
 	ownByTarget map[string]placement.Load
-	// peers holds the newest loads that each peer told.
+	// byPeer holds the latest loads that each peer reported, by incarnation.
 	byPeer map[string]map[string]placement.Load
-	// told is the sum of the loads in peers by target, without empty ones: a choice among 150 targets adds up none of
-	// what 294 peers told.
+	// peerTotals is the sum of the loads in byPeer by incarnation, without empty loads. It is maintained so that choosing
+	// among 150 targets does not sum the reports of 294 peers.
 	peerTotals map[string]placement.Load
-	// fullUntil is when a target that had no memory may be taken at its predicted load again, by incarnation.
+	// fullUntil is the time until which an incarnation that refused memory counts as full; after it, its predicted load
+	// counts again.
 	fullUntil map[string]time.Time
-	// hinted holds the incarnations whose back-off from this instance is told to peers as a load.
+	// backOffLoads holds the incarnations whose back-off from this instance is published to peers as load.
 	backOffLoads map[string]struct{}
-	// freed is closed and replaced when room may have become free.
+	// roomFreed is closed and replaced whenever room may have become free.
 	roomFreed chan struct{}
 }
 
@@ -33,17 +34,18 @@
 	}
 }
 
-// add adds to this instance's load at a target. The lock is held.
+// add adds to this instance's load at a target. The caller holds the lock.
 func (lt *loadTable) add(id string, lo placement.Load) {
 	lt.ownByTarget[id] = lt.ownByTarget[id].Plus(lo)
 }
 
-// remove takes a load away again. The lock is held.
+// remove takes a load away from this instance's load at a target. The caller holds the lock.
 func (lt *loadTable) remove(id string, lo placement.Load) {
 	subtract(lt.ownByTarget, id, lo)
 }
 
-// subtract takes a load away from those by target, which hold no empty ones.
+// subtract takes a load away from one target's entry, and deletes the entry if nothing is left, since the maps hold no empty
+// loads.
 func subtract(loads map[string]placement.Load, id string, lo placement.Load) {
 	left := loads[id].Minus(lo)
 	if left == (placement.Load{}) {
@@ -53,7 +55,7 @@
 	loads[id] = left
 }
 
-// total is the load at a target over all instances. The lock is held.
+// total returns the load at a target from all instances. The caller holds the lock.
 func (lt *loadTable) total(id string) placement.Load {
 	return lt.ownByTarget[id].Plus(lt.peerTotals[id])
 }
@@ -71,7 +73,7 @@
 	lt.wakeWaiters()
 }
 
-// replace puts a peer's new loads in place of the last ones. The lock is held.
+// replacePeer replaces the loads reported by a peer; nil removes the peer. The caller holds the lock.
 func (lt *loadTable) replacePeer(peer string, loads map[string]placement.Load) {
 	for id, lo := range lt.byPeer[peer] {
 		subtract(lt.peerTotals, id, lo)
@@ -86,14 +88,14 @@
 	}
 }
 
-// full notes that a target had no memory.
+// markFull records that a target refused memory, and until when it counts as full.
 func (lt *loadTable) markFull(id string, until time.Time) {
 	lt.mu.Lock()
 	lt.fullUntil[id] = until
 	lt.mu.Unlock()
 }
 
-// isFull reports whether a target lately had no memory. The lock is held.
+// isFull reports whether a target still counts as full after refusing memory. The caller holds the lock.
 func (lt *loadTable) isFull(id string, now time.Time) bool {
 	until, told := lt.fullUntil[id]
 	if told && now.After(until) {
@@ -103,7 +105,7 @@
 	return told
 }
 
-// woken returns a channel that is closed when room may have become free.
+// roomFreedChan returns a channel that is closed when room may have become free.
 func (lt *loadTable) roomFreedChan() <-chan struct{} {
 	lt.mu.Lock()
 	defer lt.mu.Unlock()
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// overloadedFrom is the share of all slots from which a service counts as overloaded. Loads are some milliseconds
-	// old and slots are never all taken at once.
+	// overloadThreshold is the share of all slots above which a service counts as overloaded. It is below 1 because loads are
+	// some milliseconds old and slots are never all in use at once.
 	overloadThreshold = 0.9
-	// crowdedFrom is the share of the objective up to which a first token must be predicted while slots are taken. What
-	// others place at the same moment is not known yet, and one prompt more in a queue costs half the objective: with
-	// the objective itself, half of the first tokens were late that were predicted in time.
+	// maxCrowdedFirstToken is the latest predicted first token that is accepted in overload, as a share of the objective.
+	// Peers may place prompts at the same moment that are not known yet, and one more prompt in a queue costs half the
+	// objective. With a share of 1, half of the first tokens that were predicted in time were late.
 	maxCrowdedFirstToken = 0.85
-	// comeBackLeast and comeBackMost are the shares of the time for a usual answer after which a short prompt that was
-	// refused may come back: by then that share of the slots have come free, and those refused at the same moment do not
-	// come back together.
+	// minRetryShare and maxRetryShare bound when a refused short prompt may be retried, as shares of the time of a usual
+	// answer. By then that share of the slots has become free, and the range spreads the retries of prompts refused at the
+	// same moment.
 	minRetryShare = 0.4
 	maxRetryShare = 0.9
 )
 
-// sheds reports whether a short prompt is refused at once: all slots are taken, and its first token would hardly be in
-// time. Let in, it would make the next one late as well, and in the end all of them: every answer takes a slot for as
-// long, in time or not.
+// shouldShed reports whether a short prompt is refused at once, because all slots are in use and its first token is unlikely
+// to be in time. If it were admitted, the next one would be late as well, and eventually all of them, because an answer
+// occupies a slot for as long whether or not it is in time.
 func shouldShed(rq Request, pr placement.Prompt, pl placement.Plan, cands []placement.Target) bool {
 	if rq.Resumed {
 		return false
@@ -33,7 +33,7 @@
 	return !inTime && slotsExhausted(rq.Service.Engine, cands)
 }
 
-// slotsTaken reports whether the targets that take requests have about as many as slots.
+// slotsExhausted reports whether nearly all slots of the targets that take requests are in use.
 func slotsExhausted(en *placement.Engine, cands []placement.Target) bool {
 	taken, slots := 0, 0
 	for i := range cands {
@@ -46,7 +46,7 @@
 	return float64(taken) > overloadThreshold*float64(slots)
 }
 
-// inFlight returns how many requests are read or written at some targets.
+// inFlight returns the number of requests in prefill or generation at the given targets.
 func inFlight(cands []placement.Target) int {
 	sum := 0
 	for i := range cands {
@@ -55,11 +55,11 @@
 	return sum
 }
 
-// longReturn is the share of its caller's time left after which a long prompt that was refused may come back: what keeps
-// it out changes in seconds, and callers heed no longer time.
+// longRetryShare is when a refused long prompt may be retried, as a share of the time left until its deadline. The load that
+// keeps it out changes within seconds, and callers do not heed longer retry delays.
 const longRetryShare = 0.33
 
-// refusal tells the caller of a prompt that was not placed when to come back.
+// overloadError returns the refusal of a prompt that was not placed, with the time after which to retry.
 func (ds *Dispatcher) overloadError(rq Request, pr placement.Prompt) error {
 	if rq.isLong() {
 		after := time.Duration(longRetryShare * float64(max(pr.Left, 0)))
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -9,31 +9,30 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// The load that permits answer: a target in need names how many requests a second it takes from all instances together. Each of them is
-// sent with a permit, so that the sum keeps to it. A target without permits to give is closed, as one without a slot is: the choice looks
-// at the others in the first place.
+// A target under pressure sets a limit on the requests per second that it takes from all instances together. Each request to
+// it needs a permit, so that the sum stays within the limit. A target that has no permits to give is closed, like one
+// without free slots: other targets are chosen first.
 
-// noPermitError says that the chosen target has no permit to give, and is closed now.
+// noPermitError reports that the chosen target had no permit to give and is now closed.
 type noPermitError struct{}
 
-// Error says so.
-func (*noPermitError) Error() string { return "the target has no permit to give" }
+func (*noPermitError) Error() string { return "no permit granted for the chosen target" }
 
-// permitTries bounds the permits that one request is refused before it looks for targets without a limit alone: each takes a round trip
-// to another instance, all of them well within the shortest objective.
+// maxPermitTries is the number of refused permits after which a request considers only targets without a rate limit. Each
+// attempt takes a round trip to another instance; all of them together stay well within the shortest objective.
 const maxPermitTries = 8
 
-// closed reports whether a target takes no request of this one's now, and when it may be asked again.
-// The phase is that of the back-off that closes it; Open where it lacks permits.
-func (ds *Dispatcher) closed(rq Request, id string) (opens time.Time, by backoff.Phase, closed bool) {
-	if opens, by, closed = ds.closedByBackOff(rq, id); closed {
-		return opens, by, true
+// closed reports whether a target is closed to the request now, and when it may be tried again. The phase is that of the
+// back-off that closes it, and Open if the target lacks permits instead.
+func (ds *Dispatcher) closed(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
+	if opens, ph, closed = ds.closedByBackOff(rq, id); closed {
+		return opens, ph, true
 	}
 	opens, closed = ds.closedByRateLimit(rq, id)
 	return opens, backoff.Open, closed
 }
 
-// unpermitted reports whether a target has no permit for a request now, and when it may be asked again.
+// closedByRateLimit reports whether a target has no permit for the request now, and when it may be tried again.
 func (ds *Dispatcher) closedByRateLimit(rq Request, id string) (opens time.Time, closed bool) {
 	if ds.opts.Permits == nil || rq.permitTarget == id {
 		return time.Time{}, false
@@ -44,8 +43,8 @@
 	return ds.opts.Now(), rq.permitRefusals >= maxPermitTries && ds.opts.Permits.Limited(id)
 }
 
-// permit asks for what the chosen target needs, before anything else is spent on it. Without a permit it fails with a noPermitError, and
-// the slot is released.
+// obtainPermit obtains the permit that the chosen target requires, before any other work is done for the request. If none is
+// granted, it releases the slot and fails with a noPermitError.
 func (ds *Dispatcher) obtainPermit(ctx context.Context, rq Request, sl *Slot) error {
 	if ds.opts.Permits == nil || rq.permitTarget == sl.Target.ID {
 		return nil
@@ -60,7 +59,7 @@
 	return &noPermitError{}
 }
 
-// take asks for a permit, and tells of a refusal.
+// requestPermit asks the issuer for a permit that is due within the given wait, and reports a refusal to OnPermitRefused.
 func (ds *Dispatcher) requestPermit(ctx context.Context, rq Request, tg targets.Target, wait time.Duration) permit.Answer {
 	an := ds.opts.Permits.Take(ctx, tg, wait)
 	if !an.Granted && ds.opts.OnPermitRefused != nil {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// worthBase and worthPerThousand give the worth of an answer by its prompt: a base, and more for each thousand tokens.
+	// baseWorth and worthPerThousandTokens define the worth of an answer: a base, and an addition for each 1,000 tokens of
+	// its prompt.
 	baseWorth              = 0.7
 	worthPerThousandTokens = 0.1
-	// worthLate is the share of an answer's worth that is left when it is late.
+	// lateWorthShare is the share of its worth that a late answer keeps.
 	lateWorthShare = 0.25
-	// pauseUnset stands for the longest pause of a route that sets none.
+	// defaultMaxPause is the longest pause for a route that sets none.
 	defaultMaxPause = time.Second
 )
 
-// prompt describes a request to the placement.
+// newPrompt converts a request to the form that package placement plans with.
 func (ds *Dispatcher) newPrompt(rq Request) placement.Prompt {
 	worth := baseWorth + worthPerThousandTokens*float64(rq.PromptTokens)/1000
 	now := ds.opts.Now()
@@ -37,7 +38,8 @@
 	}
 }
 
-// expectedAnswer is the caller's guess, else the usual answer, at most the bound that the caller set.
+// expectedAnswerTokens returns how many tokens of the answer are still expected: the caller's hint or else the usual number,
+// at most the caller's limit, less what was already forwarded.
 func expectedAnswerTokens(rq Request) int {
 	expected := rq.AnswerTokensHint
 	if expected == 0 {
@@ -46,12 +48,12 @@
 	if rq.MaxAnswerTokens > 0 {
 		expected = min(expected, rq.MaxAnswerTokens)
 	}
-	// An event holds the tokens of one pass.
+	// One event carries the tokens of one pass.
 	expected -= rq.EventsForwarded * rq.Service.Engine.Stride
 	return max(rq.Service.Engine.Stride, expected)
 }
 
-// place chooses the targets of a prompt and books it there.
+// place chooses the targets of a prompt and books its load there.
 func (ds *Dispatcher) place(ctx context.Context, rq Request, tgs []targets.Target) (*Slot, bool, error) {
 	pr := ds.newPrompt(rq)
 	sl, err := ds.chooseAndBook(rq, pr, tgs)
@@ -79,7 +81,8 @@
 	return sl, true, nil
 }
 
-// takeWork reports whether all targets of a slot still take work: an order for memory begins some.
+// allTakeWork reports whether all targets of a slot still take work. It is checked before a memory reservation, which
+// already starts work on them.
 func (ds *Dispatcher) allTakeWork(sl *Slot) bool {
 	for _, id := range sl.TargetIDs() {
 		if !ds.targets.TakesWork(id) || ds.isBackedOff(id) {
@@ -89,12 +92,12 @@
 	return true
 }
 
-// choose books the plan of least expected loss under the book's lock, so that two requests do not see the same room. It
-// returns nil when the prompt has to wait, and an error when it is refused.
+// chooseAndBook books the plan with the least expected loss. It holds the load table's lock throughout, so that two requests
+// are not planned into the same room. It returns nil if the prompt has to wait, and an error if it is refused.
 func (ds *Dispatcher) chooseAndBook(rq Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
-	lag := ds.propagationDelay()
-	ds.loads.mu.Lock()
-	defer ds.loads.mu.Unlock()
+	delay := ds.propagationDelay()
+	ds.loadTable.mu.Lock()
+	defer ds.loadTable.mu.Unlock()
 	cands := ds.candidates(rq, tgs)
 	ps := newPools(rq.Service.Engine, cands, ds.arrivals)
 	if rq.isLong() && !rq.Resumed {
@@ -104,10 +107,10 @@
 	op := placement.Options{
 		Seed: seed, Arrivals: ds.arrivals.perTargetPerSecond(rq.Service.Engine, cands), Reading: placement.ReadingShare(cands),
 	}
-	if ds.infeasibleBeforeShutdown(rq, pr, cands, op) {
+	if ds.infeasibleByShutdown(rq, pr, cands, op) {
 		return nil, stoppingError()
 	}
-	pl, ok := ds.bestPlan(rq, pr, cands, ps, op, lag)
+	pl, ok := ds.bestPlan(rq, pr, cands, ps, op, delay)
 	switch decide(rq, pr, pl, ok, cands, op) {
 	case decisionRefuse:
 		return nil, ds.overloadError(rq, pr)
@@ -118,35 +121,36 @@
 	return ds.bookPlan(rq, pr, pl, tgs), nil
 }
 
-// plan returns the best plan for a prompt, if any. Short prompts go to the short pool while they are in time there, and long ones
-// only where their parts are so small that nobody there has to wait for them.
-func (ds *Dispatcher) bestPlan(rq Request, pr placement.Prompt, cands []placement.Target, ps pools, op placement.Options, lag time.Duration) (placement.Plan, bool) {
+// bestPlan returns the best plan for a prompt, if there is one. A short prompt goes to the short pool while it is served in
+// time there. A long prompt uses the short pool only if its parts are so small that no answer there pauses for too long.
+func (ds *Dispatcher) bestPlan(rq Request, pr placement.Prompt, cands []placement.Target, ps pools, op placement.Options, delay time.Duration) (placement.Plan, bool) {
 	if rq.Resumed || len(ps.short) == 0 || rq.isLong() && !ps.canKeepPauses(rq.Service.Engine, pr) {
-		return ds.bestPlanOutsidePool(rq, pr, cands, op, lag)
+		return ds.bestPlanAmongAll(rq, pr, cands, op, delay)
 	}
-	within, fits := ds.chooseFromSample(rq, pr, ps.short, op, lag)
-	if !rq.isLong() && fits && ps.servesShort(rq, pr, within) {
-		return within, true
+	poolPlan, poolOK := ds.chooseFromSample(rq, pr, ps.short, op, delay)
+	if !rq.isLong() && poolOK && ps.servesShort(rq, pr, poolPlan) {
+		return poolPlan, true
 	}
-	pl, ok := ds.bestPlanOutsidePool(rq, pr, cands, op, lag)
-	if rq.isLong() && fits && ps.keepsPauses(within) && (!ok || within.Loss < pl.Loss) {
-		return within, true
+	pl, ok := ds.bestPlanAmongAll(rq, pr, cands, op, delay)
+	if rq.isLong() && poolOK && ps.keepsPauses(poolPlan) && (!ok || poolPlan.Loss < pl.Loss) {
+		return poolPlan, true
 	}
 	return pl, ok
 }
 
-// planAnywhere returns the best plan among all targets that are left. A stream that goes on elsewhere may end late: its caller reads
-// already.
-func (ds *Dispatcher) bestPlanOutsidePool(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options, lag time.Duration) (placement.Plan, bool) {
-	pl, ok := ds.chooseFromSample(rq, pr, cands, op, lag)
-	if _, ends := ds.shutdownBeforeDeadline(rq); ok || !rq.Resumed || ends {
+// bestPlanAmongAll returns the best plan among all candidates. A resumed stream may end after its deadline, since its caller
+// is already reading the answer.
+func (ds *Dispatcher) bestPlanAmongAll(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options, delay time.Duration) (placement.Plan, bool) {
+	pl, ok := ds.chooseFromSample(rq, pr, cands, op, delay)
+	if _, stopsFirst := ds.shutdownBeforeDeadline(rq); ok || !rq.Resumed || stopsFirst {
 		return pl, ok
 	}
 	pr.Left = unboundedTimeLeft
 	return placement.Choose(*rq.Service.Engine, pr, cands, op)
 }
 
-// candidates returns targets with their loads as the placement takes them. The book's lock is held.
+// candidates converts targets and their loads to the form that package placement plans with. The caller holds the load
+// table's lock.
 func (ds *Dispatcher) candidates(rq Request, tgs []targets.Target) []placement.Target {
 	now := ds.opts.Now()
 	cands := make([]placement.Target, len(tgs))
@@ -154,11 +158,11 @@
 		_, _, closed := ds.closed(rq, tg.ID)
 		ph, _ := ds.backOffPhase(tg.ID)
 		cands[i] = placement.Target{
-			Name: tg.ID, Near: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loads.total(tg.ID), Pace: 1,
+			Name: tg.ID, Near: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loadTable.total(tg.ID), Pace: 1,
 			Helper: ph == backoff.Open,
 			Closed: closed,
 		}
-		if ds.loads.isFull(tg.ID, now) {
+		if ds.loadTable.isFull(tg.ID, now) {
 			cands[i].Helper = false
 			cands[i].Load.Memory = max(cands[i].Load.Memory, rq.Service.Engine.Memory)
 		}
@@ -166,7 +170,7 @@
 	return cands
 }
 
-// bookPlan books a plan at its targets. The book's lock is held.
+// bookPlan books the load of a plan at its targets. The caller holds the load table's lock.
 func (ds *Dispatcher) bookPlan(rq Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
 	byID := make(map[string]targets.Target, len(tgs))
 	for _, tg := range tgs {
@@ -196,13 +200,13 @@
 	return sl
 }
 
-// anyTime stands for a deadline that does not matter.
+// unboundedTimeLeft replaces the time left when the deadline does not apply.
 const unboundedTimeLeft = time.Hour
 
-// writerPass is a usual pass of an engine with writers, some of them beside reading.
+// usualPassTime is the usual time of an engine pass that generates answers, sometimes together with prefill.
 const usualPassTime = 90 * time.Millisecond
 
-// answerTime returns how long a usual answer is written.
+// usualAnswerTime returns how long an engine takes to generate an answer of usual length.
 func usualAnswerTime(en *placement.Engine) time.Duration {
 	passes := max(1, float64(en.UsualAnswer)/float64(max(1, en.Stride)))
 	return time.Duration(passes * float64(usualPassTime))
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -8,77 +8,81 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// The load that two pools of targets answer: in a wave of long prompts their parts come to target after target, and each answer to a short
-// prompt that is written there pauses for as long as a part is read. Spread over all targets, short answers are late nearly
-// everywhere, although a few targets could write all of them at a time.
+// In a wave of long prompts, their parts reach one target after another, and each short answer that is generated there
+// pauses while a part is read. With short answers spread over all targets, nearly all of them would be late, although a few
+// targets could generate all of them. Targets are therefore divided into two pools.
 
 const (
-	// shortFill is the share of the slots of the short pool that short answers are expected to take. The rest is for what
-	// arrives before the others know of it.
+	// shortPoolUtilisation is the share of the slots in the short pool that short answers are expected to use. The rest is
+	// for requests that are placed before peers know of them.
 	shortPoolUtilisation = 0.6
-	// shortSpare is how many targets are in the short pool beyond those that the short answers in flight need, for those of the next moment.
+	// spareShortTargets is the number of targets in the short pool beyond those that the short answers in flight need, for
+	// requests that arrive next.
 	spareShortTargets = 1
-	// shortLoss is the share of its worth that a short answer may be expected to lose in the short pool: above it, as where
-	// memory or slots are taken, it is placed among all targets.
+	// maxShortPoolLoss is the share of its worth that a short answer may be expected to lose in the short pool. Above it, for
+	// example when memory or slots are exhausted there, the prompt is placed among all targets.
 	maxShortPoolLoss = 0.5
-	// longPause is the share of the pause that short answers allow up to which a pass in the short pool may be made longer by
-	// parts of longer prompts: predictions are off by a fifth.
+	// maxLongPauseShare limits the pause that a part of a longer prompt may cause in the short pool, as a share of the pause
+	// that short answers allow: predictions are off by up to a fifth.
 	maxLongPauseShare = 0.8
 )
 
-// pools divides targets by whether long parts stay away from them. All instances see about the same loads, and order the targets
-// alike, so that they agree without asking each other; where they do not, an answer is written or read at a worse target.
+// pools divides targets into those that generate short answers and those that read the parts of long prompts. All instances
+// see about the same loads and order the targets alike, so that they agree without coordination. Where they disagree, a
+// prompt is merely served by a less suitable target.
 type pools struct {
 	short, long []placement.Target
-	// pause is the longest pause that the answers in the short pool allow.
-	shortMaxPause time.Duration
+	// maxPause is the longest pause that answers in the short pool allow.
+	maxPause time.Duration
 }
 
-// newPools divides targets, whose order it changes, by what short answers have at stake there. The short pool is empty where it would leave fewer targets than
-// a long prompt can be read by.
+// newPools divides the targets, which it reorders, by the worth that short answers have at risk there. The short pool is
+// empty if it would leave fewer targets in the long pool than the largest number of parts of a prompt.
 func newPools(en *placement.Engine, cands []placement.Target, st arrivalStats) pools {
-	// Targets that take no request now write no short answers: others take their place in the short pool.
-	open := moveOpenFirst(cands)
-	size := shortPoolSize(en, cands[:open], st)
-	if size == 0 || size > open || len(cands)-size < placement.MostParts {
+	// Closed targets receive no short prompts now, so other targets take their place in the short pool.
+	openCount := moveOpenFirst(cands)
+	size := shortPoolSize(en, cands[:openCount], st)
+	if size == 0 || size > openCount || len(cands)-size < placement.MostParts {
 		return pools{long: cands}
 	}
-	at := moveLowestHashesFirst(cands[:open], size)
-	return pools{short: cands[:at], long: cands[at:], shortMaxPause: st.shortMaxPause}
+	shortCount := moveLowestHashesFirst(cands[:openCount], size)
+	return pools{short: cands[:shortCount], long: cands[shortCount:], maxPause: st.shortMaxPause}
 }
 
-// openFirst puts the targets that take requests first, and returns how many those are.
+// moveOpenFirst moves the targets that are not closed to the front, and returns their number.
 func moveOpenFirst(cands []placement.Target) int {
-	at := 0
-	for ix := range cands {
-		if !cands[ix].Closed {
-			cands[at], cands[ix] = cands[ix], cands[at]
-			at++
+	count := 0
+	for i := range cands {
+		if !cands[i].Closed {
+			cands[count], cands[i] = cands[i], cands[count]
+			count++
 		}
 	}
-	return at
+	return count
 }
 
-// partition puts so many targets first, by places that depend on their names alone, and returns how many that are.
+// moveLowestHashesFirst moves the size targets with the lowest hashes to the front, and returns how many it moved. The hash
+// depends on a target's name only, so that all instances move the same ones.
 func moveLowestHashesFirst(cands []placement.Target, size int) int {
-	places := make([]float64, len(cands))
-	for ix := range cands {
-		places[ix] = hashFraction(cands[ix].Name, "short")
+	hashes := make([]float64, len(cands))
+	for i := range cands {
+		hashes[i] = hashFraction(cands[i].Name, "short")
 	}
-	sorted := slices.Clone(places)
+	sorted := slices.Clone(hashes)
 	slices.Sort(sorted)
-	last := sorted[size-1]
-	at := 0
-	for ix, place := range places {
-		if place <= last {
-			cands[at], cands[ix] = cands[ix], cands[at]
-			at++
+	maxHash := sorted[size-1]
+	count := 0
+	for i, hash := range hashes {
+		if hash <= maxHash {
+			cands[count], cands[i] = cands[i], cands[count]
+			count++
 		}
 	}
-	return at
+	return count
 }
 
-// shortPoolSize is how many targets the short answers in flight need, by what they have at stake together and one has usually.
+// shortPoolSize returns how many targets the short answers in flight need. It estimates the number of these answers as their
+// total worth at risk divided by the average worth at risk of one.
 func shortPoolSize(en *placement.Engine, cands []placement.Target, st arrivalStats) int {
 	if st.shortAtRisk <= 0 {
 		return 0
@@ -91,19 +95,21 @@
 	return spareShortTargets + int(math.Ceil(answers/(shortPoolUtilisation*float64(en.Slots))))
 }
 
-// serves reports whether a short prompt is well served by a plan in the short pool.
+// servesShort reports whether a plan in the short pool serves a short prompt well: with little loss, in time, and without a
+// pause that is too long.
 func (ps pools) servesShort(rq Request, pr placement.Prompt, pl placement.Plan) bool {
-	spared := float64(pl.Loss) <= maxShortPoolLoss*float64(pr.InTime)
-	return spared && !willBeLate(rq, pr, pl) && pl.Pause <= pr.LongestPause
+	acceptable := float64(pl.Loss) <= maxShortPoolLoss*float64(pr.InTime)
+	return acceptable && !willBeLate(rq, pr, pl) && pl.Pause <= pr.LongestPause
 }
 
-// mayKeep reports whether any plan for a prompt could do as keeps wants: not when the smallest part takes too long by itself.
+// canKeepPauses reports whether any plan for the prompt could satisfy keepsPauses. None can if even the smallest part takes
+// too long on an otherwise idle target.
 func (ps pools) canKeepPauses(en *placement.Engine, pr placement.Prompt) bool {
 	smallest := pr.Part(min(placement.MostParts, len(ps.short)))
 	return ps.keepsPauses(placement.Plan{Pause: en.Pause(placement.Target{Pace: 1}, smallest)})
 }
 
-// keeps reports whether a plan leaves the pauses in the short pool short enough.
+// keepsPauses reports whether a plan keeps the pauses in the short pool short enough.
 func (ps pools) keepsPauses(pl placement.Plan) bool {
-	return float64(pl.Pause) <= maxLongPauseShare*float64(ps.shortMaxPause)
+	return float64(pl.Pause) <= maxLongPauseShare*float64(ps.maxPause)
 }
--- a/internal/dispatch/priority.go
+++ b/internal/dispatch/priority.go
@@ -1,21 +1,22 @@
 package dispatch
 
-// The ranks of prompts at an engine, most urgent first. A stream that goes on elsewhere has a caller who already reads.
-// Prompts of different lengths have the same rank: long ones give way before they are sent.
+// Priorities that are sent to engines; the lowest number is the most urgent. A resumed stream comes first, because its
+// caller is already reading. Prompts of different lengths share a priority, since long ones are held back before they are
+// sent.
 const (
 	priorityResumed = 0
 	priorityUsual   = 1
-	// rankMost is the least urgent rank.
+	// lowestPriority is the least urgent.
 	lowestPriority = 9
 )
 
-// shortTokens is the size of a prompt up to which it counts as short: it is read within a pass and never waits for others.
+// maxShortTokens is the largest prompt that counts as short: it is read within one pass and never waits for other requests.
 const maxShortTokens = 16_000
 
-// long reports whether a prompt is read in parts that others wait for.
+// isLong reports whether the prompt is read in parts that delay other requests.
 func (rq Request) isLong() bool { return rq.PromptTokens > maxShortTokens }
 
-// priority is the rank at the engine: that of the caller's organisation or route.
+// enginePriority returns the priority that is sent to the engine, from that of the caller's organisation or route.
 func enginePriority(rq Request) int {
 	if rq.Resumed {
 		return priorityResumed
--- a/internal/dispatch/reopen.go
+++ b/internal/dispatch/reopen.go
@@ -9,43 +9,44 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// What a request does whose targets are all closed, by back-offs or for want of permits.
+// This file handles requests whose targets are all closed by back-offs or for lack of permits.
 
-// opening is when a closed target may be asked for again.
+// reopening is when a closed target may be tried again.
 type reopening struct {
 	target targets.Target
 	at     time.Time
-	// phase is how far a back-off closes it; Open where that is not what closes it.
+	// phase is that of the back-off that closes the target; Open if something else closes it.
 	phase backoff.Phase
 }
 
-// firstOpening returns the target of a request that may be asked for again first; it reports false unless all are closed.
+// earliestReopening returns which of the request's targets reopens first. It reports false unless all of them are closed.
 func (ds *Dispatcher) earliestReopening(rq Request) (first reopening, allClosed bool) {
-	for no, tg := range ds.usable(rq) {
-		at, by, closed := ds.closed(rq, tg.ID)
+	for i, tg := range ds.usable(rq) {
+		at, ph, closed := ds.closed(rq, tg.ID)
 		if !closed {
 			return reopening{}, false
 		}
-		if no == 0 || at.Before(first.at) {
-			first = reopening{target: tg, at: at, phase: by}
+		if i == 0 || at.Before(first.at) {
+			first = reopening{target: tg, at: at, phase: ph}
 		}
 		allClosed = true
 	}
 	return first, allClosed
 }
 
-// turn gets a request whose targets are all closed to the one that opens first, and returns it changed accordingly: it waits for the end of
-// a back-off, is the one to find out whether there is one still, or books the next permit and waits for its turn. Where that does not come in
-// time, the request is refused at once with the time at which a target takes requests again. It reports false where a target is open.
+// waitForReopening handles a request whose targets are all closed. Depending on the target that reopens first, it lets the
+// request probe that target, waits for the end of its back-off, or reserves the next permit and waits until that is due. It
+// returns the request updated accordingly. If no target reopens in time, it refuses the request at once, with the time after
+// which to retry. It reports false if a target is open.
 func (ds *Dispatcher) waitForReopening(ctx context.Context, rq Request) (Request, bool, error) {
 	rq.permitTarget = ""
-	for tries := 0; ; tries++ {
+	for attempt := 0; ; attempt++ {
 		first, allClosed := ds.earliestReopening(rq)
 		switch {
 		case !allClosed:
 			return rq, false, nil
 		case rq.Caution != targets.Proven:
-			// Those that failed lately may be open, or those of other availability zones than the one that a probe was for.
+			// Targets that failed recently may be open, or those in other availability zones than the one being probed.
 			rq.Caution = targets.Proven
 			return rq, true, nil
 		case first.phase == backoff.OnTrial:
@@ -55,36 +56,36 @@
 			return rq, true, ds.waitForBackOff(ctx, rq, first)
 		}
 		now := ds.opts.Now()
-		ahead := min(maxPermitWait, rq.roomWaitDeadline().Sub(now))
-		if first.at.Sub(now) > ahead || tries >= maxPermitTries {
+		maxWait := min(maxPermitWait, rq.roomWaitDeadline().Sub(now))
+		if first.at.Sub(now) > maxWait || attempt >= maxPermitTries {
 			return rq, false, failure.New(failure.Overloaded, failure.NotRun, "all targets name a rate limit that is used up").
 				WithRetryAfter(max(first.at.Sub(now), roomRetryAfter))
 		}
-		an := ds.requestPermit(ctx, rq, first.target, ahead)
+		an := ds.requestPermit(ctx, rq, first.target, maxWait)
 		if ctx.Err() != nil {
 			return rq, false, ctx.Err()
 		}
 		if !an.Granted {
 			continue
 		}
-		due := ds.opts.Now().Add(an.After)
+		dueAt := ds.opts.Now().Add(an.After)
 		if err := sleep(ctx, an.After); err != nil {
 			return rq, false, err
 		}
-		if ds.opts.Now().Sub(due) < maxPermitLateness {
+		if ds.opts.Now().Sub(dueAt) < maxPermitLateness {
 			rq.permitTarget = first.target.ID
 			return rq, true, nil
 		}
 	}
 }
 
-// turnMost bounds how far ahead a request books its turn: those with long objectives would book all turns before those with short ones may,
-// and a caller that would wait for longer had better know at once when to come back. It is about what the shortest objectives let a
-// request wait.
+// maxPermitWait bounds how far ahead a request reserves a permit. Otherwise requests with long objectives would reserve all
+// permits ahead of those with short ones, and a caller facing a longer wait is better told at once when to retry. It is
+// about the time that the shortest objectives allow for waiting.
 const maxPermitWait = 250 * time.Millisecond
 
-// turnLateMost is how late a turn may be taken: more is a process that was frozen, which must not send at once all that had waited for
-// their turns.
+// maxPermitLateness is how late a reserved permit may be used. A longer delay means that the process was suspended, and it
+// must not send all requests at once whose permits fell due meanwhile.
 const maxPermitLateness = 250 * time.Millisecond
 
 func sleep(ctx context.Context, d time.Duration) error {
--- a/internal/dispatch/sampling.go
+++ b/internal/dispatch/sampling.go
@@ -6,28 +6,29 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// leastSample is the fewest targets that a short prompt chooses from: enough that one of them is nearly always a good
-// one, few enough that two instances seldom choose the same.
+// minSampleSize is the smallest number of targets that a short prompt chooses from: large enough that a good target is
+// nearly always among them, small enough that two instances seldom choose the same one.
 const minSampleSize = 8
 
-// SetLag sets what tells how long it takes until an instance's choice is known to the others. Without it the choice
-// counts as known at once.
-func (ds *Dispatcher) SetPropagationDelay(lag func() time.Duration) {
-	ds.propagationDelayFunc.Store(&lag)
+// SetPropagationDelay sets the function that returns how long it takes until peers know of a choice of this instance.
+// Without it, choices count as known at once.
+func (ds *Dispatcher) SetPropagationDelay(delay func() time.Duration) {
+	ds.propagationDelayFunc.Store(&delay)
 }
 
-// lagNow returns how long it takes until an instance's choice is known to the others.
+// propagationDelay returns how long it takes until peers know of a choice of this instance.
 func (ds *Dispatcher) propagationDelay() time.Duration {
-	lag := ds.propagationDelayFunc.Load()
-	if lag == nil {
+	delayFunc := ds.propagationDelayFunc.Load()
+	if delayFunc == nil {
 		return 0
 	}
-	return (*lag)()
+	return (*delayFunc)()
 }
 
-// chooseFrom returns the best plan of a sample of the targets, and of all when that one would be late.
-func (ds *Dispatcher) chooseFromSample(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options, lag time.Duration) (placement.Plan, bool) {
-	drawn := ds.drawSample(rq, cands, lag)
+// chooseFromSample returns the best plan on a sample of the targets, or on all targets if the sample has none that is in
+// time.
+func (ds *Dispatcher) chooseFromSample(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options, delay time.Duration) (placement.Plan, bool) {
+	drawn := ds.drawSample(rq, cands, delay)
 	pl, ok := placement.Choose(*rq.Service.Engine, pr, drawn, op)
 	if len(drawn) == len(cands) || ok && !willBeLate(rq, pr, pl) {
 		return pl, ok
@@ -35,12 +36,12 @@
 	return placement.Choose(*rq.Service.Engine, pr, cands, op)
 }
 
-// sample returns the targets that a short prompt chooses from. All instances see the same target as the best one, and
-// in a large fleet many prompts are placed before the others hear of the first: sent to one target they would fill it
-// well beyond its slots. So each prompt chooses from targets drawn by itself, the fewer the more prompts are placed
-// unseen, such that about one of these finds the same target the best.
-func (ds *Dispatcher) drawSample(rq Request, cands []placement.Target, lag time.Duration) []placement.Target {
-	unseen := unpropagatedPlacements(rq.Service.Engine, cands, lag)
+// drawSample returns the targets that a short prompt chooses from. All instances see the same target as the best one, and in
+// a large fleet many prompts are placed before peers know of the first. Sent to that one target, they would fill it well
+// beyond its slots. Each prompt therefore chooses from its own random sample. The sample is the smaller the more prompts are
+// placed during the propagation delay, so that about one of them finds the same target best.
+func (ds *Dispatcher) drawSample(rq Request, cands []placement.Target, delay time.Duration) []placement.Target {
+	unseen := unpropagatedPlacements(rq.Service.Engine, cands, delay)
 	size := max(minSampleSize, int(float64(len(cands))/max(1, unseen)))
 	if rq.isLong() || size >= len(cands) {
 		return cands
@@ -58,8 +59,8 @@
 	return drawn
 }
 
-// unseenPlacements returns how many prompts are placed in a time by all instances: by Little's law what is in flight,
-// over the time for which an answer is written.
-func unpropagatedPlacements(en *placement.Engine, cands []placement.Target, lag time.Duration) float64 {
-	return float64(inFlight(cands)) / usualAnswerTime(en).Seconds() * lag.Seconds()
+// unpropagatedPlacements returns how many prompts all instances place during a propagation delay. By Little's law their rate
+// is the number of requests in flight divided by the time that an answer takes.
+func unpropagatedPlacements(en *placement.Engine, cands []placement.Target, delay time.Duration) float64 {
+	return float64(inFlight(cands)) / usualAnswerTime(en).Seconds() * delay.Seconds()
 }
--- a/internal/dispatch/shutdown.go
+++ b/internal/dispatch/shutdown.go
@@ -7,44 +7,47 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// ComeBackElsewhere is when a caller of an instance that ends should come back, over a new connection to another one: about a
-// round trip.
+// RetryElsewhereAfter is when the caller of a stopping instance should retry over a new connection to another instance:
+// after about one round trip.
 const RetryElsewhereAfter = 50 * time.Millisecond
 
-// SetEnd sets when this instance ends. From now on an answer must be whole by then; a request that waits for room looks
-// again at once.
+// SetShutdownTime sets when this instance stops. From now on an answer must be complete by then. Requests that wait for room
+// are woken to check this at once.
 func (ds *Dispatcher) SetShutdownTime(at time.Time) {
 	ds.shutdownAt.Store(&at)
-	ds.loads.wakeWaiters()
+	ds.loadTable.wakeWaiters()
 }
 
-// ends returns when this instance ends, if that is before a request's deadline. It does not count for an answer that has
-// begun: that one goes on for as long as it can, and its caller loses nothing by what still comes.
+// shutdownBeforeDeadline returns when this instance stops, if that is before the request's deadline. It ignores the shutdown
+// for an answer that has begun: that one continues for as long as possible, and its caller loses nothing by what still
+// arrives.
 func (ds *Dispatcher) shutdownBeforeDeadline(rq Request) (at time.Time, earlier bool) {
-	end := ds.shutdownAt.Load()
-	if end == nil || rq.EventsForwarded > 0 || rq.Deadline.Before(*end) {
+	shutdownAt := ds.shutdownAt.Load()
+	if shutdownAt == nil || rq.EventsForwarded > 0 || rq.Deadline.Before(*shutdownAt) {
 		return time.Time{}, false
 	}
-	return *end, true
+	return *shutdownAt, true
 }
 
-// due is when the answer must be whole: at the request's deadline, or earlier at the end of this instance.
+// answerDeadline is when the answer must be complete: the request's deadline, or the shutdown of this instance if that is
+// earlier.
 func (ds *Dispatcher) answerDeadline(rq Request) time.Time {
-	if end, earlier := ds.shutdownBeforeDeadline(rq); earlier {
-		return end
+	if shutdownAt, earlier := ds.shutdownBeforeDeadline(rq); earlier {
+		return shutdownAt
 	}
 	return rq.Deadline
 }
 
-// outlives reports whether the answer to a prompt is expected to end after this instance even at idle targets. It is refused
-// at once, while its caller still has the time to be answered by another instance. One that may end in time is
-// not: callers come back once or twice, often to the next instance that ends.
-func (ds *Dispatcher) infeasibleBeforeShutdown(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options) bool {
+// infeasibleByShutdown reports whether the answer to a prompt is predicted to end after the shutdown of this instance even
+// if all targets were idle. Such a request is refused at once, while its caller still has time for another instance. One
+// that may finish in time is not refused: callers retry only once or twice, and often reach the next instance that is
+// stopping.
+func (ds *Dispatcher) infeasibleByShutdown(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options) bool {
 	_, earlier := ds.shutdownBeforeDeadline(rq)
 	return earlier && infeasibleWhenIdle(rq, pr, cands, op)
 }
 
-// endRefusal tells a caller that this instance ends before it could answer.
+// stoppingError tells a caller that this instance stops before it could answer.
 func stoppingError() error {
 	return failure.New(failure.Stopping, failure.NotRun, "the instance ends before the answer would; another takes the request").
 		WithRetryAfter(RetryElsewhereAfter)
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -8,18 +8,18 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// Slot is a request's place at a target and its helpers. It is used by one goroutine.
+// Slot is the booking of a request at its target and helpers, from Acquire to Release. It is not safe for concurrent use.
 type Slot struct {
 	Target  targets.Target
 	Helpers []Helper
-	// Priority is the rank at the target; negative for plain services.
+	// Priority is the one sent to the engine; negative for plain services.
 	Priority int
-	// Candidates is how many targets there were to choose from.
+	// CandidateCount is the number of targets that were considered.
 	CandidateCount int
-	// FirstPredicted and PausePredicted are what the choice expects; zero for plain services.
+	// PredictedFirstToken and PredictedPause are the time to the first token and the longest pause that the plan predicts;
+	// zero for plain services.
 	PredictedFirstToken, PredictedPause time.Duration
 
-	// At is when the target was chosen.
 	ChosenAt time.Time
 
 	ds *Dispatcher
@@ -28,22 +28,23 @@
 	prompt      placement.Prompt
 	plan        placement.Plan
 	reservation *reservation.Reservation
-	// booked is what the book holds for this slot until its next step, held what it holds until the end.
+	// stageLoads are booked until the request's next stage, which follows at its first token. lifetimeLoads are booked until
+	// the slot is released.
 	stageLoads, lifetimeLoads []bookedLoad
 	generating                bool
-	// arrived is when the request came, and eventAt when its last event passed; zero before the first.
+	// arrived is when the request arrived, and lastEventAt when its last event was forwarded; zero before the first event.
 	arrived, lastEventAt time.Time
-	// late is set once the answer is late for good: no delay can cost it more.
+	// late is set once the answer has missed a limit, so that no further delay can reduce its worth.
 	late bool
 }
 
-// booking is one slot's share of the load at one target.
+// bookedLoad is the share of the load at one target that a slot accounts for.
 type bookedLoad struct {
 	id   string
 	load placement.Load
 }
 
-// Targets returns the incarnations that take part: the main one and its helpers.
+// TargetIDs returns the incarnations of the main target and its helpers.
 func (sl *Slot) TargetIDs() []string {
 	ids := []string{sl.Target.ID}
 	for _, hp := range sl.Helpers {
@@ -54,26 +55,27 @@
 	return ids
 }
 
-// book adds a load that lasts until the slot's next step. The book's lock is held.
+// addStageLoad books a load until the slot's next stage. The caller holds the load table's lock.
 func (sl *Slot) addStageLoad(id string, lo placement.Load) {
 	sl.stageLoads = append(sl.stageLoads, bookedLoad{id: id, load: lo})
-	sl.ds.loads.add(id, lo)
+	sl.ds.loadTable.add(id, lo)
 	sl.ds.notifyLoadChange()
 }
 
-// bookHeld adds a load that lasts until the slot is released. The book's lock is held.
+// addLifetimeLoad books a load until the slot is released. The caller holds the load table's lock.
 func (sl *Slot) addLifetimeLoad(id string, lo placement.Load) {
 	sl.lifetimeLoads = append(sl.lifetimeLoads, bookedLoad{id: id, load: lo})
-	sl.ds.loads.add(id, lo)
+	sl.ds.loadTable.add(id, lo)
 }
 
 func (sl *Slot) removeLoads(list []bookedLoad) {
 	for _, bl := range list {
-		sl.ds.loads.remove(bl.id, bl.load)
+		sl.ds.loadTable.remove(bl.id, bl.load)
 	}
 }
 
-// FirstToken notes that the answer has begun: the prompt is read everywhere.
+// RecordFirstToken notes that the answer has begun, so that prefill is complete at all targets of the slot. Further calls
+// have no effect.
 func (sl *Slot) RecordFirstToken() {
 	if sl.prompt.Tokens == 0 || sl.generating {
 		return
@@ -81,8 +83,8 @@
 	sl.generating = true
 	sl.lastEventAt = sl.ds.opts.Now()
 	sl.late = sl.late || sl.lastEventAt.Sub(sl.arrived) > sl.prompt.Objective
-	sl.ds.loads.mu.Lock()
-	defer sl.ds.loads.mu.Unlock()
+	sl.ds.loadTable.mu.Lock()
+	defer sl.ds.loadTable.mu.Unlock()
 	sl.removeLoads(sl.stageLoads)
 	sl.stageLoads = nil
 	writing := sl.prompt.Writing()
@@ -98,36 +100,36 @@
 	sl.addStageLoad(sl.plan.Main, writing)
 }
 
-// passMargin is how much longer than predicted a pass may take before the target seems lost: predictions are off by about
-// a tenth, and the loads they rest on are some milliseconds old.
+// silenceMargin is the factor by which a pass may exceed its prediction before the target counts as lost: predictions are
+// off by about a tenth, and the loads that they are based on are some milliseconds old.
 const silenceMargin = 1.2
 
-// LongestSilence is how long the target may be silent with all that is read there now; zero for plain services.
+// MaxSilence returns how long the target may be silent, given the prefill that it has pending now; zero for plain services.
 func (sl *Slot) MaxSilence() time.Duration {
 	if sl.engine == nil {
 		return 0
 	}
-	sl.ds.loads.mu.Lock()
-	load := sl.ds.loads.total(sl.Target.ID)
-	sl.ds.loads.mu.Unlock()
+	sl.ds.loadTable.mu.Lock()
+	load := sl.ds.loadTable.total(sl.Target.ID)
+	sl.ds.loadTable.mu.Unlock()
 	return time.Duration(silenceMargin * float64(sl.engine.PassTime(placement.Target{Load: load})))
 }
 
-// Shed notes that the target turned the request away for lack of room; address names the target at fault when it is a
-// helper, which is then no helper for others either.
+// RecordShed notes that the target rejected the request for lack of room. If address is that of a helper, the helper caused
+// the rejection, and is not used as one by other requests for a while either.
 func (sl *Slot) RecordShed(address string) {
 	now := sl.ds.opts.Now()
 	for _, hp := range sl.Helpers {
 		if hp.Address == address {
-			sl.ds.loads.markFull(hp.ID, now.Add(absentPeriod))
+			sl.ds.loadTable.markFull(hp.ID, now.Add(absentPeriod))
 			return
 		}
 	}
-	sl.ds.loads.markFull(sl.Target.ID, now.Add(fullPeriod))
+	sl.ds.loadTable.markFull(sl.Target.ID, now.Add(fullPeriod))
 }
 
-// Event notes an event passed on. A pause that was too long makes the answer late: its target need not be spared for
-// it any more.
+// RecordEvent notes that an event was forwarded. A pause that was too long makes the answer late, and its target no longer
+// needs to be kept free for it.
 func (sl *Slot) RecordEvent() {
 	if !sl.generating || sl.late {
 		return
@@ -140,33 +142,33 @@
 	}
 }
 
-// lapse books the writer again with its caller's patience alone at stake.
+// markLate replaces the load of a late answer by one with nothing at risk but the caller's idle timeout.
 func (sl *Slot) markLate() {
 	sl.late = true
 	atRisk := sl.prompt.Overdue().Writing().AtRisk
-	sl.ds.loads.mu.Lock()
-	defer sl.ds.loads.mu.Unlock()
+	sl.ds.loadTable.mu.Lock()
+	defer sl.ds.loadTable.mu.Unlock()
 	for i := range sl.stageLoads {
 		bl := &sl.stageLoads[i]
 		if bl.id != sl.plan.Main {
 			continue
 		}
-		sl.ds.loads.remove(bl.id, bl.load)
+		sl.ds.loadTable.remove(bl.id, bl.load)
 		bl.load = bl.load.WithRisk(atRisk)
-		sl.ds.loads.add(bl.id, bl.load)
+		sl.ds.loadTable.add(bl.id, bl.load)
 	}
 	sl.ds.notifyLoadChange()
 }
 
-// Release ends the slot.
+// Release removes the slot's load and gives back its reserved memory. Further calls have no effect.
 func (sl *Slot) Release() {
-	sl.ds.loads.mu.Lock()
+	sl.ds.loadTable.mu.Lock()
 	sl.removeLoads(sl.stageLoads)
 	sl.removeLoads(sl.lifetimeLoads)
 	sl.stageLoads, sl.lifetimeLoads = nil, nil
-	sl.ds.loads.mu.Unlock()
+	sl.ds.loadTable.mu.Unlock()
 	sl.ds.notifyLoadChange()
-	sl.ds.loads.wakeWaiters()
+	sl.ds.loadTable.wakeWaiters()
 	if sl.reservation != nil {
 		sl.reservation.Release()
 		sl.reservation = nil
