--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -16,69 +16,69 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// backOffBench plays with targets that want no requests for a while.
-func backOffBench(t *testing.T, count int, play func(hs *bench, bk *backoff.Book)) {
+// runWithBackOffs runs a test with a number of targets and the state of their back-offs, in a synctest bubble.
+func runWithBackOffs(t *testing.T, count int, run func(hs *harness, bk *backoff.Book)) {
 	synctest.Test(t, func(t *testing.T) {
 		bk := backoff.New(time.Now, func() float64 { return 0 })
-		play(newBench(t, count, func(op *dispatch.Options) { op.BackOffs = bk }), bk)
-		time.Sleep(settle)
+		run(newHarness(t, count, func(op *dispatch.Options) { op.BackOffs = bk }), bk)
+		time.Sleep(settleTime)
 	})
 }
 
-// spare returns a request that can go elsewhere when it is turned away.
-func spare() dispatch.Request {
-	rq := plain()
+// retriableRequest returns a plain request that can be retried on another target.
+func retriableRequest() dispatch.Request {
+	rq := plainRequest()
 	rq.CanRetry = true
 	return rq
 }
 
-func TestRequestsGoAroundTargetsThatWantNone(t *testing.T) {
-	asks := map[string]func() dispatch.Request{
-		"plain": plain, "short prompt": func() dispatch.Request { return prompt(1000) },
-		"large prompt": func() dispatch.Request { return prompt(memory + 1000) },
+func TestRequestsAvoidBackedOffTargets(t *testing.T) {
+	newRequests := map[string]func() dispatch.Request{
+		"plain": plainRequest, "short prompt": func() dispatch.Request { return promptRequest(1000) },
+		"large prompt": func() dispatch.Request { return promptRequest(memory + 1000) },
 	}
-	for name, ask := range asks {
+	for name, newRequest := range newRequests {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 4, func(hs *bench, bk *backoff.Book) {
+			runWithBackOffs(t, 4, func(hs *harness, bk *backoff.Book) {
 				bk.Ask(id(0), time.Minute, time.Now())
 				bk.Ask(id(1), time.Minute, time.Now())
 				for range 6 {
-					sl := hs.take(ask())
+					sl := hs.mustAcquire(newRequest())
 					hs.Expect(sl.TargetIDs()).NotTo(ContainElements(id(0)))
 					hs.Expect(sl.TargetIDs()).NotTo(ContainElements(id(1)))
 					sl.Release()
 				}
-				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "nothing stays booked")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left booked")
 			})
 		})
 	}
 }
 
-func TestRequestWaitsForTheEndOfTheFirstBackOff(t *testing.T) {
-	const soon = objective / 4
-	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
+func TestRequestWaitsForEarliestBackOffToEnd(t *testing.T) {
+	const shortBackOff = objective / 4
+	for name, newRequest := range map[string]func() dispatch.Request{"plain": plainRequest, "prompt": func() dispatch.Request { return promptRequest(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
+			runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Book) {
 				began := time.Now()
 				bk.Ask(id(0), time.Minute, began)
-				bk.Ask(id(1), soon, began)
-				sl := hs.take(ask())
+				bk.Ask(id(1), shortBackOff, began)
+				sl := hs.mustAcquire(newRequest())
 				hs.Expect(sl.Target.ID).To(Equal(id(1)))
-				hs.Expect(time.Since(began)).To(BeNumerically(">=", soon))
-				hs.Expect(time.Since(began)).To(BeNumerically("<", soon+objective/10))
+				hs.Expect(time.Since(began)).To(BeNumerically(">=", shortBackOff))
+				hs.Expect(time.Since(began)).To(BeNumerically("<", shortBackOff+objective/10))
 			})
 		})
 	}
 }
 
-func TestRequestWithoutTimeForABackOffIsRefusedAtOnce(t *testing.T) {
-	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
+func TestRequestIsRefusedAtOnceIfBackOffsOutlastItsWaitDeadline(t *testing.T) {
+	for name, newRequest := range map[string]func() dispatch.Request{"plain": plainRequest, "prompt": func() dispatch.Request { return promptRequest(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
+			runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Book) {
 				began := time.Now()
 				bk.Ask(id(0), time.Minute, began)
 				bk.Ask(id(1), 7*time.Second, began)
-				fe := hs.refused(ask())
+				fe := hs.mustBeRefused(newRequest())
 				hs.Expect(time.Since(began)).To(BeZero())
 				hs.Expect(fe.Code).To(Equal(failure.Overloaded))
 				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
@@ -89,113 +89,117 @@
 	}
 }
 
-// TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime was turned away by the one target there is.
-func TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime(t *testing.T) {
-	backOffBench(t, 1, func(hs *bench, bk *backoff.Book) {
+// TestRetryAfterCoversBackOffOfExcludedTarget sends a request that was already turned away by the only target, which is in
+// back-off.
+func TestRetryAfterCoversBackOffOfExcludedTarget(t *testing.T) {
+	runWithBackOffs(t, 1, func(hs *harness, bk *backoff.Book) {
 		bk.Ask(id(0), 5*time.Second, time.Now())
-		rq := plain()
+		rq := plainRequest()
 		rq.Exclude = []string{id(0)}
-		hs.Expect(hs.refused(rq).RetryAfter).To(Equal(5 * time.Second))
+		hs.Expect(hs.mustBeRefused(rq).RetryAfter).To(Equal(5 * time.Second))
 	})
 }
 
-// TestWaitersDoNotAllComeAtOnce lets many requests wait for the end of the only target's back-off.
-func TestWaitersDoNotAllComeAtOnce(t *testing.T) {
+// TestWaitingRequestsAreReleasedGraduallyAfterBackOff has many requests wait for the back-off of the only target to end.
+// They must not all be sent at once when it does.
+func TestWaitingRequestsAreReleasedGraduallyAfterBackOff(t *testing.T) {
 	const waiters = 60
-	backOffBench(t, 1, func(hs *bench, bk *backoff.Book) {
+	runWithBackOffs(t, 1, func(hs *harness, bk *backoff.Book) {
 		bk.Ask(id(0), objective/4, time.Now())
 		var mu sync.Mutex
-		var came []time.Time
+		var sentTimes []time.Time
 		var wg sync.WaitGroup
 		for range waiters {
 			wg.Go(func() {
-				sl, err := hs.Acquire(context.Background(), spare())
+				sl, err := hs.Acquire(context.Background(), retriableRequest())
 				if err != nil {
-					return // it ran out of time
+					return // its wait deadline passed
 				}
 				defer sl.Release()
 				sent := time.Now()
 				mu.Lock()
-				came = append(came, sent)
+				sentTimes = append(sentTimes, sent)
 				mu.Unlock()
 				time.Sleep(20 * time.Millisecond)
 				bk.Answered(id(0), sent)
 			})
 		}
 		wg.Wait()
-		slices.SortFunc(came, time.Time.Compare)
-		hs.Expect(came).To(HaveLen(waiters), "the target is back in use for all")
-		hs.Expect(came[1].Sub(came[0])).To(BeNumerically(">=", 20*time.Millisecond), "the second waits for the first answer")
-		hs.Expect(came[waiters-1].Sub(came[0])).To(BeNumerically("<", objective/2))
+		slices.SortFunc(sentTimes, time.Time.Compare)
+		hs.Expect(sentTimes).To(HaveLen(waiters), "all waiting requests reach the target")
+		hs.Expect(sentTimes[1].Sub(sentTimes[0])).To(BeNumerically(">=", 20*time.Millisecond), "the second request waits for the answer to the first")
+		hs.Expect(sentTimes[waiters-1].Sub(sentTimes[0])).To(BeNumerically("<", objective/2))
 	})
 }
 
-func TestOnlyARequestThatCanGoElsewhereIsTheProbe(t *testing.T) {
+func TestOnlyRetriableRequestProbesSoonAfterBackOff(t *testing.T) {
 	tests := map[string]struct {
-		ask    func() dispatch.Request
-		probes bool
+		newRequest func() dispatch.Request
+		probes     bool
 	}{
-		"a first attempt":  {spare, true},
-		"the last attempt": {plain, false},
+		"request that can be retried": {retriableRequest, true},
+		"last attempt":                {plainRequest, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
+			runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Book) {
 				bk.Ask(id(0), time.Second, time.Now())
-				// The other target is busy, so that this one is the better choice.
+				// The other target is busy, so that the backed-off one would be preferred.
 				for range slots {
-					hs.take(plain())
+					hs.mustAcquire(plainRequest())
 				}
 				time.Sleep(time.Second)
-				hs.Expect(hs.take(tc.ask()).Target.ID == id(0)).To(Equal(tc.probes))
+				hs.Expect(hs.mustAcquire(tc.newRequest()).Target.ID == id(0)).To(Equal(tc.probes))
 				time.Sleep(2 * time.Second)
-				hs.Expect(hs.take(tc.ask()).Target.ID).To(Equal(id(0)), "nobody else came by")
+				hs.Expect(hs.mustAcquire(tc.newRequest()).Target.ID).To(Equal(id(0)), "any request may probe after the probe-only period")
 			})
 		})
 	}
 }
 
-// TestPeersPreferTargetsThatTurnNobodyAway plays with two instances of which one was turned away.
-func TestPeersPreferTargetsThatTurnNobodyAway(t *testing.T) {
-	for name, ask := range map[string]func() dispatch.Request{"plain": plain, "prompt": func() dispatch.Request { return prompt(1000) }} {
+// TestPeersAvoidTargetThatBackedOffThisInstance has two instances, one of which a target rejected with a back-off. The other
+// one sees the back-off as load until it ends.
+func TestPeersAvoidTargetThatBackedOffThisInstance(t *testing.T) {
+	for name, newRequest := range map[string]func() dispatch.Request{"plain": plainRequest, "prompt": func() dispatch.Request { return promptRequest(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(hs *bench, _ *backoff.Book) {
-				peer := newBench(hs.t, 2)
-				sl := hs.take(ask())
+			runWithBackOffs(t, 2, func(hs *harness, _ *backoff.Book) {
+				peer := newHarness(hs.t, 2)
+				sl := hs.mustAcquire(newRequest())
 				sl.RecordBackOff(time.Second)
 				sl.RecordBackOff(time.Second)
 				sl.Release()
 				peer.SetPeerLoads("i", hs.OwnLoads())
 				for range 2 {
-					hs.Expect(peer.take(ask()).Target.ID).NotTo(Equal(sl.Target.ID))
+					hs.Expect(peer.mustAcquire(newRequest()).Target.ID).NotTo(Equal(sl.Target.ID))
 				}
 				time.Sleep(2 * time.Second)
-				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "it is over with the back-off")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "the load ends with the back-off")
 			})
 		})
 	}
 }
 
-func TestRetriedRequestIsNoProbe(t *testing.T) {
-	backOffBench(t, 2, func(hs *bench, bk *backoff.Book) {
+func TestRetriedRequestDoesNotProbe(t *testing.T) {
+	runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Book) {
 		bk.Ask(id(0), time.Second, time.Now())
 		time.Sleep(time.Minute)
-		rq := plain()
+		rq := plainRequest()
 		rq.Retried = true
-		hs.Expect(hs.take(rq).Target.ID).To(Equal(id(1)))
+		hs.Expect(hs.mustAcquire(rq).Target.ID).To(Equal(id(1)))
 	})
 }
 
-// TestClosedTargetsOfAProbeOrASureChoiceLeaveTheOthers: what a request would rather choose from wants no requests, and others do.
-func TestClosedTargetsOfAProbeOrASureChoiceLeaveTheOthers(t *testing.T) {
-	tests := map[string]func(hs *bench, rq *dispatch.Request){
-		"one that runs once, beside a target that failed": func(hs *bench, rq *dispatch.Request) {
+// TestRequestFallsBackToOpenTargetsIfPreferredOnesAreClosed covers requests that are limited to certain targets at first. If
+// all of these are closed, the request must be sent to one of the others.
+func TestRequestFallsBackToOpenTargetsIfPreferredOnesAreClosed(t *testing.T) {
+	tests := map[string]func(hs *harness, rq *dispatch.Request){
+		"request that may run only once, next to a failed target": func(hs *harness, rq *dispatch.Request) {
 			rq.Caution = targets.Sure
 			for range 2 {
 				hs.directory.Failure(id(0))
 			}
 		},
-		"the probe of an availability zone": func(hs *bench, _ *dispatch.Request) {
+		"probe of an unreachable availability zone": func(hs *harness, _ *dispatch.Request) {
 			hs.directory.Unreachable(id(1))
 			hs.directory.Unreachable(id(2))
 			time.Sleep(time.Second)
@@ -203,16 +207,16 @@
 	}
 	for name, edit := range tests {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 1, func(hs *bench, bk *backoff.Book) {
-				hs.put(1, "far", false)
-				hs.put(2, "far", false)
-				rq := plain()
+			runWithBackOffs(t, 1, func(hs *harness, bk *backoff.Book) {
+				hs.putTarget(1, "far", false)
+				hs.putTarget(2, "far", false)
+				rq := plainRequest()
 				edit(hs, &rq)
-				for no := 1; no <= 2; no++ {
-					bk.Ask(id(no), time.Minute, time.Now())
+				for i := 1; i <= 2; i++ {
+					bk.Ask(id(i), time.Minute, time.Now())
 				}
 				rq.Arrived, rq.Deadline = time.Now(), time.Now().Add(deadline)
-				hs.Expect(hs.take(rq).Target.ID).To(Equal(id(0)))
+				hs.Expect(hs.mustAcquire(rq).Target.ID).To(Equal(id(0)))
 			})
 		})
 	}
--- a/internal/dispatch/deferral_test.go
+++ b/internal/dispatch/deferral_test.go
@@ -12,9 +12,9 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// long asks for a prompt that is read for two seconds.
-func (hs *clocked) long() dispatch.Request {
-	rq := hs.short()
+// longPrompt returns a request with a prompt that takes two seconds to read.
+func (hs *clockHarness) longPrompt() dispatch.Request {
+	rq := hs.shortPrompt()
 	rq.PromptTokens = 140_000
 	rq.Objective = 2500 * time.Millisecond
 	rq.MaxPause = time.Second
@@ -22,68 +22,68 @@
 	return rq
 }
 
-// longAfter asks for the same, and was asked a time ago.
-func (hs *clocked) longAfter(used time.Duration) dispatch.Request {
-	rq := hs.long()
-	rq.Arrived, rq.Deadline = rq.Arrived.Add(-used), rq.Deadline.Add(-used)
+// longPromptArrivedAgo returns the same request with an earlier arrival.
+func (hs *clockHarness) longPromptArrivedAgo(waited time.Duration) dispatch.Request {
+	rq := hs.longPrompt()
+	rq.Arrived, rq.Deadline = rq.Arrived.Add(-waited), rq.Deadline.Add(-waited)
 	return rq
 }
 
-func TestALateLongPromptWaitsWhileItWouldHarmOthers(t *testing.T) {
+func TestLateLongPromptIsDeferredWhileItWouldHarmOthers(t *testing.T) {
 	cases := map[string]struct {
-		writers     int
-		used        time.Duration
-		least, most time.Duration
+		writers          int
+		waited           time.Duration
+		minWait, maxWait time.Duration
 	}{
-		"no others":               {used: 3 * time.Second},
-		"another is in time":      {writers: 1, used: 3 * time.Second, least: 3 * time.Second, most: 4 * time.Second},
-		"it has waited for long":  {writers: 1, used: 7 * time.Second},
-		"it can still be in time": {writers: 1},
+		"no other requests":            {waited: 3 * time.Second},
+		"another answer is in time":    {writers: 1, waited: 3 * time.Second, minWait: 3 * time.Second, maxWait: 4 * time.Second},
+		"maximum deferral is exceeded": {writers: 1, waited: 7 * time.Second},
+		"prompt can still be in time":  {writers: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				hs := newClockedAt(time.Now, "t1")
-				hs.writing(g, tc.writers)
-				rq := hs.longAfter(tc.used)
+				hs := newClockHarness(time.Now, "t1")
+				hs.startShortAnswers(g, tc.writers)
+				rq := hs.longPromptArrivedAgo(tc.waited)
 				began := time.Now()
-				sl, err := hs.ds.Acquire(context.Background(), rq)
+				sl, err := hs.dispatcher.Acquire(context.Background(), rq)
 				g.Expect(err).NotTo(HaveOccurred())
 				sl.Release()
-				g.Expect(time.Since(began)).To(BeNumerically(">=", tc.least))
-				g.Expect(time.Since(began)).To(BeNumerically("<=", tc.most))
+				g.Expect(time.Since(began)).To(BeNumerically(">=", tc.minWait))
+				g.Expect(time.Since(began)).To(BeNumerically("<=", tc.maxWait))
 			})
 		})
 	}
 }
 
-// TestALongPromptGivesWayToWhatIsWorthMore asks for a prompt of 14.7 points beside short answers that would all be late
-// with it, and those that arrive while it is read.
-func TestALongPromptGivesWayToWhatIsWorthMore(t *testing.T) {
+// TestLongPromptYieldsToShortAnswersWorthMore places a prompt worth 14.7 points next to short answers. It would make all of
+// them late, and those that arrive while it is read.
+func TestLongPromptYieldsToShortAnswersWorthMore(t *testing.T) {
 	cases := map[string]struct {
 		writers int
-		// ends is when the short answers end; zero is never.
-		ends, most time.Duration
-		refused    bool
+		// ends is when the short answers end; zero means never.
+		ends, maxWait time.Duration
+		refused       bool
 	}{
-		"they end in time":    {writers: 8, ends: time.Second, most: 1200 * time.Millisecond},
-		"they end too late":   {writers: 8, ends: 8 * time.Second, most: 8200 * time.Millisecond},
-		"they do not end":     {writers: 8, most: 13 * time.Second, refused: true},
-		"they are worth less": {writers: 2},
+		"short answers end in time":             {writers: 8, ends: time.Second, maxWait: 1200 * time.Millisecond},
+		"short answers end after the objective": {writers: 8, ends: 8 * time.Second, maxWait: 8200 * time.Millisecond},
+		"short answers do not end":              {writers: 8, maxWait: 13 * time.Second, refused: true},
+		"short answers are worth less":          {writers: 2},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				hs := newClockedAt(time.Now, "t1")
-				slots := hs.writing(g, tc.writers)
+				hs := newClockHarness(time.Now, "t1")
+				slots := hs.startShortAnswers(g, tc.writers)
 				if tc.ends > 0 {
-					time.AfterFunc(tc.ends, func() { release(slots) })
+					time.AfterFunc(tc.ends, func() { releaseAll(slots) })
 				}
 				began := time.Now()
-				sl, err := hs.ds.Acquire(context.Background(), hs.long())
-				g.Expect(time.Since(began)).To(BeNumerically("<=", tc.most))
+				sl, err := hs.dispatcher.Acquire(context.Background(), hs.longPrompt())
+				g.Expect(time.Since(began)).To(BeNumerically("<=", tc.maxWait))
 				if !tc.refused {
 					g.Expect(err).NotTo(HaveOccurred())
 					sl.Release()
@@ -99,28 +99,27 @@
 	}
 }
 
-// TestALateLongPromptIsNotRefusedForALittleHarm.
-//
-// In a wave of long prompts those that had become late by waiting were weighed by what was left of their worth alone. They waited on,
-// were refused when nothing could be done any more, came back and were refused again, which costs their callers more than the wait.
-func TestALateLongPromptIsNotRefusedForALittleHarm(t *testing.T) {
+// TestLateLongPromptIsNotRefusedForMinorHarm guards against a fault in which long prompts that had become late by waiting
+// were judged by their remaining worth alone. In a wave of long prompts they kept waiting until they were refused, were
+// retried and refused again, which costs their callers more than the wait.
+func TestLateLongPromptIsNotRefusedForMinorHarm(t *testing.T) {
 	cases := map[string]struct {
 		writers int
 		refused bool
 	}{
-		"three short answers":      {writers: 3},
-		"more than it is worth":    {writers: 7, refused: true},
-		"a target that is for all": {},
+		"harm to three short answers": {writers: 3},
+		"harm exceeds its worth":      {writers: 7, refused: true},
+		"idle target":                 {},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				hs := newClockedAt(time.Now, "t1")
-				hs.writing(g, tc.writers)
-				rq := hs.longAfter(7 * time.Second)
+				hs := newClockHarness(time.Now, "t1")
+				hs.startShortAnswers(g, tc.writers)
+				rq := hs.longPromptArrivedAgo(7 * time.Second)
 				began := time.Now()
-				sl, err := hs.ds.Acquire(context.Background(), rq)
+				sl, err := hs.dispatcher.Acquire(context.Background(), rq)
 				g.Expect(err != nil).To(Equal(tc.refused))
 				if !tc.refused {
 					g.Expect(time.Since(began)).To(BeZero())
@@ -131,28 +130,28 @@
 	}
 }
 
-func TestALongPromptIsHeldNoLongerThanItsCallerWaits(t *testing.T) {
+func TestLongPromptIsRefusedBeforeCallerIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		hs := newClockedAt(time.Now, "t1")
-		hs.writing(g, 8)
-		rq := hs.long()
+		hs := newClockHarness(time.Now, "t1")
+		hs.startShortAnswers(g, 8)
+		rq := hs.longPrompt()
 		rq.CallerIdleTimeout = 10 * time.Second
 		began := time.Now()
-		_, err := hs.ds.Acquire(context.Background(), rq)
+		_, err := hs.dispatcher.Acquire(context.Background(), rq)
 		g.Expect(err).To(HaveOccurred())
 		g.Expect(failure.Of(err).Outcome).To(Equal(failure.NotRun))
-		// It is read in about two seconds.
+		// Reading the prompt takes about two seconds, which leaves eight of the caller's ten for waiting.
 		g.Expect(time.Since(began)).To(BeNumerically(">", 7*time.Second))
 		g.Expect(time.Since(began)).To(BeNumerically("<", 9*time.Second))
 	})
 }
 
-// writing starts short answers that are in time.
-func (hs *clocked) writing(g *WithT, count int) []*dispatch.Slot {
+// startShortAnswers starts short answers that are in time.
+func (hs *clockHarness) startShortAnswers(g *WithT, count int) []*dispatch.Slot {
 	var slots []*dispatch.Slot
 	for range count {
-		sl, err := hs.ds.Acquire(context.Background(), hs.short())
+		sl, err := hs.dispatcher.Acquire(context.Background(), hs.shortPrompt())
 		g.Expect(err).NotTo(HaveOccurred())
 		sl.RecordFirstToken()
 		slots = append(slots, sl)
@@ -160,26 +159,26 @@
 	return slots
 }
 
-func release(slots []*dispatch.Slot) {
+func releaseAll(slots []*dispatch.Slot) {
 	for _, sl := range slots {
 		sl.Release()
 	}
 }
 
-// TestArrivalsAreWhatArrives fills a target with short answers that are all late: a long prompt does not take the target
-// from the ones that arrive next.
-func TestArrivalsAreWhatArrives(t *testing.T) {
+// TestLongPromptWaitsForArrivalsIfAnswersInFlightAreLate fills a target with short answers that are all late and have
+// nothing left at risk. A long prompt must still not take the target from the short requests that arrive next.
+func TestLongPromptWaitsForArrivalsIfAnswersInFlightAreLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		hs := newClockedAt(time.Now, "t1")
-		slots := hs.writing(g, 12)
+		hs := newClockHarness(time.Now, "t1")
+		slots := hs.startShortAnswers(g, 12)
 		time.Sleep(time.Second)
 		for _, sl := range slots {
 			sl.RecordEvent()
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := hs.ds.Acquire(ctx, hs.long())
+		_, err := hs.dispatcher.Acquire(ctx, hs.longPrompt())
 		g.Expect(err).To(MatchError(context.DeadlineExceeded))
 	})
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -32,69 +32,69 @@
 	deadline  = 30 * time.Second
 )
 
-// orders counts what targets were asked for.
-type orders struct {
+// fakeReservations stands in for the memory reservations of all targets, and counts the calls by address.
+type fakeReservations struct {
 	mu                 sync.Mutex
 	reserved, released map[string]int
-	// refuse says which addresses have no room, silent which give no answer.
-	refuse, silent map[string]bool
-	// asked counts all orders for memory.
-	asked int
+	// refusing holds the addresses that refuse reservations, silent those that do not answer.
+	refusing, silent map[string]bool
+	// requested counts all requests for a reservation.
+	requested int
 }
 
-// travel is how long an order and its answer take.
-const travel = time.Millisecond
+// roundTripTime is how long a call and its answer take.
+const roundTripTime = time.Millisecond
 
-func (od *orders) reserve(_ context.Context, address, _ string, _ int64, _ time.Duration, _ func(answer.Head)) error {
-	time.Sleep(travel)
-	od.mu.Lock()
-	defer od.mu.Unlock()
-	od.asked++
-	if od.refuse[address] {
+func (fr *fakeReservations) reserve(_ context.Context, address, _ string, _ int64, _ time.Duration, _ func(answer.Head)) error {
+	time.Sleep(roundTripTime)
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	fr.requested++
+	if fr.refusing[address] {
 		return &reservation.RefusedError{Address: address}
 	}
-	if od.silent[address] {
+	if fr.silent[address] {
 		return context.DeadlineExceeded
 	}
-	od.reserved[address]++
+	fr.reserved[address]++
 	return nil
 }
 
-func (od *orders) release(_ context.Context, address, _ string, _ func(answer.Head)) error {
-	od.mu.Lock()
-	defer od.mu.Unlock()
-	od.released[address]++
+func (fr *fakeReservations) release(_ context.Context, address, _ string, _ func(answer.Head)) error {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	fr.released[address]++
 	return nil
 }
 
-// sums returns how many targets were asked for memory, and how many to take it back.
-func (od *orders) sums() (reserved, released int) {
-	od.mu.Lock()
-	defer od.mu.Unlock()
-	return len(od.reserved), len(od.released)
+// targetCounts returns how many targets were asked to reserve memory, and how many to release it.
+func (fr *fakeReservations) targetCounts() (reserved, released int) {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	return len(fr.reserved), len(fr.released)
 }
 
-// bench is a dispatcher with targets.
-type bench struct {
+// harness is a dispatcher with its targets.
+type harness struct {
 	*WithT
 	*dispatch.Dispatcher
-	t         *testing.T
-	directory *targets.Directory
-	orders    *orders
+	t            *testing.T
+	directory    *targets.Directory
+	reservations *fakeReservations
 }
 
-// settle is longer than what a release does in the background.
-const settle = time.Minute
+// settleTime is longer than any background work after a release.
+const settleTime = time.Minute
 
-func newBench(t *testing.T, count int, opts ...func(*dispatch.Options)) *bench {
-	hs := &bench{
+func newHarness(t *testing.T, count int, opts ...func(*dispatch.Options)) *harness {
+	hs := &harness{
 		WithT: NewWithT(t), t: t, directory: targets.New(time.Now),
-		orders: &orders{reserved: map[string]int{}, released: map[string]int{}, refuse: map[string]bool{}, silent: map[string]bool{}},
+		reservations: &fakeReservations{reserved: map[string]int{}, released: map[string]int{}, refusing: map[string]bool{}, silent: map[string]bool{}},
 	}
 	var ids atomic.Int64
 	kp := &reservation.Keeper{
 		Timeout: 400 * time.Millisecond, Hold: 3 * time.Second,
-		Reserve: hs.orders.reserve, Release: hs.orders.release,
+		Reserve: hs.reservations.reserve, Release: hs.reservations.release,
 		NewID: func() string { return strconv.FormatInt(ids.Add(1), 10) },
 		Log:   &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
 	}
@@ -103,40 +103,40 @@
 		edit(&op)
 	}
 	hs.Dispatcher = dispatch.New(hs.directory, kp, op)
-	for no := range count {
-		hs.put(no, zone, false)
+	for i := range count {
+		hs.putTarget(i, zone, false)
 	}
 	return hs
 }
 
-func id(no int) string { return "t" + strconv.Itoa(no) }
+func id(i int) string { return "t" + strconv.Itoa(i) }
 
-func (hs *bench) put(no int, at string, leaving bool) {
+func (hs *harness) putTarget(i int, zone string, leaving bool) {
 	tg := targets.Target{
-		ID: id(no), Service: "s", Address: "10.0.0." + strconv.Itoa(no) + ":80", AvailabilityZone: at, Slots: slots, Leaving: leaving,
+		ID: id(i), Service: "s", Address: "10.0.0." + strconv.Itoa(i) + ":80", AvailabilityZone: zone, Slots: slots, Leaving: leaving,
 	}
 	hs.directory.TakeChanges([]targets.Entry{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
 }
 
-func bubble(t *testing.T, count int, run func(hs *bench)) {
+func runInBubble(t *testing.T, count int, run func(hs *harness)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { run(newBench(t, count)) })
+	synctest.Test(t, func(t *testing.T) { run(newHarness(t, count)) })
 }
 
-var asks atomic.Int64
+var requestIDs atomic.Int64
 
-func plain() dispatch.Request {
-	no := asks.Add(1)
+func plainRequest() dispatch.Request {
+	i := requestIDs.Add(1)
 	now := time.Now()
 	return dispatch.Request{
-		ID: strconv.FormatInt(no, 10), Service: routes.Service{Name: "s"}, Objective: objective,
+		ID: strconv.FormatInt(i, 10), Service: routes.Service{Name: "s"}, Objective: objective,
 		Arrived: now, Deadline: now.Add(deadline),
 	}
 }
 
-// prompt asks for room for that many tokens at a model engine.
-func prompt(tokens int) dispatch.Request {
-	rq := plain()
+// promptRequest returns a request to a model engine with a prompt of that many tokens.
+func promptRequest(tokens int) dispatch.Request {
+	rq := plainRequest()
 	rq.PromptTokens, rq.MaxAnswerTokens, rq.MaxPause = tokens, 100, time.Second
 	rq.Service.Engine = &placement.Engine{
 		Slots: slots, Stride: 4, Chunk: 2048, Memory: memory, Step: time.Millisecond, PerWriter: 50 * time.Microsecond,
@@ -145,18 +145,18 @@
 	return rq
 }
 
-func (hs *bench) take(rq dispatch.Request) *dispatch.Slot {
+func (hs *harness) mustAcquire(rq dispatch.Request) *dispatch.Slot {
 	sl, err := hs.Acquire(context.Background(), rq)
 	hs.Expect(err).NotTo(HaveOccurred())
 	hs.t.Cleanup(func() {
 		sl.Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 	return sl
 }
 
-// send asks for a target in the background.
-func (hs *bench) send(rq dispatch.Request) <-chan *dispatch.Slot {
+// acquireInBackground acquires a slot in a goroutine. The channel stays empty if the request fails.
+func (hs *harness) acquireInBackground(rq dispatch.Request) <-chan *dispatch.Slot {
 	got := make(chan *dispatch.Slot, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	hs.t.Cleanup(func() {
@@ -166,36 +166,36 @@
 		case sl := <-got:
 			sl.Release()
 		default:
-			// The test has taken it, or nothing came.
+			// The test received the slot, or there was none.
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 	go func() {
 		sl, err := hs.Acquire(ctx, rq)
 		if err != nil {
-			return // the test sees that nothing came
+			return // the test finds the channel empty
 		}
 		got <- sl
 	}()
 	return got
 }
 
-// refused returns the failure of a request that gets no target.
-func (hs *bench) refused(rq dispatch.Request) *failure.Error {
+// mustBeRefused returns the failure of a request that must get no target.
+func (hs *harness) mustBeRefused(rq dispatch.Request) *failure.Error {
 	_, err := hs.Acquire(context.Background(), rq)
 	var fe *failure.Error
 	hs.Expect(errors.As(err, &fe)).To(BeTrue())
 	return fe
 }
 
-func TestLeastBusyPlainTarget(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
+func TestPlainRequestsSpreadEvenlyOverTargets(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
 		var sls []*dispatch.Slot
 		for range 3 * 4 {
-			sls = append(sls, hs.take(plain()))
+			sls = append(sls, hs.mustAcquire(plainRequest()))
 		}
-		for no := range 3 {
-			hs.Expect(hs.OwnLoads()[id(no)].Writers).To(Equal(4))
+		for i := range 3 {
+			hs.Expect(hs.OwnLoads()[id(i)].Writers).To(Equal(4))
 		}
 		for _, sl := range sls {
 			sl.Release()
@@ -204,68 +204,68 @@
 	})
 }
 
-func TestWhichPlainTarget(t *testing.T) {
+func TestPlainRequestTargetChoice(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(hs *bench)
-		avoid   []string
+		prepare func(hs *harness)
+		exclude []string
 		want    string
 	}{
-		"the near one": {func(hs *bench) { hs.put(1, "z2", false) }, nil, id(0)},
-		"the far one when the near one is busy": {func(hs *bench) {
-			hs.put(1, "z2", false)
-			hs.take(plain())
+		"local target": {func(hs *harness) { hs.putTarget(1, "z2", false) }, nil, id(0)},
+		"other zone if the local target is busy": {func(hs *harness) {
+			hs.putTarget(1, "z2", false)
+			hs.mustAcquire(plainRequest())
 		}, nil, id(1)},
-		"the one that a peer does not use": {func(hs *bench) {
+		"target not used by a peer": {func(hs *harness) {
 			hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 3}})
 		}, nil, id(1)},
-		"loads of several peers count": {func(hs *bench) {
+		"loads of several peers are summed": {func(hs *harness) {
 			hs.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 2}, id(1): {Writers: 3}})
 			hs.SetPeerLoads("p2", map[string]placement.Load{id(0): {Writers: 2}})
 		}, nil, id(1)},
-		"a lost peer's load does not": {func(hs *bench) {
+		"load of a lost peer is dropped": {func(hs *harness) {
 			hs.SetPeerLoads("p1", map[string]placement.Load{id(0): {Writers: 9}})
 			hs.SetPeerLoads("p2", map[string]placement.Load{id(1): {Writers: 1}})
 			hs.SetPeerLoads("p1", nil)
 		}, nil, id(0)},
-		"not the leaving one":    {func(hs *bench) { hs.put(0, zone, true) }, nil, id(1)},
-		"not the one to avoid":   {func(*bench) {}, []string{id(0)}, id(1)},
-		"not the one told gone":  {func(hs *bench) { hs.directory.MarkLeaving(id(1)) }, nil, id(0)},
-		"not the one unreached":  {func(hs *bench) { hs.directory.Unreachable(id(0)) }, nil, id(1)},
-		"not the one that fails": {func(hs *bench) { failing(hs, id(1)) }, nil, id(0)},
+		"leaving target is excluded":           {func(hs *harness) { hs.putTarget(0, zone, true) }, nil, id(1)},
+		"target excluded by the request":       {func(*harness) {}, []string{id(0)}, id(1)},
+		"target marked as leaving is excluded": {func(hs *harness) { hs.directory.MarkLeaving(id(1)) }, nil, id(0)},
+		"unreachable target is excluded":       {func(hs *harness) { hs.directory.Unreachable(id(0)) }, nil, id(1)},
+		"failing target is excluded":           {func(hs *harness) { markFailing(hs, id(1)) }, nil, id(0)},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 2, func(hs *bench) {
+			runInBubble(t, 2, func(hs *harness) {
 				tc.prepare(hs)
-				rq := plain()
-				rq.Exclude = tc.avoid
-				hs.Expect(hs.take(rq).Target.ID).To(Equal(tc.want))
+				rq := plainRequest()
+				rq.Exclude = tc.exclude
+				hs.Expect(hs.mustAcquire(rq).Target.ID).To(Equal(tc.want))
 			})
 		})
 	}
 }
 
-func failing(hs *bench, which string) {
+func markFailing(hs *harness, target string) {
 	for range 3 {
-		hs.directory.Failure(which)
+		hs.directory.Failure(target)
 	}
 }
 
-func TestNoTargetIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutUsableTargetIsRefusedAtOnce(t *testing.T) {
 	cases := map[string]struct {
-		count int
-		avoid []string
+		count   int
+		exclude []string
 	}{
-		"none listed":  {0, nil},
-		"all to avoid": {1, []string{id(0)}},
+		"none listed":                 {0, nil},
+		"all excluded by the request": {1, []string{id(0)}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, tc.count, func(hs *bench) {
-				rq := plain()
-				rq.Exclude = tc.avoid
+			runInBubble(t, tc.count, func(hs *harness) {
+				rq := plainRequest()
+				rq.Exclude = tc.exclude
 				began := time.Now()
-				fe := hs.refused(rq)
+				fe := hs.mustBeRefused(rq)
 				hs.Expect(fe.Code).To(Equal(failure.NoTarget))
 				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
 				hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
@@ -275,13 +275,13 @@
 	}
 }
 
-// TestTwoRequestsDoNotSeeTheSameRoom sends prompts at once to as many idle targets.
-func TestTwoRequestsDoNotSeeTheSameRoom(t *testing.T) {
+// TestConcurrentPromptsAreNotBookedIntoTheSameRoom sends as many prompts at the same time as there are idle targets.
+func TestConcurrentPromptsAreNotBookedIntoTheSameRoom(t *testing.T) {
 	const count = 3
-	bubble(t, count, func(hs *bench) {
+	runInBubble(t, count, func(hs *harness) {
 		var all []<-chan *dispatch.Slot
 		for range count {
-			all = append(all, hs.send(prompt(8000)))
+			all = append(all, hs.acquireInBackground(promptRequest(8000)))
 		}
 		synctest.Wait()
 		var sls []*dispatch.Slot
@@ -289,9 +289,9 @@
 			hs.Expect(got).To(HaveLen(1))
 			sls = append(sls, <-got)
 		}
-		for no := range count {
-			hs.Expect(hs.OwnLoads()[id(no)].Readers).To(Equal(1))
-			hs.Expect(hs.OwnLoads()[id(no)].Memory).To(BeNumerically("<=", memory))
+		for i := range count {
+			hs.Expect(hs.OwnLoads()[id(i)].Readers).To(Equal(1))
+			hs.Expect(hs.OwnLoads()[id(i)].Memory).To(BeNumerically("<=", memory))
 		}
 		for _, sl := range sls {
 			sl.Release()
@@ -300,40 +300,40 @@
 	})
 }
 
-func TestPeersLoadsCountForPrompts(t *testing.T) {
-	bubble(t, 2, func(hs *bench) {
+func TestPeerLoadsAffectPromptPlacement(t *testing.T) {
+	runInBubble(t, 2, func(hs *harness) {
 		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: 9000, Writers: 1, Context: 9000}})
 		for range 5 {
-			sl := hs.take(prompt(4000))
+			sl := hs.mustAcquire(promptRequest(4000))
 			hs.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
 		hs.SetPeerLoads("peer", map[string]placement.Load{id(1): {Memory: 9000, Writers: 1, Context: 9000}})
-		hs.Expect(hs.take(prompt(4000)).Target.ID).To(Equal(id(0)))
+		hs.Expect(hs.mustAcquire(promptRequest(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
 
-func TestPeerWakesARequestThatWaits(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
+func TestPeerUpdateWakesWaitingRequest(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
 		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Memory: memory}, id(1): {Memory: memory}})
-		got := hs.send(prompt(largest))
+		got := hs.acquireInBackground(promptRequest(largePromptTokens))
 		time.Sleep(objective / 2)
 		synctest.Wait()
 		hs.Expect(got).To(BeEmpty())
 		hs.SetPeerLoads("peer", map[string]placement.Load{})
-		time.Sleep(2 * travel)
+		time.Sleep(2 * roundTripTime)
 		synctest.Wait()
 		hs.Expect(got).To(HaveLen(1))
 		(<-got).Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 }
 
-func TestRequestWithoutRoomIsRefusedInTime(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
-		hs.take(prompt(largest))
+func TestRequestWithoutRoomIsRefusedWithinItsObjective(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		hs.mustAcquire(promptRequest(largePromptTokens))
 		began := time.Now()
-		fe := hs.refused(prompt(largest))
+		fe := hs.mustBeRefused(promptRequest(largePromptTokens))
 		hs.Expect(fe.Code).To(Equal(failure.Overloaded))
 		hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
 		hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
@@ -342,22 +342,22 @@
 	})
 }
 
-func TestWaitEndsWithItsContext(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
-		hs.take(prompt(largest))
+func TestWaitEndsWhenContextIsDone(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		hs.mustAcquire(promptRequest(largePromptTokens))
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		_, err := hs.Acquire(ctx, prompt(largest))
+		_, err := hs.Acquire(ctx, promptRequest(largePromptTokens))
 		hs.Expect(err).To(MatchError(context.DeadlineExceeded))
 		hs.Expect(time.Since(began)).To(Equal(100 * time.Millisecond))
 	})
 }
 
-func TestReleaseTwiceChangesNothing(t *testing.T) {
-	bubble(t, 1, func(hs *bench) {
-		other := hs.take(prompt(1000))
-		sl := hs.take(prompt(1000))
+func TestReleaseIsIdempotent(t *testing.T) {
+	runInBubble(t, 1, func(hs *harness) {
+		other := hs.mustAcquire(promptRequest(1000))
+		sl := hs.mustAcquire(promptRequest(1000))
 		sl.RecordFirstToken()
 		sl.RecordFirstToken()
 		sl.Release()
@@ -369,53 +369,53 @@
 	})
 }
 
-// TestOneProbeForAnAvailabilityZone cuts an availability zone off and lets the pause pass.
-func TestOneProbeForAnAvailabilityZone(t *testing.T) {
-	long := func() dispatch.Request { return prompt(20_000) }
+// TestOneProbeIsSentToUnreachableAvailabilityZone makes an availability zone unreachable and waits until it may be probed.
+func TestOneProbeIsSentToUnreachableAvailabilityZone(t *testing.T) {
+	long := func() dispatch.Request { return promptRequest(20_000) }
 	proven := func() dispatch.Request {
-		rq := prompt(1000)
+		rq := promptRequest(1000)
 		rq.Caution = targets.Proven
 		return rq
 	}
-	short := func() dispatch.Request { return prompt(1000) }
-	avoiding := func() dispatch.Request {
-		rq := prompt(1000)
+	short := func() dispatch.Request { return promptRequest(1000) }
+	excluding := func() dispatch.Request {
+		rq := promptRequest(1000)
 		rq.Exclude = []string{id(0), id(1)}
 		return rq
 	}
 	cases := map[string]struct {
-		// others is how many targets there are elsewhere.
-		others int
-		asks   []func() dispatch.Request
-		// there is how many of them get a target of that availability zone.
-		there int
+		// others is the number of targets in another availability zone.
+		others      int
+		newRequests []func() dispatch.Request
+		// inZone is how many of the requests are sent to the unreachable availability zone.
+		inZone int
 	}{
-		"a short prompt is the probe, and no other beside it":         {1, []func() dispatch.Request{short, short, short}, 1},
-		"a plain request is one":                                      {1, []func() dispatch.Request{plain, plain}, 1},
-		"a long prompt is none":                                       {4, []func() dispatch.Request{long}, 0},
-		"nor a request that must be sure":                             {1, []func() dispatch.Request{proven, proven}, 0},
-		"a probe that must not go there goes elsewhere":               {1, []func() dispatch.Request{avoiding}, 0},
-		"those that are no probes do not keep another from being one": {2, []func() dispatch.Request{proven, proven, short}, 1},
+		"one of several short prompts probes":                        {1, []func() dispatch.Request{short, short, short}, 1},
+		"one of several plain requests probes":                       {1, []func() dispatch.Request{plainRequest, plainRequest}, 1},
+		"long prompt does not probe":                                 {4, []func() dispatch.Request{long}, 0},
+		"request that requires proven targets does not probe":        {1, []func() dispatch.Request{proven, proven}, 0},
+		"request that excludes the zone's targets is sent elsewhere": {1, []func() dispatch.Request{excluding}, 0},
+		"requests that do not probe leave the probe to a later one":  {2, []func() dispatch.Request{proven, proven, short}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 0, func(hs *bench) {
-				hs.put(0, "far", false)
-				hs.put(1, "far", false)
-				for no := range tc.others {
-					hs.put(2+no, "farther", false)
+			runInBubble(t, 0, func(hs *harness) {
+				hs.putTarget(0, "far", false)
+				hs.putTarget(1, "far", false)
+				for i := range tc.others {
+					hs.putTarget(2+i, "farther", false)
 				}
-				for no := range 2 {
-					hs.directory.Unreachable(id(no))
+				for i := range 2 {
+					hs.directory.Unreachable(id(i))
 				}
 				time.Sleep(time.Second)
-				there := 0
-				for _, ask := range tc.asks {
-					if hs.take(ask()).Target.AvailabilityZone == "far" {
-						there++
+				inZone := 0
+				for _, newRequest := range tc.newRequests {
+					if hs.mustAcquire(newRequest()).Target.AvailabilityZone == "far" {
+						inZone++
 					}
 				}
-				hs.Expect(there).To(Equal(tc.there))
+				hs.Expect(inZone).To(Equal(tc.inZone))
 			})
 		})
 	}
--- a/internal/dispatch/loads_test.go
+++ b/internal/dispatch/loads_test.go
@@ -21,8 +21,8 @@
 	return rapid.MapOf(target, load).Draw(rt, "loads")
 }
 
-// TestTotalIsTheSumOfWhatIsInFlight lets peers tell, tell anew and go in any order.
-func TestTotalIsTheSumOfWhatIsInFlight(t *testing.T) {
+// TestTotalIsSumOfPeerLoads has peers report loads, replace them and leave in any order.
+func TestTotalIsSumOfPeerLoads(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
 		lt := newLoadTable()
@@ -30,7 +30,7 @@
 		for range rapid.IntRange(0, 30).Draw(rt, "steps") {
 			peer := rapid.SampledFrom([]string{"p", "q", "r"}).Draw(rt, "peer")
 			loads := drawLoads(rt)
-			if rapid.Bool().Draw(rt, "goes") {
+			if rapid.Bool().Draw(rt, "leaves") {
 				loads = nil
 			}
 			lt.setPeer(peer, maps.Clone(loads))
@@ -44,14 +44,14 @@
 			g.Expect(lt.total(id)).To(Equal(want))
 		}
 		if want := 0; len(newest["p"])+len(newest["q"])+len(newest["r"]) == 0 {
-			g.Expect(lt.peerTotals).To(HaveLen(want), "nothing is kept of who is gone")
+			g.Expect(lt.peerTotals).To(HaveLen(want), "peers that left keep no totals")
 		}
 	})
 }
 
-// BenchmarkTotals adds up the loads at 150 targets of which 294 peers use three each. It took 931,037 ns while each total
-// went through all peers, and takes 8,389 ns.
-func BenchmarkTotals(b *testing.B) {
+// BenchmarkLoadTableTotal adds up the loads at 150 targets, with 294 peers that use three targets each. It took 931,037 ns
+// when each total iterated over all peers, and takes 8,389 ns with maintained sums.
+func BenchmarkLoadTableTotal(b *testing.B) {
 	lt := newLoadTable()
 	ids := make([]string, 150)
 	for i := range ids {
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -14,65 +14,66 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// largest needs more than half of the memory of three targets.
-const largest = 15_000
+// largePromptTokens is more than half of the memory of three targets.
+const largePromptTokens = 15_000
 
-// TestTwoLargePromptsDoNotSeeTheSameMemory lets the second one wait until the first gives its memory back.
-func TestTwoLargePromptsDoNotSeeTheSameMemory(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
-		first := hs.take(prompt(largest))
-		second := hs.send(prompt(largest))
+// TestLargePromptWaitsForMemoryOfAnother has the second of two large prompts wait until the first releases its memory.
+func TestLargePromptWaitsForMemoryOfAnother(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		first := hs.mustAcquire(promptRequest(largePromptTokens))
+		second := hs.acquireInBackground(promptRequest(largePromptTokens))
 		time.Sleep(objective / 2)
 		synctest.Wait()
-		hs.Expect(second).To(BeEmpty(), "both got the same memory")
+		hs.Expect(second).To(BeEmpty(), "both prompts were given the same memory")
 		first.Release()
-		// Far less than the pause between two looks of a request that nothing wakes.
-		time.Sleep(2 * travel)
+		// This is far less than the poll interval of a waiting request that nothing wakes.
+		time.Sleep(2 * roundTripTime)
 		synctest.Wait()
-		hs.Expect(second).To(HaveLen(1), "the release did not wake the request that waits")
+		hs.Expect(second).To(HaveLen(1), "the release did not wake the waiting request")
 		(<-second).Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-// TestALongPromptWaitsForMemory keeps a prompt that lacks memory only because another one holds it from being refused.
-func TestALongPromptWaitsForMemory(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
+// TestLongPromptWaitsForMemoryInsteadOfBeingRefused guards against refusing a long prompt that lacks memory only because
+// another prompt holds it.
+func TestLongPromptWaitsForMemoryInsteadOfBeingRefused(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
 		large := func() dispatch.Request {
-			rq := prompt(50_000)
+			rq := promptRequest(50_000)
 			rq.Service.Engine.Memory = 30_000
 			return rq
 		}
-		first := hs.take(large())
+		first := hs.mustAcquire(large())
 		first.RecordFirstToken()
-		second := hs.send(large())
+		second := hs.acquireInBackground(large())
 		time.Sleep(objective / 2)
 		synctest.Wait()
-		hs.Expect(second).To(BeEmpty(), "both got the same memory, or one was refused")
+		hs.Expect(second).To(BeEmpty(), "both prompts were given the same memory, or one was refused")
 		first.Release()
 		time.Sleep(objective / 2)
 		synctest.Wait()
 		hs.Expect(second).To(HaveLen(1))
 		(<-second).Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-func TestLargePromptsNeverExceedTheMemory(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
+func TestLargePromptsNeverExceedMemory(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
 		var wg sync.WaitGroup
-		for no := range 20 {
+		for i := range 20 {
 			wg.Go(func() {
-				sl, err := hs.Acquire(context.Background(), prompt(11_000+200*no))
+				sl, err := hs.Acquire(context.Background(), promptRequest(11_000+200*i))
 				if err != nil {
-					return // some are refused; what counts is that none is placed without memory
+					return // some are refused, but none may be placed without memory
 				}
 				defer sl.Release()
-				for at := range 3 {
-					if held := hs.OwnLoads()[id(at)].Memory; held > memory {
-						hs.t.Errorf("%d tokens are booked at %s", held, id(at))
+				for no := range 3 {
+					if held := hs.OwnLoads()[id(no)].Memory; held > memory {
+						hs.t.Errorf("%d tokens are booked at target %s", held, id(no))
 					}
 				}
 				time.Sleep(50 * time.Millisecond)
@@ -81,133 +82,133 @@
 			})
 		}
 		wg.Wait()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-func TestLargePromptTakesMemoryAtSeveral(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
-		sl := hs.take(prompt(largest))
+func TestLargePromptReservesMemoryAtSeveralTargets(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		sl := hs.mustAcquire(promptRequest(largePromptTokens))
 		hs.Expect(len(sl.Helpers)).To(BeNumerically(">=", 2))
 		hs.Expect(sl.Helpers[0].ID).To(Equal(sl.Target.ID))
 		held := int64(0)
-		for no := range 3 {
-			hs.Expect(hs.OwnLoads()[id(no)].Memory).To(BeNumerically("<=", memory))
-			held += hs.OwnLoads()[id(no)].Memory
+		for i := range 3 {
+			hs.Expect(hs.OwnLoads()[id(i)].Memory).To(BeNumerically("<=", memory))
+			held += hs.OwnLoads()[id(i)].Memory
 		}
 		hs.Expect(held).To(BeNumerically(">=", 15_000))
 		sl.RecordFirstToken()
 		sl.Release()
 		time.Sleep(time.Second)
-		reserved, released := hs.orders.sums()
+		reserved, released := hs.reservations.targetCounts()
 		hs.Expect(reserved).To(Equal(len(sl.Helpers)))
 		hs.Expect(released).To(Equal(reserved))
 		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-// TestLargePromptGoesAroundATargetThatRefuses leaves enough room at the others.
-func TestLargePromptGoesAroundATargetThatRefuses(t *testing.T) {
-	for no := range 3 {
-		t.Run(id(no), func(t *testing.T) {
-			bubble(t, 3, func(hs *bench) {
-				hs.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = true
-				sl := hs.take(prompt(largest))
+// TestLargePromptAvoidsTargetThatRefusesReservation leaves enough memory at the other targets.
+func TestLargePromptAvoidsTargetThatRefusesReservation(t *testing.T) {
+	for i := range 3 {
+		t.Run(id(i), func(t *testing.T) {
+			runInBubble(t, 3, func(hs *harness) {
+				hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = true
+				sl := hs.mustAcquire(promptRequest(largePromptTokens))
 				for _, hp := range sl.Helpers {
-					hs.Expect(hp.ID).NotTo(Equal(id(no)))
+					hs.Expect(hp.ID).NotTo(Equal(id(i)))
 				}
 				sl.Release()
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 			})
 		})
 	}
 }
 
-func TestLargePromptGoesAroundATargetThatDoesNotAnswer(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
-		hs.orders.silent["10.0.0.1:80"] = true
-		sl := hs.take(prompt(largest))
+func TestLargePromptAvoidsTargetThatDoesNotAnswerReservation(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		hs.reservations.silent["10.0.0.1:80"] = true
+		sl := hs.mustAcquire(promptRequest(largePromptTokens))
 		hs.Expect(sl.Helpers).NotTo(BeEmpty())
 		for _, hp := range sl.Helpers {
 			hs.Expect(hp.ID).NotTo(Equal(id(1)))
 		}
 		sl.Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 }
 
-// TestHelperThatIsGoneIsNotChosenAgain has a target turn a prompt away for one of its helpers.
-func TestHelperThatIsGoneIsNotChosenAgain(t *testing.T) {
-	bubble(t, 6, func(hs *bench) {
-		rq := func() dispatch.Request {
-			rq := prompt(9000)
+// TestAbsentHelperIsNotChosenAgain has a target reject a prompt because one of its helpers is absent.
+func TestAbsentHelperIsNotChosenAgain(t *testing.T) {
+	runInBubble(t, 6, func(hs *harness) {
+		newRequest := func() dispatch.Request {
+			rq := promptRequest(9000)
 			rq.Service.Engine.PerThousandRead = 300 * time.Millisecond
 			return rq
 		}
-		sl := hs.take(rq())
+		sl := hs.mustAcquire(newRequest())
 		hs.Expect(sl.Helpers).NotTo(BeEmpty())
-		gone := sl.Helpers[0]
-		sl.RecordShed(gone.Address)
+		absent := sl.Helpers[0]
+		sl.RecordShed(absent.Address)
 		sl.Release()
 		for range 4 {
-			next := hs.take(rq())
+			next := hs.mustAcquire(newRequest())
 			for _, hp := range next.Helpers {
-				hs.Expect(hp.ID).NotTo(Equal(gone.ID))
+				hs.Expect(hp.ID).NotTo(Equal(absent.ID))
 			}
 			next.Release()
 		}
 	})
 }
 
-func TestRefusedLargePromptLeavesNothingBehind(t *testing.T) {
-	bubble(t, 3, func(hs *bench) {
-		for no := range 3 {
-			hs.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = no > 0
+func TestRefusedLargePromptReleasesItsReservations(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		for i := range 3 {
+			hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = i > 0
 		}
-		fe := hs.refused(prompt(largest))
+		fe := hs.mustBeRefused(promptRequest(largePromptTokens))
 		hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
 		hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		hs.Expect(hs.OwnLoads()).To(BeEmpty())
-		hs.orders.mu.Lock()
-		defer hs.orders.mu.Unlock()
-		hs.Expect(hs.orders.released).To(Equal(hs.orders.reserved))
+		hs.reservations.mu.Lock()
+		defer hs.reservations.mu.Unlock()
+		hs.Expect(hs.reservations.released).To(Equal(hs.reservations.reserved))
 	})
 }
 
-// TestRefusedMemoryIsNotAskedForWithoutAPause counts the orders of one request that waits, at three targets of which two
-// have no memory. Each order costs the targets work.
-func TestRefusedMemoryIsNotAskedForWithoutAPause(t *testing.T) {
-	const step = 20 * time.Millisecond
-	bubble(t, 3, func(hs *bench) {
-		for no := range 3 {
-			hs.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = no > 0
+// TestRefusedReservationsAreNotRetriedWithoutDelay counts the reservations of one waiting request, at three targets of which
+// two refuse. Each reservation costs the targets work.
+func TestRefusedReservationsAreNotRetriedWithoutDelay(t *testing.T) {
+	const pollInterval = 20 * time.Millisecond
+	runInBubble(t, 3, func(hs *harness) {
+		for i := range 3 {
+			hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = i > 0
 		}
-		hs.refused(prompt(largest))
-		time.Sleep(settle)
-		hs.orders.mu.Lock()
-		defer hs.orders.mu.Unlock()
-		hs.Expect(hs.orders.asked).To(BeNumerically("<=", 3*int(objective/step)))
+		hs.mustBeRefused(promptRequest(largePromptTokens))
+		time.Sleep(settleTime)
+		hs.reservations.mu.Lock()
+		defer hs.reservations.mu.Unlock()
+		hs.Expect(hs.reservations.requested).To(BeNumerically("<=", 3*int(objective/pollInterval)))
 	})
 }
 
-// TestAllTargetsThatRefusedAreLeftOut has three of eight targets without room: one plan that meets them all is enough to
-// know.
-func TestAllTargetsThatRefusedAreLeftOut(t *testing.T) {
-	bubble(t, 8, func(hs *bench) {
-		for no := range 3 {
-			hs.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = true
+// TestAllTargetsThatRefusedReservationAreExcluded has three of eight targets refuse reservations. One plan that includes all
+// three must be enough to exclude them all.
+func TestAllTargetsThatRefusedReservationAreExcluded(t *testing.T) {
+	runInBubble(t, 8, func(hs *harness) {
+		for i := range 3 {
+			hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = true
 		}
-		rq := prompt(7 * memory / 2)
+		rq := promptRequest(7 * memory / 2)
 		rq.Service.Engine.PerThousandRead, rq.Objective = 100*time.Millisecond, 600*time.Millisecond
-		sl := hs.take(rq)
+		sl := hs.mustAcquire(rq)
 		hs.Expect(sl.Helpers).NotTo(BeEmpty())
-		hs.orders.mu.Lock()
-		asked := hs.orders.asked
-		hs.orders.mu.Unlock()
-		hs.Expect(asked).To(BeNumerically("<=", 2*8))
+		hs.reservations.mu.Lock()
+		requested := hs.reservations.requested
+		hs.reservations.mu.Unlock()
+		hs.Expect(requested).To(BeNumerically("<=", 2*8))
 		sl.Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 }
--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -17,72 +17,72 @@
 	"github.com/silvermount/silvermount/internal/ratelimit"
 )
 
-// permits answers for the issuers of all targets.
-type permits struct {
-	limited []string
-	answer  func(target string, wait time.Duration) permit.Answer
-	asked   atomic.Int64
+// fakeIssuer answers permit requests in place of the issuers of all targets.
+type fakeIssuer struct {
+	limited  []string
+	answer   func(target string, wait time.Duration) permit.Answer
+	requests atomic.Int64
 }
 
-// limitedBench plays with targets that name a limit.
-func limitedBench(t *testing.T, count int, pm *permits, play func(hs *bench), opts ...func(*dispatch.Options)) {
+// runWithPermits runs a test in a synctest bubble with targets of which some have a rate limit.
+func runWithPermits(t *testing.T, count int, fi *fakeIssuer, run func(hs *harness), opts ...func(*dispatch.Options)) {
 	synctest.Test(t, func(t *testing.T) {
 		limitOf := func(target string) ratelimit.Limit {
-			if slices.Contains(pm.limited, target) {
+			if slices.Contains(fi.limited, target) {
 				return ratelimit.Of(2)
 			}
 			return ratelimit.Limit{}
 		}
 		cl := permit.NewClient(time.Now, limitOf, metrics.NewSet())
 		cl.SetAsk(func(_ context.Context, rq permit.Request) (permit.Answer, error) {
-			pm.asked.Add(1)
-			time.Sleep(travel)
-			return pm.answer(rq.Target.ID, rq.Wait), nil
+			fi.requests.Add(1)
+			time.Sleep(roundTripTime)
+			return fi.answer(rq.Target.ID, rq.Wait), nil
 		})
-		play(newBench(t, count, append(opts, func(op *dispatch.Options) { op.Permits = cl })...))
-		time.Sleep(settle)
+		run(newHarness(t, count, append(opts, func(op *dispatch.Options) { op.Permits = cl })...))
+		time.Sleep(settleTime)
 	})
 }
 
-// never refuses all for a time.
-func never(again time.Duration) func(string, time.Duration) permit.Answer {
+// refuseFor returns an answer that refuses all permits and asks to try again after a period.
+func refuseFor(again time.Duration) func(string, time.Duration) permit.Answer {
 	return func(string, time.Duration) permit.Answer { return permit.Answer{After: again} }
 }
 
-func TestRequestsGoAroundTargetsWithoutPermits(t *testing.T) {
-	asks := map[string]func() dispatch.Request{"plain": plain, "short prompt": func() dispatch.Request { return prompt(1000) }, "large prompt": func() dispatch.Request { return prompt(memory + 1000) }}
-	for name, ask := range asks {
+func TestRequestsAvoidTargetsWithoutPermits(t *testing.T) {
+	newRequests := map[string]func() dispatch.Request{"plain": plainRequest, "short prompt": func() dispatch.Request { return promptRequest(1000) }, "large prompt": func() dispatch.Request { return promptRequest(memory + 1000) }}
+	for name, newRequest := range newRequests {
 		t.Run(name, func(t *testing.T) {
-			pm := &permits{limited: []string{id(0), id(1)}, answer: never(time.Minute)}
-			limitedBench(t, 4, pm, func(hs *bench) {
+			fi := &fakeIssuer{limited: []string{id(0), id(1)}, answer: refuseFor(time.Minute)}
+			runWithPermits(t, 4, fi, func(hs *harness) {
 				for range 6 {
-					sl := hs.take(ask())
-					hs.Expect(pm.limited).NotTo(ContainElement(sl.Target.ID))
+					sl := hs.mustAcquire(newRequest())
+					hs.Expect(fi.limited).NotTo(ContainElement(sl.Target.ID))
 					sl.Release()
 				}
-				hs.Expect(pm.asked.Load()).To(BeNumerically("<=", 2), "a target that was refused is not asked for again")
-				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "nothing stays booked")
+				hs.Expect(fi.requests.Load()).To(BeNumerically("<=", 2), "a target that refused a permit is not asked again")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left booked")
 			})
 		})
 	}
 }
 
-func TestTargetsWithoutPermitsStillHelp(t *testing.T) {
-	pm := &permits{limited: []string{id(0)}, answer: never(time.Minute)}
-	limitedBench(t, 2, pm, func(hs *bench) {
-		sl := hs.take(prompt(largest))
+func TestTargetWithoutPermitsRemainsHelper(t *testing.T) {
+	fi := &fakeIssuer{limited: []string{id(0)}, answer: refuseFor(time.Minute)}
+	runWithPermits(t, 2, fi, func(hs *harness) {
+		sl := hs.mustAcquire(promptRequest(largePromptTokens))
 		hs.Expect(sl.Target.ID).To(Equal(id(1)))
 		hs.Expect(sl.Helpers).To(HaveLen(2))
 		sl.Release()
 	})
 }
 
-func TestRequestWithoutAnyPermitIsRefusedAtOnce(t *testing.T) {
-	pm := &permits{limited: []string{id(0), id(1)}, answer: never(7 * time.Second)}
-	limitedBench(t, 2, pm, func(hs *bench) {
-		for name, rq := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
+func TestRequestIsRefusedAtOnceIfNoTargetHasPermits(t *testing.T) {
+	fi := &fakeIssuer{limited: []string{id(0), id(1)}, answer: refuseFor(7 * time.Second)}
+	runWithPermits(t, 2, fi, func(hs *harness) {
+		for name, rq := range map[string]dispatch.Request{"plain": plainRequest(), "prompt": promptRequest(1000)} {
 			began := time.Now()
-			fe := hs.refused(rq)
+			fe := hs.mustBeRefused(rq)
 			hs.Expect(time.Since(began)).To(BeNumerically("<", objective/4), name)
 			hs.Expect(fe.Code).To(Equal(failure.Overloaded))
 			hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
@@ -91,83 +91,86 @@
 	})
 }
 
-func TestRequestWaitsForItsTurn(t *testing.T) {
-	const turn = objective / 10
-	var free time.Time
-	pm := &permits{limited: []string{id(0), id(1)}, answer: func(_ string, wait time.Duration) permit.Answer {
-		after := max(0, time.Until(free))
+func TestRequestWaitsForReservedPermit(t *testing.T) {
+	const permitDelay = objective / 10
+	var permitAt time.Time
+	fi := &fakeIssuer{limited: []string{id(0), id(1)}, answer: func(_ string, wait time.Duration) permit.Answer {
+		after := max(0, time.Until(permitAt))
 		return permit.Answer{Granted: after <= wait, After: after}
 	}}
-	limitedBench(t, 2, pm, func(hs *bench) {
-		for name, rq := range map[string]dispatch.Request{"plain": plain(), "prompt": prompt(1000)} {
+	runWithPermits(t, 2, fi, func(hs *harness) {
+		for name, rq := range map[string]dispatch.Request{"plain": plainRequest(), "prompt": promptRequest(1000)} {
 			began := time.Now()
-			free = began.Add(turn)
+			permitAt = began.Add(permitDelay)
 			rq.Arrived, rq.Deadline = began, began.Add(time.Minute)
-			sl := hs.take(rq)
-			hs.Expect(time.Since(began)).To(BeNumerically(">=", turn), name)
-			hs.Expect(time.Since(began)).To(BeNumerically("<", turn+objective/10), name)
-			hs.Expect(pm.asked.Swap(0)).To(BeNumerically("<=", 4), "both targets are asked, and the turn is booked")
+			sl := hs.mustAcquire(rq)
+			hs.Expect(time.Since(began)).To(BeNumerically(">=", permitDelay), name)
+			hs.Expect(time.Since(began)).To(BeNumerically("<", permitDelay+objective/10), name)
+			hs.Expect(fi.requests.Swap(0)).To(BeNumerically("<=", 4), "both targets are asked, then a permit is reserved")
 			sl.Release()
 			time.Sleep(objective)
 		}
 	})
 }
 
-// TestLongObjectivesBookNoTurnsFarAhead: requests that may wait for long must leave turns to those that may not.
-func TestLongObjectivesBookNoTurnsFarAhead(t *testing.T) {
-	longest := time.Duration(0)
-	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
-		longest = max(longest, wait)
+// TestLongObjectiveReservesNoPermitFarAhead guards against requests with long objectives reserving all permits ahead of
+// those with short ones.
+func TestLongObjectiveReservesNoPermitFarAhead(t *testing.T) {
+	longestWait := time.Duration(0)
+	fi := &fakeIssuer{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
+		longestWait = max(longestWait, wait)
 		return permit.Answer{After: 300 * time.Millisecond}
 	}}
-	limitedBench(t, 1, pm, func(hs *bench) {
-		rq := plain()
+	runWithPermits(t, 1, fi, func(hs *harness) {
+		rq := plainRequest()
 		rq.Objective = 30 * time.Second
 		began := time.Now()
-		hs.refused(rq)
-		hs.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is told at once when to come back")
-		hs.Expect(longest).To(BeNumerically("<=", 300*time.Millisecond), "a short request may wait as long")
+		hs.mustBeRefused(rq)
+		hs.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is told at once when to retry")
+		hs.Expect(longestWait).To(BeNumerically("<=", 300*time.Millisecond), "no longer than a request with a short objective may wait")
 	})
 }
 
-func TestCallerThatGoesWhileItWaitsForItsTurn(t *testing.T) {
-	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
+func TestCancelledRequestStopsWaitingForPermit(t *testing.T) {
+	fi := &fakeIssuer{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
 		return permit.Answer{Granted: wait > 0, After: objective / 10}
 	}}
-	limitedBench(t, 1, pm, func(hs *bench) {
+	runWithPermits(t, 1, fi, func(hs *harness) {
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(objective/20, cancel)
-		_, err := hs.Acquire(ctx, plain())
+		_, err := hs.Acquire(ctx, plainRequest())
 		hs.Expect(err).To(MatchError(context.Canceled))
 		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-// TestTurnThatIsMissedIsVoid: a process that was frozen must not send at once all that had waited for their turns.
-func TestTurnThatIsMissedIsVoid(t *testing.T) {
-	var frozen atomic.Int64
-	pm := &permits{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
+// TestMissedPermitIsNotUsed guards against a process that was suspended sending at once all requests whose permits fell due
+// meanwhile.
+func TestMissedPermitIsNotUsed(t *testing.T) {
+	var suspended atomic.Int64
+	fi := &fakeIssuer{limited: []string{id(0)}, answer: func(_ string, wait time.Duration) permit.Answer {
 		return permit.Answer{Granted: wait > 0, After: objective / 16}
 	}}
-	limitedBench(t, 1, pm, func(hs *bench) {
-		// It was refused, waits for its turn, and is frozen for longer than a turn may be late.
-		time.AfterFunc(objective/32, func() { frozen.Store(int64(300 * time.Millisecond)) })
-		sl := hs.take(plain())
-		hs.Expect(pm.asked.Load()).To(BeNumerically(">=", 3), "refused, missed, and asked for again")
+	runWithPermits(t, 1, fi, func(hs *harness) {
+		// After a refusal the request waits for a reserved permit, and the process is suspended for longer than a permit may be
+		// late.
+		time.AfterFunc(objective/32, func() { suspended.Store(int64(300 * time.Millisecond)) })
+		sl := hs.mustAcquire(plainRequest())
+		hs.Expect(fi.requests.Load()).To(BeNumerically(">=", 3), "a refusal, a missed permit, and another request")
 		sl.Release()
 	}, func(op *dispatch.Options) {
-		op.Now = func() time.Time { return time.Now().Add(time.Duration(frozen.Load())) }
+		op.Now = func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 	})
 }
 
-func TestOneRequestAsksForFewPermits(t *testing.T) {
+func TestRequestAsksForLimitedNumberOfPermits(t *testing.T) {
 	const count = 40
-	pm := &permits{answer: never(time.Second)}
-	for no := range count {
-		pm.limited = append(pm.limited, id(no))
+	fi := &fakeIssuer{answer: refuseFor(time.Second)}
+	for i := range count {
+		fi.limited = append(fi.limited, id(i))
 	}
-	limitedBench(t, count, pm, func(hs *bench) {
-		hs.refused(plain())
-		hs.Expect(pm.asked.Load()).To(BeNumerically("<", count/2))
+	runWithPermits(t, count, fi, func(hs *harness) {
+		hs.mustBeRefused(plainRequest())
+		hs.Expect(fi.requests.Load()).To(BeNumerically("<", count/2))
 	})
 }
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -11,8 +11,8 @@
 	"github.com/silvermount/silvermount/internal/dispatch"
 )
 
-// readAt returns the targets that read a part of a prompt.
-func readAt(sl *dispatch.Slot) []string {
+// readingTargets returns the targets that read a part of the slot's prompt.
+func readingTargets(sl *dispatch.Slot) []string {
 	ids := []string{sl.Target.ID}
 	for _, hp := range sl.Helpers {
 		ids = append(ids, hp.ID)
@@ -20,47 +20,46 @@
 	return ids
 }
 
-// TestAShortPromptIsNotDelayedByLongOnes.
-//
-// In a wave of long prompts each was read at all targets that were free, so that a short prompt found none where no part was being
-// read, and its answer paused for as long as that took: 25 of 192 were late by that. Some targets now stay free of long parts, and all
-// instances know which.
-func TestAShortPromptIsNotDelayedByLongOnes(t *testing.T) {
+// TestShortPromptIsNotDelayedByLongPrompts guards against long prompts being read at all free targets. In a wave of long
+// prompts, a short prompt then found no target without a part being read, and its answer paused for as long: 25 of 192 were
+// late for that reason. Now some targets stay free of long parts, and all instances choose the same ones.
+func TestShortPromptIsNotDelayedByLongPrompts(t *testing.T) {
 	// Each long prompt is read at three targets.
 	const count, longs = 20, 6
 	ids := make([]string, count)
-	for no := range ids {
-		ids[no] = "t" + strconv.Itoa(no)
+	for i := range ids {
+		ids[i] = "t" + strconv.Itoa(i)
 	}
 	var pooled []string
 	for _, instance := range []string{"a", "b", "c"} {
 		g := NewWithT(t)
-		hs := newClockedOf(instance, func() time.Time { return time.Unix(1000, 0) }, ids...)
-		first, err := hs.ds.Acquire(t.Context(), hs.short())
+		hs := newClockHarnessOf(instance, func() time.Time { return time.Unix(1000, 0) }, ids...)
+		first, err := hs.dispatcher.Acquire(t.Context(), hs.shortPrompt())
 		g.Expect(err).NotTo(HaveOccurred())
 		first.Release()
 		var reading []string
 		for range longs {
-			sl, err := hs.ds.Acquire(t.Context(), hs.long())
+			sl, err := hs.dispatcher.Acquire(t.Context(), hs.longPrompt())
 			g.Expect(err).NotTo(HaveOccurred())
-			reading = append(reading, readAt(sl)...)
+			reading = append(reading, readingTargets(sl)...)
 		}
 		g.Expect(len(reading)).To(BeNumerically(">=", count-2))
-		next, err := hs.ds.Acquire(t.Context(), hs.short())
+		next, err := hs.dispatcher.Acquire(t.Context(), hs.shortPrompt())
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(reading).NotTo(ContainElement(next.Target.ID), "a short one is written where no part is read")
+		g.Expect(reading).NotTo(ContainElement(next.Target.ID), "the short prompt is placed where no part is read")
 		pooled = append(pooled, next.Target.ID)
 	}
-	NewWithT(t).Expect(slices.Compact(pooled)).To(HaveLen(1), "all instances keep the same free")
+	NewWithT(t).Expect(slices.Compact(pooled)).To(HaveLen(1), "all instances keep the same target free")
 }
 
-// TestAFullShortPoolIsLeft: short answers take all slots of the short pool, and the next one is placed elsewhere.
-func TestAFullShortPoolIsLeft(t *testing.T) {
+// TestFullShortPoolOverflowsToOtherTargets fills all slots of the short pool with short answers. The next prompt must be
+// placed at another target.
+func TestFullShortPoolOverflowsToOtherTargets(t *testing.T) {
 	g := NewWithT(t)
-	hs := newClocked("t0", "t1", "t2", "t3")
+	hs := newFrozenClockHarness("t0", "t1", "t2", "t3")
 	used := map[string]int{}
 	for range 3 * engine.Slots {
-		sl, err := hs.ds.Acquire(t.Context(), hs.short())
+		sl, err := hs.dispatcher.Acquire(t.Context(), hs.shortPrompt())
 		g.Expect(err).NotTo(HaveOccurred())
 		sl.RecordFirstToken()
 		used[sl.Target.ID]++
@@ -70,26 +69,25 @@
 	}
 }
 
-// urgent asks for a short prompt whose first token must come soon.
-func urgent() dispatch.Request {
-	rq := prompt(1000)
+// urgentPrompt returns a request with a short prompt and a short objective.
+func urgentPrompt() dispatch.Request {
+	rq := promptRequest(1000)
 	rq.Objective = 300 * time.Millisecond
 	return rq
 }
 
-// TestAFailedAttemptCountsAtItsTargetForAWhile.
-//
-// A target that resets every connection looks idle, and was chosen first by each instance until that had failed there itself.
-func TestAFailedAttemptCountsAtItsTargetForAWhile(t *testing.T) {
-	bubble(t, 2, func(hs *bench) {
-		sl := hs.take(urgent())
+// TestFailedAttemptCountsAsLoadTemporarily guards against a target that resets every connection and therefore looks idle:
+// each instance chose it first until it had failed there itself.
+func TestFailedAttemptCountsAsLoadTemporarily(t *testing.T) {
+	runInBubble(t, 2, func(hs *harness) {
+		sl := hs.mustAcquire(urgentPrompt())
 		failed := sl.Target.ID
 		sl.RecordFailure()
 		sl.Release()
 		told := hs.OwnLoads()
-		hs.Expect(told).To(HaveKey(failed), "peers hear of it")
+		hs.Expect(told).To(HaveKey(failed), "the load is published to peers")
 		for range 3 {
-			next := hs.take(urgent())
+			next := hs.mustAcquire(urgentPrompt())
 			hs.Expect(next.Target.ID).NotTo(Equal(failed))
 			next.Release()
 		}
--- a/internal/dispatch/sampling_test.go
+++ b/internal/dispatch/sampling_test.go
@@ -11,14 +11,14 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// busiest returns how many of the prompts that do not know of each other choose the same target, at most.
-func (hs *bench) busiest(prompts int) int {
+// maxPromptsOnOneTarget returns the largest number of prompts that choose the same target without knowing of each other.
+func (hs *harness) maxPromptsOnOneTarget(prompts int) int {
 	chosen := map[string]int{}
-	for no := range prompts {
-		rq := prompt(500)
-		rq.ID = "request-" + strconv.Itoa(no)
+	for i := range prompts {
+		rq := promptRequest(500)
+		rq.ID = "request-" + strconv.Itoa(i)
 		rq.Service.Engine.Slots = 16
-		sl := hs.take(rq)
+		sl := hs.mustAcquire(rq)
 		chosen[sl.Target.ID]++
 		sl.Release()
 	}
@@ -29,67 +29,68 @@
 	return most
 }
 
-// fleetLoads is 64 targets with four writers each, one of them with ten: the best shelter for one more.
+// fleetLoads returns the loads of 64 targets with four writers each, except one with ten, which is the best target for one
+// more prompt.
 func fleetLoads() map[string]placement.Load {
 	loads := map[string]placement.Load{}
-	for no := range 64 {
+	for i := range 64 {
 		writers := 4
-		if no == 7 {
+		if i == 7 {
 			writers = 10
 		}
 		lo := placement.Load{Writers: writers, Context: int64(writers) * 500, Memory: int64(writers) * 600}
 		for cl := range lo.AtRisk {
 			lo.AtRisk[cl] = placement.WorthOf(0.1 * float64(writers))
 		}
-		loads[id(no)] = lo
+		loads[id(i)] = lo
 	}
 	return loads
 }
 
-// TestPromptsThatDoNotKnowOfEachOther places as many prompts as a large fleet does before its instances hear of the first
-// one. Sent to one target, most of them would wait for a slot there.
-func TestPromptsThatDoNotKnowOfEachOther(t *testing.T) {
+// TestPromptsSpreadOverTargetsDespitePropagationDelay places as many prompts as a large fleet does before its instances know
+// of the first one. If all were sent to one target, most of them would wait for a slot there.
+func TestPromptsSpreadOverTargetsDespitePropagationDelay(t *testing.T) {
 	const prompts = 60
 	tests := map[string]struct {
-		lag  time.Duration
-		most int
+		delay          time.Duration
+		maxOnOneTarget int
 	}{
-		"known at once":           {lag: 0, most: prompts},
-		"known after a short lag": {lag: 3 * time.Millisecond, most: prompts},
-		"known after a long lag":  {lag: 100 * time.Millisecond, most: 16},
+		"no delay":    {delay: 0, maxOnOneTarget: prompts},
+		"short delay": {delay: 3 * time.Millisecond, maxOnOneTarget: prompts},
+		"long delay":  {delay: 100 * time.Millisecond, maxOnOneTarget: 16},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 64, func(hs *bench) {
-				hs.SetPropagationDelay(func() time.Duration { return tc.lag })
+			runInBubble(t, 64, func(hs *harness) {
+				hs.SetPropagationDelay(func() time.Duration { return tc.delay })
 				hs.SetPeerLoads("peer", fleetLoads())
-				hs.Expect(hs.busiest(prompts)).To(BeNumerically("<=", tc.most))
-				if tc.most == prompts {
-					hs.Expect(hs.busiest(prompts)).To(BeNumerically(">", 16))
+				hs.Expect(hs.maxPromptsOnOneTarget(prompts)).To(BeNumerically("<=", tc.maxOnOneTarget))
+				if tc.maxOnOneTarget == prompts {
+					hs.Expect(hs.maxPromptsOnOneTarget(prompts)).To(BeNumerically(">", 16))
 				}
 			})
 		})
 	}
 }
 
-// TestLongPromptsSeeAllTargets has a long prompt that needs every target to read it.
-func TestLongPromptsSeeAllTargets(t *testing.T) {
-	bubble(t, 17, func(hs *bench) {
+// TestLongPromptChoosesFromAllTargets places a long prompt that needs every target to read it.
+func TestLongPromptChoosesFromAllTargets(t *testing.T) {
+	runInBubble(t, 17, func(hs *harness) {
 		hs.SetPropagationDelay(func() time.Duration { return time.Hour })
 		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Writers: 1, Context: 100, Memory: 100}})
-		rq := prompt(17_000)
+		rq := promptRequest(17_000)
 		rq.Service.Engine.Memory, rq.Service.Engine.PerThousandRead = 100_000, 100*time.Millisecond
 		rq.Objective = 150 * time.Millisecond
-		sl := hs.take(rq)
-		read := []string{sl.Target.ID}
-		for _, he := range sl.Helpers {
-			read = append(read, he.ID)
+		sl := hs.mustAcquire(rq)
+		reading := []string{sl.Target.ID}
+		for _, hp := range sl.Helpers {
+			reading = append(reading, hp.ID)
 		}
-		slices.Sort(read)
-		hs.Expect(slices.Compact(read)).To(HaveLen(len(sl.Helpers) + 1))
-		hs.Expect(len(sl.Helpers)).To(BeNumerically(">", leastSampled))
+		slices.Sort(reading)
+		hs.Expect(slices.Compact(reading)).To(HaveLen(len(sl.Helpers) + 1))
+		hs.Expect(len(sl.Helpers)).To(BeNumerically(">", sampleSize))
 	})
 }
 
-// leastSampled is the number of targets that a short prompt would see with that lag.
-const leastSampled = 8
+// sampleSize is the number of targets that a short prompt would choose from with that propagation delay.
+const sampleSize = 8
--- a/internal/dispatch/shutdown_test.go
+++ b/internal/dispatch/shutdown_test.go
@@ -13,74 +13,74 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// full makes the memory of some targets look taken by a peer; none frees it.
-func (hs *bench) full(count int) {
+// fillMemory has a peer report the memory of the first count targets as taken, until the peer reports otherwise.
+func (hs *harness) fillMemory(count int) {
 	loads := map[string]placement.Load{}
-	for no := range count {
-		loads[id(no)] = placement.Load{Memory: memory}
+	for i := range count {
+		loads[id(i)] = placement.Load{Memory: memory}
 	}
 	hs.SetPeerLoads("peer", loads)
 }
 
-// TestPromptsAtTheEndOfTheInstance asks for room while the instance ends: reading and writing take 0.15 s at idle targets.
-func TestPromptsAtTheEndOfTheInstance(t *testing.T) {
+// TestPromptsDuringShutdown places prompts while the instance is stopping. An answer takes 0.15 s on idle targets.
+func TestPromptsDuringShutdown(t *testing.T) {
 	const targets = 3
-	short := func() dispatch.Request { return prompt(1000) }
+	short := func() dispatch.Request { return promptRequest(1000) }
 	// large needs the memory of two targets, and waits for it until its deadline.
-	large := func() dispatch.Request { return prompt(17_000) }
-	begun := func() dispatch.Request {
+	large := func() dispatch.Request { return promptRequest(17_000) }
+	resumed := func() dispatch.Request {
 		rq := short()
 		rq.Resumed, rq.EventsForwarded = true, 3
 		return rq
 	}
-	soonDue := func() dispatch.Request {
+	shortDeadline := func() dispatch.Request {
 		rq := large()
 		rq.Deadline = rq.Arrived.Add(500 * time.Millisecond)
 		return rq
 	}
 	cases := map[string]struct {
-		ask func() dispatch.Request
-		// full is set when no target has room at first. They have some from freedAt on; zero is never.
-		full    bool
-		freedAt time.Duration
-		// toldAt is when the instance learns that it ends, and endsIn how long it then has.
-		toldAt, endsIn time.Duration
-		// code is empty when the prompt gets its room.
-		code        failure.Code
-		least, most time.Duration
+		newRequest func() dispatch.Request
+		// memoryFull is set if the memory of all targets is taken at first. It is free from freedAt on; zero means never.
+		memoryFull bool
+		freedAt    time.Duration
+		// announcedAt is when the instance is told to stop, and stopsIn how long it has from then on.
+		announcedAt, stopsIn time.Duration
+		// code is empty if the prompt is placed.
+		code             failure.Code
+		minWait, maxWait time.Duration
 	}{
-		"time enough":                   {ask: short, endsIn: time.Second},
-		"no time left":                  {ask: short, endsIn: 50 * time.Millisecond, code: failure.Stopping},
-		"no time left for a large one":  {ask: large, endsIn: 50 * time.Millisecond, code: failure.Stopping},
-		"waits while it may be in time": {ask: large, full: true, endsIn: 5 * time.Second, code: failure.Stopping, least: 4500 * time.Millisecond, most: 4950 * time.Millisecond},
-		"waits and gets room":           {ask: large, full: true, freedAt: 2 * time.Second, endsIn: 5 * time.Second, least: 2 * time.Second, most: 2100 * time.Millisecond},
-		"told while it waits":           {ask: large, full: true, toldAt: 3 * time.Second, endsIn: 50 * time.Millisecond, code: failure.Stopping, least: 3 * time.Second, most: 3100 * time.Millisecond},
-		"its deadline comes first":      {ask: soonDue, full: true, endsIn: 5 * time.Second, code: failure.Overloaded, most: 500 * time.Millisecond},
-		"its answer has begun":          {ask: begun, endsIn: 10 * time.Millisecond},
+		"enough time left":                  {newRequest: short, stopsIn: time.Second},
+		"no time left":                      {newRequest: short, stopsIn: 50 * time.Millisecond, code: failure.Stopping},
+		"no time left for a large prompt":   {newRequest: large, stopsIn: 50 * time.Millisecond, code: failure.Stopping},
+		"waits while it can finish in time": {newRequest: large, memoryFull: true, stopsIn: 5 * time.Second, code: failure.Stopping, minWait: 4500 * time.Millisecond, maxWait: 4950 * time.Millisecond},
+		"waits and is placed":               {newRequest: large, memoryFull: true, freedAt: 2 * time.Second, stopsIn: 5 * time.Second, minWait: 2 * time.Second, maxWait: 2100 * time.Millisecond},
+		"shutdown announced while it waits": {newRequest: large, memoryFull: true, announcedAt: 3 * time.Second, stopsIn: 50 * time.Millisecond, code: failure.Stopping, minWait: 3 * time.Second, maxWait: 3100 * time.Millisecond},
+		"deadline before shutdown":          {newRequest: shortDeadline, memoryFull: true, stopsIn: 5 * time.Second, code: failure.Overloaded, maxWait: 500 * time.Millisecond},
+		"answer has begun":                  {newRequest: resumed, stopsIn: 10 * time.Millisecond},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, targets, func(hs *bench) {
-				if tc.full {
-					hs.full(targets)
+			runInBubble(t, targets, func(hs *harness) {
+				if tc.memoryFull {
+					hs.fillMemory(targets)
 				}
 				if tc.freedAt > 0 {
 					time.AfterFunc(tc.freedAt, func() { hs.SetPeerLoads("peer", nil) })
 				}
-				tell := func() { hs.SetShutdownTime(time.Now().Add(tc.endsIn)) }
-				if tc.toldAt == 0 {
-					tell()
+				announce := func() { hs.SetShutdownTime(time.Now().Add(tc.stopsIn)) }
+				if tc.announcedAt == 0 {
+					announce()
 				} else {
-					time.AfterFunc(tc.toldAt, tell)
+					time.AfterFunc(tc.announcedAt, announce)
 				}
 				began := time.Now()
-				sl, err := hs.Acquire(context.Background(), tc.ask())
+				sl, err := hs.Acquire(context.Background(), tc.newRequest())
 				took := time.Since(began)
-				hs.Expect(took).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most+travel)))
+				hs.Expect(took).To(And(BeNumerically(">=", tc.minWait), BeNumerically("<=", tc.maxWait+roundTripTime)))
 				if tc.code == "" {
 					hs.Expect(err).NotTo(HaveOccurred())
 					sl.Release()
-					time.Sleep(settle)
+					time.Sleep(settleTime)
 					return
 				}
 				var fe *failure.Error
--- a/internal/dispatch/sim_engine_test.go
+++ b/internal/dispatch/sim_engine_test.go
@@ -8,84 +8,84 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// replayFigures are those of an engine that reads 256,000 tokens a second and writes 52 tokens in a pass.
-var replayFigures = placement.Engine{
+// simEngineConfig is that of an engine that reads 256,000 tokens a second and generates 52 tokens in a pass.
+var simEngineConfig = placement.Engine{
 	Slots: 12, Stride: 52, Chunk: 2048, Memory: 382_500, Step: 925 * time.Microsecond, PerWriter: 5 * time.Microsecond,
 	PerThousandContext: 3 * time.Microsecond, PerThousandRead: 3906 * time.Microsecond, PerMillionPairs: 92 * time.Microsecond,
 	Hop: 100 * time.Microsecond, ZoneDelay: 500 * time.Microsecond, UsualPrompt: 5000, UsualAnswer: 1700,
 }
 
-// part is what an engine reads of a prompt.
-type part struct {
+// prefillPart is the part of a prompt that one engine reads.
+type prefillPart struct {
 	tokens, pairs int64
-	// read is closed once it is read.
-	read chan struct{}
+	// done is closed once the part is read.
+	done chan struct{}
 }
 
-// writer is an answer that an engine writes.
-type writer struct {
+// simAnswer is an answer that an engine generates.
+type simAnswer struct {
 	context int64
-	// events gets one value for each pass.
+	// events receives one value for each pass.
 	events chan struct{}
 }
 
-// replayEngine is a batching engine on the clock of the test: in each pass it reads parts in the order in which they came, those of
-// split prompts first, and writes an event of each answer.
-type replayEngine struct {
+// simEngine simulates a batching engine on the clock of the test. Each pass reads parts in the order of their arrival, those
+// of split prompts first, and sends one event of each answer.
+type simEngine struct {
 	mu sync.Mutex
-	// split and whole are what is to be read.
-	split, whole []*part
-	writers      map[*writer]bool
-	// slots holds a value for each request that runs.
+	// splitParts and wholeParts are the queues of parts to read, of split prompts and of prompts read in one piece.
+	splitParts, wholeParts []*prefillPart
+	answers                map[*simAnswer]bool
+	// slots holds a value for each request that is running.
 	slots chan struct{}
-	// failing engines take a request and break it off at once.
+	// failing is set for an engine that accepts each request and breaks it off at once.
 	failing bool
-	// arrivals counts the requests that came.
+	// arrivals counts the requests received.
 	arrivals int
 	wake     chan struct{}
 }
 
-func newReplayEngine() *replayEngine {
-	return &replayEngine{
-		writers: map[*writer]bool{}, slots: make(chan struct{}, replayFigures.Slots), wake: make(chan struct{}, 1),
+func newSimEngine() *simEngine {
+	return &simEngine{
+		answers: map[*simAnswer]bool{}, slots: make(chan struct{}, simEngineConfig.Slots), wake: make(chan struct{}, 1),
 	}
 }
 
-// run plays passes until ctx ends.
-func (en *replayEngine) run(ctx context.Context) {
+// run executes passes until ctx is done.
+func (en *simEngine) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		took, finish := en.pass()
-		if took == 0 {
+		duration, finish := en.startPass()
+		if duration == 0 {
 			select {
 			case <-en.wake:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		time.Sleep(took)
+		time.Sleep(duration)
 		finish()
 	}
 }
 
-// pass begins a pass, and returns how long it takes and what it brings about; zero when there is nothing to do.
-func (en *replayEngine) pass() (time.Duration, func()) {
+// startPass plans a pass, and returns its duration and the function that completes it; zero if there is nothing to do.
+func (en *simEngine) startPass() (time.Duration, func()) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if len(en.split)+len(en.whole)+len(en.writers) == 0 {
+	if len(en.splitParts)+len(en.wholeParts)+len(en.answers) == 0 {
 		return 0, nil
 	}
-	steps, load := int64(1), placement.Load{Writers: len(en.writers)}
-	if len(en.writers) > 0 {
-		steps = int64(replayFigures.Stride)
+	steps, load := int64(1), placement.Load{Writers: len(en.answers)}
+	if len(en.answers) > 0 {
+		steps = int64(simEngineConfig.Stride)
 	}
-	var written []*writer
-	for wr := range en.writers {
-		load.Context += wr.context
-		written = append(written, wr)
+	var answers []*simAnswer
+	for sa := range en.answers {
+		load.Context += sa.context
+		answers = append(answers, sa)
 	}
-	room := steps * replayFigures.Chunk
-	var read []*part
-	for _, queue := range []*[]*part{&en.split, &en.whole} {
+	room := steps * simEngineConfig.Chunk
+	var read []*prefillPart
+	for _, queue := range []*[]*prefillPart{&en.splitParts, &en.wholeParts} {
 		for len(*queue) > 0 && room > 0 {
 			pt := (*queue)[0]
 			tokens := min(room, pt.tokens)
@@ -99,62 +99,61 @@
 			*queue = (*queue)[1:]
 		}
 	}
-	return replayFigures.PassTime(placement.Target{Load: load, Pace: 1}), func() { en.finish(read, written) }
+	return simEngineConfig.PassTime(placement.Target{Load: load, Pace: 1}), func() { en.finishPass(read, answers) }
 }
 
-func (en *replayEngine) finish(read []*part, written []*writer) {
+func (en *simEngine) finishPass(read []*prefillPart, answers []*simAnswer) {
 	for _, pt := range read {
-		close(pt.read)
+		close(pt.done)
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	for _, wr := range written {
-		if en.writers[wr] {
-			wr.events <- struct{}{}
+	for _, sa := range answers {
+		if en.answers[sa] {
+			sa.events <- struct{}{}
 		}
 	}
 }
 
-// add has a part read.
-func (en *replayEngine) add(tokens, pairs int64, split bool) *part {
-	pt := &part{tokens: tokens, pairs: pairs, read: make(chan struct{})}
+// addPart queues a part of a prompt to be read.
+func (en *simEngine) addPart(tokens, pairs int64, split bool) *prefillPart {
+	pt := &prefillPart{tokens: tokens, pairs: pairs, done: make(chan struct{})}
 	en.mu.Lock()
 	if split {
-		en.split = append(en.split, pt)
+		en.splitParts = append(en.splitParts, pt)
 	} else {
-		en.whole = append(en.whole, pt)
+		en.wholeParts = append(en.wholeParts, pt)
 	}
 	en.mu.Unlock()
-	en.stir()
+	en.notify()
 	return pt
 }
 
-// write begins an answer of so many events.
-func (en *replayEngine) write(context int64, events int) *writer {
-	wr := &writer{context: context, events: make(chan struct{}, events+1)}
+// startAnswer starts an answer of the given number of events.
+func (en *simEngine) startAnswer(context int64, events int) *simAnswer {
+	sa := &simAnswer{context: context, events: make(chan struct{}, events+1)}
 	en.mu.Lock()
-	en.writers[wr] = true
+	en.answers[sa] = true
 	en.mu.Unlock()
-	en.stir()
-	return wr
+	en.notify()
+	return sa
 }
 
-// done ends an answer.
-func (en *replayEngine) done(wr *writer) {
+func (en *simEngine) endAnswer(sa *simAnswer) {
 	en.mu.Lock()
-	delete(en.writers, wr)
+	delete(en.answers, sa)
 	en.mu.Unlock()
 }
 
-func (en *replayEngine) stir() {
+func (en *simEngine) notify() {
 	select {
 	case en.wake <- struct{}{}:
 	default:
 	}
 }
 
-// arrive counts a request, and reports whether the engine breaks it off.
-func (en *replayEngine) arrive() bool {
+// recordArrival counts a request, and reports whether the engine breaks it off.
+func (en *simEngine) recordArrival() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.arrivals++
--- a/internal/dispatch/sim_fleet_test.go
+++ b/internal/dispatch/sim_fleet_test.go
@@ -19,265 +19,266 @@
 )
 
 const (
-	// replayTell is how often instances tell each other what they have in flight.
-	replayTell = 5 * time.Millisecond
-	// sizeSpread is the standard deviation of the logarithm of a prompt's size.
-	sizeSpread = 0.6
+	// loadExchangeInterval is how often instances publish their loads to each other.
+	loadExchangeInterval = 5 * time.Millisecond
+	// promptSizeSigma is the standard deviation of the logarithm of prompt sizes.
+	promptSizeSigma = 0.6
 )
 
-// class is a kind of request.
-type class struct {
-	name             string
-	tokens, events   int
-	objective, pause time.Duration
-	deadline         time.Duration
-	// worth is what an answer in time brings, a quarter of it when late.
+// requestClass describes requests of similar size and limits.
+type requestClass struct {
+	name                string
+	tokens, events      int
+	objective, maxPause time.Duration
+	deadline            time.Duration
+	// worth is that of an answer in time; a late one is worth a quarter of it.
 	worth float64
 }
 
 var (
-	shortClass  = class{"short", 5_000, 33, 300 * time.Millisecond, 200 * time.Millisecond, 10 * time.Second, 1.4}
-	middleClass = class{"middle", 45_000, 20, 1500 * time.Millisecond, 500 * time.Millisecond, 10 * time.Second, 2.6}
-	longClass   = class{"long", 300_000, 16, 4 * time.Second, 800 * time.Millisecond, 15 * time.Second, 30}
+	shortClass  = requestClass{"short", 5_000, 33, 300 * time.Millisecond, 200 * time.Millisecond, 10 * time.Second, 1.4}
+	middleClass = requestClass{"middle", 45_000, 20, 1500 * time.Millisecond, 500 * time.Millisecond, 10 * time.Second, 2.6}
+	longClass   = requestClass{"long", 300_000, 16, 4 * time.Second, 800 * time.Millisecond, 15 * time.Second, 30}
 )
 
-// phase is a stretch of a pattern with its requests a second.
-type phase struct {
-	length time.Duration
-	rates  map[class]float64
+// trafficPhase is a period of constant request rates.
+type trafficPhase struct {
+	duration      time.Duration
+	ratePerSecond map[requestClass]float64
 }
 
-// pattern is a load that is replayed.
-type pattern struct {
+// trafficPattern is the fleet and its traffic in a simulation.
+type trafficPattern struct {
 	instances, targets int
-	phases             []phase
-	// failing is how many targets break off all that they are sent, while the list says that they are well.
+	phases             []trafficPhase
+	// failing is the number of targets that break off every request while being listed as healthy.
 	failing int
 }
 
-// tally counts the requests of a class by what became of them.
-type tally struct {
-	asked, inTime, lateFirst, latePause, refused, failed int
-	// waited is how long those that were refused had waited together.
-	waited time.Duration
+// outcomeCounts counts the requests of a class by outcome.
+type outcomeCounts struct {
+	total, inTime, lateFirst, latePause, refused, failed int
+	// refusedWait is the total time that refused requests had waited.
+	refusedWait time.Duration
 }
 
-// replayed is what became of a pattern.
-type replayed struct {
+// simResult is the outcome of a simulation.
+type simResult struct {
 	mu       sync.Mutex
-	byClass  map[class]*tally
+	byClass  map[requestClass]*outcomeCounts
 	arrivals map[string]int
 }
 
-// add adds what became of another play.
-func (rp *replayed) add(other *replayed) {
-	for cl, ta := range other.byClass {
-		if rp.byClass[cl] == nil {
-			rp.byClass[cl] = &tally{}
+// add adds the outcome of another simulation.
+func (sr *simResult) add(other *simResult) {
+	for rc, oc := range other.byClass {
+		if sr.byClass[rc] == nil {
+			sr.byClass[rc] = &outcomeCounts{}
 		}
-		sum := rp.byClass[cl]
-		sum.asked += ta.asked
-		sum.inTime += ta.inTime
-		sum.lateFirst += ta.lateFirst
-		sum.latePause += ta.latePause
-		sum.refused += ta.refused
-		sum.failed += ta.failed
-		sum.waited += ta.waited
+		sum := sr.byClass[rc]
+		sum.total += oc.total
+		sum.inTime += oc.inTime
+		sum.lateFirst += oc.lateFirst
+		sum.latePause += oc.latePause
+		sum.refused += oc.refused
+		sum.failed += oc.failed
+		sum.refusedWait += oc.refusedWait
 	}
 	for name, n := range other.arrivals {
-		rp.arrivals[name] += n
+		sr.arrivals[name] += n
 	}
 }
 
-// worth returns the worth that was earned, as a share of all.
-func (rp *replayed) worth() float64 {
+// worthShare returns the worth of all answers as a share of the greatest possible.
+func (sr *simResult) worthShare() float64 {
 	earned, all := 0.0, 0.0
-	for cl, ta := range rp.byClass {
-		earned += cl.worth * (float64(ta.inTime) + 0.25*float64(ta.lateFirst+ta.latePause))
-		all += cl.worth * float64(ta.asked)
+	for rc, oc := range sr.byClass {
+		earned += rc.worth * (float64(oc.inTime) + 0.25*float64(oc.lateFirst+oc.latePause))
+		all += rc.worth * float64(oc.total)
 	}
 	return earned / all
 }
 
-// String returns a table by class.
-func (rp *replayed) String() string {
+// String returns a table with one line for each class.
+func (sr *simResult) String() string {
 	var sb strings.Builder
-	for _, cl := range []class{shortClass, middleClass, longClass} {
-		if ta := rp.byClass[cl]; ta != nil {
-			fmt.Fprintf(&sb, "%-6s asked %4d, in time %4d, late by first token %3d, by pause %3d, refused %3d (after %s), failed %3d\n",
-				cl.name, ta.asked, ta.inTime, ta.lateFirst, ta.latePause, ta.refused,
-				(ta.waited / time.Duration(max(1, ta.refused))).Round(time.Millisecond), ta.failed)
+	for _, rc := range []requestClass{shortClass, middleClass, longClass} {
+		if oc := sr.byClass[rc]; oc != nil {
+			fmt.Fprintf(&sb, "%-6s requests %4d, in time %4d, late first token %3d, late pause %3d, refused %3d (after %s), failed %3d\n",
+				rc.name, oc.total, oc.inTime, oc.lateFirst, oc.latePause, oc.refused,
+				(oc.refusedWait / time.Duration(max(1, oc.refused))).Round(time.Millisecond), oc.failed)
 		}
 	}
-	fmt.Fprintf(&sb, "worth %.3f", rp.worth())
+	fmt.Fprintf(&sb, "worth %.3f", sr.worthShare())
 	return sb.String()
 }
 
-// replayInstance is one instance, and what it told last.
-type replayInstance struct {
-	*bench
-	name string
-	told map[string]placement.Load
+// simInstance is an instance with the loads that it published last.
+type simInstance struct {
+	*harness
+	name          string
+	lastPublished map[string]placement.Load
 }
 
-// replayFleet is instances before engines.
-type replayFleet struct {
-	pattern
+// simFleet is a fleet of instances and the engines that they share.
+type simFleet struct {
+	trafficPattern
 	rd        *rand.Rand
-	instances []*replayInstance
-	engines   map[string]*replayEngine
-	result    *replayed
+	instances []*simInstance
+	engines   map[string]*simEngine
+	result    *simResult
 	wg        sync.WaitGroup
 }
 
-// replay plays a pattern on a clock of its own.
-func replay(t *testing.T, seed uint64, pa pattern) *replayed {
+// simulate runs a traffic pattern in simulated time.
+func simulate(t *testing.T, seed uint64, tp trafficPattern) *simResult {
 	t.Helper()
-	rp := &replayed{byClass: map[class]*tally{}, arrivals: map[string]int{}}
+	sr := &simResult{byClass: map[requestClass]*outcomeCounts{}, arrivals: map[string]int{}}
 	synctest.Test(t, func(t *testing.T) {
-		fl := &replayFleet{
-			pattern: pa, rd: rand.New(rand.NewPCG(seed, 0)), engines: map[string]*replayEngine{}, result: rp,
+		fl := &simFleet{
+			trafficPattern: tp, rd: rand.New(rand.NewPCG(seed, 0)), engines: map[string]*simEngine{}, result: sr,
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var engines sync.WaitGroup
-		for no := range pa.targets {
-			en := newReplayEngine()
-			en.failing = no < pa.failing
-			fl.engines[id(no)] = en
+		for i := range tp.targets {
+			en := newSimEngine()
+			en.failing = i < tp.failing
+			fl.engines[id(i)] = en
 			engines.Go(func() { en.run(ctx) })
 		}
-		for range pa.instances {
-			fl.instances = append(fl.instances, newReplayInstance(t, len(fl.instances), pa.targets))
+		for range tp.instances {
+			fl.instances = append(fl.instances, newSimInstance(t, len(fl.instances), tp.targets))
 		}
-		engines.Go(func() { fl.tell(ctx) })
-		fl.play()
+		engines.Go(func() { fl.exchangeLoads(ctx) })
+		fl.sendTraffic()
 		fl.wg.Wait()
 		cancel()
 		engines.Wait()
 		for name, en := range fl.engines {
-			rp.arrivals[name] = en.arrivals
+			sr.arrivals[name] = en.arrivals
 		}
 	})
-	return rp
+	return sr
 }
 
-func newReplayInstance(t *testing.T, no, targets int) *replayInstance {
-	hs := newBench(t, targets, func(op *dispatch.Options) { op.Instance = fmt.Sprint("instance-", no) })
-	hs.SetPropagationDelay(func() time.Duration { return replayTell })
-	return &replayInstance{bench: hs, name: fmt.Sprint("instance-", no)}
+func newSimInstance(t *testing.T, i, targets int) *simInstance {
+	hs := newHarness(t, targets, func(op *dispatch.Options) { op.Instance = fmt.Sprint("instance-", i) })
+	hs.SetPropagationDelay(func() time.Duration { return loadExchangeInterval })
+	return &simInstance{harness: hs, name: fmt.Sprint("instance-", i)}
 }
 
-// play sends the requests of all phases.
-func (fl *replayFleet) play() {
+// sendTraffic sends the requests of all phases.
+func (fl *simFleet) sendTraffic() {
 	for _, ph := range fl.phases {
-		for over := time.Now().Add(ph.length); time.Now().Before(over); time.Sleep(time.Millisecond) {
-			for _, cl := range []class{shortClass, middleClass, longClass} {
-				if fl.rd.Float64() < ph.rates[cl]*time.Millisecond.Seconds() {
-					fl.send(cl)
+		for over := time.Now().Add(ph.duration); time.Now().Before(over); time.Sleep(time.Millisecond) {
+			for _, rc := range []requestClass{shortClass, middleClass, longClass} {
+				if fl.rd.Float64() < ph.ratePerSecond[rc]*time.Millisecond.Seconds() {
+					fl.sendRequest(rc)
 				}
 			}
 		}
 	}
 }
 
-// send sends a request of a drawn size to a drawn instance.
-func (fl *replayFleet) send(cl class) {
-	tokens := int(float64(cl.tokens) * math.Exp(sizeSpread*fl.rd.NormFloat64()-sizeSpread*sizeSpread/2))
-	hs := fl.instances[fl.rd.IntN(len(fl.instances))]
-	rq := plain()
-	rq.ID = fmt.Sprint("request-", asks.Add(1))
-	rq.PromptTokens, rq.MaxAnswerTokens, rq.MaxPause = tokens, cl.events*replayFigures.Stride, cl.pause
-	rq.Objective, rq.Deadline, rq.CallerIdleTimeout = cl.objective, rq.Arrived.Add(cl.deadline), 4*cl.objective
-	rq.Service = routes.Service{Name: "s", Engine: &replayFigures}
-	fl.wg.Go(func() { fl.ask(hs, cl, rq) })
+// sendRequest sends a request of random size to a random instance.
+func (fl *simFleet) sendRequest(rc requestClass) {
+	tokens := int(float64(rc.tokens) * math.Exp(promptSizeSigma*fl.rd.NormFloat64()-promptSizeSigma*promptSizeSigma/2))
+	in := fl.instances[fl.rd.IntN(len(fl.instances))]
+	rq := plainRequest()
+	rq.ID = fmt.Sprint("request-", requestIDs.Add(1))
+	rq.PromptTokens, rq.MaxAnswerTokens, rq.MaxPause = tokens, rc.events*simEngineConfig.Stride, rc.maxPause
+	rq.Objective, rq.Deadline, rq.CallerIdleTimeout = rc.objective, rq.Arrived.Add(rc.deadline), 4*rc.objective
+	rq.Service = routes.Service{Name: "s", Engine: &simEngineConfig}
+	fl.wg.Go(func() { fl.serveWithRetries(in, rc, rq) })
 }
 
-// ask takes a request through its attempts, and counts what became of it.
-func (fl *replayFleet) ask(hs *replayInstance, cl class, rq dispatch.Request) {
+// serveWithRetries runs the attempts of a request and counts its outcome.
+func (fl *simFleet) serveWithRetries(in *simInstance, rc requestClass, rq dispatch.Request) {
 	ctx, cancel := context.WithDeadline(context.Background(), rq.Deadline)
 	defer cancel()
 	const attempts = 3
-	var counted func(*tally)
+	var record func(*outcomeCounts)
 	for range attempts {
-		sl, err := hs.Acquire(ctx, rq)
+		sl, err := in.Acquire(ctx, rq)
 		if err != nil {
 			waited := time.Since(rq.Arrived)
-			counted = func(ta *tally) { ta.refused++; ta.waited += waited }
+			record = func(oc *outcomeCounts) { oc.refused++; oc.refusedWait += waited }
 			break
 		}
-		first, pause, whole := fl.serve(ctx, cl, rq, sl)
-		if whole {
-			counted = outcomeOf(cl, first, pause)
+		firstToken, longestPause, complete := fl.serveAttempt(ctx, rc, rq, sl)
+		if complete {
+			record = outcomeOf(rc, firstToken, longestPause)
 			break
 		}
 		rq.Exclude = append(rq.Exclude, sl.Target.ID)
 		rq.Caution = targets.Proven
-		counted = func(ta *tally) { ta.failed++ }
+		record = func(oc *outcomeCounts) { oc.failed++ }
 	}
-	fl.count(cl, counted)
+	fl.recordOutcome(rc, record)
 }
 
-func outcomeOf(cl class, first, pause time.Duration) func(*tally) {
-	return func(ta *tally) {
+func outcomeOf(rc requestClass, firstToken, longestPause time.Duration) func(*outcomeCounts) {
+	return func(oc *outcomeCounts) {
 		switch {
-		case first > cl.objective:
-			ta.lateFirst++
-		case pause > cl.pause:
-			ta.latePause++
+		case firstToken > rc.objective:
+			oc.lateFirst++
+		case longestPause > rc.maxPause:
+			oc.latePause++
 		default:
-			ta.inTime++
+			oc.inTime++
 		}
 	}
 }
 
-func (fl *replayFleet) count(cl class, what func(*tally)) {
+func (fl *simFleet) recordOutcome(rc requestClass, record func(*outcomeCounts)) {
 	fl.result.mu.Lock()
 	defer fl.result.mu.Unlock()
-	if fl.result.byClass[cl] == nil {
-		fl.result.byClass[cl] = &tally{}
+	if fl.result.byClass[rc] == nil {
+		fl.result.byClass[rc] = &outcomeCounts{}
 	}
-	fl.result.byClass[cl].asked++
-	what(fl.result.byClass[cl])
+	fl.result.byClass[rc].total++
+	record(fl.result.byClass[rc])
 }
 
-// serve runs an attempt, and returns the time to the first token, the longest pause, and whether the answer is whole.
-func (fl *replayFleet) serve(ctx context.Context, cl class, rq dispatch.Request, sl *dispatch.Slot) (first, pause time.Duration, whole bool) {
+// serveAttempt runs one attempt. It returns the time to the first token, the longest pause, and whether the answer is
+// complete.
+func (fl *simFleet) serveAttempt(ctx context.Context, rc requestClass, rq dispatch.Request, sl *dispatch.Slot) (firstToken, longestPause time.Duration, complete bool) {
 	defer sl.Release()
 	main := fl.engines[sl.Target.ID]
-	if main.arrive() {
+	if main.recordArrival() {
 		sl.RecordFailure()
 		return 0, 0, false
 	}
 	main.slots <- struct{}{}
 	defer func() { <-main.slots }()
-	fl.read(rq, sl)
+	fl.waitForPrefill(rq, sl)
 	if ctx.Err() != nil {
 		return 0, 0, false
 	}
-	first = time.Since(rq.Arrived)
+	firstToken = time.Since(rq.Arrived)
 	sl.RecordFirstToken()
-	wr := main.write(int64(rq.PromptTokens), cl.events)
-	defer main.done(wr)
-	for at := time.Now(); cl.events > 0; cl.events-- {
-		<-wr.events
-		pause = max(pause, time.Since(at))
+	sa := main.startAnswer(int64(rq.PromptTokens), rc.events)
+	defer main.endAnswer(sa)
+	for at := time.Now(); rc.events > 0; rc.events-- {
+		<-sa.events
+		longestPause = max(longestPause, time.Since(at))
 		at = time.Now()
 		sl.RecordEvent()
 	}
-	return first, pause, true
+	return firstToken, longestPause, true
 }
 
-// read has a prompt read in even parts.
-func (fl *replayFleet) read(rq dispatch.Request, sl *dispatch.Slot) {
-	// The first helper of a prompt with memory set aside is its main target.
+// waitForPrefill has a prompt read in equal parts by the targets of the slot, and waits until all are done.
+func (fl *simFleet) waitForPrefill(rq dispatch.Request, sl *dispatch.Slot) {
+	// If memory is reserved, the first helper is the main target.
 	reserved := len(sl.Helpers) > 0 && sl.Helpers[0].Reservation != ""
 	count := int64(len(sl.Helpers))
 	if !reserved {
 		count++
 	}
 	tokens := int64(rq.PromptTokens)
-	share := func(en *replayEngine) *part { return en.add(tokens/count, tokens*tokens/2/count, count > 1) }
-	parts := []*part{}
+	share := func(en *simEngine) *prefillPart { return en.addPart(tokens/count, tokens*tokens/2/count, count > 1) }
+	parts := []*prefillPart{}
 	if !reserved {
 		parts = append(parts, share(fl.engines[sl.Target.ID]))
 	}
@@ -285,20 +286,20 @@
 		parts = append(parts, share(fl.engines[hp.ID]))
 	}
 	for _, pt := range parts {
-		<-pt.read
+		<-pt.done
 	}
 }
 
-// tell lets all instances hear what the others have in flight.
-func (fl *replayFleet) tell(ctx context.Context) {
+// exchangeLoads publishes the loads of each instance to all others.
+func (fl *simFleet) exchangeLoads(ctx context.Context) {
 	for ctx.Err() == nil {
-		time.Sleep(replayTell)
+		time.Sleep(loadExchangeInterval)
 		for _, from := range fl.instances {
 			loads := from.OwnLoads()
-			if maps.Equal(loads, from.told) {
+			if maps.Equal(loads, from.lastPublished) {
 				continue
 			}
-			from.told = loads
+			from.lastPublished = loads
 			for _, to := range fl.instances {
 				if to != from {
 					to.SetPeerLoads(from.name, loads)
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -14,7 +14,7 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// engine has the figures of the users' engines.
+// engine has the performance figures of the users' engines.
 var engine = placement.Engine{
 	Slots: 16, Stride: 43, Chunk: 2048, Memory: 232_000,
 	Step: 1020 * time.Microsecond, PerWriter: 2260 * time.Nanosecond, PerThousandContext: 4310 * time.Nanosecond,
@@ -22,40 +22,40 @@
 	ZoneDelay: 500 * time.Microsecond, UsualPrompt: 16_000, UsualAnswer: 1300,
 }
 
-// clocked is a dispatcher over targets with a clock that a test moves.
-type clocked struct {
+// clockHarness is a dispatcher over targets, with a clock that a test can advance.
+type clockHarness struct {
 	clock func() time.Time
-	// passed is added to the clock.
-	passed time.Duration
-	ds     *dispatch.Dispatcher
+	// offset is added to the clock.
+	offset     time.Duration
+	dispatcher *dispatch.Dispatcher
 }
 
-// newClocked returns one whose clock stands still unless the test lets time pass.
-func newClocked(ids ...string) *clocked {
-	return newClockedAt(func() time.Time { return time.Unix(1000, 0) }, ids...)
+// newFrozenClockHarness returns a clockHarness whose clock stands still unless the test advances it.
+func newFrozenClockHarness(ids ...string) *clockHarness {
+	return newClockHarness(func() time.Time { return time.Unix(1000, 0) }, ids...)
 }
 
-func newClockedAt(clock func() time.Time, ids ...string) *clocked {
-	return newClockedOf("i", clock, ids...)
+func newClockHarness(clock func() time.Time, ids ...string) *clockHarness {
+	return newClockHarnessOf("i", clock, ids...)
 }
 
-func newClockedOf(instance string, clock func() time.Time, ids ...string) *clocked {
-	hs := &clocked{clock: clock}
+func newClockHarnessOf(instance string, clock func() time.Time, ids ...string) *clockHarness {
+	hs := &clockHarness{clock: clock}
 	dr := targets.New(hs.now)
 	var listed []targets.Target
 	for _, id := range ids {
 		listed = append(listed, targets.Target{ID: id, Service: "s", Slots: engine.Slots, AvailabilityZone: "a"})
 	}
 	dr.TakeList(listed, nil, position.Position{}, hs.now())
-	hs.ds = dispatch.New(dr, nil, dispatch.Options{Instance: instance, AvailabilityZone: "a", Now: hs.now})
+	hs.dispatcher = dispatch.New(dr, nil, dispatch.Options{Instance: instance, AvailabilityZone: "a", Now: hs.now})
 	return hs
 }
 
-func (hs *clocked) now() time.Time       { return hs.clock().Add(hs.passed) }
-func (hs *clocked) pass(d time.Duration) { hs.passed += d }
+func (hs *clockHarness) now() time.Time          { return hs.clock().Add(hs.offset) }
+func (hs *clockHarness) advance(d time.Duration) { hs.offset += d }
 
-// short asks for a prompt of the kind with the shortest objective.
-func (hs *clocked) short() dispatch.Request {
+// shortPrompt returns a request with a prompt of the class with the shortest objective.
+func (hs *clockHarness) shortPrompt() dispatch.Request {
 	return dispatch.Request{
 		ID: "r", Service: routes.Service{Name: "s", Engine: &engine}, PromptTokens: 5000, AnswerTokensHint: 1300,
 		Objective: 300 * time.Millisecond, MaxPause: 250 * time.Millisecond,
@@ -63,10 +63,10 @@
 	}
 }
 
-// sums returns what this instance's readers and writers lose together when they are late, at all targets.
-func (hs *clocked) sums() (placement.Worth, placement.Worth) {
+// worthAtRisk returns the worth that this instance's readers and writers have at risk at all targets.
+func (hs *clockHarness) worthAtRisk() (placement.Worth, placement.Worth) {
 	var waiting, atRisk placement.Worth
-	for _, lo := range hs.ds.OwnLoads() {
+	for _, lo := range hs.dispatcher.OwnLoads() {
 		for cl := range lo.AtRisk {
 			waiting += lo.Waiting[cl]
 			atRisk += lo.AtRisk[cl]
@@ -75,87 +75,87 @@
 	return waiting, atRisk
 }
 
-func TestAnAnswerThatIsLateHasNothingAtStake(t *testing.T) {
+func TestLateAnswerHasNothingAtRisk(t *testing.T) {
 	cases := map[string]struct {
 		first, pause time.Duration
 		late         bool
 	}{
-		"in time":                {first: 200 * time.Millisecond, pause: 200 * time.Millisecond},
-		"late first token":       {first: 301 * time.Millisecond, pause: 200 * time.Millisecond, late: true},
-		"a pause that is long":   {first: 200 * time.Millisecond, pause: 251 * time.Millisecond, late: true},
-		"both limits just kept":  {first: 300 * time.Millisecond, pause: 250 * time.Millisecond},
-		"both limits are passed": {first: time.Second, pause: time.Second, late: true},
+		"in time":              {first: 200 * time.Millisecond, pause: 200 * time.Millisecond},
+		"first token is late":  {first: 301 * time.Millisecond, pause: 200 * time.Millisecond, late: true},
+		"pause is too long":    {first: 200 * time.Millisecond, pause: 251 * time.Millisecond, late: true},
+		"both limits just met": {first: 300 * time.Millisecond, pause: 250 * time.Millisecond},
+		"both limits exceeded": {first: time.Second, pause: time.Second, late: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			hs := newClocked("t1")
-			sl, err := hs.ds.Acquire(context.Background(), hs.short())
+			hs := newFrozenClockHarness("t1")
+			sl, err := hs.dispatcher.Acquire(context.Background(), hs.shortPrompt())
 			g.Expect(err).NotTo(HaveOccurred())
-			waiting, _ := hs.sums()
+			waiting, _ := hs.worthAtRisk()
 			g.Expect(waiting).To(BeNumerically(">", 0))
-			hs.pass(tc.first)
+			hs.advance(tc.first)
 			sl.RecordFirstToken()
 			sl.RecordEvent()
-			hs.pass(tc.pause)
+			hs.advance(tc.pause)
 			sl.RecordEvent()
-			_, atRisk := hs.sums()
+			_, atRisk := hs.worthAtRisk()
 			g.Expect(atRisk == 0).To(Equal(tc.late))
-			g.Expect(hs.ds.OwnLoads()["t1"].Writers).To(Equal(1))
+			g.Expect(hs.dispatcher.OwnLoads()["t1"].Writers).To(Equal(1))
 			sl.Release()
-			g.Expect(hs.ds.OwnLoads()).To(BeEmpty())
+			g.Expect(hs.dispatcher.OwnLoads()).To(BeEmpty())
 		})
 	}
 }
 
-func TestAPromptThatWillBeLateHasNothingAtStake(t *testing.T) {
+func TestLatePromptHasNothingAtRisk(t *testing.T) {
 	cases := map[string]struct {
 		used time.Duration
 		late bool
 	}{
 		"just arrived":         {},
-		"the objective passed": {used: 400 * time.Millisecond, late: true},
+		"objective has passed": {used: 400 * time.Millisecond, late: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			hs := newClocked("t1")
-			rq := hs.short()
-			hs.pass(tc.used)
-			sl, err := hs.ds.Acquire(context.Background(), rq)
+			hs := newFrozenClockHarness("t1")
+			rq := hs.shortPrompt()
+			hs.advance(tc.used)
+			sl, err := hs.dispatcher.Acquire(context.Background(), rq)
 			g.Expect(err).NotTo(HaveOccurred())
 			defer sl.Release()
-			waiting, _ := hs.sums()
+			waiting, _ := hs.worthAtRisk()
 			g.Expect(waiting == 0).To(Equal(tc.late))
 		})
 	}
 }
 
-func TestAStreamThatGoesOnElsewhereHasNothingAtStake(t *testing.T) {
+func TestResumedStreamHasNothingAtRisk(t *testing.T) {
 	g := NewWithT(t)
-	hs := newClocked("t1")
-	rq := hs.short()
+	hs := newFrozenClockHarness("t1")
+	rq := hs.shortPrompt()
 	rq.Resumed = true
-	sl, err := hs.ds.Acquire(context.Background(), rq)
+	sl, err := hs.dispatcher.Acquire(context.Background(), rq)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer sl.Release()
 	sl.RecordFirstToken()
-	waiting, atRisk := hs.sums()
+	waiting, atRisk := hs.worthAtRisk()
 	g.Expect(waiting + atRisk).To(BeZero())
 }
 
-// TestLongestSilenceFollowsWhatIsRead lets a target be silent for as long as it reads what others brought.
-func TestLongestSilenceFollowsWhatIsRead(t *testing.T) {
+// TestMaxSilenceGrowsWithPendingPrefill allows a target to be silent for as long as it reads the prompts of other requests.
+func TestMaxSilenceGrowsWithPendingPrefill(t *testing.T) {
 	g := NewWithT(t)
-	hs := newClocked("t1")
-	sl, err := hs.ds.Acquire(context.Background(), hs.short())
+	hs := newFrozenClockHarness("t1")
+	sl, err := hs.dispatcher.Acquire(context.Background(), hs.shortPrompt())
 	g.Expect(err).NotTo(HaveOccurred())
 	sl.RecordFirstToken()
 	quiet := sl.MaxSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
 	reading := placement.Load{Parts: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
-	hs.ds.SetPeerLoads("peer", map[string]placement.Load{"t1": reading})
+	hs.dispatcher.SetPeerLoads("peer", map[string]placement.Load{"t1": reading})
 	g.Expect(sl.MaxSilence()).To(BeNumerically(">", quiet+time.Second))
-	hs.ds.SetPeerLoads("peer", nil)
+	hs.dispatcher.SetPeerLoads("peer", nil)
 	g.Expect(sl.MaxSilence()).To(Equal(quiet))
 }
