--- a/internal/dispatch/arrivals.go
+++ b/internal/dispatch/arrivals.go
@@ -46,12 +46,12 @@
 // observeShort adds an arriving short prompt to the average of short prompts.
 func (st *arrivalStats) observeShort(pr placement.Prompt) {
 	st.shortMaxPause = pr.LongestPause
-	stake := pr.InTime - pr.Late
+	worthAtRisk := pr.InTime - pr.Late
 	if st.shortAtRisk == 0 {
-		st.shortAtRisk = stake
+		st.shortAtRisk = worthAtRisk
 		return
 	}
-	st.shortAtRisk = updateMean(st.shortAtRisk, stake)
+	st.shortAtRisk = updateMean(st.shortAtRisk, worthAtRisk)
 }
 
 // perTargetPerSecond returns the expected load of the answers that start at one target within a second. By Little's law
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -91,7 +91,7 @@
 	// OnBackOffWait is called each time a request starts to wait for the end of a target's back-off; it may be nil.
 	OnBackOffWait func(request string, tg targets.Target, wait time.Duration)
 	// OnPermitRefused is called each time a request is refused a permit for a target; it may be nil.
-	OnPermitRefused func(request string, tg targets.Target, again time.Duration)
+	OnPermitRefused func(request string, tg targets.Target, retryAfter time.Duration)
 }
 
 // New returns a Dispatcher without any load.
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -97,12 +97,12 @@
 
 // isFull reports whether a target still counts as full after refusing memory. The caller holds the lock.
 func (lt *loadTable) isFull(id string, now time.Time) bool {
-	until, told := lt.fullUntil[id]
-	if told && now.After(until) {
+	until, marked := lt.fullUntil[id]
+	if marked && now.After(until) {
 		delete(lt.fullUntil, id)
 		return false
 	}
-	return told
+	return marked
 }
 
 // roomFreedChan returns a channel that is closed when room may have become free.
--- a/internal/dispatch/loads_test.go
+++ b/internal/dispatch/loads_test.go
@@ -30,7 +30,7 @@
 		for range rapid.IntRange(0, 30).Draw(rt, "steps") {
 			peer := rapid.SampledFrom([]string{"p", "q", "r"}).Draw(rt, "peer")
 			loads := drawLoads(rt)
-			if rapid.Bool().Draw(rt, "leaves") {
+			if rapid.Bool().Draw(rt, "goes") {
 				loads = nil
 			}
 			lt.setPeer(peer, maps.Clone(loads))
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -71,9 +71,9 @@
 					return // some are refused, but none may be placed without memory
 				}
 				defer sl.Release()
-				for no := range 3 {
-					if held := hs.OwnLoads()[id(no)].Memory; held > memory {
-						hs.t.Errorf("%d tokens are booked at target %s", held, id(no))
+				for target := range 3 {
+					if held := hs.OwnLoads()[id(target)].Memory; held > memory {
+						hs.t.Errorf("%d tokens are booked at target %s", held, id(target))
 					}
 				}
 				time.Sleep(50 * time.Millisecond)
--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -45,8 +45,8 @@
 }
 
 // refuseFor returns an answer that refuses all permits and asks to try again after a period.
-func refuseFor(again time.Duration) func(string, time.Duration) permit.Answer {
-	return func(string, time.Duration) permit.Answer { return permit.Answer{After: again} }
+func refuseFor(retryAfter time.Duration) func(string, time.Duration) permit.Answer {
+	return func(string, time.Duration) permit.Answer { return permit.Answer{After: retryAfter} }
 }
 
 func TestRequestsAvoidTargetsWithoutPermits(t *testing.T) {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -181,14 +181,14 @@
 		PredictedFirstToken: pl.FirstToken, PredictedPause: pl.Pause, arrived: rq.Arrived, late: rq.Resumed,
 	}
 	parts := 1 + len(pl.Helpers)
-	reading := pr.Reading(parts)
+	prefillLoad := pr.Reading(parts)
 	if willBeLate(rq, pr, pl) {
-		reading = pr.Overdue().Reading(parts)
+		prefillLoad = pr.Overdue().Reading(parts)
 	}
 	if len(pl.Reserve) > 0 {
-		reading = reading.WithMemory(0)
+		prefillLoad = prefillLoad.WithMemory(0)
 	}
-	sl.addStageLoad(pl.Main, reading)
+	sl.addStageLoad(pl.Main, prefillLoad)
 	ds.recordChosen(pl.Main)
 	for _, id := range pl.Helpers {
 		sl.Helpers = append(sl.Helpers, Helper{ID: id, Address: byID[id].Address})
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -84,8 +84,8 @@
 		failed := sl.Target.ID
 		sl.RecordFailure()
 		sl.Release()
-		told := hs.OwnLoads()
-		hs.Expect(told).To(HaveKey(failed), "the load is published to peers")
+		published := hs.OwnLoads()
+		hs.Expect(published).To(HaveKey(failed), "the load is published to peers")
 		for range 3 {
 			next := hs.mustAcquire(urgentPrompt())
 			hs.Expect(next.Target.ID).NotTo(Equal(failed))
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -68,8 +68,8 @@
 	sl.ds.loadTable.add(id, lo)
 }
 
-func (sl *Slot) removeLoads(list []bookedLoad) {
-	for _, bl := range list {
+func (sl *Slot) removeLoads(loads []bookedLoad) {
+	for _, bl := range loads {
 		sl.ds.loadTable.remove(bl.id, bl.load)
 	}
 }
@@ -87,17 +87,17 @@
 	defer sl.ds.loadTable.mu.Unlock()
 	sl.removeLoads(sl.stageLoads)
 	sl.stageLoads = nil
-	writing := sl.prompt.Writing()
+	generationLoad := sl.prompt.Writing()
 	if sl.late {
-		writing = sl.prompt.Overdue().Writing()
+		generationLoad = sl.prompt.Overdue().Writing()
 	}
 	if len(sl.plan.Reserve) > 0 {
-		writing = writing.WithMemory(0).WithContext(sl.plan.Reserve[0].Tokens)
+		generationLoad = generationLoad.WithMemory(0).WithContext(sl.plan.Reserve[0].Tokens)
 		for _, sh := range sl.plan.Reserve[1:] {
 			sl.addStageLoad(sh.Target, placement.Load{Context: sh.Tokens})
 		}
 	}
-	sl.addStageLoad(sl.plan.Main, writing)
+	sl.addStageLoad(sl.plan.Main, generationLoad)
 }
 
 // silenceMargin is the factor by which a pass may exceed its prediction before the target counts as lost: predictions are
