--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -82,7 +82,8 @@
 	Instance, AvailabilityZone string
 	// Now returns the time of a monotonic clock.
 	Now func() time.Time
-	// OnLoadChange is called when the load of this instance at any target changes; it may be nil.
+	// OnLoadChange is called when the load of this instance at any target changes; it may be nil. The load table's lock may
+	// be held during the call, so it must not call the Dispatcher.
 	OnLoadChange func()
 	// Permits grants requests to targets with a rate limit; nil disables rate limits.
 	Permits *permit.Client
--- a/internal/dispatch/sim_test.go
+++ b/internal/dispatch/sim_test.go
@@ -41,8 +41,8 @@
 
 // TestSimulatedWaveDoesNotRefuseLongestPrompts guards against a fault at the end of a wave of long prompts. The longest
 // prompts waited for 9 to 13 s while later requests took the room, were refused when they could no longer be answered, and
-// were refused at once when retried: 22 of 106 long prompts were refused. Serving a late prompt is therefore credited with part of the cost that a
-// refusal would add.
+// were refused at once when retried: 22 of 106 long prompts were refused. Serving a late prompt is therefore credited with
+// part of the cost that a refusal would add.
 func TestSimulatedWaveDoesNotRefuseLongestPrompts(t *testing.T) {
 	heavy := map[requestClass]float64{shortClass: 27, middleClass: 17, longClass: 7}
 	sr := simulateSeeds(t, trafficPattern{instances: 24, targets: 60, phases: []trafficPhase{{6 * time.Second, heavy}, {4 * time.Second, shortPromptWave}}}, 1, 2, 3, 4)
