--- a/internal/dispatch/decide.go
+++ b/internal/dispatch/decide.go
@@ -2,40 +2,42 @@
 
 import "github.com/silvermount/silvermount/internal/placement"
 
-// decision is what becomes of a prompt now.
+// decision is the outcome of looking for a plan for a prompt.
 type decision int
 
 const (
-	// decisionPlace is to run it as planned.
+	// decisionPlace runs the prompt as planned.
 	decisionPlace decision = iota
-	// decisionWait is to look again later.
+	// decisionWait keeps the prompt waiting for another try.
 	decisionWait
-	// decisionRefuse is to refuse it at once.
+	// decisionRefuse refuses the prompt at once.
 	decisionRefuse
 )
 
-// decide says whether a prompt runs as planned, looks again later, or is refused. The plan is the best one now, if any.
-func decide(as Ask, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
+// decide returns whether a prompt runs as planned, waits, or is refused. pl is the best plan at this moment, and planned is
+// false if there is none.
+func decide(rq Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
 	switch {
-	case as.long() && !as.Resumed:
-		return decideLong(as, pr, pl, planned, cands, op)
+	case rq.isLong() && !rq.Resumed:
+		return decideLong(rq, pr, pl, planned, cands, op)
 	case !planned:
 		return decisionWait
-	case sheds(as, pr, pl, cands):
+	case shouldShed(rq, pr, pl, cands):
 		return decisionRefuse
 	default:
 		return decisionPlace
 	}
 }
 
-// decideLong decides about a long prompt that nobody reads yet.
-func decideLong(as Ask, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
-	later, feasible := placement.Choose(*as.Service.Engine, pr, read(cands), op)
-	feasible = feasible && begins(pr, later)
+// decideLong decides on a long prompt that has not been started anywhere. It compares pl with the plan that would be best
+// once all current prefill is done.
+func decideLong(rq Request, pr placement.Prompt, pl placement.Plan, planned bool, cands []placement.Target, op placement.Options) decision {
+	later, feasible := placement.Choose(*rq.Service.Engine, pr, withoutPrefill(cands), op)
+	feasible = feasible && meetsCallerTimeout(pr, later)
 	switch {
-	case !feasible && hopeless(as, pr, cands, op):
+	case !feasible && infeasibleWhenIdle(rq, pr, cands, op):
 		return decisionRefuse
-	case !feasible || !planned || !worthwhile(as, pr, pl) || betterLater(pr, pl, later) || defers(as, pr, pl):
+	case !feasible || !planned || !isWorthPlacing(rq, pr, pl) || isBetterLater(pr, pl, later) || shouldDefer(rq, pr, pl):
 		return decisionWait
 	default:
 		return decisionPlace
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,4 +1,4 @@
-// Package dispatch chooses the target of each request from what this instance and its peers have in flight.
+// Package dispatch chooses a target for each request, based on the requests that this instance and its peers have in flight.
 package dispatch
 
 import (
@@ -18,122 +18,125 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// Ask is a request that needs a target.
-type Ask struct {
-	// Request is the caller's id; it breaks ties.
-	Request string
+// Request is a request that needs a target.
+type Request struct {
+	// ID is the request id from the caller. Its hash breaks ties between equal targets.
+	ID      string
 	Service routes.Service
-	// Avoid are incarnations that are not to be chosen.
-	Avoid []string
-	// PromptTokens, MostAnswer and AnswerHint are zero when not known.
-	PromptTokens, MostAnswer, AnswerHint int
-	// Events is how many events of the answer were passed on already.
-	Events int
-	// Objective and LongestPause are the route's; zero when it has none.
-	Objective, LongestPause time.Duration
-	// Patience is how long the caller waits without an event; zero is no bound.
-	Patience          time.Duration
+	// Exclude holds incarnations that must not be chosen.
+	Exclude []string
+	// PromptTokens, MaxAnswerTokens and AnswerTokensHint are zero if unknown.
+	PromptTokens, MaxAnswerTokens, AnswerTokensHint int
+	// EventsForwarded is the number of answer events already sent to the caller.
+	EventsForwarded int
+	// Objective is the route's limit on the time to the first token, MaxPause its limit on the time between two events; zero
+	// if the route sets none.
+	Objective, MaxPause time.Duration
+	// CallerIdleTimeout is how long the caller waits without receiving an event; zero means no limit.
+	CallerIdleTimeout time.Duration
 	Arrived, Deadline time.Time
-	// Priority is the organisation's or the route's rank, zero first.
+	// Priority is that of the organisation or the route; 0 is the most urgent.
 	Priority int
-	// Resumed is set when the answer goes on after some event.
+	// Resumed is set if a stream that already sent events continues on another target.
 	Resumed bool
-	// Caution is how sure the request must be of its target.
+	// Caution is how certain the request must be that its target works.
 	Caution targets.Caution
-	// Allowed returns why the request may not be sent any more, and is asked at each look for a target: what allowed it when
-	// it came may be taken away while it waits. It is nil when nothing can be.
-	Allowed func() error
-	// Spare is set when the request can go to another target should this one turn it away, and Retried when one did.
-	Spare, Retried bool
-	// probe is set when the request may go to a target that is on trial after a back-off.
-	probe bool
-	// permitted is the target whose permit the request holds; empty for none.
-	permitted string
-	// refusals counts the permits that it was refused.
-	refusals int
+	// Authorise returns an error if the request may no longer be sent. It is called before each try, since an authorisation
+	// that held on arrival can be withdrawn while the request waits. It is nil for a request whose authorisation cannot
+	// change.
+	Authorise func() error
+	// CanRetry is set if the request may be retried on another target when this one turns it away, Retried if it was turned
+	// away before.
+	CanRetry, Retried bool
+	// mayProbe is set if the request may be sent to a half-open target.
+	mayProbe bool
+	// permitTarget is the target for which the request holds a permit; empty if it holds none.
+	permitTarget string
+	// permitRefusals counts the permits that the request was refused.
+	permitRefusals int
 }
 
-// Helper is a target that reads a part of the prompt.
+// Helper is a target that reads part of the prompt for the main target.
 type Helper struct {
 	ID, Address string
-	// Reservation names memory set aside there; empty when none is.
+	// Reservation identifies memory reserved at the helper; empty if none is.
 	Reservation string
 }
 
-// Dispatcher chooses targets. Its methods may be called by any goroutine.
+// Dispatcher chooses targets. It is safe for concurrent use.
 type Dispatcher struct {
-	targets *targets.Directory
-	keeper  *reservation.Manager
-	opts    Options
-	book    *book
-	lag     atomic.Pointer[func() time.Duration]
-	// end is when this instance ends; nil until it is asked to stop.
-	end atomic.Pointer[time.Time]
-	// arriving is what arrives at this instance; the book's lock guards it.
-	arriving demand
+	targets              *targets.Directory
+	keeper               *reservation.Manager
+	opts                 Options
+	loadTable            *loadTable
+	propagationDelayFunc atomic.Pointer[func() time.Duration]
+	// shutdownAt is when this instance stops; nil until it is asked to stop.
+	shutdownAt atomic.Pointer[time.Time]
+	// arrivals describes the requests that arrive at this instance; the load table's lock guards it.
+	arrivals arrivalStats
 }
 
-// Options are the settings and seams of a Dispatcher.
+// Options holds the settings, dependencies and callbacks of a Dispatcher.
 type Options struct {
-	// Instance and AvailabilityZone are this instance's own.
+	// Instance and AvailabilityZone identify this instance.
 	Instance, AvailabilityZone string
-	// Now is the steady clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Time
-	// Changed is told when what this instance has in flight changes.
-	Changed func()
-	// Permits is asked before a request goes to a target that names a rate limit; nil lets all go.
+	// OnLoadChange is called when the load of this instance at any target changes; it may be nil. The load table's lock may
+	// be held during the call, so it must not call the Dispatcher.
+	OnLoadChange func()
+	// Permits grants requests to targets with a rate limit; nil disables rate limits.
 	Permits *permit.Client
-	// BackOffs is which targets want no requests of this instance; nil for none.
+	// BackOffs holds the targets that asked this instance to back off; nil disables back-offs.
 	BackOffs *backoff.Book
-	// Waits is told of each request that waits for the end of a target's back-off; it may be nil.
-	Waits func(request string, tg targets.Target, wait time.Duration)
-	// TurnedElsewhere is told of each request that was not let to a target; it may be nil.
-	TurnedElsewhere func(request string, tg targets.Target, again time.Duration)
+	// OnBackOffWait is called each time a request starts to wait for the end of a target's back-off; it may be nil.
+	OnBackOffWait func(request string, tg targets.Target, wait time.Duration)
+	// OnPermitRefused is called each time a request is refused a permit for a target; it may be nil.
+	OnPermitRefused func(request string, tg targets.Target, retryAfter time.Duration)
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher without any load.
 func New(dr *targets.Directory, kp *reservation.Manager, op Options) *Dispatcher {
-	return &Dispatcher{targets: dr, keeper: kp, opts: op, book: newBook()}
+	return &Dispatcher{targets: dr, keeper: kp, opts: op, loadTable: newLoadTable()}
 }
 
-// Own returns what this instance has in flight, by incarnation.
-func (ds *Dispatcher) Own() map[string]placement.Load { return ds.book.ownLoads() }
+// OwnLoads returns the load of this instance at each target, by incarnation.
+func (ds *Dispatcher) OwnLoads() map[string]placement.Load { return ds.loadTable.ownLoads() }
 
-// Heard takes what a peer has in flight; nil forgets the peer.
-func (ds *Dispatcher) Heard(peer string, loads map[string]placement.Load) {
-	ds.book.setPeer(peer, loads)
+// SetPeerLoads replaces the loads that a peer reported, by incarnation; nil removes the peer.
+func (ds *Dispatcher) SetPeerLoads(peer string, loads map[string]placement.Load) {
+	ds.loadTable.setPeer(peer, loads)
 }
 
 const (
-	// waitStep is how often a request without room looks again when nothing wakes it: a few passes of an engine.
-	waitStep = 20 * time.Millisecond
-	// waitShare is the share of the objective for which a request waits for room before it is refused.
-	waitShare = 0.8
-	// comeBack is when a caller should come back after a refusal for lack of room: a few passes of an engine.
-	comeBack = 300 * time.Millisecond
+	// pollInterval is how often a waiting request retries if nothing wakes it earlier: a few passes of an engine.
+	pollInterval = 20 * time.Millisecond
+	// maxRoomWaitShare is how long a request waits for room before it is refused, as a share of its objective.
+	maxRoomWaitShare = 0.8
+	// roomRetryAfter is when a caller should retry after a refusal for lack of room: a few passes of an engine.
+	roomRetryAfter = 300 * time.Millisecond
 )
 
-// Acquire chooses a target and books the request there. A short prompt without room waits for a part of its objective, a
-// longer one for as long as it can still be answered.
-// Release must be called on the slot.
-func (ds *Dispatcher) Acquire(ctx context.Context, as Ask) (*Slot, error) {
-	patience := as.soon()
-	if as.long() || as.Resumed {
-		patience = as.Deadline
+// Acquire chooses a target and books the request's load there. If there is no room, a short prompt waits for part of its
+// objective, and a longer one for as long as it can still be answered. The caller must release the slot.
+func (ds *Dispatcher) Acquire(ctx context.Context, rq Request) (*Slot, error) {
+	deadline := rq.roomWaitDeadline()
+	if rq.isLong() || rq.Resumed {
+		deadline = rq.Deadline
 	}
-	as.probe = as.probes()
-	ds.arrive(as)
+	rq.mayProbe = rq.canProbe()
+	ds.recordArrival(rq)
 	for {
-		woken := ds.book.woken()
-		if as.Allowed != nil {
-			if err := as.Allowed(); err != nil {
+		roomFreedChan := ds.loadTable.roomFreedChan()
+		if rq.Authorise != nil {
+			if err := rq.Authorise(); err != nil {
 				return nil, err
 			}
 		}
-		sl, ok, err := ds.try(ctx, as)
+		sl, ok, err := ds.tryOnce(ctx, rq)
 		var ne *noPermitError
 		if errors.As(err, &ne) {
-			as.refusals++
+			rq.permitRefusals++
 			continue
 		}
 		if err != nil {
@@ -143,123 +146,127 @@
 			ds.targets.Chosen(sl.Target.ID)
 			return sl, nil
 		}
-		as, ok, err = ds.turn(ctx, as)
+		rq, ok, err = ds.waitForReopening(ctx, rq)
 		if err != nil {
 			return nil, err
 		}
 		if ok {
 			continue
 		}
-		// A probe goes out at once or not at all.
-		as.Caution = max(as.Caution, targets.Proven)
-		if ds.opts.Now().After(patience) {
-			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(comeBack)
+		// A request probes an availability zone on its first try or not at all.
+		rq.Caution = max(rq.Caution, targets.Proven)
+		if ds.opts.Now().After(deadline) {
+			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(roomRetryAfter)
 		}
-		ds.pause(ctx, as, woken)
+		ds.waitForRoom(ctx, rq, roomFreedChan)
 		if ctx.Err() != nil {
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// soon is until when a request waits whose answer would else be late.
-func (as Ask) soon() time.Time {
-	return as.Arrived.Add(time.Duration(waitShare * float64(as.Objective)))
+// roomWaitDeadline is the time after which a request no longer waits, since its answer would be late.
+func (rq Request) roomWaitDeadline() time.Time {
+	return rq.Arrived.Add(time.Duration(maxRoomWaitShare * float64(rq.Objective)))
 }
 
-// patience is until when a request waits for a target that takes requests again. One whose caller reads already goes on as long as it can.
-func (as Ask) patience() time.Time {
-	if as.Resumed {
-		return as.Deadline
+// backOffWaitDeadline is the time until which a request waits for a closed target to reopen. A resumed request waits until
+// its deadline, because its caller is already reading the answer.
+func (rq Request) backOffWaitDeadline() time.Time {
+	if rq.Resumed {
+		return rq.Deadline
 	}
-	return as.soon()
+	return rq.roomWaitDeadline()
 }
 
-// arrive notes a prompt that arrives.
-func (ds *Dispatcher) arrive(as Ask) {
-	if as.Service.Engine == nil || as.PromptTokens == 0 || as.Resumed {
+// recordArrival adds a prompt to the arrival statistics.
+func (ds *Dispatcher) recordArrival(rq Request) {
+	if rq.Service.Engine == nil || rq.PromptTokens == 0 || rq.Resumed {
 		return
 	}
-	pr := ds.prompt(as)
-	ds.book.mu.Lock()
-	ds.arriving.observe(pr, !as.long())
-	ds.book.mu.Unlock()
+	pr := ds.newPrompt(rq)
+	ds.loadTable.mu.Lock()
+	ds.arrivals.observe(pr, !rq.isLong())
+	ds.loadTable.mu.Unlock()
 }
 
-// pause waits until it is time to look for room again. Long prompts of several instances wait for the same room: they
-// look at different moments, the pressed ones more often, so that the first is known to the others before they look.
-func (ds *Dispatcher) pause(ctx context.Context, as Ask, woken <-chan struct{}) {
-	step := waitStep
-	if as.long() {
-		woken = nil
-		left := as.Objective - ds.opts.Now().Sub(as.Arrived)
-		step = time.Duration((minSpread + fraction(as.Request, ds.opts.Now().String())) * float64(min(spreadMost, max(waitStep, left/spreadShare))))
+// waitForRoom waits until it is time to look for room again. Long prompts on several instances wait for the same room. They
+// poll at random moments, more often the less time is left, so that peers know of the first choice before they look
+// themselves.
+func (ds *Dispatcher) waitForRoom(ctx context.Context, rq Request, roomFreedChan <-chan struct{}) {
+	interval := pollInterval
+	if rq.isLong() {
+		roomFreedChan = nil
+		timeLeft := rq.Objective - ds.opts.Now().Sub(rq.Arrived)
+		interval = time.Duration((minPollShare + hashFraction(rq.ID, ds.opts.Now().String())) * float64(min(maxPollSpread, max(pollInterval, timeLeft/pollsInTimeLeft))))
 	}
-	timer := time.NewTimer(step)
+	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
-	case <-woken:
+	case <-roomFreedChan:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
 const (
-	// spreadMost is the longest time over which the next looks of long prompts are spread: ten times what it takes
-	// until peers know of a choice.
-	spreadMost = 60 * time.Millisecond
-	// spreadShare is how many looks fit into the time that is left.
-	spreadShare = 20
-	// minSpread keeps two looks apart.
-	minSpread = 0.1
+	// maxPollSpread is the longest interval over which the next polls of long prompts are spread: ten times the time until
+	// peers know of a choice.
+	maxPollSpread = 60 * time.Millisecond
+	// pollsInTimeLeft is the number of polls that fit into the time left until the objective.
+	pollsInTimeLeft = 20
+	// minPollShare is the least distance of two polls, as a share of the poll interval.
+	minPollShare = 0.1
 )
 
-// try makes one choice. It reports false when there is no room now.
-func (ds *Dispatcher) try(ctx context.Context, as Ask) (*Slot, bool, error) {
-	tgs := ds.usable(as)
+// tryOnce tries once to choose a target. It reports false if there is no room now.
+func (ds *Dispatcher) tryOnce(ctx context.Context, rq Request) (*Slot, bool, error) {
+	tgs := ds.usable(rq)
 	if len(tgs) == 0 {
 		return nil, false, failure.New(failure.NoTarget, failure.NotRun, "no target of the service takes work").
-			WithRetryAfter(ds.ReturnAfter(as.Service.Name))
+			WithRetryAfter(ds.RetryAfter(rq.Service.Name))
 	}
-	if as.Service.Engine != nil && as.PromptTokens > 0 {
-		return ds.place(ctx, as, tgs)
+	if rq.Service.Engine != nil && rq.PromptTokens > 0 {
+		return ds.place(ctx, rq, tgs)
 	}
-	sl := ds.leastBusy(as, tgs)
+	sl := ds.chooseLeastBusy(rq, tgs)
 	if sl == nil {
 		return nil, false, nil
 	}
-	if err := ds.permit(ctx, as, sl); err != nil {
+	if err := ds.obtainPermit(ctx, rq, sl); err != nil {
 		return nil, false, err
 	}
 	return sl, true, nil
 }
 
-// usable returns the service's targets without those to avoid.
-func (ds *Dispatcher) usable(as Ask) []targets.Target {
-	left := ds.allowed(as, as.caution())
-	if len(left) == 0 {
-		left = ds.allowed(as, targets.Proven)
+// usable returns the usable targets of the service that the request does not exclude. If none match the request's caution,
+// it returns all that are proven.
+func (ds *Dispatcher) usable(rq Request) []targets.Target {
+	kept := ds.usableNotExcluded(rq, rq.effectiveCaution())
+	if len(kept) == 0 {
+		kept = ds.usableNotExcluded(rq, targets.Proven)
 	}
-	return left
+	return kept
 }
 
-func (ds *Dispatcher) allowed(as Ask, ca targets.Caution) []targets.Target {
-	all := ds.targets.Usable(as.Service.Name, ca)
-	left := make([]targets.Target, 0, len(all))
+func (ds *Dispatcher) usableNotExcluded(rq Request, ca targets.Caution) []targets.Target {
+	all := ds.targets.Usable(rq.Service.Name, ca)
+	kept := make([]targets.Target, 0, len(all))
 	for _, tg := range all {
-		if !contains(as.Avoid, tg.ID) {
-			left = append(left, tg)
+		if !contains(rq.Exclude, tg.ID) {
+			kept = append(kept, tg)
 		}
 	}
-	return left
+	return kept
 }
 
-// caution is the request's own, but for longer prompts: one that takes several targets is no probe.
-func (as Ask) caution() targets.Caution {
-	if as.long() {
-		return max(as.Caution, targets.Proven)
+// effectiveCaution raises the caution of long prompts: a request that involves several targets must not probe an
+// availability zone.
+func (rq Request) effectiveCaution() targets.Caution {
+	if rq.isLong() {
+		return max(rq.Caution, targets.Proven)
 	}
-	return as.Caution
+	return rq.Caution
 }
 
 func contains(ids []string, id string) bool {
@@ -271,20 +278,21 @@
 	return false
 }
 
-// leastBusy chooses the target of a plain service with the fewest requests in flight, near ones first. It returns nil when all are closed.
-func (ds *Dispatcher) leastBusy(as Ask, tgs []targets.Target) *Slot {
-	ds.book.mu.Lock()
-	defer ds.book.mu.Unlock()
+// chooseLeastBusy chooses the target of a plain service with the lowest utilisation, preferring the local availability zone.
+// It returns nil if all targets are closed.
+func (ds *Dispatcher) chooseLeastBusy(rq Request, tgs []targets.Target) *Slot {
+	ds.loadTable.mu.Lock()
+	defer ds.loadTable.mu.Unlock()
 	best, bestCost := -1, 0.0
 	for i, tg := range tgs {
-		if _, _, closed := ds.closed(as, tg.ID); closed {
+		if _, _, closed := ds.closed(rq, tg.ID); closed {
 			continue
 		}
-		cost := float64(ds.book.total(tg.ID).Decoding) / float64(max(1, tg.Slots))
+		cost := float64(ds.loadTable.total(tg.ID).Decoding) / float64(max(1, tg.Slots))
 		if tg.AvailabilityZone != ds.opts.AvailabilityZone {
-			cost += farCost
+			cost += otherZoneCost
 		}
-		cost += tieCost * fraction(as.Request, ds.opts.Instance, tg.ID)
+		cost += tieBreakCost * hashFraction(rq.ID, ds.opts.Instance, tg.ID)
 		if best < 0 || cost < bestCost {
 			best, bestCost = i, cost
 		}
@@ -292,26 +300,26 @@
 	if best < 0 {
 		return nil
 	}
-	sl := &Slot{ds: ds, Target: tgs[best], Candidates: len(tgs), At: ds.opts.Now(), Priority: -1}
-	sl.book(tgs[best].ID, placement.Load{Decoding: 1})
-	ds.tried(tgs[best].ID)
+	sl := &Slot{ds: ds, Target: tgs[best], CandidateCount: len(tgs), ChosenAt: ds.opts.Now(), Priority: -1}
+	sl.addStageLoad(tgs[best].ID, placement.Load{Decoding: 1})
+	ds.recordChosen(tgs[best].ID)
 	return sl
 }
 
 const (
-	// farCost is what another availability zone counts, in shares of a target's slots: one more request at the near
-	// target outweighs it.
-	farCost = 0.1
-	// tieCost spreads equal targets and stays below one request.
-	tieCost = 0.05
+	// otherZoneCost is the penalty for a target in another availability zone, as a share of its slots. One more request at
+	// the local target outweighs it.
+	otherZoneCost = 0.1
+	// tieBreakCost spreads requests over equal targets. It is below the cost of one request.
+	tieBreakCost = 0.05
 )
 
-// fraction is a number in [0, 1) that differs by request, instance and target.
-func fraction(parts ...string) float64 {
+// hashFraction returns a pseudo-random number in [0, 1) that depends on the given parts only.
+func hashFraction(parts ...string) float64 {
 	var h xxhash.Digest
 	h.Reset()
 	for _, p := range parts {
-		// A hash takes every write.
+		// Digest.WriteString never returns an error.
 		_, _ = h.WriteString(p)
 	}
 	return float64(h.Sum64()>>11) / (1 << 53)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -32,69 +32,69 @@
 	deadline  = 30 * time.Second
 )
 
-// orders counts what targets were asked for.
-type orders struct {
+// fakeReservations stands in for the memory reservations of all targets, and counts the calls by address.
+type fakeReservations struct {
 	mu                 sync.Mutex
 	reserved, released map[string]int
-	// refuse says which addresses have no room, silent which give no answer.
-	refuse, silent map[string]bool
-	// asked counts all orders for memory.
-	asked int
+	// refusing holds the addresses that refuse reservations, silent those that do not answer.
+	refusing, silent map[string]bool
+	// requested counts all requests for a reservation.
+	requested int
 }
 
-// travel is how long an order and its answer take.
-const travel = time.Millisecond
+// roundTripTime is how long a call and its answer take.
+const roundTripTime = time.Millisecond
 
-func (od *orders) reserve(_ context.Context, address, _ string, _ int64, _ time.Duration, _ func(answer.Head)) error {
-	time.Sleep(travel)
-	od.mu.Lock()
-	defer od.mu.Unlock()
-	od.asked++
-	if od.refuse[address] {
+func (fr *fakeReservations) reserve(_ context.Context, address, _ string, _ int64, _ time.Duration, _ func(answer.Head)) error {
+	time.Sleep(roundTripTime)
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	fr.requested++
+	if fr.refusing[address] {
 		return &reservation.RefusedError{Address: address}
 	}
-	if od.silent[address] {
+	if fr.silent[address] {
 		return context.DeadlineExceeded
 	}
-	od.reserved[address]++
+	fr.reserved[address]++
 	return nil
 }
 
-func (od *orders) release(_ context.Context, address, _ string, _ func(answer.Head)) error {
-	od.mu.Lock()
-	defer od.mu.Unlock()
-	od.released[address]++
+func (fr *fakeReservations) release(_ context.Context, address, _ string, _ func(answer.Head)) error {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	fr.released[address]++
 	return nil
 }
 
-// sums returns how many targets were asked for memory, and how many to take it back.
-func (od *orders) sums() (reserved, released int) {
-	od.mu.Lock()
-	defer od.mu.Unlock()
-	return len(od.reserved), len(od.released)
+// targetCounts returns how many targets were asked to reserve memory, and how many to release it.
+func (fr *fakeReservations) targetCounts() (reserved, released int) {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	return len(fr.reserved), len(fr.released)
 }
 
-// bench is a dispatcher with targets.
-type bench struct {
+// harness is a dispatcher with its targets.
+type harness struct {
 	*WithT
 	*dispatch.Dispatcher
-	t         *testing.T
-	directory *targets.Directory
-	orders    *orders
+	t            *testing.T
+	directory    *targets.Directory
+	reservations *fakeReservations
 }
 
-// settle is longer than what a release does in the background.
-const settle = time.Minute
+// settleTime is longer than any background work after a release.
+const settleTime = time.Minute
 
-func newBench(t *testing.T, count int, opts ...func(*dispatch.Options)) *bench {
-	be := &bench{
+func newHarness(t *testing.T, count int, opts ...func(*dispatch.Options)) *harness {
+	hs := &harness{
 		WithT: NewWithT(t), t: t, directory: targets.New(time.Now),
-		orders: &orders{reserved: map[string]int{}, released: map[string]int{}, refuse: map[string]bool{}, silent: map[string]bool{}},
+		reservations: &fakeReservations{reserved: map[string]int{}, released: map[string]int{}, refusing: map[string]bool{}, silent: map[string]bool{}},
 	}
 	var ids atomic.Int64
 	kp := &reservation.Manager{
 		Timeout: 400 * time.Millisecond, LeaseDuration: 3 * time.Second,
-		Reserve: be.orders.reserve, Release: be.orders.release,
+		Reserve: hs.reservations.reserve, Release: hs.reservations.release,
 		NewID: func() string { return strconv.FormatInt(ids.Add(1), 10) },
 		Log:   &log.Logger{Handler: discard.New(), Level: log.DebugLevel},
 	}
@@ -102,320 +102,320 @@
 	for _, edit := range opts {
 		edit(&op)
 	}
-	be.Dispatcher = dispatch.New(be.directory, kp, op)
-	for no := range count {
-		be.put(no, zone, false)
+	hs.Dispatcher = dispatch.New(hs.directory, kp, op)
+	for i := range count {
+		hs.putTarget(i, zone, false)
 	}
-	return be
+	return hs
 }
 
-func id(no int) string { return "t" + strconv.Itoa(no) }
+func id(i int) string { return "t" + strconv.Itoa(i) }
 
-func (be *bench) put(no int, at string, leaving bool) {
+func (hs *harness) putTarget(i int, zone string, leaving bool) {
 	tg := targets.Target{
-		ID: id(no), Service: "s", Address: "10.0.0." + strconv.Itoa(no) + ":80", AvailabilityZone: at, Slots: slots, Leaving: leaving,
+		ID: id(i), Service: "s", Address: "10.0.0." + strconv.Itoa(i) + ":80", AvailabilityZone: zone, Slots: slots, Leaving: leaving,
 	}
-	be.directory.TakeChanges([]targets.Entry{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
+	hs.directory.TakeChanges([]targets.Entry{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
 }
 
-func bubble(t *testing.T, count int, run func(be *bench)) {
+func runInBubble(t *testing.T, count int, run func(hs *harness)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) { run(newBench(t, count)) })
+	synctest.Test(t, func(t *testing.T) { run(newHarness(t, count)) })
 }
 
-var asks atomic.Int64
+var requestIDs atomic.Int64
 
-func plain() dispatch.Ask {
-	no := asks.Add(1)
+func plainRequest() dispatch.Request {
+	i := requestIDs.Add(1)
 	now := time.Now()
-	return dispatch.Ask{
-		Request: strconv.FormatInt(no, 10), Service: routes.Service{Name: "s"}, Objective: objective,
+	return dispatch.Request{
+		ID: strconv.FormatInt(i, 10), Service: routes.Service{Name: "s"}, Objective: objective,
 		Arrived: now, Deadline: now.Add(deadline),
 	}
 }
 
-// prompt asks for room for that many tokens at a model engine.
-func prompt(tokens int) dispatch.Ask {
-	as := plain()
-	as.PromptTokens, as.MostAnswer, as.LongestPause = tokens, 100, time.Second
-	as.Service.Engine = &placement.Engine{
+// promptRequest returns a request to a model engine with a prompt of that many tokens.
+func promptRequest(tokens int) dispatch.Request {
+	rq := plainRequest()
+	rq.PromptTokens, rq.MaxAnswerTokens, rq.MaxPause = tokens, 100, time.Second
+	rq.Service.Engine = &placement.Engine{
 		Slots: slots, StepsPerPass: 4, ChunkTokens: 2048, MemoryTokens: memory, StepTime: time.Millisecond, StepTimePerRequest: 50 * time.Microsecond,
 		StepTimePerThousandContext: 5 * time.Microsecond, PrefillTimePerThousand: time.Millisecond, MeanPromptTokens: 1000, MeanAnswerTokens: 100,
 	}
-	return as
+	return rq
 }
 
-func (be *bench) take(as dispatch.Ask) *dispatch.Slot {
-	sl, err := be.Acquire(context.Background(), as)
-	be.Expect(err).NotTo(HaveOccurred())
-	be.t.Cleanup(func() {
+func (hs *harness) mustAcquire(rq dispatch.Request) *dispatch.Slot {
+	sl, err := hs.Acquire(context.Background(), rq)
+	hs.Expect(err).NotTo(HaveOccurred())
+	hs.t.Cleanup(func() {
 		sl.Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 	return sl
 }
 
-// send asks for a target in the background.
-func (be *bench) send(as dispatch.Ask) <-chan *dispatch.Slot {
+// acquireInBackground acquires a slot in a goroutine. The channel stays empty if the request fails.
+func (hs *harness) acquireInBackground(rq dispatch.Request) <-chan *dispatch.Slot {
 	got := make(chan *dispatch.Slot, 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	be.t.Cleanup(func() {
+	hs.t.Cleanup(func() {
 		cancel()
 		synctest.Wait()
 		select {
 		case sl := <-got:
 			sl.Release()
 		default:
-			// The test has taken it, or nothing came.
+			// The test received the slot, or there was none.
 		}
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 	go func() {
-		sl, err := be.Acquire(ctx, as)
+		sl, err := hs.Acquire(ctx, rq)
 		if err != nil {
-			return // the test sees that nothing came
+			return // the test finds the channel empty
 		}
 		got <- sl
 	}()
 	return got
 }
 
-// refused returns the failure of a request that gets no target.
-func (be *bench) refused(as dispatch.Ask) *failure.Error {
-	_, err := be.Acquire(context.Background(), as)
+// mustBeRefused returns the failure of a request that must get no target.
+func (hs *harness) mustBeRefused(rq dispatch.Request) *failure.Error {
+	_, err := hs.Acquire(context.Background(), rq)
 	var fe *failure.Error
-	be.Expect(errors.As(err, &fe)).To(BeTrue())
+	hs.Expect(errors.As(err, &fe)).To(BeTrue())
 	return fe
 }
 
-func TestLeastBusyPlainTarget(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
+func TestPlainRequestsSpreadEvenlyOverTargets(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
 		var sls []*dispatch.Slot
 		for range 3 * 4 {
-			sls = append(sls, be.take(plain()))
+			sls = append(sls, hs.mustAcquire(plainRequest()))
 		}
-		for no := range 3 {
-			be.Expect(be.Own()[id(no)].Decoding).To(Equal(4))
+		for i := range 3 {
+			hs.Expect(hs.OwnLoads()[id(i)].Decoding).To(Equal(4))
 		}
 		for _, sl := range sls {
 			sl.Release()
 		}
-		be.Expect(be.Own()).To(BeEmpty())
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-func TestWhichPlainTarget(t *testing.T) {
+func TestPlainRequestTargetChoice(t *testing.T) {
 	cases := map[string]struct {
-		prepare func(be *bench)
-		avoid   []string
+		prepare func(hs *harness)
+		exclude []string
 		want    string
 	}{
-		"the near one": {func(be *bench) { be.put(1, "z2", false) }, nil, id(0)},
-		"the far one when the near one is busy": {func(be *bench) {
-			be.put(1, "z2", false)
-			be.take(plain())
+		"local target": {func(hs *harness) { hs.putTarget(1, "z2", false) }, nil, id(0)},
+		"other zone if the local target is busy": {func(hs *harness) {
+			hs.putTarget(1, "z2", false)
+			hs.mustAcquire(plainRequest())
 		}, nil, id(1)},
-		"the one that a peer does not use": {func(be *bench) {
-			be.Heard("peer", map[string]placement.Load{id(0): {Decoding: 3}})
+		"target not used by a peer": {func(hs *harness) {
+			hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {Decoding: 3}})
 		}, nil, id(1)},
-		"loads of several peers count": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Decoding: 2}, id(1): {Decoding: 3}})
-			be.Heard("p2", map[string]placement.Load{id(0): {Decoding: 2}})
+		"loads of several peers are summed": {func(hs *harness) {
+			hs.SetPeerLoads("p1", map[string]placement.Load{id(0): {Decoding: 2}, id(1): {Decoding: 3}})
+			hs.SetPeerLoads("p2", map[string]placement.Load{id(0): {Decoding: 2}})
 		}, nil, id(1)},
-		"a lost peer's load does not": {func(be *bench) {
-			be.Heard("p1", map[string]placement.Load{id(0): {Decoding: 9}})
-			be.Heard("p2", map[string]placement.Load{id(1): {Decoding: 1}})
-			be.Heard("p1", nil)
+		"load of a lost peer is dropped": {func(hs *harness) {
+			hs.SetPeerLoads("p1", map[string]placement.Load{id(0): {Decoding: 9}})
+			hs.SetPeerLoads("p2", map[string]placement.Load{id(1): {Decoding: 1}})
+			hs.SetPeerLoads("p1", nil)
 		}, nil, id(0)},
-		"not the leaving one":    {func(be *bench) { be.put(0, zone, true) }, nil, id(1)},
-		"not the one to avoid":   {func(*bench) {}, []string{id(0)}, id(1)},
-		"not the one told gone":  {func(be *bench) { be.directory.MarkLeaving(id(1)) }, nil, id(0)},
-		"not the one unreached":  {func(be *bench) { be.directory.Unreachable(id(0)) }, nil, id(1)},
-		"not the one that fails": {func(be *bench) { failing(be, id(1)) }, nil, id(0)},
+		"leaving target is excluded":           {func(hs *harness) { hs.putTarget(0, zone, true) }, nil, id(1)},
+		"target excluded by the request":       {func(*harness) {}, []string{id(0)}, id(1)},
+		"target marked as leaving is excluded": {func(hs *harness) { hs.directory.MarkLeaving(id(1)) }, nil, id(0)},
+		"unreachable target is excluded":       {func(hs *harness) { hs.directory.Unreachable(id(0)) }, nil, id(1)},
+		"failing target is excluded":           {func(hs *harness) { markFailing(hs, id(1)) }, nil, id(0)},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 2, func(be *bench) {
-				tc.prepare(be)
-				as := plain()
-				as.Avoid = tc.avoid
-				be.Expect(be.take(as).Target.ID).To(Equal(tc.want))
+			runInBubble(t, 2, func(hs *harness) {
+				tc.prepare(hs)
+				rq := plainRequest()
+				rq.Exclude = tc.exclude
+				hs.Expect(hs.mustAcquire(rq).Target.ID).To(Equal(tc.want))
 			})
 		})
 	}
 }
 
-func failing(be *bench, which string) {
+func markFailing(hs *harness, target string) {
 	for range 3 {
-		be.directory.Failure(which)
+		hs.directory.Failure(target)
 	}
 }
 
-func TestNoTargetIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutUsableTargetIsRefusedAtOnce(t *testing.T) {
 	cases := map[string]struct {
-		count int
-		avoid []string
+		count   int
+		exclude []string
 	}{
-		"none listed":  {0, nil},
-		"all to avoid": {1, []string{id(0)}},
+		"none listed":                 {0, nil},
+		"all excluded by the request": {1, []string{id(0)}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, tc.count, func(be *bench) {
-				as := plain()
-				as.Avoid = tc.avoid
+			runInBubble(t, tc.count, func(hs *harness) {
+				rq := plainRequest()
+				rq.Exclude = tc.exclude
 				began := time.Now()
-				fe := be.refused(as)
-				be.Expect(fe.Code).To(Equal(failure.NoTarget))
-				be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-				be.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
-				be.Expect(time.Since(began)).To(BeZero())
+				fe := hs.mustBeRefused(rq)
+				hs.Expect(fe.Code).To(Equal(failure.NoTarget))
+				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+				hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
+				hs.Expect(time.Since(began)).To(BeZero())
 			})
 		})
 	}
 }
 
-// TestTwoRequestsDoNotSeeTheSameRoom sends prompts at once to as many idle targets.
-func TestTwoRequestsDoNotSeeTheSameRoom(t *testing.T) {
+// TestConcurrentPromptsAreNotBookedIntoTheSameRoom sends as many prompts at the same time as there are idle targets.
+func TestConcurrentPromptsAreNotBookedIntoTheSameRoom(t *testing.T) {
 	const count = 3
-	bubble(t, count, func(be *bench) {
+	runInBubble(t, count, func(hs *harness) {
 		var all []<-chan *dispatch.Slot
 		for range count {
-			all = append(all, be.send(prompt(8000)))
+			all = append(all, hs.acquireInBackground(promptRequest(8000)))
 		}
 		synctest.Wait()
 		var sls []*dispatch.Slot
 		for _, got := range all {
-			be.Expect(got).To(HaveLen(1))
+			hs.Expect(got).To(HaveLen(1))
 			sls = append(sls, <-got)
 		}
-		for no := range count {
-			be.Expect(be.Own()[id(no)].Prefilling).To(Equal(1))
-			be.Expect(be.Own()[id(no)].MemoryTokens).To(BeNumerically("<=", memory))
+		for i := range count {
+			hs.Expect(hs.OwnLoads()[id(i)].Prefilling).To(Equal(1))
+			hs.Expect(hs.OwnLoads()[id(i)].MemoryTokens).To(BeNumerically("<=", memory))
 		}
 		for _, sl := range sls {
 			sl.Release()
 		}
-		be.Expect(be.Own()).To(BeEmpty())
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-func TestPeersLoadsCountForPrompts(t *testing.T) {
-	bubble(t, 2, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
+func TestPeerLoadsAffectPromptPlacement(t *testing.T) {
+	runInBubble(t, 2, func(hs *harness) {
+		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
 		for range 5 {
-			sl := be.take(prompt(4000))
-			be.Expect(sl.Target.ID).To(Equal(id(1)))
+			sl := hs.mustAcquire(promptRequest(4000))
+			hs.Expect(sl.Target.ID).To(Equal(id(1)))
 			sl.Release()
 		}
-		be.Heard("peer", map[string]placement.Load{id(1): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
-		be.Expect(be.take(prompt(4000)).Target.ID).To(Equal(id(0)))
+		hs.SetPeerLoads("peer", map[string]placement.Load{id(1): {MemoryTokens: 9000, Decoding: 1, ContextTokens: 9000}})
+		hs.Expect(hs.mustAcquire(promptRequest(4000)).Target.ID).To(Equal(id(0)))
 	})
 }
 
-func TestPeerWakesARequestThatWaits(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		be.Heard("peer", map[string]placement.Load{id(0): {MemoryTokens: memory}, id(1): {MemoryTokens: memory}})
-		got := be.send(prompt(largest))
+func TestPeerUpdateWakesWaitingRequest(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		hs.SetPeerLoads("peer", map[string]placement.Load{id(0): {MemoryTokens: memory}, id(1): {MemoryTokens: memory}})
+		got := hs.acquireInBackground(promptRequest(largePromptTokens))
 		time.Sleep(objective / 2)
 		synctest.Wait()
-		be.Expect(got).To(BeEmpty())
-		be.Heard("peer", map[string]placement.Load{})
-		time.Sleep(2 * travel)
+		hs.Expect(got).To(BeEmpty())
+		hs.SetPeerLoads("peer", map[string]placement.Load{})
+		time.Sleep(2 * roundTripTime)
 		synctest.Wait()
-		be.Expect(got).To(HaveLen(1))
+		hs.Expect(got).To(HaveLen(1))
 		(<-got).Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 }
 
-func TestRequestWithoutRoomIsRefusedInTime(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		be.take(prompt(largest))
+func TestRequestWithoutRoomIsRefusedWithinItsObjective(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		hs.mustAcquire(promptRequest(largePromptTokens))
 		began := time.Now()
-		fe := be.refused(prompt(largest))
-		be.Expect(fe.Code).To(Equal(failure.Overloaded))
-		be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-		be.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
-		be.Expect(time.Since(began)).To(BeNumerically("<=", objective))
-		be.Expect(time.Since(began)).To(BeNumerically(">", 0))
+		fe := hs.mustBeRefused(promptRequest(largePromptTokens))
+		hs.Expect(fe.Code).To(Equal(failure.Overloaded))
+		hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+		hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
+		hs.Expect(time.Since(began)).To(BeNumerically("<=", objective))
+		hs.Expect(time.Since(began)).To(BeNumerically(">", 0))
 	})
 }
 
-func TestWaitEndsWithItsContext(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		be.take(prompt(largest))
+func TestWaitEndsWhenContextIsDone(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		hs.mustAcquire(promptRequest(largePromptTokens))
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		began := time.Now()
-		_, err := be.Acquire(ctx, prompt(largest))
-		be.Expect(err).To(MatchError(context.DeadlineExceeded))
-		be.Expect(time.Since(began)).To(Equal(100 * time.Millisecond))
+		_, err := hs.Acquire(ctx, promptRequest(largePromptTokens))
+		hs.Expect(err).To(MatchError(context.DeadlineExceeded))
+		hs.Expect(time.Since(began)).To(Equal(100 * time.Millisecond))
 	})
 }
 
-func TestReleaseTwiceChangesNothing(t *testing.T) {
-	bubble(t, 1, func(be *bench) {
-		other := be.take(prompt(1000))
-		sl := be.take(prompt(1000))
-		sl.FirstToken()
-		sl.FirstToken()
+func TestReleaseIsIdempotent(t *testing.T) {
+	runInBubble(t, 1, func(hs *harness) {
+		other := hs.mustAcquire(promptRequest(1000))
+		sl := hs.mustAcquire(promptRequest(1000))
+		sl.RecordFirstToken()
+		sl.RecordFirstToken()
 		sl.Release()
-		before := be.Own()
+		before := hs.OwnLoads()
 		sl.Release()
-		be.Expect(be.Own()).To(Equal(before))
+		hs.Expect(hs.OwnLoads()).To(Equal(before))
 		other.Release()
-		be.Expect(be.Own()).To(BeEmpty())
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-// TestOneProbeForAnAvailabilityZone cuts an availability zone off and lets the pause pass.
-func TestOneProbeForAnAvailabilityZone(t *testing.T) {
-	long := func() dispatch.Ask { return prompt(20_000) }
-	proven := func() dispatch.Ask {
-		as := prompt(1000)
-		as.Caution = targets.Proven
-		return as
+// TestOneProbeIsSentToUnreachableAvailabilityZone makes an availability zone unreachable and waits until it may be probed.
+func TestOneProbeIsSentToUnreachableAvailabilityZone(t *testing.T) {
+	long := func() dispatch.Request { return promptRequest(20_000) }
+	proven := func() dispatch.Request {
+		rq := promptRequest(1000)
+		rq.Caution = targets.Proven
+		return rq
 	}
-	short := func() dispatch.Ask { return prompt(1000) }
-	avoiding := func() dispatch.Ask {
-		as := prompt(1000)
-		as.Avoid = []string{id(0), id(1)}
-		return as
+	short := func() dispatch.Request { return promptRequest(1000) }
+	excluding := func() dispatch.Request {
+		rq := promptRequest(1000)
+		rq.Exclude = []string{id(0), id(1)}
+		return rq
 	}
 	cases := map[string]struct {
-		// others is how many targets there are elsewhere.
-		others int
-		asks   []func() dispatch.Ask
-		// there is how many of them get a target of that availability zone.
-		there int
+		// others is the number of targets in another availability zone.
+		others      int
+		newRequests []func() dispatch.Request
+		// inZone is how many of the requests are sent to the unreachable availability zone.
+		inZone int
 	}{
-		"a short prompt is the probe, and no other beside it":         {1, []func() dispatch.Ask{short, short, short}, 1},
-		"a plain request is one":                                      {1, []func() dispatch.Ask{plain, plain}, 1},
-		"a long prompt is none":                                       {4, []func() dispatch.Ask{long}, 0},
-		"nor a request that must be sure":                             {1, []func() dispatch.Ask{proven, proven}, 0},
-		"a probe that must not go there goes elsewhere":               {1, []func() dispatch.Ask{avoiding}, 0},
-		"those that are no probes do not keep another from being one": {2, []func() dispatch.Ask{proven, proven, short}, 1},
+		"one of several short prompts probes":                        {1, []func() dispatch.Request{short, short, short}, 1},
+		"one of several plain requests probes":                       {1, []func() dispatch.Request{plainRequest, plainRequest}, 1},
+		"long prompt does not probe":                                 {4, []func() dispatch.Request{long}, 0},
+		"request that requires proven targets does not probe":        {1, []func() dispatch.Request{proven, proven}, 0},
+		"request that excludes the zone's targets is sent elsewhere": {1, []func() dispatch.Request{excluding}, 0},
+		"requests that do not probe leave the probe to a later one":  {2, []func() dispatch.Request{proven, proven, short}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 0, func(be *bench) {
-				be.put(0, "far", false)
-				be.put(1, "far", false)
-				for no := range tc.others {
-					be.put(2+no, "farther", false)
+			runInBubble(t, 0, func(hs *harness) {
+				hs.putTarget(0, "far", false)
+				hs.putTarget(1, "far", false)
+				for i := range tc.others {
+					hs.putTarget(2+i, "farther", false)
 				}
-				for no := range 2 {
-					be.directory.Unreachable(id(no))
+				for i := range 2 {
+					hs.directory.Unreachable(id(i))
 				}
 				time.Sleep(time.Second)
-				there := 0
-				for _, ask := range tc.asks {
-					if be.take(ask()).Target.AvailabilityZone == "far" {
-						there++
+				inZone := 0
+				for _, newRequest := range tc.newRequests {
+					if hs.mustAcquire(newRequest()).Target.AvailabilityZone == "far" {
+						inZone++
 					}
 				}
-				be.Expect(there).To(Equal(tc.there))
+				hs.Expect(inZone).To(Equal(tc.inZone))
 			})
 		})
 	}
--- /dev/null
+++ b/internal/dispatch/loads.go
@@ -0,0 +1,120 @@
+package dispatch
+
+import (
+	"maps"
+	"sync"
+	"time"
+
+	"github.com/silvermount/silvermount/internal/placement"
+)
+
+// loadTable holds the load in flight at each target, from this instance and as reported by peers.
+type loadTable struct {
+	mu sync.Mutex
+	// ownByTarget is the load of this instance by incarnation. It holds no empty loads.
+	ownByTarget map[string]placement.Load
+	// byPeer holds the latest loads that each peer reported, by incarnation.
+	byPeer map[string]map[string]placement.Load
+	// peerTotals is the sum of the loads in byPeer by incarnation, without empty loads. It is maintained so that choosing
+	// among 150 targets does not sum the reports of 294 peers.
+	peerTotals map[string]placement.Load
+	// fullUntil is the time until which an incarnation that refused memory counts as full; after it, its predicted load
+	// counts again.
+	fullUntil map[string]time.Time
+	// backOffLoads holds the incarnations whose back-off from this instance is published to peers as load.
+	backOffLoads map[string]struct{}
+	// roomFreed is closed and replaced whenever room may have become free.
+	roomFreed chan struct{}
+}
+
+func newLoadTable() *loadTable {
+	return &loadTable{
+		ownByTarget: map[string]placement.Load{}, byPeer: map[string]map[string]placement.Load{}, peerTotals: map[string]placement.Load{},
+		fullUntil: map[string]time.Time{}, backOffLoads: map[string]struct{}{}, roomFreed: make(chan struct{}),
+	}
+}
+
+// add adds to this instance's load at a target. The caller holds the lock.
+func (lt *loadTable) add(id string, lo placement.Load) {
+	lt.ownByTarget[id] = lt.ownByTarget[id].Plus(lo)
+}
+
+// remove takes a load away from this instance's load at a target. The caller holds the lock.
+func (lt *loadTable) remove(id string, lo placement.Load) {
+	subtract(lt.ownByTarget, id, lo)
+}
+
+// subtract takes a load away from one target's entry, and deletes the entry if nothing is left, since the maps hold no empty
+// loads.
+func subtract(loads map[string]placement.Load, id string, lo placement.Load) {
+	left := loads[id].Minus(lo)
+	if left == (placement.Load{}) {
+		delete(loads, id)
+		return
+	}
+	loads[id] = left
+}
+
+// total returns the load at a target from all instances. The caller holds the lock.
+func (lt *loadTable) total(id string) placement.Load {
+	return lt.ownByTarget[id].Plus(lt.peerTotals[id])
+}
+
+func (lt *loadTable) ownLoads() map[string]placement.Load {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	return maps.Clone(lt.ownByTarget)
+}
+
+func (lt *loadTable) setPeer(peer string, loads map[string]placement.Load) {
+	lt.mu.Lock()
+	lt.replacePeer(peer, loads)
+	lt.mu.Unlock()
+	lt.wakeWaiters()
+}
+
+// replacePeer replaces the loads reported by a peer; nil removes the peer. The caller holds the lock.
+func (lt *loadTable) replacePeer(peer string, loads map[string]placement.Load) {
+	for id, lo := range lt.byPeer[peer] {
+		subtract(lt.peerTotals, id, lo)
+	}
+	if loads == nil {
+		delete(lt.byPeer, peer)
+		return
+	}
+	lt.byPeer[peer] = loads
+	for id, lo := range loads {
+		lt.peerTotals[id] = lt.peerTotals[id].Plus(lo)
+	}
+}
+
+// markFull records that a target refused memory, and until when it counts as full.
+func (lt *loadTable) markFull(id string, until time.Time) {
+	lt.mu.Lock()
+	lt.fullUntil[id] = until
+	lt.mu.Unlock()
+}
+
+// isFull reports whether a target still counts as full after refusing memory. The caller holds the lock.
+func (lt *loadTable) isFull(id string, now time.Time) bool {
+	until, marked := lt.fullUntil[id]
+	if marked && now.After(until) {
+		delete(lt.fullUntil, id)
+		return false
+	}
+	return marked
+}
+
+// roomFreedChan returns a channel that is closed when room may have become free.
+func (lt *loadTable) roomFreedChan() <-chan struct{} {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	return lt.roomFreed
+}
+
+func (lt *loadTable) wakeWaiters() {
+	lt.mu.Lock()
+	defer lt.mu.Unlock()
+	close(lt.roomFreed)
+	lt.roomFreed = make(chan struct{})
+}
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -14,200 +14,201 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// largest needs more than half of the memory of three targets.
-const largest = 15_000
+// largePromptTokens is more than half of the memory of three targets.
+const largePromptTokens = 15_000
 
-// TestTwoLargePromptsDoNotSeeTheSameMemory lets the second one wait until the first gives its memory back.
-func TestTwoLargePromptsDoNotSeeTheSameMemory(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		first := be.take(prompt(largest))
-		second := be.send(prompt(largest))
+// TestLargePromptWaitsForMemoryOfAnother has the second of two large prompts wait until the first releases its memory.
+func TestLargePromptWaitsForMemoryOfAnother(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		first := hs.mustAcquire(promptRequest(largePromptTokens))
+		second := hs.acquireInBackground(promptRequest(largePromptTokens))
 		time.Sleep(objective / 2)
 		synctest.Wait()
-		be.Expect(second).To(BeEmpty(), "both got the same memory")
+		hs.Expect(second).To(BeEmpty(), "both prompts were given the same memory")
 		first.Release()
-		// Far less than the pause between two looks of a request that nothing wakes.
-		time.Sleep(2 * travel)
+		// This is far less than the poll interval of a waiting request that nothing wakes.
+		time.Sleep(2 * roundTripTime)
 		synctest.Wait()
-		be.Expect(second).To(HaveLen(1), "the release did not wake the request that waits")
+		hs.Expect(second).To(HaveLen(1), "the release did not wake the waiting request")
 		(<-second).Release()
-		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
+		time.Sleep(settleTime)
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-// TestALongPromptWaitsForMemory keeps a prompt that lacks memory only because another one holds it from being refused.
-func TestALongPromptWaitsForMemory(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		large := func() dispatch.Ask {
-			as := prompt(50_000)
-			as.Service.Engine.MemoryTokens = 30_000
-			return as
+// TestLongPromptWaitsForMemoryInsteadOfBeingRefused guards against refusing a long prompt that lacks memory only because
+// another prompt holds it.
+func TestLongPromptWaitsForMemoryInsteadOfBeingRefused(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		large := func() dispatch.Request {
+			rq := promptRequest(50_000)
+			rq.Service.Engine.MemoryTokens = 30_000
+			return rq
 		}
-		first := be.take(large())
-		first.FirstToken()
-		second := be.send(large())
+		first := hs.mustAcquire(large())
+		first.RecordFirstToken()
+		second := hs.acquireInBackground(large())
 		time.Sleep(objective / 2)
 		synctest.Wait()
-		be.Expect(second).To(BeEmpty(), "both got the same memory, or one was refused")
+		hs.Expect(second).To(BeEmpty(), "both prompts were given the same memory, or one was refused")
 		first.Release()
 		time.Sleep(objective / 2)
 		synctest.Wait()
-		be.Expect(second).To(HaveLen(1))
+		hs.Expect(second).To(HaveLen(1))
 		(<-second).Release()
-		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
+		time.Sleep(settleTime)
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-func TestLargePromptsNeverExceedTheMemory(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
+func TestLargePromptsNeverExceedMemory(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
 		var wg sync.WaitGroup
-		for no := range 20 {
+		for i := range 20 {
 			wg.Go(func() {
-				sl, err := be.Acquire(context.Background(), prompt(11_000+200*no))
+				sl, err := hs.Acquire(context.Background(), promptRequest(11_000+200*i))
 				if err != nil {
-					return // some are refused; what counts is that none is placed without memory
+					return // some are refused, but none may be placed without memory
 				}
 				defer sl.Release()
-				for at := range 3 {
-					if held := be.Own()[id(at)].MemoryTokens; held > memory {
-						be.t.Errorf("%d tokens are booked at %s", held, id(at))
+				for target := range 3 {
+					if held := hs.OwnLoads()[id(target)].MemoryTokens; held > memory {
+						hs.t.Errorf("%d tokens are booked at target %s", held, id(target))
 					}
 				}
 				time.Sleep(50 * time.Millisecond)
-				sl.FirstToken()
+				sl.RecordFirstToken()
 				time.Sleep(50 * time.Millisecond)
 			})
 		}
 		wg.Wait()
-		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
+		time.Sleep(settleTime)
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-func TestLargePromptTakesMemoryAtSeveral(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		sl := be.take(prompt(largest))
-		be.Expect(len(sl.Helpers)).To(BeNumerically(">=", 2))
-		be.Expect(sl.Helpers[0].ID).To(Equal(sl.Target.ID))
+func TestLargePromptReservesMemoryAtSeveralTargets(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		sl := hs.mustAcquire(promptRequest(largePromptTokens))
+		hs.Expect(len(sl.Helpers)).To(BeNumerically(">=", 2))
+		hs.Expect(sl.Helpers[0].ID).To(Equal(sl.Target.ID))
 		held := int64(0)
-		for no := range 3 {
-			be.Expect(be.Own()[id(no)].MemoryTokens).To(BeNumerically("<=", memory))
-			held += be.Own()[id(no)].MemoryTokens
+		for i := range 3 {
+			hs.Expect(hs.OwnLoads()[id(i)].MemoryTokens).To(BeNumerically("<=", memory))
+			held += hs.OwnLoads()[id(i)].MemoryTokens
 		}
-		be.Expect(held).To(BeNumerically(">=", 15_000))
-		sl.FirstToken()
+		hs.Expect(held).To(BeNumerically(">=", 15_000))
+		sl.RecordFirstToken()
 		sl.Release()
 		time.Sleep(time.Second)
-		reserved, released := be.orders.sums()
-		be.Expect(reserved).To(Equal(len(sl.Helpers)))
-		be.Expect(released).To(Equal(reserved))
-		be.Expect(be.Own()).To(BeEmpty())
+		reserved, released := hs.reservations.targetCounts()
+		hs.Expect(reserved).To(Equal(len(sl.Helpers)))
+		hs.Expect(released).To(Equal(reserved))
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
 	})
 }
 
-// TestLargePromptGoesAroundATargetThatRefuses leaves enough room at the others.
-func TestLargePromptGoesAroundATargetThatRefuses(t *testing.T) {
-	for no := range 3 {
-		t.Run(id(no), func(t *testing.T) {
-			bubble(t, 3, func(be *bench) {
-				be.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = true
-				sl := be.take(prompt(largest))
+// TestLargePromptAvoidsTargetThatRefusesReservation leaves enough memory at the other targets.
+func TestLargePromptAvoidsTargetThatRefusesReservation(t *testing.T) {
+	for i := range 3 {
+		t.Run(id(i), func(t *testing.T) {
+			runInBubble(t, 3, func(hs *harness) {
+				hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = true
+				sl := hs.mustAcquire(promptRequest(largePromptTokens))
 				for _, hp := range sl.Helpers {
-					be.Expect(hp.ID).NotTo(Equal(id(no)))
+					hs.Expect(hp.ID).NotTo(Equal(id(i)))
 				}
 				sl.Release()
-				time.Sleep(settle)
+				time.Sleep(settleTime)
 			})
 		})
 	}
 }
 
-func TestLargePromptGoesAroundATargetThatDoesNotAnswer(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		be.orders.silent["10.0.0.1:80"] = true
-		sl := be.take(prompt(largest))
-		be.Expect(sl.Helpers).NotTo(BeEmpty())
+func TestLargePromptAvoidsTargetThatDoesNotAnswerReservation(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		hs.reservations.silent["10.0.0.1:80"] = true
+		sl := hs.mustAcquire(promptRequest(largePromptTokens))
+		hs.Expect(sl.Helpers).NotTo(BeEmpty())
 		for _, hp := range sl.Helpers {
-			be.Expect(hp.ID).NotTo(Equal(id(1)))
+			hs.Expect(hp.ID).NotTo(Equal(id(1)))
 		}
 		sl.Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 }
 
-// TestHelperThatIsGoneIsNotChosenAgain has a target turn a prompt away for one of its helpers.
-func TestHelperThatIsGoneIsNotChosenAgain(t *testing.T) {
-	bubble(t, 6, func(be *bench) {
-		as := func() dispatch.Ask {
-			as := prompt(9000)
-			as.Service.Engine.PrefillTimePerThousand = 300 * time.Millisecond
-			return as
+// TestAbsentHelperIsNotChosenAgain has a target reject a prompt because one of its helpers is absent.
+func TestAbsentHelperIsNotChosenAgain(t *testing.T) {
+	runInBubble(t, 6, func(hs *harness) {
+		newRequest := func() dispatch.Request {
+			rq := promptRequest(9000)
+			rq.Service.Engine.PrefillTimePerThousand = 300 * time.Millisecond
+			return rq
 		}
-		sl := be.take(as())
-		be.Expect(sl.Helpers).NotTo(BeEmpty())
-		gone := sl.Helpers[0]
-		sl.Shed(gone.Address)
+		sl := hs.mustAcquire(newRequest())
+		hs.Expect(sl.Helpers).NotTo(BeEmpty())
+		absent := sl.Helpers[0]
+		sl.RecordShed(absent.Address)
 		sl.Release()
 		for range 4 {
-			next := be.take(as())
+			next := hs.mustAcquire(newRequest())
 			for _, hp := range next.Helpers {
-				be.Expect(hp.ID).NotTo(Equal(gone.ID))
+				hs.Expect(hp.ID).NotTo(Equal(absent.ID))
 			}
 			next.Release()
 		}
 	})
 }
 
-func TestRefusedLargePromptLeavesNothingBehind(t *testing.T) {
-	bubble(t, 3, func(be *bench) {
-		for no := range 3 {
-			be.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = no > 0
+func TestRefusedLargePromptReleasesItsReservations(t *testing.T) {
+	runInBubble(t, 3, func(hs *harness) {
+		for i := range 3 {
+			hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = i > 0
 		}
-		fe := be.refused(prompt(largest))
-		be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-		be.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
-		time.Sleep(settle)
-		be.Expect(be.Own()).To(BeEmpty())
-		be.orders.mu.Lock()
-		defer be.orders.mu.Unlock()
-		be.Expect(be.orders.released).To(Equal(be.orders.reserved))
+		fe := hs.mustBeRefused(promptRequest(largePromptTokens))
+		hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+		hs.Expect(fe.RetryAfter).To(BeNumerically(">", 0))
+		time.Sleep(settleTime)
+		hs.Expect(hs.OwnLoads()).To(BeEmpty())
+		hs.reservations.mu.Lock()
+		defer hs.reservations.mu.Unlock()
+		hs.Expect(hs.reservations.released).To(Equal(hs.reservations.reserved))
 	})
 }
 
-// TestRefusedMemoryIsNotAskedForWithoutAPause counts the orders of one request that waits, at three targets of which two
-// have no memory. Each order costs the targets work.
-func TestRefusedMemoryIsNotAskedForWithoutAPause(t *testing.T) {
-	const step = 20 * time.Millisecond
-	bubble(t, 3, func(be *bench) {
-		for no := range 3 {
-			be.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = no > 0
+// TestRefusedReservationsAreNotRetriedWithoutDelay counts the reservations of one waiting request, at three targets of which
+// two refuse. Each reservation costs the targets work.
+func TestRefusedReservationsAreNotRetriedWithoutDelay(t *testing.T) {
+	const pollInterval = 20 * time.Millisecond
+	runInBubble(t, 3, func(hs *harness) {
+		for i := range 3 {
+			hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = i > 0
 		}
-		be.refused(prompt(largest))
-		time.Sleep(settle)
-		be.orders.mu.Lock()
-		defer be.orders.mu.Unlock()
-		be.Expect(be.orders.asked).To(BeNumerically("<=", 3*int(objective/step)))
+		hs.mustBeRefused(promptRequest(largePromptTokens))
+		time.Sleep(settleTime)
+		hs.reservations.mu.Lock()
+		defer hs.reservations.mu.Unlock()
+		hs.Expect(hs.reservations.requested).To(BeNumerically("<=", 3*int(objective/pollInterval)))
 	})
 }
 
-// TestAllTargetsThatRefusedAreLeftOut has three of eight targets without room: one plan that meets them all is enough to
-// know.
-func TestAllTargetsThatRefusedAreLeftOut(t *testing.T) {
-	bubble(t, 8, func(be *bench) {
-		for no := range 3 {
-			be.orders.refuse["10.0.0."+strconv.Itoa(no)+":80"] = true
+// TestAllTargetsThatRefusedReservationAreExcluded has three of eight targets refuse reservations. One plan that includes all
+// three must be enough to exclude them all.
+func TestAllTargetsThatRefusedReservationAreExcluded(t *testing.T) {
+	runInBubble(t, 8, func(hs *harness) {
+		for i := range 3 {
+			hs.reservations.refusing["10.0.0."+strconv.Itoa(i)+":80"] = true
 		}
-		as := prompt(7 * memory / 2)
-		as.Service.Engine.PrefillTimePerThousand, as.Objective = 100*time.Millisecond, 600*time.Millisecond
-		sl := be.take(as)
-		be.Expect(sl.Helpers).NotTo(BeEmpty())
-		be.orders.mu.Lock()
-		asked := be.orders.asked
-		be.orders.mu.Unlock()
-		be.Expect(asked).To(BeNumerically("<=", 2*8))
+		rq := promptRequest(7 * memory / 2)
+		rq.Service.Engine.PrefillTimePerThousand, rq.Objective = 100*time.Millisecond, 600*time.Millisecond
+		sl := hs.mustAcquire(rq)
+		hs.Expect(sl.Helpers).NotTo(BeEmpty())
+		hs.reservations.mu.Lock()
+		requested := hs.reservations.requested
+		hs.reservations.mu.Unlock()
+		hs.Expect(requested).To(BeNumerically("<=", 2*8))
 		sl.Release()
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 	})
 }
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -10,45 +10,45 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// crowd is three targets with that many writers each.
-func crowd(writers int) map[string]placement.Load {
+// loadsWithWriters returns the loads of three targets with that many writers each.
+func loadsWithWriters(writers int) map[string]placement.Load {
 	loads := map[string]placement.Load{}
-	for no := range 3 {
-		loads[id(no)] = placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, MemoryTokens: int64(writers) * 600}
+	for i := range 3 {
+		loads[id(i)] = placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, MemoryTokens: int64(writers) * 600}
 	}
 	return loads
 }
 
-// TestOverload asks for room for one more prompt at three targets with a number of writers each.
-func TestOverload(t *testing.T) {
+// TestShortPromptIsShedWhenSlotsAreExhausted places one more prompt at three targets with a number of writers each.
+func TestShortPromptIsShedWhenSlotsAreExhausted(t *testing.T) {
 	tests := map[string]struct {
 		writers, tokens int
 		resumed         bool
 		refused         bool
 	}{
-		"slots are free":                  {writers: 1, tokens: 500},
-		"slots are taken":                 {writers: 3 * slots, tokens: 500, refused: true},
-		"slots are taken, stream goes on": {writers: 3 * slots, tokens: 500, resumed: true},
-		"half of the slots are taken":     {writers: slots / 2, tokens: 500},
+		"slots are free":                     {writers: 1, tokens: 500},
+		"slots are taken":                    {writers: 3 * slots, tokens: 500, refused: true},
+		"slots are taken, stream is resumed": {writers: 3 * slots, tokens: 500, resumed: true},
+		"half of the slots are taken":        {writers: slots / 2, tokens: 500},
 	}
-	for name, tt := range tests {
+	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, 3, func(be *bench) {
-				be.Heard("peer", crowd(tt.writers))
-				as := prompt(tt.tokens)
-				as.Service.Engine.MemoryTokens = 100_000
-				as.Objective, as.Resumed = 300*time.Millisecond, tt.resumed
-				if !tt.refused {
-					be.take(as)
+			runInBubble(t, 3, func(hs *harness) {
+				hs.SetPeerLoads("peer", loadsWithWriters(tc.writers))
+				rq := promptRequest(tc.tokens)
+				rq.Service.Engine.MemoryTokens = 100_000
+				rq.Objective, rq.Resumed = 300*time.Millisecond, tc.resumed
+				if !tc.refused {
+					hs.mustAcquire(rq)
 					return
 				}
 				start := time.Now()
-				fe := be.refused(as)
-				be.Expect(time.Since(start)).To(BeZero())
-				be.Expect(fe.Code).To(Equal(failure.Overloaded))
-				be.Expect(fe.Outcome).To(Equal(failure.NotRun))
-				be.Expect(fe.RetryAfter).To(BeNumerically(">", 500*time.Millisecond))
-				be.Expect(fe.RetryAfter).To(BeNumerically("<", 3*time.Second))
+				fe := hs.mustBeRefused(rq)
+				hs.Expect(time.Since(start)).To(BeZero())
+				hs.Expect(fe.Code).To(Equal(failure.Overloaded))
+				hs.Expect(fe.Outcome).To(Equal(failure.NotRun))
+				hs.Expect(fe.RetryAfter).To(BeNumerically(">", 500*time.Millisecond))
+				hs.Expect(fe.RetryAfter).To(BeNumerically("<", 3*time.Second))
 			})
 		})
 	}
--- /dev/null
+++ b/internal/dispatch/permits.go
@@ -0,0 +1,69 @@
+package dispatch
+
+import (
+	"context"
+	"time"
+
+	"github.com/silvermount/silvermount/internal/backoff"
+	"github.com/silvermount/silvermount/internal/permit"
+	"github.com/silvermount/silvermount/internal/targets"
+)
+
+// A target under pressure sets a limit on the requests per second that it takes from all instances together. Each request to
+// it needs a permit, so that the sum stays within the limit. A target that has no permits to give is closed, like one
+// without free slots: other targets are chosen first.
+
+// noPermitError reports that the chosen target had no permit to give and is now closed.
+type noPermitError struct{}
+
+func (*noPermitError) Error() string { return "no permit granted for the chosen target" }
+
+// maxPermitTries is the number of refused permits after which a request considers only targets without a rate limit. Each
+// attempt takes a round trip to another instance; all of them together stay well within the shortest objective.
+const maxPermitTries = 8
+
+// closed reports whether a target is closed to the request now, and when it may be tried again. The phase is that of the
+// back-off that closes it, and Open if the target lacks permits instead.
+func (ds *Dispatcher) closed(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
+	if opens, ph, closed = ds.closedByBackOff(rq, id); closed {
+		return opens, ph, true
+	}
+	opens, closed = ds.closedByRateLimit(rq, id)
+	return opens, backoff.Open, closed
+}
+
+// closedByRateLimit reports whether a target has no permit for the request now, and when it may be tried again.
+func (ds *Dispatcher) closedByRateLimit(rq Request, id string) (opens time.Time, closed bool) {
+	if ds.opts.Permits == nil || rq.permitTarget == id {
+		return time.Time{}, false
+	}
+	if opens, closed = ds.opts.Permits.BlockedUntil(id); closed {
+		return opens, true
+	}
+	return ds.opts.Now(), rq.permitRefusals >= maxPermitTries && ds.opts.Permits.Limited(id)
+}
+
+// obtainPermit obtains the permit that the chosen target requires, before any other work is done for the request. If none is
+// granted, it releases the slot and fails with a noPermitError.
+func (ds *Dispatcher) obtainPermit(ctx context.Context, rq Request, sl *Slot) error {
+	if ds.opts.Permits == nil || rq.permitTarget == sl.Target.ID {
+		return nil
+	}
+	if an := ds.requestPermit(ctx, rq, sl.Target, 0); an.Granted {
+		return nil
+	}
+	sl.Release()
+	if ctx.Err() != nil {
+		return ctx.Err()
+	}
+	return &noPermitError{}
+}
+
+// requestPermit asks the issuer for a permit that is due within the given wait, and reports a refusal to OnPermitRefused.
+func (ds *Dispatcher) requestPermit(ctx context.Context, rq Request, tg targets.Target, wait time.Duration) permit.Decision {
+	an := ds.opts.Permits.Acquire(ctx, tg, wait)
+	if !an.Granted && ds.opts.OnPermitRefused != nil {
+		ds.opts.OnPermitRefused(rq.ID, tg, an.Delay)
+	}
+	return an
+}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -13,75 +13,78 @@
 )
 
 const (
-	// worthBase and worthPerThousand give the worth of an answer by its prompt: a base, and more for each thousand tokens.
-	worthBase        = 0.7
-	worthPerThousand = 0.1
-	// worthLate is the share of an answer's worth that is left when it is late.
-	worthLate = 0.25
-	// pauseUnset stands for the longest pause of a route that sets none.
-	pauseUnset = time.Second
+	// baseWorth and worthPerThousandTokens define the worth of an answer: a base, and an addition for each 1,000 tokens of
+	// its prompt.
+	baseWorth              = 0.7
+	worthPerThousandTokens = 0.1
+	// lateWorthShare is the share of its worth that a late answer keeps.
+	lateWorthShare = 0.25
+	// defaultMaxPause is the longest pause for a route that sets none.
+	defaultMaxPause = time.Second
 )
 
-// prompt describes a request to the placement.
-func (ds *Dispatcher) prompt(as Ask) placement.Prompt {
-	worth := worthBase + worthPerThousand*float64(as.PromptTokens)/1000
+// newPrompt converts a request to the form that package placement plans with.
+func (ds *Dispatcher) newPrompt(rq Request) placement.Prompt {
+	worth := baseWorth + worthPerThousandTokens*float64(rq.PromptTokens)/1000
 	now := ds.opts.Now()
-	pause := as.LongestPause
+	pause := rq.MaxPause
 	if pause <= 0 {
-		pause = pauseUnset
+		pause = defaultMaxPause
 	}
 	return placement.Prompt{
-		Tokens: int64(as.PromptTokens), AnswerTokens: int64(expectedAnswer(as)),
-		Objective: max(as.Objective, time.Millisecond), Elapsed: now.Sub(as.Arrived), LongestPause: pause, CallerIdleTimeout: as.Patience,
-		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth * worthLate), UntilDeadline: ds.due(as).Sub(now),
+		Tokens: int64(rq.PromptTokens), AnswerTokens: int64(expectedAnswerTokens(rq)),
+		Objective: max(rq.Objective, time.Millisecond), Elapsed: now.Sub(rq.Arrived), LongestPause: pause, CallerIdleTimeout: rq.CallerIdleTimeout,
+		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth * lateWorthShare), UntilDeadline: ds.answerDeadline(rq).Sub(now),
 	}
 }
 
-// expectedAnswer is the caller's guess, else the usual answer, at most the bound that the caller set.
-func expectedAnswer(as Ask) int {
-	expected := as.AnswerHint
+// expectedAnswerTokens returns how many tokens of the answer are still expected: the caller's hint or else the usual number,
+// at most the caller's limit, less what was already forwarded.
+func expectedAnswerTokens(rq Request) int {
+	expected := rq.AnswerTokensHint
 	if expected == 0 {
-		expected = int(as.Service.Engine.MeanAnswerTokens)
+		expected = int(rq.Service.Engine.MeanAnswerTokens)
 	}
-	if as.MostAnswer > 0 {
-		expected = min(expected, as.MostAnswer)
+	if rq.MaxAnswerTokens > 0 {
+		expected = min(expected, rq.MaxAnswerTokens)
 	}
-	// An event holds the tokens of one pass.
-	expected -= as.Events * as.Service.Engine.StepsPerPass
-	return max(as.Service.Engine.StepsPerPass, expected)
+	// One event carries the tokens of one pass.
+	expected -= rq.EventsForwarded * rq.Service.Engine.StepsPerPass
+	return max(rq.Service.Engine.StepsPerPass, expected)
 }
 
-// place chooses the targets of a prompt and books it there.
-func (ds *Dispatcher) place(ctx context.Context, as Ask, tgs []targets.Target) (*Slot, bool, error) {
-	pr := ds.prompt(as)
-	sl, err := ds.choose(as, pr, tgs)
+// place chooses the targets of a prompt and books its load there.
+func (ds *Dispatcher) place(ctx context.Context, rq Request, tgs []targets.Target) (*Slot, bool, error) {
+	pr := ds.newPrompt(rq)
+	sl, err := ds.chooseAndBook(rq, pr, tgs)
 	if err != nil || sl == nil {
 		return nil, false, err
 	}
-	if err := ds.permit(ctx, as, sl); err != nil {
+	if err := ds.obtainPermit(ctx, rq, sl); err != nil {
 		return nil, false, err
 	}
 	if len(sl.plan.MemoryShares) == 0 {
 		return sl, true, nil
 	}
-	if !ds.takeWork(sl) {
+	if !ds.allTakeWork(sl) {
 		sl.Release()
 		return nil, false, nil
 	}
-	if err := ds.reserve(ctx, sl, tgs); err != nil {
+	if err := ds.reserveMemory(ctx, sl, tgs); err != nil {
 		sl.Release()
-		if ds.avoid(err, tgs) {
+		if ds.markReservationFailures(err, tgs) {
 			return nil, false, nil
 		}
 		return nil, false, failure.New(failure.NoMemory, failure.NotRun, "memory could not be set aside").
-			WithCause(err).WithRetryAfter(comeBack)
+			WithCause(err).WithRetryAfter(roomRetryAfter)
 	}
 	return sl, true, nil
 }
 
-// takeWork reports whether all targets of a slot still take work: an order for memory begins some.
-func (ds *Dispatcher) takeWork(sl *Slot) bool {
-	for _, id := range sl.Targets() {
+// allTakeWork reports whether all targets of a slot still take work. It is checked before a memory reservation, which
+// already starts work on them.
+func (ds *Dispatcher) allTakeWork(sl *Slot) bool {
+	for _, id := range sl.TargetIDs() {
 		if !ds.targets.TakesWork(id) || ds.isBackedOff(id) {
 			return false
 		}
@@ -89,121 +92,122 @@
 	return true
 }
 
-// choose books the plan of least expected loss under the book's lock, so that two requests do not see the same room. It
-// returns nil when the prompt has to wait, and an error when it is refused.
-func (ds *Dispatcher) choose(as Ask, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
-	lag := ds.lagNow()
-	ds.book.mu.Lock()
-	defer ds.book.mu.Unlock()
-	cands := ds.candidates(as, tgs)
-	ps := newPools(as.Service.Engine, cands, ds.arriving)
-	if as.long() && !as.Resumed {
+// chooseAndBook books the plan with the least expected loss. It holds the load table's lock throughout, so that two requests
+// are not planned into the same room. It returns nil if the prompt has to wait, and an error if it is refused.
+func (ds *Dispatcher) chooseAndBook(rq Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
+	delay := ds.propagationDelay()
+	ds.loadTable.mu.Lock()
+	defer ds.loadTable.mu.Unlock()
+	cands := ds.candidates(rq, tgs)
+	ps := newPools(rq.Service.Engine, cands, ds.arrivals)
+	if rq.isLong() && !rq.Resumed {
 		cands = ps.long
 	}
-	seed := xxhash.Sum64String(ds.opts.Instance + as.Request)
+	seed := xxhash.Sum64String(ds.opts.Instance + rq.ID)
 	op := placement.Options{
-		Seed: seed, ArrivalsPerSecond: ds.arriving.perSecond(as.Service.Engine, cands), PrefillShare: placement.PrefillShareOf(cands),
+		Seed: seed, ArrivalsPerSecond: ds.arrivals.perTargetPerSecond(rq.Service.Engine, cands), PrefillShare: placement.PrefillShareOf(cands),
 	}
-	if ds.outlives(as, pr, cands, op) {
-		return nil, endRefusal()
+	if ds.infeasibleByShutdown(rq, pr, cands, op) {
+		return nil, stoppingError()
 	}
-	pl, ok := ds.plan(as, pr, cands, ps, op, lag)
-	switch decide(as, pr, pl, ok, cands, op) {
+	pl, ok := ds.bestPlan(rq, pr, cands, ps, op, delay)
+	switch decide(rq, pr, pl, ok, cands, op) {
 	case decisionRefuse:
-		return nil, ds.refusal(as, pr)
+		return nil, ds.overloadError(rq, pr)
 	case decisionWait:
 		return nil, nil
 	case decisionPlace:
 	}
-	return ds.bookPlan(as, pr, pl, tgs), nil
+	return ds.bookPlan(rq, pr, pl, tgs), nil
 }
 
-// plan returns the best plan for a prompt, if any. Short prompts go to the short pool while they are in time there, and long ones
-// only where their parts are so small that nobody there has to wait for them.
-func (ds *Dispatcher) plan(as Ask, pr placement.Prompt, cands []placement.Target, ps pools, op placement.Options, lag time.Duration) (placement.Plan, bool) {
-	if as.Resumed || len(ps.short) == 0 || as.long() && !ps.mayKeep(as.Service.Engine, pr) {
-		return ds.planAnywhere(as, pr, cands, op, lag)
+// bestPlan returns the best plan for a prompt, if there is one. A short prompt goes to the short pool while it is served in
+// time there. A long prompt uses the short pool only if its parts are so small that no answer there pauses for too long.
+func (ds *Dispatcher) bestPlan(rq Request, pr placement.Prompt, cands []placement.Target, ps pools, op placement.Options, delay time.Duration) (placement.Plan, bool) {
+	if rq.Resumed || len(ps.short) == 0 || rq.isLong() && !ps.canKeepPauses(rq.Service.Engine, pr) {
+		return ds.bestPlanAmongAll(rq, pr, cands, op, delay)
 	}
-	within, fits := ds.chooseFrom(as, pr, ps.short, op, lag)
-	if !as.long() && fits && ps.serves(as, pr, within) {
-		return within, true
+	poolPlan, poolOK := ds.chooseFromSample(rq, pr, ps.short, op, delay)
+	if !rq.isLong() && poolOK && ps.servesShort(rq, pr, poolPlan) {
+		return poolPlan, true
 	}
-	pl, ok := ds.planAnywhere(as, pr, cands, op, lag)
-	if as.long() && fits && ps.keeps(within) && (!ok || within.Loss < pl.Loss) {
-		return within, true
+	pl, ok := ds.bestPlanAmongAll(rq, pr, cands, op, delay)
+	if rq.isLong() && poolOK && ps.keepsPauses(poolPlan) && (!ok || poolPlan.Loss < pl.Loss) {
+		return poolPlan, true
 	}
 	return pl, ok
 }
 
-// planAnywhere returns the best plan among all targets that are left. A stream that goes on elsewhere may end late: its caller reads
-// already.
-func (ds *Dispatcher) planAnywhere(as Ask, pr placement.Prompt, cands []placement.Target, op placement.Options, lag time.Duration) (placement.Plan, bool) {
-	pl, ok := ds.chooseFrom(as, pr, cands, op, lag)
-	if _, ends := ds.ends(as); ok || !as.Resumed || ends {
+// bestPlanAmongAll returns the best plan among all candidates. A resumed stream may end after its deadline, since its caller
+// is already reading the answer.
+func (ds *Dispatcher) bestPlanAmongAll(rq Request, pr placement.Prompt, cands []placement.Target, op placement.Options, delay time.Duration) (placement.Plan, bool) {
+	pl, ok := ds.chooseFromSample(rq, pr, cands, op, delay)
+	if _, stopsFirst := ds.shutdownBeforeDeadline(rq); ok || !rq.Resumed || stopsFirst {
 		return pl, ok
 	}
-	pr.UntilDeadline = anyTime
-	return placement.Choose(*as.Service.Engine, pr, cands, op)
+	pr.UntilDeadline = unboundedTimeLeft
+	return placement.Choose(*rq.Service.Engine, pr, cands, op)
 }
 
-// candidates returns targets with their loads as the placement takes them. The book's lock is held.
-func (ds *Dispatcher) candidates(as Ask, tgs []targets.Target) []placement.Target {
+// candidates converts targets and their loads to the form that package placement plans with. The caller holds the load
+// table's lock.
+func (ds *Dispatcher) candidates(rq Request, tgs []targets.Target) []placement.Target {
 	now := ds.opts.Now()
 	cands := make([]placement.Target, len(tgs))
 	for i, tg := range tgs {
-		_, _, closed := ds.closed(as, tg.ID)
-		ph, _ := ds.phase(tg.ID)
+		_, _, closed := ds.closed(rq, tg.ID)
+		ph, _ := ds.backOffPhase(tg.ID)
 		cands[i] = placement.Target{
-			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.book.total(tg.ID), Slowdown: 1,
+			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loadTable.total(tg.ID), Slowdown: 1,
 			CanHelp: ph == backoff.Open,
 			Closed:  closed,
 		}
-		if ds.book.isFull(tg.ID, now) {
+		if ds.loadTable.isFull(tg.ID, now) {
 			cands[i].CanHelp = false
-			cands[i].Load.MemoryTokens = max(cands[i].Load.MemoryTokens, as.Service.Engine.MemoryTokens)
+			cands[i].Load.MemoryTokens = max(cands[i].Load.MemoryTokens, rq.Service.Engine.MemoryTokens)
 		}
 	}
 	return cands
 }
 
-// bookPlan books a plan at its targets. The book's lock is held.
-func (ds *Dispatcher) bookPlan(as Ask, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
+// bookPlan books the load of a plan at its targets. The caller holds the load table's lock.
+func (ds *Dispatcher) bookPlan(rq Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
 	byID := make(map[string]targets.Target, len(tgs))
 	for _, tg := range tgs {
 		byID[tg.ID] = tg
 	}
 	sl := &Slot{
-		ds: ds, engine: as.Service.Engine, Target: byID[pl.Main], Candidates: len(tgs), At: ds.opts.Now(), Priority: priority(as), prompt: pr, plan: pl,
-		FirstPredicted: pl.TimeToFirstToken, PausePredicted: pl.PredictedPause, arrived: as.Arrived, late: as.Resumed,
+		ds: ds, engine: rq.Service.Engine, Target: byID[pl.Main], CandidateCount: len(tgs), ChosenAt: ds.opts.Now(), Priority: enginePriority(rq), prompt: pr, plan: pl,
+		PredictedFirstToken: pl.TimeToFirstToken, PredictedPause: pl.PredictedPause, arrived: rq.Arrived, late: rq.Resumed,
 	}
 	parts := 1 + len(pl.Helpers)
-	reading := pr.PrefillLoad(parts)
-	if late(as, pr, pl) {
-		reading = pr.AsLate().PrefillLoad(parts)
+	prefillLoad := pr.PrefillLoad(parts)
+	if willBeLate(rq, pr, pl) {
+		prefillLoad = pr.AsLate().PrefillLoad(parts)
 	}
 	if len(pl.MemoryShares) > 0 {
-		reading = reading.WithMemory(0)
+		prefillLoad = prefillLoad.WithMemory(0)
 	}
-	sl.book(pl.Main, reading)
-	ds.tried(pl.Main)
+	sl.addStageLoad(pl.Main, prefillLoad)
+	ds.recordChosen(pl.Main)
 	for _, id := range pl.Helpers {
 		sl.Helpers = append(sl.Helpers, Helper{ID: id, Address: byID[id].Address})
-		sl.book(id, pr.HelperLoad(parts))
+		sl.addStageLoad(id, pr.HelperLoad(parts))
 	}
 	for _, sh := range pl.MemoryShares {
-		sl.bookHeld(sh.Target, placement.Load{MemoryTokens: sh.Tokens})
+		sl.addLifetimeLoad(sh.Target, placement.Load{MemoryTokens: sh.Tokens})
 	}
 	return sl
 }
 
-// anyTime stands for a deadline that does not matter.
-const anyTime = time.Hour
+// unboundedTimeLeft replaces the time left when the deadline does not apply.
+const unboundedTimeLeft = time.Hour
 
-// writerPass is a usual pass of an engine with writers, some of them beside reading.
-const writerPass = 90 * time.Millisecond
+// usualPassTime is the usual time of an engine pass that generates answers, sometimes together with prefill.
+const usualPassTime = 90 * time.Millisecond
 
-// answerTime returns how long a usual answer is written.
-func answerTime(en *placement.Engine) time.Duration {
+// usualAnswerTime returns how long an engine takes to generate an answer of usual length.
+func usualAnswerTime(en *placement.Engine) time.Duration {
 	passes := max(1, float64(en.MeanAnswerTokens)/float64(max(1, en.StepsPerPass)))
-	return time.Duration(passes * float64(writerPass))
+	return time.Duration(passes * float64(usualPassTime))
 }
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -8,19 +8,19 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// Slot is a request's place at a target and its helpers. It is used by one goroutine.
+// Slot is the booking of a request at its target and helpers, from Acquire to Release. It is not safe for concurrent use.
 type Slot struct {
 	Target  targets.Target
 	Helpers []Helper
-	// Priority is the rank at the target; negative for plain services.
+	// Priority is the one sent to the engine; negative for plain services.
 	Priority int
-	// Candidates is how many targets there were to choose from.
-	Candidates int
-	// FirstPredicted and PausePredicted are what the choice expects; zero for plain services.
-	FirstPredicted, PausePredicted time.Duration
+	// CandidateCount is the number of targets that were considered.
+	CandidateCount int
+	// PredictedFirstToken and PredictedPause are the time to the first token and the longest pause that the plan predicts;
+	// zero for plain services.
+	PredictedFirstToken, PredictedPause time.Duration
 
-	// At is when the target was chosen.
-	At time.Time
+	ChosenAt time.Time
 
 	ds *Dispatcher
 	// engine is nil for plain services.
@@ -28,23 +28,24 @@
 	prompt      placement.Prompt
 	plan        placement.Plan
 	reservation *reservation.Reservation
-	// booked is what the book holds for this slot until its next step, held what it holds until the end.
-	booked, held []booking
-	writing      bool
-	// arrived is when the request came, and eventAt when its last event passed; zero before the first.
-	arrived, eventAt time.Time
-	// late is set once the answer is late for good: no delay can cost it more.
+	// stageLoads are booked until the request's next stage, which follows at its first token. lifetimeLoads are booked until
+	// the slot is released.
+	stageLoads, lifetimeLoads []bookedLoad
+	generating                bool
+	// arrived is when the request arrived, and lastEventAt when its last event was forwarded; zero before the first event.
+	arrived, lastEventAt time.Time
+	// late is set once the answer has missed a limit, so that no further delay can reduce its worth.
 	late bool
 }
 
-// booking is one slot's share of the load at one target.
-type booking struct {
+// bookedLoad is the share of the load at one target that a slot accounts for.
+type bookedLoad struct {
 	id   string
 	load placement.Load
 }
 
-// Targets returns the incarnations that take part: the main one and its helpers.
-func (sl *Slot) Targets() []string {
+// TargetIDs returns the incarnations of the main target and its helpers.
+func (sl *Slot) TargetIDs() []string {
 	ids := []string{sl.Target.ID}
 	for _, hp := range sl.Helpers {
 		if hp.ID != sl.Target.ID {
@@ -54,127 +55,128 @@
 	return ids
 }
 
-// book adds a load that lasts until the slot's next step. The book's lock is held.
-func (sl *Slot) book(id string, lo placement.Load) {
-	sl.booked = append(sl.booked, booking{id: id, load: lo})
-	sl.ds.book.add(id, lo)
-	sl.ds.changed()
+// addStageLoad books a load until the slot's next stage. The caller holds the load table's lock.
+func (sl *Slot) addStageLoad(id string, lo placement.Load) {
+	sl.stageLoads = append(sl.stageLoads, bookedLoad{id: id, load: lo})
+	sl.ds.loadTable.add(id, lo)
+	sl.ds.notifyLoadChange()
 }
 
-// bookHeld adds a load that lasts until the slot is released. The book's lock is held.
-func (sl *Slot) bookHeld(id string, lo placement.Load) {
-	sl.held = append(sl.held, booking{id: id, load: lo})
-	sl.ds.book.add(id, lo)
+// addLifetimeLoad books a load until the slot is released. The caller holds the load table's lock.
+func (sl *Slot) addLifetimeLoad(id string, lo placement.Load) {
+	sl.lifetimeLoads = append(sl.lifetimeLoads, bookedLoad{id: id, load: lo})
+	sl.ds.loadTable.add(id, lo)
 }
 
-func (sl *Slot) unbook(list []booking) {
-	for _, bk := range list {
-		sl.ds.book.remove(bk.id, bk.load)
+func (sl *Slot) removeLoads(loads []bookedLoad) {
+	for _, bl := range loads {
+		sl.ds.loadTable.remove(bl.id, bl.load)
 	}
 }
 
-// FirstToken notes that the answer has begun: the prompt is read everywhere.
-func (sl *Slot) FirstToken() {
-	if sl.prompt.Tokens == 0 || sl.writing {
+// RecordFirstToken notes that the answer has begun, so that prefill is complete at all targets of the slot. Further calls
+// have no effect.
+func (sl *Slot) RecordFirstToken() {
+	if sl.prompt.Tokens == 0 || sl.generating {
 		return
 	}
-	sl.writing = true
-	sl.eventAt = sl.ds.opts.Now()
-	sl.late = sl.late || sl.eventAt.Sub(sl.arrived) > sl.prompt.Objective
-	sl.ds.book.mu.Lock()
-	defer sl.ds.book.mu.Unlock()
-	sl.unbook(sl.booked)
-	sl.booked = nil
-	writing := sl.prompt.DecodeLoad()
+	sl.generating = true
+	sl.lastEventAt = sl.ds.opts.Now()
+	sl.late = sl.late || sl.lastEventAt.Sub(sl.arrived) > sl.prompt.Objective
+	sl.ds.loadTable.mu.Lock()
+	defer sl.ds.loadTable.mu.Unlock()
+	sl.removeLoads(sl.stageLoads)
+	sl.stageLoads = nil
+	generationLoad := sl.prompt.DecodeLoad()
 	if sl.late {
-		writing = sl.prompt.AsLate().DecodeLoad()
+		generationLoad = sl.prompt.AsLate().DecodeLoad()
 	}
 	if len(sl.plan.MemoryShares) > 0 {
-		writing = writing.WithMemory(0).WithContext(sl.plan.MemoryShares[0].Tokens)
+		generationLoad = generationLoad.WithMemory(0).WithContext(sl.plan.MemoryShares[0].Tokens)
 		for _, sh := range sl.plan.MemoryShares[1:] {
-			sl.book(sh.Target, placement.Load{ContextTokens: sh.Tokens})
+			sl.addStageLoad(sh.Target, placement.Load{ContextTokens: sh.Tokens})
 		}
 	}
-	sl.book(sl.plan.Main, writing)
+	sl.addStageLoad(sl.plan.Main, generationLoad)
 }
 
-// passMargin is how much longer than predicted a pass may take before the target seems lost: predictions are off by about
-// a tenth, and the loads they rest on are some milliseconds old.
-const passMargin = 1.2
+// silenceMargin is the factor by which a pass may exceed its prediction before the target counts as lost: predictions are
+// off by about a tenth, and the loads that they are based on are some milliseconds old.
+const silenceMargin = 1.2
 
-// LongestSilence is how long the target may be silent with all that is read there now; zero for plain services.
-func (sl *Slot) LongestSilence() time.Duration {
+// MaxSilence returns how long the target may be silent, given the prefill that it has pending now; zero for plain services.
+func (sl *Slot) MaxSilence() time.Duration {
 	if sl.engine == nil {
 		return 0
 	}
-	sl.ds.book.mu.Lock()
-	load := sl.ds.book.total(sl.Target.ID)
-	sl.ds.book.mu.Unlock()
-	return time.Duration(passMargin * float64(sl.engine.PassTime(placement.Target{Load: load})))
+	sl.ds.loadTable.mu.Lock()
+	load := sl.ds.loadTable.total(sl.Target.ID)
+	sl.ds.loadTable.mu.Unlock()
+	return time.Duration(silenceMargin * float64(sl.engine.PassTime(placement.Target{Load: load})))
 }
 
-// Shed notes that the target turned the request away for lack of room; address names the target at fault when it is a
-// helper, which is then no helper for others either.
-func (sl *Slot) Shed(address string) {
+// RecordShed notes that the target rejected the request for lack of room. If address is that of a helper, the helper caused
+// the rejection, and is not used as one by other requests for a while either.
+func (sl *Slot) RecordShed(address string) {
 	now := sl.ds.opts.Now()
 	for _, hp := range sl.Helpers {
 		if hp.Address == address {
-			sl.ds.book.full(hp.ID, now.Add(absentFor))
+			sl.ds.loadTable.markFull(hp.ID, now.Add(absentPeriod))
 			return
 		}
 	}
-	sl.ds.book.full(sl.Target.ID, now.Add(fullFor))
+	sl.ds.loadTable.markFull(sl.Target.ID, now.Add(fullPeriod))
 }
 
-// Event notes an event passed on. A pause that was too long makes the answer late: its target need not be spared for
-// it any more.
-func (sl *Slot) Event() {
-	if !sl.writing || sl.late {
+// RecordEvent notes that an event was forwarded. A pause that was too long makes the answer late, and its target no longer
+// needs to be kept free for it.
+func (sl *Slot) RecordEvent() {
+	if !sl.generating || sl.late {
 		return
 	}
 	now := sl.ds.opts.Now()
-	pause := now.Sub(sl.eventAt)
-	sl.eventAt = now
+	pause := now.Sub(sl.lastEventAt)
+	sl.lastEventAt = now
 	if pause > sl.prompt.LongestPause {
-		sl.lapse()
+		sl.markLate()
 	}
 }
 
-// lapse books the writer again with its caller's patience alone at stake.
-func (sl *Slot) lapse() {
+// markLate replaces the load of a late answer by one with nothing at risk but the caller's idle timeout.
+func (sl *Slot) markLate() {
 	sl.late = true
 	atRisk := sl.prompt.AsLate().DecodeLoad().PauseRisk
-	sl.ds.book.mu.Lock()
-	defer sl.ds.book.mu.Unlock()
-	for i := range sl.booked {
-		bk := &sl.booked[i]
-		if bk.id != sl.plan.Main {
+	sl.ds.loadTable.mu.Lock()
+	defer sl.ds.loadTable.mu.Unlock()
+	for i := range sl.stageLoads {
+		bl := &sl.stageLoads[i]
+		if bl.id != sl.plan.Main {
 			continue
 		}
-		sl.ds.book.remove(bk.id, bk.load)
-		bk.load = bk.load.WithPauseRisk(atRisk)
-		sl.ds.book.add(bk.id, bk.load)
+		sl.ds.loadTable.remove(bl.id, bl.load)
+		bl.load = bl.load.WithPauseRisk(atRisk)
+		sl.ds.loadTable.add(bl.id, bl.load)
 	}
-	sl.ds.changed()
+	sl.ds.notifyLoadChange()
 }
 
-// Release ends the slot.
+// Release removes the slot's load and gives back its reserved memory. Further calls have no effect.
 func (sl *Slot) Release() {
-	sl.ds.book.mu.Lock()
-	sl.unbook(sl.booked)
-	sl.unbook(sl.held)
-	sl.booked, sl.held = nil, nil
-	sl.ds.book.mu.Unlock()
-	sl.ds.changed()
-	sl.ds.book.wake()
+	sl.ds.loadTable.mu.Lock()
+	sl.removeLoads(sl.stageLoads)
+	sl.removeLoads(sl.lifetimeLoads)
+	sl.stageLoads, sl.lifetimeLoads = nil, nil
+	sl.ds.loadTable.mu.Unlock()
+	sl.ds.notifyLoadChange()
+	sl.ds.loadTable.wakeWaiters()
 	if sl.reservation != nil {
 		sl.reservation.Release()
 		sl.reservation = nil
 	}
 }
 
-func (ds *Dispatcher) changed() {
-	if ds.opts.Changed != nil {
-		ds.opts.Changed()
+func (ds *Dispatcher) notifyLoadChange() {
+	if ds.opts.OnLoadChange != nil {
+		ds.opts.OnLoadChange()
 	}
 }
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -108,7 +108,7 @@
 	pt.Noted.Set(du.ms.PublishNotes)
 	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.Links()) })
 	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.Subscribers()) })
-	pt.Dispatcher.SetLag(du.ms.Lag)
+	pt.Dispatcher.SetPropagationDelay(du.ms.Lag)
 	fl := &follower{self: op.Self, lg: du.lg}
 	pt.Followers.Set(func() forwarding.Part { return fl.of(du.ms) })
 	pt.Followers.SetReach(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreless) })
@@ -158,7 +158,7 @@
 func (du *duty) body() []byte {
 	st := peerstate.State{Leaving: du.dr.Leaving()}
 	if !du.left.Load() {
-		st.Loads = du.ds.Own()
+		st.Loads = du.ds.OwnLoads()
 	}
 	at, heard := du.dr.ChangedAt()
 	st.Targets = at
@@ -189,7 +189,7 @@
 	if loads == nil {
 		loads = map[string]placement.Load{}
 	}
-	du.ds.Heard(from.Name, loads)
+	du.ds.SetPeerLoads(from.Name, loads)
 	for _, id := range st.Leaving {
 		if du.dr.MarkLeaving(id) {
 			du.lg.WithFields(log.Fields{"target": id, "peer": from.Name, "age": time.Since(made).String(), "source": "peer"}).Info("target leaving")
@@ -255,7 +255,7 @@
 }
 
 func (du *duty) lost(mb gossip.Member) {
-	du.ds.Heard(mb.Name, nil)
+	du.ds.SetPeerLoads(mb.Name, nil)
 	du.ld.RemovePeer(mb.Name)
 	if silentZone(mb, du.ms.Live()) && du.dr.PeerLost(mb.AvailabilityZone, mb.Name) {
 		du.lg.WithFields(log.Fields{"zone": mb.AvailabilityZone, "cause": "instances lost"}).Warn("availability zone left out")
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -180,7 +180,7 @@
 	fl.wg.Go(func() {
 		time.Sleep(fl.within(simTold))
 		loads := map[string]placement.Load{}
-		for id, lo := range be.dispatcher.Own() {
+		for id, lo := range be.dispatcher.OwnLoads() {
 			if _, backedOff := be.recorder.BackOffs.Until(id); backedOff {
 				loads[id] = lo
 			}
@@ -190,7 +190,7 @@
 		in.hinting = false
 		for _, peer := range fl.instances {
 			if peer != in && in.up && in.life == life && !in.cut && peer.up && !peer.cut {
-				peer.dispatcher.Heard(strconv.Itoa(in.no), loads)
+				peer.dispatcher.SetPeerLoads(strconv.Itoa(in.no), loads)
 			}
 		}
 	})
@@ -267,9 +267,9 @@
 	defer cancel()
 	var tried []string
 	for len(tried) < simAttempts && !ca.served {
-		sl, err := be.dispatcher.Acquire(ctx, dispatch.Ask{
-			Request: strconv.Itoa(no), Service: routes.Service{Name: "s"}, Avoid: tried, Objective: simObjective,
-			Arrived: ca.sent, Deadline: ca.sent.Add(simDeadline), Spare: len(tried) == 0, Retried: len(tried) > 0,
+		sl, err := be.dispatcher.Acquire(ctx, dispatch.Request{
+			ID: strconv.Itoa(no), Service: routes.Service{Name: "s"}, Exclude: tried, Objective: simObjective,
+			Arrived: ca.sent, Deadline: ca.sent.Add(simDeadline), CanRetry: len(tried) == 0, Retried: len(tried) > 0,
 		})
 		if err != nil {
 			return
@@ -326,7 +326,7 @@
 	be.recorder.Record(feedback.Report{Source: feedback.Request, Target: meant, Head: hd, Sent: sent, Came: time.Now()})
 	be.directory.Reached(meant.ID)
 	if hd.BackOff > 0 {
-		sl.TurnedAway(hd.BackOff)
+		sl.RecordBackOff(hd.BackOff)
 		fl.hint(in, life, be)
 		time.AfterFunc(hd.BackOff, func() { fl.hint(in, life, be) })
 	}
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -37,15 +37,15 @@
 	fs["target"] = sl.Target.ID
 	fs["helpers"] = helperNames(sl)
 	fs["prompt_tokens"] = rq.PromptTokens
-	fs["candidates"] = sl.Candidates
+	fs["candidates"] = sl.CandidateCount
 	if li := gw.Limits.Of(sl.Target.ID); li.Named {
 		fs["limit"] = li.String()
 	}
 	if n := gw.BackOffs.Len(); n > 0 {
 		fs["backed_off"] = n
 	}
-	fs["predicted_first"] = sl.FirstPredicted.Round(time.Millisecond).String()
-	fs["predicted_pause"] = sl.PausePredicted.Round(time.Millisecond).String()
+	fs["predicted_first"] = sl.PredictedFirstToken.Round(time.Millisecond).String()
+	fs["predicted_pause"] = sl.PredictedPause.Round(time.Millisecond).String()
 	fs["list_age"] = since(gw.Targets.HeardAt(), gw.Now()).String()
 	fs["attempt"] = len(rq.tried) + 1
 	gw.Log.WithFields(fs).Info("request sent")
@@ -244,9 +244,9 @@
 
 // observeFirst notes the time to the first event and how far the prediction was off.
 func (gw *Gateway) observeFirst(rq *request, sl *dispatch.Slot) {
-	took := gw.Now().Sub(sl.At)
+	took := gw.Now().Sub(sl.ChosenAt)
 	gw.observe("silvermount_first_event_seconds", gw.Now().Sub(rq.arrived))
-	gw.observe("silvermount_first_event_prediction_error_seconds", (took - sl.FirstPredicted).Abs())
+	gw.observe("silvermount_first_event_prediction_error_seconds", (took - sl.PredictedFirstToken).Abs())
 }
 
 // logZoneOut tells that the availability zone of a target is left out until a probe is answered there.
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -23,7 +23,7 @@
 		rq.tried = append(rq.tried, sl.Target.ID)
 	}
 	if rq.head.BackOff > 0 {
-		sl.TurnedAway(rq.head.BackOff)
+		sl.RecordBackOff(rq.head.BackOff)
 	}
 	switch verdict {
 	case answer.Shed:
@@ -72,10 +72,10 @@
 		an.Whole()
 	}
 	atFault := rq.head.AtFault
-	sl.Shed(atFault)
+	sl.RecordShed(atFault)
 	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, AtFault: atFault}, true)
 	return failure.New(failure.TargetShed, gw.outcome(rq), "the target has no room").
-		WithRetryAfter(gw.Dispatcher.ReturnAfter(rq.service))
+		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
 
 // ShedError says that a target turned a request away without running it.
@@ -116,7 +116,7 @@
 	} else {
 		gw.held(sl.Target)
 	}
-	sl.FirstToken()
+	sl.RecordFirstToken()
 	if err := gw.fire(ctx, rq, life.FirstToken); err != nil {
 		return err
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -83,7 +83,7 @@
 	}
 	err = gw.exchangeWith(ctx, rq, sk, sl)
 	if err != nil && ofTarget(failure.FromError(err)) {
-		sl.Failed()
+		sl.RecordFailure()
 	}
 	return err
 }
@@ -103,16 +103,16 @@
 	return gw.receive(ctx, rq, sk, sl, an)
 }
 
-func (gw *Gateway) ask(rq *request) dispatch.Ask {
+func (gw *Gateway) ask(rq *request) dispatch.Request {
 	sv, _ := rq.table.Service(rq.service)
 	sv.Name = rq.service
-	return dispatch.Ask{
-		Request: rq.RequestID, Service: sv, Avoid: rq.avoid,
-		PromptTokens: rq.PromptTokens, MostAnswer: rq.MostAnswerTokens, AnswerHint: rq.AnswerHint, Events: rq.events,
-		Objective: rq.route.Objective, LongestPause: rq.route.LongestPause, Patience: rq.route.Patience,
+	return dispatch.Request{
+		ID: rq.RequestID, Service: sv, Exclude: rq.avoid,
+		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MostAnswerTokens, AnswerTokensHint: rq.AnswerHint, EventsForwarded: rq.events,
+		Objective: rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
-		Caution: rq.caution(), Allowed: func() error { return gw.stillAllowed(rq) },
-		Spare: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Left(), Retried: len(rq.tried) > 0,
+		Caution: rq.caution(), Authorise: func() error { return gw.stillAllowed(rq) },
+		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Left(), Retried: len(rq.tried) > 0,
 	}
 }
 
@@ -259,7 +259,7 @@
 // mayLeave returns a ClosedTargetError when one of the targets of a slot takes no work any more: what was known when it was chosen may have
 // changed during the waits since.
 func (gw *Gateway) mayLeave(sl *dispatch.Slot) error {
-	for _, id := range sl.Targets() {
+	for _, id := range sl.TargetIDs() {
 		if !gw.Targets.TakesWork(id) {
 			return &ClosedTargetError{Target: id, Cause: "began to leave"}
 		}
@@ -275,7 +275,7 @@
 	rq.avoid = slices.DeleteFunc(rq.avoid, func(id string) bool { return id == sl.Target.ID })
 	gw.logPassedOver(rq, sl.Target, ce.Error())
 	return failure.New(failure.TargetUnreachable, gw.outcome(rq), "the target takes no requests now").
-		WithRetryAfter(gw.Dispatcher.ReturnAfter(rq.service))
+		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
 
 // failed notes a failed attempt at a target.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -89,7 +89,7 @@
 	// A copy: the timer may look at it while the next attempt begins.
 	tried := slices.Clone(rq.tried)
 	wd := newWatchdog(an, stall, func(silence time.Duration) bool {
-		if silence <= sl.LongestSilence() {
+		if silence <= sl.MaxSilence() {
 			return false
 		}
 		gw.silent(sl.Target)
@@ -109,7 +109,7 @@
 		}
 		if fresh {
 			fresh = false
-			sl.FirstToken()
+			sl.RecordFirstToken()
 			gw.observeFirst(rq, sl)
 			if err := gw.fire(ctx, rq, life.FirstToken); err != nil {
 				return err
@@ -117,7 +117,7 @@
 		}
 		wd.reset(stall)
 		gw.Targets.Reached(sl.Target.ID)
-		sl.Event()
+		sl.RecordEvent()
 		if ev.id >= 0 && ev.id <= rq.lastEvent {
 			// The event was passed on before the stream moved here.
 			continue
