--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -54,7 +54,7 @@
 }
 
 // Book is the set of targets that asked for a back-off. It is safe for use by any goroutine.
-type Book struct {
+type Tracker struct {
 	now    func() time.Time
 	random func() float64
 
@@ -67,13 +67,13 @@
 }
 
 // New returns an empty book; now is the steady clock, and random is uniform in [0, 1).
-func New(now func() time.Time, random func() float64) *Book {
-	return &Book{now: now, random: random, targets: map[string]*state{}}
+func New(now func() time.Time, random func() float64) *Tracker {
+	return &Tracker{now: now, random: random, targets: map[string]*state{}}
 }
 
 // Ask notes that a target asked for a back-off in an answer that came at a time. A shorter one that comes later shortens nothing. It
 // reports whether the target was not backed off from until then.
-func (bk *Book) Ask(target string, span time.Duration, came time.Time) (first bool) {
+func (bk *Tracker) Ask(target string, span time.Duration, came time.Time) (first bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	st, known := bk.targets[target]
@@ -97,7 +97,7 @@
 
 // Answered notes an answer that asks for no back-off, to a request that was sent at a time. It returns how long the target was not open,
 // and reports whether it is from now on.
-func (bk *Book) Answered(target string, sent time.Time) (after time.Duration, opened bool) {
+func (bk *Tracker) Answered(target string, sent time.Time) (after time.Duration, opened bool) {
 	if !bk.any.Load() {
 		return 0, false
 	}
@@ -118,13 +118,13 @@
 }
 
 // drop forgets a target. The lock is held.
-func (bk *Book) drop(target string) {
+func (bk *Tracker) drop(target string) {
 	delete(bk.targets, target)
 	bk.any.Store(len(bk.targets) > 0)
 }
 
 // Of returns the phase of a target; of a closed one also when it may be on trial.
-func (bk *Book) Of(target string) (ph Phase, opens time.Time) {
+func (bk *Tracker) Of(target string) (ph Phase, opens time.Time) {
 	if !bk.any.Load() {
 		return Open, time.Time{}
 	}
@@ -146,7 +146,7 @@
 }
 
 // Until returns when the back-off of a target ends; it reports false when there is none now.
-func (bk *Book) Until(target string) (time.Time, bool) {
+func (bk *Tracker) Until(target string) (time.Time, bool) {
 	if !bk.any.Load() {
 		return time.Time{}, false
 	}
@@ -160,7 +160,7 @@
 }
 
 // Chosen notes that a request was chosen to go to a target.
-func (bk *Book) Chosen(target string) {
+func (bk *Tracker) Chosen(target string) {
 	if !bk.any.Load() {
 		return
 	}
@@ -175,7 +175,7 @@
 }
 
 // Len returns how many targets are backed off from now.
-func (bk *Book) Len() int {
+func (bk *Tracker) Len() int {
 	if !bk.any.Load() {
 		return 0
 	}
@@ -192,7 +192,7 @@
 }
 
 // Forget drops the back-offs that ended some time ago, and those that ended of targets that are not there any more.
-func (bk *Book) Forget(there func(target string) bool) {
+func (bk *Tracker) Forget(there func(target string) bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	now := bk.now()
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -12,13 +12,13 @@
 // clockedBook is a book on a clock that a test moves, without spread.
 type clockedBook struct {
 	*WithT
-	*backoff.Book
+	*backoff.Tracker
 	now time.Time
 }
 
 func newBook(t *testing.T) *clockedBook {
 	cb := &clockedBook{WithT: NewWithT(t), now: time.Unix(1000, 0)}
-	cb.Book = backoff.New(func() time.Time { return cb.now }, func() float64 { return 0 })
+	cb.Tracker = backoff.New(func() time.Time { return cb.now }, func() float64 { return 0 })
 	return cb
 }
 
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -17,7 +17,7 @@
 )
 
 // backOffBench plays with targets that want no requests for a while.
-func backOffBench(t *testing.T, count int, play func(be *bench, bk *backoff.Book)) {
+func backOffBench(t *testing.T, count int, play func(be *bench, bk *backoff.Tracker)) {
 	synctest.Test(t, func(t *testing.T) {
 		bk := backoff.New(time.Now, func() float64 { return 0 })
 		play(newBench(t, count, func(op *dispatch.Options) { op.BackOffs = bk }), bk)
@@ -39,7 +39,7 @@
 	}
 	for name, ask := range asks {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 4, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 4, func(be *bench, bk *backoff.Tracker) {
 				bk.Ask(id(0), time.Minute, time.Now())
 				bk.Ask(id(1), time.Minute, time.Now())
 				for range 6 {
@@ -58,7 +58,7 @@
 	const soon = objective / 4
 	for name, ask := range map[string]func() dispatch.Ask{"plain": plain, "prompt": func() dispatch.Ask { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
 				began := time.Now()
 				bk.Ask(id(0), time.Minute, began)
 				bk.Ask(id(1), soon, began)
@@ -74,7 +74,7 @@
 func TestRequestWithoutTimeForABackOffIsRefusedAtOnce(t *testing.T) {
 	for name, ask := range map[string]func() dispatch.Ask{"plain": plain, "prompt": func() dispatch.Ask { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
 				began := time.Now()
 				bk.Ask(id(0), time.Minute, began)
 				bk.Ask(id(1), 7*time.Second, began)
@@ -91,7 +91,7 @@
 
 // TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime was turned away by the one target there is.
 func TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime(t *testing.T) {
-	backOffBench(t, 1, func(be *bench, bk *backoff.Book) {
+	backOffBench(t, 1, func(be *bench, bk *backoff.Tracker) {
 		bk.Ask(id(0), 5*time.Second, time.Now())
 		as := plain()
 		as.Avoid = []string{id(0)}
@@ -102,7 +102,7 @@
 // TestWaitersDoNotAllComeAtOnce lets many requests wait for the end of the only target's back-off.
 func TestWaitersDoNotAllComeAtOnce(t *testing.T) {
 	const waiters = 60
-	backOffBench(t, 1, func(be *bench, bk *backoff.Book) {
+	backOffBench(t, 1, func(be *bench, bk *backoff.Tracker) {
 		bk.Ask(id(0), objective/4, time.Now())
 		var mu sync.Mutex
 		var came []time.Time
@@ -140,7 +140,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
 				bk.Ask(id(0), time.Second, time.Now())
 				// The other target is busy, so that this one is the better choice.
 				for range slots {
@@ -159,7 +159,7 @@
 func TestPeersPreferTargetsThatTurnNobodyAway(t *testing.T) {
 	for name, ask := range map[string]func() dispatch.Ask{"plain": plain, "prompt": func() dispatch.Ask { return prompt(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 2, func(be *bench, _ *backoff.Book) {
+			backOffBench(t, 2, func(be *bench, _ *backoff.Tracker) {
 				peer := newBench(be.t, 2)
 				sl := be.take(ask())
 				sl.TurnedAway(time.Second)
@@ -177,7 +177,7 @@
 }
 
 func TestRetriedRequestIsNoProbe(t *testing.T) {
-	backOffBench(t, 2, func(be *bench, bk *backoff.Book) {
+	backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
 		bk.Ask(id(0), time.Second, time.Now())
 		time.Sleep(time.Minute)
 		as := plain()
@@ -203,7 +203,7 @@
 	}
 	for name, edit := range tests {
 		t.Run(name, func(t *testing.T) {
-			backOffBench(t, 1, func(be *bench, bk *backoff.Book) {
+			backOffBench(t, 1, func(be *bench, bk *backoff.Tracker) {
 				be.put(1, "far", false)
 				be.put(2, "far", false)
 				as := plain()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -84,7 +84,7 @@
 	// Permits is asked before a request goes to a target that names a rate limit; nil lets all go.
 	Permits *permit.Client
 	// BackOffs is which targets want no requests of this instance; nil for none.
-	BackOffs *backoff.Book
+	BackOffs *backoff.Tracker
 	// Waits is told of each request that waits for the end of a target's back-off; it may be nil.
 	Waits func(request string, tg targets.Target, wait time.Duration)
 	// TurnedElsewhere is told of each request that was not let to a target; it may be nil.
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -50,7 +50,7 @@
 	Limits  *ratelimit.Book
 	Permits *permit.Client
 	// BackOffs is which targets want no requests from this instance, and Feedback takes what answers say of all this.
-	BackOffs *backoff.Book
+	BackOffs *backoff.Tracker
 	Feedback *feedback.Recorder
 }
 
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -61,7 +61,7 @@
 type Deps struct {
 	Targets  *targets.Directory
 	Limits   *ratelimit.Book
-	BackOffs *backoff.Book
+	BackOffs *backoff.Tracker
 	// LeavingChanged and LimitsChanged are told when peers have to hear that a target leaves, and of a rate limit.
 	LeavingChanged, LimitsChanged func()
 	Log                           log.Interface
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,7 +36,7 @@
 	// Feedback takes the head of each answer, and Limits and BackOffs are what follows from them.
 	Feedback *feedback.Recorder
 	Limits   *ratelimit.Book
-	BackOffs *backoff.Book
+	BackOffs *backoff.Tracker
 	Bodies   *budget.Memory
 	Metrics  *metrics.Set
 	Log      log.Interface
