--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -73,21 +73,21 @@
 
 // Ask notes that a target asked for a back-off in an answer that came at a time. A shorter one that comes later shortens nothing. It
 // reports whether the target was not backed off from until then.
-func (bk *Tracker) Ask(target string, span time.Duration, came time.Time) (first bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
-	if !known && len(bk.targets) >= maxTargets {
+func (tr *Tracker) Ask(target string, span time.Duration, came time.Time) (first bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	st, known := tr.targets[target]
+	if !known && len(tr.targets) >= maxTargets {
 		return false
 	}
 	if !known {
 		st = &state{began: came}
-		bk.targets[target] = st
-		bk.any.Store(true)
+		tr.targets[target] = st
+		tr.any.Store(true)
 	}
-	first = !bk.now().Before(st.until)
+	first = !tr.now().Before(st.until)
 	spread := min(spreadMost, time.Duration(spreadShare*float64(span)))
-	until := came.Add(span + time.Duration(bk.random()*float64(spread)))
+	until := came.Add(span + time.Duration(tr.random()*float64(spread)))
 	if until.After(st.until) {
 		st.until = until
 	}
@@ -97,13 +97,13 @@
 
 // Answered notes an answer that asks for no back-off, to a request that was sent at a time. It returns how long the target was not open,
 // and reports whether it is from now on.
-func (bk *Tracker) Answered(target string, sent time.Time) (after time.Duration, opened bool) {
-	if !bk.any.Load() {
+func (tr *Tracker) Answered(target string, sent time.Time) (after time.Duration, opened bool) {
+	if !tr.any.Load() {
 		return 0, false
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	st, known := tr.targets[target]
 	if !known || sent.Before(st.until) {
 		// What was under way when the target asked proves nothing about the time after.
 		return 0, false
@@ -113,28 +113,28 @@
 	if st.good < openAfter {
 		return 0, false
 	}
-	bk.drop(target)
-	return bk.now().Sub(st.began), true
+	tr.drop(target)
+	return tr.now().Sub(st.began), true
 }
 
 // drop forgets a target. The lock is held.
-func (bk *Tracker) drop(target string) {
-	delete(bk.targets, target)
-	bk.any.Store(len(bk.targets) > 0)
+func (tr *Tracker) drop(target string) {
+	delete(tr.targets, target)
+	tr.any.Store(len(tr.targets) > 0)
 }
 
 // Of returns the phase of a target; of a closed one also when it may be on trial.
-func (bk *Tracker) Of(target string) (ph Phase, opens time.Time) {
-	if !bk.any.Load() {
+func (tr *Tracker) Of(target string) (ph Phase, opens time.Time) {
+	if !tr.any.Load() {
 		return Open, time.Time{}
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	st, known := tr.targets[target]
 	if !known {
 		return Open, time.Time{}
 	}
-	now := bk.now()
+	now := tr.now()
 	switch {
 	case now.Before(st.until):
 		return Closed, st.until
@@ -146,44 +146,44 @@
 }
 
 // Until returns when the back-off of a target ends; it reports false when there is none now.
-func (bk *Tracker) Until(target string) (time.Time, bool) {
-	if !bk.any.Load() {
+func (tr *Tracker) Until(target string) (time.Time, bool) {
+	if !tr.any.Load() {
 		return time.Time{}, false
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
-	if !known || !bk.now().Before(st.until) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	st, known := tr.targets[target]
+	if !known || !tr.now().Before(st.until) {
 		return time.Time{}, false
 	}
 	return st.until, true
 }
 
 // Chosen notes that a request was chosen to go to a target.
-func (bk *Tracker) Chosen(target string) {
-	if !bk.any.Load() {
+func (tr *Tracker) Chosen(target string) {
+	if !tr.any.Load() {
 		return
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	st, known := tr.targets[target]
 	if !known {
 		return
 	}
 	st.left = max(0, st.left-1)
-	st.trialAt = bk.now().Add(trialEvery)
+	st.trialAt = tr.now().Add(trialEvery)
 }
 
 // Len returns how many targets are backed off from now.
-func (bk *Tracker) Len() int {
-	if !bk.any.Load() {
+func (tr *Tracker) Len() int {
+	if !tr.any.Load() {
 		return 0
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	now := bk.now()
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.now()
 	n := 0
-	for _, st := range bk.targets {
+	for _, st := range tr.targets {
 		if now.Before(st.until) {
 			n++
 		}
@@ -192,13 +192,13 @@
 }
 
 // Forget drops the back-offs that ended some time ago, and those that ended of targets that are not there any more.
-func (bk *Tracker) Forget(there func(target string) bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	now := bk.now()
-	for target, st := range bk.targets {
+func (tr *Tracker) Forget(there func(target string) bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.now()
+	for target, st := range tr.targets {
 		if now.Sub(st.until) > forgetAfter || !now.Before(st.until) && !there(target) {
-			bk.drop(target)
+			tr.drop(target)
 		}
 	}
 }
