--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -73,7 +73,7 @@
 
 // Ask notes that a target asked for a back-off in an answer that came at a time. A shorter one that comes later shortens nothing. It
 // reports whether the target was not backed off from until then.
-func (tr *Tracker) Ask(target string, span time.Duration, came time.Time) (first bool) {
+func (tr *Tracker) Begin(target string, span time.Duration, came time.Time) (first bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	st, known := tr.targets[target]
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -22,7 +22,7 @@
 	return cb
 }
 
-func (cb *clockedBook) ask(span time.Duration) bool { return cb.Ask("a", span, cb.now) }
+func (cb *clockedBook) ask(span time.Duration) bool { return cb.Begin("a", span, cb.now) }
 
 func (cb *clockedBook) phase() backoff.Phase {
 	ph, _ := cb.Of("a")
@@ -108,7 +108,7 @@
 	ends := map[time.Time]bool{}
 	for no := range 100 {
 		bk := backoff.New(func() time.Time { return began }, func() float64 { return float64(no) / 100 })
-		bk.Ask("a", 3*time.Second, began)
+		bk.Begin("a", 3*time.Second, began)
 		until, _ := bk.Until("a")
 		g.Expect(until).To(BeTemporally(">=", began.Add(3*time.Second)))
 		g.Expect(until).To(BeTemporally("<", began.Add(3300*time.Millisecond)))
--- a/internal/backoff/rapid_test.go
+++ b/internal/backoff/rapid_test.go
@@ -22,7 +22,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				sp := span.Draw(t, "back-off")
-				bk.Ask("a", sp, now)
+				bk.Begin("a", sp, now)
 				if until := now.Add(sp); until.After(end) {
 					end = until
 				}
@@ -32,7 +32,7 @@
 			"choose":  func(*rapid.T) { bk.Chosen("a") },
 			"pass":    func(t *rapid.T) { now = now.Add(span.Draw(t, "pause")) },
 			"forget":  func(*rapid.T) { bk.Forget(func(string) bool { return false }) },
-			"another": func(t *rapid.T) { bk.Ask("b", span.Draw(t, "back-off"), now) },
+			"another": func(t *rapid.T) { bk.Begin("b", span.Draw(t, "back-off"), now) },
 			"": func(t *rapid.T) {
 				ph, opens := bk.Of("a")
 				if now.Before(end) && ph != backoff.Closed {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -40,8 +40,8 @@
 	for name, ask := range asks {
 		t.Run(name, func(t *testing.T) {
 			backOffBench(t, 4, func(be *bench, bk *backoff.Tracker) {
-				bk.Ask(id(0), time.Minute, time.Now())
-				bk.Ask(id(1), time.Minute, time.Now())
+				bk.Begin(id(0), time.Minute, time.Now())
+				bk.Begin(id(1), time.Minute, time.Now())
 				for range 6 {
 					sl := be.take(ask())
 					be.Expect(sl.Targets()).NotTo(ContainElements(id(0)))
@@ -60,8 +60,8 @@
 		t.Run(name, func(t *testing.T) {
 			backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
 				began := time.Now()
-				bk.Ask(id(0), time.Minute, began)
-				bk.Ask(id(1), soon, began)
+				bk.Begin(id(0), time.Minute, began)
+				bk.Begin(id(1), soon, began)
 				sl := be.take(ask())
 				be.Expect(sl.Target.ID).To(Equal(id(1)))
 				be.Expect(time.Since(began)).To(BeNumerically(">=", soon))
@@ -76,8 +76,8 @@
 		t.Run(name, func(t *testing.T) {
 			backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
 				began := time.Now()
-				bk.Ask(id(0), time.Minute, began)
-				bk.Ask(id(1), 7*time.Second, began)
+				bk.Begin(id(0), time.Minute, began)
+				bk.Begin(id(1), 7*time.Second, began)
 				fe := be.refused(ask())
 				be.Expect(time.Since(began)).To(BeZero())
 				be.Expect(fe.Code).To(Equal(failure.Overloaded))
@@ -92,7 +92,7 @@
 // TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime was turned away by the one target there is.
 func TestRequestWhoseOtherTargetsAreTriedLearnsTheTrueTime(t *testing.T) {
 	backOffBench(t, 1, func(be *bench, bk *backoff.Tracker) {
-		bk.Ask(id(0), 5*time.Second, time.Now())
+		bk.Begin(id(0), 5*time.Second, time.Now())
 		as := plain()
 		as.Avoid = []string{id(0)}
 		be.Expect(be.refused(as).RetryAfter).To(Equal(5 * time.Second))
@@ -103,7 +103,7 @@
 func TestWaitersDoNotAllComeAtOnce(t *testing.T) {
 	const waiters = 60
 	backOffBench(t, 1, func(be *bench, bk *backoff.Tracker) {
-		bk.Ask(id(0), objective/4, time.Now())
+		bk.Begin(id(0), objective/4, time.Now())
 		var mu sync.Mutex
 		var came []time.Time
 		var wg sync.WaitGroup
@@ -141,7 +141,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
-				bk.Ask(id(0), time.Second, time.Now())
+				bk.Begin(id(0), time.Second, time.Now())
 				// The other target is busy, so that this one is the better choice.
 				for range slots {
 					be.take(plain())
@@ -178,7 +178,7 @@
 
 func TestRetriedRequestIsNoProbe(t *testing.T) {
 	backOffBench(t, 2, func(be *bench, bk *backoff.Tracker) {
-		bk.Ask(id(0), time.Second, time.Now())
+		bk.Begin(id(0), time.Second, time.Now())
 		time.Sleep(time.Minute)
 		as := plain()
 		as.Retried = true
@@ -209,7 +209,7 @@
 				as := plain()
 				edit(be, &as)
 				for no := 1; no <= 2; no++ {
-					bk.Ask(id(no), time.Minute, time.Now())
+					bk.Begin(id(no), time.Minute, time.Now())
 				}
 				as.Arrived, as.Deadline = time.Now(), time.Now().Add(deadline)
 				be.Expect(be.take(as).Target.ID).To(Equal(id(0)))
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -151,7 +151,7 @@
 // noteBackOff takes a target's wish for no further requests, and an answer that shows that it takes some.
 func (rc *Recorder) noteBackOff(tg targets.Target, rp Report) {
 	if rp.Head.BackOff > 0 {
-		if rc.BackOffs.Ask(tg.ID, rp.Head.BackOff, rp.Came) {
+		if rc.BackOffs.Begin(tg.ID, rp.Head.BackOff, rp.Came) {
 			fs := rc.fields(tg, rp)
 			fs["back_off"] = rp.Head.BackOff.String()
 			rc.Log.WithFields(fs).Info("target wants no requests")
