--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -97,7 +97,7 @@
 
 // Answered notes an answer that asks for no back-off, to a request that was sent at a time. It returns how long the target was not open,
 // and reports whether it is from now on.
-func (tr *Tracker) Answered(target string, sent time.Time) (after time.Duration, opened bool) {
+func (tr *Tracker) RecordSuccess(target string, sent time.Time) (after time.Duration, opened bool) {
 	if !tr.any.Load() {
 		return 0, false
 	}
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -66,11 +66,11 @@
 	cb.now = cb.now.Add(time.Second)
 	cb.Chosen("a")
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "one request is on its way")
-	cb.Answered("a", sentBefore)
+	cb.RecordSuccess("a", sentBefore)
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "what was sent before proves nothing")
 	sent := 1
 	for cb.phase() != backoff.Open {
-		cb.Answered("a", cb.now)
+		cb.RecordSuccess("a", cb.now)
 		for cb.phase() == backoff.OnTrial {
 			cb.Chosen("a")
 			sent++
@@ -94,7 +94,7 @@
 	cb := newBook(t)
 	cb.ask(time.Second)
 	cb.now = cb.now.Add(time.Second)
-	cb.Answered("a", cb.now)
+	cb.RecordSuccess("a", cb.now)
 	cb.Expect(cb.ask(time.Second)).To(BeTrue())
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed))
 	cb.now = cb.now.Add(time.Second)
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -119,7 +119,7 @@
 				came = append(came, sent)
 				mu.Unlock()
 				time.Sleep(20 * time.Millisecond)
-				bk.Answered(id(0), sent)
+				bk.RecordSuccess(id(0), sent)
 			})
 		}
 		wg.Wait()
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -158,7 +158,7 @@
 		}
 		return
 	}
-	if after, opened := rc.BackOffs.Answered(tg.ID, rp.Sent); opened {
+	if after, opened := rc.BackOffs.RecordSuccess(tg.ID, rp.Sent); opened {
 		fs := rc.fields(tg, rp)
 		fs["after"] = after.Round(time.Millisecond).String()
 		rc.Log.WithFields(fs).Info("target takes requests again")
