--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -124,7 +124,7 @@
 }
 
 // Of returns the phase of a target; of a closed one also when it may be on trial.
-func (tr *Tracker) Of(target string) (ph Phase, opens time.Time) {
+func (tr *Tracker) Phase(target string) (ph Phase, opens time.Time) {
 	if !tr.any.Load() {
 		return Open, time.Time{}
 	}
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -25,7 +25,7 @@
 func (cb *clockedBook) ask(span time.Duration) bool { return cb.Begin("a", span, cb.now) }
 
 func (cb *clockedBook) phase() backoff.Phase {
-	ph, _ := cb.Of("a")
+	ph, _ := cb.Phase("a")
 	return ph
 }
 
@@ -43,7 +43,7 @@
 	cb.Expect(cb.phase()).To(Equal(backoff.OnTrial))
 	_, backedOff = cb.Until("a")
 	cb.Expect(backedOff).To(BeFalse())
-	ph, _ := cb.Of("another incarnation")
+	ph, _ := cb.Phase("another incarnation")
 	cb.Expect(ph).To(Equal(backoff.Open))
 }
 
@@ -84,7 +84,7 @@
 	cb.ask(time.Second)
 	cb.now = cb.now.Add(time.Second)
 	cb.Chosen("a")
-	ph, opens := cb.Of("a")
+	ph, opens := cb.Phase("a")
 	cb.Expect(ph).To(Equal(backoff.Closed))
 	cb.now = opens
 	cb.Expect(cb.phase()).To(Equal(backoff.OnTrial))
--- a/internal/backoff/rapid_test.go
+++ b/internal/backoff/rapid_test.go
@@ -34,7 +34,7 @@
 			"forget":  func(*rapid.T) { bk.Forget(func(string) bool { return false }) },
 			"another": func(t *rapid.T) { bk.Begin("b", span.Draw(t, "back-off"), now) },
 			"": func(t *rapid.T) {
-				ph, opens := bk.Of("a")
+				ph, opens := bk.Phase("a")
 				if now.Before(end) && ph != backoff.Closed {
 					t.Fatalf("phase %d, %s before the end of the back-off", ph, end.Sub(now))
 				}
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -42,7 +42,7 @@
 	if ds.opts.BackOffs == nil {
 		return backoff.Open, time.Time{}
 	}
-	return ds.opts.BackOffs.Of(id)
+	return ds.opts.BackOffs.Phase(id)
 }
 
 // isBackedOff reports whether a target wants no requests now.
--- a/internal/feedback/fleet_test.go
+++ b/internal/feedback/fleet_test.go
@@ -216,7 +216,7 @@
 
 // opens reports whether an instance may send requests to a target, and sees no load there that a back-off left behind.
 func (in *simInstance) opens(id string) bool {
-	ph, _ := in.recorder.BackOffs.Of(id)
+	ph, _ := in.recorder.BackOffs.Phase(id)
 	_, loaded := in.dispatcher.Own()[id]
 	return ph != backoff.Closed && !loaded
 }
