--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -160,7 +160,7 @@
 }
 
 // Chosen notes that a request was chosen to go to a target.
-func (tr *Tracker) Chosen(target string) {
+func (tr *Tracker) RecordDispatch(target string) {
 	if !tr.any.Load() {
 		return
 	}
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -64,7 +64,7 @@
 	cb.ask(time.Second)
 	sentBefore := cb.now
 	cb.now = cb.now.Add(time.Second)
-	cb.Chosen("a")
+	cb.RecordDispatch("a")
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "one request is on its way")
 	cb.RecordSuccess("a", sentBefore)
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "what was sent before proves nothing")
@@ -72,7 +72,7 @@
 	for cb.phase() != backoff.Open {
 		cb.RecordSuccess("a", cb.now)
 		for cb.phase() == backoff.OnTrial {
-			cb.Chosen("a")
+			cb.RecordDispatch("a")
 			sent++
 		}
 	}
@@ -83,7 +83,7 @@
 	cb := newBook(t)
 	cb.ask(time.Second)
 	cb.now = cb.now.Add(time.Second)
-	cb.Chosen("a")
+	cb.RecordDispatch("a")
 	ph, opens := cb.Phase("a")
 	cb.Expect(ph).To(Equal(backoff.Closed))
 	cb.now = opens
@@ -98,7 +98,7 @@
 	cb.Expect(cb.ask(time.Second)).To(BeTrue())
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed))
 	cb.now = cb.now.Add(time.Second)
-	cb.Chosen("a")
+	cb.RecordDispatch("a")
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed))
 }
 
--- a/internal/backoff/rapid_test.go
+++ b/internal/backoff/rapid_test.go
@@ -29,7 +29,7 @@
 				asked, closedFor = now, 0
 			},
 			"answer":  func(t *rapid.T) { bk.RecordSuccess("a", now.Add(-span.Draw(t, "way"))) },
-			"choose":  func(*rapid.T) { bk.Chosen("a") },
+			"choose":  func(*rapid.T) { bk.RecordDispatch("a") },
 			"pass":    func(t *rapid.T) { now = now.Add(span.Draw(t, "pause")) },
 			"forget":  func(*rapid.T) { bk.Forget(func(string) bool { return false }) },
 			"another": func(t *rapid.T) { bk.Begin("b", span.Draw(t, "back-off"), now) },
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -57,7 +57,7 @@
 // tried notes that a request goes to a target.
 func (ds *Dispatcher) tried(id string) {
 	if ds.opts.BackOffs != nil {
-		ds.opts.BackOffs.Chosen(id)
+		ds.opts.BackOffs.RecordDispatch(id)
 	}
 }
 
