--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -175,7 +175,7 @@
 }
 
 // Len returns how many targets are backed off from now.
-func (tr *Tracker) Len() int {
+func (tr *Tracker) ActiveCount() int {
 	if !tr.any.Load() {
 		return 0
 	}
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -123,9 +123,9 @@
 	cb.ask(time.Hour)
 	cb.Forget(gone)
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "an entry that goes may come back")
-	cb.Expect(cb.Len()).To(Equal(1))
+	cb.Expect(cb.ActiveCount()).To(Equal(1))
 	cb.now = cb.now.Add(time.Hour)
-	cb.Expect(cb.Len()).To(BeZero())
+	cb.Expect(cb.ActiveCount()).To(BeZero())
 	cb.Forget(gone)
 	cb.Expect(cb.phase()).To(Equal(backoff.Open))
 }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -111,7 +111,7 @@
 	permits := permit.NewClient(time.Now, limits.Of, ms)
 	backOffs := backoff.New(time.Now, rand.Float64)
 	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LenLeaving()) })
-	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.Len()) })
+	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.ActiveCount()) })
 	noted := &Changed{}
 	fb := feedback.New(feedback.Deps{
 		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Tell, LimitsChanged: noted.Tell,
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -41,7 +41,7 @@
 	if li := gw.Limits.Of(sl.Target.ID); li.Named {
 		fs["limit"] = li.String()
 	}
-	if n := gw.BackOffs.Len(); n > 0 {
+	if n := gw.BackOffs.ActiveCount(); n > 0 {
 		fs["backed_off"] = n
 	}
 	fs["predicted_first"] = sl.FirstPredicted.Round(time.Millisecond).String()
