--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -192,7 +192,7 @@
 }
 
 // Forget drops the back-offs that ended some time ago, and those that ended of targets that are not there any more.
-func (tr *Tracker) Forget(there func(target string) bool) {
+func (tr *Tracker) Prune(there func(target string) bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	now := tr.now()
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -121,11 +121,11 @@
 	cb := newBook(t)
 	gone := func(string) bool { return false }
 	cb.ask(time.Hour)
-	cb.Forget(gone)
+	cb.Prune(gone)
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "an entry that goes may come back")
 	cb.Expect(cb.ActiveCount()).To(Equal(1))
 	cb.now = cb.now.Add(time.Hour)
 	cb.Expect(cb.ActiveCount()).To(BeZero())
-	cb.Forget(gone)
+	cb.Prune(gone)
 	cb.Expect(cb.phase()).To(Equal(backoff.Open))
 }
--- a/internal/backoff/rapid_test.go
+++ b/internal/backoff/rapid_test.go
@@ -31,7 +31,7 @@
 			"answer":  func(t *rapid.T) { bk.RecordSuccess("a", now.Add(-span.Draw(t, "way"))) },
 			"choose":  func(*rapid.T) { bk.RecordDispatch("a") },
 			"pass":    func(t *rapid.T) { now = now.Add(span.Draw(t, "pause")) },
-			"forget":  func(*rapid.T) { bk.Forget(func(string) bool { return false }) },
+			"forget":  func(*rapid.T) { bk.Prune(func(string) bool { return false }) },
 			"another": func(t *rapid.T) { bk.Begin("b", span.Draw(t, "back-off"), now) },
 			"": func(t *rapid.T) {
 				ph, opens := bk.Phase("a")
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -86,7 +86,7 @@
 	sv.sweep(func() {
 		pt.Pool.Sweep()
 		pt.Limits.Forget(pt.Targets.TakesWork)
-		pt.BackOffs.Forget(pt.Targets.TakesWork)
+		pt.BackOffs.Prune(pt.Targets.TakesWork)
 		sh.update()
 	})
 	grace := st.Grace.Std()
