--- a/internal/backoff/parse.go
+++ b/internal/backoff/parse.go
@@ -11,7 +11,7 @@
 )
 
 // Most is the longest back-off: longer ones are taken as this one. It keeps sums of times within bounds.
-const Most = 24 * time.Hour
+const MaxDuration = 24 * time.Hour
 
 // MalformedError says that a value is neither a number of seconds nor a date.
 type MalformedError struct{ Value string }
@@ -47,15 +47,15 @@
 	if err != nil {
 		from = now
 	}
-	return min(max(0, until.Sub(from)), Most), nil
+	return min(max(0, until.Sub(from)), MaxDuration), nil
 }
 
 func ofSeconds(value string, seconds float64) (time.Duration, error) {
 	switch {
 	case math.IsNaN(seconds) || seconds < 0:
 		return 0, &MalformedError{Value: value}
-	case seconds >= Most.Seconds():
-		return Most, nil
+	case seconds >= MaxDuration.Seconds():
+		return MaxDuration, nil
 	default:
 		return time.Duration(seconds * float64(time.Second)), nil
 	}
