--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -34,7 +34,7 @@
 // The phases.
 const (
 	// Open targets take all requests.
-	Open Phase = iota
+	Available Phase = iota
 	// OnTrial targets may be sent one more request, which finds out whether they take work again.
 	OnTrial
 	// Closed targets take none now.
@@ -126,13 +126,13 @@
 // Of returns the phase of a target; of a closed one also when it may be on trial.
 func (tr *Tracker) Phase(target string) (ph Phase, opens time.Time) {
 	if !tr.any.Load() {
-		return Open, time.Time{}
+		return Available, time.Time{}
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	st, known := tr.targets[target]
 	if !known {
-		return Open, time.Time{}
+		return Available, time.Time{}
 	}
 	now := tr.now()
 	switch {
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -31,7 +31,7 @@
 
 func TestBackOffBindsUntilItsEnd(t *testing.T) {
 	cb := newBook(t)
-	cb.Expect(cb.phase()).To(Equal(backoff.Open))
+	cb.Expect(cb.phase()).To(Equal(backoff.Available))
 	cb.Expect(cb.ask(3 * time.Second)).To(BeTrue())
 	end := cb.now.Add(3 * time.Second)
 	cb.now = end.Add(-time.Nanosecond)
@@ -44,7 +44,7 @@
 	_, backedOff = cb.Until("a")
 	cb.Expect(backedOff).To(BeFalse())
 	ph, _ := cb.Phase("another incarnation")
-	cb.Expect(ph).To(Equal(backoff.Open))
+	cb.Expect(ph).To(Equal(backoff.Available))
 }
 
 func TestShorterBackOffShortensNothing(t *testing.T) {
@@ -69,7 +69,7 @@
 	cb.RecordSuccess("a", sentBefore)
 	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "what was sent before proves nothing")
 	sent := 1
-	for cb.phase() != backoff.Open {
+	for cb.phase() != backoff.Available {
 		cb.RecordSuccess("a", cb.now)
 		for cb.phase() == backoff.OnTrial {
 			cb.RecordDispatch("a")
@@ -127,5 +127,5 @@
 	cb.now = cb.now.Add(time.Hour)
 	cb.Expect(cb.ActiveCount()).To(BeZero())
 	cb.Prune(gone)
-	cb.Expect(cb.phase()).To(Equal(backoff.Open))
+	cb.Expect(cb.phase()).To(Equal(backoff.Available))
 }
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -33,14 +33,14 @@
 	case backoff.OnTrial:
 		now := ds.opts.Now()
 		return now, by, !as.probe && (as.Retried || now.Sub(at) < unprobedFor)
-	case backoff.Open:
+	case backoff.Available:
 	}
 	return time.Time{}, by, false
 }
 
 func (ds *Dispatcher) phase(id string) (backoff.Phase, time.Time) {
 	if ds.opts.BackOffs == nil {
-		return backoff.Open, time.Time{}
+		return backoff.Available, time.Time{}
 	}
 	return ds.opts.BackOffs.Phase(id)
 }
--- a/internal/dispatch/limit.go
+++ b/internal/dispatch/limit.go
@@ -30,7 +30,7 @@
 		return opens, by, true
 	}
 	opens, closed = ds.unpermitted(as, id)
-	return opens, backoff.Open, closed
+	return opens, backoff.Available, closed
 }
 
 // unpermitted reports whether a target has no permit for a request now, and when it may be asked again.
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -155,7 +155,7 @@
 		ph, _ := ds.phase(tg.ID)
 		cands[i] = placement.Target{
 			Name: tg.ID, Near: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.book.total(tg.ID), Pace: 1,
-			Helper: ph == backoff.Open,
+			Helper: ph == backoff.Available,
 			Closed: closed,
 		}
 		if ds.book.isFull(tg.ID, now) {
