--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -36,7 +36,7 @@
 	// Open targets take all requests.
 	Available Phase = iota
 	// OnTrial targets may be sent one more request, which finds out whether they take work again.
-	OnTrial
+	HalfOpen
 	// Closed targets take none now.
 	Closed
 )
@@ -139,7 +139,7 @@
 	case now.Before(st.until):
 		return Closed, st.until
 	case st.left > 0 || !now.Before(st.trialAt):
-		return OnTrial, st.until
+		return HalfOpen, st.until
 	default:
 		return Closed, st.trialAt
 	}
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -40,7 +40,7 @@
 	cb.Expect(backedOff).To(BeTrue())
 	cb.Expect(until).To(Equal(end))
 	cb.now = end
-	cb.Expect(cb.phase()).To(Equal(backoff.OnTrial))
+	cb.Expect(cb.phase()).To(Equal(backoff.HalfOpen))
 	_, backedOff = cb.Until("a")
 	cb.Expect(backedOff).To(BeFalse())
 	ph, _ := cb.Phase("another incarnation")
@@ -71,7 +71,7 @@
 	sent := 1
 	for cb.phase() != backoff.Available {
 		cb.RecordSuccess("a", cb.now)
-		for cb.phase() == backoff.OnTrial {
+		for cb.phase() == backoff.HalfOpen {
 			cb.RecordDispatch("a")
 			sent++
 		}
@@ -87,7 +87,7 @@
 	ph, opens := cb.Phase("a")
 	cb.Expect(ph).To(Equal(backoff.Closed))
 	cb.now = opens
-	cb.Expect(cb.phase()).To(Equal(backoff.OnTrial))
+	cb.Expect(cb.phase()).To(Equal(backoff.HalfOpen))
 }
 
 func TestTargetThatAsksAgainIsOnTrialAgain(t *testing.T) {
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -30,7 +30,7 @@
 	switch by {
 	case backoff.Closed:
 		return at, by, true
-	case backoff.OnTrial:
+	case backoff.HalfOpen:
 		now := ds.opts.Now()
 		return now, by, !as.probe && (as.Retried || now.Sub(at) < unprobedFor)
 	case backoff.Available:
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -48,7 +48,7 @@
 			// Those that failed lately may be open, or those of other availability zones than the one that a probe was for.
 			as.Caution = targets.Proven
 			return as, true, nil
-		case first.phase == backoff.OnTrial:
+		case first.phase == backoff.HalfOpen:
 			as.probe = true
 			return as, true, nil
 		case first.phase == backoff.Closed:
