--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -38,7 +38,7 @@
 	// OnTrial targets may be sent one more request, which finds out whether they take work again.
 	HalfOpen
 	// Closed targets take none now.
-	Closed
+	Blocked
 )
 
 // state is what is known of one target.
@@ -137,11 +137,11 @@
 	now := tr.now()
 	switch {
 	case now.Before(st.until):
-		return Closed, st.until
+		return Blocked, st.until
 	case st.left > 0 || !now.Before(st.trialAt):
 		return HalfOpen, st.until
 	default:
-		return Closed, st.trialAt
+		return Blocked, st.trialAt
 	}
 }
 
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -35,7 +35,7 @@
 	cb.Expect(cb.ask(3 * time.Second)).To(BeTrue())
 	end := cb.now.Add(3 * time.Second)
 	cb.now = end.Add(-time.Nanosecond)
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed))
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
 	until, backedOff := cb.Until("a")
 	cb.Expect(backedOff).To(BeTrue())
 	cb.Expect(until).To(Equal(end))
@@ -53,10 +53,10 @@
 	cb.now = cb.now.Add(time.Second)
 	cb.Expect(cb.ask(time.Second)).To(BeFalse(), "it is known already")
 	cb.now = cb.now.Add(1900 * time.Millisecond)
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed))
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
 	cb.ask(time.Second)
 	cb.now = cb.now.Add(900 * time.Millisecond)
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "a later one lengthens it")
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "a later one lengthens it")
 }
 
 func TestTargetOpensStepByStep(t *testing.T) {
@@ -65,9 +65,9 @@
 	sentBefore := cb.now
 	cb.now = cb.now.Add(time.Second)
 	cb.RecordDispatch("a")
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "one request is on its way")
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "one request is on its way")
 	cb.RecordSuccess("a", sentBefore)
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "what was sent before proves nothing")
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "what was sent before proves nothing")
 	sent := 1
 	for cb.phase() != backoff.Available {
 		cb.RecordSuccess("a", cb.now)
@@ -85,7 +85,7 @@
 	cb.now = cb.now.Add(time.Second)
 	cb.RecordDispatch("a")
 	ph, opens := cb.Phase("a")
-	cb.Expect(ph).To(Equal(backoff.Closed))
+	cb.Expect(ph).To(Equal(backoff.Blocked))
 	cb.now = opens
 	cb.Expect(cb.phase()).To(Equal(backoff.HalfOpen))
 }
@@ -96,10 +96,10 @@
 	cb.now = cb.now.Add(time.Second)
 	cb.RecordSuccess("a", cb.now)
 	cb.Expect(cb.ask(time.Second)).To(BeTrue())
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed))
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
 	cb.now = cb.now.Add(time.Second)
 	cb.RecordDispatch("a")
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed))
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
 }
 
 func TestInstancesComeBackOneAfterTheOther(t *testing.T) {
@@ -122,7 +122,7 @@
 	gone := func(string) bool { return false }
 	cb.ask(time.Hour)
 	cb.Prune(gone)
-	cb.Expect(cb.phase()).To(Equal(backoff.Closed), "an entry that goes may come back")
+	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "an entry that goes may come back")
 	cb.Expect(cb.ActiveCount()).To(Equal(1))
 	cb.now = cb.now.Add(time.Hour)
 	cb.Expect(cb.ActiveCount()).To(BeZero())
--- a/internal/backoff/rapid_test.go
+++ b/internal/backoff/rapid_test.go
@@ -35,13 +35,13 @@
 			"another": func(t *rapid.T) { bk.Begin("b", span.Draw(t, "back-off"), now) },
 			"": func(t *rapid.T) {
 				ph, opens := bk.Phase("a")
-				if now.Before(end) && ph != backoff.Closed {
+				if now.Before(end) && ph != backoff.Blocked {
 					t.Fatalf("phase %d, %s before the end of the back-off", ph, end.Sub(now))
 				}
-				if ph == backoff.Closed && !opens.After(now) {
+				if ph == backoff.Blocked && !opens.After(now) {
 					t.Fatalf("closed until %s ago", now.Sub(opens))
 				}
-				if ph == backoff.Closed && !now.Before(end) {
+				if ph == backoff.Blocked && !now.Before(end) {
 					closedFor = opens.Sub(now)
 				}
 				if closedFor > time.Second {
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -28,7 +28,7 @@
 func (ds *Dispatcher) backedOff(as Ask, id string) (opens time.Time, by backoff.Phase, closed bool) {
 	by, at := ds.phase(id)
 	switch by {
-	case backoff.Closed:
+	case backoff.Blocked:
 		return at, by, true
 	case backoff.HalfOpen:
 		now := ds.opts.Now()
@@ -139,7 +139,7 @@
 	var first time.Time
 	for _, tg := range ds.targets.Usable(service, targets.Proven) {
 		ph, at := ds.phase(tg.ID)
-		if ph != backoff.Closed {
+		if ph != backoff.Blocked {
 			return comeBack
 		}
 		if first.IsZero() || at.Before(first) {
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -51,7 +51,7 @@
 		case first.phase == backoff.HalfOpen:
 			as.probe = true
 			return as, true, nil
-		case first.phase == backoff.Closed:
+		case first.phase == backoff.Blocked:
 			return as, true, ds.awaitBackOff(ctx, as, first)
 		}
 		now := ds.opts.Now()
--- a/internal/feedback/fleet_test.go
+++ b/internal/feedback/fleet_test.go
@@ -218,7 +218,7 @@
 func (in *simInstance) opens(id string) bool {
 	ph, _ := in.recorder.BackOffs.Phase(id)
 	_, loaded := in.dispatcher.Own()[id]
-	return ph != backoff.Closed && !loaded
+	return ph != backoff.Blocked && !loaded
 }
 
 // metUnknown reports whether a call was turned away at last by a target that had not turned its instance away before.
