--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -47,7 +47,7 @@
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
 	Noted *Changed
 	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
-	Limits  *ratelimit.Book
+	Limits  *ratelimit.Tracker
 	Permits *permit.Client
 	// BackOffs is which targets want no requests from this instance, and Feedback takes what answers say of all this.
 	BackOffs *backoff.Tracker
@@ -70,7 +70,7 @@
 }
 
 // turnedElsewhere returns what logs a request that did not go to a target for want of a permit.
-func turnedElsewhere(lg log.Interface, limits *ratelimit.Book) func(request string, tg targets.Target, again time.Duration) {
+func turnedElsewhere(lg log.Interface, limits *ratelimit.Tracker) func(request string, tg targets.Target, again time.Duration) {
 	return func(request string, tg targets.Target, again time.Duration) {
 		lg.WithFields(log.Fields{
 			"request": request, "target": tg.ID, "service": tg.Service, "limit": limits.Of(tg.ID).String(),
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -69,7 +69,7 @@
 	fo  *forwarding.Followers
 	ld  *blame.Ledger
 	// limits is what is believed of the rate limits of targets, and permits keeps to them with the others.
-	limits  *ratelimit.Book
+	limits  *ratelimit.Tracker
 	permits *permits
 	// configurations and lists are the newer documents to be fetched, each kind by a goroutine of its own: a target that is
 	// gone must be known in time, whatever a large configuration takes.
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -46,7 +46,7 @@
 	self   string
 	mesh   *gossip.Mesh
 	issuer *permit.Issuer
-	limits *ratelimit.Book
+	limits *ratelimit.Tracker
 	lg     log.Interface
 
 	mu sync.Mutex
@@ -56,7 +56,7 @@
 	version    uint64
 }
 
-func newPermits(self string, ms *gossip.Mesh, limits *ratelimit.Book, lg log.Interface) *permits {
+func newPermits(self string, ms *gossip.Mesh, limits *ratelimit.Tracker, lg log.Interface) *permits {
 	return &permits{self: self, mesh: ms, issuer: permit.NewIssuer(time.Now), limits: limits, lg: lg}
 }
 
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -60,7 +60,7 @@
 // Deps are the parts that a Recorder works with. All are set.
 type Deps struct {
 	Targets  *targets.Directory
-	Limits   *ratelimit.Book
+	Limits   *ratelimit.Tracker
 	BackOffs *backoff.Tracker
 	// LeavingChanged and LimitsChanged are told when peers have to hear that a target leaves, and of a rate limit.
 	LeavingChanged, LimitsChanged func()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,7 +35,7 @@
 	Blame      *blame.Ledger
 	// Feedback takes the head of each answer, and Limits and BackOffs are what follows from them.
 	Feedback *feedback.Recorder
-	Limits   *ratelimit.Book
+	Limits   *ratelimit.Tracker
 	BackOffs *backoff.Tracker
 	Bodies   *budget.Memory
 	Metrics  *metrics.Set
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -111,7 +111,7 @@
 	// seen and known are whom it believes live, and how many it knew, as of its last beat.
 	seen   []permit.Candidate
 	known  int
-	book   *ratelimit.Book
+	book   *ratelimit.Tracker
 	issuer *permit.Issuer
 	client *permit.Client
 	delay  time.Duration
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -55,7 +55,7 @@
 
 // Book is what this instance believes of the rate limits of targets, by its own answers and its peers' word. It is safe for use by any
 // goroutine.
-type Book struct {
+type Tracker struct {
 	now func() time.Time
 
 	mu sync.Mutex
@@ -66,13 +66,13 @@
 }
 
 // New returns an empty book; now is the steady clock.
-func New(now func() time.Time) *Book {
-	return &Book{now: now, beliefs: map[string]belief{}}
+func New(now func() time.Time) *Tracker {
+	return &Tracker{now: now, beliefs: map[string]belief{}}
 }
 
 // Observe takes what this instance saw in an answer to a request that was sent at one time and whose head came at another. It reports
 // whether the belief changed; peers must then be told.
-func (bk *Book) Observe(target string, li Limit, sent, head time.Time) (Change, bool) {
+func (bk *Tracker) Observe(target string, li Limit, sent, head time.Time) (Change, bool) {
 	ob := Observation{Target: target, Limit: li, At: sent}
 	if li.Named {
 		ob.At = head
@@ -83,7 +83,7 @@
 }
 
 // Hear takes what a peer tells, and returns what that changed.
-func (bk *Book) Hear(told []Observation) []Change {
+func (bk *Tracker) Hear(told []Observation) []Change {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	var changes []Change
@@ -96,7 +96,7 @@
 }
 
 // take takes an observation unless what is believed is newer. The lock is held.
-func (bk *Book) take(ob Observation, own bool) (Change, bool) {
+func (bk *Tracker) take(ob Observation, own bool) (Change, bool) {
 	be, known := bk.beliefs[ob.Target]
 	// An own answer without a limit is the usual one. A peer that tells of one saw a limit lifted: an older word of that limit may still be
 	// under way.
@@ -118,7 +118,7 @@
 	return Change{Observation: ob, Before: before}, true
 }
 
-func (bk *Book) count(before, after Limit) {
+func (bk *Tracker) count(before, after Limit) {
 	if before.Named {
 		bk.limited--
 	}
@@ -128,7 +128,7 @@
 }
 
 // Of returns the limit of a target.
-func (bk *Book) Of(target string) Limit {
+func (bk *Tracker) Of(target string) Limit {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	if bk.limited == 0 {
@@ -138,7 +138,7 @@
 }
 
 // Limited returns how many targets are believed to name a limit.
-func (bk *Book) Limited() int {
+func (bk *Tracker) Limited() int {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	return bk.limited
@@ -146,7 +146,7 @@
 
 // Told returns what peers hear: what this instance was the first to see, by target. That is a few entries for each target over the whole
 // fleet, however many instances see the same.
-func (bk *Book) Told() []Observation {
+func (bk *Tracker) Told() []Observation {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	var told []Observation
@@ -160,7 +160,7 @@
 }
 
 // Forget drops the beliefs in targets that are not there any more, and in limits that were lifted some time ago.
-func (bk *Book) Forget(there func(target string) bool) {
+func (bk *Tracker) Forget(there func(target string) bool) {
 	bk.mu.Lock()
 	defer bk.mu.Unlock()
 	now := bk.now()
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -43,7 +43,7 @@
 // book is a book on a clock that the test moves.
 type book struct {
 	*WithT
-	*ratelimit.Book
+	*ratelimit.Tracker
 	began time.Time
 	now   time.Time
 }
@@ -51,7 +51,7 @@
 func newBook(t *testing.T) *book {
 	bk := &book{WithT: NewWithT(t), began: time.Unix(1000, 0)}
 	bk.now = bk.began
-	bk.Book = ratelimit.New(func() time.Time { return bk.now })
+	bk.Tracker = ratelimit.New(func() time.Time { return bk.now })
 	return bk
 }
 
