--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -72,23 +72,23 @@
 
 // Observe takes what this instance saw in an answer to a request that was sent at one time and whose head came at another. It reports
 // whether the belief changed; peers must then be told.
-func (bk *Tracker) Observe(target string, li Limit, sent, head time.Time) (Change, bool) {
+func (tr *Tracker) Observe(target string, li Limit, sent, head time.Time) (Change, bool) {
 	ob := Observation{Target: target, Limit: li, At: sent}
 	if li.Named {
 		ob.At = head
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	return bk.take(ob, true)
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.take(ob, true)
 }
 
 // Hear takes what a peer tells, and returns what that changed.
-func (bk *Tracker) Hear(told []Observation) []Change {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
+func (tr *Tracker) Hear(told []Observation) []Change {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	var changes []Change
 	for _, ob := range told {
-		if ch, changed := bk.take(ob, false); changed {
+		if ch, changed := tr.take(ob, false); changed {
 			changes = append(changes, ch)
 		}
 	}
@@ -96,61 +96,61 @@
 }
 
 // take takes an observation unless what is believed is newer. The lock is held.
-func (bk *Tracker) take(ob Observation, own bool) (Change, bool) {
-	be, known := bk.beliefs[ob.Target]
+func (tr *Tracker) take(ob Observation, own bool) (Change, bool) {
+	be, known := tr.beliefs[ob.Target]
 	// An own answer without a limit is the usual one. A peer that tells of one saw a limit lifted: an older word of that limit may still be
 	// under way.
 	if !known && !ob.Limit.Named && own {
 		return Change{}, false
 	}
-	if known && ob.At.Before(be.at) || !known && len(bk.beliefs) >= maxBeliefs {
+	if known && ob.At.Before(be.at) || !known && len(tr.beliefs) >= maxBeliefs {
 		return Change{}, false
 	}
 	before := be.limit
 	be.at = ob.At
 	if before == ob.Limit {
-		bk.beliefs[ob.Target] = be
+		tr.beliefs[ob.Target] = be
 		return Change{}, false
 	}
 	be.limit, be.witness = ob.Limit, own
-	bk.beliefs[ob.Target] = be
-	bk.count(before, ob.Limit)
+	tr.beliefs[ob.Target] = be
+	tr.count(before, ob.Limit)
 	return Change{Observation: ob, Before: before}, true
 }
 
-func (bk *Tracker) count(before, after Limit) {
+func (tr *Tracker) count(before, after Limit) {
 	if before.Named {
-		bk.limited--
+		tr.limited--
 	}
 	if after.Named {
-		bk.limited++
+		tr.limited++
 	}
 }
 
 // Of returns the limit of a target.
-func (bk *Tracker) Of(target string) Limit {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	if bk.limited == 0 {
+func (tr *Tracker) Of(target string) Limit {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if tr.limited == 0 {
 		return Limit{}
 	}
-	return bk.beliefs[target].limit
+	return tr.beliefs[target].limit
 }
 
 // Limited returns how many targets are believed to name a limit.
-func (bk *Tracker) Limited() int {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	return bk.limited
+func (tr *Tracker) Limited() int {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.limited
 }
 
 // Told returns what peers hear: what this instance was the first to see, by target. That is a few entries for each target over the whole
 // fleet, however many instances see the same.
-func (bk *Tracker) Told() []Observation {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
+func (tr *Tracker) Told() []Observation {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	var told []Observation
-	for target, be := range bk.beliefs {
+	for target, be := range tr.beliefs {
 		if be.witness {
 			told = append(told, Observation{Target: target, Limit: be.limit, At: be.at})
 		}
@@ -160,15 +160,15 @@
 }
 
 // Forget drops the beliefs in targets that are not there any more, and in limits that were lifted some time ago.
-func (bk *Tracker) Forget(there func(target string) bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	now := bk.now()
-	for target, be := range bk.beliefs {
+func (tr *Tracker) Forget(there func(target string) bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.now()
+	for target, be := range tr.beliefs {
 		lifted := !be.limit.Named && now.Sub(be.at) > liftedFor
 		if lifted || now.Sub(be.at) > liftedFor && !there(target) {
-			bk.count(be.limit, Limit{})
-			delete(bk.beliefs, target)
+			tr.count(be.limit, Limit{})
+			delete(tr.beliefs, target)
 		}
 	}
 }
