--- a/internal/duty/members/limits.go
+++ b/internal/duty/members/limits.go
@@ -48,7 +48,7 @@
 		du.lg.WithError(err).WithField("peer", from.Name).Error("peer's rate limits cannot be read")
 		return
 	}
-	for _, ch := range du.limits.Hear(obs) {
+	for _, ch := range du.limits.Merge(obs) {
 		du.lg.WithFields(log.Fields{
 			"target": ch.Target, "limit": ch.Limit.String(), "before": ch.Before.String(), "source": "peer", "peer": from.Name,
 			"age": time.Since(ch.At).Round(time.Millisecond).String(),
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -356,7 +356,7 @@
 			other.mu.Lock()
 			book := other.book
 			other.mu.Unlock()
-			book.Hear(told)
+			book.Merge(told)
 		})
 	}
 }
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -83,7 +83,7 @@
 }
 
 // Hear takes what a peer tells, and returns what that changed.
-func (tr *Tracker) Hear(told []Observation) []Change {
+func (tr *Tracker) Merge(told []Observation) []Change {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var changes []Change
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -65,7 +65,7 @@
 
 // heard is a peer's word.
 func (bk *book) heard(li ratelimit.Limit, at int) bool {
-	return len(bk.Hear([]ratelimit.Observation{{Target: "a", Limit: li, At: bk.at(at)}})) > 0
+	return len(bk.Merge([]ratelimit.Observation{{Target: "a", Limit: li, At: bk.at(at)}})) > 0
 }
 
 func TestBookBelievesTheNewestAnswer(t *testing.T) {
