--- a/internal/duty/members/notes.go
+++ b/internal/duty/members/notes.go
@@ -10,7 +10,7 @@
 // notes returns what peers hear of requests that end targets, and of rate limits.
 func (du *duty) notes() []byte {
 	now := time.Now()
-	return withLimits(du.ld.Notes().Encode(now), du.limits.Told(), now)
+	return withLimits(du.ld.Notes().Encode(now), du.limits.LocalObservations(), now)
 }
 
 // receiveNotes takes what a peer tells of them.
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -343,7 +343,7 @@
 // tell tells the others what an instance saw; each hears of it after the delay of its links.
 func (fl *simFleet) tell(in *simInstance) {
 	in.mu.Lock()
-	told := in.book.Told()
+	told := in.book.LocalObservations()
 	in.mu.Unlock()
 	for _, other := range fl.instances {
 		if other.no == in.no {
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -146,7 +146,7 @@
 
 // Told returns what peers hear: what this instance was the first to see, by target. That is a few entries for each target over the whole
 // fleet, however many instances see the same.
-func (tr *Tracker) Told() []Observation {
+func (tr *Tracker) LocalObservations() []Observation {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var told []Observation
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -105,11 +105,11 @@
 	two := ratelimit.Of(2)
 	bk.Expect(bk.heard(two, 10)).To(BeTrue())
 	bk.Expect(bk.saw(two, 20, 30)).To(BeFalse())
-	bk.Expect(bk.Told()).To(BeEmpty(), "others told of it")
+	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "others told of it")
 	bk.Expect(bk.saw(ratelimit.Of(4), 40, 50)).To(BeTrue())
-	bk.Expect(bk.Told()).To(Equal([]ratelimit.Observation{{Target: "a", Limit: ratelimit.Of(4), At: bk.at(50)}}))
+	bk.Expect(bk.LocalObservations()).To(Equal([]ratelimit.Observation{{Target: "a", Limit: ratelimit.Of(4), At: bk.at(50)}}))
 	bk.Expect(bk.heard(two, 60)).To(BeTrue())
-	bk.Expect(bk.Told()).To(BeEmpty(), "a peer saw something newer")
+	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "a peer saw something newer")
 }
 
 func TestBookForgets(t *testing.T) {
@@ -123,7 +123,7 @@
 	there = false
 	forget()
 	bk.Expect(bk.Limited()).To(BeZero())
-	bk.Expect(bk.Told()).To(BeEmpty())
+	bk.Expect(bk.LocalObservations()).To(BeEmpty())
 }
 
 func TestObservationsAreReadAsWritten(t *testing.T) {
