--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -73,7 +73,7 @@
 func turnedElsewhere(lg log.Interface, limits *ratelimit.Tracker) func(request string, tg targets.Target, again time.Duration) {
 	return func(request string, tg targets.Target, again time.Duration) {
 		lg.WithFields(log.Fields{
-			"request": request, "target": tg.ID, "service": tg.Service, "limit": limits.Of(tg.ID).String(),
+			"request": request, "target": tg.ID, "service": tg.Service, "limit": limits.Limit(tg.ID).String(),
 			"again": again.Round(time.Millisecond).String(),
 		}).Info("no permit for target")
 	}
@@ -108,7 +108,7 @@
 	}
 	limits := ratelimit.New(time.Now)
 	ms.NewGauge("silvermount_targets_limited", func() float64 { return float64(limits.Limited()) })
-	permits := permit.NewClient(time.Now, limits.Of, ms)
+	permits := permit.NewClient(time.Now, limits.Limit, ms)
 	backOffs := backoff.New(time.Now, rand.Float64)
 	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LenLeaving()) })
 	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.ActiveCount()) })
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -122,7 +122,7 @@
 	if ps.issuerOf(tg).Name != ps.self {
 		return permit.Answer{After: elsewhereFor}
 	}
-	li := ps.limits.Of(qu.Target)
+	li := ps.limits.Limit(qu.Target)
 	if !li.Named {
 		li = ratelimit.Of(qu.PerSecond)
 	}
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -135,7 +135,7 @@
 	in.book = ratelimit.New(time.Now)
 	in.issuer = permit.NewIssuer(time.Now)
 	book := in.book
-	in.client = permit.NewClient(time.Now, book.Of, metrics.NewSet())
+	in.client = permit.NewClient(time.Now, book.Limit, metrics.NewSet())
 	in.client.SetAsk(func(ctx context.Context, rq permit.Request) (permit.Answer, error) { return fl.ask(ctx, in, rq) })
 }
 
@@ -228,7 +228,7 @@
 	in.mu.Lock()
 	cl, is, book := in.client, in.issuer, in.book
 	in.mu.Unlock()
-	li := book.Of(tg.ID)
+	li := book.Limit(tg.ID)
 	if !li.Named {
 		return true
 	}
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -128,7 +128,7 @@
 }
 
 // Of returns the limit of a target.
-func (tr *Tracker) Of(target string) Limit {
+func (tr *Tracker) Limit(target string) Limit {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	if tr.limited == 0 {
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -73,13 +73,13 @@
 	two, three, none := ratelimit.Of(2), ratelimit.Of(3), ratelimit.Limit{}
 	bk.Expect(bk.saw(none, 0, 10)).To(BeFalse())
 	bk.Expect(bk.saw(two, 20, 30)).To(BeTrue())
-	bk.Expect(bk.Of("a")).To(Equal(two))
+	bk.Expect(bk.Limit("a")).To(Equal(two))
 	bk.Expect(bk.saw(none, 25, 60)).To(BeFalse(), "under way when the limit was named")
-	bk.Expect(bk.Of("a")).To(Equal(two))
+	bk.Expect(bk.Limit("a")).To(Equal(two))
 	bk.Expect(bk.saw(three, 40, 70)).To(BeTrue())
 	bk.Expect(bk.Limited()).To(Equal(1))
 	bk.Expect(bk.saw(none, 80, 90)).To(BeTrue())
-	bk.Expect(bk.Of("a")).To(Equal(none))
+	bk.Expect(bk.Limit("a")).To(Equal(none))
 	bk.Expect(bk.Limited()).To(BeZero())
 }
 
@@ -88,16 +88,16 @@
 	bk := newBook(t)
 	bk.Expect(bk.heard(two, 30)).To(BeTrue())
 	bk.Expect(bk.heard(none, 20)).To(BeFalse())
-	bk.Expect(bk.Of("a")).To(Equal(two))
+	bk.Expect(bk.Limit("a")).To(Equal(two))
 	bk.Expect(bk.heard(none, 40)).To(BeTrue())
 	bk.Expect(bk.heard(two, 35)).To(BeFalse())
-	bk.Expect(bk.Of("a")).To(Equal(none))
+	bk.Expect(bk.Limit("a")).To(Equal(none))
 
 	// Told by different ways, the lifting may come first.
 	late := newBook(t)
 	late.Expect(late.heard(none, 40)).To(BeFalse())
 	late.Expect(late.heard(two, 30)).To(BeFalse())
-	late.Expect(late.Of("a")).To(Equal(none))
+	late.Expect(late.Limit("a")).To(Equal(none))
 }
 
 func TestBookTellsWhatItSawFirst(t *testing.T) {
@@ -119,7 +119,7 @@
 	forget := func() { bk.Forget(func(string) bool { return there }) }
 	bk.now = bk.began.Add(time.Hour)
 	forget()
-	bk.Expect(bk.Of("a").Named).To(BeTrue(), "a target that gets no requests is limited still")
+	bk.Expect(bk.Limit("a").Named).To(BeTrue(), "a target that gets no requests is limited still")
 	there = false
 	forget()
 	bk.Expect(bk.Limited()).To(BeZero())
