--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -107,7 +107,7 @@
 		Timeout: env.Settings.Gateway.OrderTimeout.Std(), Hold: env.Settings.Gateway.MemoryHold.Std(), Log: env.Logger("memory"),
 	}
 	limits := ratelimit.New(time.Now)
-	ms.NewGauge("silvermount_targets_limited", func() float64 { return float64(limits.Limited()) })
+	ms.NewGauge("silvermount_targets_limited", func() float64 { return float64(limits.LimitedCount()) })
 	permits := permit.NewClient(time.Now, limits.Limit, ms)
 	backOffs := backoff.New(time.Now, rand.Float64)
 	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LenLeaving()) })
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -138,7 +138,7 @@
 }
 
 // Limited returns how many targets are believed to name a limit.
-func (tr *Tracker) Limited() int {
+func (tr *Tracker) LimitedCount() int {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.limited
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -77,10 +77,10 @@
 	bk.Expect(bk.saw(none, 25, 60)).To(BeFalse(), "under way when the limit was named")
 	bk.Expect(bk.Limit("a")).To(Equal(two))
 	bk.Expect(bk.saw(three, 40, 70)).To(BeTrue())
-	bk.Expect(bk.Limited()).To(Equal(1))
+	bk.Expect(bk.LimitedCount()).To(Equal(1))
 	bk.Expect(bk.saw(none, 80, 90)).To(BeTrue())
 	bk.Expect(bk.Limit("a")).To(Equal(none))
-	bk.Expect(bk.Limited()).To(BeZero())
+	bk.Expect(bk.LimitedCount()).To(BeZero())
 }
 
 func TestBookTakesPeersWordByItsAge(t *testing.T) {
@@ -122,7 +122,7 @@
 	bk.Expect(bk.Limit("a").Named).To(BeTrue(), "a target that gets no requests is limited still")
 	there = false
 	forget()
-	bk.Expect(bk.Limited()).To(BeZero())
+	bk.Expect(bk.LimitedCount()).To(BeZero())
 	bk.Expect(bk.LocalObservations()).To(BeEmpty())
 }
 
