--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -160,7 +160,7 @@
 }
 
 // Forget drops the beliefs in targets that are not there any more, and in limits that were lifted some time ago.
-func (tr *Tracker) Forget(there func(target string) bool) {
+func (tr *Tracker) Prune(there func(target string) bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	now := tr.now()
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -116,7 +116,7 @@
 	bk := newBook(t)
 	bk.saw(ratelimit.Of(2), 0, 10)
 	there := true
-	forget := func() { bk.Forget(func(string) bool { return there }) }
+	forget := func() { bk.Prune(func(string) bool { return there }) }
 	bk.now = bk.began.Add(time.Hour)
 	forget()
 	bk.Expect(bk.Limit("a").Named).To(BeTrue(), "a target that gets no requests is limited still")
