--- a/internal/duty/members/limits.go
+++ b/internal/duty/members/limits.go
@@ -50,7 +50,7 @@
 	}
 	for _, ch := range du.limits.Merge(obs) {
 		du.lg.WithFields(log.Fields{
-			"target": ch.Target, "limit": ch.Limit.String(), "before": ch.Before.String(), "source": "peer", "peer": from.Name,
+			"target": ch.Target, "limit": ch.Limit.String(), "before": ch.Previous.String(), "source": "peer", "peer": from.Name,
 			"age": time.Since(ch.At).Round(time.Millisecond).String(),
 		}).Info("rate limit of target " + ch.What())
 	}
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -143,7 +143,7 @@
 		return
 	}
 	fs := rc.fields(tg, rp)
-	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Before.String(), rc.age(ch.At)
+	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Previous.String(), rc.age(ch.At)
 	rc.Log.WithFields(fs).Info("rate limit of target " + ch.What())
 	rc.LimitsChanged()
 }
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -21,13 +21,13 @@
 type Change struct {
 	Observation
 	// Before is what was believed until then.
-	Before Limit
+	Previous Limit
 }
 
 // What says what became of the limit.
 func (ch Change) What() string {
 	switch {
-	case !ch.Before.Named:
+	case !ch.Previous.Named:
 		return "named"
 	case !ch.Limit.Named:
 		return "lifted"
@@ -115,7 +115,7 @@
 	be.limit, be.witness = ob.Limit, own
 	tr.beliefs[ob.Target] = be
 	tr.count(before, ob.Limit)
-	return Change{Observation: ob, Before: before}, true
+	return Change{Observation: ob, Previous: before}, true
 }
 
 func (tr *Tracker) count(before, after Limit) {
