--- a/internal/duty/members/limits.go
+++ b/internal/duty/members/limits.go
@@ -52,6 +52,6 @@
 		du.lg.WithFields(log.Fields{
 			"target": ch.Target, "limit": ch.Limit.String(), "before": ch.Previous.String(), "source": "peer", "peer": from.Name,
 			"age": time.Since(ch.At).Round(time.Millisecond).String(),
-		}).Info("rate limit of target " + ch.What())
+		}).Info("rate limit of target " + ch.Kind())
 	}
 }
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -144,7 +144,7 @@
 	}
 	fs := rc.fields(tg, rp)
 	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Previous.String(), rc.age(ch.At)
-	rc.Log.WithFields(fs).Info("rate limit of target " + ch.What())
+	rc.Log.WithFields(fs).Info("rate limit of target " + ch.Kind())
 	rc.LimitsChanged()
 }
 
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -25,7 +25,7 @@
 }
 
 // What says what became of the limit.
-func (ch Change) What() string {
+func (ch Change) Kind() string {
 	switch {
 	case !ch.Previous.Named:
 		return "named"
