--- a/internal/duty/members/limits_test.go
+++ b/internal/duty/members/limits_test.go
@@ -39,7 +39,7 @@
 	g.Expect(got).To(Equal(notes))
 	du.receiveLimits(gossip.Member{Name: "b"}, limits, now)
 	g.Expect(du.limits.Limit("a@1")).To(Equal(ratelimit.Of(1.5)))
-	g.Expect(du.limits.Limit("a@2").Named).To(BeFalse(), "a later incarnation names none")
+	g.Expect(du.limits.Limit("a@2").Limited).To(BeFalse(), "a later incarnation names none")
 }
 
 func TestNotesThatAreCutOffAreRefused(t *testing.T) {
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -123,7 +123,7 @@
 		return permit.Answer{After: elsewhereFor}
 	}
 	li := ps.limits.Limit(qu.Target)
-	if !li.Named {
+	if !li.Limited {
 		li = ratelimit.Of(qu.PerSecond)
 	}
 	return ps.issuer.Issue(qu.Target, li, permit.Share(ps.mesh.Known()), time.Duration(qu.WaitUS)*time.Microsecond)
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -87,7 +87,7 @@
 			for _, tg := range []targets.Target{meant, other} {
 				is := tc.of != nil && tc.of.ID == tg.ID
 				be.Expect(be.backedOff(tg)).To(Equal(is), tg.ID)
-				be.Expect(be.Limits.Limit(tg.ID).Named).To(Equal(is), tg.ID)
+				be.Expect(be.Limits.Limit(tg.ID).Limited).To(Equal(is), tg.ID)
 			}
 		})
 	}
@@ -142,5 +142,5 @@
 	be.record(answer.Head{Limit: ratelimit.Of(2)})
 	be.now = be.now.Add(time.Second)
 	be.Record(feedback.Report{Source: feedback.Order, Target: meant, Came: be.now})
-	be.Expect(be.Limits.Limit(meant.ID).Named).To(BeTrue())
+	be.Expect(be.Limits.Limit(meant.ID).Limited).To(BeTrue())
 }
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -38,7 +38,7 @@
 	fs["helpers"] = helperNames(sl)
 	fs["prompt_tokens"] = rq.PromptTokens
 	fs["candidates"] = sl.Candidates
-	if li := gw.Limits.Limit(sl.Target.ID); li.Named {
+	if li := gw.Limits.Limit(sl.Target.ID); li.Limited {
 		fs["limit"] = li.String()
 	}
 	if n := gw.BackOffs.ActiveCount(); n > 0 {
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -63,7 +63,7 @@
 func (cl *Client) SetAsk(ask Ask) { cl.mu.Lock(); defer cl.mu.Unlock(); cl.ask = ask }
 
 // Limited reports whether a target needs permits.
-func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Named }
+func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Limited }
 
 // Closed returns when a target may be asked for again; it reports false when that is now.
 func (cl *Client) Closed(target string) (time.Time, bool) {
@@ -76,7 +76,7 @@
 	if !closed {
 		return time.Time{}, false
 	}
-	if !cl.now().Before(at) || !cl.limitOf(target).Named {
+	if !cl.now().Before(at) || !cl.limitOf(target).Limited {
 		delete(cl.closed, target)
 		cl.anyClosed.Store(len(cl.closed) > 0)
 		return time.Time{}, false
@@ -88,7 +88,7 @@
 // while.
 func (cl *Client) Take(ctx context.Context, tg targets.Target, wait time.Duration) Answer {
 	li := cl.limitOf(tg.ID)
-	if !li.Named {
+	if !li.Limited {
 		return Answer{Granted: true}
 	}
 	an, err := cl.put(ctx, Request{Target: tg, Limit: li, Wait: wait})
--- a/internal/permit/fleet_test.go
+++ b/internal/permit/fleet_test.go
@@ -130,7 +130,7 @@
 		oc.used = min(oc.used, share)
 		oc.mean += share / float64(fl.limited)
 		for _, in := range fl.instances {
-			if in.book.Limit(tg.ID).Named {
+			if in.book.Limit(tg.ID).Limited {
 				oc.stillLimited++
 			}
 		}
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -229,7 +229,7 @@
 	cl, is, book := in.client, in.issuer, in.book
 	in.mu.Unlock()
 	li := book.Limit(tg.ID)
-	if !li.Named {
+	if !li.Limited {
 		return true
 	}
 	live, _ := in.live()
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -27,9 +27,9 @@
 // What says what became of the limit.
 func (ch Change) Kind() string {
 	switch {
-	case !ch.Previous.Named:
+	case !ch.Previous.Limited:
 		return "named"
-	case !ch.Limit.Named:
+	case !ch.Limit.Limited:
 		return "lifted"
 	default:
 		return "changed"
@@ -74,7 +74,7 @@
 // whether the belief changed; peers must then be told.
 func (tr *Tracker) Observe(target string, li Limit, sent, head time.Time) (Change, bool) {
 	ob := Observation{Target: target, Limit: li, At: sent}
-	if li.Named {
+	if li.Limited {
 		ob.At = head
 	}
 	tr.mu.Lock()
@@ -100,7 +100,7 @@
 	be, known := tr.beliefs[ob.Target]
 	// An own answer without a limit is the usual one. A peer that tells of one saw a limit lifted: an older word of that limit may still be
 	// under way.
-	if !known && !ob.Limit.Named && own {
+	if !known && !ob.Limit.Limited && own {
 		return Change{}, false
 	}
 	if known && ob.At.Before(be.at) || !known && len(tr.beliefs) >= maxBeliefs {
@@ -119,10 +119,10 @@
 }
 
 func (tr *Tracker) count(before, after Limit) {
-	if before.Named {
+	if before.Limited {
 		tr.limited--
 	}
-	if after.Named {
+	if after.Limited {
 		tr.limited++
 	}
 }
@@ -165,7 +165,7 @@
 	defer tr.mu.Unlock()
 	now := tr.now()
 	for target, be := range tr.beliefs {
-		lifted := !be.limit.Named && now.Sub(be.at) > liftedFor
+		lifted := !be.limit.Limited && now.Sub(be.at) > liftedFor
 		if lifted || now.Sub(be.at) > liftedFor && !there(target) {
 			tr.count(be.limit, Limit{})
 			delete(tr.beliefs, target)
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -119,7 +119,7 @@
 	forget := func() { bk.Prune(func(string) bool { return there }) }
 	bk.now = bk.began.Add(time.Hour)
 	forget()
-	bk.Expect(bk.Limit("a").Named).To(BeTrue(), "a target that gets no requests is limited still")
+	bk.Expect(bk.Limit("a").Limited).To(BeTrue(), "a target that gets no requests is limited still")
 	there = false
 	forget()
 	bk.Expect(bk.LimitedCount()).To(BeZero())
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -10,7 +10,7 @@
 // Limit is what one answer of a target says of its rate limit. The zero value says that there is none.
 type Limit struct {
 	// Named is false when the answer names no limit; PerSecond is then zero.
-	Named bool
+	Limited bool
 	// PerSecond is finite, from zero to mostPerSecond.
 	PerSecond float64
 }
@@ -20,12 +20,12 @@
 
 // Of returns the limit of so many requests a second.
 func Of(perSecond float64) Limit {
-	return Limit{Named: true, PerSecond: max(0, min(perSecond, mostPerSecond))}
+	return Limit{Limited: true, PerSecond: max(0, min(perSecond, mostPerSecond))}
 }
 
 // String returns the number as a target writes it, "none" for none.
 func (li Limit) String() string {
-	if !li.Named {
+	if !li.Limited {
 		return "none"
 	}
 	return strconv.FormatFloat(li.PerSecond, 'g', -1, 64)
@@ -53,7 +53,7 @@
 			}
 			continue
 		}
-		if !lowest.Named || n < lowest.PerSecond {
+		if !lowest.Limited || n < lowest.PerSecond {
 			lowest = Of(n)
 		}
 	}
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -33,7 +33,7 @@
 
 // limitBits is zero for no limit, else one more than the bits of its number.
 func limitBits(li Limit) uint64 {
-	if !li.Named {
+	if !li.Limited {
 		return 0
 	}
 	return math.Float64bits(li.PerSecond) + 1
