--- a/internal/dispatch/limit_test.go
+++ b/internal/dispatch/limit_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		limitOf := func(target string) ratelimit.Limit {
 			if slices.Contains(pm.limited, target) {
-				return ratelimit.Of(2)
+				return ratelimit.PerSecond(2)
 			}
 			return ratelimit.Limit{}
 		}
--- a/internal/duty/members/limits_test.go
+++ b/internal/duty/members/limits_test.go
@@ -33,12 +33,12 @@
 	du.lg = &log.Logger{Handler: discard.New()}
 	now := time.Now()
 	notes := blame.Notes{}.Encode(now)
-	told := []ratelimit.Observation{{Target: "a@1", Limit: ratelimit.Of(1.5), At: now.Add(-time.Second)}}
+	told := []ratelimit.Observation{{Target: "a@1", Limit: ratelimit.PerSecond(1.5), At: now.Add(-time.Second)}}
 	got, limits, err := splitLimits(withLimits(notes, told, now))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(notes))
 	du.receiveLimits(gossip.Member{Name: "b"}, limits, now)
-	g.Expect(du.limits.Limit("a@1")).To(Equal(ratelimit.Of(1.5)))
+	g.Expect(du.limits.Limit("a@1")).To(Equal(ratelimit.PerSecond(1.5)))
 	g.Expect(du.limits.Limit("a@2").Limited).To(BeFalse(), "a later incarnation names none")
 }
 
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -124,7 +124,7 @@
 	}
 	li := ps.limits.Limit(qu.Target)
 	if !li.Limited {
-		li = ratelimit.Of(qu.PerSecond)
+		li = ratelimit.PerSecond(qu.PerSecond)
 	}
 	return ps.issuer.Issue(qu.Target, li, permit.Share(ps.mesh.Known()), time.Duration(qu.WaitUS)*time.Microsecond)
 }
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -42,7 +42,7 @@
 }
 
 func (is *issuer) ask(perSecond float64) permit.Answer {
-	return is.Issue("a", ratelimit.Of(perSecond), 1, 0)
+	return is.Issue("a", ratelimit.PerSecond(perSecond), 1, 0)
 }
 
 // granted counts the permits that somebody gets who asks every ten milliseconds.
@@ -107,7 +107,7 @@
 	is := newIssuer(t)
 	is.pass(2 * time.Second)
 	is.granted(2, 5*time.Second)
-	wait := func() permit.Answer { return is.Issue("a", ratelimit.Of(2), 1, 1200*time.Millisecond) }
+	wait := func() permit.Answer { return is.Issue("a", ratelimit.PerSecond(2), 1, 1200*time.Millisecond) }
 	for is.ask(2).Granted {
 	}
 	first, second, third := wait(), wait(), wait()
@@ -149,7 +149,7 @@
 			}
 			limit := most * rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "share of the limit")
 			wait := time.Duration(rapid.IntRange(0, 1000).Draw(rt, "wait")) * time.Millisecond
-			if an := is.Issue("a", ratelimit.Of(limit), 1, wait); an.Granted {
+			if an := is.Issue("a", ratelimit.PerSecond(limit), 1, wait); an.Granted {
 				sent = append(sent, ck.now.Add(an.After))
 			}
 		}
@@ -206,7 +206,7 @@
 func TestClientClosesTargetsWithoutPermits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		li := ratelimit.Of(2)
+		li := ratelimit.PerSecond(2)
 		cl := permit.NewClient(time.Now, func(string) ratelimit.Limit { return li }, metrics.NewSet())
 		tg := targets.Target{ID: "a"}
 		take := func() bool { return cl.Take(t.Context(), tg, 0).Granted }
@@ -224,7 +224,7 @@
 		_, closed = cl.Closed("a")
 		g.Expect(closed).To(BeFalse(), "the limit was lifted")
 		g.Expect(take()).To(BeTrue())
-		li = ratelimit.Of(2)
+		li = ratelimit.PerSecond(2)
 		cl.SetAsk(func(ctx context.Context, _ permit.Request) (permit.Answer, error) {
 			<-ctx.Done()
 			return permit.Answer{}, ctx.Err()
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -323,7 +323,7 @@
 	time.Sleep(simAnswer)
 	var li ratelimit.Limit
 	if since := time.Since(fl.began); since >= simNamedAt && since < simLiftedAt && fl.limits(tg) {
-		li = ratelimit.Of(fl.limit)
+		li = ratelimit.PerSecond(fl.limit)
 		tg.mu.Lock()
 		if tg.named.IsZero() {
 			tg.named = time.Now()
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -17,18 +17,18 @@
 		failed bool
 	}{
 		"none":               {},
-		"a decimal":          {values: []string{"1.5"}, want: ratelimit.Of(1.5)},
-		"blanks":             {values: []string{" 2 "}, want: ratelimit.Of(2)},
-		"zero":               {values: []string{"0"}, want: ratelimit.Of(0)},
-		"several":            {values: []string{"7", "3", "5"}, want: ratelimit.Of(3)},
-		"larger than a load": {values: []string{"1e300"}, want: ratelimit.Of(1e6)},
+		"a decimal":          {values: []string{"1.5"}, want: ratelimit.PerSecond(1.5)},
+		"blanks":             {values: []string{" 2 "}, want: ratelimit.PerSecond(2)},
+		"zero":               {values: []string{"0"}, want: ratelimit.PerSecond(0)},
+		"several":            {values: []string{"7", "3", "5"}, want: ratelimit.PerSecond(3)},
+		"larger than a load": {values: []string{"1e300"}, want: ratelimit.PerSecond(1e6)},
 		"empty":              {values: []string{""}, failed: true},
 		"negative":           {values: []string{"-1"}, failed: true},
 		"not a number":       {values: []string{"NaN"}, failed: true},
 		"infinite":           {values: []string{"+Inf"}, failed: true},
 		"overflow":           {values: []string{"1e999"}, failed: true},
 		"a word":             {values: []string{"many"}, failed: true},
-		"one that is good":   {values: []string{"many", "4"}, want: ratelimit.Of(4), failed: true},
+		"one that is good":   {values: []string{"many", "4"}, want: ratelimit.PerSecond(4), failed: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 
 func TestBookBelievesTheNewestAnswer(t *testing.T) {
 	bk := newBook(t)
-	two, three, none := ratelimit.Of(2), ratelimit.Of(3), ratelimit.Limit{}
+	two, three, none := ratelimit.PerSecond(2), ratelimit.PerSecond(3), ratelimit.Limit{}
 	bk.Expect(bk.saw(none, 0, 10)).To(BeFalse())
 	bk.Expect(bk.saw(two, 20, 30)).To(BeTrue())
 	bk.Expect(bk.Limit("a")).To(Equal(two))
@@ -84,7 +84,7 @@
 }
 
 func TestBookTakesPeersWordByItsAge(t *testing.T) {
-	two, none := ratelimit.Of(2), ratelimit.Limit{}
+	two, none := ratelimit.PerSecond(2), ratelimit.Limit{}
 	bk := newBook(t)
 	bk.Expect(bk.heard(two, 30)).To(BeTrue())
 	bk.Expect(bk.heard(none, 20)).To(BeFalse())
@@ -102,19 +102,19 @@
 
 func TestBookTellsWhatItSawFirst(t *testing.T) {
 	bk := newBook(t)
-	two := ratelimit.Of(2)
+	two := ratelimit.PerSecond(2)
 	bk.Expect(bk.heard(two, 10)).To(BeTrue())
 	bk.Expect(bk.saw(two, 20, 30)).To(BeFalse())
 	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "others told of it")
-	bk.Expect(bk.saw(ratelimit.Of(4), 40, 50)).To(BeTrue())
-	bk.Expect(bk.LocalObservations()).To(Equal([]ratelimit.Observation{{Target: "a", Limit: ratelimit.Of(4), At: bk.at(50)}}))
+	bk.Expect(bk.saw(ratelimit.PerSecond(4), 40, 50)).To(BeTrue())
+	bk.Expect(bk.LocalObservations()).To(Equal([]ratelimit.Observation{{Target: "a", Limit: ratelimit.PerSecond(4), At: bk.at(50)}}))
 	bk.Expect(bk.heard(two, 60)).To(BeTrue())
 	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "a peer saw something newer")
 }
 
 func TestBookForgets(t *testing.T) {
 	bk := newBook(t)
-	bk.saw(ratelimit.Of(2), 0, 10)
+	bk.saw(ratelimit.PerSecond(2), 0, 10)
 	there := true
 	forget := func() { bk.Prune(func(string) bool { return there }) }
 	bk.now = bk.began.Add(time.Hour)
@@ -130,9 +130,9 @@
 	g := NewWithT(t)
 	now := time.Unix(2000, 0)
 	told := []ratelimit.Observation{
-		{Target: "a", Limit: ratelimit.Of(1.25), At: now.Add(-3 * time.Second)},
+		{Target: "a", Limit: ratelimit.PerSecond(1.25), At: now.Add(-3 * time.Second)},
 		{Target: "b@x", At: now},
-		{Target: "c", Limit: ratelimit.Of(0), At: now.Add(-time.Millisecond)},
+		{Target: "c", Limit: ratelimit.PerSecond(0), At: now.Add(-time.Millisecond)},
 	}
 	got, err := ratelimit.Decode(ratelimit.Encode(told, now), now)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -141,7 +141,7 @@
 
 func FuzzDecode(f *testing.F) {
 	now := time.Unix(2000, 0)
-	f.Add(ratelimit.Encode([]ratelimit.Observation{{Target: "a", Limit: ratelimit.Of(2), At: now}}, now))
+	f.Add(ratelimit.Encode([]ratelimit.Observation{{Target: "a", Limit: ratelimit.PerSecond(2), At: now}}, now))
 	f.Add([]byte{1, 1, 'a', 0, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
 	f.Add([]byte{0xff, 0xff, 3})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -19,7 +19,7 @@
 const mostPerSecond = 1e6
 
 // Of returns the limit of so many requests a second.
-func Of(perSecond float64) Limit {
+func PerSecond(perSecond float64) Limit {
 	return Limit{Limited: true, PerSecond: max(0, min(perSecond, mostPerSecond))}
 }
 
@@ -54,7 +54,7 @@
 			continue
 		}
 		if !lowest.Limited || n < lowest.PerSecond {
-			lowest = Of(n)
+			lowest = PerSecond(n)
 		}
 	}
 	return lowest, failed
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -67,6 +67,6 @@
 		rd.Fail("a limit out of range")
 		return ob
 	}
-	ob.Limit = Of(perSecond)
+	ob.Limit = PerSecond(perSecond)
 	return ob
 }
