--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -30,7 +30,7 @@
 )
 
 // Case is what is known when an attempt has failed.
-type Case struct {
+type FailedAttempt struct {
 	// Code is how the attempt failed.
 	Code failure.Code
 	// Over is set when the deadline has passed or the caller has gone.
@@ -51,7 +51,7 @@
 }
 
 // Decide reports whether another attempt follows, and takes it from the budget; else it says what forbids it.
-func (cs Case) Decide(rt *budget.Retries) (bool, Reason) {
+func (cs FailedAttempt) Decide(rt *budget.Retries) (bool, Reason) {
 	switch {
 	case cs.Over || !ofTarget[cs.Code]:
 		return false, ""
@@ -68,7 +68,7 @@
 }
 
 // Again reports whether another attempt follows, and takes it from the budget.
-func (cs Case) Again(rt *budget.Retries) bool {
+func (cs FailedAttempt) Again(rt *budget.Retries) bool {
 	again, _ := cs.Decide(rt)
 	return again
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -15,31 +15,31 @@
 	always := func() bool { return true }
 	never := func() bool { return false }
 	tests := map[string]struct {
-		cs    retry.Case
+		cs    retry.FailedAttempt
 		saved float64
 		want  bool
 		// wantTaken is set when the retry comes out of the budget.
 		wantTaken bool
 	}{
-		"lost target":              {retry.Case{Code: failure.TargetLost, Attempts: 1, Most: 2}, 1, true, true},
-		"target that refused":      {retry.Case{Code: failure.TargetRefused, Attempts: 1, Most: 2}, 1, true, true},
-		"target without room":      {retry.Case{Code: failure.TargetShed, Attempts: 1, Most: 2}, 1, true, true},
-		"nothing was sent":         {retry.Case{Code: failure.TargetUnreachable, Most: 2}, 1, false, false},
-		"fault of the request":     {retry.Case{Code: failure.BadRequest, Attempts: 1, Most: 2}, 1, false, false},
-		"body too large there":     {retry.Case{Code: failure.TooLarge, Attempts: 1, Most: 2}, 1, false, false},
-		"caller gone":              {retry.Case{Code: failure.CallerGone, Attempts: 1, Most: 2}, 1, false, false},
-		"no time":                  {retry.Case{Code: failure.TargetLost, Over: true, Attempts: 1, Most: 2}, 1, false, false},
-		"no attempt left":          {retry.Case{Code: failure.TargetLost, Attempts: 2, Most: 2}, 1, false, false},
-		"once and not run":         {retry.Case{Code: failure.TargetLost, Once: true, Attempts: 1, Most: 2}, 1, true, true},
-		"once and may have run":    {retry.Case{Code: failure.TargetLost, Once: true, MayHaveRun: true, Attempts: 1, Most: 2}, 1, false, false},
-		"repeatable and run":       {retry.Case{Code: failure.TargetLost, MayHaveRun: true, Attempts: 1, Most: 2}, 1, true, true},
-		"begun and goes on":        {retry.Case{Code: failure.TargetLost, Begun: true, Continues: always, Attempts: 1, Most: 2}, 1, true, true},
-		"begun and does not":       {retry.Case{Code: failure.TargetLost, Begun: true, Continues: never, Attempts: 1, Most: 2}, 1, false, false},
-		"budget empty":             {retry.Case{Code: failure.TargetLost, Attempts: 1, Most: 2}, 0, false, false},
-		"paid":                     {retry.Case{Code: failure.TargetLost, Paid: true, Attempts: 1, Most: 2}, 0, true, false},
-		"paid takes no second":     {retry.Case{Code: failure.TargetLost, Paid: true, Attempts: 1, Most: 2}, 1, true, false},
-		"paid but no time":         {retry.Case{Code: failure.TargetLost, Paid: true, Over: true, Attempts: 1, Most: 2}, 1, false, false},
-		"paid but no attempt left": {retry.Case{Code: failure.TargetLost, Paid: true, Attempts: 2, Most: 2}, 1, false, false},
+		"lost target":              {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 1, Most: 2}, 1, true, true},
+		"target that refused":      {retry.FailedAttempt{Code: failure.TargetRefused, Attempts: 1, Most: 2}, 1, true, true},
+		"target without room":      {retry.FailedAttempt{Code: failure.TargetShed, Attempts: 1, Most: 2}, 1, true, true},
+		"nothing was sent":         {retry.FailedAttempt{Code: failure.TargetUnreachable, Most: 2}, 1, false, false},
+		"fault of the request":     {retry.FailedAttempt{Code: failure.BadRequest, Attempts: 1, Most: 2}, 1, false, false},
+		"body too large there":     {retry.FailedAttempt{Code: failure.TooLarge, Attempts: 1, Most: 2}, 1, false, false},
+		"caller gone":              {retry.FailedAttempt{Code: failure.CallerGone, Attempts: 1, Most: 2}, 1, false, false},
+		"no time":                  {retry.FailedAttempt{Code: failure.TargetLost, Over: true, Attempts: 1, Most: 2}, 1, false, false},
+		"no attempt left":          {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 2, Most: 2}, 1, false, false},
+		"once and not run":         {retry.FailedAttempt{Code: failure.TargetLost, Once: true, Attempts: 1, Most: 2}, 1, true, true},
+		"once and may have run":    {retry.FailedAttempt{Code: failure.TargetLost, Once: true, MayHaveRun: true, Attempts: 1, Most: 2}, 1, false, false},
+		"repeatable and run":       {retry.FailedAttempt{Code: failure.TargetLost, MayHaveRun: true, Attempts: 1, Most: 2}, 1, true, true},
+		"begun and goes on":        {retry.FailedAttempt{Code: failure.TargetLost, Begun: true, Continues: always, Attempts: 1, Most: 2}, 1, true, true},
+		"begun and does not":       {retry.FailedAttempt{Code: failure.TargetLost, Begun: true, Continues: never, Attempts: 1, Most: 2}, 1, false, false},
+		"budget empty":             {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 1, Most: 2}, 0, false, false},
+		"paid":                     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, Most: 2}, 0, true, false},
+		"paid takes no second":     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, Most: 2}, 1, true, false},
+		"paid but no time":         {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Over: true, Attempts: 1, Most: 2}, 1, false, false},
+		"paid but no attempt left": {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 2, Most: 2}, 1, false, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,7 +56,7 @@
 func TestContinuationIsPreparedLast(t *testing.T) {
 	g := NewWithT(t)
 	asked := false
-	cs := retry.Case{
+	cs := retry.FailedAttempt{
 		Code: failure.TargetLost, Once: true, MayHaveRun: true, Attempts: 1, Most: 2, Begun: true,
 		Continues: func() bool { asked = true; return true },
 	}
