--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -51,24 +51,24 @@
 }
 
 // Decide reports whether another attempt follows, and takes it from the budget; else it says what forbids it.
-func (cs FailedAttempt) Decide(rt *budget.Retries) (bool, Reason) {
+func (fa FailedAttempt) Decide(rt *budget.Retries) (bool, Reason) {
 	switch {
-	case cs.Over || !ofTarget[cs.Code]:
+	case fa.Over || !ofTarget[fa.Code]:
 		return false, ""
-	case cs.Once && cs.MayHaveRun:
+	case fa.Once && fa.MayHaveRun:
 		return false, RunsOnce
-	case cs.Attempts >= cs.Most:
+	case fa.Attempts >= fa.Most:
 		return false, AllAttempts
-	case cs.Begun && !cs.Continues():
+	case fa.Begun && !fa.Continues():
 		return false, AnswerBegun
-	case cs.Paid || rt.Take():
+	case fa.Paid || rt.Take():
 		return true, ""
 	}
 	return false, BudgetSpent
 }
 
 // Again reports whether another attempt follows, and takes it from the budget.
-func (cs FailedAttempt) Again(rt *budget.Retries) bool {
-	again, _ := cs.Decide(rt)
+func (fa FailedAttempt) Again(rt *budget.Retries) bool {
+	again, _ := fa.Decide(rt)
 	return again
 }
