--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -34,7 +34,7 @@
 	// Code is how the attempt failed.
 	Code failure.Code
 	// Over is set when the deadline has passed or the caller has gone.
-	Over bool
+	Cancelled bool
 	// Once is set when the request may be run once at most.
 	Once bool
 	// MayHaveRun is set when this or an earlier attempt may have run it.
@@ -53,7 +53,7 @@
 // Decide reports whether another attempt follows, and takes it from the budget; else it says what forbids it.
 func (fa FailedAttempt) Decide(rt *budget.Retries) (bool, Reason) {
 	switch {
-	case fa.Over || !ofTarget[fa.Code]:
+	case fa.Cancelled || !ofTarget[fa.Code]:
 		return false, ""
 	case fa.Once && fa.MayHaveRun:
 		return false, RunsOnce
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -28,7 +28,7 @@
 		"fault of the request":     {retry.FailedAttempt{Code: failure.BadRequest, Attempts: 1, Most: 2}, 1, false, false},
 		"body too large there":     {retry.FailedAttempt{Code: failure.TooLarge, Attempts: 1, Most: 2}, 1, false, false},
 		"caller gone":              {retry.FailedAttempt{Code: failure.CallerGone, Attempts: 1, Most: 2}, 1, false, false},
-		"no time":                  {retry.FailedAttempt{Code: failure.TargetLost, Over: true, Attempts: 1, Most: 2}, 1, false, false},
+		"no time":                  {retry.FailedAttempt{Code: failure.TargetLost, Cancelled: true, Attempts: 1, Most: 2}, 1, false, false},
 		"no attempt left":          {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 2, Most: 2}, 1, false, false},
 		"once and not run":         {retry.FailedAttempt{Code: failure.TargetLost, Once: true, Attempts: 1, Most: 2}, 1, true, true},
 		"once and may have run":    {retry.FailedAttempt{Code: failure.TargetLost, Once: true, MayHaveRun: true, Attempts: 1, Most: 2}, 1, false, false},
@@ -38,7 +38,7 @@
 		"budget empty":             {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 1, Most: 2}, 0, false, false},
 		"paid":                     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, Most: 2}, 0, true, false},
 		"paid takes no second":     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, Most: 2}, 1, true, false},
-		"paid but no time":         {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Over: true, Attempts: 1, Most: 2}, 1, false, false},
+		"paid but no time":         {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Cancelled: true, Attempts: 1, Most: 2}, 1, false, false},
 		"paid but no attempt left": {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 2, Most: 2}, 1, false, false},
 	}
 	for name, tc := range tests {
