--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -36,7 +36,7 @@
 	// Over is set when the deadline has passed or the caller has gone.
 	Cancelled bool
 	// Once is set when the request may be run once at most.
-	Once bool
+	AtMostOnce bool
 	// MayHaveRun is set when this or an earlier attempt may have run it.
 	MayHaveRun bool
 	// Attempts counts those that were made, Most bounds them.
@@ -55,7 +55,7 @@
 	switch {
 	case fa.Cancelled || !ofTarget[fa.Code]:
 		return false, ""
-	case fa.Once && fa.MayHaveRun:
+	case fa.AtMostOnce && fa.MayHaveRun:
 		return false, RunsOnce
 	case fa.Attempts >= fa.Most:
 		return false, AllAttempts
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -30,8 +30,8 @@
 		"caller gone":              {retry.FailedAttempt{Code: failure.CallerGone, Attempts: 1, Most: 2}, 1, false, false},
 		"no time":                  {retry.FailedAttempt{Code: failure.TargetLost, Cancelled: true, Attempts: 1, Most: 2}, 1, false, false},
 		"no attempt left":          {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 2, Most: 2}, 1, false, false},
-		"once and not run":         {retry.FailedAttempt{Code: failure.TargetLost, Once: true, Attempts: 1, Most: 2}, 1, true, true},
-		"once and may have run":    {retry.FailedAttempt{Code: failure.TargetLost, Once: true, MayHaveRun: true, Attempts: 1, Most: 2}, 1, false, false},
+		"once and not run":         {retry.FailedAttempt{Code: failure.TargetLost, AtMostOnce: true, Attempts: 1, Most: 2}, 1, true, true},
+		"once and may have run":    {retry.FailedAttempt{Code: failure.TargetLost, AtMostOnce: true, MayHaveRun: true, Attempts: 1, Most: 2}, 1, false, false},
 		"repeatable and run":       {retry.FailedAttempt{Code: failure.TargetLost, MayHaveRun: true, Attempts: 1, Most: 2}, 1, true, true},
 		"begun and goes on":        {retry.FailedAttempt{Code: failure.TargetLost, Begun: true, Continues: always, Attempts: 1, Most: 2}, 1, true, true},
 		"begun and does not":       {retry.FailedAttempt{Code: failure.TargetLost, Begun: true, Continues: never, Attempts: 1, Most: 2}, 1, false, false},
@@ -57,7 +57,7 @@
 	g := NewWithT(t)
 	asked := false
 	cs := retry.FailedAttempt{
-		Code: failure.TargetLost, Once: true, MayHaveRun: true, Attempts: 1, Most: 2, Begun: true,
+		Code: failure.TargetLost, AtMostOnce: true, MayHaveRun: true, Attempts: 1, Most: 2, Begun: true,
 		Continues: func() bool { asked = true; return true },
 	}
 	g.Expect(cs.Again(budget.NewRetries(0, time.Now))).To(BeFalse())
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -203,7 +203,7 @@
 // mayRetry decides whether a failed attempt is followed by another.
 func (sv *Server) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Known) bool {
 	return retry.FailedAttempt{
-		Code: fe.Code, Cancelled: ctx.Err() != nil, Once: rq.never, MayHaveRun: known.MayHaveRun(),
+		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.never, MayHaveRun: known.MayHaveRun(),
 		Attempts: rq.life.Attempts, Most: sv.limits.MaxAttempts, Begun: sk.Started(),
 		Continues: func() bool { return rq.class.ContinueElsewhere && sv.rebuild(rq, sk) },
 	}.Again(sv.Retries)
