--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -40,7 +40,7 @@
 	// MayHaveRun is set when this or an earlier attempt may have run it.
 	MayHaveRun bool
 	// Attempts counts those that were made, Most bounds them.
-	Attempts, Most int
+	Attempts, MaxAttempts int
 	// Begun is set when the caller has a part of the answer.
 	Begun bool
 	// Continues reports whether a begun answer can go on at another target, and prepares it. It is called when nothing
@@ -57,7 +57,7 @@
 		return false, ""
 	case fa.AtMostOnce && fa.MayHaveRun:
 		return false, RunsOnce
-	case fa.Attempts >= fa.Most:
+	case fa.Attempts >= fa.MaxAttempts:
 		return false, AllAttempts
 	case fa.Begun && !fa.Continues():
 		return false, AnswerBegun
