--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -42,7 +42,7 @@
 	// Attempts counts those that were made, Most bounds them.
 	Attempts, MaxAttempts int
 	// Begun is set when the caller has a part of the answer.
-	Begun bool
+	ResponseStarted bool
 	// Continues reports whether a begun answer can go on at another target, and prepares it. It is called when nothing
 	// else but the budget forbids a further attempt.
 	Continues func() bool
@@ -59,7 +59,7 @@
 		return false, RunsOnce
 	case fa.Attempts >= fa.MaxAttempts:
 		return false, AllAttempts
-	case fa.Begun && !fa.Continues():
+	case fa.ResponseStarted && !fa.Continues():
 		return false, AnswerBegun
 	case fa.Paid || rt.Take():
 		return true, ""
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -204,7 +204,7 @@
 func (sv *Server) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Known) bool {
 	return retry.FailedAttempt{
 		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.never, MayHaveRun: known.MayHaveRun(),
-		Attempts: rq.life.Attempts, MaxAttempts: sv.limits.MaxAttempts, Begun: sk.Started(),
+		Attempts: rq.life.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
 		Continues: func() bool { return rq.class.ContinueElsewhere && sv.rebuild(rq, sk) },
 	}.Again(sv.Retries)
 }
