--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -45,7 +45,7 @@
 	ResponseStarted bool
 	// Continues reports whether a begun answer can go on at another target, and prepares it. It is called when nothing
 	// else but the budget forbids a further attempt.
-	Continues func() bool
+	TryResume func() bool
 	// Paid is set when the retry was taken from the budget already.
 	Paid bool
 }
@@ -59,7 +59,7 @@
 		return false, RunsOnce
 	case fa.Attempts >= fa.MaxAttempts:
 		return false, AllAttempts
-	case fa.ResponseStarted && !fa.Continues():
+	case fa.ResponseStarted && !fa.TryResume():
 		return false, AnswerBegun
 	case fa.Paid || rt.Take():
 		return true, ""
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -33,8 +33,8 @@
 		"once and not run":         {retry.FailedAttempt{Code: failure.TargetLost, AtMostOnce: true, Attempts: 1, MaxAttempts: 2}, 1, true, true},
 		"once and may have run":    {retry.FailedAttempt{Code: failure.TargetLost, AtMostOnce: true, MayHaveRun: true, Attempts: 1, MaxAttempts: 2}, 1, false, false},
 		"repeatable and run":       {retry.FailedAttempt{Code: failure.TargetLost, MayHaveRun: true, Attempts: 1, MaxAttempts: 2}, 1, true, true},
-		"begun and goes on":        {retry.FailedAttempt{Code: failure.TargetLost, ResponseStarted: true, Continues: always, Attempts: 1, MaxAttempts: 2}, 1, true, true},
-		"begun and does not":       {retry.FailedAttempt{Code: failure.TargetLost, ResponseStarted: true, Continues: never, Attempts: 1, MaxAttempts: 2}, 1, false, false},
+		"begun and goes on":        {retry.FailedAttempt{Code: failure.TargetLost, ResponseStarted: true, TryResume: always, Attempts: 1, MaxAttempts: 2}, 1, true, true},
+		"begun and does not":       {retry.FailedAttempt{Code: failure.TargetLost, ResponseStarted: true, TryResume: never, Attempts: 1, MaxAttempts: 2}, 1, false, false},
 		"budget empty":             {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 1, MaxAttempts: 2}, 0, false, false},
 		"paid":                     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, MaxAttempts: 2}, 0, true, false},
 		"paid takes no second":     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, MaxAttempts: 2}, 1, true, false},
@@ -58,7 +58,7 @@
 	asked := false
 	cs := retry.FailedAttempt{
 		Code: failure.TargetLost, AtMostOnce: true, MayHaveRun: true, Attempts: 1, MaxAttempts: 2, ResponseStarted: true,
-		Continues: func() bool { asked = true; return true },
+		TryResume: func() bool { asked = true; return true },
 	}
 	g.Expect(cs.Again(budget.NewRetries(0, time.Now))).To(BeFalse())
 	g.Expect(asked).To(BeFalse())
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -205,7 +205,7 @@
 	return retry.FailedAttempt{
 		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.never, MayHaveRun: known.MayHaveRun(),
 		Attempts: rq.life.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
-		Continues: func() bool { return rq.class.ContinueElsewhere && sv.rebuild(rq, sk) },
+		TryResume: func() bool { return rq.class.ContinueElsewhere && sv.rebuild(rq, sk) },
 	}.Again(sv.Retries)
 }
 
