--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -298,7 +298,7 @@
 	again, why := retry.FailedAttempt{
 		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.route.Exclusive(), MayHaveRun: rq.known.MayHaveRun(),
 		Attempts: gw.stillThere(rq.tried), MaxAttempts: rq.route.MaxAttempts, ResponseStarted: sk.Started(),
-		TryResume: func() bool { return rq.route.Resumable }, Paid: claimed,
+		TryResume: func() bool { return rq.route.Resumable }, BudgetTaken: claimed,
 	}.Decide(gw.Retries)
 	rq.noRetry = why
 	return again
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -47,7 +47,7 @@
 	// else but the budget forbids a further attempt.
 	TryResume func() bool
 	// Paid is set when the retry was taken from the budget already.
-	Paid bool
+	BudgetTaken bool
 }
 
 // Decide reports whether another attempt follows, and takes it from the budget; else it says what forbids it.
@@ -61,7 +61,7 @@
 		return false, AllAttempts
 	case fa.ResponseStarted && !fa.TryResume():
 		return false, AnswerBegun
-	case fa.Paid || rt.Take():
+	case fa.BudgetTaken || rt.Take():
 		return true, ""
 	}
 	return false, BudgetSpent
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -36,10 +36,10 @@
 		"begun and goes on":        {retry.FailedAttempt{Code: failure.TargetLost, ResponseStarted: true, TryResume: always, Attempts: 1, MaxAttempts: 2}, 1, true, true},
 		"begun and does not":       {retry.FailedAttempt{Code: failure.TargetLost, ResponseStarted: true, TryResume: never, Attempts: 1, MaxAttempts: 2}, 1, false, false},
 		"budget empty":             {retry.FailedAttempt{Code: failure.TargetLost, Attempts: 1, MaxAttempts: 2}, 0, false, false},
-		"paid":                     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, MaxAttempts: 2}, 0, true, false},
-		"paid takes no second":     {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 1, MaxAttempts: 2}, 1, true, false},
-		"paid but no time":         {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Cancelled: true, Attempts: 1, MaxAttempts: 2}, 1, false, false},
-		"paid but no attempt left": {retry.FailedAttempt{Code: failure.TargetLost, Paid: true, Attempts: 2, MaxAttempts: 2}, 1, false, false},
+		"paid":                     {retry.FailedAttempt{Code: failure.TargetLost, BudgetTaken: true, Attempts: 1, MaxAttempts: 2}, 0, true, false},
+		"paid takes no second":     {retry.FailedAttempt{Code: failure.TargetLost, BudgetTaken: true, Attempts: 1, MaxAttempts: 2}, 1, true, false},
+		"paid but no time":         {retry.FailedAttempt{Code: failure.TargetLost, BudgetTaken: true, Cancelled: true, Attempts: 1, MaxAttempts: 2}, 1, false, false},
+		"paid but no attempt left": {retry.FailedAttempt{Code: failure.TargetLost, BudgetTaken: true, Attempts: 2, MaxAttempts: 2}, 1, false, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
