--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -68,7 +68,7 @@
 }
 
 // Again reports whether another attempt follows, and takes it from the budget.
-func (fa FailedAttempt) Again(rt *budget.Retries) bool {
+func (fa FailedAttempt) ShouldRetry(rt *budget.Retries) bool {
 	again, _ := fa.Decide(rt)
 	return again
 }
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -46,7 +46,7 @@
 			g := NewWithT(t)
 			now := func() time.Time { return time.Unix(0, 0) }
 			rt := budget.NewRetries(0, now, budget.WithBurst(tc.saved), budget.WithTrickle(0))
-			g.Expect(tc.cs.Again(rt)).To(Equal(tc.want))
+			g.Expect(tc.cs.ShouldRetry(rt)).To(Equal(tc.want))
 			g.Expect(rt.Left()).To(Equal(tc.saved >= 1 && !tc.wantTaken))
 		})
 	}
@@ -60,6 +60,6 @@
 		Code: failure.TargetLost, AtMostOnce: true, MayHaveRun: true, Attempts: 1, MaxAttempts: 2, ResponseStarted: true,
 		TryResume: func() bool { asked = true; return true },
 	}
-	g.Expect(cs.Again(budget.NewRetries(0, time.Now))).To(BeFalse())
+	g.Expect(cs.ShouldRetry(budget.NewRetries(0, time.Now))).To(BeFalse())
 	g.Expect(asked).To(BeFalse())
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -206,7 +206,7 @@
 		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.never, MayHaveRun: known.MayHaveRun(),
 		Attempts: rq.life.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
 		TryResume: func() bool { return rq.class.ContinueElsewhere && sv.rebuild(rq, sk) },
-	}.Again(sv.Retries)
+	}.ShouldRetry(sv.Retries)
 }
 
 // end closes the life of a request that gets no whole answer, and says what is known.
