--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -20,7 +20,7 @@
 // The reasons.
 const (
 	// AllAttempts means that as many attempts were made as are allowed.
-	AllAttempts Reason = "attempts"
+	ReasonMaxAttempts Reason = "attempts"
 	// RunsOnce means that the request may have run, and may not run again.
 	RunsOnce Reason = "runs_once"
 	// AnswerBegun means that the caller has a part of an answer that cannot go on elsewhere.
@@ -58,7 +58,7 @@
 	case fa.AtMostOnce && fa.MayHaveRun:
 		return false, RunsOnce
 	case fa.Attempts >= fa.MaxAttempts:
-		return false, AllAttempts
+		return false, ReasonMaxAttempts
 	case fa.ResponseStarted && !fa.TryResume():
 		return false, AnswerBegun
 	case fa.BudgetTaken || rt.Take():
