--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -22,7 +22,7 @@
 	// AllAttempts means that as many attempts were made as are allowed.
 	ReasonMaxAttempts Reason = "attempts"
 	// RunsOnce means that the request may have run, and may not run again.
-	RunsOnce Reason = "runs_once"
+	ReasonAtMostOnce Reason = "runs_once"
 	// AnswerBegun means that the caller has a part of an answer that cannot go on elsewhere.
 	AnswerBegun Reason = "answer_begun"
 	// BudgetSpent means that the budget of retries has none left.
@@ -56,7 +56,7 @@
 	case fa.Cancelled || !ofTarget[fa.Code]:
 		return false, ""
 	case fa.AtMostOnce && fa.MayHaveRun:
-		return false, RunsOnce
+		return false, ReasonAtMostOnce
 	case fa.Attempts >= fa.MaxAttempts:
 		return false, ReasonMaxAttempts
 	case fa.ResponseStarted && !fa.TryResume():
