--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -24,7 +24,7 @@
 	// RunsOnce means that the request may have run, and may not run again.
 	ReasonAtMostOnce Reason = "runs_once"
 	// AnswerBegun means that the caller has a part of an answer that cannot go on elsewhere.
-	AnswerBegun Reason = "answer_begun"
+	ReasonResponseStarted Reason = "answer_begun"
 	// BudgetSpent means that the budget of retries has none left.
 	BudgetSpent Reason = "budget"
 )
@@ -60,7 +60,7 @@
 	case fa.Attempts >= fa.MaxAttempts:
 		return false, ReasonMaxAttempts
 	case fa.ResponseStarted && !fa.TryResume():
-		return false, AnswerBegun
+		return false, ReasonResponseStarted
 	case fa.BudgetTaken || rt.Take():
 		return true, ""
 	}
