--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -26,7 +26,7 @@
 	// AnswerBegun means that the caller has a part of an answer that cannot go on elsewhere.
 	ReasonResponseStarted Reason = "answer_begun"
 	// BudgetSpent means that the budget of retries has none left.
-	BudgetSpent Reason = "budget"
+	ReasonBudgetExhausted Reason = "budget"
 )
 
 // Case is what is known when an attempt has failed.
@@ -64,7 +64,7 @@
 	case fa.BudgetTaken || rt.Take():
 		return true, ""
 	}
-	return false, BudgetSpent
+	return false, ReasonBudgetExhausted
 }
 
 // Again reports whether another attempt follows, and takes it from the budget.
