--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -45,7 +45,7 @@
 	if size == 0 {
 		return nil, func() {}, nil
 	}
-	if !rd.Memory.Take(size) {
+	if !rd.Memory.TryAcquire(size) {
 		return nil, func() {}, rd.noMemory()
 	}
 	free = func() { rd.Memory.Give(size) }
@@ -60,7 +60,7 @@
 	var taken int64
 	free = func() { rd.Memory.Give(taken) }
 	for {
-		if !rd.Memory.Take(chunkStep) {
+		if !rd.Memory.TryAcquire(chunkStep) {
 			return nil, free, rd.noMemory()
 		}
 		taken += chunkStep
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -17,7 +17,7 @@
 func NewMemory(limit int64) *Memory { return &Memory{limit: limit} }
 
 // Take takes n bytes and reports whether they were there.
-func (mm *Memory) Take(n int64) bool {
+func (mm *Memory) TryAcquire(n int64) bool {
 	mm.mu.Lock()
 	defer mm.mu.Unlock()
 	if mm.used+n > mm.limit {
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -42,9 +42,9 @@
 func TestMemoryNeverExceedsItsLimit(t *testing.T) {
 	g := NewWithT(t)
 	mm := NewMemory(10)
-	g.Expect(mm.Take(7)).To(BeTrue())
-	g.Expect(mm.Take(4)).To(BeFalse())
+	g.Expect(mm.TryAcquire(7)).To(BeTrue())
+	g.Expect(mm.TryAcquire(4)).To(BeFalse())
 	mm.Give(7)
-	g.Expect(mm.Take(10)).To(BeTrue())
+	g.Expect(mm.TryAcquire(10)).To(BeTrue())
 	g.Expect(mm.Used()).To(Equal(int64(10)))
 }
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -66,7 +66,7 @@
 		return claim.Answer{}, err
 	}
 	size := int64(len(j.Body))
-	if !sv.Bodies.Take(size) {
+	if !sv.Bodies.TryAcquire(size) {
 		return claim.Answer{}, failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(time.Second)
 	}
 	defer sv.Bodies.Give(size)
