--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -48,7 +48,7 @@
 	if !rd.Memory.TryAcquire(size) {
 		return nil, func() {}, rd.noMemory()
 	}
-	free = func() { rd.Memory.Give(size) }
+	free = func() { rd.Memory.Release(size) }
 	b = make([]byte, size)
 	if _, err := io.ReadFull(from, b); err != nil {
 		return nil, free, rd.broken(err)
@@ -58,7 +58,7 @@
 
 func (rd Reader) chunked(from io.Reader) (b []byte, free func(), err error) {
 	var taken int64
-	free = func() { rd.Memory.Give(taken) }
+	free = func() { rd.Memory.Release(taken) }
 	for {
 		if !rd.Memory.TryAcquire(chunkStep) {
 			return nil, free, rd.noMemory()
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -28,7 +28,7 @@
 }
 
 // Give returns n bytes.
-func (mm *Memory) Give(n int64) {
+func (mm *Memory) Release(n int64) {
 	mm.mu.Lock()
 	mm.used -= n
 	mm.mu.Unlock()
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -44,7 +44,7 @@
 	mm := NewMemory(10)
 	g.Expect(mm.TryAcquire(7)).To(BeTrue())
 	g.Expect(mm.TryAcquire(4)).To(BeFalse())
-	mm.Give(7)
+	mm.Release(7)
 	g.Expect(mm.TryAcquire(10)).To(BeTrue())
 	g.Expect(mm.Used()).To(Equal(int64(10)))
 }
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -69,7 +69,7 @@
 	if !sv.Bodies.TryAcquire(size) {
 		return claim.Answer{}, failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(time.Second)
 	}
-	defer sv.Bodies.Give(size)
+	defer sv.Bodies.Release(size)
 	ctx, cancel := context.WithDeadline(ctx, j.Deadline)
 	defer cancel()
 	sk := newSink(&bodyWriter{header: http.Header{}})
