--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -88,7 +88,7 @@
 }
 
 // First notes a first attempt.
-func (rt *Retries) First() {
+func (rt *Retries) Deposit() {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.add(rt.share)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -28,7 +28,7 @@
 			got := 0
 			for i := range max(tc.firsts, tc.asks) {
 				if i < tc.firsts {
-					rt.First()
+					rt.Deposit()
 				}
 				if i < tc.asks && rt.Take() {
 					got++
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -31,7 +31,7 @@
 	if err := gw.fire(ctx, rq, life.Admit); err != nil {
 		return err
 	}
-	gw.Retries.First()
+	gw.Retries.Deposit()
 	rq.service = rq.route.Pick(gw.Random())
 	var last *failure.Error
 	for dials := 0; ; {
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -146,7 +146,7 @@
 	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
 		return err
 	}
-	sv.Retries.First()
+	sv.Retries.Deposit()
 	var tried []string
 	var known outcome.Known
 	for {
