--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -95,7 +95,7 @@
 }
 
 // Take takes one retry and reports whether it was there.
-func (rt *Retries) Take() bool {
+func (rt *Retries) TryWithdraw() bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	now := rt.now()
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -30,7 +30,7 @@
 				if i < tc.firsts {
 					rt.Deposit()
 				}
-				if i < tc.asks && rt.Take() {
+				if i < tc.asks && rt.TryWithdraw() {
 					got++
 				}
 			}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -61,7 +61,7 @@
 		return false, ReasonMaxAttempts
 	case fa.ResponseStarted && !fa.TryResume():
 		return false, ReasonResponseStarted
-	case fa.BudgetTaken || rt.Take():
+	case fa.BudgetTaken || rt.TryWithdraw():
 		return true, ""
 	}
 	return false, ReasonBudgetExhausted
