--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -109,7 +109,7 @@
 }
 
 // Left reports whether a retry is there, without taking it.
-func (rt *Retries) Left() bool {
+func (rt *Retries) Available() bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	return rt.saved >= 1
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -112,7 +112,7 @@
 		Objective: rq.route.Objective, LongestPause: rq.route.LongestPause, Patience: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
 		Caution: rq.caution(), Allowed: func() error { return gw.stillAllowed(rq) },
-		Spare: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Left(), Retried: len(rq.tried) > 0,
+		Spare: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Available(), Retried: len(rq.tried) > 0,
 	}
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -47,7 +47,7 @@
 			now := func() time.Time { return time.Unix(0, 0) }
 			rt := budget.NewRetries(0, now, budget.WithBurst(tc.saved), budget.WithTrickle(0))
 			g.Expect(tc.cs.ShouldRetry(rt)).To(Equal(tc.want))
-			g.Expect(rt.Left()).To(Equal(tc.saved >= 1 && !tc.wantTaken))
+			g.Expect(rt.Available()).To(Equal(tc.saved >= 1 && !tc.wantTaken))
 		})
 	}
 }
