--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -75,7 +75,7 @@
 func WithBurst(n float64) RetryOption { return func(rt *Retries) { rt.burst = n } }
 
 // WithTrickle sets how many retries a second are allowed without traffic.
-func WithTrickle(perSecond float64) RetryOption { return func(rt *Retries) { rt.trickle = perSecond } }
+func WithMinRate(perSecond float64) RetryOption { return func(rt *Retries) { rt.trickle = perSecond } }
 
 // NewRetries returns a budget of share retries for each first attempt.
 func NewRetries(share float64, now func() time.Time, opts ...RetryOption) *Retries {
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -116,7 +116,7 @@
 
 func retries(st *config.Gateway) *budget.Retries {
 	burst, trickle := retryFloor(st, sharersLeast)
-	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithTrickle(trickle))
+	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithMinRate(trickle))
 }
 
 func (sv *servers) serve(ctx context.Context, address string, h http.Handler) error {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -45,7 +45,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := func() time.Time { return time.Unix(0, 0) }
-			rt := budget.NewRetries(0, now, budget.WithBurst(tc.saved), budget.WithTrickle(0))
+			rt := budget.NewRetries(0, now, budget.WithBurst(tc.saved), budget.WithMinRate(0))
 			g.Expect(tc.cs.ShouldRetry(rt)).To(Equal(tc.want))
 			g.Expect(rt.Available()).To(Equal(tc.saved >= 1 && !tc.wantTaken))
 		})
