--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -19,7 +19,7 @@
 			continue
 		}
 		read = append(read, tg)
-		if !tg.Born.IsZero() {
+		if !tg.StartedAt.IsZero() {
 			born++
 		}
 	}
@@ -84,7 +84,7 @@
 // written reports whether a target wrote an entry. Where most tell when they were born, one that does not is of another writer;
 // elsewhere none tells it.
 func (rd *reader) written(tg targets.Target) bool {
-	if !rd.tellBirth || !tg.Born.IsZero() {
+	if !rd.tellBirth || !tg.StartedAt.IsZero() {
 		return true
 	}
 	rd.lg.WithField("target", tg.OwnName()).WithField("error", "no time of birth").Error("target cannot be read and is left out")
--- a/internal/duty/facts/list_test.go
+++ b/internal/duty/facts/list_test.go
@@ -29,7 +29,7 @@
 	tg := targets.Target{ID: ob.Name}
 	switch string(ob.Value) {
 	case "born":
-		tg.Born = time.UnixMilli(1000)
+		tg.StartedAt = time.UnixMilli(1000)
 	case "silent":
 	default:
 		return tg, errors.WithStack(&objectstore.StatusError{})
--- a/internal/duty/members/targets_test.go
+++ b/internal/duty/members/targets_test.go
@@ -17,12 +17,12 @@
 	du := newDuty()
 	du.dr = targets.New(time.Now)
 	du.dr.TakeChanges([]targets.Entry{
-		{Name: "a", Target: targets.Target{ID: "a@1", Name: "a", Born: time.UnixMilli(1000), Service: "s"}},
-		{Name: "a", Target: targets.Target{ID: "a@2", Name: "a", Born: time.UnixMilli(2000), Service: "s"}},
+		{Name: "a", Target: targets.Target{ID: "a@1", Name: "a", StartedAt: time.UnixMilli(1000), Service: "s"}},
+		{Name: "a", Target: targets.Target{ID: "a@2", Name: "a", StartedAt: time.UnixMilli(2000), Service: "s"}},
 	}, position.Position{}, time.Now())
 	want := map[string][]targets.Target{
 		nameDocument:    {{ID: "a", Service: "s"}},
-		targetsDocument: {{ID: "a@2", Name: "a", Born: time.UnixMilli(2000), Service: "s"}},
+		targetsDocument: {{ID: "a@2", Name: "a", StartedAt: time.UnixMilli(2000), Service: "s"}},
 	}
 	for name, listed := range want {
 		b, ok := du.serve(name)
@@ -32,8 +32,8 @@
 		var tl targetList
 		g.Expect(json.Unmarshal(b, &tl)).To(Succeed())
 		for i := range tl.Targets {
-			if !tl.Targets[i].Born.IsZero() {
-				tl.Targets[i].Born = time.UnixMilli(tl.Targets[i].Born.UnixMilli())
+			if !tl.Targets[i].StartedAt.IsZero() {
+				tl.Targets[i].StartedAt = time.UnixMilli(tl.Targets[i].StartedAt.UnixMilli())
 			}
 		}
 		g.Expect(tl.Targets).To(Equal(listed), name)
--- a/internal/feedback/fleet_test.go
+++ b/internal/feedback/fleet_test.go
@@ -74,7 +74,7 @@
 	fl := &simFleet{rd: rand.New(rand.NewPCG(seed, 11)), began: time.Now()}
 	for no := range fp.targets {
 		fl.targets = append(fl.targets, &simTarget{Target: targets.Target{
-			ID: "t" + strconv.Itoa(no) + "@0", Name: "t" + strconv.Itoa(no), Born: time.Unix(1, 0), Service: "s",
+			ID: "t" + strconv.Itoa(no) + "@0", Name: "t" + strconv.Itoa(no), StartedAt: time.Unix(1, 0), Service: "s",
 			Address: strconv.Itoa(no), AvailabilityZone: "z", Slots: simSlots,
 		}})
 	}
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -387,8 +387,8 @@
 func (tg *simTarget) replace() {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
-	tg.Born = time.Now()
-	tg.ID = tg.Name + "@" + strconv.FormatInt(tg.Born.UnixNano(), 36)
+	tg.StartedAt = time.Now()
+	tg.ID = tg.Name + "@" + strconv.FormatInt(tg.StartedAt.UnixNano(), 36)
 	tg.leaving, tg.backOff = false, 0
 }
 
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -15,10 +15,10 @@
 	if known && before.id == tg.ID {
 		return true, nil
 	}
-	if known && !tg.Born.After(before.born) {
+	if known && !tg.StartedAt.After(before.born) {
 		return false, nil
 	}
-	dr.present[tg.OwnName()] = presence{id: tg.ID, born: tg.Born}
+	dr.present[tg.OwnName()] = presence{id: tg.ID, born: tg.StartedAt}
 	if en, ok := dr.entries[before.id]; known && ok {
 		return true, dr.supersede(en)
 	}
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -12,7 +12,7 @@
 // life returns an incarnation of the target "a", all at one address.
 func life(born int64) targets.Target {
 	tg := at("a@"+time.UnixMilli(born).UTC().Format("05.000"), "a.example:80")
-	tg.Name, tg.Born = "a", time.UnixMilli(born)
+	tg.Name, tg.StartedAt = "a", time.UnixMilli(born)
 	return tg
 }
 
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -32,7 +32,7 @@
 
 // TestLeavingIsNeverTakenBack marks a target as leaving by its own word, which no list says.
 func TestLeavingIsNeverTakenBack(t *testing.T) {
-	ready := Target{ID: "a@1", Name: "a", Born: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
+	ready := Target{ID: "a@1", Name: "a", StartedAt: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
 	tests := map[string]func(lb *leavingBench){
 		"a newer list":          func(lb *leavingBench) { lb.list(ready) },
 		"an entry that is back": func(lb *leavingBench) { lb.list(); lb.list(ready) },
@@ -77,14 +77,14 @@
 
 func TestNextIncarnationOfALeavingTargetTakesWorkAtOnce(t *testing.T) {
 	lb := newLeavingBench(t)
-	first := Target{ID: "a@1", Name: "a", Born: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
+	first := Target{ID: "a@1", Name: "a", StartedAt: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
 	second := first
-	second.ID, second.Born = "a@2", time.Unix(2, 0)
+	second.ID, second.StartedAt = "a@2", time.Unix(2, 0)
 	lb.list(first)
 	lb.MarkLeaving(first.ID)
 	lb.list(second)
 	lb.Expect(lb.TakesWork(second.ID)).To(BeTrue())
-	other := Target{ID: "b@1", Name: "b", Born: time.Unix(3, 0), Service: "s", Address: first.Address}
+	other := Target{ID: "b@1", Name: "b", StartedAt: time.Unix(3, 0), Service: "s", Address: first.Address}
 	lb.MarkLeaving(second.ID)
 	lb.list(other)
 	lb.Expect(lb.TakesWork(other.ID)).To(BeTrue())
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -29,8 +29,8 @@
 	Name string `json:"Name"`
 	// Born is when the incarnation started, by its own clock; zero when that is not told. Of two incarnations of one name the one
 	// born later is the present one.
-	Born    time.Time `json:"Born"`
-	Service string    `json:"Service"`
+	StartedAt time.Time `json:"Born"`
+	Service   string    `json:"Service"`
 	// Address is an IP address and port.
 	Address          string `json:"Address"`
 	AvailabilityZone string `json:"AvailabilityZone"`
