--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -28,7 +28,7 @@
 		if rd.written(tg) {
 			list = append(list, tg)
 		} else {
-			unread = append(unread, tg.OwnName())
+			unread = append(unread, tg.NameOrID())
 		}
 	}
 	return list, unread
@@ -87,6 +87,6 @@
 	if !rd.tellBirth || !tg.StartedAt.IsZero() {
 		return true
 	}
-	rd.lg.WithField("target", tg.OwnName()).WithField("error", "no time of birth").Error("target cannot be read and is left out")
+	rd.lg.WithField("target", tg.NameOrID()).WithField("error", "no time of birth").Error("target cannot be read and is left out")
 	return false
 }
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -42,7 +42,7 @@
 func withoutIncarnations(tgs []targets.Target) []targets.Target {
 	named := slices.Clone(tgs)
 	for i := range named {
-		named[i].ID, named[i].Name, named[i].StartedAt = named[i].OwnName(), "", time.Time{}
+		named[i].ID, named[i].Name, named[i].StartedAt = named[i].NameOrID(), "", time.Time{}
 	}
 	return named
 }
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -87,7 +87,7 @@
 // speaker returns the incarnation that gave an answer: the one that was meant, unless the answer names another. It reports false when that
 // one is not known.
 func (rc *Recorder) speaker(rp Report) (targets.Target, bool) {
-	if rp.Head.Target == "" || rp.Head.Target == rp.Target.OwnName() {
+	if rp.Head.Target == "" || rp.Head.Target == rp.Target.NameOrID() {
 		return rp.Target, rp.Head.Verdict != answer.Misdirected
 	}
 	return rc.Targets.Named(rp.Head.Target)
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -11,14 +11,14 @@
 // succeed notes the incarnation that is told of as the present one of its name, and reports whether it is: an old word on an
 // earlier one never overrides it. The incarnation before it, which holds nothing any more, is gone at once. The lock is held.
 func (dr *Directory) succeed(tg Target) (present bool, changes []Change) {
-	before, known := dr.present[tg.OwnName()]
+	before, known := dr.present[tg.NameOrID()]
 	if known && before.id == tg.ID {
 		return true, nil
 	}
 	if known && !tg.StartedAt.After(before.born) {
 		return false, nil
 	}
-	dr.present[tg.OwnName()] = presence{id: tg.ID, born: tg.StartedAt}
+	dr.present[tg.NameOrID()] = presence{id: tg.ID, born: tg.StartedAt}
 	if en, ok := dr.entries[before.id]; known && ok {
 		return true, dr.supersede(en)
 	}
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -30,7 +30,7 @@
 }
 
 func put(dr *targets.Directory, tg targets.Target, evidence time.Time) []targets.Change {
-	return dr.TakeChanges([]targets.Entry{{Name: tg.OwnName(), Target: tg}}, next(dr), evidence)
+	return dr.TakeChanges([]targets.Entry{{Name: tg.NameOrID(), Target: tg}}, next(dr), evidence)
 }
 
 func remove(dr *targets.Directory, name string, evidence time.Time) []targets.Change {
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -41,7 +41,7 @@
 }
 
 // OwnName returns what the target calls itself.
-func (tg Target) OwnName() string {
+func (tg Target) NameOrID() string {
 	if tg.Name == "" {
 		return tg.ID
 	}
