--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -108,7 +108,9 @@
 type Option func(*Directory)
 
 // WithSuperseded is told of each incarnation that a later one of its name takes the place of. It must not call the directory.
-func WithSuperseded(told func(Target)) Option { return func(dr *Directory) { dr.superseded = told } }
+func WithSupersededHook(told func(Target)) Option {
+	return func(dr *Directory) { dr.superseded = told }
+}
 
 // New returns an empty directory.
 func New(now func() time.Time, opts ...Option) *Directory {
