--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -227,7 +227,7 @@
 		rd.lg.WithFields(log.Fields{
 			"target": ch.Target.ID, "service": ch.Target.Service, "address": ch.Target.Address, "source": "store",
 			"age": time.Since(evidence).Round(time.Millisecond).String(),
-		}).Info("target " + ch.What)
+		}).Info("target " + ch.Kind)
 	}
 	if len(changes) > 0 {
 		rd.changed.Tell()
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -89,6 +89,6 @@
 		lg.WithFields(log.Fields{
 			"target": ch.Target.ID, "service": ch.Target.Service, "address": ch.Target.Address, "source": "peer",
 			"age": time.Since(evidence).Round(time.Millisecond).String(),
-		}).Info("target " + ch.What)
+		}).Info("target " + ch.Kind)
 	}
 }
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -85,7 +85,7 @@
 		dr.toldUntil = until
 	}
 	for _, ch := range changes {
-		if ch.What == "gone" {
+		if ch.Kind == "gone" {
 			dr.entries[ch.Target.ID].workUntil = until
 		}
 	}
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -128,7 +128,7 @@
 type Change struct {
 	Target Target
 	// What is one of "listed", "leaving", "gone" and "back".
-	What string
+	Kind string
 }
 
 // replace takes a whole list. Evidence is when the store was asked. The lock is held.
@@ -237,11 +237,11 @@
 	switch {
 	case en.leaving && !wasLeaving:
 		dr.leaving[tg.ID] = dr.now()
-		return []Change{{Target: tg, What: "leaving"}}
+		return []Change{{Target: tg, Kind: "leaving"}}
 	case back:
-		return []Change{{Target: tg, What: "back"}}
+		return []Change{{Target: tg, Kind: "back"}}
 	case !known:
-		return []Change{{Target: tg, What: "listed"}}
+		return []Change{{Target: tg, Kind: "listed"}}
 	}
 	return nil
 }
@@ -252,7 +252,7 @@
 	}
 	en.goneAt = dr.now()
 	en.workUntil = dr.store.returnEnds()
-	return []Change{{Target: en.Target, What: "gone"}}
+	return []Change{{Target: en.Target, Kind: "gone"}}
 }
 
 func (dr *Directory) forget() {
