--- a/internal/duty/facts/fleet_test.go
+++ b/internal/duty/facts/fleet_test.go
@@ -58,7 +58,7 @@
 		g.Expect(fl.calls()).To(BeNumerically("<", followers*35))
 		time.Sleep(time.Second)
 		for _, ma := range fl.machines {
-			at, _ := ma.rd.dr.ChangedAt()
+			at, _ := ma.rd.dr.ListPosition()
 			g.Expect(at).To(Equal(position.Position{Revision: 61}), ma.name)
 		}
 	})
--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -291,8 +291,8 @@
 }
 
 func hearTargets(to, from *machine) {
-	at, heard := from.rd.dr.ChangedAt()
-	mine, _ := to.rd.dr.ChangedAt()
+	at, heard := from.rd.dr.ListPosition()
+	mine, _ := to.rd.dr.ListPosition()
 	switch {
 	case at.After(mine):
 		if at.Restored(mine) {
--- a/internal/duty/facts/restored.go
+++ b/internal/duty/facts/restored.go
@@ -14,7 +14,7 @@
 
 // known returns where in its history the store was by what this instance knows of targets, from whomever.
 func (rd *reader) known() position.Position {
-	at, _ := rd.dr.ChangedAt()
+	at, _ := rd.dr.ListPosition()
 	return at
 }
 
--- a/internal/duty/facts/restored_test.go
+++ b/internal/duty/facts/restored_test.go
@@ -104,7 +104,7 @@
 		// A target that had gone counts as back once entries that nobody writes are gone.
 		time.Sleep(5 * time.Second)
 		for _, ma := range fl.machines {
-			at, _ := ma.rd.dr.ChangedAt()
+			at, _ := ma.rd.dr.ListPosition()
 			g.Expect(at).To(Equal(position.Position{Era: 1, Revision: 6}), ma.name)
 			g.Expect(ma.rd.dr.TakesWork("target-6")).To(BeTrue(), ma.name)
 			g.Expect(ma.rd.dr.TakesWork("target-5")).To(BeFalse(), ma.name)
--- a/internal/duty/facts/unanswered_test.go
+++ b/internal/duty/facts/unanswered_test.go
@@ -70,7 +70,7 @@
 			fl.change(kindTargets)
 			time.Sleep(newsPause + 4*tell)
 			for _, ma := range fl.machines {
-				known, _ := ma.rd.dr.ChangedAt()
+				known, _ := ma.rd.dr.ListPosition()
 				g.Expect(known).To(Equal(position.Position{Revision: version}), ma.name)
 			}
 		}
--- a/internal/duty/members/fetch_test.go
+++ b/internal/duty/members/fetch_test.go
@@ -68,7 +68,7 @@
 	du.lg = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	du.document = func(context.Context, gossip.Member, string) ([]byte, error) { return pack(list) }
 	du.fetchTargets(t.Context(), newer{document: targetsDocument, at: at, evidence: time.Now()})
-	mine, _ := dr.ChangedAt()
+	mine, _ := dr.ListPosition()
 	g.Expect(mine).To(Equal(at))
 	g.Expect(dr.TakesWork("stays")).To(BeTrue())
 	g.Expect(dr.TakesWork("left")).To(BeFalse())
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -160,7 +160,7 @@
 	if !du.left.Load() {
 		st.Loads = du.ds.Own()
 	}
-	at, heard := du.dr.ChangedAt()
+	at, heard := du.dr.ListPosition()
 	st.Targets = at
 	st.TargetsAge = time.Since(heard)
 	if tb, provenAt := du.rts.Current(); tb != nil {
@@ -227,7 +227,7 @@
 
 // receiveTargets compares a peer's list of targets with this instance's.
 func (du *duty) receiveTargets(from gossip.Member, st peerstate.State, evidence time.Time) {
-	mine, _ := du.dr.ChangedAt()
+	mine, _ := du.dr.ListPosition()
 	switch {
 	case st.Targets.IsZero() || mine.After(st.Targets):
 	case st.Targets == mine:
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -49,7 +49,7 @@
 
 // fetchTargets asks a peer for a newer list of targets.
 func (du *duty) fetchTargets(ctx context.Context, nw newer) {
-	if mine, _ := du.dr.ChangedAt(); !nw.at.After(mine) {
+	if mine, _ := du.dr.ListPosition(); !nw.at.After(mine) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -71,7 +71,7 @@
 		return
 	}
 	at := position.Of(tl.Version)
-	mine, _ := du.dr.ChangedAt()
+	mine, _ := du.dr.ListPosition()
 	if nw.at.After(at) || !at.After(mine) {
 		// Meanwhile the store told more.
 		return
--- a/internal/targets/restored_test.go
+++ b/internal/targets/restored_test.go
@@ -107,6 +107,6 @@
 	dr.TakeList(nil, nil, position.Position{Revision: 480}, time.Now())
 	dr.TakeList(nil, nil, position.Position{Era: 1, Revision: 300}, time.Now())
 	dr.TakeList(nil, nil, position.Position{Revision: 500}, time.Now())
-	at, _ := dr.ChangedAt()
+	at, _ := dr.ListPosition()
 	g.Expect(at).To(Equal(position.Position{Era: 1, Revision: 300}))
 }
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -15,7 +15,7 @@
 
 // next is a position after the one that is held.
 func next(dr *targets.Directory) position.Position {
-	at, _ := dr.ChangedAt()
+	at, _ := dr.ListPosition()
 	at.Revision++
 	return at
 }
@@ -109,7 +109,7 @@
 			case "peer":
 				from, told := drs[(to+1)%instances].Listed()
 				under = append(under, answer{to, func(dr *targets.Directory) {
-					if mine, _ := dr.ChangedAt(); from.Restored(mine) {
+					if mine, _ := dr.ListPosition(); from.Restored(mine) {
 						dr.Restored(from.Era, evidence)
 					}
 					dr.TakeTold(told, targets.Lapsed{}, from, evidence)
@@ -121,7 +121,7 @@
 				no := rapid.IntRange(0, len(under)-1).Draw(rt, "which")
 				an := under[no]
 				under = slices.Delete(under, no, no+1)
-				before, _ := drs[an.to].ChangedAt()
+				before, _ := drs[an.to].ListPosition()
 				an.take(drs[an.to])
 				after, got := drs[an.to].Listed()
 				if before.After(after) {
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -190,7 +190,7 @@
 }
 
 // ChangedAt returns where in its history the store was when the list last changed, and the time of the newest evidence.
-func (dr *Directory) ChangedAt() (at position.Position, heard time.Time) {
+func (dr *Directory) ListPosition() (at position.Position, heard time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	return dr.changedAt, dr.heard
