--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -56,7 +56,7 @@
 	}
 	gw := env.Settings.Gateway
 	calls := pt.Metrics.GetOrCreateCounter("silvermount_store_calls_total")
-	pt.Metrics.NewGauge("silvermount_targets_age_ms", func() float64 { return ageMillis(pt.Targets.HeardAt()) })
+	pt.Metrics.NewGauge("silvermount_targets_age_ms", func() float64 { return ageMillis(pt.Targets.ConfirmedAt()) })
 	pt.Metrics.NewGauge("silvermount_proof_age_ms", func() float64 {
 		_, provenAt := pt.Routes.Current()
 		return ageMillis(provenAt)
@@ -217,8 +217,8 @@
 			rd.reach.failed()
 			rd.dr.Trouble()
 		},
-		Rest:  func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.HeardAt()) },
-		Retry: func() (least, most time.Duration) { return pc.retry(rd.dr.HeardAt()) },
+		Rest:  func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.ConfirmedAt()) },
+		Retry: func() (least, most time.Duration) { return pc.retry(rd.dr.ConfirmedAt()) },
 	}
 }
 
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -46,7 +46,7 @@
 	}
 	fs["predicted_first"] = sl.FirstPredicted.Round(time.Millisecond).String()
 	fs["predicted_pause"] = sl.PausePredicted.Round(time.Millisecond).String()
-	fs["list_age"] = since(gw.Targets.HeardAt(), gw.Now()).String()
+	fs["list_age"] = since(gw.Targets.ConfirmedAt(), gw.Now()).String()
 	fs["attempt"] = len(rq.tried) + 1
 	gw.Log.WithFields(fs).Info("request sent")
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -340,7 +340,7 @@
 }
 
 // HeardAt returns the time of the newest evidence of the list.
-func (dr *Directory) HeardAt() time.Time {
+func (dr *Directory) ConfirmedAt() time.Time {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	return dr.heard
