--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -156,7 +156,7 @@
 
 // body returns this instance's state.
 func (du *duty) body() []byte {
-	st := peerstate.State{Leaving: du.dr.Leaving()}
+	st := peerstate.State{Leaving: du.dr.LeavingIDs()}
 	if !du.left.Load() {
 		st.Loads = du.ds.Own()
 	}
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -149,7 +149,7 @@
 
 // tell tells the peers which targets leave.
 func (fl *simFleet) tell(in *simInstance, life int, dr *targets.Directory) {
-	leaving := dr.Leaving()
+	leaving := dr.LeavingIDs()
 	fl.mu.Lock()
 	peers := append([]*simInstance{}, fl.instances...)
 	fl.mu.Unlock()
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -104,5 +104,5 @@
 	lb.Expect(len(lb.leaving)).To(BeNumerically("<=", maxLeaving))
 	lb.Expect(len(lb.leaving)).To(BeNumerically(">=", maxLeaving/2))
 	lb.Expect(lb.TakesWork(listed.ID)).To(BeFalse())
-	lb.Expect(lb.Leaving()).To(HaveLen(int(forgetAfter/time.Second) + 2))
+	lb.Expect(lb.LeavingIDs()).To(HaveLen(int(forgetAfter/time.Second) + 2))
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -299,7 +299,7 @@
 }
 
 // Leaving returns the incarnations known to be leaving that peers have to hear of, sorted: those with an entry, and those told lately.
-func (dr *Directory) Leaving() []string {
+func (dr *Directory) LeavingIDs() []string {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	now := dr.now()
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -170,7 +170,7 @@
 	g.Expect(remove(dr, "a", cl.now())).To(BeEmpty())
 	g.Expect(dr.MarkLeaving("a")).To(BeTrue())
 	g.Expect(dr.MarkLeaving("a")).To(BeFalse())
-	g.Expect(dr.Leaving()).To(Equal([]string{"a"}))
+	g.Expect(dr.LeavingIDs()).To(Equal([]string{"a"}))
 }
 
 // TestCutIsTold checks what is told of a target that took no connection.
