--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -110,7 +110,7 @@
 	ms.NewGauge("silvermount_targets_limited", func() float64 { return float64(limits.LimitedCount()) })
 	permits := permit.NewClient(time.Now, limits.Limit, ms)
 	backOffs := backoff.New(time.Now, rand.Float64)
-	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LenLeaving()) })
+	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LeavingCount()) })
 	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.ActiveCount()) })
 	noted := &Changed{}
 	fb := feedback.New(feedback.Deps{
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -314,7 +314,7 @@
 }
 
 // LenLeaving returns how many listed targets are leaving.
-func (dr *Directory) LenLeaving() int {
+func (dr *Directory) LeavingCount() int {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	n := 0
