--- a/internal/targets/cut.go
+++ b/internal/targets/cut.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Cut is what is believed of a target that took no connection.
-type Cut struct {
+type Connectivity struct {
 	// Refusals counts connections not taken since the last one that was.
 	Refusals int
 	// For is how long the target is still left out.
@@ -13,13 +13,13 @@
 }
 
 // Cut returns what is believed of a target's connections; nothing of one that is not known.
-func (dr *Directory) Cut(id string) Cut {
+func (dr *Directory) Cut(id string) Connectivity {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
 	if !ok {
-		return Cut{}
+		return Connectivity{}
 	}
 	now := dr.now()
-	return Cut{Refusals: en.refusals, For: max(0, en.cutUntil.Sub(now)), Zone: dr.zone(en.AvailabilityZone).doubted(now)}
+	return Connectivity{Refusals: en.refusals, For: max(0, en.cutUntil.Sub(now)), Zone: dr.zone(en.AvailabilityZone).doubted(now)}
 }
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -177,13 +177,13 @@
 func TestCutIsTold(t *testing.T) {
 	tests := map[string]struct {
 		unreachable []string
-		want        targets.Cut
+		want        targets.Connectivity
 	}{
-		"never":                {nil, targets.Cut{}},
-		"once":                 {[]string{"a"}, targets.Cut{Refusals: 1, For: 800 * time.Millisecond}},
-		"twice":                {[]string{"a", "a"}, targets.Cut{Refusals: 2, For: 1600 * time.Millisecond}},
-		"another one as well":  {[]string{"b", "a"}, targets.Cut{Refusals: 1, For: 800 * time.Millisecond, Zone: true}},
-		"one that is not here": {[]string{"d"}, targets.Cut{}},
+		"never":                {nil, targets.Connectivity{}},
+		"once":                 {[]string{"a"}, targets.Connectivity{Refusals: 1, For: 800 * time.Millisecond}},
+		"twice":                {[]string{"a", "a"}, targets.Connectivity{Refusals: 2, For: 1600 * time.Millisecond}},
+		"another one as well":  {[]string{"b", "a"}, targets.Connectivity{Refusals: 1, For: 800 * time.Millisecond, Zone: true}},
+		"one that is not here": {[]string{"d"}, targets.Connectivity{}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -195,7 +195,7 @@
 				dr.Unreachable(id)
 			}
 			g.Expect(dr.Cut("a")).To(Equal(tc.want))
-			g.Expect(dr.Cut("d")).To(Equal(targets.Cut{}))
+			g.Expect(dr.Cut("d")).To(Equal(targets.Connectivity{}))
 		})
 	}
 }
