--- a/internal/targets/cut.go
+++ b/internal/targets/cut.go
@@ -5,7 +5,7 @@
 // Cut is what is believed of a target that took no connection.
 type Connectivity struct {
 	// Refusals counts connections not taken since the last one that was.
-	Refusals int
+	ConnectFailures int
 	// For is how long the target is still left out.
 	For time.Duration
 	// Zone is set when its whole availability zone is left out.
@@ -21,5 +21,5 @@
 		return Connectivity{}
 	}
 	now := dr.now()
-	return Connectivity{Refusals: en.refusals, For: max(0, en.cutUntil.Sub(now)), Zone: dr.zone(en.AvailabilityZone).doubted(now)}
+	return Connectivity{ConnectFailures: en.refusals, For: max(0, en.cutUntil.Sub(now)), Zone: dr.zone(en.AvailabilityZone).doubted(now)}
 }
