--- a/internal/targets/cut.go
+++ b/internal/targets/cut.go
@@ -7,7 +7,7 @@
 	// Refusals counts connections not taken since the last one that was.
 	ConnectFailures int
 	// For is how long the target is still left out.
-	For time.Duration
+	ExcludedFor time.Duration
 	// Zone is set when its whole availability zone is left out.
 	Zone bool
 }
@@ -21,5 +21,5 @@
 		return Connectivity{}
 	}
 	now := dr.now()
-	return Connectivity{ConnectFailures: en.refusals, For: max(0, en.cutUntil.Sub(now)), Zone: dr.zone(en.AvailabilityZone).doubted(now)}
+	return Connectivity{ConnectFailures: en.refusals, ExcludedFor: max(0, en.cutUntil.Sub(now)), Zone: dr.zone(en.AvailabilityZone).doubted(now)}
 }
