--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -174,7 +174,7 @@
 	ct := gw.Targets.Cut(tg.ID)
 	gw.Log.WithFields(log.Fields{
 		"target": tg.ID, "service": tg.Service, "zone": tg.AvailabilityZone, "refusals": ct.ConnectFailures,
-		"out_for": ct.ExcludedFor.Round(time.Millisecond).String(), "zone_out": ct.Zone,
+		"out_for": ct.ExcludedFor.Round(time.Millisecond).String(), "zone_out": ct.ZoneExcluded,
 	}).Warn("target left out for taking no connection")
 }
 
--- a/internal/targets/cut.go
+++ b/internal/targets/cut.go
@@ -9,7 +9,7 @@
 	// For is how long the target is still left out.
 	ExcludedFor time.Duration
 	// Zone is set when its whole availability zone is left out.
-	Zone bool
+	ZoneExcluded bool
 }
 
 // Cut returns what is believed of a target's connections; nothing of one that is not known.
@@ -21,5 +21,5 @@
 		return Connectivity{}
 	}
 	now := dr.now()
-	return Connectivity{ConnectFailures: en.refusals, ExcludedFor: max(0, en.cutUntil.Sub(now)), Zone: dr.zone(en.AvailabilityZone).doubted(now)}
+	return Connectivity{ConnectFailures: en.refusals, ExcludedFor: max(0, en.cutUntil.Sub(now)), ZoneExcluded: dr.zone(en.AvailabilityZone).doubted(now)}
 }
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -182,7 +182,7 @@
 		"never":                {nil, targets.Connectivity{}},
 		"once":                 {[]string{"a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond}},
 		"twice":                {[]string{"a", "a"}, targets.Connectivity{ConnectFailures: 2, ExcludedFor: 1600 * time.Millisecond}},
-		"another one as well":  {[]string{"b", "a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond, Zone: true}},
+		"another one as well":  {[]string{"b", "a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond, ZoneExcluded: true}},
 		"one that is not here": {[]string{"d"}, targets.Connectivity{}},
 	}
 	for name, tc := range tests {
