--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -171,7 +171,7 @@
 
 // logLeftOut says that a target takes no connection, and whether its whole availability zone is left out with it.
 func (gw *Gateway) logLeftOut(tg targets.Target) {
-	ct := gw.Targets.Cut(tg.ID)
+	ct := gw.Targets.Connectivity(tg.ID)
 	gw.Log.WithFields(log.Fields{
 		"target": tg.ID, "service": tg.Service, "zone": tg.AvailabilityZone, "refusals": ct.ConnectFailures,
 		"out_for": ct.ExcludedFor.Round(time.Millisecond).String(), "zone_out": ct.ZoneExcluded,
--- a/internal/targets/cut.go
+++ b/internal/targets/cut.go
@@ -13,7 +13,7 @@
 }
 
 // Cut returns what is believed of a target's connections; nothing of one that is not known.
-func (dr *Directory) Cut(id string) Connectivity {
+func (dr *Directory) Connectivity(id string) Connectivity {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -90,7 +90,7 @@
 			tc.happen(cl, dr)
 			g.Expect(dr.TakesWork(first.ID)).To(Equal(tc.first))
 			g.Expect(dr.TakesWork(second.ID)).To(Equal(tc.second))
-			g.Expect(dr.Cut(second.ID)).To(Equal(targets.Connectivity{}))
+			g.Expect(dr.Connectivity(second.ID)).To(Equal(targets.Connectivity{}))
 			_, listed := dr.Listed()
 			g.Expect(ids(listed)).NotTo(ContainElement(first.ID))
 		})
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -194,8 +194,8 @@
 			for _, id := range tc.unreachable {
 				dr.Unreachable(id)
 			}
-			g.Expect(dr.Cut("a")).To(Equal(tc.want))
-			g.Expect(dr.Cut("d")).To(Equal(targets.Connectivity{}))
+			g.Expect(dr.Connectivity("a")).To(Equal(tc.want))
+			g.Expect(dr.Connectivity("d")).To(Equal(targets.Connectivity{}))
 		})
 	}
 }
