--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -112,7 +112,7 @@
 		return failure.New(failure.TargetRefused, failure.Failed, "the target answered %d", an.StatusCode)
 	}
 	if v == answer.Answered {
-		gw.Targets.Success(sl.Target.ID)
+		gw.Targets.RecordSuccess(sl.Target.ID)
 	} else {
 		gw.held(sl.Target)
 	}
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -25,7 +25,7 @@
 )
 
 // Success notes a good answer.
-func (dr *Directory) Success(id string) {
+func (dr *Directory) RecordSuccess(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
--- a/internal/targets/health_test.go
+++ b/internal/targets/health_test.go
@@ -14,7 +14,7 @@
 func outcomes(dr *targets.Directory, id, signs string) {
 	for _, sign := range signs {
 		if sign == '.' {
-			dr.Success(id)
+			dr.RecordSuccess(id)
 			continue
 		}
 		dr.Failure(id)
