--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -192,7 +192,7 @@
 		"one that runs once, beside a target that failed": func(be *bench, as *dispatch.Ask) {
 			as.Caution = targets.Sure
 			for range 2 {
-				be.directory.Failure(id(0))
+				be.directory.RecordFailure(id(0))
 			}
 		},
 		"the probe of an availability zone": func(be *bench, _ *dispatch.Ask) {
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -247,7 +247,7 @@
 
 func failing(be *bench, which string) {
 	for range 3 {
-		be.directory.Failure(which)
+		be.directory.RecordFailure(which)
 	}
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -286,7 +286,7 @@
 
 // held holds a failure against a target.
 func (gw *Gateway) held(tg targets.Target) {
-	if gw.Targets.Failure(tg.ID) {
+	if gw.Targets.RecordFailure(tg.ID) {
 		gw.Log.WithField("target", tg.ID).WithField("service", tg.Service).Warn("target left out for failing")
 	}
 }
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -67,7 +67,7 @@
 
 // Failure notes a failed attempt and reports whether it took the target out. A target may fail for some callers only,
 // so that peers are not told.
-func (dr *Directory) Failure(id string) bool {
+func (dr *Directory) RecordFailure(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
--- a/internal/targets/health_test.go
+++ b/internal/targets/health_test.go
@@ -17,7 +17,7 @@
 			dr.RecordSuccess(id)
 			continue
 		}
-		dr.Failure(id)
+		dr.RecordFailure(id)
 	}
 }
 
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -75,7 +75,7 @@
 		}, false, true},
 		"failures of the old one": {func(cl *clock, dr *targets.Directory) {
 			for range 5 {
-				dr.Failure(first.ID)
+				dr.RecordFailure(first.ID)
 				dr.Unreachable(first.ID)
 			}
 			put(dr, second, cl.now())
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -71,18 +71,18 @@
 		}, []string{"a", "b", "c"}},
 		"a failing target is left out": {func(_ *clock, dr *targets.Directory) {
 			for range 3 {
-				dr.Failure("a")
+				dr.RecordFailure("a")
 			}
 		}, []string{"b", "c"}},
 		"most targets are never left out for failing": {func(_ *clock, dr *targets.Directory) {
 			for range 3 {
-				dr.Failure("a")
-				dr.Failure("b")
+				dr.RecordFailure("a")
+				dr.RecordFailure("b")
 			}
 		}, []string{"a", "b", "c"}},
 		"a target left out is tried again": {func(cl *clock, dr *targets.Directory) {
 			for range 3 {
-				dr.Failure("a")
+				dr.RecordFailure("a")
 			}
 			cl.pass(1100 * time.Millisecond)
 		}, []string{"a", "b", "c"}},
