--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -324,7 +324,7 @@
 		be.directory.MarkLeaving(meant.ID)
 	}
 	be.recorder.Record(feedback.Report{Source: feedback.Request, Target: meant, Head: hd, Sent: sent, Came: time.Now()})
-	be.directory.Reached(meant.ID)
+	be.directory.RecordReachable(meant.ID)
 	if hd.BackOff > 0 {
 		sl.TurnedAway(hd.BackOff)
 		fl.hint(in, life, be)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -194,7 +194,7 @@
 		}
 		return nil, gw.sendFailed(ctx, rq, sl, err)
 	}
-	gw.Targets.Reached(sl.Target.ID)
+	gw.Targets.RecordReachable(sl.Target.ID)
 	gw.observe("silvermount_target_answer_seconds", rq.headAt.Sub(rq.sentAt))
 	return an, nil
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -116,7 +116,7 @@
 			}
 		}
 		wd.reset(stall)
-		gw.Targets.Reached(sl.Target.ID)
+		gw.Targets.RecordReachable(sl.Target.ID)
 		sl.Event()
 		if ev.id >= 0 && ev.id <= rq.lastEvent {
 			// The event was passed on before the stream moved here.
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -39,7 +39,7 @@
 }
 
 // Reached notes that a target answered, whatever it said.
-func (dr *Directory) Reached(id string) {
+func (dr *Directory) RecordReachable(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -90,7 +90,7 @@
 			dr.Unreachable("a")
 		}, []string{"b", "c"}},
 		"most targets may be left out for it": {func(_ *clock, dr *targets.Directory) {
-			dr.Reached("c")
+			dr.RecordReachable("c")
 			dr.Unreachable("a")
 			dr.Unreachable("b")
 		}, []string{"c"}},
--- a/internal/targets/zone_test.go
+++ b/internal/targets/zone_test.go
@@ -33,23 +33,23 @@
 			dr.Unreachable("f1")
 		}, []string{"f2", "f3", "n1", "n2"}, []string{"f2", "f3", "n1", "n2"}},
 		"nor do two beside one that answers": {func(cl *clock, dr *targets.Directory) {
-			dr.Reached("f3")
+			dr.RecordReachable("f3")
 			cutOff(cl, dr)
 		}, []string{"f3", "n1", "n2"}, []string{"f3", "n1", "n2"}},
 		"nor do two with an answer between them": {func(cl *clock, dr *targets.Directory) {
 			dr.Silent("f1")
-			dr.Reached("f1")
+			dr.RecordReachable("f1")
 			cl.pass(2 * time.Second)
 			dr.Silent("f2")
 		}, all, all},
 		"two silent targets take it out": {func(cl *clock, dr *targets.Directory) {
-			dr.Reached("f3")
+			dr.RecordReachable("f3")
 			cl.pass(1700 * time.Millisecond)
 			dr.Silent("f1")
 			dr.Silent("f2")
 		}, near, near},
 		"not beside one that answered within a second": {func(cl *clock, dr *targets.Directory) {
-			dr.Reached("f3")
+			dr.RecordReachable("f3")
 			cl.pass(900 * time.Millisecond)
 			dr.Silent("f1")
 			dr.Silent("f2")
@@ -59,7 +59,7 @@
 			dr.PeerLost("far", "e2")
 		}, near, near},
 		"not while its targets answer": {func(_ *clock, dr *targets.Directory) {
-			dr.Reached("f1")
+			dr.RecordReachable("f1")
 			dr.PeerLost("far", "e1")
 			dr.PeerLost("far", "e2")
 		}, all, all},
@@ -91,11 +91,11 @@
 			cutOff(cl, dr)
 			cl.pass(time.Second)
 			dr.Chosen("f3")
-			dr.Reached("f3")
+			dr.RecordReachable("f3")
 		}, all, all},
 		"an answer during the pause brings all of it back": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
-			dr.Reached("f3")
+			dr.RecordReachable("f3")
 		}, all, all},
 		"a probe that fails lengthens the pause": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
