--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -196,8 +196,8 @@
 			}
 		},
 		"the probe of an availability zone": func(be *bench, _ *dispatch.Ask) {
-			be.directory.Unreachable(id(1))
-			be.directory.Unreachable(id(2))
+			be.directory.RecordUnreachable(id(1))
+			be.directory.RecordUnreachable(id(2))
 			time.Sleep(time.Second)
 		},
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -230,7 +230,7 @@
 		"not the leaving one":    {func(be *bench) { be.put(0, zone, true) }, nil, id(1)},
 		"not the one to avoid":   {func(*bench) {}, []string{id(0)}, id(1)},
 		"not the one told gone":  {func(be *bench) { be.directory.MarkLeaving(id(1)) }, nil, id(0)},
-		"not the one unreached":  {func(be *bench) { be.directory.Unreachable(id(0)) }, nil, id(1)},
+		"not the one unreached":  {func(be *bench) { be.directory.RecordUnreachable(id(0)) }, nil, id(1)},
 		"not the one that fails": {func(be *bench) { failing(be, id(1)) }, nil, id(0)},
 	}
 	for name, tc := range cases {
@@ -406,7 +406,7 @@
 					be.put(2+no, "farther", false)
 				}
 				for no := range 2 {
-					be.directory.Unreachable(id(no))
+					be.directory.RecordUnreachable(id(no))
 				}
 				time.Sleep(time.Second)
 				there := 0
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -97,7 +97,7 @@
 	if errors.As(err, &de) && de.HeldUp {
 		return
 	}
-	if gw.Targets.Unreachable(tg.ID) {
+	if gw.Targets.RecordUnreachable(tg.ID) {
 		gw.logZoneOut(tg, "connections not taken")
 	}
 	gw.logLeftOut(tg)
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -100,7 +100,7 @@
 
 // Unreachable notes that a target took no connection, which also counts against its availability zone. It reports whether
 // that is left out for it.
-func (dr *Directory) Unreachable(id string) bool {
+func (dr *Directory) RecordUnreachable(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -76,7 +76,7 @@
 		"failures of the old one": {func(cl *clock, dr *targets.Directory) {
 			for range 5 {
 				dr.RecordFailure(first.ID)
-				dr.Unreachable(first.ID)
+				dr.RecordUnreachable(first.ID)
 			}
 			put(dr, second, cl.now())
 		}, false, true},
--- a/internal/targets/lapse_test.go
+++ b/internal/targets/lapse_test.go
@@ -60,7 +60,7 @@
 		"one that takes no connection gets nothing": {func(cl *clock, dr *targets.Directory) {
 			dr.Back(cl.now())
 			replace(dr, nil, cl.now())
-			dr.Unreachable("n1")
+			dr.RecordUnreachable("n1")
 		}, []string{"f1", "f2", "n2"}},
 		"one whose availability zone was not heard since gets nothing": {func(cl *clock, dr *targets.Directory) {
 			cl.pass(time.Second)
@@ -76,7 +76,7 @@
 			dr.Back(cl.now())
 			replace(dr, nil, cl.now())
 			for _, id := range []string{"f1", "f2", "n1", "n2"} {
-				dr.Unreachable(id)
+				dr.RecordUnreachable(id)
 			}
 		}, []string{"f1", "f2", "n1", "n2"}},
 		"one that is leaving gets nothing": {func(cl *clock, dr *targets.Directory) {
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -87,26 +87,26 @@
 			cl.pass(1100 * time.Millisecond)
 		}, []string{"a", "b", "c"}},
 		"a target that takes no connection is left out": {func(_ *clock, dr *targets.Directory) {
-			dr.Unreachable("a")
+			dr.RecordUnreachable("a")
 		}, []string{"b", "c"}},
 		"most targets may be left out for it": {func(_ *clock, dr *targets.Directory) {
 			dr.RecordReachable("c")
-			dr.Unreachable("a")
-			dr.Unreachable("b")
+			dr.RecordUnreachable("a")
+			dr.RecordUnreachable("b")
 		}, []string{"c"}},
 		"all are tried when none takes connections": {func(_ *clock, dr *targets.Directory) {
 			for _, id := range []string{"a", "b", "c"} {
-				dr.Unreachable(id)
+				dr.RecordUnreachable(id)
 			}
 		}, []string{"a", "b", "c"}},
 		"it is tried again soon": {func(cl *clock, dr *targets.Directory) {
-			dr.Unreachable("a")
+			dr.RecordUnreachable("a")
 			cl.pass(time.Second)
 		}, []string{"a", "b", "c"}},
 		"and later when it still takes none": {func(cl *clock, dr *targets.Directory) {
-			dr.Unreachable("a")
+			dr.RecordUnreachable("a")
 			cl.pass(time.Second)
-			dr.Unreachable("a")
+			dr.RecordUnreachable("a")
 			cl.pass(time.Second)
 		}, []string{"b", "c"}},
 	}
@@ -141,7 +141,7 @@
 		}, []string{"a", "other"}},
 		"the older one again, once the newer takes no connection": {func(cl *clock, dr *targets.Directory) {
 			put(dr, at("a", shared), cl.now())
-			dr.Unreachable("a")
+			dr.RecordUnreachable("a")
 		}, []string{"b", "other"}},
 		"the older one again, once the newer is leaving": {func(cl *clock, dr *targets.Directory) {
 			put(dr, at("a", shared), cl.now())
@@ -192,7 +192,7 @@
 			dr := targets.New(cl.now)
 			replace(dr, list("a", "b", "c"), cl.now())
 			for _, id := range tc.unreachable {
-				dr.Unreachable(id)
+				dr.RecordUnreachable(id)
 			}
 			g.Expect(dr.Connectivity("a")).To(Equal(tc.want))
 			g.Expect(dr.Connectivity("d")).To(Equal(targets.Connectivity{}))
--- a/internal/targets/zone_test.go
+++ b/internal/targets/zone_test.go
@@ -11,8 +11,8 @@
 
 // cutOff makes two targets of the far availability zone take no connection.
 func cutOff(_ *clock, dr *targets.Directory) {
-	dr.Unreachable("f1")
-	dr.Unreachable("f2")
+	dr.RecordUnreachable("f1")
+	dr.RecordUnreachable("f2")
 }
 
 func TestAvailabilityZoneThatIsCutOff(t *testing.T) {
@@ -26,11 +26,11 @@
 	}{
 		"two targets that take no connection take it out": {cutOff, near, near},
 		"one does not": {func(_ *clock, dr *targets.Directory) {
-			dr.Unreachable("f1")
+			dr.RecordUnreachable("f1")
 		}, []string{"f2", "f3", "n1", "n2"}, []string{"f2", "f3", "n1", "n2"}},
 		"nor does one that takes none twice": {func(_ *clock, dr *targets.Directory) {
-			dr.Unreachable("f1")
-			dr.Unreachable("f1")
+			dr.RecordUnreachable("f1")
+			dr.RecordUnreachable("f1")
 		}, []string{"f2", "f3", "n1", "n2"}, []string{"f2", "f3", "n1", "n2"}},
 		"nor do two beside one that answers": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordReachable("f3")
@@ -125,8 +125,8 @@
 		}, all, all},
 		"all are tried when all are cut off": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
-			dr.Unreachable("n1")
-			dr.Unreachable("n2")
+			dr.RecordUnreachable("n1")
+			dr.RecordUnreachable("n2")
 		}, all, all},
 	}
 	for name, tc := range tests {
