--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -136,7 +136,7 @@
 
 // silent notes that a target said nothing for longer than it should.
 func (gw *Gateway) silent(tg targets.Target) {
-	if gw.Targets.Silent(tg.ID) {
+	if gw.Targets.RecordSilence(tg.ID) {
 		gw.logZoneOut(tg, "silence")
 	}
 }
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -118,7 +118,7 @@
 
 // Silent notes that a target said nothing for longer than it ever should, which counts against its availability zone
 // only: the attempt goes on until it fails. It reports whether that is left out for it.
-func (dr *Directory) Silent(id string) bool {
+func (dr *Directory) RecordSilence(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
--- a/internal/targets/zone_test.go
+++ b/internal/targets/zone_test.go
@@ -37,22 +37,22 @@
 			cutOff(cl, dr)
 		}, []string{"f3", "n1", "n2"}, []string{"f3", "n1", "n2"}},
 		"nor do two with an answer between them": {func(cl *clock, dr *targets.Directory) {
-			dr.Silent("f1")
+			dr.RecordSilence("f1")
 			dr.RecordReachable("f1")
 			cl.pass(2 * time.Second)
-			dr.Silent("f2")
+			dr.RecordSilence("f2")
 		}, all, all},
 		"two silent targets take it out": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordReachable("f3")
 			cl.pass(1700 * time.Millisecond)
-			dr.Silent("f1")
-			dr.Silent("f2")
+			dr.RecordSilence("f1")
+			dr.RecordSilence("f2")
 		}, near, near},
 		"not beside one that answered within a second": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordReachable("f3")
 			cl.pass(900 * time.Millisecond)
-			dr.Silent("f1")
-			dr.Silent("f2")
+			dr.RecordSilence("f1")
+			dr.RecordSilence("f2")
 		}, all, all},
 		"two lost instances take it out": {func(_ *clock, dr *targets.Directory) {
 			dr.PeerLost("far", "e1")
@@ -65,12 +65,12 @@
 		}, all, all},
 		"a lost instance and a silent target take it out": {func(_ *clock, dr *targets.Directory) {
 			dr.PeerLost("far", "e1")
-			dr.Silent("f3")
+			dr.RecordSilence("f3")
 		}, near, near},
 		"what was long ago does not count": {func(cl *clock, dr *targets.Directory) {
-			dr.Silent("f1")
+			dr.RecordSilence("f1")
 			cl.pass(6 * time.Second)
-			dr.Silent("f2")
+			dr.RecordSilence("f2")
 		}, all, all},
 		"it is probed after the pause": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
@@ -101,7 +101,7 @@
 			cutOff(cl, dr)
 			cl.pass(time.Second)
 			dr.Chosen("f3")
-			dr.Silent("f3")
+			dr.RecordSilence("f3")
 			cl.pass(1500 * time.Millisecond)
 		}, near, near},
 		"up to its bound": {func(cl *clock, dr *targets.Directory) {
@@ -109,14 +109,14 @@
 			for range 20 {
 				cl.pass(2400 * time.Millisecond)
 				dr.Chosen("f3")
-				dr.Silent("f3")
+				dr.RecordSilence("f3")
 			}
 			cl.pass(2400 * time.Millisecond)
 		}, probed, near},
 		"what was under way when it was cut off does not": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
 			cl.pass(500 * time.Millisecond)
-			dr.Silent("f3")
+			dr.RecordSilence("f3")
 			cl.pass(400 * time.Millisecond)
 		}, probed, near},
 		"it comes back when nobody probes it": {func(cl *clock, dr *targets.Directory) {
