--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -257,7 +257,7 @@
 func (du *duty) lost(mb gossip.Member) {
 	du.ds.Heard(mb.Name, nil)
 	du.ld.Lost(mb.Name)
-	if silentZone(mb, du.ms.Live()) && du.dr.PeerLost(mb.AvailabilityZone, mb.Name) {
+	if silentZone(mb, du.ms.Live()) && du.dr.RecordPeerLoss(mb.AvailabilityZone, mb.Name) {
 		du.lg.WithFields(log.Fields{"zone": mb.AvailabilityZone, "cause": "instances lost"}).Warn("availability zone left out")
 	}
 }
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -127,7 +127,7 @@
 
 // PeerLost notes that an instance fell silent with which all other instances of its availability zone are lost too. It
 // reports whether that is left out for it.
-func (dr *Directory) PeerLost(zone, instance string) bool {
+func (dr *Directory) RecordPeerLoss(zone, instance string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	return dr.zone(zone).failed(instance, zoneSilence, dr.now())
--- a/internal/targets/zone_test.go
+++ b/internal/targets/zone_test.go
@@ -55,16 +55,16 @@
 			dr.RecordSilence("f2")
 		}, all, all},
 		"two lost instances take it out": {func(_ *clock, dr *targets.Directory) {
-			dr.PeerLost("far", "e1")
-			dr.PeerLost("far", "e2")
+			dr.RecordPeerLoss("far", "e1")
+			dr.RecordPeerLoss("far", "e2")
 		}, near, near},
 		"not while its targets answer": {func(_ *clock, dr *targets.Directory) {
 			dr.RecordReachable("f1")
-			dr.PeerLost("far", "e1")
-			dr.PeerLost("far", "e2")
+			dr.RecordPeerLoss("far", "e1")
+			dr.RecordPeerLoss("far", "e2")
 		}, all, all},
 		"a lost instance and a silent target take it out": {func(_ *clock, dr *targets.Directory) {
-			dr.PeerLost("far", "e1")
+			dr.RecordPeerLoss("far", "e1")
 			dr.RecordSilence("f3")
 		}, near, near},
 		"what was long ago does not count": {func(cl *clock, dr *targets.Directory) {
