--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -140,7 +140,7 @@
 			return nil, err
 		}
 		if ok {
-			ds.targets.Chosen(sl.Target.ID)
+			ds.targets.RecordDispatch(sl.Target.ID)
 			return sl, nil
 		}
 		as, ok, err = ds.turn(ctx, as)
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -135,7 +135,7 @@
 
 // Chosen notes that a request goes to a target. In an availability zone that may be back it is the probe: no other
 // request is sent there until it ends.
-func (dr *Directory) Chosen(id string) {
+func (dr *Directory) RecordDispatch(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
--- a/internal/targets/zone_test.go
+++ b/internal/targets/zone_test.go
@@ -79,18 +79,18 @@
 		"by one request": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
 			cl.pass(time.Second)
-			dr.Chosen("f3")
+			dr.RecordDispatch("f3")
 		}, near, near},
 		"and by another when that one has not ended in time": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
 			cl.pass(time.Second)
-			dr.Chosen("f3")
+			dr.RecordDispatch("f3")
 			cl.pass(2 * time.Second)
 		}, probed, near},
 		"a probe that is answered brings it back": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
 			cl.pass(time.Second)
-			dr.Chosen("f3")
+			dr.RecordDispatch("f3")
 			dr.RecordReachable("f3")
 		}, all, all},
 		"an answer during the pause brings all of it back": {func(cl *clock, dr *targets.Directory) {
@@ -100,7 +100,7 @@
 		"a probe that fails lengthens the pause": {func(cl *clock, dr *targets.Directory) {
 			cutOff(cl, dr)
 			cl.pass(time.Second)
-			dr.Chosen("f3")
+			dr.RecordDispatch("f3")
 			dr.RecordSilence("f3")
 			cl.pass(1500 * time.Millisecond)
 		}, near, near},
@@ -108,7 +108,7 @@
 			cutOff(cl, dr)
 			for range 20 {
 				cl.pass(2400 * time.Millisecond)
-				dr.Chosen("f3")
+				dr.RecordDispatch("f3")
 				dr.RecordSilence("f3")
 			}
 			cl.pass(2400 * time.Millisecond)
