--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -103,7 +103,7 @@
 	dr := targets.New(time.Now, targets.WithSupersededHook(func(tg targets.Target) { pl.Forget(tg.Address) }))
 	ch := &Changed{}
 	kp := &reservation.Keeper{
-		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, Present: dr.Present,
+		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, Present: dr.IsCurrent,
 		Timeout: env.Settings.Gateway.OrderTimeout.Std(), Hold: env.Settings.Gateway.MemoryHold.Std(), Log: env.Logger("memory"),
 	}
 	limits := ratelimit.New(time.Now)
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -44,7 +44,7 @@
 
 // Present reports whether no later incarnation of its name is known: memory set aside at it, and connections to it, may be there
 // still.
-func (dr *Directory) Present(id string) bool {
+func (dr *Directory) IsCurrent(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, known := dr.entries[id]
