--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -118,7 +118,7 @@
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
 	kp.Heard = func(pc reservation.Place, hd answer.Head) {
-		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(pc.Target), Head: hd, Came: time.Now()})
+		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.ByID(pc.Target), Head: hd, Came: time.Now()})
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
 		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, Changed: ch.Tell,
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -61,7 +61,7 @@
 }
 
 // Incarnation returns a target by its incarnation; of one that is not known nothing else is set.
-func (dr *Directory) Incarnation(id string) Target {
+func (dr *Directory) ByID(id string) Target {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, known := dr.entries[id]; known {
