--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -90,7 +90,7 @@
 	if rp.Head.Target == "" || rp.Head.Target == rp.Target.NameOrID() {
 		return rp.Target, rp.Head.Verdict != answer.Misdirected
 	}
-	return rc.Targets.Named(rp.Head.Target)
+	return rc.Targets.ByName(rp.Head.Target)
 }
 
 func (rc *Recorder) logMalformed(tg targets.Target, hd answer.Head) {
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -71,7 +71,7 @@
 }
 
 // Named returns the present incarnation of a target's own name; it reports false when none is known.
-func (dr *Directory) Named(name string) (Target, bool) {
+func (dr *Directory) ByName(name string) (Target, bool) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, known := dr.entries[dr.present[name].id]
