--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -154,7 +154,7 @@
 			rd.reach.failed()
 			// A listener seldom asks for targets, and a store that nobody reaches is in trouble for both kinds.
 			if !rd.followers.Follows() && rd.unproven(pc.rest) {
-				rd.dr.Trouble()
+				rd.dr.RecordStoreFailure()
 			}
 		},
 	}
@@ -215,7 +215,7 @@
 		},
 		Trouble: func(error) {
 			rd.reach.failed()
-			rd.dr.Trouble()
+			rd.dr.RecordStoreFailure()
 		},
 		Rest:  func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.ConfirmedAt()) },
 		Retry: func() (least, most time.Duration) { return pc.retry(rd.dr.ConfirmedAt()) },
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -64,7 +64,7 @@
 			remove(dr, "a", cl.now())
 		}, false, false},
 		"the old one's entry lapsed with the store away": {func(cl *clock, dr *targets.Directory) {
-			dr.Trouble()
+			dr.RecordStoreFailure()
 			dr.Back(cl.now())
 			remove(dr, "a", cl.now())
 			put(dr, second, cl.now())
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -46,7 +46,7 @@
 }
 
 // Trouble notes that the store could not be asked.
-func (dr *Directory) Trouble() {
+func (dr *Directory) RecordStoreFailure() {
 	dr.mu.Lock()
 	dr.store.began(dr.now())
 	dr.mu.Unlock()
--- a/internal/targets/lapse_test.go
+++ b/internal/targets/lapse_test.go
@@ -66,7 +66,7 @@
 			cl.pass(time.Second)
 			dr.Back(cl.now())
 			replace(dr, twoZones(n1n2, nil), cl.now())
-			dr.Trouble()
+			dr.RecordStoreFailure()
 			cl.pass(time.Second)
 			dr.RecordReachable("n1")
 			dr.Back(cl.now())
@@ -115,7 +115,7 @@
 			cl := newClock()
 			dr := targets.New(cl.now)
 			replace(dr, twoZones(n1n2, f1f2), cl.now())
-			dr.Trouble()
+			dr.RecordStoreFailure()
 			cl.pass(time.Second)
 			dr.RecordReachable("n1")
 			dr.RecordReachable("f1")
@@ -135,13 +135,13 @@
 			remove(dr, "a", cl.now())
 		}, 0, nil},
 		"after a return": {func(cl *clock, dr *targets.Directory) {
-			dr.Trouble()
+			dr.RecordStoreFailure()
 			dr.Back(cl.now())
 			replace(dr, nil, cl.now())
 			cl.pass(time.Second)
 		}, time.Second, []string{"a"}},
 		"nothing later": {func(cl *clock, dr *targets.Directory) {
-			dr.Trouble()
+			dr.RecordStoreFailure()
 			dr.Back(cl.now())
 			replace(dr, nil, cl.now())
 			cl.pass(3 * time.Second)
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -136,7 +136,7 @@
 			put(dr, at("a", shared), cl.now())
 		}, []string{"a", "other"}},
 		"the newer one, after the older lapsed in trouble": {func(cl *clock, dr *targets.Directory) {
-			dr.Trouble()
+			dr.RecordStoreFailure()
 			replace(dr, []targets.Target{at("a", shared), target("other")}, cl.now())
 		}, []string{"a", "other"}},
 		"the older one again, once the newer takes no connection": {func(cl *clock, dr *targets.Directory) {
