--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -202,7 +202,7 @@
 		Store: st, Kind: rd.ad.TargetKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
 			// The follower lists again after each failed call.
-			rd.dr.Back(evidence)
+			rd.dr.RecordStoreRecovery(evidence)
 			rd.heard.whole = true
 			rd.heard.list, rd.heard.unread = rd.list(items)
 		},
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -65,7 +65,7 @@
 		}, false, false},
 		"the old one's entry lapsed with the store away": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			remove(dr, "a", cl.now())
 			put(dr, second, cl.now())
 		}, false, true},
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -53,7 +53,7 @@
 }
 
 // Back notes that the store answers a question that was asked at a time. It is called before the answer is taken.
-func (dr *Directory) Back(evidence time.Time) {
+func (dr *Directory) RecordStoreRecovery(evidence time.Time) {
 	dr.mu.Lock()
 	dr.store.ended(evidence)
 	dr.mu.Unlock()
--- a/internal/targets/lapse_test.go
+++ b/internal/targets/lapse_test.go
@@ -28,52 +28,52 @@
 		want   []string
 	}{
 		"keep their targets for two seconds of the return": {func(cl *clock, dr *targets.Directory) {
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, nil, cl.now())
 			cl.pass(1900 * time.Millisecond)
 		}, []string{"f1", "f2", "n1", "n2"}},
 		"and no longer, however many they are": {func(cl *clock, dr *targets.Directory) {
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, nil, cl.now())
 			cl.pass(2 * time.Second)
 		}, nil},
 		"the time runs from the question that was answered": {func(cl *clock, dr *targets.Directory) {
 			asked := cl.now()
 			cl.pass(time.Second)
-			dr.Back(asked)
+			dr.RecordStoreRecovery(asked)
 			replace(dr, nil, asked)
 			cl.pass(time.Second)
 		}, nil},
 		"one that goes later has no more time": {func(cl *clock, dr *targets.Directory) {
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, twoZones(n1n2, f1f2), cl.now())
 			cl.pass(1500 * time.Millisecond)
 			remove(dr, "n1", cl.now())
 			cl.pass(500 * time.Millisecond)
 		}, []string{"f1", "f2", "n2"}},
 		"one that goes after that is gone at once": {func(cl *clock, dr *targets.Directory) {
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, twoZones(n1n2, f1f2), cl.now())
 			cl.pass(2 * time.Second)
 			remove(dr, "n1", cl.now())
 		}, []string{"f1", "f2", "n2"}},
 		"one that takes no connection gets nothing": {func(cl *clock, dr *targets.Directory) {
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, nil, cl.now())
 			dr.RecordUnreachable("n1")
 		}, []string{"f1", "f2", "n2"}},
 		"one whose availability zone was not heard since gets nothing": {func(cl *clock, dr *targets.Directory) {
 			cl.pass(time.Second)
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, twoZones(n1n2, nil), cl.now())
 			dr.RecordStoreFailure()
 			cl.pass(time.Second)
 			dr.RecordReachable("n1")
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, twoZones([]string{"n1"}, nil), cl.now())
 		}, []string{"n1", "n2"}},
 		"but when there is no other": {func(cl *clock, dr *targets.Directory) {
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, nil, cl.now())
 			for _, id := range []string{"f1", "f2", "n1", "n2"} {
 				dr.RecordUnreachable(id)
@@ -81,14 +81,14 @@
 		}, []string{"f1", "f2", "n1", "n2"}},
 		"one that is leaving gets nothing": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("n1")
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, nil, cl.now())
 		}, []string{"f1", "f2", "n2"}},
 		"one that a peer with a sound store misses is gone": {func(cl *clock, dr *targets.Directory) {
 			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
 		}, []string{"f1", "n1", "n2"}},
 		"also when the own store is just back": {func(cl *clock, dr *targets.Directory) {
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
 		}, []string{"f1", "n1", "n2"}},
 		"one that a peer misses whose store is just back has the time that the peer has": {func(cl *clock, dr *targets.Directory) {
@@ -136,13 +136,13 @@
 		}, 0, nil},
 		"after a return": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, nil, cl.now())
 			cl.pass(time.Second)
 		}, time.Second, []string{"a"}},
 		"nothing later": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
-			dr.Back(cl.now())
+			dr.RecordStoreRecovery(cl.now())
 			replace(dr, nil, cl.now())
 			cl.pass(3 * time.Second)
 		}, 0, nil},
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -60,7 +60,12 @@
 			lb.at.Revision++
 			lb.TakeTold(nil, Lapsed{Targets: []Target{ready}, Left: time.Second}, lb.at, lb.now)
 		},
-		"a store that was away": func(lb *leavingBench) { lb.RecordStoreFailure(); lb.Back(lb.now); lb.list(); lb.list(ready) },
+		"a store that was away": func(lb *leavingBench) {
+			lb.RecordStoreFailure()
+			lb.RecordStoreRecovery(lb.now)
+			lb.list()
+			lb.list(ready)
+		},
 	}
 	for name, undo := range tests {
 		t.Run(name, func(t *testing.T) {
