--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -296,7 +296,7 @@
 	switch {
 	case at.After(mine):
 		if at.Restored(mine) {
-			to.rd.dr.Restored(at.Era, heard)
+			to.rd.dr.RecordStoreRestore(at.Era, heard)
 		}
 		_, list := from.rd.dr.Listed()
 		to.rd.dr.TakeTold(list, targets.Lapsed{}, at, heard)
--- a/internal/duty/facts/restored_test.go
+++ b/internal/duty/facts/restored_test.go
@@ -131,7 +131,7 @@
 			g := NewWithT(t)
 			returned := time.Now()
 			rd := &reader{dr: targets.New(time.Now), ad: adapter.Adapter{ConfigurationName: "main"}}
-			rd.dr.Restored(1, returned)
+			rd.dr.RecordStoreRestore(1, returned)
 			rd.rewritten(objectstore.Object{Name: "main", Value: []byte("{}")}, returned.Add(tc.asked))
 			asked := returned.Add(rewriteFor / 2)
 			g.Expect(rd.proof(asked).Equal(asked)).To(Equal(tc.want))
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -78,7 +78,7 @@
 	}
 	if at.Restored(mine) {
 		lg.Warn("store came back from an older copy, as a peer tells")
-		du.dr.Restored(at.Era, nw.evidence)
+		du.dr.RecordStoreRestore(at.Era, nw.evidence)
 	}
 	du.tellTargets(lg, du.dr.TakeTold(tl.Targets, tl.Lapsed, at, nw.evidence), nw.evidence)
 }
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -43,7 +43,7 @@
 			lb.list(ready)
 		},
 		"an older copy": func(lb *leavingBench) {
-			lb.Restored(2, lb.now)
+			lb.RecordStoreRestore(2, lb.now)
 			lb.at = position.Position{Era: 2}
 			lb.list(ready)
 			lb.now = lb.now.Add(time.Minute)
--- a/internal/targets/restored.go
+++ b/internal/targets/restored.go
@@ -23,7 +23,7 @@
 // Restored notes the era of a store that came back from an older copy, as the answer to a question showed that was asked at a time. It
 // is called before that answer is taken. What was known before goes before the copy: targets that it lacks are written again soon,
 // and take work meanwhile; those that had gone are listed again, and take none.
-func (dr *Directory) Restored(era int64, evidence time.Time) {
+func (dr *Directory) RecordStoreRestore(era int64, evidence time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if era <= dr.restored.era {
--- a/internal/targets/restored_test.go
+++ b/internal/targets/restored_test.go
@@ -21,38 +21,38 @@
 		want   []string
 	}{
 		"one that the copy lacks takes work until it is written again": {func(cl *clock, dr *targets.Directory) {
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replace(dr, all(inZone("near"), lacks), cl.now())
 			cl.pass(1900 * time.Millisecond)
 		}, []string{"a", "b"}},
 		"and is gone when it is not": {func(cl *clock, dr *targets.Directory) {
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replace(dr, all(inZone("near"), lacks), cl.now())
 			cl.pass(2 * time.Second)
 		}, []string{"a"}},
 		"one that had gone takes none while the copy lists it": {func(cl *clock, dr *targets.Directory) {
 			remove(dr, "b", cl.now())
 			cl.pass(time.Second)
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replace(dr, all(inZone("near"), copied), cl.now())
 		}, []string{"a"}},
 		"nor when a peer lists it": {func(cl *clock, dr *targets.Directory) {
 			remove(dr, "b", cl.now())
 			cl.pass(time.Second)
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replaceTold(dr, all(inZone("near"), copied), targets.Lapsed{}, cl.now())
 		}, []string{"a"}},
 		"it does again once its entry is written": {func(cl *clock, dr *targets.Directory) {
 			remove(dr, "b", cl.now())
 			cl.pass(time.Second)
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replace(dr, all(inZone("near"), copied), cl.now())
 			put(dr, inZone("near")("b"), cl.now())
 		}, []string{"a", "b"}},
 		"or once it is still listed when entries that nobody writes are gone": {func(cl *clock, dr *targets.Directory) {
 			remove(dr, "b", cl.now())
 			cl.pass(time.Second)
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replace(dr, all(inZone("near"), copied), cl.now())
 			cl.pass(5 * time.Second)
 			replace(dr, all(inZone("near"), copied), cl.now())
@@ -60,7 +60,7 @@
 		"whoever tells that the list is the same": {func(cl *clock, dr *targets.Directory) {
 			remove(dr, "b", cl.now())
 			cl.pass(time.Second)
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replaceTold(dr, all(inZone("near"), copied), targets.Lapsed{}, cl.now())
 			cl.pass(5 * time.Second)
 			dr.Confirm(cl.now())
@@ -68,7 +68,7 @@
 		"but not one whose entry has gone meanwhile": {func(cl *clock, dr *targets.Directory) {
 			remove(dr, "b", cl.now())
 			cl.pass(time.Second)
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replace(dr, all(inZone("near"), copied), cl.now())
 			remove(dr, "b", cl.now())
 			cl.pass(5 * time.Second)
@@ -76,7 +76,7 @@
 		}, []string{"a"}},
 		"one that said it leaves takes none, whatever the copy says": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("b")
-			dr.Restored(1, cl.now())
+			dr.RecordStoreRestore(1, cl.now())
 			replace(dr, all(inZone("near"), copied), cl.now())
 			cl.pass(10 * time.Second)
 			replace(dr, all(inZone("near"), copied), cl.now())
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -90,7 +90,7 @@
 			case "list":
 				listed := history.listed(at)
 				under = append(under, answer{to, func(dr *targets.Directory) {
-					dr.Restored(at.Era, evidence)
+					dr.RecordStoreRestore(at.Era, evidence)
 					dr.TakeList(listed, nil, at, evidence)
 					watched[to] = at
 				}})
@@ -110,7 +110,7 @@
 				from, told := drs[(to+1)%instances].Listed()
 				under = append(under, answer{to, func(dr *targets.Directory) {
 					if mine, _ := dr.ListPosition(); from.Restored(mine) {
-						dr.Restored(from.Era, evidence)
+						dr.RecordStoreRestore(from.Era, evidence)
 					}
 					dr.TakeTold(told, targets.Lapsed{}, from, evidence)
 				}})
