--- a/internal/targets/restored.go
+++ b/internal/targets/restored.go
@@ -36,7 +36,7 @@
 
 // RestoredAt returns the era since the store's newest return from an older copy, and when the store was asked that showed it; zero when
 // it never came back from one.
-func (dr *Directory) RestoredAt() (era int64, at time.Time) {
+func (dr *Directory) StoreRestoredAt() (era int64, at time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	return dr.restored.era, dr.restored.at
