--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -71,7 +71,7 @@
 		}, false, true},
 		"a peer tells of the old one as lapsed": {func(cl *clock, dr *targets.Directory) {
 			put(dr, second, cl.now())
-			replaceTold(dr, []targets.Target{second}, targets.Lapsed{Targets: []targets.Target{first}, Left: time.Second}, cl.now())
+			replaceTold(dr, []targets.Target{second}, targets.Lapsed{Targets: []targets.Target{first}, GraceLeft: time.Second}, cl.now())
 		}, false, true},
 		"failures of the old one": {func(cl *clock, dr *targets.Directory) {
 			for range 5 {
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -42,7 +42,7 @@
 	// Targets take work although their entries are missing.
 	Targets []Target `json:"Targets"`
 	// Left is how much longer a missing entry may be the doing of the store; zero when the store is well.
-	Left time.Duration `json:"Left"`
+	GraceLeft time.Duration `json:"Left"`
 }
 
 // Trouble notes that the store could not be asked.
@@ -64,7 +64,7 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	now := dr.now()
-	la := Lapsed{Left: max(0, dr.store.returnEnds().Sub(now), dr.toldUntil.Sub(now))}
+	la := Lapsed{GraceLeft: max(0, dr.store.returnEnds().Sub(now), dr.toldUntil.Sub(now))}
 	for _, en := range dr.entries {
 		if !en.goneAt.IsZero() && en.takesWork(now) {
 			la.Targets = append(la.Targets, en.Target)
@@ -80,8 +80,8 @@
 	}
 	changes := dr.replace(list, evidence)
 	var until time.Time
-	if la.Left > 0 {
-		until = dr.now().Add(min(la.Left, LapseGrace))
+	if la.GraceLeft > 0 {
+		until = dr.now().Add(min(la.GraceLeft, LapseGrace))
 		dr.toldUntil = until
 	}
 	for _, ch := range changes {
--- a/internal/targets/lapse_test.go
+++ b/internal/targets/lapse_test.go
@@ -92,20 +92,20 @@
 			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
 		}, []string{"f1", "n1", "n2"}},
 		"one that a peer misses whose store is just back has the time that the peer has": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{Left: time.Second}, cl.now())
+			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{GraceLeft: time.Second}, cl.now())
 			cl.pass(900 * time.Millisecond)
 		}, []string{"f1", "f2", "n1", "n2"}},
 		"and no more": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{Left: time.Second}, cl.now())
+			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{GraceLeft: time.Second}, cl.now())
 			cl.pass(time.Second)
 		}, []string{"f1", "n1", "n2"}},
 		"one that was gone before is not made a lapse by a peer": {func(cl *clock, dr *targets.Directory) {
 			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
-			told := targets.Lapsed{Targets: all(inZone("far"), []string{"f2"}), Left: time.Second}
+			told := targets.Lapsed{Targets: all(inZone("far"), []string{"f2"}), GraceLeft: time.Second}
 			replaceTold(dr, twoZones(n1n2, []string{"f1"}), told, cl.now())
 		}, []string{"f1", "n1", "n2"}},
 		"one that is first heard of from a peer takes work": {func(cl *clock, dr *targets.Directory) {
-			told := targets.Lapsed{Targets: all(inZone("far"), []string{"f3"}), Left: time.Second}
+			told := targets.Lapsed{Targets: all(inZone("far"), []string{"f3"}), GraceLeft: time.Second}
 			replaceTold(dr, twoZones(n1n2, f1f2), told, cl.now())
 		}, []string{"f1", "f2", "f3", "n1", "n2"}},
 	}
@@ -147,10 +147,10 @@
 			cl.pass(3 * time.Second)
 		}, 0, nil},
 		"what a peer told": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, nil, targets.Lapsed{Left: time.Second}, cl.now())
+			replaceTold(dr, nil, targets.Lapsed{GraceLeft: time.Second}, cl.now())
 		}, time.Second, []string{"a"}},
 		"never more than a return gives": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, nil, targets.Lapsed{Left: time.Minute}, cl.now())
+			replaceTold(dr, nil, targets.Lapsed{GraceLeft: time.Minute}, cl.now())
 		}, 2 * time.Second, []string{"a"}},
 	}
 	for name, tc := range tests {
@@ -161,7 +161,7 @@
 			replace(dr, list("a"), cl.now())
 			tc.happen(cl, dr)
 			la := dr.Lapsed()
-			g.Expect(la.Left).To(Equal(tc.left))
+			g.Expect(la.GraceLeft).To(Equal(tc.left))
 			g.Expect(ids(la.Targets)).To(Equal(tc.want))
 		})
 	}
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -58,7 +58,7 @@
 			lb.now = lb.now.Add(time.Hour)
 			lb.list()
 			lb.at.Revision++
-			lb.TakeTold(nil, Lapsed{Targets: []Target{ready}, Left: time.Second}, lb.at, lb.now)
+			lb.TakeTold(nil, Lapsed{Targets: []Target{ready}, GraceLeft: time.Second}, lb.at, lb.now)
 		},
 		"a store that was away": func(lb *leavingBench) {
 			lb.RecordStoreFailure()
