--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -135,7 +135,7 @@
 			rd.rewritten(it, evidence)
 			rd.readConfiguration(it, evidence)
 		},
-		Known: rd.known, Settle: targets.StaleFor, Restored: rd.dr.RecordStoreRestore,
+		Known: rd.known, Settle: targets.RestoreQuarantine, Restored: rd.dr.RecordStoreRestore,
 		Confirm: func(evidence time.Time, _ position.Position) {
 			rd.reach.answered()
 			rd.rts.Confirm(rd.version, rd.proof(evidence))
@@ -207,7 +207,7 @@
 			rd.heard.list, rd.heard.unread = rd.list(items)
 		},
 		Change: func(it objectstore.Object, _ time.Time) { rd.heard.changes = append(rd.heard.changes, rd.entry(it)) },
-		Known:  rd.known, Settle: targets.StaleFor, Restored: rd.dr.RecordStoreRestore,
+		Known:  rd.known, Settle: targets.RestoreQuarantine, Restored: rd.dr.RecordStoreRestore,
 		Confirm: func(evidence time.Time, at position.Position) {
 			rd.reach.answered()
 			rd.tell(rd.take(at, evidence), evidence)
--- a/internal/targets/restored.go
+++ b/internal/targets/restored.go
@@ -4,7 +4,7 @@
 
 // StaleFor is how long after it came back from an older copy the store may list targets that had gone before: an entry that nobody
 // writes any more goes after three heartbeats of its target, 3.6 s.
-const StaleFor = 5 * time.Second
+const RestoreQuarantine = 5 * time.Second
 
 // restored is what is known of the store's newest return from an older copy.
 type restored struct {
@@ -18,7 +18,7 @@
 }
 
 // past reports whether the store lists no more what had gone before its return.
-func (rs *restored) past(now time.Time) bool { return !now.Before(rs.at.Add(StaleFor)) }
+func (rs *restored) past(now time.Time) bool { return !now.Before(rs.at.Add(RestoreQuarantine)) }
 
 // Restored notes the era of a store that came back from an older copy, as the answer to a question showed that was asked at a time. It
 // is called before that answer is taken. What was known before goes before the copy: targets that it lacks are written again soon,
