--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -41,7 +41,7 @@
 	list   []targets.Target
 	unread []string
 	// changes are those of a watch, in order.
-	changes []targets.Entry
+	changes []targets.EntryChange
 }
 
 // take takes what was heard up to a position, and returns what that changed.
@@ -59,15 +59,15 @@
 }
 
 // entry decodes an entry that changed.
-func (rd *reader) entry(it objectstore.Object) targets.Entry {
+func (rd *reader) entry(it objectstore.Object) targets.EntryChange {
 	if len(it.Value) == 0 {
-		return targets.Entry{Name: it.Name, Gone: true}
+		return targets.EntryChange{Name: it.Name, Gone: true}
 	}
 	tg, ok := rd.target(it)
 	if !ok || !rd.written(tg) {
-		return targets.Entry{Name: it.Name, Unread: true}
+		return targets.EntryChange{Name: it.Name, Unread: true}
 	}
-	return targets.Entry{Name: it.Name, Target: tg}
+	return targets.EntryChange{Name: it.Name, Target: tg}
 }
 
 // target decodes an entry. One that cannot be read is of another writer, and names no target.
--- a/internal/targets/take.go
+++ b/internal/targets/take.go
@@ -7,7 +7,7 @@
 )
 
 // Entry is what the store says of one entry that changed.
-type Entry struct {
+type EntryChange struct {
 	// Name is the target's own name.
 	Name string
 	// Target is what the entry names; it is not set for one that is gone or unread.
@@ -36,7 +36,7 @@
 
 // TakeChanges takes what changed in the store up to a position, in order. What changed before the list that is held is taken again on the
 // way, and what comes after it sets that right.
-func (dr *Directory) TakeChanges(entries []Entry, at position.Position, evidence time.Time) []Change {
+func (dr *Directory) TakeChanges(entries []EntryChange, at position.Position, evidence time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if dr.older(at) {
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -30,11 +30,11 @@
 }
 
 func put(dr *targets.Directory, tg targets.Target, evidence time.Time) []targets.Change {
-	return dr.TakeChanges([]targets.Entry{{Name: tg.NameOrID(), Target: tg}}, next(dr), evidence)
+	return dr.TakeChanges([]targets.EntryChange{{Name: tg.NameOrID(), Target: tg}}, next(dr), evidence)
 }
 
 func remove(dr *targets.Directory, name string, evidence time.Time) []targets.Change {
-	return dr.TakeChanges([]targets.Entry{{Name: name, Gone: true}}, next(dr), evidence)
+	return dr.TakeChanges([]targets.EntryChange{{Name: name, Gone: true}}, next(dr), evidence)
 }
 
 func TestTakeRefusesWhatIsOlder(t *testing.T) {
@@ -45,7 +45,7 @@
 		takes := map[string]func(dr *targets.Directory){
 			"list": func(dr *targets.Directory) { dr.TakeList(list("b"), []string{"a"}, at, now) },
 			"changes": func(dr *targets.Directory) {
-				dr.TakeChanges([]targets.Entry{{Name: "a", Gone: true}, {Name: "b", Target: target("b")}}, at, now)
+				dr.TakeChanges([]targets.EntryChange{{Name: "a", Gone: true}, {Name: "b", Target: target("b")}}, at, now)
 			},
 			"peer's list": func(dr *targets.Directory) { dr.TakeTold(list("b"), targets.Lapsed{}, at, now) },
 		}
@@ -142,13 +142,13 @@
 	at position.Position
 	// lists holds the names listed at each position, written what each change wrote; "" stands for a removal of names.
 	lists   map[position.Position][]string
-	written map[position.Position]targets.Entry
+	written map[position.Position]targets.EntryChange
 }
 
 func newHistory() *history {
 	at := position.Position{Revision: 1}
 	return &history{
-		at: at, lists: map[position.Position][]string{at: nil, {}: nil}, written: map[position.Position]targets.Entry{},
+		at: at, lists: map[position.Position][]string{at: nil, {}: nil}, written: map[position.Position]targets.EntryChange{},
 	}
 }
 
@@ -159,18 +159,18 @@
 	hs.at.Revision++
 	if at := slices.Index(before, name); at >= 0 {
 		hs.lists[hs.at] = slices.Delete(slices.Clone(before), at, at+1)
-		hs.written[hs.at] = targets.Entry{Name: name, Gone: true}
+		hs.written[hs.at] = targets.EntryChange{Name: name, Gone: true}
 		return
 	}
 	hs.lists[hs.at] = slices.Sorted(slices.Values(append(slices.Clone(before), name)))
-	hs.written[hs.at] = targets.Entry{Name: name, Target: target(name)}
+	hs.written[hs.at] = targets.EntryChange{Name: name, Target: target(name)}
 }
 
 func (hs *history) listed(at position.Position) []targets.Target { return list(hs.lists[at]...) }
 
 // since returns the changes after a position of this era.
-func (hs *history) since(from position.Position) []targets.Entry {
-	var changes []targets.Entry
+func (hs *history) since(from position.Position) []targets.EntryChange {
+	var changes []targets.EntryChange
 	for at := from; at.Revision < hs.at.Revision; {
 		at.Revision++
 		changes = append(changes, hs.written[at])
