--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -61,7 +61,7 @@
 // entry decodes an entry that changed.
 func (rd *reader) entry(it objectstore.Object) targets.EntryChange {
 	if len(it.Value) == 0 {
-		return targets.EntryChange{Name: it.Name, Gone: true}
+		return targets.EntryChange{Name: it.Name, Deleted: true}
 	}
 	tg, ok := rd.target(it)
 	if !ok || !rd.written(tg) {
--- a/internal/targets/take.go
+++ b/internal/targets/take.go
@@ -13,7 +13,7 @@
 	// Target is what the entry names; it is not set for one that is gone or unread.
 	Target Target
 	// Gone is set when the entry is gone, Unread when it is there and names no target.
-	Gone, Unread bool
+	Deleted, Unread bool
 }
 
 // The list and the position at which it last changed are taken in one step, and a list is never replaced by one of an earlier position.
@@ -45,7 +45,7 @@
 	var changes []Change
 	for _, en := range entries {
 		switch {
-		case en.Gone:
+		case en.Deleted:
 			changes = append(changes, dr.remove(en.Name, evidence)...)
 		case en.Unread:
 			changes = append(changes, dr.withdraw(en.Name, evidence)...)
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -34,7 +34,7 @@
 }
 
 func remove(dr *targets.Directory, name string, evidence time.Time) []targets.Change {
-	return dr.TakeChanges([]targets.EntryChange{{Name: name, Gone: true}}, next(dr), evidence)
+	return dr.TakeChanges([]targets.EntryChange{{Name: name, Deleted: true}}, next(dr), evidence)
 }
 
 func TestTakeRefusesWhatIsOlder(t *testing.T) {
@@ -45,7 +45,7 @@
 		takes := map[string]func(dr *targets.Directory){
 			"list": func(dr *targets.Directory) { dr.TakeList(list("b"), []string{"a"}, at, now) },
 			"changes": func(dr *targets.Directory) {
-				dr.TakeChanges([]targets.EntryChange{{Name: "a", Gone: true}, {Name: "b", Target: target("b")}}, at, now)
+				dr.TakeChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: target("b")}}, at, now)
 			},
 			"peer's list": func(dr *targets.Directory) { dr.TakeTold(list("b"), targets.Lapsed{}, at, now) },
 		}
@@ -159,7 +159,7 @@
 	hs.at.Revision++
 	if at := slices.Index(before, name); at >= 0 {
 		hs.lists[hs.at] = slices.Delete(slices.Clone(before), at, at+1)
-		hs.written[hs.at] = targets.EntryChange{Name: name, Gone: true}
+		hs.written[hs.at] = targets.EntryChange{Name: name, Deleted: true}
 		return
 	}
 	hs.lists[hs.at] = slices.Sorted(slices.Values(append(slices.Clone(before), name)))
