--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -65,7 +65,7 @@
 	}
 	tg, ok := rd.target(it)
 	if !ok || !rd.written(tg) {
-		return targets.EntryChange{Name: it.Name, Unread: true}
+		return targets.EntryChange{Name: it.Name, Unreadable: true}
 	}
 	return targets.EntryChange{Name: it.Name, Target: tg}
 }
--- a/internal/targets/take.go
+++ b/internal/targets/take.go
@@ -13,7 +13,7 @@
 	// Target is what the entry names; it is not set for one that is gone or unread.
 	Target Target
 	// Gone is set when the entry is gone, Unread when it is there and names no target.
-	Deleted, Unread bool
+	Deleted, Unreadable bool
 }
 
 // The list and the position at which it last changed are taken in one step, and a list is never replaced by one of an earlier position.
@@ -47,7 +47,7 @@
 		switch {
 		case en.Deleted:
 			changes = append(changes, dr.remove(en.Name, evidence)...)
-		case en.Unread:
+		case en.Unreadable:
 			changes = append(changes, dr.withdraw(en.Name, evidence)...)
 		default:
 			dr.confirm(evidence)
