--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -46,7 +46,7 @@
 	for _, id := range ids {
 		listed = append(listed, targets.Target{ID: id, Service: "s", Slots: engine.Slots, AvailabilityZone: "a"})
 	}
-	dr.TakeList(listed, nil, position.Position{}, be.now())
+	dr.ApplyList(listed, nil, position.Position{}, be.now())
 	be.ds = dispatch.New(dr, nil, dispatch.Options{Instance: instance, AvailabilityZone: "a", Now: be.now})
 	return be
 }
--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -50,7 +50,7 @@
 	rd.heard = heard{}
 	switch {
 	case he.whole:
-		return rd.dr.TakeList(he.list, he.unread, at, evidence)
+		return rd.dr.ApplyList(he.list, he.unread, at, evidence)
 	case len(he.changes) > 0:
 		return rd.dr.TakeChanges(he.changes, at, evidence)
 	default:
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -36,7 +36,7 @@
 	be := &bench{WithT: NewWithT(t), lines: memory.New(), now: time.Unix(1000, 0)}
 	now := func() time.Time { return be.now }
 	dr := targets.New(now)
-	dr.TakeList([]targets.Target{meant, other}, nil, position.Position{Revision: 1}, be.now)
+	dr.ApplyList([]targets.Target{meant, other}, nil, position.Position{Revision: 1}, be.now)
 	be.Recorder = feedback.New(feedback.Deps{
 		Targets: dr, Limits: ratelimit.New(now), BackOffs: backoff.New(now, func() float64 { return 0 }),
 		LeavingChanged: func() { be.told++ }, LimitsChanged: func() {}, Log: &log.Logger{Handler: be.lines, Level: log.DebugLevel}, Now: now,
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -205,7 +205,7 @@
 	in.up, in.disturbed, in.frozen = true, time.Now(), time.Time{}
 	in.beliefs = fl.newBeliefs(in)
 	// A process that starts while the store is away gets the list of a peer.
-	in.directory.TakeList(list, nil, position.Position{Revision: fl.revision}, time.Now())
+	in.directory.ApplyList(list, nil, position.Position{Revision: fl.revision}, time.Now())
 }
 
 // list returns the store's list, which says of all targets that they are ready.
@@ -231,7 +231,7 @@
 		fl.revision++
 		for _, in := range fl.instances {
 			if in.up && !in.cut && !fl.storeAway {
-				in.directory.TakeList(list, nil, position.Position{Revision: fl.revision}, time.Now())
+				in.directory.ApplyList(list, nil, position.Position{Revision: fl.revision}, time.Now())
 			}
 		}
 		fl.mu.Unlock()
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -27,7 +27,7 @@
 // list takes a newer list of the store.
 func (lb *leavingBench) list(tgs ...Target) {
 	lb.at.Revision++
-	lb.TakeList(tgs, nil, lb.at, lb.now)
+	lb.ApplyList(tgs, nil, lb.at, lb.now)
 }
 
 // TestLeavingIsNeverTakenBack marks a target as leaving by its own word, which no list says.
--- a/internal/targets/restored_test.go
+++ b/internal/targets/restored_test.go
@@ -104,9 +104,9 @@
 func TestRestoredStoreIsLaterWhateverItsRevision(t *testing.T) {
 	g := NewWithT(t)
 	dr := targets.New(time.Now)
-	dr.TakeList(nil, nil, position.Position{Revision: 480}, time.Now())
-	dr.TakeList(nil, nil, position.Position{Era: 1, Revision: 300}, time.Now())
-	dr.TakeList(nil, nil, position.Position{Revision: 500}, time.Now())
+	dr.ApplyList(nil, nil, position.Position{Revision: 480}, time.Now())
+	dr.ApplyList(nil, nil, position.Position{Era: 1, Revision: 300}, time.Now())
+	dr.ApplyList(nil, nil, position.Position{Revision: 500}, time.Now())
 	at, _ := dr.ListPosition()
 	g.Expect(at).To(Equal(position.Position{Era: 1, Revision: 300}))
 }
--- a/internal/targets/take.go
+++ b/internal/targets/take.go
@@ -20,7 +20,7 @@
 // Apart, an older answer of the store could take the place of a newer list that a peer had told, and every peer's word would confirm it.
 
 // TakeList takes a whole list of the store, which was at a position then. The entries of unread names are there and name no target.
-func (dr *Directory) TakeList(list []Target, unread []string, at position.Position, evidence time.Time) []Change {
+func (dr *Directory) ApplyList(list []Target, unread []string, at position.Position, evidence time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if dr.older(at) {
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -26,7 +26,7 @@
 }
 
 func replace(dr *targets.Directory, list []targets.Target, evidence time.Time) []targets.Change {
-	return dr.TakeList(list, nil, next(dr), evidence)
+	return dr.ApplyList(list, nil, next(dr), evidence)
 }
 
 func put(dr *targets.Directory, tg targets.Target, evidence time.Time) []targets.Change {
@@ -43,7 +43,7 @@
 	older := map[string]position.Position{"an earlier revision": {Era: 1, Revision: 49}, "an earlier era": {Revision: 900}}
 	for name, at := range older {
 		takes := map[string]func(dr *targets.Directory){
-			"list": func(dr *targets.Directory) { dr.TakeList(list("b"), []string{"a"}, at, now) },
+			"list": func(dr *targets.Directory) { dr.ApplyList(list("b"), []string{"a"}, at, now) },
 			"changes": func(dr *targets.Directory) {
 				dr.TakeChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: target("b")}}, at, now)
 			},
@@ -53,7 +53,7 @@
 			t.Run(what+" of "+name, func(t *testing.T) {
 				g := NewWithT(t)
 				dr := targets.New(func() time.Time { return now })
-				dr.TakeList(list("a"), nil, held, now.Add(-time.Second))
+				dr.ApplyList(list("a"), nil, held, now.Add(-time.Second))
 				take(dr)
 				changedAt, got := dr.Listed()
 				g.Expect(changedAt).To(Equal(held))
@@ -91,7 +91,7 @@
 				listed := history.listed(at)
 				under = append(under, answer{to, func(dr *targets.Directory) {
 					dr.RecordStoreRestore(at.Era, evidence)
-					dr.TakeList(listed, nil, at, evidence)
+					dr.ApplyList(listed, nil, at, evidence)
 					watched[to] = at
 				}})
 			case "watch":
