--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -115,7 +115,7 @@
 	tg := targets.Target{
 		ID: id(no), Service: "s", Address: "10.0.0." + strconv.Itoa(no) + ":80", AvailabilityZone: at, Slots: slots, Leaving: leaving,
 	}
-	be.directory.TakeChanges([]targets.EntryChange{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
+	be.directory.ApplyChanges([]targets.EntryChange{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
 }
 
 func bubble(t *testing.T, count int, run func(be *bench)) {
--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -52,7 +52,7 @@
 	case he.whole:
 		return rd.dr.ApplyList(he.list, he.unread, at, evidence)
 	case len(he.changes) > 0:
-		return rd.dr.TakeChanges(he.changes, at, evidence)
+		return rd.dr.ApplyChanges(he.changes, at, evidence)
 	default:
 		return rd.dr.Confirm(evidence)
 	}
--- a/internal/duty/members/fetch_test.go
+++ b/internal/duty/members/fetch_test.go
@@ -57,7 +57,7 @@
 	g := NewWithT(t)
 	dr := targets.New(time.Now)
 	dr.ApplyList([]targets.Target{{ID: "stays"}, {ID: "left"}, {ID: "goes"}}, nil, position.Position{Revision: 479}, time.Now())
-	dr.TakeChanges([]targets.EntryChange{{Name: "goes", Deleted: true}}, position.Position{Revision: 480}, time.Now())
+	dr.ApplyChanges([]targets.EntryChange{{Name: "goes", Deleted: true}}, position.Position{Revision: 480}, time.Now())
 	at := position.Position{Era: 1, Revision: 300}
 	list, err := json.Marshal(targetList{
 		Version: at.Number(), Targets: []targets.Target{{ID: "stays"}, {ID: "left", Leaving: true}, {ID: "goes"}},
--- a/internal/duty/members/targets_test.go
+++ b/internal/duty/members/targets_test.go
@@ -16,7 +16,7 @@
 	g := NewWithT(t)
 	du := newDuty()
 	du.dr = targets.New(time.Now)
-	du.dr.TakeChanges([]targets.EntryChange{
+	du.dr.ApplyChanges([]targets.EntryChange{
 		{Name: "a", Target: targets.Target{ID: "a@1", Name: "a", StartedAt: time.UnixMilli(1000), Service: "s"}},
 		{Name: "a", Target: targets.Target{ID: "a@2", Name: "a", StartedAt: time.UnixMilli(2000), Service: "s"}},
 	}, position.Position{}, time.Now())
--- a/internal/targets/take.go
+++ b/internal/targets/take.go
@@ -36,7 +36,7 @@
 
 // TakeChanges takes what changed in the store up to a position, in order. What changed before the list that is held is taken again on the
 // way, and what comes after it sets that right.
-func (dr *Directory) TakeChanges(entries []EntryChange, at position.Position, evidence time.Time) []Change {
+func (dr *Directory) ApplyChanges(entries []EntryChange, at position.Position, evidence time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if dr.older(at) {
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -30,11 +30,11 @@
 }
 
 func put(dr *targets.Directory, tg targets.Target, evidence time.Time) []targets.Change {
-	return dr.TakeChanges([]targets.EntryChange{{Name: tg.NameOrID(), Target: tg}}, next(dr), evidence)
+	return dr.ApplyChanges([]targets.EntryChange{{Name: tg.NameOrID(), Target: tg}}, next(dr), evidence)
 }
 
 func remove(dr *targets.Directory, name string, evidence time.Time) []targets.Change {
-	return dr.TakeChanges([]targets.EntryChange{{Name: name, Deleted: true}}, next(dr), evidence)
+	return dr.ApplyChanges([]targets.EntryChange{{Name: name, Deleted: true}}, next(dr), evidence)
 }
 
 func TestTakeRefusesWhatIsOlder(t *testing.T) {
@@ -45,7 +45,7 @@
 		takes := map[string]func(dr *targets.Directory){
 			"list": func(dr *targets.Directory) { dr.ApplyList(list("b"), []string{"a"}, at, now) },
 			"changes": func(dr *targets.Directory) {
-				dr.TakeChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: target("b")}}, at, now)
+				dr.ApplyChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: target("b")}}, at, now)
 			},
 			"peer's list": func(dr *targets.Directory) { dr.TakeTold(list("b"), targets.Lapsed{}, at, now) },
 		}
@@ -102,7 +102,7 @@
 				changes := history.since(from)
 				under = append(under, answer{to, func(dr *targets.Directory) {
 					if watched[to] == from && len(changes) > 0 {
-						dr.TakeChanges(changes, at, evidence)
+						dr.ApplyChanges(changes, at, evidence)
 						watched[to] = at
 					}
 				}})
