--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -299,7 +299,7 @@
 			to.rd.dr.RecordStoreRestore(at.Era, heard)
 		}
 		_, list := from.rd.dr.Listed()
-		to.rd.dr.TakeTold(list, targets.Lapsed{}, at, heard)
+		to.rd.dr.ApplyPeerList(list, targets.Lapsed{}, at, heard)
 	case at == mine && !at.IsZero():
 		to.rd.dr.Confirm(heard)
 	}
--- a/internal/duty/facts/older_test.go
+++ b/internal/duty/facts/older_test.go
@@ -54,7 +54,7 @@
 		rd.reach = newReach(rd.patience(), func(bool) {})
 		newer := position.Position{Revision: 29}
 		st := slowStore(5, []objectstore.Object{{Name: "old", Value: json.RawMessage("1")}}, func() {
-			dr.TakeTold([]targets.Target{{ID: "a"}, {ID: "b"}}, targets.Lapsed{}, newer, time.Now())
+			dr.ApplyPeerList([]targets.Target{{ID: "a"}, {ID: "b"}}, targets.Lapsed{}, newer, time.Now())
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -80,7 +80,7 @@
 		lg.Warn("store came back from an older copy, as a peer tells")
 		du.dr.RecordStoreRestore(at.Era, nw.evidence)
 	}
-	du.tellTargets(lg, du.dr.TakeTold(tl.Targets, tl.Lapsed, at, nw.evidence), nw.evidence)
+	du.tellTargets(lg, du.dr.ApplyPeerList(tl.Targets, tl.Lapsed, at, nw.evidence), nw.evidence)
 }
 
 // tellTargets logs what a peer's word of a time changed.
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -51,14 +51,14 @@
 		},
 		"a peer's list": func(lb *leavingBench) {
 			lb.at.Revision++
-			lb.TakeTold([]Target{ready}, Lapsed{}, lb.at, lb.now)
+			lb.ApplyPeerList([]Target{ready}, Lapsed{}, lb.at, lb.now)
 		},
 		"a peer's word of a lapse": func(lb *leavingBench) {
 			lb.list()
 			lb.now = lb.now.Add(time.Hour)
 			lb.list()
 			lb.at.Revision++
-			lb.TakeTold(nil, Lapsed{Targets: []Target{ready}, GraceLeft: time.Second}, lb.at, lb.now)
+			lb.ApplyPeerList(nil, Lapsed{Targets: []Target{ready}, GraceLeft: time.Second}, lb.at, lb.now)
 		},
 		"a store that was away": func(lb *leavingBench) {
 			lb.RecordStoreFailure()
--- a/internal/targets/take.go
+++ b/internal/targets/take.go
@@ -61,7 +61,7 @@
 
 // TakeTold takes a whole list from a peer, which last changed at a position, unless the list that is held is as new. What it newly misses is
 // gone at once unless the peer has seen the store return lately: an instance that cannot ask the store itself does not make a lapse of it.
-func (dr *Directory) TakeTold(list []Target, la Lapsed, at position.Position, evidence time.Time) []Change {
+func (dr *Directory) ApplyPeerList(list []Target, la Lapsed, at position.Position, evidence time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if !at.After(dr.changedAt) {
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -22,7 +22,7 @@
 
 // replaceTold takes a list from a peer as one that is newer than what is held; the others take an answer of the store likewise.
 func replaceTold(dr *targets.Directory, list []targets.Target, la targets.Lapsed, evidence time.Time) []targets.Change {
-	return dr.TakeTold(list, la, next(dr), evidence)
+	return dr.ApplyPeerList(list, la, next(dr), evidence)
 }
 
 func replace(dr *targets.Directory, list []targets.Target, evidence time.Time) []targets.Change {
@@ -47,7 +47,7 @@
 			"changes": func(dr *targets.Directory) {
 				dr.ApplyChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: target("b")}}, at, now)
 			},
-			"peer's list": func(dr *targets.Directory) { dr.TakeTold(list("b"), targets.Lapsed{}, at, now) },
+			"peer's list": func(dr *targets.Directory) { dr.ApplyPeerList(list("b"), targets.Lapsed{}, at, now) },
 		}
 		for what, take := range takes {
 			t.Run(what+" of "+name, func(t *testing.T) {
@@ -112,7 +112,7 @@
 					if mine, _ := dr.ListPosition(); from.Restored(mine) {
 						dr.RecordStoreRestore(from.Era, evidence)
 					}
-					dr.TakeTold(told, targets.Lapsed{}, from, evidence)
+					dr.ApplyPeerList(told, targets.Lapsed{}, from, evidence)
 				}})
 			case "answer":
 				if len(under) == 0 {
