--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -20,7 +20,7 @@
 
 // probes reports whether a request may find out whether a target takes work again: it loses nothing when it is turned away.
 func (as Ask) probes() bool {
-	return as.Spare && as.Caution == targets.Any && !as.long() && !as.Resumed
+	return as.Spare && as.Caution == targets.AllowProbe && !as.long() && !as.Resumed
 }
 
 // backedOff reports whether a target is closed to a request for a back-off, and when it may be asked again. One that is on trial may be at
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -125,7 +125,7 @@
 	case len(rq.tried) > 0:
 		return targets.Proven
 	default:
-		return targets.Any
+		return targets.AllowProbe
 	}
 }
 
--- a/internal/targets/lapse_test.go
+++ b/internal/targets/lapse_test.go
@@ -120,7 +120,7 @@
 			dr.RecordReachable("n1")
 			dr.RecordReachable("f1")
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.Any))).To(Equal(tc.want))
+			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -74,7 +74,7 @@
 			lb.Expect(lb.MarkLeaving(ready.ID)).To(BeTrue())
 			undo(lb)
 			lb.Expect(lb.TakesWork(ready.ID)).To(BeFalse())
-			lb.Expect(lb.Usable("s", Any)).To(BeEmpty())
+			lb.Expect(lb.Usable("s", AllowProbe)).To(BeEmpty())
 			lb.Expect(lb.MarkLeaving(ready.ID)).To(BeFalse(), "it is known")
 		})
 	}
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -117,7 +117,7 @@
 			dr := targets.New(cl.now)
 			replace(dr, list("a", "b", "c"), cl.now())
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.Any))).To(Equal(tc.want))
+			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 			for _, id := range tc.want {
 				g.Expect(dr.TakesWork(id)).To(BeTrue())
 			}
@@ -155,7 +155,7 @@
 			dr := targets.New(cl.now)
 			replace(dr, []targets.Target{at("b", shared), target("other")}, cl.now())
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.Any))).To(Equal(tc.want))
+			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/targets/usable.go
+++ b/internal/targets/usable.go
@@ -14,7 +14,7 @@
 
 const (
 	// Any may be the probe of an availability zone that may be back.
-	Any Caution = iota
+	AllowProbe Caution = iota
 	// Proven leaves out availability zones that have not answered since they were cut off.
 	Proven
 	// Sure leaves out also targets that failed lately, unless those are most: for requests that may run only once.
@@ -37,7 +37,7 @@
 			last = append(last, en.Target)
 		case now.Before(en.cutUntil):
 			cut = append(cut, en.Target)
-		case ca == Any && dr.zone(en.AvailabilityZone).probeDue(now):
+		case ca == AllowProbe && dr.zone(en.AvailabilityZone).probeDue(now):
 			due = append(due, en.Target)
 		case dr.zone(en.AvailabilityZone).doubted(now):
 			cut = append(cut, en.Target)
--- a/internal/targets/zone_test.go
+++ b/internal/targets/zone_test.go
@@ -136,7 +136,7 @@
 			dr := targets.New(cl.now)
 			replace(dr, twoZones(near, []string{"f1", "f2", "f3"}), cl.now())
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.Any))).To(Equal(tc.any))
+			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.any))
 			g.Expect(ids(dr.Usable("s", targets.Proven))).To(Equal(tc.proven))
 		})
 	}
