--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -137,7 +137,7 @@
 // backed off from.
 func (ds *Dispatcher) ReturnAfter(service string) time.Duration {
 	var first time.Time
-	for _, tg := range ds.targets.Usable(service, targets.Proven) {
+	for _, tg := range ds.targets.Usable(service, targets.RequireReachable) {
 		ph, at := ds.phase(tg.ID)
 		if ph != backoff.Blocked {
 			return comeBack
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -151,7 +151,7 @@
 			continue
 		}
 		// A probe goes out at once or not at all.
-		as.Caution = max(as.Caution, targets.Proven)
+		as.Caution = max(as.Caution, targets.RequireReachable)
 		if ds.opts.Now().After(patience) {
 			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(comeBack)
 		}
@@ -238,7 +238,7 @@
 func (ds *Dispatcher) usable(as Ask) []targets.Target {
 	left := ds.allowed(as, as.caution())
 	if len(left) == 0 {
-		left = ds.allowed(as, targets.Proven)
+		left = ds.allowed(as, targets.RequireReachable)
 	}
 	return left
 }
@@ -257,7 +257,7 @@
 // caution is the request's own, but for longer prompts: one that takes several targets is no probe.
 func (as Ask) caution() targets.Caution {
 	if as.long() {
-		return max(as.Caution, targets.Proven)
+		return max(as.Caution, targets.RequireReachable)
 	}
 	return as.Caution
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -374,7 +374,7 @@
 	long := func() dispatch.Ask { return prompt(20_000) }
 	proven := func() dispatch.Ask {
 		as := prompt(1000)
-		as.Caution = targets.Proven
+		as.Caution = targets.RequireReachable
 		return as
 	}
 	short := func() dispatch.Ask { return prompt(1000) }
--- a/internal/dispatch/replay_fleet_test.go
+++ b/internal/dispatch/replay_fleet_test.go
@@ -211,7 +211,7 @@
 			break
 		}
 		as.Avoid = append(as.Avoid, sl.Target.ID)
-		as.Caution = targets.Proven
+		as.Caution = targets.RequireReachable
 		counted = func(ta *tally) { ta.failed++ }
 	}
 	fl.count(cl, counted)
--- a/internal/dispatch/turn.go
+++ b/internal/dispatch/turn.go
@@ -44,9 +44,9 @@
 		switch {
 		case !allClosed:
 			return as, false, nil
-		case as.Caution != targets.Proven:
+		case as.Caution != targets.RequireReachable:
 			// Those that failed lately may be open, or those of other availability zones than the one that a probe was for.
-			as.Caution = targets.Proven
+			as.Caution = targets.RequireReachable
 			return as, true, nil
 		case first.phase == backoff.HalfOpen:
 			as.probe = true
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -123,7 +123,7 @@
 	case rq.route.Exclusive():
 		return targets.Sure
 	case len(rq.tried) > 0:
-		return targets.Proven
+		return targets.RequireReachable
 	default:
 		return targets.AllowProbe
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -137,7 +137,7 @@
 // another reports whether the route allows a further target and one is there.
 func (gw *Gateway) another(rt routes.Route, service string, tried []string) bool {
 	untried := func(tg targets.Target) bool { return !slices.Contains(tried, tg.ID) }
-	return gw.stillThere(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.Proven), untried)
+	return gw.stillThere(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.RequireReachable), untried)
 }
 
 func (gw *Gateway) passEvent(rq *request, sk *sink, an *upstream.Answer, ev event) error {
--- a/internal/targets/health_test.go
+++ b/internal/targets/health_test.go
@@ -104,7 +104,7 @@
 			dr := targets.New(cl.now)
 			replace(dr, list(all...), cl.now())
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.Proven))).To(Equal(tc.proven))
+			g.Expect(ids(dr.Usable("s", targets.RequireReachable))).To(Equal(tc.proven))
 			g.Expect(ids(dr.Usable("s", targets.Sure))).To(Equal(tc.sure))
 		})
 	}
--- a/internal/targets/usable.go
+++ b/internal/targets/usable.go
@@ -16,7 +16,7 @@
 	// Any may be the probe of an availability zone that may be back.
 	AllowProbe Caution = iota
 	// Proven leaves out availability zones that have not answered since they were cut off.
-	Proven
+	RequireReachable
 	// Sure leaves out also targets that failed lately, unless those are most: for requests that may run only once.
 	Sure
 )
--- a/internal/targets/zone_test.go
+++ b/internal/targets/zone_test.go
@@ -137,7 +137,7 @@
 			replace(dr, twoZones(near, []string{"f1", "f2", "f3"}), cl.now())
 			tc.happen(cl, dr)
 			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.any))
-			g.Expect(ids(dr.Usable("s", targets.Proven))).To(Equal(tc.proven))
+			g.Expect(ids(dr.Usable("s", targets.RequireReachable))).To(Equal(tc.proven))
 		})
 	}
 }
