--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -190,7 +190,7 @@
 func TestClosedTargetsOfAProbeOrASureChoiceLeaveTheOthers(t *testing.T) {
 	tests := map[string]func(be *bench, as *dispatch.Ask){
 		"one that runs once, beside a target that failed": func(be *bench, as *dispatch.Ask) {
-			as.Caution = targets.Sure
+			as.Caution = targets.RequireHealthy
 			for range 2 {
 				be.directory.RecordFailure(id(0))
 			}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -121,7 +121,7 @@
 func (rq *request) caution() targets.Caution {
 	switch {
 	case rq.route.Exclusive():
-		return targets.Sure
+		return targets.RequireHealthy
 	case len(rq.tried) > 0:
 		return targets.RequireReachable
 	default:
--- a/internal/targets/health_test.go
+++ b/internal/targets/health_test.go
@@ -105,7 +105,7 @@
 			replace(dr, list(all...), cl.now())
 			tc.happen(cl, dr)
 			g.Expect(ids(dr.Usable("s", targets.RequireReachable))).To(Equal(tc.proven))
-			g.Expect(ids(dr.Usable("s", targets.Sure))).To(Equal(tc.sure))
+			g.Expect(ids(dr.Usable("s", targets.RequireHealthy))).To(Equal(tc.sure))
 		})
 	}
 }
--- a/internal/targets/usable.go
+++ b/internal/targets/usable.go
@@ -18,7 +18,7 @@
 	// Proven leaves out availability zones that have not answered since they were cut off.
 	RequireReachable
 	// Sure leaves out also targets that failed lately, unless those are most: for requests that may run only once.
-	Sure
+	RequireHealthy
 )
 
 // Usable returns the targets of a service that may get work now, sorted by incarnation. Those that take no connection,
@@ -43,7 +43,7 @@
 			cut = append(cut, en.Target)
 		case now.Before(en.outUntil):
 			failing = append(failing, en.Target)
-		case ca == Sure && en.suspect(now):
+		case ca == RequireHealthy && en.suspect(now):
 			suspect = append(suspect, en.Target)
 		default:
 			good = append(good, en.Target)
