--- a/internal/backoff/parse.go
+++ b/internal/backoff/parse.go
@@ -37,7 +37,7 @@
 
 func parse(value, answered string, now time.Time) (time.Duration, error) {
 	if seconds, err := strconv.ParseFloat(value, 64); err == nil || errors.Is(err, strconv.ErrRange) {
-		return ofSeconds(value, seconds)
+		return fromSeconds(value, seconds)
 	}
 	until, err := http.ParseTime(value)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return min(max(0, until.Sub(from)), MaxDuration), nil
 }
 
-func ofSeconds(value string, seconds float64) (time.Duration, error) {
+func fromSeconds(value string, seconds float64) (time.Duration, error) {
 	switch {
 	case math.IsNaN(seconds) || seconds < 0:
 		return 0, &MalformedError{Value: value}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -43,29 +43,29 @@
 
 const (
 	// retryBurst is how many retries are saved up at the most, unless set otherwise.
-	retryBurst = 20
+	defaultBurst = 20
 	// retryTrickle is how many retries a second are allowed without traffic, unless set otherwise.
-	retryTrickle = 0.2
+	defaultMinRate = 0.2
 )
 
 // Retries bounds attempts beyond the first to a share of first attempts, so that a failure cannot become a storm.
 type Retries struct {
 	mu    sync.Mutex
-	share float64
+	ratio float64
 	now   func() time.Time
 	// burst is the most that is saved, trickle what is saved each second without traffic.
-	burst, trickle float64
+	burst, minRate float64
 	// saved is between zero and burst.
-	saved float64
-	last  time.Time
+	balance    float64
+	refilledAt time.Time
 }
 
 // SetFloor changes how many retries are saved up at the most, and how many are allowed each second without traffic.
 func (rt *Retries) SetFloor(burst, trickle float64) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.burst, rt.trickle = burst, trickle
-	rt.saved = min(rt.saved, burst)
+	rt.burst, rt.minRate = burst, trickle
+	rt.balance = min(rt.balance, burst)
 }
 
 // RetryOption changes a Retries under construction.
@@ -75,15 +75,15 @@
 func WithBurst(n float64) RetryOption { return func(rt *Retries) { rt.burst = n } }
 
 // WithTrickle sets how many retries a second are allowed without traffic.
-func WithMinRate(perSecond float64) RetryOption { return func(rt *Retries) { rt.trickle = perSecond } }
+func WithMinRate(perSecond float64) RetryOption { return func(rt *Retries) { rt.minRate = perSecond } }
 
 // NewRetries returns a budget of share retries for each first attempt.
 func NewRetries(share float64, now func() time.Time, opts ...RetryOption) *Retries {
-	rt := &Retries{share: share, now: now, burst: retryBurst, trickle: retryTrickle, last: now()}
+	rt := &Retries{ratio: share, now: now, burst: defaultBurst, minRate: defaultMinRate, refilledAt: now()}
 	for _, o := range opts {
 		o(rt)
 	}
-	rt.saved = rt.burst
+	rt.balance = rt.burst
 	return rt
 }
 
@@ -91,7 +91,7 @@
 func (rt *Retries) Deposit() {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.add(rt.share)
+	rt.credit(rt.ratio)
 }
 
 // Take takes one retry and reports whether it was there.
@@ -99,12 +99,12 @@
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	now := rt.now()
-	rt.add(now.Sub(rt.last).Seconds() * rt.trickle)
-	rt.last = now
-	if rt.saved < 1 {
+	rt.credit(now.Sub(rt.refilledAt).Seconds() * rt.minRate)
+	rt.refilledAt = now
+	if rt.balance < 1 {
 		return false
 	}
-	rt.saved--
+	rt.balance--
 	return true
 }
 
@@ -112,7 +112,7 @@
 func (rt *Retries) Available() bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	return rt.saved >= 1
+	return rt.balance >= 1
 }
 
-func (rt *Retries) add(n float64) { rt.saved = min(rt.burst, rt.saved+n) }
+func (rt *Retries) credit(n float64) { rt.balance = min(rt.burst, rt.balance+n) }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -15,9 +15,9 @@
 		idle      time.Duration
 		wantAtMax int
 	}{
-		"burst only":       {share: 0.1, asks: 100, wantAtMax: retryBurst},
-		"share of firsts":  {share: 0.1, firsts: 1000, asks: 1000, wantAtMax: 100 + retryBurst},
-		"idle never saves": {share: 0.1, asks: 100, idle: time.Hour, wantAtMax: retryBurst},
+		"burst only":       {share: 0.1, asks: 100, wantAtMax: defaultBurst},
+		"share of firsts":  {share: 0.1, firsts: 1000, asks: 1000, wantAtMax: 100 + defaultBurst},
+		"idle never saves": {share: 0.1, asks: 100, idle: time.Hour, wantAtMax: defaultBurst},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -37,20 +37,20 @@
 }
 
 // belief is what is believed of one incarnation.
-type belief struct {
+type record struct {
 	limit Limit
 	// at only grows.
 	at time.Time
 	// witness is set when this instance saw it, and nobody had told: it then tells the others.
-	witness bool
+	local bool
 }
 
 const (
 	// liftedFor is how long an instance tells, and remembers, that a limit was lifted: longer than the others' word of the limit may be
 	// under way, and than their silence before they are taken for lost.
-	liftedFor = 15 * time.Second
+	liftedRetention = 15 * time.Second
 	// maxBeliefs bounds the targets believed limited, 100 bytes each.
-	maxBeliefs = 1 << 13
+	maxRecords = 1 << 13
 )
 
 // Book is what this instance believes of the rate limits of targets, by its own answers and its peers' word. It is safe for use by any
@@ -60,14 +60,14 @@
 
 	mu sync.Mutex
 	// beliefs holds incarnations that are limited, or were lately.
-	beliefs map[string]belief
+	records map[string]record
 	// limited counts the beliefs in a limit.
-	limited int
+	limitedCount int
 }
 
 // New returns an empty book; now is the steady clock.
 func New(now func() time.Time) *Tracker {
-	return &Tracker{now: now, beliefs: map[string]belief{}}
+	return &Tracker{now: now, records: map[string]record{}}
 }
 
 // Observe takes what this instance saw in an answer to a request that was sent at one time and whose head came at another. It reports
@@ -79,7 +79,7 @@
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	return tr.take(ob, true)
+	return tr.apply(ob, true)
 }
 
 // Hear takes what a peer tells, and returns what that changed.
@@ -88,7 +88,7 @@
 	defer tr.mu.Unlock()
 	var changes []Change
 	for _, ob := range told {
-		if ch, changed := tr.take(ob, false); changed {
+		if ch, changed := tr.apply(ob, false); changed {
 			changes = append(changes, ch)
 		}
 	}
@@ -96,34 +96,34 @@
 }
 
 // take takes an observation unless what is believed is newer. The lock is held.
-func (tr *Tracker) take(ob Observation, own bool) (Change, bool) {
-	be, known := tr.beliefs[ob.Target]
+func (tr *Tracker) apply(ob Observation, own bool) (Change, bool) {
+	be, known := tr.records[ob.Target]
 	// An own answer without a limit is the usual one. A peer that tells of one saw a limit lifted: an older word of that limit may still be
 	// under way.
 	if !known && !ob.Limit.Limited && own {
 		return Change{}, false
 	}
-	if known && ob.At.Before(be.at) || !known && len(tr.beliefs) >= maxBeliefs {
+	if known && ob.At.Before(be.at) || !known && len(tr.records) >= maxRecords {
 		return Change{}, false
 	}
 	before := be.limit
 	be.at = ob.At
 	if before == ob.Limit {
-		tr.beliefs[ob.Target] = be
+		tr.records[ob.Target] = be
 		return Change{}, false
 	}
-	be.limit, be.witness = ob.Limit, own
-	tr.beliefs[ob.Target] = be
-	tr.count(before, ob.Limit)
+	be.limit, be.local = ob.Limit, own
+	tr.records[ob.Target] = be
+	tr.updateCount(before, ob.Limit)
 	return Change{Observation: ob, Previous: before}, true
 }
 
-func (tr *Tracker) count(before, after Limit) {
+func (tr *Tracker) updateCount(before, after Limit) {
 	if before.Limited {
-		tr.limited--
+		tr.limitedCount--
 	}
 	if after.Limited {
-		tr.limited++
+		tr.limitedCount++
 	}
 }
 
@@ -131,17 +131,17 @@
 func (tr *Tracker) Limit(target string) Limit {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	if tr.limited == 0 {
+	if tr.limitedCount == 0 {
 		return Limit{}
 	}
-	return tr.beliefs[target].limit
+	return tr.records[target].limit
 }
 
 // Limited returns how many targets are believed to name a limit.
 func (tr *Tracker) LimitedCount() int {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	return tr.limited
+	return tr.limitedCount
 }
 
 // Told returns what peers hear: what this instance was the first to see, by target. That is a few entries for each target over the whole
@@ -150,8 +150,8 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var told []Observation
-	for target, be := range tr.beliefs {
-		if be.witness {
+	for target, be := range tr.records {
+		if be.local {
 			told = append(told, Observation{Target: target, Limit: be.limit, At: be.at})
 		}
 	}
@@ -164,11 +164,11 @@
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	now := tr.now()
-	for target, be := range tr.beliefs {
-		lifted := !be.limit.Limited && now.Sub(be.at) > liftedFor
-		if lifted || now.Sub(be.at) > liftedFor && !there(target) {
-			tr.count(be.limit, Limit{})
-			delete(tr.beliefs, target)
+	for target, be := range tr.records {
+		lifted := !be.limit.Limited && now.Sub(be.at) > liftedRetention
+		if lifted || now.Sub(be.at) > liftedRetention && !there(target) {
+			tr.updateCount(be.limit, Limit{})
+			delete(tr.records, target)
 		}
 	}
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -16,11 +16,11 @@
 }
 
 // mostPerSecond is the highest limit that is told apart: far beyond the load of any fleet, and safe to divide a second by.
-const mostPerSecond = 1e6
+const maxPerSecond = 1e6
 
 // Of returns the limit of so many requests a second.
 func PerSecond(perSecond float64) Limit {
-	return Limit{Limited: true, PerSecond: max(0, min(perSecond, mostPerSecond))}
+	return Limit{Limited: true, PerSecond: max(0, min(perSecond, maxPerSecond))}
 }
 
 // String returns the number as a target writes it, "none" for none.
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -12,16 +12,16 @@
 
 const (
 	// maxTold bounds the observations that one instance tells, some 30 bytes each, and what decoding allocates.
-	maxTold = 2048
+	maxObservations = 2048
 	// maxName bounds the name of an incarnation, in bytes.
-	maxName = 256
+	maxTargetLen = 256
 	// maxAge is the longest age that is told, safe to count in a Duration.
 	maxAge = 24 * time.Hour
 )
 
 // Encode returns the bytes that peers get of observations told at a time. Ages are told in whole milliseconds.
 func Encode(told []Observation, now time.Time) []byte {
-	told = told[:min(len(told), maxTold)]
+	told = told[:min(len(told), maxObservations)]
 	b := binary.AppendUvarint(nil, uint64(len(told)))
 	for _, ob := range told {
 		b = peerbytes.AppendName(b, ob.Target)
@@ -43,7 +43,7 @@
 func Decode(b []byte, told time.Time) ([]Observation, error) {
 	rd := peerbytes.NewReader(b)
 	var obs []Observation
-	for no := rd.Number(maxTold); no > 0 && !rd.Failed(); no-- {
+	for no := rd.Number(maxObservations); no > 0 && !rd.Failed(); no-- {
 		obs = append(obs, readObservation(rd, told))
 	}
 	if err := rd.End(); err != nil {
@@ -53,7 +53,7 @@
 }
 
 func readObservation(rd *peerbytes.Reader, told time.Time) Observation {
-	ob := Observation{Target: rd.Name(maxName)}
+	ob := Observation{Target: rd.Name(maxTargetLen)}
 	if ob.Target == "" {
 		rd.Fail("an observation of nothing")
 	}
@@ -63,7 +63,7 @@
 		return ob
 	}
 	perSecond := math.Float64frombits(bits - 1)
-	if math.IsNaN(perSecond) || perSecond < 0 || perSecond > mostPerSecond {
+	if math.IsNaN(perSecond) || perSecond < 0 || perSecond > maxPerSecond {
 		rd.Fail("a limit out of range")
 		return ob
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -7,7 +7,7 @@
 )
 
 // ofTarget are the failures that another target may not have.
-var ofTarget = map[failure.Code]bool{
+var retryable = map[failure.Code]bool{
 	failure.TargetLost:    true,
 	failure.TargetRefused: true,
 	failure.TargetShed:    true,
@@ -53,7 +53,7 @@
 // Decide reports whether another attempt follows, and takes it from the budget; else it says what forbids it.
 func (fa FailedAttempt) Decide(rt *budget.Retries) (bool, Reason) {
 	switch {
-	case fa.Cancelled || !ofTarget[fa.Code]:
+	case fa.Cancelled || !retryable[fa.Code]:
 		return false, ""
 	case fa.AtMostOnce && fa.MayHaveRun:
 		return false, ReasonAtMostOnce
--- a/internal/targets/cut.go
+++ b/internal/targets/cut.go
@@ -21,5 +21,5 @@
 		return Connectivity{}
 	}
 	now := dr.now()
-	return Connectivity{ConnectFailures: en.refusals, ExcludedFor: max(0, en.cutUntil.Sub(now)), ZoneExcluded: dr.zone(en.AvailabilityZone).doubted(now)}
+	return Connectivity{ConnectFailures: en.connectFailures, ExcludedFor: max(0, en.unreachableUntil.Sub(now)), ZoneExcluded: dr.zone(en.AvailabilityZone).unverified(now)}
 }
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -4,24 +4,24 @@
 
 const (
 	// outcomeWeight is what one outcome counts in the share of failures: about the last ten count.
-	outcomeWeight = 0.2
+	failureRateWeight = 0.2
 	// ejectFrom is the share of failures that takes a target out: three in a row, or soon when four in ten fail. A target
 	// that fails one in ten stays: its requests can be asked for elsewhere.
-	ejectFrom = 0.48
+	ejectThreshold = 0.48
 	// wellBelow is the share below which a target comes back early: four good answers in a row of what was under way.
-	wellBelow = 0.15
+	readmitThreshold = 0.15
 	// ejectTrial is the share with which it comes back: two failures take it out again.
-	ejectTrial = 0.32
+	readmittedFailureRate = 0.32
 	// ejectFor is how long a target is first left out; it doubles with each further ejection up to ejectMost.
-	ejectFor  = time.Second
-	ejectMost = 8 * time.Second
+	minEjection = time.Second
+	maxEjection = 8 * time.Second
 	// calmFor is the time without failures after which earlier ejections are forgotten: longer than a target is left out.
-	calmFor = 20 * time.Second
+	ejectionMemory = 20 * time.Second
 	// suspectFrom is the share of failures from which a target is suspect: two in a row, until a good answer. Single
 	// failures occur on calm days too.
-	suspectFrom = 0.3
+	suspectThreshold = 0.3
 	// suspectFor is how long it stays so when it gets no requests: most troubles of the platform last about as long.
-	suspectFor = 5 * time.Second
+	maxSuspicion = 5 * time.Second
 )
 
 // Success notes a good answer.
@@ -29,12 +29,12 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
-		en.failing *= 1 - outcomeWeight
-		if en.failing < wellBelow {
+		en.failureRate *= 1 - failureRateWeight
+		if en.failureRate < readmitThreshold {
 			// What was under way when it was left out went well.
-			en.outUntil = time.Time{}
+			en.ejectedUntil = time.Time{}
 		}
-		dr.reached(en)
+		dr.recordReachable(en)
 	}
 }
 
@@ -43,24 +43,24 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
-		dr.reached(en)
+		dr.recordReachable(en)
 	}
 }
 
-func (dr *Directory) reached(en *entry) {
-	en.refusals = 0
-	en.cutUntil = time.Time{}
-	if dr.zone(en.AvailabilityZone).answered(dr.now()) {
-		dr.reopen(en.AvailabilityZone)
+func (dr *Directory) recordReachable(en *entry) {
+	en.connectFailures = 0
+	en.unreachableUntil = time.Time{}
+	if dr.zone(en.AvailabilityZone).recordAnswer(dr.now()) {
+		dr.clearZoneFailures(en.AvailabilityZone)
 	}
 }
 
 // reopen forgets what was held against the targets of an availability zone that answers again.
-func (dr *Directory) reopen(zone string) {
+func (dr *Directory) clearZoneFailures(zone string) {
 	for _, en := range dr.entries {
 		if en.AvailabilityZone == zone {
-			en.refusals = 0
-			en.cutUntil = time.Time{}
+			en.connectFailures = 0
+			en.unreachableUntil = time.Time{}
 		}
 	}
 }
@@ -75,27 +75,27 @@
 		return false
 	}
 	now := dr.now()
-	if now.Sub(en.failedAt) > calmFor {
-		en.failing, en.ejections = 0, 0
+	if now.Sub(en.lastFailureAt) > ejectionMemory {
+		en.failureRate, en.ejections = 0, 0
 	}
-	en.failedAt = now
-	if now.Before(en.outUntil) {
+	en.lastFailureAt = now
+	if now.Before(en.ejectedUntil) {
 		// What was under way when it was left out tells nothing new.
 		return false
 	}
-	en.failing += (1 - en.failing) * outcomeWeight
-	if en.failing < ejectFrom {
+	en.failureRate += (1 - en.failureRate) * failureRateWeight
+	if en.failureRate < ejectThreshold {
 		return false
 	}
-	en.failing = ejectTrial
-	en.outUntil = now.Add(min(ejectMost, ejectFor<<en.ejections))
+	en.failureRate = readmittedFailureRate
+	en.ejectedUntil = now.Add(min(maxEjection, minEjection<<en.ejections))
 	en.ejections = min(en.ejections+1, maxDoublings)
 	return true
 }
 
 // suspect reports whether a target failed lately and has not made up for it by good answers.
 func (en *entry) suspect(now time.Time) bool {
-	return en.failing >= suspectFrom && now.Sub(en.failedAt) < suspectFor
+	return en.failureRate >= suspectThreshold && now.Sub(en.lastFailureAt) < maxSuspicion
 }
 
 // Unreachable notes that a target took no connection, which also counts against its availability zone. It reports whether
@@ -108,9 +108,9 @@
 		return false
 	}
 	now := dr.now()
-	en.cutUntil = now.Add(min(unreachableMost, unreachableFor<<en.refusals))
-	en.refusals = min(en.refusals+1, maxDoublings)
-	return dr.zone(en.AvailabilityZone).failed(id, zoneQuiet, now)
+	en.unreachableUntil = now.Add(min(maxUnreachablePause, minUnreachablePause<<en.connectFailures))
+	en.connectFailures = min(en.connectFailures+1, maxDoublings)
+	return dr.zone(en.AvailabilityZone).recordFailure(id, refusalQuiet, now)
 }
 
 // maxDoublings keeps the doubling of pauses within bounds.
@@ -122,7 +122,7 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
-	return ok && dr.zone(en.AvailabilityZone).failed(id, zoneSilence, dr.now())
+	return ok && dr.zone(en.AvailabilityZone).recordFailure(id, silenceQuiet, dr.now())
 }
 
 // PeerLost notes that an instance fell silent with which all other instances of its availability zone are lost too. It
@@ -130,7 +130,7 @@
 func (dr *Directory) RecordPeerLoss(zone, instance string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	return dr.zone(zone).failed(instance, zoneSilence, dr.now())
+	return dr.zone(zone).recordFailure(instance, silenceQuiet, dr.now())
 }
 
 // Chosen notes that a request goes to a target. In an availability zone that may be back it is the probe: no other
@@ -139,14 +139,14 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
-		dr.zone(en.AvailabilityZone).probed(dr.now())
+		dr.zone(en.AvailabilityZone).recordProbe(dr.now())
 	}
 }
 
 func (dr *Directory) zone(name string) *zone {
 	zn, ok := dr.zones[name]
 	if !ok {
-		zn = &zone{signs: map[string]time.Time{}}
+		zn = &zone{failures: map[string]time.Time{}}
 		dr.zones[name] = zn
 	}
 	return zn
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -3,22 +3,22 @@
 import "time"
 
 // presence is the newest incarnation known of a name.
-type presence struct {
-	id   string
-	born time.Time
+type incarnation struct {
+	id        string
+	startedAt time.Time
 }
 
 // succeed notes the incarnation that is told of as the present one of its name, and reports whether it is: an old word on an
 // earlier one never overrides it. The incarnation before it, which holds nothing any more, is gone at once. The lock is held.
-func (dr *Directory) succeed(tg Target) (present bool, changes []Change) {
-	before, known := dr.present[tg.NameOrID()]
+func (dr *Directory) registerLatest(tg Target) (present bool, changes []Change) {
+	before, known := dr.latest[tg.NameOrID()]
 	if known && before.id == tg.ID {
 		return true, nil
 	}
-	if known && !tg.StartedAt.After(before.born) {
+	if known && !tg.StartedAt.After(before.startedAt) {
 		return false, nil
 	}
-	dr.present[tg.NameOrID()] = presence{id: tg.ID, born: tg.StartedAt}
+	dr.latest[tg.NameOrID()] = incarnation{id: tg.ID, startedAt: tg.StartedAt}
 	if en, ok := dr.entries[before.id]; known && ok {
 		return true, dr.supersede(en)
 	}
@@ -28,9 +28,9 @@
 // supersede ends an incarnation: it takes no work, also when the store was away lately. The lock is held.
 func (dr *Directory) supersede(en *entry) []Change {
 	en.superseded = true
-	changes := dr.miss(en)
-	en.workUntil = time.Time{}
-	dr.superseded(en.Target)
+	changes := dr.markMissing(en)
+	en.graceUntil = time.Time{}
+	dr.onSuperseded(en.Target)
 	return changes
 }
 
@@ -39,7 +39,7 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, known := dr.entries[id]
-	return known && !en.leaving && !en.goneAt.IsZero() && !en.takesWork(dr.now())
+	return known && !en.leaving && !en.missingSince.IsZero() && !en.takesWork(dr.now())
 }
 
 // Present reports whether no later incarnation of its name is known: memory set aside at it, and connections to it, may be there
@@ -52,10 +52,10 @@
 }
 
 // forgetNames forgets the names whose newest incarnation is forgotten. The lock is held.
-func (dr *Directory) forgetNames() {
-	for name, pr := range dr.present {
+func (dr *Directory) pruneNames() {
+	for name, pr := range dr.latest {
 		if dr.entries[pr.id] == nil {
-			delete(dr.present, name)
+			delete(dr.latest, name)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 func (dr *Directory) ByName(name string) (Target, bool) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	en, known := dr.entries[dr.present[name].id]
+	en, known := dr.entries[dr.latest[name].id]
 	if !known {
 		return Target{}, false
 	}
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -9,32 +9,32 @@
 // outage is what an instance's own calls say of the store being away.
 type outage struct {
 	// since is when the first call of the newest outage failed, returned when the store was asked that answered again.
-	since, returned time.Time
-	away            bool
+	startedAt, recoveredAt time.Time
+	ongoing                bool
 }
 
 // began notes a call that failed.
-func (ou *outage) began(at time.Time) {
-	if !ou.away {
-		ou.since = at
+func (ou *outage) recordFailure(at time.Time) {
+	if !ou.ongoing {
+		ou.startedAt = at
 	}
-	ou.away = true
+	ou.ongoing = true
 }
 
 // ended notes an answer to a question asked at a time.
-func (ou *outage) ended(at time.Time) {
-	if ou.away {
-		ou.returned = at
+func (ou *outage) recordSuccess(at time.Time) {
+	if ou.ongoing {
+		ou.recoveredAt = at
 	}
-	ou.away = false
+	ou.ongoing = false
 }
 
 // returnEnds is until when an entry may be missing because of the outage; zero without one.
-func (ou *outage) returnEnds() time.Time {
-	if ou.returned.IsZero() {
+func (ou *outage) graceEnds() time.Time {
+	if ou.recoveredAt.IsZero() {
 		return time.Time{}
 	}
-	return ou.returned.Add(LapseGrace)
+	return ou.recoveredAt.Add(LapseGrace)
 }
 
 // Lapsed is what an instance tells its peers beside its list.
@@ -48,14 +48,14 @@
 // Trouble notes that the store could not be asked.
 func (dr *Directory) RecordStoreFailure() {
 	dr.mu.Lock()
-	dr.store.began(dr.now())
+	dr.ownOutage.recordFailure(dr.now())
 	dr.mu.Unlock()
 }
 
 // Back notes that the store answers a question that was asked at a time. It is called before the answer is taken.
 func (dr *Directory) RecordStoreRecovery(evidence time.Time) {
 	dr.mu.Lock()
-	dr.store.ended(evidence)
+	dr.ownOutage.recordSuccess(evidence)
 	dr.mu.Unlock()
 }
 
@@ -64,9 +64,9 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	now := dr.now()
-	la := Lapsed{GraceLeft: max(0, dr.store.returnEnds().Sub(now), dr.toldUntil.Sub(now))}
+	la := Lapsed{GraceLeft: max(0, dr.ownOutage.graceEnds().Sub(now), dr.peerGraceUntil.Sub(now))}
 	for _, en := range dr.entries {
-		if !en.goneAt.IsZero() && en.takesWork(now) {
+		if !en.missingSince.IsZero() && en.takesWork(now) {
 			la.Targets = append(la.Targets, en.Target)
 		}
 	}
@@ -74,41 +74,41 @@
 }
 
 // replaceTold takes a whole list from a peer. The lock is held.
-func (dr *Directory) replaceTold(list []Target, la Lapsed, evidence time.Time) []Change {
+func (dr *Directory) replaceFromPeer(list []Target, la Lapsed, evidence time.Time) []Change {
 	for _, tg := range la.Targets {
-		dr.know(tg)
+		dr.addLapsed(tg)
 	}
-	changes := dr.replace(list, evidence)
+	changes := dr.replaceAll(list, evidence)
 	var until time.Time
 	if la.GraceLeft > 0 {
 		until = dr.now().Add(min(la.GraceLeft, LapseGrace))
-		dr.toldUntil = until
+		dr.peerGraceUntil = until
 	}
 	for _, ch := range changes {
 		if ch.Kind == "gone" {
-			dr.entries[ch.Target.ID].workUntil = until
+			dr.entries[ch.Target.ID].graceUntil = until
 		}
 	}
 	return changes
 }
 
 // know adds a target that this instance has not heard of.
-func (dr *Directory) know(tg Target) {
+func (dr *Directory) addLapsed(tg Target) {
 	if _, known := dr.entries[tg.ID]; known {
 		return
 	}
-	if present, _ := dr.succeed(tg); !present {
+	if present, _ := dr.registerLatest(tg); !present {
 		return
 	}
-	_, told := dr.leaving[tg.ID]
+	_, told := dr.leavingSince[tg.ID]
 	dr.entries[tg.ID] = &entry{Target: tg, leaving: tg.Leaving || told}
 }
 
 // unheard reports whether a target is not listed and nothing shows that it lives: it took no connection, or nothing of
 // its availability zone has answered since the store went away.
-func (dr *Directory) unheard(en *entry, now time.Time) bool {
-	if en.goneAt.IsZero() {
+func (dr *Directory) presumedDead(en *entry, now time.Time) bool {
+	if en.missingSince.IsZero() {
 		return false
 	}
-	return now.Before(en.cutUntil) || !dr.zone(en.AvailabilityZone).reachedAt.After(dr.store.since)
+	return now.Before(en.unreachableUntil) || !dr.zone(en.AvailabilityZone).reachedAt.After(dr.ownOutage.startedAt)
 }
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -106,8 +106,8 @@
 		lb.MarkLeaving(strconv.Itoa(no))
 		lb.list(listed)
 	}
-	lb.Expect(len(lb.leaving)).To(BeNumerically("<=", maxLeaving))
-	lb.Expect(len(lb.leaving)).To(BeNumerically(">=", maxLeaving/2))
+	lb.Expect(len(lb.leavingSince)).To(BeNumerically("<=", maxLeaving))
+	lb.Expect(len(lb.leavingSince)).To(BeNumerically(">=", maxLeaving/2))
 	lb.Expect(lb.TakesWork(listed.ID)).To(BeFalse())
-	lb.Expect(lb.LeavingIDs()).To(HaveLen(int(forgetAfter/time.Second) + 2))
+	lb.Expect(lb.LeavingIDs()).To(HaveLen(int(goneRetention/time.Second) + 2))
 }
--- a/internal/targets/take.go
+++ b/internal/targets/take.go
@@ -23,15 +23,15 @@
 func (dr *Directory) ApplyList(list []Target, unread []string, at position.Position, evidence time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	if dr.older(at) {
+	if dr.isOlder(at) {
 		return dr.confirmOnly(evidence)
 	}
-	changes := dr.replace(list, evidence)
+	changes := dr.replaceAll(list, evidence)
 	for _, name := range unread {
-		changes = append(changes, dr.withdraw(name, evidence)...)
+		changes = append(changes, dr.invalidate(name, evidence)...)
 	}
-	dr.changedAt = at
-	return append(changes, dr.believe()...)
+	dr.listPosition = at
+	return append(changes, dr.releaseQuarantined()...)
 }
 
 // TakeChanges takes what changed in the store up to a position, in order. What changed before the list that is held is taken again on the
@@ -39,24 +39,24 @@
 func (dr *Directory) ApplyChanges(entries []EntryChange, at position.Position, evidence time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	if dr.older(at) {
+	if dr.isOlder(at) {
 		return dr.confirmOnly(evidence)
 	}
 	var changes []Change
 	for _, en := range entries {
 		switch {
 		case en.Deleted:
-			changes = append(changes, dr.remove(en.Name, evidence)...)
+			changes = append(changes, dr.removeByName(en.Name, evidence)...)
 		case en.Unreadable:
-			changes = append(changes, dr.withdraw(en.Name, evidence)...)
+			changes = append(changes, dr.invalidate(en.Name, evidence)...)
 		default:
 			dr.confirm(evidence)
-			delete(dr.restored.doubted, en.Target.ID)
-			changes = append(changes, dr.put(en.Target)...)
+			delete(dr.lastRestore.quarantined, en.Target.ID)
+			changes = append(changes, dr.upsert(en.Target)...)
 		}
 	}
-	dr.changedAt = at
-	return append(changes, dr.believe()...)
+	dr.listPosition = at
+	return append(changes, dr.releaseQuarantined()...)
 }
 
 // TakeTold takes a whole list from a peer, which last changed at a position, unless the list that is held is as new. What it newly misses is
@@ -64,19 +64,19 @@
 func (dr *Directory) ApplyPeerList(list []Target, la Lapsed, at position.Position, evidence time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	if !at.After(dr.changedAt) {
+	if !at.After(dr.listPosition) {
 		return nil
 	}
-	dr.changedAt = at
-	return dr.replaceTold(list, la, evidence)
+	dr.listPosition = at
+	return dr.replaceFromPeer(list, la, evidence)
 }
 
 // older reports whether an answer of the store is older than the list that is held. The lock is held.
-func (dr *Directory) older(at position.Position) bool { return dr.changedAt.After(at) }
+func (dr *Directory) isOlder(at position.Position) bool { return dr.listPosition.After(at) }
 
 // confirmOnly notes the evidence of an answer that is older than the list that is held: whatever was acknowledged before the store was
 // asked is in that list too. The lock is held.
 func (dr *Directory) confirmOnly(evidence time.Time) []Change {
 	dr.confirm(evidence)
-	return dr.believe()
+	return dr.releaseQuarantined()
 }
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -12,13 +12,13 @@
 
 const (
 	// forgetAfter is how long a target that is gone is remembered, well past any list that still names it.
-	forgetAfter = 60 * time.Second
+	goneRetention = 60 * time.Second
 	// maxLeaving bounds the incarnations remembered as leaving that have no entry, some 100 bytes each.
 	maxLeaving = 1 << 13
 	// unreachableFor is how long a target that took no connection is first left out: about a restart's detection time.
 	// It doubles up to unreachableMost, so that a cut of some seconds is found to have healed soon after.
-	unreachableFor  = 800 * time.Millisecond
-	unreachableMost = 2400 * time.Millisecond
+	minUnreachablePause = 800 * time.Millisecond
+	maxUnreachablePause = 2400 * time.Millisecond
 )
 
 // Target is one incarnation of a target as the store lists it.
@@ -54,22 +54,22 @@
 	// leaving is never taken back.
 	leaving bool
 	// goneAt is when the entry was missed; zero while it is listed.
-	goneAt time.Time
+	missingSince time.Time
 	// workUntil is how long a target whose entry lapsed while the store was away still takes work; zero for others.
-	workUntil time.Time
+	graceUntil time.Time
 	// outUntil is when an ejected target may be tried again.
-	outUntil time.Time
+	ejectedUntil time.Time
 	// failing is the share of failures among the last outcomes, failedAt the time of the newest.
-	failing  float64
-	failedAt time.Time
+	failureRate   float64
+	lastFailureAt time.Time
 	// ejections counts how often it was left out, as far as it lengthens the pause.
 	ejections int
 	// cutUntil is when a target that took no connection may be tried again.
-	cutUntil time.Time
+	unreachableUntil time.Time
 	// refusals counts connections not taken since the last one that was, as far as they lengthen the pause.
-	refusals int
+	connectFailures int
 	// arrival orders the entries by when they were first listed.
-	arrival int
+	listOrder int
 	// superseded is set when a later incarnation of its name is known; it is never taken back.
 	superseded bool
 }
@@ -79,27 +79,27 @@
 	now func() time.Time
 
 	// superseded is told of each incarnation that a later one of its name takes the place of, with the lock held.
-	superseded func(Target)
+	onSuperseded func(Target)
 
 	mu      sync.Mutex
 	entries map[string]*entry
 	// present holds the newest incarnation known of each name.
-	present map[string]presence
+	latest map[string]incarnation
 	// arrivals counts the entries there were.
-	arrivals int
+	listings int
 	// leaving is when incarnations were first told to be leaving, listed or not. They stay, since an entry may come back after any time, and
 	// none of them ever takes work again.
-	leaving map[string]time.Time
+	leavingSince map[string]time.Time
 	// store is what the own calls say of the store.
-	store outage
+	ownOutage outage
 	// toldUntil is how long missing entries may be the doing of the store as a peer told.
-	toldUntil time.Time
+	peerGraceUntil time.Time
 	// heard is the time of the newest evidence; it only grows.
-	heard time.Time
+	confirmedAt time.Time
 	// changedAt is where in its history the store was when the list last changed, as far as known; it only grows.
-	changedAt position.Position
+	listPosition position.Position
 	// restored is what follows from the newest return of the store from an older copy.
-	restored restored
+	lastRestore storeRestore
 	// zones holds what is believed of each availability zone.
 	zones map[string]*zone
 }
@@ -109,14 +109,14 @@
 
 // WithSuperseded is told of each incarnation that a later one of its name takes the place of. It must not call the directory.
 func WithSupersededHook(told func(Target)) Option {
-	return func(dr *Directory) { dr.superseded = told }
+	return func(dr *Directory) { dr.onSuperseded = told }
 }
 
 // New returns an empty directory.
 func New(now func() time.Time, opts ...Option) *Directory {
 	dr := &Directory{
-		now: now, superseded: func(Target) {}, entries: map[string]*entry{}, present: map[string]presence{},
-		leaving: map[string]time.Time{}, zones: map[string]*zone{},
+		now: now, onSuperseded: func(Target) {}, entries: map[string]*entry{}, latest: map[string]incarnation{},
+		leavingSince: map[string]time.Time{}, zones: map[string]*zone{},
 	}
 	for _, o := range opts {
 		o(dr)
@@ -132,45 +132,45 @@
 }
 
 // replace takes a whole list. Evidence is when the store was asked. The lock is held.
-func (dr *Directory) replace(list []Target, evidence time.Time) []Change {
+func (dr *Directory) replaceAll(list []Target, evidence time.Time) []Change {
 	dr.confirm(evidence)
 	var changes []Change
 	listed := map[string]bool{}
-	clear(dr.restored.doubted)
+	clear(dr.lastRestore.quarantined)
 	for _, tg := range list {
 		listed[tg.ID] = true
-		if dr.stale(tg) {
-			dr.restored.doubted[tg.ID] = tg
+		if dr.staleAfterRestore(tg) {
+			dr.lastRestore.quarantined[tg.ID] = tg
 			continue
 		}
-		changes = append(changes, dr.put(tg)...)
+		changes = append(changes, dr.upsert(tg)...)
 	}
 	for id, en := range dr.entries {
 		if !listed[id] {
-			changes = append(changes, dr.miss(en)...)
+			changes = append(changes, dr.markMissing(en)...)
 		}
 	}
-	dr.forget()
+	dr.prune()
 	return changes
 }
 
 // remove notes that the entry of a target, by its own name, is gone. The lock is held.
-func (dr *Directory) remove(name string, evidence time.Time) []Change {
+func (dr *Directory) removeByName(name string, evidence time.Time) []Change {
 	dr.confirm(evidence)
-	dr.forget()
-	delete(dr.restored.doubted, dr.present[name].id)
-	if en, ok := dr.entries[dr.present[name].id]; ok {
-		return dr.miss(en)
+	dr.prune()
+	delete(dr.lastRestore.quarantined, dr.latest[name].id)
+	if en, ok := dr.entries[dr.latest[name].id]; ok {
+		return dr.markMissing(en)
 	}
 	return nil
 }
 
 // withdraw notes that the entry of a target, by its own name, names no target any more. It takes no work, also when the store was away
 // lately. The lock is held.
-func (dr *Directory) withdraw(name string, evidence time.Time) []Change {
-	changes := dr.remove(name, evidence)
-	if en, ok := dr.entries[dr.present[name].id]; ok {
-		en.workUntil = time.Time{}
+func (dr *Directory) invalidate(name string, evidence time.Time) []Change {
+	changes := dr.removeByName(name, evidence)
+	if en, ok := dr.entries[dr.latest[name].id]; ok {
+		en.graceUntil = time.Time{}
 	}
 	return changes
 }
@@ -180,12 +180,12 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	dr.confirm(evidence)
-	return dr.believe()
+	return dr.releaseQuarantined()
 }
 
 func (dr *Directory) confirm(evidence time.Time) {
-	if evidence.After(dr.heard) {
-		dr.heard = evidence
+	if evidence.After(dr.confirmedAt) {
+		dr.confirmedAt = evidence
 	}
 }
 
@@ -193,7 +193,7 @@
 func (dr *Directory) ListPosition() (at position.Position, heard time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	return dr.changedAt, dr.heard
+	return dr.listPosition, dr.confirmedAt
 }
 
 // Listed returns all listed targets, sorted by incarnation, and where in the store's history the list last changed.
@@ -201,42 +201,42 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	for _, en := range dr.entries {
-		if en.goneAt.IsZero() {
+		if en.missingSince.IsZero() {
 			tg := en.Target
 			tg.Leaving = en.leaving
 			list = append(list, tg)
 		}
 	}
 	slices.SortFunc(list, func(a, b Target) int { return strings.Compare(a.ID, b.ID) })
-	return dr.changedAt, list
+	return dr.listPosition, list
 }
 
-func (dr *Directory) put(tg Target) []Change {
-	news, changes := dr.succeed(tg)
+func (dr *Directory) upsert(tg Target) []Change {
+	news, changes := dr.registerLatest(tg)
 	if !news {
 		return nil
 	}
-	return append(changes, dr.list(tg)...)
+	return append(changes, dr.upsertLatest(tg)...)
 }
 
 // list notes the entry of the present incarnation of a name.
-func (dr *Directory) list(tg Target) []Change {
+func (dr *Directory) upsertLatest(tg Target) []Change {
 	en, known := dr.entries[tg.ID]
 	if !known {
-		dr.arrivals++
-		en = &entry{arrival: dr.arrivals}
+		dr.listings++
+		en = &entry{listOrder: dr.listings}
 		dr.entries[tg.ID] = en
 	}
-	back := known && !en.goneAt.IsZero()
+	back := known && !en.missingSince.IsZero()
 	wasLeaving := en.leaving
-	_, told := dr.leaving[tg.ID]
+	_, told := dr.leavingSince[tg.ID]
 	en.Target = tg
-	en.goneAt = time.Time{}
-	en.workUntil = time.Time{}
+	en.missingSince = time.Time{}
+	en.graceUntil = time.Time{}
 	en.leaving = en.leaving || tg.Leaving || told
 	switch {
 	case en.leaving && !wasLeaving:
-		dr.leaving[tg.ID] = dr.now()
+		dr.leavingSince[tg.ID] = dr.now()
 		return []Change{{Target: tg, Kind: "leaving"}}
 	case back:
 		return []Change{{Target: tg, Kind: "back"}}
@@ -246,40 +246,40 @@
 	return nil
 }
 
-func (dr *Directory) miss(en *entry) []Change {
-	if !en.goneAt.IsZero() {
+func (dr *Directory) markMissing(en *entry) []Change {
+	if !en.missingSince.IsZero() {
 		return nil
 	}
-	en.goneAt = dr.now()
-	en.workUntil = dr.store.returnEnds()
+	en.missingSince = dr.now()
+	en.graceUntil = dr.ownOutage.graceEnds()
 	return []Change{{Target: en.Target, Kind: "gone"}}
 }
 
-func (dr *Directory) forget() {
+func (dr *Directory) prune() {
 	now := dr.now()
 	for id, en := range dr.entries {
-		if !en.goneAt.IsZero() && now.Sub(en.goneAt) > forgetAfter {
+		if !en.missingSince.IsZero() && now.Sub(en.missingSince) > goneRetention {
 			delete(dr.entries, id)
 		}
 	}
-	dr.forgetNames()
-	dr.forgetLeaving()
+	dr.pruneNames()
+	dr.pruneLeaving()
 }
 
 // forgetLeaving forgets the incarnations without an entry that were told longest ago once there are too many, some at a time.
-func (dr *Directory) forgetLeaving() {
-	if len(dr.leaving) <= maxLeaving {
+func (dr *Directory) pruneLeaving() {
+	if len(dr.leavingSince) <= maxLeaving {
 		return
 	}
 	var unlisted []string
-	for id := range dr.leaving {
+	for id := range dr.leavingSince {
 		if dr.entries[id] == nil {
 			unlisted = append(unlisted, id)
 		}
 	}
-	slices.SortFunc(unlisted, func(a, b string) int { return dr.leaving[a].Compare(dr.leaving[b]) })
-	for _, id := range unlisted[:min(len(unlisted), len(dr.leaving)-maxLeaving*3/4)] {
-		delete(dr.leaving, id)
+	slices.SortFunc(unlisted, func(a, b string) int { return dr.leavingSince[a].Compare(dr.leavingSince[b]) })
+	for _, id := range unlisted[:min(len(unlisted), len(dr.leavingSince)-maxLeaving*3/4)] {
+		delete(dr.leavingSince, id)
 	}
 }
 
@@ -288,10 +288,10 @@
 func (dr *Directory) MarkLeaving(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	if _, told := dr.leaving[id]; told {
+	if _, told := dr.leavingSince[id]; told {
 		return false
 	}
-	dr.leaving[id] = dr.now()
+	dr.leavingSince[id] = dr.now()
 	if en, ok := dr.entries[id]; ok {
 		en.leaving = true
 	}
@@ -303,9 +303,9 @@
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	now := dr.now()
-	ids := make([]string, 0, len(dr.leaving))
-	for id, at := range dr.leaving {
-		if dr.entries[id] != nil || now.Sub(at) <= forgetAfter {
+	ids := make([]string, 0, len(dr.leavingSince))
+	for id, at := range dr.leavingSince {
+		if dr.entries[id] != nil || now.Sub(at) <= goneRetention {
 			ids = append(ids, id)
 		}
 	}
@@ -319,7 +319,7 @@
 	defer dr.mu.Unlock()
 	n := 0
 	for _, en := range dr.entries {
-		if en.leaving && en.goneAt.IsZero() {
+		if en.leaving && en.missingSince.IsZero() {
 			n++
 		}
 	}
@@ -332,7 +332,7 @@
 	defer dr.mu.Unlock()
 	n := 0
 	for _, en := range dr.entries {
-		if en.goneAt.IsZero() {
+		if en.missingSince.IsZero() {
 			n++
 		}
 	}
@@ -343,5 +343,5 @@
 func (dr *Directory) ConfirmedAt() time.Time {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	return dr.heard
+	return dr.confirmedAt
 }
--- a/internal/targets/usable.go
+++ b/internal/targets/usable.go
@@ -7,7 +7,7 @@
 )
 
 // ejectShare bounds the share of a service's targets that are left out for failing.
-const ejectShare = 0.5
+const maxEjectedFraction = 0.5
 
 // Caution is how sure a request must be of its target.
 type Caution int
@@ -33,15 +33,15 @@
 	for _, en := range dr.entries {
 		switch {
 		case en.Service != service || !en.takesWork(now):
-		case dr.unheard(en, now):
+		case dr.presumedDead(en, now):
 			last = append(last, en.Target)
-		case now.Before(en.cutUntil):
+		case now.Before(en.unreachableUntil):
 			cut = append(cut, en.Target)
 		case ca == AllowProbe && dr.zone(en.AvailabilityZone).probeDue(now):
 			due = append(due, en.Target)
-		case dr.zone(en.AvailabilityZone).doubted(now):
+		case dr.zone(en.AvailabilityZone).unverified(now):
 			cut = append(cut, en.Target)
-		case now.Before(en.outUntil):
+		case now.Before(en.ejectedUntil):
 			failing = append(failing, en.Target)
 		case ca == RequireHealthy && en.suspect(now):
 			suspect = append(suspect, en.Target)
@@ -49,8 +49,8 @@
 			good = append(good, en.Target)
 		}
 	}
-	good = withMany(good, suspect)
-	good = withMany(good, failing)
+	good = readmitMajority(good, suspect)
+	good = readmitMajority(good, failing)
 	if len(good) == 0 {
 		good = append(failing, cut...)
 	}
@@ -60,14 +60,14 @@
 	if len(due) > 0 {
 		good = due
 	}
-	good = dr.newest(good)
+	good = dr.dedupeByAddress(good)
 	slices.SortFunc(good, func(a, b Target) int { return strings.Compare(a.ID, b.ID) })
 	return good
 }
 
 // withMany adds what was left out when it is most: the rest could not bear its requests.
-func withMany(good, out []Target) []Target {
-	if float64(len(out)) > ejectShare*float64(len(good)+len(out)) {
+func readmitMajority(good, out []Target) []Target {
+	if float64(len(out)) > maxEjectedFraction*float64(len(good)+len(out)) {
 		return append(good, out...)
 	}
 	return good
@@ -75,13 +75,13 @@
 
 // newest leaves out each target whose address another one has that was listed later: the address is that of one process,
 // and memory set aside there twice for one request would be the same memory.
-func (dr *Directory) newest(tgs []Target) []Target {
+func (dr *Directory) dedupeByAddress(tgs []Target) []Target {
 	last := map[string]int{}
 	for _, tg := range tgs {
-		last[tg.Address] = max(last[tg.Address], dr.entries[tg.ID].arrival)
+		last[tg.Address] = max(last[tg.Address], dr.entries[tg.ID].listOrder)
 	}
 	return slices.DeleteFunc(tgs, func(tg Target) bool {
-		return tg.Address != "" && dr.entries[tg.ID].arrival < last[tg.Address]
+		return tg.Address != "" && dr.entries[tg.ID].listOrder < last[tg.Address]
 	})
 }
 
@@ -97,8 +97,8 @@
 	if en.leaving {
 		return false
 	}
-	if en.goneAt.IsZero() {
+	if en.missingSince.IsZero() {
 		return true
 	}
-	return now.Before(en.workUntil)
+	return now.Before(en.graceUntil)
 }
