--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -10,27 +10,27 @@
 )
 
 // clockedBook is a book on a clock that a test moves, without spread.
-type clockedBook struct {
+type testTracker struct {
 	*WithT
 	*backoff.Tracker
 	now time.Time
 }
 
-func newBook(t *testing.T) *clockedBook {
-	cb := &clockedBook{WithT: NewWithT(t), now: time.Unix(1000, 0)}
+func newTestTracker(t *testing.T) *testTracker {
+	cb := &testTracker{WithT: NewWithT(t), now: time.Unix(1000, 0)}
 	cb.Tracker = backoff.New(func() time.Time { return cb.now }, func() float64 { return 0 })
 	return cb
 }
 
-func (cb *clockedBook) ask(span time.Duration) bool { return cb.Begin("a", span, cb.now) }
+func (tt *testTracker) ask(span time.Duration) bool { return tt.Begin("a", span, tt.now) }
 
-func (cb *clockedBook) phase() backoff.Phase {
-	ph, _ := cb.Phase("a")
+func (tt *testTracker) phase() backoff.Phase {
+	ph, _ := tt.Phase("a")
 	return ph
 }
 
 func TestBackOffBindsUntilItsEnd(t *testing.T) {
-	cb := newBook(t)
+	cb := newTestTracker(t)
 	cb.Expect(cb.phase()).To(Equal(backoff.Available))
 	cb.Expect(cb.ask(3 * time.Second)).To(BeTrue())
 	end := cb.now.Add(3 * time.Second)
@@ -48,7 +48,7 @@
 }
 
 func TestShorterBackOffShortensNothing(t *testing.T) {
-	cb := newBook(t)
+	cb := newTestTracker(t)
 	cb.ask(3 * time.Second)
 	cb.now = cb.now.Add(time.Second)
 	cb.Expect(cb.ask(time.Second)).To(BeFalse(), "it is known already")
@@ -60,7 +60,7 @@
 }
 
 func TestTargetOpensStepByStep(t *testing.T) {
-	cb := newBook(t)
+	cb := newTestTracker(t)
 	cb.ask(time.Second)
 	sentBefore := cb.now
 	cb.now = cb.now.Add(time.Second)
@@ -80,7 +80,7 @@
 }
 
 func TestSilentTrialIsFollowedByAnother(t *testing.T) {
-	cb := newBook(t)
+	cb := newTestTracker(t)
 	cb.ask(time.Second)
 	cb.now = cb.now.Add(time.Second)
 	cb.RecordDispatch("a")
@@ -91,7 +91,7 @@
 }
 
 func TestTargetThatAsksAgainIsOnTrialAgain(t *testing.T) {
-	cb := newBook(t)
+	cb := newTestTracker(t)
 	cb.ask(time.Second)
 	cb.now = cb.now.Add(time.Second)
 	cb.RecordSuccess("a", cb.now)
@@ -118,7 +118,7 @@
 }
 
 func TestForgetKeepsWhatBinds(t *testing.T) {
-	cb := newBook(t)
+	cb := newTestTracker(t)
 	gone := func(string) bool { return false }
 	cb.ask(time.Hour)
 	cb.Prune(gone)
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -41,80 +41,82 @@
 }
 
 // book is a book on a clock that the test moves.
-type book struct {
+type testTracker struct {
 	*WithT
 	*ratelimit.Tracker
 	began time.Time
 	now   time.Time
 }
 
-func newBook(t *testing.T) *book {
-	bk := &book{WithT: NewWithT(t), began: time.Unix(1000, 0)}
+func newTestTracker(t *testing.T) *testTracker {
+	bk := &testTracker{WithT: NewWithT(t), began: time.Unix(1000, 0)}
 	bk.now = bk.began
 	bk.Tracker = ratelimit.New(func() time.Time { return bk.now })
 	return bk
 }
 
-func (bk *book) at(ms int) time.Time { return bk.began.Add(time.Duration(ms) * time.Millisecond) }
+func (tt *testTracker) at(ms int) time.Time {
+	return tt.began.Add(time.Duration(ms) * time.Millisecond)
+}
 
 // saw is an own answer to a request that was sent at one moment and answered at another, in milliseconds.
-func (bk *book) saw(li ratelimit.Limit, sent, head int) bool {
-	_, changed := bk.Observe("a", li, bk.at(sent), bk.at(head))
+func (tt *testTracker) observe(li ratelimit.Limit, sent, head int) bool {
+	_, changed := tt.Observe("a", li, tt.at(sent), tt.at(head))
 	return changed
 }
 
 // heard is a peer's word.
-func (bk *book) heard(li ratelimit.Limit, at int) bool {
-	return len(bk.Merge([]ratelimit.Observation{{Target: "a", Limit: li, At: bk.at(at)}})) > 0
+func (tt *testTracker) merge(li ratelimit.Limit, at int) bool {
+	return len(tt.Merge([]ratelimit.Observation{{Target: "a", Limit: li, At: tt.at(at)}})) > 0
 }
 
 func TestBookBelievesTheNewestAnswer(t *testing.T) {
-	bk := newBook(t)
+	bk := newTestTracker(t)
 	two, three, none := ratelimit.PerSecond(2), ratelimit.PerSecond(3), ratelimit.Limit{}
-	bk.Expect(bk.saw(none, 0, 10)).To(BeFalse())
-	bk.Expect(bk.saw(two, 20, 30)).To(BeTrue())
+	bk.Expect(bk.observe(none, 0, 10)).To(BeFalse())
+	bk.Expect(bk.observe(two, 20, 30)).To(BeTrue())
 	bk.Expect(bk.Limit("a")).To(Equal(two))
-	bk.Expect(bk.saw(none, 25, 60)).To(BeFalse(), "under way when the limit was named")
+	bk.Expect(bk.observe(none, 25, 60)).To(BeFalse(), "under way when the limit was named")
 	bk.Expect(bk.Limit("a")).To(Equal(two))
-	bk.Expect(bk.saw(three, 40, 70)).To(BeTrue())
+	bk.Expect(bk.observe(three, 40, 70)).To(BeTrue())
 	bk.Expect(bk.LimitedCount()).To(Equal(1))
-	bk.Expect(bk.saw(none, 80, 90)).To(BeTrue())
+	bk.Expect(bk.observe(none, 80, 90)).To(BeTrue())
 	bk.Expect(bk.Limit("a")).To(Equal(none))
 	bk.Expect(bk.LimitedCount()).To(BeZero())
 }
 
 func TestBookTakesPeersWordByItsAge(t *testing.T) {
 	two, none := ratelimit.PerSecond(2), ratelimit.Limit{}
-	bk := newBook(t)
-	bk.Expect(bk.heard(two, 30)).To(BeTrue())
-	bk.Expect(bk.heard(none, 20)).To(BeFalse())
+	bk := newTestTracker(t)
+	bk.Expect(bk.merge(two, 30)).To(BeTrue())
+	bk.Expect(bk.merge(none, 20)).To(BeFalse())
 	bk.Expect(bk.Limit("a")).To(Equal(two))
-	bk.Expect(bk.heard(none, 40)).To(BeTrue())
-	bk.Expect(bk.heard(two, 35)).To(BeFalse())
+	bk.Expect(bk.merge(none, 40)).To(BeTrue())
+	bk.Expect(bk.merge(two, 35)).To(BeFalse())
 	bk.Expect(bk.Limit("a")).To(Equal(none))
 
 	// Told by different ways, the lifting may come first.
-	late := newBook(t)
-	late.Expect(late.heard(none, 40)).To(BeFalse())
-	late.Expect(late.heard(two, 30)).To(BeFalse())
+	late := newTestTracker(t)
+	late.Expect(late.merge(none, 40)).To(BeFalse())
+	late.Expect(late.merge(two, 30)).To(BeFalse())
 	late.Expect(late.Limit("a")).To(Equal(none))
 }
 
 func TestBookTellsWhatItSawFirst(t *testing.T) {
-	bk := newBook(t)
+	bk := newTestTracker(t)
 	two := ratelimit.PerSecond(2)
-	bk.Expect(bk.heard(two, 10)).To(BeTrue())
-	bk.Expect(bk.saw(two, 20, 30)).To(BeFalse())
+	bk.Expect(bk.merge(two, 10)).To(BeTrue())
+	bk.Expect(bk.observe(two, 20, 30)).To(BeFalse())
 	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "others told of it")
-	bk.Expect(bk.saw(ratelimit.PerSecond(4), 40, 50)).To(BeTrue())
+	bk.Expect(bk.observe(ratelimit.PerSecond(4), 40, 50)).To(BeTrue())
 	bk.Expect(bk.LocalObservations()).To(Equal([]ratelimit.Observation{{Target: "a", Limit: ratelimit.PerSecond(4), At: bk.at(50)}}))
-	bk.Expect(bk.heard(two, 60)).To(BeTrue())
+	bk.Expect(bk.merge(two, 60)).To(BeTrue())
 	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "a peer saw something newer")
 }
 
 func TestBookForgets(t *testing.T) {
-	bk := newBook(t)
-	bk.saw(ratelimit.PerSecond(2), 0, 10)
+	bk := newTestTracker(t)
+	bk.observe(ratelimit.PerSecond(2), 0, 10)
 	there := true
 	forget := func() { bk.Prune(func(string) bool { return there }) }
 	bk.now = bk.began.Add(time.Hour)
--- a/internal/targets/health_test.go
+++ b/internal/targets/health_test.go
@@ -11,7 +11,7 @@
 )
 
 // outcomes notes good answers (a dot) and failures (any other sign) of a target.
-func outcomes(dr *targets.Directory, id, signs string) {
+func recordOutcomes(dr *targets.Directory, id, signs string) {
 	for _, sign := range signs {
 		if sign == '.' {
 			dr.RecordSuccess(id)
@@ -30,71 +30,71 @@
 		proven, sure []string
 	}{
 		"two failures make it suspect": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "....xx")
+			recordOutcomes(dr, "a", "....xx")
 		}, all, rest},
 		"one does not": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "....x")
+			recordOutcomes(dr, "a", "....x")
 		}, all, all},
 		"a good answer clears it": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xx.")
+			recordOutcomes(dr, "a", "xx.")
 		}, all, all},
 		"time clears it": {func(cl *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xx")
-			cl.pass(5 * time.Second)
+			recordOutcomes(dr, "a", "xx")
+			cl.advance(5 * time.Second)
 		}, all, all},
 		"half of all targets may be suspect": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xx")
-			outcomes(dr, "b", "xx")
+			recordOutcomes(dr, "a", "xx")
+			recordOutcomes(dr, "b", "xx")
 		}, all, []string{"c", "d"}},
 		"more are taken as they are": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xx")
-			outcomes(dr, "b", "xx")
-			outcomes(dr, "c", "xx")
+			recordOutcomes(dr, "a", "xx")
+			recordOutcomes(dr, "b", "xx")
+			recordOutcomes(dr, "c", "xx")
 		}, all, all},
 		"three failures in a row leave it out": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xxx")
+			recordOutcomes(dr, "a", "xxx")
 		}, rest, rest},
 		"two of three do too": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xx.xx")
+			recordOutcomes(dr, "a", "xx.xx")
 		}, rest, rest},
 		"one in ten does not": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", strings.Repeat("x.........", 50))
+			recordOutcomes(dr, "a", strings.Repeat("x.........", 50))
 		}, all, all},
 		"failing again after the pause lengthens it, good answers between or not": {func(cl *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xxx")
-			cl.pass(time.Second)
-			outcomes(dr, "a", ".xx")
-			cl.pass(1900 * time.Millisecond)
+			recordOutcomes(dr, "a", "xxx")
+			cl.advance(time.Second)
+			recordOutcomes(dr, "a", ".xx")
+			cl.advance(1900 * time.Millisecond)
 		}, rest, rest},
 		"and it is tried again after that": {func(cl *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xxx")
-			cl.pass(time.Second)
-			outcomes(dr, "a", ".xx")
-			cl.pass(2 * time.Second)
+			recordOutcomes(dr, "a", "xxx")
+			cl.advance(time.Second)
+			recordOutcomes(dr, "a", ".xx")
+			cl.advance(2 * time.Second)
 		}, all, rest},
 		"a good answer that was under way does not bring it back": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xxx.")
+			recordOutcomes(dr, "a", "xxx.")
 		}, rest, rest},
 		"several in a row do": {func(_ *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xxx....")
+			recordOutcomes(dr, "a", "xxx....")
 		}, all, all},
 		"what was under way does not lengthen it": {func(cl *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xxxxxxxxxxxx")
-			cl.pass(time.Second)
+			recordOutcomes(dr, "a", "xxxxxxxxxxxx")
+			cl.advance(time.Second)
 		}, all, rest},
 		"the pause is bounded": {func(cl *clock, dr *targets.Directory) {
 			for range 10 {
-				outcomes(dr, "a", "xxx")
-				cl.pass(8 * time.Second)
+				recordOutcomes(dr, "a", "xxx")
+				cl.advance(8 * time.Second)
 			}
 		}, all, all},
 		"earlier pauses are forgotten": {func(cl *clock, dr *targets.Directory) {
-			outcomes(dr, "a", "xxx")
-			cl.pass(time.Second)
-			outcomes(dr, "a", "xxx")
-			cl.pass(25 * time.Second)
-			outcomes(dr, "a", "xxx")
-			cl.pass(time.Second)
+			recordOutcomes(dr, "a", "xxx")
+			cl.advance(time.Second)
+			recordOutcomes(dr, "a", "xxx")
+			cl.advance(25 * time.Second)
+			recordOutcomes(dr, "a", "xxx")
+			cl.advance(time.Second)
 		}, all, rest},
 	}
 	for name, tc := range tests {
@@ -102,10 +102,10 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, list(all...), cl.now())
+			applyList(dr, newTargets(all...), cl.now())
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.RequireReachable))).To(Equal(tc.proven))
-			g.Expect(ids(dr.Usable("s", targets.RequireHealthy))).To(Equal(tc.sure))
+			g.Expect(idsOf(dr.Usable("s", targets.RequireReachable))).To(Equal(tc.proven))
+			g.Expect(idsOf(dr.Usable("s", targets.RequireHealthy))).To(Equal(tc.sure))
 		})
 	}
 }
--- a/internal/targets/lapse_test.go
+++ b/internal/targets/lapse_test.go
@@ -18,7 +18,7 @@
 
 // twoZones lists two targets near and two far.
 func twoZones(near, far []string) []targets.Target {
-	return append(all(inZone("near"), near), all(inZone("far"), far)...)
+	return append(makeTargets(inZone("near"), near), makeTargets(inZone("far"), far)...)
 }
 
 func TestEntriesThatLapseWhileTheStoreIsAway(t *testing.T) {
@@ -29,52 +29,52 @@
 	}{
 		"keep their targets for two seconds of the return": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, nil, cl.now())
-			cl.pass(1900 * time.Millisecond)
+			applyList(dr, nil, cl.now())
+			cl.advance(1900 * time.Millisecond)
 		}, []string{"f1", "f2", "n1", "n2"}},
 		"and no longer, however many they are": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, nil, cl.now())
-			cl.pass(2 * time.Second)
+			applyList(dr, nil, cl.now())
+			cl.advance(2 * time.Second)
 		}, nil},
 		"the time runs from the question that was answered": {func(cl *clock, dr *targets.Directory) {
 			asked := cl.now()
-			cl.pass(time.Second)
+			cl.advance(time.Second)
 			dr.RecordStoreRecovery(asked)
-			replace(dr, nil, asked)
-			cl.pass(time.Second)
+			applyList(dr, nil, asked)
+			cl.advance(time.Second)
 		}, nil},
 		"one that goes later has no more time": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, twoZones(n1n2, f1f2), cl.now())
-			cl.pass(1500 * time.Millisecond)
-			remove(dr, "n1", cl.now())
-			cl.pass(500 * time.Millisecond)
+			applyList(dr, twoZones(n1n2, f1f2), cl.now())
+			cl.advance(1500 * time.Millisecond)
+			applyDelete(dr, "n1", cl.now())
+			cl.advance(500 * time.Millisecond)
 		}, []string{"f1", "f2", "n2"}},
 		"one that goes after that is gone at once": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, twoZones(n1n2, f1f2), cl.now())
-			cl.pass(2 * time.Second)
-			remove(dr, "n1", cl.now())
+			applyList(dr, twoZones(n1n2, f1f2), cl.now())
+			cl.advance(2 * time.Second)
+			applyDelete(dr, "n1", cl.now())
 		}, []string{"f1", "f2", "n2"}},
 		"one that takes no connection gets nothing": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, nil, cl.now())
+			applyList(dr, nil, cl.now())
 			dr.RecordUnreachable("n1")
 		}, []string{"f1", "f2", "n2"}},
 		"one whose availability zone was not heard since gets nothing": {func(cl *clock, dr *targets.Directory) {
-			cl.pass(time.Second)
+			cl.advance(time.Second)
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, twoZones(n1n2, nil), cl.now())
+			applyList(dr, twoZones(n1n2, nil), cl.now())
 			dr.RecordStoreFailure()
-			cl.pass(time.Second)
+			cl.advance(time.Second)
 			dr.RecordReachable("n1")
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, twoZones([]string{"n1"}, nil), cl.now())
+			applyList(dr, twoZones([]string{"n1"}, nil), cl.now())
 		}, []string{"n1", "n2"}},
 		"but when there is no other": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, nil, cl.now())
+			applyList(dr, nil, cl.now())
 			for _, id := range []string{"f1", "f2", "n1", "n2"} {
 				dr.RecordUnreachable(id)
 			}
@@ -82,31 +82,31 @@
 		"one that is leaving gets nothing": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("n1")
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, nil, cl.now())
+			applyList(dr, nil, cl.now())
 		}, []string{"f1", "f2", "n2"}},
 		"one that a peer with a sound store misses is gone": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
+			applyPeerList(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
 		}, []string{"f1", "n1", "n2"}},
 		"also when the own store is just back": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
+			applyPeerList(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
 		}, []string{"f1", "n1", "n2"}},
 		"one that a peer misses whose store is just back has the time that the peer has": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{GraceLeft: time.Second}, cl.now())
-			cl.pass(900 * time.Millisecond)
+			applyPeerList(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{GraceLeft: time.Second}, cl.now())
+			cl.advance(900 * time.Millisecond)
 		}, []string{"f1", "f2", "n1", "n2"}},
 		"and no more": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{GraceLeft: time.Second}, cl.now())
-			cl.pass(time.Second)
+			applyPeerList(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{GraceLeft: time.Second}, cl.now())
+			cl.advance(time.Second)
 		}, []string{"f1", "n1", "n2"}},
 		"one that was gone before is not made a lapse by a peer": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
-			told := targets.Lapsed{Targets: all(inZone("far"), []string{"f2"}), GraceLeft: time.Second}
-			replaceTold(dr, twoZones(n1n2, []string{"f1"}), told, cl.now())
+			applyPeerList(dr, twoZones(n1n2, []string{"f1"}), targets.Lapsed{}, cl.now())
+			told := targets.Lapsed{Targets: makeTargets(inZone("far"), []string{"f2"}), GraceLeft: time.Second}
+			applyPeerList(dr, twoZones(n1n2, []string{"f1"}), told, cl.now())
 		}, []string{"f1", "n1", "n2"}},
 		"one that is first heard of from a peer takes work": {func(cl *clock, dr *targets.Directory) {
-			told := targets.Lapsed{Targets: all(inZone("far"), []string{"f3"}), GraceLeft: time.Second}
-			replaceTold(dr, twoZones(n1n2, f1f2), told, cl.now())
+			told := targets.Lapsed{Targets: makeTargets(inZone("far"), []string{"f3"}), GraceLeft: time.Second}
+			applyPeerList(dr, twoZones(n1n2, f1f2), told, cl.now())
 		}, []string{"f1", "f2", "f3", "n1", "n2"}},
 	}
 	for name, tc := range tests {
@@ -114,13 +114,13 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, twoZones(n1n2, f1f2), cl.now())
+			applyList(dr, twoZones(n1n2, f1f2), cl.now())
 			dr.RecordStoreFailure()
-			cl.pass(time.Second)
+			cl.advance(time.Second)
 			dr.RecordReachable("n1")
 			dr.RecordReachable("f1")
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
+			g.Expect(idsOf(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 		})
 	}
 }
@@ -132,25 +132,25 @@
 		want   []string
 	}{
 		"nothing while the store is well": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "a", cl.now())
+			applyDelete(dr, "a", cl.now())
 		}, 0, nil},
 		"after a return": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, nil, cl.now())
-			cl.pass(time.Second)
+			applyList(dr, nil, cl.now())
+			cl.advance(time.Second)
 		}, time.Second, []string{"a"}},
 		"nothing later": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
 			dr.RecordStoreRecovery(cl.now())
-			replace(dr, nil, cl.now())
-			cl.pass(3 * time.Second)
+			applyList(dr, nil, cl.now())
+			cl.advance(3 * time.Second)
 		}, 0, nil},
 		"what a peer told": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, nil, targets.Lapsed{GraceLeft: time.Second}, cl.now())
+			applyPeerList(dr, nil, targets.Lapsed{GraceLeft: time.Second}, cl.now())
 		}, time.Second, []string{"a"}},
 		"never more than a return gives": {func(cl *clock, dr *targets.Directory) {
-			replaceTold(dr, nil, targets.Lapsed{GraceLeft: time.Minute}, cl.now())
+			applyPeerList(dr, nil, targets.Lapsed{GraceLeft: time.Minute}, cl.now())
 		}, 2 * time.Second, []string{"a"}},
 	}
 	for name, tc := range tests {
@@ -158,11 +158,11 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, list("a"), cl.now())
+			applyList(dr, newTargets("a"), cl.now())
 			tc.happen(cl, dr)
 			la := dr.Lapsed()
 			g.Expect(la.GraceLeft).To(Equal(tc.left))
-			g.Expect(ids(la.Targets)).To(Equal(tc.want))
+			g.Expect(idsOf(la.Targets)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -11,56 +11,56 @@
 )
 
 // leavingBench is a directory on a clock that a test moves.
-type leavingBench struct {
+type testDirectory struct {
 	*WithT
 	*Directory
 	now time.Time
 	at  position.Position
 }
 
-func newLeavingBench(t *testing.T) *leavingBench {
-	lb := &leavingBench{WithT: NewWithT(t), now: time.Unix(1000, 0)}
+func newTestDirectory(t *testing.T) *testDirectory {
+	lb := &testDirectory{WithT: NewWithT(t), now: time.Unix(1000, 0)}
 	lb.Directory = New(func() time.Time { return lb.now })
 	return lb
 }
 
 // list takes a newer list of the store.
-func (lb *leavingBench) list(tgs ...Target) {
-	lb.at.Revision++
-	lb.ApplyList(tgs, nil, lb.at, lb.now)
+func (td *testDirectory) list(tgs ...Target) {
+	td.at.Revision++
+	td.ApplyList(tgs, nil, td.at, td.now)
 }
 
 // TestLeavingIsNeverTakenBack marks a target as leaving by its own word, which no list says.
 func TestLeavingIsNeverTakenBack(t *testing.T) {
 	ready := Target{ID: "a@1", Name: "a", StartedAt: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
-	tests := map[string]func(lb *leavingBench){
-		"a newer list":          func(lb *leavingBench) { lb.list(ready) },
-		"an entry that is back": func(lb *leavingBench) { lb.list(); lb.list(ready) },
-		"an entry back after an hour": func(lb *leavingBench) {
+	tests := map[string]func(lb *testDirectory){
+		"a newer list":          func(lb *testDirectory) { lb.list(ready) },
+		"an entry that is back": func(lb *testDirectory) { lb.list(); lb.list(ready) },
+		"an entry back after an hour": func(lb *testDirectory) {
 			lb.list()
 			lb.now = lb.now.Add(time.Hour)
 			lb.list()
 			lb.list(ready)
 		},
-		"an older copy": func(lb *leavingBench) {
+		"an older copy": func(lb *testDirectory) {
 			lb.RecordStoreRestore(2, lb.now)
 			lb.at = position.Position{Era: 2}
 			lb.list(ready)
 			lb.now = lb.now.Add(time.Minute)
 			lb.Confirm(lb.now)
 		},
-		"a peer's list": func(lb *leavingBench) {
+		"a peer's list": func(lb *testDirectory) {
 			lb.at.Revision++
 			lb.ApplyPeerList([]Target{ready}, Lapsed{}, lb.at, lb.now)
 		},
-		"a peer's word of a lapse": func(lb *leavingBench) {
+		"a peer's word of a lapse": func(lb *testDirectory) {
 			lb.list()
 			lb.now = lb.now.Add(time.Hour)
 			lb.list()
 			lb.at.Revision++
 			lb.ApplyPeerList(nil, Lapsed{Targets: []Target{ready}, GraceLeft: time.Second}, lb.at, lb.now)
 		},
-		"a store that was away": func(lb *leavingBench) {
+		"a store that was away": func(lb *testDirectory) {
 			lb.RecordStoreFailure()
 			lb.RecordStoreRecovery(lb.now)
 			lb.list()
@@ -69,7 +69,7 @@
 	}
 	for name, undo := range tests {
 		t.Run(name, func(t *testing.T) {
-			lb := newLeavingBench(t)
+			lb := newTestDirectory(t)
 			lb.list(ready)
 			lb.Expect(lb.MarkLeaving(ready.ID)).To(BeTrue())
 			undo(lb)
@@ -81,7 +81,7 @@
 }
 
 func TestNextIncarnationOfALeavingTargetTakesWorkAtOnce(t *testing.T) {
-	lb := newLeavingBench(t)
+	lb := newTestDirectory(t)
 	first := Target{ID: "a@1", Name: "a", StartedAt: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
 	second := first
 	second.ID, second.StartedAt = "a@2", time.Unix(2, 0)
@@ -97,7 +97,7 @@
 
 // TestLeavingIsBounded marks far more incarnations than are remembered, and peers hear of the late ones alone.
 func TestLeavingIsBounded(t *testing.T) {
-	lb := newLeavingBench(t)
+	lb := newTestDirectory(t)
 	listed := Target{ID: "listed", Service: "s", Address: "10.0.0.1:80"}
 	lb.list(listed)
 	lb.MarkLeaving(listed.ID)
--- a/internal/targets/restored_test.go
+++ b/internal/targets/restored_test.go
@@ -22,64 +22,64 @@
 	}{
 		"one that the copy lacks takes work until it is written again": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRestore(1, cl.now())
-			replace(dr, all(inZone("near"), lacks), cl.now())
-			cl.pass(1900 * time.Millisecond)
+			applyList(dr, makeTargets(inZone("near"), lacks), cl.now())
+			cl.advance(1900 * time.Millisecond)
 		}, []string{"a", "b"}},
 		"and is gone when it is not": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRestore(1, cl.now())
-			replace(dr, all(inZone("near"), lacks), cl.now())
-			cl.pass(2 * time.Second)
+			applyList(dr, makeTargets(inZone("near"), lacks), cl.now())
+			cl.advance(2 * time.Second)
 		}, []string{"a"}},
 		"one that had gone takes none while the copy lists it": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "b", cl.now())
-			cl.pass(time.Second)
+			applyDelete(dr, "b", cl.now())
+			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			replace(dr, all(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
 		}, []string{"a"}},
 		"nor when a peer lists it": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "b", cl.now())
-			cl.pass(time.Second)
+			applyDelete(dr, "b", cl.now())
+			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			replaceTold(dr, all(inZone("near"), copied), targets.Lapsed{}, cl.now())
+			applyPeerList(dr, makeTargets(inZone("near"), copied), targets.Lapsed{}, cl.now())
 		}, []string{"a"}},
 		"it does again once its entry is written": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "b", cl.now())
-			cl.pass(time.Second)
+			applyDelete(dr, "b", cl.now())
+			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			replace(dr, all(inZone("near"), copied), cl.now())
-			put(dr, inZone("near")("b"), cl.now())
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyPut(dr, inZone("near")("b"), cl.now())
 		}, []string{"a", "b"}},
 		"or once it is still listed when entries that nobody writes are gone": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "b", cl.now())
-			cl.pass(time.Second)
+			applyDelete(dr, "b", cl.now())
+			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			replace(dr, all(inZone("near"), copied), cl.now())
-			cl.pass(5 * time.Second)
-			replace(dr, all(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			cl.advance(5 * time.Second)
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
 		}, []string{"a", "b"}},
 		"whoever tells that the list is the same": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "b", cl.now())
-			cl.pass(time.Second)
+			applyDelete(dr, "b", cl.now())
+			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			replaceTold(dr, all(inZone("near"), copied), targets.Lapsed{}, cl.now())
-			cl.pass(5 * time.Second)
+			applyPeerList(dr, makeTargets(inZone("near"), copied), targets.Lapsed{}, cl.now())
+			cl.advance(5 * time.Second)
 			dr.Confirm(cl.now())
 		}, []string{"a", "b"}},
 		"but not one whose entry has gone meanwhile": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "b", cl.now())
-			cl.pass(time.Second)
+			applyDelete(dr, "b", cl.now())
+			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			replace(dr, all(inZone("near"), copied), cl.now())
-			remove(dr, "b", cl.now())
-			cl.pass(5 * time.Second)
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyDelete(dr, "b", cl.now())
+			cl.advance(5 * time.Second)
 			dr.Confirm(cl.now())
 		}, []string{"a"}},
 		"one that said it leaves takes none, whatever the copy says": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("b")
 			dr.RecordStoreRestore(1, cl.now())
-			replace(dr, all(inZone("near"), copied), cl.now())
-			cl.pass(10 * time.Second)
-			replace(dr, all(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			cl.advance(10 * time.Second)
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
 		}, []string{"a"}},
 	}
 	for name, tc := range tests {
@@ -87,8 +87,8 @@
 			g := NewWithT(t)
 			cl := &clock{at: time.Unix(1_000_000, 0)}
 			dr := targets.New(cl.now)
-			replace(dr, all(inZone("near"), copied), cl.now())
-			cl.pass(time.Second)
+			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			cl.advance(time.Second)
 			tc.happen(cl, dr)
 			var got []string
 			for _, id := range copied {
--- a/internal/targets/take_test.go
+++ b/internal/targets/take_test.go
@@ -14,27 +14,27 @@
 )
 
 // next is a position after the one that is held.
-func next(dr *targets.Directory) position.Position {
+func nextPosition(dr *targets.Directory) position.Position {
 	at, _ := dr.ListPosition()
 	at.Revision++
 	return at
 }
 
 // replaceTold takes a list from a peer as one that is newer than what is held; the others take an answer of the store likewise.
-func replaceTold(dr *targets.Directory, list []targets.Target, la targets.Lapsed, evidence time.Time) []targets.Change {
-	return dr.ApplyPeerList(list, la, next(dr), evidence)
+func applyPeerList(dr *targets.Directory, list []targets.Target, la targets.Lapsed, evidence time.Time) []targets.Change {
+	return dr.ApplyPeerList(list, la, nextPosition(dr), evidence)
 }
 
-func replace(dr *targets.Directory, list []targets.Target, evidence time.Time) []targets.Change {
-	return dr.ApplyList(list, nil, next(dr), evidence)
+func applyList(dr *targets.Directory, list []targets.Target, evidence time.Time) []targets.Change {
+	return dr.ApplyList(list, nil, nextPosition(dr), evidence)
 }
 
-func put(dr *targets.Directory, tg targets.Target, evidence time.Time) []targets.Change {
-	return dr.ApplyChanges([]targets.EntryChange{{Name: tg.NameOrID(), Target: tg}}, next(dr), evidence)
+func applyPut(dr *targets.Directory, tg targets.Target, evidence time.Time) []targets.Change {
+	return dr.ApplyChanges([]targets.EntryChange{{Name: tg.NameOrID(), Target: tg}}, nextPosition(dr), evidence)
 }
 
-func remove(dr *targets.Directory, name string, evidence time.Time) []targets.Change {
-	return dr.ApplyChanges([]targets.EntryChange{{Name: name, Deleted: true}}, next(dr), evidence)
+func applyDelete(dr *targets.Directory, name string, evidence time.Time) []targets.Change {
+	return dr.ApplyChanges([]targets.EntryChange{{Name: name, Deleted: true}}, nextPosition(dr), evidence)
 }
 
 func TestTakeRefusesWhatIsOlder(t *testing.T) {
@@ -43,21 +43,21 @@
 	older := map[string]position.Position{"an earlier revision": {Era: 1, Revision: 49}, "an earlier era": {Revision: 900}}
 	for name, at := range older {
 		takes := map[string]func(dr *targets.Directory){
-			"list": func(dr *targets.Directory) { dr.ApplyList(list("b"), []string{"a"}, at, now) },
+			"list": func(dr *targets.Directory) { dr.ApplyList(newTargets("b"), []string{"a"}, at, now) },
 			"changes": func(dr *targets.Directory) {
-				dr.ApplyChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: target("b")}}, at, now)
+				dr.ApplyChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: newTarget("b")}}, at, now)
 			},
-			"peer's list": func(dr *targets.Directory) { dr.ApplyPeerList(list("b"), targets.Lapsed{}, at, now) },
+			"peer's list": func(dr *targets.Directory) { dr.ApplyPeerList(newTargets("b"), targets.Lapsed{}, at, now) },
 		}
 		for what, take := range takes {
 			t.Run(what+" of "+name, func(t *testing.T) {
 				g := NewWithT(t)
 				dr := targets.New(func() time.Time { return now })
-				dr.ApplyList(list("a"), nil, held, now.Add(-time.Second))
+				dr.ApplyList(newTargets("a"), nil, held, now.Add(-time.Second))
 				take(dr)
 				changedAt, got := dr.Listed()
 				g.Expect(changedAt).To(Equal(held))
-				g.Expect(ids(got)).To(Equal([]string{"a"}))
+				g.Expect(idsOf(got)).To(Equal([]string{"a"}))
 			})
 		}
 	}
@@ -68,7 +68,7 @@
 func TestListIsThatOfItsPosition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
-		history := newHistory()
+		history := newStoreHistory()
 		const instances = 3
 		var drs []*targets.Directory
 		watched := make([]position.Position, instances)
@@ -127,8 +127,8 @@
 				if before.After(after) {
 					rt.Fatalf("the position went back from %+v to %+v", before, after)
 				}
-				if want := ids(history.listed(after)); !slices.Equal(ids(got), want) && !history.doubtful(after) {
-					rt.Fatalf("at %+v: %v in place of %v", after, ids(got), want)
+				if want := idsOf(history.listed(after)); !slices.Equal(idsOf(got), want) && !history.mayLag(after) {
+					rt.Fatalf("at %+v: %v in place of %v", after, idsOf(got), want)
 				}
 			case "return":
 				history.restore(rapid.Int64Range(1, 5).Draw(rt, "revisions back"))
@@ -138,48 +138,50 @@
 }
 
 // history is that of a store of targets.
-type history struct {
+type storeHistory struct {
 	at position.Position
 	// lists holds the names listed at each position, written what each change wrote; "" stands for a removal of names.
 	lists   map[position.Position][]string
-	written map[position.Position]targets.EntryChange
+	entries map[position.Position]targets.EntryChange
 }
 
-func newHistory() *history {
+func newStoreHistory() *storeHistory {
 	at := position.Position{Revision: 1}
-	return &history{
-		at: at, lists: map[position.Position][]string{at: nil, {}: nil}, written: map[position.Position]targets.EntryChange{},
+	return &storeHistory{
+		at: at, lists: map[position.Position][]string{at: nil, {}: nil}, entries: map[position.Position]targets.EntryChange{},
 	}
 }
 
 // change lists a target, or takes its entry away where it is listed.
-func (hs *history) change(no int) {
+func (hs *storeHistory) change(no int) {
 	name := fmt.Sprintf("t%d", no)
 	before := hs.lists[hs.at]
 	hs.at.Revision++
 	if at := slices.Index(before, name); at >= 0 {
 		hs.lists[hs.at] = slices.Delete(slices.Clone(before), at, at+1)
-		hs.written[hs.at] = targets.EntryChange{Name: name, Deleted: true}
+		hs.entries[hs.at] = targets.EntryChange{Name: name, Deleted: true}
 		return
 	}
 	hs.lists[hs.at] = slices.Sorted(slices.Values(append(slices.Clone(before), name)))
-	hs.written[hs.at] = targets.EntryChange{Name: name, Target: target(name)}
+	hs.entries[hs.at] = targets.EntryChange{Name: name, Target: newTarget(name)}
 }
 
-func (hs *history) listed(at position.Position) []targets.Target { return list(hs.lists[at]...) }
+func (hs *storeHistory) listed(at position.Position) []targets.Target {
+	return newTargets(hs.lists[at]...)
+}
 
 // since returns the changes after a position of this era.
-func (hs *history) since(from position.Position) []targets.EntryChange {
+func (hs *storeHistory) since(from position.Position) []targets.EntryChange {
 	var changes []targets.EntryChange
 	for at := from; at.Revision < hs.at.Revision; {
 		at.Revision++
-		changes = append(changes, hs.written[at])
+		changes = append(changes, hs.entries[at])
 	}
 	return changes
 }
 
 // restore goes back by some revisions in a new era.
-func (hs *history) restore(back int64) {
+func (hs *storeHistory) restore(back int64) {
 	old := position.Position{Era: hs.at.Era, Revision: max(1, hs.at.Revision-back)}
 	if _, known := hs.lists[old]; !known {
 		return
@@ -189,4 +191,4 @@
 }
 
 // doubtful reports whether a list is one of a store that came back from an older copy: what had gone before is not believed for a while.
-func (hs *history) doubtful(at position.Position) bool { return at.Era > 0 }
+func (hs *storeHistory) mayLag(at position.Position) bool { return at.Era > 0 }
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -12,21 +12,23 @@
 // clock is moved by hand.
 type clock struct{ at time.Time }
 
-func (cl *clock) now() time.Time       { return cl.at }
-func (cl *clock) pass(d time.Duration) { cl.at = cl.at.Add(d) }
-func newClock() *clock                 { return &clock{at: time.Unix(1000, 0)} }
+func (cl *clock) now() time.Time          { return cl.at }
+func (cl *clock) advance(d time.Duration) { cl.at = cl.at.Add(d) }
+func newClock() *clock                    { return &clock{at: time.Unix(1000, 0)} }
 
 // target returns one whose address no other has.
-func target(id string) targets.Target { return at(id, id+".example:80") }
+func newTarget(id string) targets.Target { return targetAt(id, id+".example:80") }
 
-func at(id, address string) targets.Target {
+func targetAt(id, address string) targets.Target {
 	return targets.Target{ID: id, Service: "s", Address: address}
 }
 
-func leaving(id string) targets.Target    { return targets.Target{ID: id, Service: "s", Leaving: true} }
-func list(ids ...string) []targets.Target { return all(target, ids) }
+func leavingTarget(id string) targets.Target {
+	return targets.Target{ID: id, Service: "s", Leaving: true}
+}
+func newTargets(ids ...string) []targets.Target { return makeTargets(newTarget, ids) }
 
-func all(make func(string) targets.Target, ids []string) []targets.Target {
+func makeTargets(make func(string) targets.Target, ids []string) []targets.Target {
 	var tgs []targets.Target
 	for _, id := range ids {
 		tgs = append(tgs, make(id))
@@ -34,7 +36,7 @@
 	return tgs
 }
 
-func ids(tgs []targets.Target) []string {
+func idsOf(tgs []targets.Target) []string {
 	var out []string
 	for _, tg := range tgs {
 		out = append(out, tg.ID)
@@ -49,25 +51,25 @@
 	}{
 		"listed targets take work": {func(*clock, *targets.Directory) {}, []string{"a", "b", "c"}},
 		"a leaving target takes none": {func(cl *clock, dr *targets.Directory) {
-			put(dr, leaving("a"), cl.now())
+			applyPut(dr, leavingTarget("a"), cl.now())
 		}, []string{"b", "c"}},
 		"leaving is never taken back": {func(cl *clock, dr *targets.Directory) {
-			put(dr, leaving("a"), cl.now())
-			replace(dr, list("a", "b", "c"), cl.now())
+			applyPut(dr, leavingTarget("a"), cl.now())
+			applyList(dr, newTargets("a", "b", "c"), cl.now())
 		}, []string{"b", "c"}},
 		"leaving told by a peer binds": {func(_ *clock, dr *targets.Directory) {
 			dr.MarkLeaving("b")
 		}, []string{"a", "c"}},
 		"leaving told before the target is listed binds": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("d")
-			put(dr, target("d"), cl.now())
+			applyPut(dr, newTarget("d"), cl.now())
 		}, []string{"a", "b", "c"}},
 		"a target that is gone takes none": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "a", cl.now())
+			applyDelete(dr, "a", cl.now())
 		}, []string{"b", "c"}},
 		"an entry that is back takes work": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "a", cl.now())
-			put(dr, target("a"), cl.now())
+			applyDelete(dr, "a", cl.now())
+			applyPut(dr, newTarget("a"), cl.now())
 		}, []string{"a", "b", "c"}},
 		"a failing target is left out": {func(_ *clock, dr *targets.Directory) {
 			for range 3 {
@@ -84,7 +86,7 @@
 			for range 3 {
 				dr.RecordFailure("a")
 			}
-			cl.pass(1100 * time.Millisecond)
+			cl.advance(1100 * time.Millisecond)
 		}, []string{"a", "b", "c"}},
 		"a target that takes no connection is left out": {func(_ *clock, dr *targets.Directory) {
 			dr.RecordUnreachable("a")
@@ -101,13 +103,13 @@
 		}, []string{"a", "b", "c"}},
 		"it is tried again soon": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordUnreachable("a")
-			cl.pass(time.Second)
+			cl.advance(time.Second)
 		}, []string{"a", "b", "c"}},
 		"and later when it still takes none": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordUnreachable("a")
-			cl.pass(time.Second)
+			cl.advance(time.Second)
 			dr.RecordUnreachable("a")
-			cl.pass(time.Second)
+			cl.advance(time.Second)
 		}, []string{"b", "c"}},
 	}
 	for name, tc := range tests {
@@ -115,9 +117,9 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, list("a", "b", "c"), cl.now())
+			applyList(dr, newTargets("a", "b", "c"), cl.now())
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
+			g.Expect(idsOf(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 			for _, id := range tc.want {
 				g.Expect(dr.TakesWork(id)).To(BeTrue())
 			}
@@ -133,18 +135,18 @@
 		want   []string
 	}{
 		"the newer one, while both are listed": {func(cl *clock, dr *targets.Directory) {
-			put(dr, at("a", shared), cl.now())
+			applyPut(dr, targetAt("a", shared), cl.now())
 		}, []string{"a", "other"}},
 		"the newer one, after the older lapsed in trouble": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
-			replace(dr, []targets.Target{at("a", shared), target("other")}, cl.now())
+			applyList(dr, []targets.Target{targetAt("a", shared), newTarget("other")}, cl.now())
 		}, []string{"a", "other"}},
 		"the older one again, once the newer takes no connection": {func(cl *clock, dr *targets.Directory) {
-			put(dr, at("a", shared), cl.now())
+			applyPut(dr, targetAt("a", shared), cl.now())
 			dr.RecordUnreachable("a")
 		}, []string{"b", "other"}},
 		"the older one again, once the newer is leaving": {func(cl *clock, dr *targets.Directory) {
-			put(dr, at("a", shared), cl.now())
+			applyPut(dr, targetAt("a", shared), cl.now())
 			dr.MarkLeaving("a")
 		}, []string{"b", "other"}},
 	}
@@ -153,9 +155,9 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, []targets.Target{at("b", shared), target("other")}, cl.now())
+			applyList(dr, []targets.Target{targetAt("b", shared), newTarget("other")}, cl.now())
 			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
+			g.Expect(idsOf(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 		})
 	}
 }
@@ -164,10 +166,10 @@
 	g := NewWithT(t)
 	cl := newClock()
 	dr := targets.New(cl.now)
-	g.Expect(replace(dr, list("a"), cl.now())).To(HaveLen(1))
-	g.Expect(replace(dr, list("a"), cl.now())).To(BeEmpty())
-	g.Expect(remove(dr, "a", cl.now())).To(HaveLen(1))
-	g.Expect(remove(dr, "a", cl.now())).To(BeEmpty())
+	g.Expect(applyList(dr, newTargets("a"), cl.now())).To(HaveLen(1))
+	g.Expect(applyList(dr, newTargets("a"), cl.now())).To(BeEmpty())
+	g.Expect(applyDelete(dr, "a", cl.now())).To(HaveLen(1))
+	g.Expect(applyDelete(dr, "a", cl.now())).To(BeEmpty())
 	g.Expect(dr.MarkLeaving("a")).To(BeTrue())
 	g.Expect(dr.MarkLeaving("a")).To(BeFalse())
 	g.Expect(dr.LeavingIDs()).To(Equal([]string{"a"}))
@@ -190,7 +192,7 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, list("a", "b", "c"), cl.now())
+			applyList(dr, newTargets("a", "b", "c"), cl.now())
 			for _, id := range tc.unreachable {
 				dr.RecordUnreachable(id)
 			}
