--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,8 @@
-// Package backoff holds which targets want no requests from this instance for a while, and lets requests back to them step by step.
+// Package backoff tracks the targets that asked this instance for a back-off, and ramps requests to them up again afterwards.
 //
-// A back-off is between one target and one instance: it binds the instance that was turned away, and nobody else. When it ends, a single
-// request finds out whether the target takes work again, and each good answer lets more go there. What waited for the end does not arrive
-// at once, and neither do the requests of all instances.
+// A back-off is between one target and one instance: it binds only the instance that received it. When it ends, a single probe request
+// finds out whether the target accepts work again, and each success allows more requests. This keeps the requests that waited for the
+// end of the back-off, and those of other instances, from arriving all at once.
 package backoff
 
 import (
@@ -12,169 +12,169 @@
 )
 
 const (
-	// spreadShare and spreadMost bound how much later than the target asked a back-off ends: instances that were turned away at the same
-	// moment come back one after the other.
+	// jitterFraction and maxJitter bound the random delay that is added to each back-off, so that instances which the target turned away
+	// at the same moment do not come back at the same moment.
 	jitterFraction = 0.1
 	maxJitter      = 250 * time.Millisecond
-	// trialEvery is when another request may find out whether the target takes work, as long as the one before has no answer.
+	// probeInterval is the time after which another probe may be sent while the previous one has no answer.
 	probeInterval = 200 * time.Millisecond
-	// perAnswer is how many requests may follow each good answer, so that their number doubles from one round trip to the next.
+	// allowancePerSuccess is how many further requests each success allows, so that their number doubles with each round trip.
 	allowancePerSuccess = 2
-	// openAfter is how many good answers open the target to all requests.
+	// successesToRecover is how many successes make the target available to all requests.
 	successesToRecover = 6
-	// maxTargets bounds the targets remembered, some 150 bytes each.
+	// maxTargets bounds the number of tracked targets, about 150 bytes each.
 	maxTargets = 1 << 13
-	// forgetAfter is how long after its end a back-off is remembered that no request ended.
+	// retention is how long after its end a back-off is kept when too few successes arrive to close it.
 	retention = time.Minute
 )
 
-// Phase is how far a target is open to requests of this instance.
+// Phase says whether a target accepts requests of this instance.
 type Phase int
 
 // The phases.
 const (
-	// Open targets take all requests.
+	// Available targets accept all requests.
 	Available Phase = iota
-	// OnTrial targets may be sent one more request, which finds out whether they take work again.
+	// HalfOpen targets may be sent one more request, which probes whether they accept work again.
 	HalfOpen
-	// Closed targets take none now.
+	// Blocked targets accept no requests at present.
 	Blocked
 )
 
-// state is what is known of one target.
+// backOff is the state of one target.
 type backOff struct {
-	// began is when the target first asked, and until when the last back-off that it asked for ends.
+	// startedAt is when the target first asked for a back-off; endsAt is when the latest of its back-offs ends.
 	startedAt, endsAt time.Time
-	// left is how many requests may go there before the next good answer.
+	// allowance is how many requests may be sent before the next success.
 	allowance int
-	// trialAt is when one more may go there without an answer.
+	// nextProbeAt is when another request may be sent although the allowance is used up and no answer has arrived.
 	nextProbeAt time.Time
-	// good counts the good answers since the end, below openAfter.
+	// successes counts the successes since endsAt; it stays below successesToRecover.
 	successes int
 }
 
-// Book is the set of targets that asked for a back-off. It is safe for use by any goroutine.
+// Tracker holds the back-off state of all targets. It is safe for concurrent use.
 type Tracker struct {
 	now    func() time.Time
 	random func() float64
 
-	// any is set while there are targets: a choice in a fleet without back-offs takes no lock for each target.
+	// nonEmpty is set while backOffs has entries, so that target selection takes no lock per target when there are no back-offs.
 	nonEmpty atomic.Bool
 
 	mu sync.Mutex
-	// targets holds incarnations.
+	// backOffs is keyed by the incarnation of the target.
 	backOffs map[string]*backOff
 }
 
-// New returns an empty book; now is the steady clock, and random is uniform in [0, 1).
+// New returns an empty tracker; now is a monotonic clock, and random returns uniform values in [0, 1).
 func New(now func() time.Time, random func() float64) *Tracker {
 	return &Tracker{now: now, random: random, backOffs: map[string]*backOff{}}
 }
 
-// Ask notes that a target asked for a back-off in an answer that came at a time. A shorter one that comes later shortens nothing. It
-// reports whether the target was not backed off from until then.
-func (tr *Tracker) Begin(target string, span time.Duration, came time.Time) (first bool) {
+// Begin starts or extends the back-off that a target asked for in an answer received at receivedAt. It never shortens one that is in force.
+// It reports whether no back-off of the target was in force before.
+func (tr *Tracker) Begin(target string, duration time.Duration, receivedAt time.Time) (started bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	st, known := tr.backOffs[target]
+	bo, known := tr.backOffs[target]
 	if !known && len(tr.backOffs) >= maxTargets {
 		return false
 	}
 	if !known {
-		st = &backOff{startedAt: came}
-		tr.backOffs[target] = st
+		bo = &backOff{startedAt: receivedAt}
+		tr.backOffs[target] = bo
 		tr.nonEmpty.Store(true)
 	}
-	first = !tr.now().Before(st.endsAt)
-	spread := min(maxJitter, time.Duration(jitterFraction*float64(span)))
-	until := came.Add(span + time.Duration(tr.random()*float64(spread)))
-	if until.After(st.endsAt) {
-		st.endsAt = until
+	started = !tr.now().Before(bo.endsAt)
+	jitter := min(maxJitter, time.Duration(jitterFraction*float64(duration)))
+	endsAt := receivedAt.Add(duration + time.Duration(tr.random()*float64(jitter)))
+	if endsAt.After(bo.endsAt) {
+		bo.endsAt = endsAt
 	}
-	st.allowance, st.successes, st.nextProbeAt = 1, 0, time.Time{}
-	return first
+	bo.allowance, bo.successes, bo.nextProbeAt = 1, 0, time.Time{}
+	return started
 }
 
-// Answered notes an answer that asks for no back-off, to a request that was sent at a time. It returns how long the target was not open,
-// and reports whether it is from now on.
-func (tr *Tracker) RecordSuccess(target string, sent time.Time) (after time.Duration, opened bool) {
+// RecordSuccess records an answer without a back-off to a request that was sent at sentAt. When it makes the target available again, it
+// returns true and the time since the target first asked for a back-off.
+func (tr *Tracker) RecordSuccess(target string, sentAt time.Time) (after time.Duration, recovered bool) {
 	if !tr.nonEmpty.Load() {
 		return 0, false
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	st, known := tr.backOffs[target]
-	if !known || sent.Before(st.endsAt) {
-		// What was under way when the target asked proves nothing about the time after.
+	bo, known := tr.backOffs[target]
+	if !known || sentAt.Before(bo.endsAt) {
+		// A request sent before the end of the back-off does not show that the target accepts work after it.
 		return 0, false
 	}
-	st.successes++
-	st.allowance += allowancePerSuccess
-	if st.successes < successesToRecover {
+	bo.successes++
+	bo.allowance += allowancePerSuccess
+	if bo.successes < successesToRecover {
 		return 0, false
 	}
 	tr.remove(target)
-	return tr.now().Sub(st.startedAt), true
+	return tr.now().Sub(bo.startedAt), true
 }
 
-// drop forgets a target. The lock is held.
+// remove deletes the state of a target. The caller holds the lock.
 func (tr *Tracker) remove(target string) {
 	delete(tr.backOffs, target)
 	tr.nonEmpty.Store(len(tr.backOffs) > 0)
 }
 
-// Of returns the phase of a target; of a closed one also when it may be on trial.
-func (tr *Tracker) Phase(target string) (ph Phase, opens time.Time) {
+// Phase returns the phase of a target. For a blocked target, retryAt is when it may be probed next.
+func (tr *Tracker) Phase(target string) (ph Phase, retryAt time.Time) {
 	if !tr.nonEmpty.Load() {
 		return Available, time.Time{}
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	st, known := tr.backOffs[target]
+	bo, known := tr.backOffs[target]
 	if !known {
 		return Available, time.Time{}
 	}
 	now := tr.now()
 	switch {
-	case now.Before(st.endsAt):
-		return Blocked, st.endsAt
-	case st.allowance > 0 || !now.Before(st.nextProbeAt):
-		return HalfOpen, st.endsAt
+	case now.Before(bo.endsAt):
+		return Blocked, bo.endsAt
+	case bo.allowance > 0 || !now.Before(bo.nextProbeAt):
+		return HalfOpen, bo.endsAt
 	default:
-		return Blocked, st.nextProbeAt
+		return Blocked, bo.nextProbeAt
 	}
 }
 
-// Until returns when the back-off of a target ends; it reports false when there is none now.
+// Until returns when the back-off of a target ends, and false when none is in force.
 func (tr *Tracker) Until(target string) (time.Time, bool) {
 	if !tr.nonEmpty.Load() {
 		return time.Time{}, false
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	st, known := tr.backOffs[target]
-	if !known || !tr.now().Before(st.endsAt) {
+	bo, known := tr.backOffs[target]
+	if !known || !tr.now().Before(bo.endsAt) {
 		return time.Time{}, false
 	}
-	return st.endsAt, true
+	return bo.endsAt, true
 }
 
-// Chosen notes that a request was chosen to go to a target.
+// RecordDispatch records that a request is about to be sent to a target, and charges it to the allowance.
 func (tr *Tracker) RecordDispatch(target string) {
 	if !tr.nonEmpty.Load() {
 		return
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	st, known := tr.backOffs[target]
+	bo, known := tr.backOffs[target]
 	if !known {
 		return
 	}
-	st.allowance = max(0, st.allowance-1)
-	st.nextProbeAt = tr.now().Add(probeInterval)
+	bo.allowance = max(0, bo.allowance-1)
+	bo.nextProbeAt = tr.now().Add(probeInterval)
 }
 
-// Len returns how many targets are backed off from now.
+// ActiveCount returns the number of targets whose back-off is in force.
 func (tr *Tracker) ActiveCount() int {
 	if !tr.nonEmpty.Load() {
 		return 0
@@ -183,21 +183,21 @@
 	defer tr.mu.Unlock()
 	now := tr.now()
 	n := 0
-	for _, st := range tr.backOffs {
-		if now.Before(st.endsAt) {
+	for _, bo := range tr.backOffs {
+		if now.Before(bo.endsAt) {
 			n++
 		}
 	}
 	return n
 }
 
-// Forget drops the back-offs that ended some time ago, and those that ended of targets that are not there any more.
-func (tr *Tracker) Prune(there func(target string) bool) {
+// Prune removes back-offs that ended longer than the retention time ago, and ended ones of targets that no longer exist.
+func (tr *Tracker) Prune(exists func(target string) bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	now := tr.now()
-	for target, st := range tr.backOffs {
-		if now.Sub(st.endsAt) > retention || !now.Before(st.endsAt) && !there(target) {
+	for target, bo := range tr.backOffs {
+		if now.Sub(bo.endsAt) > retention || !now.Before(bo.endsAt) && !exists(target) {
 			tr.remove(target)
 		}
 	}
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -9,7 +9,7 @@
 	"github.com/silvermount/silvermount/internal/backoff"
 )
 
-// clockedBook is a book on a clock that a test moves, without spread.
+// testTracker is a Tracker with a manual clock and no jitter.
 type testTracker struct {
 	*WithT
 	*backoff.Tracker
@@ -17,115 +17,115 @@
 }
 
 func newTestTracker(t *testing.T) *testTracker {
-	cb := &testTracker{WithT: NewWithT(t), now: time.Unix(1000, 0)}
-	cb.Tracker = backoff.New(func() time.Time { return cb.now }, func() float64 { return 0 })
-	return cb
+	tr := &testTracker{WithT: NewWithT(t), now: time.Unix(1000, 0)}
+	tr.Tracker = backoff.New(func() time.Time { return tr.now }, func() float64 { return 0 })
+	return tr
 }
 
-func (tt *testTracker) ask(span time.Duration) bool { return tt.Begin("a", span, tt.now) }
+func (tr *testTracker) begin(span time.Duration) bool { return tr.Begin("a", span, tr.now) }
 
-func (tt *testTracker) phase() backoff.Phase {
-	ph, _ := tt.Phase("a")
+func (tr *testTracker) phase() backoff.Phase {
+	ph, _ := tr.Phase("a")
 	return ph
 }
 
-func TestBackOffBindsUntilItsEnd(t *testing.T) {
-	cb := newTestTracker(t)
-	cb.Expect(cb.phase()).To(Equal(backoff.Available))
-	cb.Expect(cb.ask(3 * time.Second)).To(BeTrue())
-	end := cb.now.Add(3 * time.Second)
-	cb.now = end.Add(-time.Nanosecond)
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
-	until, backedOff := cb.Until("a")
-	cb.Expect(backedOff).To(BeTrue())
-	cb.Expect(until).To(Equal(end))
-	cb.now = end
-	cb.Expect(cb.phase()).To(Equal(backoff.HalfOpen))
-	_, backedOff = cb.Until("a")
-	cb.Expect(backedOff).To(BeFalse())
-	ph, _ := cb.Phase("another incarnation")
-	cb.Expect(ph).To(Equal(backoff.Available))
+func TestTargetIsBlockedUntilBackOffEnds(t *testing.T) {
+	tr := newTestTracker(t)
+	tr.Expect(tr.phase()).To(Equal(backoff.Available))
+	tr.Expect(tr.begin(3 * time.Second)).To(BeTrue())
+	end := tr.now.Add(3 * time.Second)
+	tr.now = end.Add(-time.Nanosecond)
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked))
+	until, backedOff := tr.Until("a")
+	tr.Expect(backedOff).To(BeTrue())
+	tr.Expect(until).To(Equal(end))
+	tr.now = end
+	tr.Expect(tr.phase()).To(Equal(backoff.HalfOpen))
+	_, backedOff = tr.Until("a")
+	tr.Expect(backedOff).To(BeFalse())
+	ph, _ := tr.Phase("another incarnation")
+	tr.Expect(ph).To(Equal(backoff.Available))
 }
 
-func TestShorterBackOffShortensNothing(t *testing.T) {
-	cb := newTestTracker(t)
-	cb.ask(3 * time.Second)
-	cb.now = cb.now.Add(time.Second)
-	cb.Expect(cb.ask(time.Second)).To(BeFalse(), "it is known already")
-	cb.now = cb.now.Add(1900 * time.Millisecond)
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
-	cb.ask(time.Second)
-	cb.now = cb.now.Add(900 * time.Millisecond)
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "a later one lengthens it")
+func TestShorterBackOffDoesNotShortenOneInForce(t *testing.T) {
+	tr := newTestTracker(t)
+	tr.begin(3 * time.Second)
+	tr.now = tr.now.Add(time.Second)
+	tr.Expect(tr.begin(time.Second)).To(BeFalse(), "a back-off is in force already")
+	tr.now = tr.now.Add(1900 * time.Millisecond)
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked))
+	tr.begin(time.Second)
+	tr.now = tr.now.Add(900 * time.Millisecond)
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked), "a back-off that ends later extends it")
 }
 
-func TestTargetOpensStepByStep(t *testing.T) {
-	cb := newTestTracker(t)
-	cb.ask(time.Second)
-	sentBefore := cb.now
-	cb.now = cb.now.Add(time.Second)
-	cb.RecordDispatch("a")
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "one request is on its way")
-	cb.RecordSuccess("a", sentBefore)
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "what was sent before proves nothing")
+func TestTargetRecoversGradually(t *testing.T) {
+	tr := newTestTracker(t)
+	tr.begin(time.Second)
+	sentDuringBackOff := tr.now
+	tr.now = tr.now.Add(time.Second)
+	tr.RecordDispatch("a")
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked), "the first probe is in flight")
+	tr.RecordSuccess("a", sentDuringBackOff)
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked), "an answer to a request sent during the back-off is ignored")
 	sent := 1
-	for cb.phase() != backoff.Available {
-		cb.RecordSuccess("a", cb.now)
-		for cb.phase() == backoff.HalfOpen {
-			cb.RecordDispatch("a")
+	for tr.phase() != backoff.Available {
+		tr.RecordSuccess("a", tr.now)
+		for tr.phase() == backoff.HalfOpen {
+			tr.RecordDispatch("a")
 			sent++
 		}
 	}
-	cb.Expect(sent).To(BeNumerically("<=", 12))
+	tr.Expect(sent).To(BeNumerically("<=", 12))
 }
 
-func TestSilentTrialIsFollowedByAnother(t *testing.T) {
-	cb := newTestTracker(t)
-	cb.ask(time.Second)
-	cb.now = cb.now.Add(time.Second)
-	cb.RecordDispatch("a")
-	ph, opens := cb.Phase("a")
-	cb.Expect(ph).To(Equal(backoff.Blocked))
-	cb.now = opens
-	cb.Expect(cb.phase()).To(Equal(backoff.HalfOpen))
+func TestUnansweredProbeIsFollowedByAnother(t *testing.T) {
+	tr := newTestTracker(t)
+	tr.begin(time.Second)
+	tr.now = tr.now.Add(time.Second)
+	tr.RecordDispatch("a")
+	ph, retryAt := tr.Phase("a")
+	tr.Expect(ph).To(Equal(backoff.Blocked))
+	tr.now = retryAt
+	tr.Expect(tr.phase()).To(Equal(backoff.HalfOpen))
 }
 
-func TestTargetThatAsksAgainIsOnTrialAgain(t *testing.T) {
-	cb := newTestTracker(t)
-	cb.ask(time.Second)
-	cb.now = cb.now.Add(time.Second)
-	cb.RecordSuccess("a", cb.now)
-	cb.Expect(cb.ask(time.Second)).To(BeTrue())
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
-	cb.now = cb.now.Add(time.Second)
-	cb.RecordDispatch("a")
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked))
+func TestSecondBackOffRestartsProbing(t *testing.T) {
+	tr := newTestTracker(t)
+	tr.begin(time.Second)
+	tr.now = tr.now.Add(time.Second)
+	tr.RecordSuccess("a", tr.now)
+	tr.Expect(tr.begin(time.Second)).To(BeTrue())
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked))
+	tr.now = tr.now.Add(time.Second)
+	tr.RecordDispatch("a")
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked))
 }
 
-func TestInstancesComeBackOneAfterTheOther(t *testing.T) {
+func TestJitterSpreadsReturnOfInstances(t *testing.T) {
 	g := NewWithT(t)
-	began := time.Unix(1000, 0)
+	start := time.Unix(1000, 0)
 	ends := map[time.Time]bool{}
 	for no := range 100 {
-		bk := backoff.New(func() time.Time { return began }, func() float64 { return float64(no) / 100 })
-		bk.Begin("a", 3*time.Second, began)
-		until, _ := bk.Until("a")
-		g.Expect(until).To(BeTemporally(">=", began.Add(3*time.Second)))
-		g.Expect(until).To(BeTemporally("<", began.Add(3300*time.Millisecond)))
+		tr := backoff.New(func() time.Time { return start }, func() float64 { return float64(no) / 100 })
+		tr.Begin("a", 3*time.Second, start)
+		until, _ := tr.Until("a")
+		g.Expect(until).To(BeTemporally(">=", start.Add(3*time.Second)))
+		g.Expect(until).To(BeTemporally("<", start.Add(3300*time.Millisecond)))
 		ends[until] = true
 	}
 	g.Expect(len(ends)).To(BeNumerically(">=", 100))
 }
 
-func TestForgetKeepsWhatBinds(t *testing.T) {
-	cb := newTestTracker(t)
-	gone := func(string) bool { return false }
-	cb.ask(time.Hour)
-	cb.Prune(gone)
-	cb.Expect(cb.phase()).To(Equal(backoff.Blocked), "an entry that goes may come back")
-	cb.Expect(cb.ActiveCount()).To(Equal(1))
-	cb.now = cb.now.Add(time.Hour)
-	cb.Expect(cb.ActiveCount()).To(BeZero())
-	cb.Prune(gone)
-	cb.Expect(cb.phase()).To(Equal(backoff.Available))
+func TestPruneKeepsBackOffsInForce(t *testing.T) {
+	tr := newTestTracker(t)
+	missing := func(string) bool { return false }
+	tr.begin(time.Hour)
+	tr.Prune(missing)
+	tr.Expect(tr.phase()).To(Equal(backoff.Blocked), "a target that is missing may be listed again")
+	tr.Expect(tr.ActiveCount()).To(Equal(1))
+	tr.now = tr.now.Add(time.Hour)
+	tr.Expect(tr.ActiveCount()).To(BeZero())
+	tr.Prune(missing)
+	tr.Expect(tr.phase()).To(Equal(backoff.Available))
 }
--- a/internal/backoff/parse.go
+++ b/internal/backoff/parse.go
@@ -10,32 +10,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Most is the longest back-off: longer ones are taken as this one. It keeps sums of times within bounds.
+// MaxDuration is the longest back-off; longer ones are clamped to it, so that time arithmetic cannot overflow.
 const MaxDuration = 24 * time.Hour
 
-// MalformedError says that a value is neither a number of seconds nor a date.
+// MalformedError reports a Retry-After value that is neither a number of seconds nor a date.
 type MalformedError struct{ Value string }
 
-// Error gives the value.
-func (me *MalformedError) Error() string { return "malformed back-off " + strconv.Quote(me.Value) }
+// Error includes the malformed value.
+func (me *MalformedError) Error() string {
+	return "malformed Retry-After value " + strconv.Quote(me.Value)
+}
 
-// Parse reads the values of a Retry-After header and returns the longest back-off; zero when there is none. A value is a number of seconds,
-// or a date, which is taken relative to the date of the answer itself: the clocks of both sides need not agree. Without such a date it is
-// relative to now. It fails with a MalformedError for the first value that cannot be read, and still returns the longest of the others.
-func Parse(values []string, answered string, now time.Time) (time.Duration, error) {
+// Parse parses the values of a Retry-After header and returns the longest back-off, zero when there is none. A value is a number of
+// seconds or an HTTP date. A date is taken relative to answerDate, the Date header of the answer, so that the clocks of both sides need not
+// agree; when that is missing or malformed, relative to now. Parse returns a MalformedError for the first malformed value, together with
+// the longest of the others.
+func Parse(values []string, answerDate string, now time.Time) (time.Duration, error) {
 	var longest time.Duration
-	var failed error
+	var firstErr error
 	for _, v := range values {
-		span, err := parse(strings.TrimSpace(v), answered, now)
-		if err != nil && failed == nil {
-			failed = err
+		d, err := parse(strings.TrimSpace(v), answerDate, now)
+		if err != nil && firstErr == nil {
+			firstErr = err
 		}
-		longest = max(longest, span)
+		longest = max(longest, d)
 	}
-	return longest, failed
+	return longest, firstErr
 }
 
-func parse(value, answered string, now time.Time) (time.Duration, error) {
+func parse(value, answerDate string, now time.Time) (time.Duration, error) {
 	if seconds, err := strconv.ParseFloat(value, 64); err == nil || errors.Is(err, strconv.ErrRange) {
 		return fromSeconds(value, seconds)
 	}
@@ -43,7 +46,7 @@
 	if err != nil {
 		return 0, &MalformedError{Value: value}
 	}
-	from, err := http.ParseTime(answered)
+	from, err := http.ParseTime(answerDate)
 	if err != nil {
 		from = now
 	}
