--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,4 +1,4 @@
-// Package budget bounds what requests share: memory for bodies and attempts beyond the first.
+// Package budget bounds resources that all requests of an instance share: memory for bodies, and retries.
 package budget
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Memory is a bounded number of bytes shared by all requests of an instance.
+// Memory is a budget of bytes that all requests of an instance share.
 type Memory struct {
 	mu sync.Mutex
 	// used never exceeds limit.
@@ -16,7 +16,7 @@
 // NewMemory returns a budget of limit bytes.
 func NewMemory(limit int64) *Memory { return &Memory{limit: limit} }
 
-// Take takes n bytes and reports whether they were there.
+// TryAcquire acquires n bytes, or returns false when fewer are free.
 func (mm *Memory) TryAcquire(n int64) bool {
 	mm.mu.Lock()
 	defer mm.mu.Unlock()
@@ -27,14 +27,14 @@
 	return true
 }
 
-// Give returns n bytes.
+// Release returns n acquired bytes to the budget.
 func (mm *Memory) Release(n int64) {
 	mm.mu.Lock()
 	mm.used -= n
 	mm.mu.Unlock()
 }
 
-// Used returns the bytes taken.
+// Used returns the number of acquired bytes.
 func (mm *Memory) Used() int64 {
 	mm.mu.Lock()
 	defer mm.mu.Unlock()
@@ -42,44 +42,45 @@
 }
 
 const (
-	// retryBurst is how many retries are saved up at the most, unless set otherwise.
+	// defaultBurst is the default maximum balance, in retries.
 	defaultBurst = 20
-	// retryTrickle is how many retries a second are allowed without traffic, unless set otherwise.
+	// defaultMinRate is the default number of retries per second that are allowed without traffic.
 	defaultMinRate = 0.2
 )
 
-// Retries bounds attempts beyond the first to a share of first attempts, so that a failure cannot become a storm.
+// Retries is a retry budget: it limits retries to a ratio of first attempts, so that a failure cannot cause a retry storm.
 type Retries struct {
-	mu    sync.Mutex
+	mu sync.Mutex
+	// ratio is the number of retries that each first attempt adds to the balance.
 	ratio float64
 	now   func() time.Time
-	// burst is the most that is saved, trickle what is saved each second without traffic.
+	// burst is the maximum balance; minRate is what the balance gains per second without traffic.
 	burst, minRate float64
-	// saved is between zero and burst.
+	// balance is between zero and burst.
 	balance    float64
 	refilledAt time.Time
 }
 
-// SetFloor changes how many retries are saved up at the most, and how many are allowed each second without traffic.
-func (rt *Retries) SetFloor(burst, trickle float64) {
+// SetFloor changes the retries that are allowed without traffic: burst is the maximum balance, minRate the number per second.
+func (rt *Retries) SetFloor(burst, minRate float64) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.burst, rt.minRate = burst, trickle
+	rt.burst, rt.minRate = burst, minRate
 	rt.balance = min(rt.balance, burst)
 }
 
-// RetryOption changes a Retries under construction.
+// RetryOption configures a retry budget in NewRetries.
 type RetryOption func(*Retries)
 
-// WithBurst sets how many retries are saved up at the most.
+// WithBurst sets the maximum balance, in retries.
 func WithBurst(n float64) RetryOption { return func(rt *Retries) { rt.burst = n } }
 
-// WithTrickle sets how many retries a second are allowed without traffic.
+// WithMinRate sets how many retries per second are allowed without traffic.
 func WithMinRate(perSecond float64) RetryOption { return func(rt *Retries) { rt.minRate = perSecond } }
 
-// NewRetries returns a budget of share retries for each first attempt.
-func NewRetries(share float64, now func() time.Time, opts ...RetryOption) *Retries {
-	rt := &Retries{ratio: share, now: now, burst: defaultBurst, minRate: defaultMinRate, refilledAt: now()}
+// NewRetries returns a retry budget that allows ratio retries per first attempt. It starts with a balance of burst.
+func NewRetries(ratio float64, now func() time.Time, opts ...RetryOption) *Retries {
+	rt := &Retries{ratio: ratio, now: now, burst: defaultBurst, minRate: defaultMinRate, refilledAt: now()}
 	for _, o := range opts {
 		o(rt)
 	}
@@ -87,14 +88,14 @@
 	return rt
 }
 
-// First notes a first attempt.
+// Deposit adds ratio retries to the balance; it is called for each first attempt.
 func (rt *Retries) Deposit() {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	rt.credit(rt.ratio)
 }
 
-// Take takes one retry and reports whether it was there.
+// TryWithdraw withdraws one retry, or returns false when the balance is below one.
 func (rt *Retries) TryWithdraw() bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
@@ -108,11 +109,12 @@
 	return true
 }
 
-// Left reports whether a retry is there, without taking it.
+// Available reports whether the balance allows a retry, without withdrawing it.
 func (rt *Retries) Available() bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	return rt.balance >= 1
 }
 
+// credit adds n retries to the balance, up to burst. The caller holds the lock.
 func (rt *Retries) credit(n float64) { rt.balance = min(rt.burst, rt.balance+n) }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -7,34 +7,34 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRetriesStayWithinTheirShare(t *testing.T) {
+func TestRetriesStayWithinRatioAndBurst(t *testing.T) {
 	tests := map[string]struct {
-		share     float64
-		firsts    int
-		asks      int
-		idle      time.Duration
-		wantAtMax int
+		ratio         float64
+		firstAttempts int
+		retries       int
+		idle          time.Duration
+		wantMax       int
 	}{
-		"burst only":       {share: 0.1, asks: 100, wantAtMax: defaultBurst},
-		"share of firsts":  {share: 0.1, firsts: 1000, asks: 1000, wantAtMax: 100 + defaultBurst},
-		"idle never saves": {share: 0.1, asks: 100, idle: time.Hour, wantAtMax: defaultBurst},
+		"burst only":                          {ratio: 0.1, retries: 100, wantMax: defaultBurst},
+		"ratio of first attempts":             {ratio: 0.1, firstAttempts: 1000, retries: 1000, wantMax: 100 + defaultBurst},
+		"idle time does not exceed the burst": {ratio: 0.1, retries: 100, idle: time.Hour, wantMax: defaultBurst},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			now := time.Unix(0, 0)
-			rt := NewRetries(tc.share, func() time.Time { return now })
+			rt := NewRetries(tc.ratio, func() time.Time { return now })
 			now = now.Add(tc.idle)
-			got := 0
-			for i := range max(tc.firsts, tc.asks) {
-				if i < tc.firsts {
+			granted := 0
+			for i := range max(tc.firstAttempts, tc.retries) {
+				if i < tc.firstAttempts {
 					rt.Deposit()
 				}
-				if i < tc.asks && rt.TryWithdraw() {
-					got++
+				if i < tc.retries && rt.TryWithdraw() {
+					granted++
 				}
 			}
-			g.Expect(got).To(And(BeNumerically(">", 0), BeNumerically("<=", tc.wantAtMax)))
+			g.Expect(granted).To(And(BeNumerically(">", 0), BeNumerically("<=", tc.wantMax)))
 		})
 	}
 }
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -1,4 +1,5 @@
-// Package ratelimit holds what targets say of how many requests a second they take from all instances together.
+// Package ratelimit tracks the rate limits that targets state in their answers. A limit is in requests per second and applies to all
+// instances together.
 package ratelimit
 
 import (
@@ -7,23 +8,24 @@
 	"strings"
 )
 
-// Limit is what one answer of a target says of its rate limit. The zero value says that there is none.
+// Limit is the rate limit that a target states in an answer. The zero value means that it states none.
 type Limit struct {
-	// Named is false when the answer names no limit; PerSecond is then zero.
+	// Limited is false when the answer states no limit; PerSecond is then zero.
 	Limited bool
-	// PerSecond is finite, from zero to mostPerSecond.
+	// PerSecond is finite, and between zero and maxPerSecond.
 	PerSecond float64
 }
 
-// mostPerSecond is the highest limit that is told apart: far beyond the load of any fleet, and safe to divide a second by.
+// maxPerSecond is the highest limit; higher ones are clamped to it. It is far above the load of any fleet, and one second divided by it is
+// still a valid interval.
 const maxPerSecond = 1e6
 
-// Of returns the limit of so many requests a second.
-func PerSecond(perSecond float64) Limit {
-	return Limit{Limited: true, PerSecond: max(0, min(perSecond, maxPerSecond))}
+// PerSecond returns a limit of n requests per second, clamped to the range of Limit.PerSecond.
+func PerSecond(n float64) Limit {
+	return Limit{Limited: true, PerSecond: max(0, min(n, maxPerSecond))}
 }
 
-// String returns the number as a target writes it, "none" for none.
+// String returns the limit as a target writes it, or "none".
 func (li Limit) String() string {
 	if !li.Limited {
 		return "none"
@@ -31,25 +33,25 @@
 	return strconv.FormatFloat(li.PerSecond, 'g', -1, 64)
 }
 
-// MalformedError says that a target names a limit that is no number of requests.
+// MalformedError reports a stated limit that is not a non-negative decimal number.
 type MalformedError struct{ Value string }
 
-// Error gives the value, as far as it is worth showing.
+// Error includes the malformed value, shortened to its first bytes.
 func (me *MalformedError) Error() string {
-	const shown = 40
-	return "malformed rate limit " + strconv.Quote(me.Value[:min(len(me.Value), shown)])
+	const maxLen = 40
+	return "malformed rate limit " + strconv.Quote(me.Value[:min(len(me.Value), maxLen)])
 }
 
-// Parse reads the limits that one answer names and returns the lowest; none when there are no values. It fails with a MalformedError for
-// the first that is not a decimal number from zero, and still returns the lowest of the others.
+// Parse parses the limits that one answer states and returns the lowest, or none when there are no values. It returns a MalformedError for
+// the first value that is not a non-negative decimal number, together with the lowest of the others.
 func Parse(values []string) (Limit, error) {
 	var lowest Limit
-	var failed error
+	var firstErr error
 	for _, v := range values {
 		n, err := strconv.ParseFloat(strings.TrimSpace(v), 64)
 		if err != nil || math.IsNaN(n) || math.IsInf(n, 0) || n < 0 {
-			if failed == nil {
-				failed = &MalformedError{Value: v}
+			if firstErr == nil {
+				firstErr = &MalformedError{Value: v}
 			}
 			continue
 		}
@@ -57,5 +59,5 @@
 			lowest = PerSecond(n)
 		}
 	}
-	return lowest, failed
+	return lowest, firstErr
 }
--- a/internal/ratelimit/tracker.go
+++ b/internal/ratelimit/tracker.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Observation is what one instance saw in an answer of a target.
+// Observation is the rate limit that one instance read from an answer of a target.
 type Observation struct {
-	// Target is its incarnation.
+	// Target is the incarnation of the target.
 	Target string
 	Limit  Limit
-	// At is when the target said so. Of an answer without a limit it is when the request was sent, of one with a limit when its head
-	// came: answers that were under way when the target named its first limit must not seem to lift it.
+	// At orders observations. It is the time at which the request was sent when the answer states no limit, and the time at which the
+	// head of the answer arrived when it does: answers in flight when the target states its first limit must not appear to lift it.
 	At time.Time
 }
 
-// Change is a belief that changed.
+// Change is a change of the limit known for a target.
 type Change struct {
 	Observation
-	// Before is what was believed until then.
+	// Previous is the limit known before the change.
 	Previous Limit
 }
 
-// What says what became of the limit.
+// Kind returns "named" when the target had no limit before, "lifted" when it has none now, and "changed" otherwise.
 func (ch Change) Kind() string {
 	switch {
 	case !ch.Previous.Limited:
@@ -36,58 +36,58 @@
 	}
 }
 
-// belief is what is believed of one incarnation.
+// record is the newest observation of one incarnation.
 type record struct {
 	limit Limit
-	// at only grows.
+	// at never decreases.
 	at time.Time
-	// witness is set when this instance saw it, and nobody had told: it then tells the others.
+	// local is set when this instance observed the limit before any peer reported it; the instance then announces it to its peers.
 	local bool
 }
 
 const (
-	// liftedFor is how long an instance tells, and remembers, that a limit was lifted: longer than the others' word of the limit may be
-	// under way, and than their silence before they are taken for lost.
+	// liftedRetention is how long an instance keeps and announces that a limit was lifted. It exceeds the time that a peer's report of
+	// the limit may be in transit, and the silence after which a peer is considered lost.
 	liftedRetention = 15 * time.Second
-	// maxBeliefs bounds the targets believed limited, 100 bytes each.
+	// maxRecords bounds the number of records, 100 bytes each.
 	maxRecords = 1 << 13
 )
 
-// Book is what this instance believes of the rate limits of targets, by its own answers and its peers' word. It is safe for use by any
-// goroutine.
+// Tracker holds the rate limits of targets that this instance knows from answers of its own requests and from its peers. It is safe for
+// concurrent use.
 type Tracker struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// beliefs holds incarnations that are limited, or were lately.
+	// records is keyed by incarnation; it holds those that have a limit or had one recently.
 	records map[string]record
-	// limited counts the beliefs in a limit.
+	// limitedCount is the number of records with a limit.
 	limitedCount int
 }
 
-// New returns an empty book; now is the steady clock.
+// New returns an empty tracker; now is a monotonic clock.
 func New(now func() time.Time) *Tracker {
 	return &Tracker{now: now, records: map[string]record{}}
 }
 
-// Observe takes what this instance saw in an answer to a request that was sent at one time and whose head came at another. It reports
-// whether the belief changed; peers must then be told.
-func (tr *Tracker) Observe(target string, li Limit, sent, head time.Time) (Change, bool) {
-	ob := Observation{Target: target, Limit: li, At: sent}
+// Observe records the limit stated in an answer whose request was sent at sentAt and whose head arrived at headAt. It reports whether the
+// known limit changed; peers must then be told.
+func (tr *Tracker) Observe(target string, li Limit, sentAt, headAt time.Time) (Change, bool) {
+	ob := Observation{Target: target, Limit: li, At: sentAt}
 	if li.Limited {
-		ob.At = head
+		ob.At = headAt
 	}
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.apply(ob, true)
 }
 
-// Hear takes what a peer tells, and returns what that changed.
-func (tr *Tracker) Merge(told []Observation) []Change {
+// Merge applies the observations of a peer and returns the resulting changes.
+func (tr *Tracker) Merge(obs []Observation) []Change {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	var changes []Change
-	for _, ob := range told {
+	for _, ob := range obs {
 		if ch, changed := tr.apply(ob, false); changed {
 			changes = append(changes, ch)
 		}
@@ -95,29 +95,30 @@
 	return changes
 }
 
-// take takes an observation unless what is believed is newer. The lock is held.
-func (tr *Tracker) apply(ob Observation, own bool) (Change, bool) {
-	be, known := tr.records[ob.Target]
-	// An own answer without a limit is the usual one. A peer that tells of one saw a limit lifted: an older word of that limit may still be
-	// under way.
-	if !known && !ob.Limit.Limited && own {
+// apply records an observation unless the known one is newer. The caller holds the lock.
+func (tr *Tracker) apply(ob Observation, local bool) (Change, bool) {
+	rc, known := tr.records[ob.Target]
+	// Most local answers state no limit and need no record. A peer reports that there is no limit only after it saw one lifted; that is
+	// recorded, because an older report of the limit may still be in transit.
+	if !known && !ob.Limit.Limited && local {
 		return Change{}, false
 	}
-	if known && ob.At.Before(be.at) || !known && len(tr.records) >= maxRecords {
+	if known && ob.At.Before(rc.at) || !known && len(tr.records) >= maxRecords {
 		return Change{}, false
 	}
-	before := be.limit
-	be.at = ob.At
-	if before == ob.Limit {
-		tr.records[ob.Target] = be
+	previous := rc.limit
+	rc.at = ob.At
+	if previous == ob.Limit {
+		tr.records[ob.Target] = rc
 		return Change{}, false
 	}
-	be.limit, be.local = ob.Limit, own
-	tr.records[ob.Target] = be
-	tr.updateCount(before, ob.Limit)
-	return Change{Observation: ob, Previous: before}, true
+	rc.limit, rc.local = ob.Limit, local
+	tr.records[ob.Target] = rc
+	tr.updateCount(previous, ob.Limit)
+	return Change{Observation: ob, Previous: previous}, true
 }
 
+// updateCount adjusts limitedCount for a record whose limit changes. The caller holds the lock.
 func (tr *Tracker) updateCount(before, after Limit) {
 	if before.Limited {
 		tr.limitedCount--
@@ -127,7 +128,7 @@
 	}
 }
 
-// Of returns the limit of a target.
+// Limit returns the limit known for a target.
 func (tr *Tracker) Limit(target string) Limit {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -137,37 +138,37 @@
 	return tr.records[target].limit
 }
 
-// Limited returns how many targets are believed to name a limit.
+// LimitedCount returns the number of targets known to have a limit.
 func (tr *Tracker) LimitedCount() int {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.limitedCount
 }
 
-// Told returns what peers hear: what this instance was the first to see, by target. That is a few entries for each target over the whole
-// fleet, however many instances see the same.
+// LocalObservations returns the observations to announce to peers, sorted by target: those that this instance made before any peer reported
+// them. Across the whole fleet these are a few entries per target, however many instances observe the same limit.
 func (tr *Tracker) LocalObservations() []Observation {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	var told []Observation
-	for target, be := range tr.records {
-		if be.local {
-			told = append(told, Observation{Target: target, Limit: be.limit, At: be.at})
+	var obs []Observation
+	for target, rc := range tr.records {
+		if rc.local {
+			obs = append(obs, Observation{Target: target, Limit: rc.limit, At: rc.at})
 		}
 	}
-	slices.SortFunc(told, func(a, b Observation) int { return strings.Compare(a.Target, b.Target) })
-	return told
+	slices.SortFunc(obs, func(a, b Observation) int { return strings.Compare(a.Target, b.Target) })
+	return obs
 }
 
-// Forget drops the beliefs in targets that are not there any more, and in limits that were lifted some time ago.
-func (tr *Tracker) Prune(there func(target string) bool) {
+// Prune removes records older than liftedRetention whose limit was lifted or whose target no longer exists.
+func (tr *Tracker) Prune(exists func(target string) bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	now := tr.now()
-	for target, be := range tr.records {
-		lifted := !be.limit.Limited && now.Sub(be.at) > liftedRetention
-		if lifted || now.Sub(be.at) > liftedRetention && !there(target) {
-			tr.updateCount(be.limit, Limit{})
+	for target, rc := range tr.records {
+		lifted := !rc.limit.Limited && now.Sub(rc.at) > liftedRetention
+		if lifted || now.Sub(rc.at) > liftedRetention && !exists(target) {
+			tr.updateCount(rc.limit, Limit{})
 			delete(tr.records, target)
 		}
 	}
--- a/internal/ratelimit/tracker_test.go
+++ b/internal/ratelimit/tracker_test.go
@@ -12,133 +12,134 @@
 
 func TestParse(t *testing.T) {
 	cases := map[string]struct {
-		values []string
-		want   ratelimit.Limit
-		failed bool
+		values  []string
+		want    ratelimit.Limit
+		wantErr bool
 	}{
-		"none":               {},
-		"a decimal":          {values: []string{"1.5"}, want: ratelimit.PerSecond(1.5)},
-		"blanks":             {values: []string{" 2 "}, want: ratelimit.PerSecond(2)},
-		"zero":               {values: []string{"0"}, want: ratelimit.PerSecond(0)},
-		"several":            {values: []string{"7", "3", "5"}, want: ratelimit.PerSecond(3)},
-		"larger than a load": {values: []string{"1e300"}, want: ratelimit.PerSecond(1e6)},
-		"empty":              {values: []string{""}, failed: true},
-		"negative":           {values: []string{"-1"}, failed: true},
-		"not a number":       {values: []string{"NaN"}, failed: true},
-		"infinite":           {values: []string{"+Inf"}, failed: true},
-		"overflow":           {values: []string{"1e999"}, failed: true},
-		"a word":             {values: []string{"many"}, failed: true},
-		"one that is good":   {values: []string{"many", "4"}, want: ratelimit.PerSecond(4), failed: true},
+		"absent":                          {},
+		"decimal":                         {values: []string{"1.5"}, want: ratelimit.PerSecond(1.5)},
+		"surrounded by blanks":            {values: []string{" 2 "}, want: ratelimit.PerSecond(2)},
+		"zero":                            {values: []string{"0"}, want: ratelimit.PerSecond(0)},
+		"several values: the lowest wins": {values: []string{"7", "3", "5"}, want: ratelimit.PerSecond(3)},
+		"above the maximum":               {values: []string{"1e300"}, want: ratelimit.PerSecond(1e6)},
+		"empty":                           {values: []string{""}, wantErr: true},
+		"negative":                        {values: []string{"-1"}, wantErr: true},
+		"NaN":                             {values: []string{"NaN"}, wantErr: true},
+		"infinite":                        {values: []string{"+Inf"}, wantErr: true},
+		"out of the range of float64":     {values: []string{"1e999"}, wantErr: true},
+		"not a number":                    {values: []string{"many"}, wantErr: true},
+		"several values, one malformed":   {values: []string{"many", "4"}, want: ratelimit.PerSecond(4), wantErr: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			li, err := ratelimit.Parse(tc.values)
 			g.Expect(li).To(Equal(tc.want))
-			g.Expect(err != nil).To(Equal(tc.failed))
+			g.Expect(err != nil).To(Equal(tc.wantErr))
 		})
 	}
 }
 
-// book is a book on a clock that the test moves.
+// testTracker is a Tracker with a manual clock.
 type testTracker struct {
 	*WithT
 	*ratelimit.Tracker
-	began time.Time
+	start time.Time
 	now   time.Time
 }
 
 func newTestTracker(t *testing.T) *testTracker {
-	bk := &testTracker{WithT: NewWithT(t), began: time.Unix(1000, 0)}
-	bk.now = bk.began
-	bk.Tracker = ratelimit.New(func() time.Time { return bk.now })
-	return bk
+	tr := &testTracker{WithT: NewWithT(t), start: time.Unix(1000, 0)}
+	tr.now = tr.start
+	tr.Tracker = ratelimit.New(func() time.Time { return tr.now })
+	return tr
 }
 
-func (tt *testTracker) at(ms int) time.Time {
-	return tt.began.Add(time.Duration(ms) * time.Millisecond)
+// at returns a time in milliseconds after the start of the test.
+func (tr *testTracker) at(ms int) time.Time {
+	return tr.start.Add(time.Duration(ms) * time.Millisecond)
 }
 
-// saw is an own answer to a request that was sent at one moment and answered at another, in milliseconds.
-func (tt *testTracker) observe(li ratelimit.Limit, sent, head int) bool {
-	_, changed := tt.Observe("a", li, tt.at(sent), tt.at(head))
+// observe records an answer to a request of this instance; sent and head are in milliseconds. It reports whether the limit changed.
+func (tr *testTracker) observe(li ratelimit.Limit, sent, head int) bool {
+	_, changed := tr.Observe("a", li, tr.at(sent), tr.at(head))
 	return changed
 }
 
-// heard is a peer's word.
-func (tt *testTracker) merge(li ratelimit.Limit, at int) bool {
-	return len(tt.Merge([]ratelimit.Observation{{Target: "a", Limit: li, At: tt.at(at)}})) > 0
+// merge applies an observation of a peer, made at a time in milliseconds. It reports whether the limit changed.
+func (tr *testTracker) merge(li ratelimit.Limit, at int) bool {
+	return len(tr.Merge([]ratelimit.Observation{{Target: "a", Limit: li, At: tr.at(at)}})) > 0
 }
 
-func TestBookBelievesTheNewestAnswer(t *testing.T) {
-	bk := newTestTracker(t)
+func TestTrackerKeepsTheNewestObservation(t *testing.T) {
+	tr := newTestTracker(t)
 	two, three, none := ratelimit.PerSecond(2), ratelimit.PerSecond(3), ratelimit.Limit{}
-	bk.Expect(bk.observe(none, 0, 10)).To(BeFalse())
-	bk.Expect(bk.observe(two, 20, 30)).To(BeTrue())
-	bk.Expect(bk.Limit("a")).To(Equal(two))
-	bk.Expect(bk.observe(none, 25, 60)).To(BeFalse(), "under way when the limit was named")
-	bk.Expect(bk.Limit("a")).To(Equal(two))
-	bk.Expect(bk.observe(three, 40, 70)).To(BeTrue())
-	bk.Expect(bk.LimitedCount()).To(Equal(1))
-	bk.Expect(bk.observe(none, 80, 90)).To(BeTrue())
-	bk.Expect(bk.Limit("a")).To(Equal(none))
-	bk.Expect(bk.LimitedCount()).To(BeZero())
+	tr.Expect(tr.observe(none, 0, 10)).To(BeFalse())
+	tr.Expect(tr.observe(two, 20, 30)).To(BeTrue())
+	tr.Expect(tr.Limit("a")).To(Equal(two))
+	tr.Expect(tr.observe(none, 25, 60)).To(BeFalse(), "in flight when the limit was stated")
+	tr.Expect(tr.Limit("a")).To(Equal(two))
+	tr.Expect(tr.observe(three, 40, 70)).To(BeTrue())
+	tr.Expect(tr.LimitedCount()).To(Equal(1))
+	tr.Expect(tr.observe(none, 80, 90)).To(BeTrue())
+	tr.Expect(tr.Limit("a")).To(Equal(none))
+	tr.Expect(tr.LimitedCount()).To(BeZero())
 }
 
-func TestBookTakesPeersWordByItsAge(t *testing.T) {
+func TestMergeIgnoresOlderObservations(t *testing.T) {
 	two, none := ratelimit.PerSecond(2), ratelimit.Limit{}
-	bk := newTestTracker(t)
-	bk.Expect(bk.merge(two, 30)).To(BeTrue())
-	bk.Expect(bk.merge(none, 20)).To(BeFalse())
-	bk.Expect(bk.Limit("a")).To(Equal(two))
-	bk.Expect(bk.merge(none, 40)).To(BeTrue())
-	bk.Expect(bk.merge(two, 35)).To(BeFalse())
-	bk.Expect(bk.Limit("a")).To(Equal(none))
-
-	// Told by different ways, the lifting may come first.
-	late := newTestTracker(t)
-	late.Expect(late.merge(none, 40)).To(BeFalse())
-	late.Expect(late.merge(two, 30)).To(BeFalse())
-	late.Expect(late.Limit("a")).To(Equal(none))
+	tr := newTestTracker(t)
+	tr.Expect(tr.merge(two, 30)).To(BeTrue())
+	tr.Expect(tr.merge(none, 20)).To(BeFalse())
+	tr.Expect(tr.Limit("a")).To(Equal(two))
+	tr.Expect(tr.merge(none, 40)).To(BeTrue())
+	tr.Expect(tr.merge(two, 35)).To(BeFalse())
+	tr.Expect(tr.Limit("a")).To(Equal(none))
+
+	// Reports that take different paths may arrive out of order.
+	reordered := newTestTracker(t)
+	reordered.Expect(reordered.merge(none, 40)).To(BeFalse())
+	reordered.Expect(reordered.merge(two, 30)).To(BeFalse())
+	reordered.Expect(reordered.Limit("a")).To(Equal(none))
 }
 
-func TestBookTellsWhatItSawFirst(t *testing.T) {
-	bk := newTestTracker(t)
+func TestTrackerAnnouncesOnlyWhatItObservedFirst(t *testing.T) {
+	tr := newTestTracker(t)
 	two := ratelimit.PerSecond(2)
-	bk.Expect(bk.merge(two, 10)).To(BeTrue())
-	bk.Expect(bk.observe(two, 20, 30)).To(BeFalse())
-	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "others told of it")
-	bk.Expect(bk.observe(ratelimit.PerSecond(4), 40, 50)).To(BeTrue())
-	bk.Expect(bk.LocalObservations()).To(Equal([]ratelimit.Observation{{Target: "a", Limit: ratelimit.PerSecond(4), At: bk.at(50)}}))
-	bk.Expect(bk.merge(two, 60)).To(BeTrue())
-	bk.Expect(bk.LocalObservations()).To(BeEmpty(), "a peer saw something newer")
+	tr.Expect(tr.merge(two, 10)).To(BeTrue())
+	tr.Expect(tr.observe(two, 20, 30)).To(BeFalse())
+	tr.Expect(tr.LocalObservations()).To(BeEmpty(), "a peer reported it first")
+	tr.Expect(tr.observe(ratelimit.PerSecond(4), 40, 50)).To(BeTrue())
+	tr.Expect(tr.LocalObservations()).To(Equal([]ratelimit.Observation{{Target: "a", Limit: ratelimit.PerSecond(4), At: tr.at(50)}}))
+	tr.Expect(tr.merge(two, 60)).To(BeTrue())
+	tr.Expect(tr.LocalObservations()).To(BeEmpty(), "a peer reported something newer")
 }
 
-func TestBookForgets(t *testing.T) {
-	bk := newTestTracker(t)
-	bk.observe(ratelimit.PerSecond(2), 0, 10)
-	there := true
-	forget := func() { bk.Prune(func(string) bool { return there }) }
-	bk.now = bk.began.Add(time.Hour)
-	forget()
-	bk.Expect(bk.Limit("a").Limited).To(BeTrue(), "a target that gets no requests is limited still")
-	there = false
-	forget()
-	bk.Expect(bk.LimitedCount()).To(BeZero())
-	bk.Expect(bk.LocalObservations()).To(BeEmpty())
+func TestPruneKeepsLimitsOfExistingTargets(t *testing.T) {
+	tr := newTestTracker(t)
+	tr.observe(ratelimit.PerSecond(2), 0, 10)
+	exists := true
+	prune := func() { tr.Prune(func(string) bool { return exists }) }
+	tr.now = tr.start.Add(time.Hour)
+	prune()
+	tr.Expect(tr.Limit("a").Limited).To(BeTrue(), "an idle target keeps its limit")
+	exists = false
+	prune()
+	tr.Expect(tr.LimitedCount()).To(BeZero())
+	tr.Expect(tr.LocalObservations()).To(BeEmpty())
 }
 
-func TestObservationsAreReadAsWritten(t *testing.T) {
+func TestObservationsSurviveEncoding(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(2000, 0)
-	told := []ratelimit.Observation{
+	obs := []ratelimit.Observation{
 		{Target: "a", Limit: ratelimit.PerSecond(1.25), At: now.Add(-3 * time.Second)},
 		{Target: "b@x", At: now},
 		{Target: "c", Limit: ratelimit.PerSecond(0), At: now.Add(-time.Millisecond)},
 	}
-	got, err := ratelimit.Decode(ratelimit.Encode(told, now), now)
+	got, err := ratelimit.Decode(ratelimit.Encode(obs, now), now)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(got).To(Equal(told))
+	g.Expect(got).To(Equal(obs))
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// maxTold bounds the observations that one instance tells, some 30 bytes each, and what decoding allocates.
+	// maxObservations bounds the observations that one instance sends, about 30 bytes each, and so the memory that decoding allocates.
 	maxObservations = 2048
-	// maxName bounds the name of an incarnation, in bytes.
+	// maxTargetLen bounds the length of an incarnation's name, in bytes.
 	maxTargetLen = 256
-	// maxAge is the longest age that is told, safe to count in a Duration.
+	// maxAge is the highest age that is sent; it cannot overflow a Duration.
 	maxAge = 24 * time.Hour
 )
 
-// Encode returns the bytes that peers get of observations told at a time. Ages are told in whole milliseconds.
-func Encode(told []Observation, now time.Time) []byte {
-	told = told[:min(len(told), maxObservations)]
-	b := binary.AppendUvarint(nil, uint64(len(told)))
-	for _, ob := range told {
+// Encode encodes observations for peers. Each is sent with its age at now, in whole milliseconds.
+func Encode(obs []Observation, now time.Time) []byte {
+	obs = obs[:min(len(obs), maxObservations)]
+	b := binary.AppendUvarint(nil, uint64(len(obs)))
+	for _, ob := range obs {
 		b = peerbytes.AppendName(b, ob.Target)
 		b = peerbytes.AppendSpan(b, now.Sub(ob.At), maxAge)
 		b = binary.AppendUvarint(b, limitBits(ob.Limit))
@@ -31,7 +31,7 @@
 	return b
 }
 
-// limitBits is zero for no limit, else one more than the bits of its number.
+// limitBits returns zero for no limit, otherwise the bits of the limit's float64 plus one.
 func limitBits(li Limit) uint64 {
 	if !li.Limited {
 		return 0
@@ -39,32 +39,32 @@
 	return math.Float64bits(li.PerSecond) + 1
 }
 
-// Decode reads observations that were told at a time by this instance's clock. It fails with a peerbytes.MalformedError.
-func Decode(b []byte, told time.Time) ([]Observation, error) {
+// Decode decodes observations that were encoded at sentAt by this instance's clock. It fails with a peerbytes.MalformedError.
+func Decode(b []byte, sentAt time.Time) ([]Observation, error) {
 	rd := peerbytes.NewReader(b)
 	var obs []Observation
-	for no := rd.Number(maxObservations); no > 0 && !rd.Failed(); no-- {
-		obs = append(obs, readObservation(rd, told))
+	for n := rd.Number(maxObservations); n > 0 && !rd.Failed(); n-- {
+		obs = append(obs, readObservation(rd, sentAt))
 	}
 	if err := rd.End(); err != nil {
-		return nil, errors.Wrap(err, "decode observations")
+		return nil, errors.Wrap(err, "decode rate limit observations")
 	}
 	return obs, nil
 }
 
-func readObservation(rd *peerbytes.Reader, told time.Time) Observation {
+func readObservation(rd *peerbytes.Reader, sentAt time.Time) Observation {
 	ob := Observation{Target: rd.Name(maxTargetLen)}
 	if ob.Target == "" {
-		rd.Fail("an observation of nothing")
+		rd.Fail("observation has no target")
 	}
-	ob.At = told.Add(-rd.Span(maxAge))
+	ob.At = sentAt.Add(-rd.Span(maxAge))
 	bits := rd.Number(math.MaxUint64)
 	if bits == 0 {
 		return ob
 	}
 	perSecond := math.Float64frombits(bits - 1)
 	if math.IsNaN(perSecond) || perSecond < 0 || perSecond > maxPerSecond {
-		rd.Fail("a limit out of range")
+		rd.Fail("rate limit out of range")
 		return ob
 	}
 	ob.Limit = PerSecond(perSecond)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,4 +1,4 @@
-// Package retry decides whether a failed attempt of a request is followed by another.
+// Package retry decides whether a failed attempt at a request is retried at another target.
 package retry
 
 import (
@@ -6,51 +6,50 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// ofTarget are the failures that another target may not have.
+// retryable holds the failures that may not occur at another target.
 var retryable = map[failure.Code]bool{
 	failure.TargetLost:    true,
 	failure.TargetRefused: true,
 	failure.TargetShed:    true,
 }
 
-// Reason names what forbids another attempt, for logs. It is empty when nothing does, and when there is nothing to try
-// again: the time is over, or the failure is not one of the target.
+// Reason says what prevents a retry; it is written to logs. It is empty when a retry follows, and when a retry is out of the question
+// because the request has ended or the failure is not one of the target.
 type Reason string
 
 // The reasons.
 const (
-	// AllAttempts means that as many attempts were made as are allowed.
+	// ReasonMaxAttempts means that the maximum number of attempts was made.
 	ReasonMaxAttempts Reason = "attempts"
-	// RunsOnce means that the request may have run, and may not run again.
+	// ReasonAtMostOnce means that the request may run at most once and may have run already.
 	ReasonAtMostOnce Reason = "runs_once"
-	// AnswerBegun means that the caller has a part of an answer that cannot go on elsewhere.
+	// ReasonResponseStarted means that the caller has part of a response that another target cannot resume.
 	ReasonResponseStarted Reason = "answer_begun"
-	// BudgetSpent means that the budget of retries has none left.
+	// ReasonBudgetExhausted means that the retry budget is empty.
 	ReasonBudgetExhausted Reason = "budget"
 )
 
-// Case is what is known when an attempt has failed.
+// FailedAttempt describes a failed attempt at a request.
 type FailedAttempt struct {
-	// Code is how the attempt failed.
 	Code failure.Code
-	// Over is set when the deadline has passed or the caller has gone.
+	// Cancelled is set when the deadline has passed or the caller has gone.
 	Cancelled bool
-	// Once is set when the request may be run once at most.
+	// AtMostOnce is set when the request must not run more than once.
 	AtMostOnce bool
-	// MayHaveRun is set when this or an earlier attempt may have run it.
+	// MayHaveRun is set when this or an earlier attempt may have run the request.
 	MayHaveRun bool
-	// Attempts counts those that were made, Most bounds them.
+	// Attempts is the number of attempts made so far, MaxAttempts its maximum.
 	Attempts, MaxAttempts int
-	// Begun is set when the caller has a part of the answer.
+	// ResponseStarted is set when the caller has part of the response.
 	ResponseStarted bool
-	// Continues reports whether a begun answer can go on at another target, and prepares it. It is called when nothing
-	// else but the budget forbids a further attempt.
+	// TryResume prepares another target to resume a started response, and reports whether that is possible. It is called only when
+	// nothing else but the budget can prevent a retry.
 	TryResume func() bool
-	// Paid is set when the retry was taken from the budget already.
+	// BudgetTaken is set when the retry was withdrawn from the budget already.
 	BudgetTaken bool
 }
 
-// Decide reports whether another attempt follows, and takes it from the budget; else it says what forbids it.
+// Decide reports whether to retry, and if so withdraws the retry from the budget. Otherwise it returns the reason.
 func (fa FailedAttempt) Decide(rt *budget.Retries) (bool, Reason) {
 	switch {
 	case fa.Cancelled || !retryable[fa.Code]:
@@ -67,8 +66,8 @@
 	return false, ReasonBudgetExhausted
 }
 
-// Again reports whether another attempt follows, and takes it from the budget.
+// ShouldRetry is Decide without the reason.
 func (fa FailedAttempt) ShouldRetry(rt *budget.Retries) bool {
-	again, _ := fa.Decide(rt)
-	return again
+	retry, _ := fa.Decide(rt)
+	return retry
 }
