--- a/internal/targets/apply.go
+++ b/internal/targets/apply.go
@@ -6,77 +6,79 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-// Entry is what the store says of one entry that changed.
+// EntryChange is a changed entry of the store.
 type EntryChange struct {
-	// Name is the target's own name.
+	// Name is the name that the target gives itself.
 	Name string
-	// Target is what the entry names; it is not set for one that is gone or unread.
+	// Target is the decoded entry. It is not set when the entry is deleted or unreadable.
 	Target Target
-	// Gone is set when the entry is gone, Unread when it is there and names no target.
+	// Deleted is set when the entry no longer exists, Unreadable when it exists but cannot be decoded as a target.
 	Deleted, Unreadable bool
 }
 
-// The list and the position at which it last changed are taken in one step, and a list is never replaced by one of an earlier position.
-// Apart, an older answer of the store could take the place of a newer list that a peer had told, and every peer's word would confirm it.
+// The list and the position at which it last changed are updated atomically, and a list is never replaced by one of an earlier position.
+// Otherwise an older answer of the store could replace a newer list from a peer, and every peer's confirmation would then make it look current.
 
-// TakeList takes a whole list of the store, which was at a position then. The entries of unread names are there and name no target.
-func (dr *Directory) ApplyList(list []Target, unread []string, at position.Position, evidence time.Time) []Change {
+// ApplyList replaces the list with a whole list of the store at a position. The names in unreadable have entries that cannot be decoded as
+// targets.
+func (dr *Directory) ApplyList(list []Target, unreadable []string, at position.Position, asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if dr.isOlder(at) {
-		return dr.confirmOnly(evidence)
+		return dr.confirmOnly(asOf)
 	}
-	changes := dr.replaceAll(list, evidence)
-	for _, name := range unread {
-		changes = append(changes, dr.invalidate(name, evidence)...)
+	changes := dr.replaceAll(list, asOf)
+	for _, name := range unreadable {
+		changes = append(changes, dr.invalidate(name, asOf)...)
 	}
 	dr.listPosition = at
 	return append(changes, dr.releaseQuarantined()...)
 }
 
-// TakeChanges takes what changed in the store up to a position, in order. What changed before the list that is held is taken again on the
-// way, and what comes after it sets that right.
-func (dr *Directory) ApplyChanges(entries []EntryChange, at position.Position, evidence time.Time) []Change {
+// ApplyChanges applies the changes in the store up to a position, in order. Changes that the current list already contains are applied
+// again; the later ones among the changes correct the result.
+func (dr *Directory) ApplyChanges(entries []EntryChange, at position.Position, asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if dr.isOlder(at) {
-		return dr.confirmOnly(evidence)
+		return dr.confirmOnly(asOf)
 	}
 	var changes []Change
-	for _, en := range entries {
+	for _, ec := range entries {
 		switch {
-		case en.Deleted:
-			changes = append(changes, dr.removeByName(en.Name, evidence)...)
-		case en.Unreadable:
-			changes = append(changes, dr.invalidate(en.Name, evidence)...)
+		case ec.Deleted:
+			changes = append(changes, dr.removeByName(ec.Name, asOf)...)
+		case ec.Unreadable:
+			changes = append(changes, dr.invalidate(ec.Name, asOf)...)
 		default:
-			dr.confirm(evidence)
-			delete(dr.lastRestore.quarantined, en.Target.ID)
-			changes = append(changes, dr.upsert(en.Target)...)
+			dr.confirm(asOf)
+			delete(dr.lastRestore.quarantined, ec.Target.ID)
+			changes = append(changes, dr.upsert(ec.Target)...)
 		}
 	}
 	dr.listPosition = at
 	return append(changes, dr.releaseQuarantined()...)
 }
 
-// TakeTold takes a whole list from a peer, which last changed at a position, unless the list that is held is as new. What it newly misses is
-// gone at once unless the peer has seen the store return lately: an instance that cannot ask the store itself does not make a lapse of it.
-func (dr *Directory) ApplyPeerList(list []Target, la Lapsed, at position.Position, evidence time.Time) []Change {
+// ApplyPeerList replaces the list with that of a peer, which last changed at a position, unless the current list is as new. Targets that it
+// newly misses are gone at once, unless the peer recently saw the store recover from an outage: an instance that cannot reach the store
+// itself must not treat them as lapsed.
+func (dr *Directory) ApplyPeerList(list []Target, la Lapsed, at position.Position, asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if !at.After(dr.listPosition) {
 		return nil
 	}
 	dr.listPosition = at
-	return dr.replaceFromPeer(list, la, evidence)
+	return dr.replaceFromPeer(list, la, asOf)
 }
 
-// older reports whether an answer of the store is older than the list that is held. The lock is held.
+// isOlder reports whether an answer of the store is older than the current list. The caller holds the lock.
 func (dr *Directory) isOlder(at position.Position) bool { return dr.listPosition.After(at) }
 
-// confirmOnly notes the evidence of an answer that is older than the list that is held: whatever was acknowledged before the store was
-// asked is in that list too. The lock is held.
-func (dr *Directory) confirmOnly(evidence time.Time) []Change {
-	dr.confirm(evidence)
+// confirmOnly confirms the current list by an older answer of the store, as of when the store was asked: the current list too contains
+// every write that was acknowledged before then. The caller holds the lock.
+func (dr *Directory) confirmOnly(asOf time.Time) []Change {
+	dr.confirm(asOf)
 	return dr.releaseQuarantined()
 }
--- a/internal/targets/apply_test.go
+++ b/internal/targets/apply_test.go
@@ -13,59 +13,59 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// next is a position after the one that is held.
+// nextPosition returns the position after that of the current list.
 func nextPosition(dr *targets.Directory) position.Position {
 	at, _ := dr.ListPosition()
 	at.Revision++
 	return at
 }
 
-// replaceTold takes a list from a peer as one that is newer than what is held; the others take an answer of the store likewise.
-func applyPeerList(dr *targets.Directory, list []targets.Target, la targets.Lapsed, evidence time.Time) []targets.Change {
-	return dr.ApplyPeerList(list, la, nextPosition(dr), evidence)
+// applyPeerList calls a list of a peer as one newer than the current list. The following functions do the same with answers of the store.
+func applyPeerList(dr *targets.Directory, list []targets.Target, la targets.Lapsed, asOf time.Time) []targets.Change {
+	return dr.ApplyPeerList(list, la, nextPosition(dr), asOf)
 }
 
-func applyList(dr *targets.Directory, list []targets.Target, evidence time.Time) []targets.Change {
-	return dr.ApplyList(list, nil, nextPosition(dr), evidence)
+func applyList(dr *targets.Directory, list []targets.Target, asOf time.Time) []targets.Change {
+	return dr.ApplyList(list, nil, nextPosition(dr), asOf)
 }
 
-func applyPut(dr *targets.Directory, tg targets.Target, evidence time.Time) []targets.Change {
-	return dr.ApplyChanges([]targets.EntryChange{{Name: tg.NameOrID(), Target: tg}}, nextPosition(dr), evidence)
+func applyPut(dr *targets.Directory, tg targets.Target, asOf time.Time) []targets.Change {
+	return dr.ApplyChanges([]targets.EntryChange{{Name: tg.NameOrID(), Target: tg}}, nextPosition(dr), asOf)
 }
 
-func applyDelete(dr *targets.Directory, name string, evidence time.Time) []targets.Change {
-	return dr.ApplyChanges([]targets.EntryChange{{Name: name, Deleted: true}}, nextPosition(dr), evidence)
+func applyDelete(dr *targets.Directory, name string, asOf time.Time) []targets.Change {
+	return dr.ApplyChanges([]targets.EntryChange{{Name: name, Deleted: true}}, nextPosition(dr), asOf)
 }
 
-func TestTakeRefusesWhatIsOlder(t *testing.T) {
+func TestOlderPositionsAreNotApplied(t *testing.T) {
 	now := time.Unix(1000, 0)
-	held := position.Position{Era: 1, Revision: 50}
+	current := position.Position{Era: 1, Revision: 50}
 	older := map[string]position.Position{"an earlier revision": {Era: 1, Revision: 49}, "an earlier era": {Revision: 900}}
 	for name, at := range older {
-		takes := map[string]func(dr *targets.Directory){
+		calls := map[string]func(dr *targets.Directory){
 			"list": func(dr *targets.Directory) { dr.ApplyList(newTargets("b"), []string{"a"}, at, now) },
 			"changes": func(dr *targets.Directory) {
 				dr.ApplyChanges([]targets.EntryChange{{Name: "a", Deleted: true}, {Name: "b", Target: newTarget("b")}}, at, now)
 			},
-			"peer's list": func(dr *targets.Directory) { dr.ApplyPeerList(newTargets("b"), targets.Lapsed{}, at, now) },
+			"list of a peer": func(dr *targets.Directory) { dr.ApplyPeerList(newTargets("b"), targets.Lapsed{}, at, now) },
 		}
-		for what, take := range takes {
+		for what, call := range calls {
 			t.Run(what+" of "+name, func(t *testing.T) {
 				g := NewWithT(t)
 				dr := targets.New(func() time.Time { return now })
-				dr.ApplyList(newTargets("a"), nil, held, now.Add(-time.Second))
-				take(dr)
-				changedAt, got := dr.Listed()
-				g.Expect(changedAt).To(Equal(held))
+				dr.ApplyList(newTargets("a"), nil, current, now.Add(-time.Second))
+				call(dr)
+				gotAt, got := dr.Listed()
+				g.Expect(gotAt).To(Equal(current))
 				g.Expect(idsOf(got)).To(Equal([]string{"a"}))
 			})
 		}
 	}
 }
 
-// TestListIsThatOfItsPosition plays any order of changes in the store, of lists and watches that are asked for and answered later, of peers'
-// lists, and of returns of the store from an older copy. An instance that holds a position holds the list that the store had there.
-func TestListIsThatOfItsPosition(t *testing.T) {
+// TestListMatchesItsPosition draws any order of changes in the store, of lists and watches that are answered late, of lists from peers, and of
+// restores of the store from an older copy. Whenever an instance is at a position, its list must be the one that the store had there.
+func TestListMatchesItsPosition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
 		history := newStoreHistory()
@@ -76,22 +76,22 @@
 			drs = append(drs, targets.New(func() time.Time { return now }))
 		}
 		type answer struct {
-			to   int
-			take func(dr *targets.Directory)
+			to    int
+			apply func(dr *targets.Directory)
 		}
-		var under []answer
+		var inFlight []answer
 		for range rapid.IntRange(1, 80).Draw(rt, "steps") {
 			now = now.Add(10 * time.Millisecond)
 			to := rapid.IntRange(0, instances-1).Draw(rt, "instance")
-			evidence, at := now, history.at
-			switch rapid.SampledFrom([]string{"change", "list", "watch", "peer", "answer", "answer", "return"}).Draw(rt, "step") {
+			asOf, at := now, history.at
+			switch rapid.SampledFrom([]string{"change", "list", "watch", "peer", "answer", "answer", "restore"}).Draw(rt, "step") {
 			case "change":
 				history.change(rapid.IntRange(0, 5).Draw(rt, "target"))
 			case "list":
 				listed := history.listed(at)
-				under = append(under, answer{to, func(dr *targets.Directory) {
-					dr.RecordStoreRestore(at.Era, evidence)
-					dr.ApplyList(listed, nil, at, evidence)
+				inFlight = append(inFlight, answer{to, func(dr *targets.Directory) {
+					dr.RecordStoreRestore(at.Era, asOf)
+					dr.ApplyList(listed, nil, at, asOf)
 					watched[to] = at
 				}})
 			case "watch":
@@ -100,47 +100,47 @@
 					continue
 				}
 				changes := history.since(from)
-				under = append(under, answer{to, func(dr *targets.Directory) {
+				inFlight = append(inFlight, answer{to, func(dr *targets.Directory) {
 					if watched[to] == from && len(changes) > 0 {
-						dr.ApplyChanges(changes, at, evidence)
+						dr.ApplyChanges(changes, at, asOf)
 						watched[to] = at
 					}
 				}})
 			case "peer":
-				from, told := drs[(to+1)%instances].Listed()
-				under = append(under, answer{to, func(dr *targets.Directory) {
+				from, list := drs[(to+1)%instances].Listed()
+				inFlight = append(inFlight, answer{to, func(dr *targets.Directory) {
 					if mine, _ := dr.ListPosition(); from.Restored(mine) {
-						dr.RecordStoreRestore(from.Era, evidence)
+						dr.RecordStoreRestore(from.Era, asOf)
 					}
-					dr.ApplyPeerList(told, targets.Lapsed{}, from, evidence)
+					dr.ApplyPeerList(list, targets.Lapsed{}, from, asOf)
 				}})
 			case "answer":
-				if len(under) == 0 {
+				if len(inFlight) == 0 {
 					continue
 				}
-				no := rapid.IntRange(0, len(under)-1).Draw(rt, "which")
-				an := under[no]
-				under = slices.Delete(under, no, no+1)
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(rt, "which")
+				an := inFlight[i]
+				inFlight = slices.Delete(inFlight, i, i+1)
 				before, _ := drs[an.to].ListPosition()
-				an.take(drs[an.to])
+				an.apply(drs[an.to])
 				after, got := drs[an.to].Listed()
 				if before.After(after) {
-					rt.Fatalf("the position went back from %+v to %+v", before, after)
+					rt.Fatalf("position went back from %+v to %+v", before, after)
 				}
-				if want := idsOf(history.listed(after)); !slices.Equal(idsOf(got), want) && !history.mayLag(after) {
-					rt.Fatalf("at %+v: %v in place of %v", after, idsOf(got), want)
+				if want := idsOf(history.listed(after)); !slices.Equal(idsOf(got), want) && !history.mayDiffer(after) {
+					rt.Fatalf("list at %+v is %v, want %v", after, idsOf(got), want)
 				}
-			case "return":
+			case "restore":
 				history.restore(rapid.Int64Range(1, 5).Draw(rt, "revisions back"))
 			}
 		}
 	})
 }
 
-// history is that of a store of targets.
+// storeHistory is the history of a store that lists targets.
 type storeHistory struct {
 	at position.Position
-	// lists holds the names listed at each position, written what each change wrote; "" stands for a removal of names.
+	// lists holds the names listed at each position, entries the change that led to each position.
 	lists   map[position.Position][]string
 	entries map[position.Position]targets.EntryChange
 }
@@ -152,43 +152,44 @@
 	}
 }
 
-// change lists a target, or takes its entry away where it is listed.
-func (hs *storeHistory) change(no int) {
+// change lists a target, or removes its entry when it is listed.
+func (sh *storeHistory) change(no int) {
 	name := fmt.Sprintf("t%d", no)
-	before := hs.lists[hs.at]
-	hs.at.Revision++
+	before := sh.lists[sh.at]
+	sh.at.Revision++
 	if at := slices.Index(before, name); at >= 0 {
-		hs.lists[hs.at] = slices.Delete(slices.Clone(before), at, at+1)
-		hs.entries[hs.at] = targets.EntryChange{Name: name, Deleted: true}
+		sh.lists[sh.at] = slices.Delete(slices.Clone(before), at, at+1)
+		sh.entries[sh.at] = targets.EntryChange{Name: name, Deleted: true}
 		return
 	}
-	hs.lists[hs.at] = slices.Sorted(slices.Values(append(slices.Clone(before), name)))
-	hs.entries[hs.at] = targets.EntryChange{Name: name, Target: newTarget(name)}
+	sh.lists[sh.at] = slices.Sorted(slices.Values(append(slices.Clone(before), name)))
+	sh.entries[sh.at] = targets.EntryChange{Name: name, Target: newTarget(name)}
 }
 
-func (hs *storeHistory) listed(at position.Position) []targets.Target {
-	return newTargets(hs.lists[at]...)
+func (sh *storeHistory) listed(at position.Position) []targets.Target {
+	return newTargets(sh.lists[at]...)
 }
 
-// since returns the changes after a position of this era.
-func (hs *storeHistory) since(from position.Position) []targets.EntryChange {
+// since returns the changes after a position of the current era.
+func (sh *storeHistory) since(from position.Position) []targets.EntryChange {
 	var changes []targets.EntryChange
-	for at := from; at.Revision < hs.at.Revision; {
+	for at := from; at.Revision < sh.at.Revision; {
 		at.Revision++
-		changes = append(changes, hs.entries[at])
+		changes = append(changes, sh.entries[at])
 	}
 	return changes
 }
 
-// restore goes back by some revisions in a new era.
-func (hs *storeHistory) restore(back int64) {
-	old := position.Position{Era: hs.at.Era, Revision: max(1, hs.at.Revision-back)}
-	if _, known := hs.lists[old]; !known {
+// restore starts a new era with the list of some revisions ago.
+func (sh *storeHistory) restore(back int64) {
+	old := position.Position{Era: sh.at.Era, Revision: max(1, sh.at.Revision-back)}
+	if _, known := sh.lists[old]; !known {
 		return
 	}
-	hs.at = position.Position{Era: hs.at.Era + 1, Revision: old.Revision}
-	hs.lists[hs.at] = hs.lists[old]
+	sh.at = position.Position{Era: sh.at.Era + 1, Revision: old.Revision}
+	sh.lists[sh.at] = sh.lists[old]
 }
 
-// doubtful reports whether a list is one of a store that came back from an older copy: what had gone before is not believed for a while.
-func (hs *storeHistory) mayLag(at position.Position) bool { return at.Era > 0 }
+// mayDiffer reports whether the list of an instance may differ from that of the store at a position: after a restore, targets that were gone
+// before are quarantined at first.
+func (sh *storeHistory) mayDiffer(at position.Position) bool { return at.Era > 0 }
--- a/internal/targets/connectivity.go
+++ b/internal/targets/connectivity.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Cut is what is believed of a target that took no connection.
+// Connectivity describes whether connections to a target succeed.
 type Connectivity struct {
-	// Refusals counts connections not taken since the last one that was.
+	// ConnectFailures counts failed connections since the target was last reachable; it stops at maxDoublings.
 	ConnectFailures int
-	// For is how long the target is still left out.
+	// ExcludedFor is how much longer the target is excluded for them.
 	ExcludedFor time.Duration
-	// Zone is set when its whole availability zone is left out.
+	// ZoneExcluded is set when the whole availability zone of the target is excluded.
 	ZoneExcluded bool
 }
 
-// Cut returns what is believed of a target's connections; nothing of one that is not known.
+// Connectivity returns the connectivity of a target; the zero value when the target is unknown.
 func (dr *Directory) Connectivity(id string) Connectivity {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -3,42 +3,43 @@
 import "time"
 
 const (
-	// outcomeWeight is what one outcome counts in the share of failures: about the last ten count.
+	// failureRateWeight is the weight of a new outcome in the moving average of the failure rate: about the last ten outcomes count.
 	failureRateWeight = 0.2
-	// ejectFrom is the share of failures that takes a target out: three in a row, or soon when four in ten fail. A target
-	// that fails one in ten stays: its requests can be asked for elsewhere.
+	// ejectThreshold is the failure rate that ejects a target. Three failures in a row reach it, and four in ten reach it soon. A target
+	// that fails one request in ten stays, because its failed requests can be retried elsewhere.
 	ejectThreshold = 0.48
-	// wellBelow is the share below which a target comes back early: four good answers in a row of what was under way.
+	// readmitThreshold is the failure rate below which an ejected target is readmitted early: after four successes in a row among the
+	// requests in flight when it was ejected.
 	readmitThreshold = 0.15
-	// ejectTrial is the share with which it comes back: two failures take it out again.
+	// readmittedFailureRate is the failure rate with which a target returns from an ejection: two failures eject it again.
 	readmittedFailureRate = 0.32
-	// ejectFor is how long a target is first left out; it doubles with each further ejection up to ejectMost.
+	// minEjection is the duration of the first ejection; it doubles with each further ejection, up to maxEjection.
 	minEjection = time.Second
 	maxEjection = 8 * time.Second
-	// calmFor is the time without failures after which earlier ejections are forgotten: longer than a target is left out.
+	// ejectionMemory is the time without failures after which earlier ejections no longer count. It is longer than any ejection.
 	ejectionMemory = 20 * time.Second
-	// suspectFrom is the share of failures from which a target is suspect: two in a row, until a good answer. Single
-	// failures occur on calm days too.
+	// suspectThreshold is the failure rate from which a target is suspect: two failures in a row reach it, and a success ends it. Single
+	// failures also occur in normal operation.
 	suspectThreshold = 0.3
-	// suspectFor is how long it stays so when it gets no requests: most troubles of the platform last about as long.
-	maxSuspicion = 5 * time.Second
+	// suspectPeriod is how long a target stays suspect when it gets no requests: most platform incidents last about as long.
+	suspectPeriod = 5 * time.Second
 )
 
-// Success notes a good answer.
+// RecordSuccess records a successful answer of a target.
 func (dr *Directory) RecordSuccess(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
 		en.failureRate *= 1 - failureRateWeight
 		if en.failureRate < readmitThreshold {
-			// What was under way when it was left out went well.
+			// The requests in flight when the target was ejected succeeded.
 			en.ejectedUntil = time.Time{}
 		}
 		dr.recordReachable(en)
 	}
 }
 
-// Reached notes that a target answered, whatever it said.
+// RecordReachable records that a target answered, whether or not with success.
 func (dr *Directory) RecordReachable(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -47,6 +48,7 @@
 	}
 }
 
+// recordReachable ends the pause of a target, and that of its availability zone. The caller holds the lock.
 func (dr *Directory) recordReachable(en *entry) {
 	en.connectFailures = 0
 	en.unreachableUntil = time.Time{}
@@ -55,7 +57,7 @@
 	}
 }
 
-// reopen forgets what was held against the targets of an availability zone that answers again.
+// clearZoneFailures clears the connection failures of all targets of an availability zone that answers again. The caller holds the lock.
 func (dr *Directory) clearZoneFailures(zone string) {
 	for _, en := range dr.entries {
 		if en.AvailabilityZone == zone {
@@ -65,8 +67,8 @@
 	}
 }
 
-// Failure notes a failed attempt and reports whether it took the target out. A target may fail for some callers only,
-// so that peers are not told.
+// RecordFailure records a failed attempt and reports whether it ejected the target. Peers are not told of ejections, because a target may
+// fail for some callers only.
 func (dr *Directory) RecordFailure(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -80,7 +82,7 @@
 	}
 	en.lastFailureAt = now
 	if now.Before(en.ejectedUntil) {
-		// What was under way when it was left out tells nothing new.
+		// Requests that were in flight when the target was ejected do not extend the ejection.
 		return false
 	}
 	en.failureRate += (1 - en.failureRate) * failureRateWeight
@@ -93,13 +95,13 @@
 	return true
 }
 
-// suspect reports whether a target failed lately and has not made up for it by good answers.
+// suspect reports whether a target failed recently without enough successes since.
 func (en *entry) suspect(now time.Time) bool {
-	return en.failureRate >= suspectThreshold && now.Sub(en.lastFailureAt) < maxSuspicion
+	return en.failureRate >= suspectThreshold && now.Sub(en.lastFailureAt) < suspectPeriod
 }
 
-// Unreachable notes that a target took no connection, which also counts against its availability zone. It reports whether
-// that is left out for it.
+// RecordUnreachable records that a target accepted no connection, which also counts against its availability zone. It reports whether
+// this excludes the availability zone.
 func (dr *Directory) RecordUnreachable(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -110,31 +112,31 @@
 	now := dr.now()
 	en.unreachableUntil = now.Add(min(maxUnreachablePause, minUnreachablePause<<en.connectFailures))
 	en.connectFailures = min(en.connectFailures+1, maxDoublings)
-	return dr.zone(en.AvailabilityZone).recordFailure(id, refusalQuiet, now)
+	return dr.zone(en.AvailabilityZone).recordFailure(id, refusalQuietPeriod, now)
 }
 
-// maxDoublings keeps the doubling of pauses within bounds.
+// maxDoublings bounds how often a pause or an ejection doubles.
 const maxDoublings = 3
 
-// Silent notes that a target said nothing for longer than it ever should, which counts against its availability zone
-// only: the attempt goes on until it fails. It reports whether that is left out for it.
+// RecordSilence records that a target was silent for longer than a healthy one ever is. It counts only against the availability zone, since
+// the attempt continues until it fails. It reports whether this excludes the availability zone.
 func (dr *Directory) RecordSilence(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
-	return ok && dr.zone(en.AvailabilityZone).recordFailure(id, silenceQuiet, dr.now())
+	return ok && dr.zone(en.AvailabilityZone).recordFailure(id, silenceQuietPeriod, dr.now())
 }
 
-// PeerLost notes that an instance fell silent with which all other instances of its availability zone are lost too. It
-// reports whether that is left out for it.
+// RecordPeerLoss records that an instance fell silent and that no other instance of its availability zone is alive. It reports whether this
+// excludes the availability zone.
 func (dr *Directory) RecordPeerLoss(zone, instance string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	return dr.zone(zone).recordFailure(instance, silenceQuiet, dr.now())
+	return dr.zone(zone).recordFailure(instance, silenceQuietPeriod, dr.now())
 }
 
-// Chosen notes that a request goes to a target. In an availability zone that may be back it is the probe: no other
-// request is sent there until it ends.
+// RecordDispatch records that a request is sent to a target. When a probe of the target's availability zone is due, the request is that
+// probe, and no other request is sent there until it ends or probeTimeout has passed.
 func (dr *Directory) RecordDispatch(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -143,6 +145,7 @@
 	}
 }
 
+// zone returns the state of an availability zone, and creates it on first use. The caller holds the lock.
 func (dr *Directory) zone(name string) *zone {
 	zn, ok := dr.zones[name]
 	if !ok {
--- a/internal/targets/health_test.go
+++ b/internal/targets/health_test.go
@@ -10,10 +10,10 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// outcomes notes good answers (a dot) and failures (any other sign) of a target.
-func recordOutcomes(dr *targets.Directory, id, signs string) {
-	for _, sign := range signs {
-		if sign == '.' {
+// recordOutcomes records outcomes of a target: a success for each dot, a failure for any other character.
+func recordOutcomes(dr *targets.Directory, id, outcomes string) {
+	for _, o := range outcomes {
+		if o == '.' {
 			dr.RecordSuccess(id)
 			continue
 		}
@@ -21,74 +21,74 @@
 	}
 }
 
-func TestTargetThatFails(t *testing.T) {
+func TestEjectionOfFailingTargets(t *testing.T) {
 	all := []string{"a", "b", "c", "d"}
 	rest := []string{"b", "c", "d"}
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
-		// proven and sure are what requests of either caution may take.
-		proven, sure []string
+		events func(cl *clock, dr *targets.Directory)
+		// reachable and healthy are the usable targets for requests of either caution.
+		reachable, healthy []string
 	}{
-		"two failures make it suspect": {func(_ *clock, dr *targets.Directory) {
+		"two failures in a row make a target suspect": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "....xx")
 		}, all, rest},
-		"one does not": {func(_ *clock, dr *targets.Directory) {
+		"one failure does not make a target suspect": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "....x")
 		}, all, all},
-		"a good answer clears it": {func(_ *clock, dr *targets.Directory) {
+		"a success ends the suspicion": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xx.")
 		}, all, all},
-		"time clears it": {func(cl *clock, dr *targets.Directory) {
+		"the suspicion ends after a while": {func(cl *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xx")
 			cl.advance(5 * time.Second)
 		}, all, all},
-		"half of all targets may be suspect": {func(_ *clock, dr *targets.Directory) {
+		"half of the targets may be suspect": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xx")
 			recordOutcomes(dr, "b", "xx")
 		}, all, []string{"c", "d"}},
-		"more are taken as they are": {func(_ *clock, dr *targets.Directory) {
+		"a majority of suspect targets stays usable": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xx")
 			recordOutcomes(dr, "b", "xx")
 			recordOutcomes(dr, "c", "xx")
 		}, all, all},
-		"three failures in a row leave it out": {func(_ *clock, dr *targets.Directory) {
+		"three failures in a row eject a target": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xxx")
 		}, rest, rest},
-		"two of three do too": {func(_ *clock, dr *targets.Directory) {
+		"four failures of five eject a target": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xx.xx")
 		}, rest, rest},
-		"one in ten does not": {func(_ *clock, dr *targets.Directory) {
+		"one failure in ten does not eject a target": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", strings.Repeat("x.........", 50))
 		}, all, all},
-		"failing again after the pause lengthens it, good answers between or not": {func(cl *clock, dr *targets.Directory) {
+		"a second ejection is longer, despite a success in between": {func(cl *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xxx")
 			cl.advance(time.Second)
 			recordOutcomes(dr, "a", ".xx")
 			cl.advance(1900 * time.Millisecond)
 		}, rest, rest},
-		"and it is tried again after that": {func(cl *clock, dr *targets.Directory) {
+		"a target is readmitted after its second ejection": {func(cl *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xxx")
 			cl.advance(time.Second)
 			recordOutcomes(dr, "a", ".xx")
 			cl.advance(2 * time.Second)
 		}, all, rest},
-		"a good answer that was under way does not bring it back": {func(_ *clock, dr *targets.Directory) {
+		"one success in flight does not readmit a target": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xxx.")
 		}, rest, rest},
-		"several in a row do": {func(_ *clock, dr *targets.Directory) {
+		"four successes in flight readmit a target": {func(_ *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xxx....")
 		}, all, all},
-		"what was under way does not lengthen it": {func(cl *clock, dr *targets.Directory) {
+		"failures in flight do not extend the ejection": {func(cl *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xxxxxxxxxxxx")
 			cl.advance(time.Second)
 		}, all, rest},
-		"the pause is bounded": {func(cl *clock, dr *targets.Directory) {
+		"the duration of ejections is bounded": {func(cl *clock, dr *targets.Directory) {
 			for range 10 {
 				recordOutcomes(dr, "a", "xxx")
 				cl.advance(8 * time.Second)
 			}
 		}, all, all},
-		"earlier pauses are forgotten": {func(cl *clock, dr *targets.Directory) {
+		"earlier ejections are forgotten": {func(cl *clock, dr *targets.Directory) {
 			recordOutcomes(dr, "a", "xxx")
 			cl.advance(time.Second)
 			recordOutcomes(dr, "a", "xxx")
@@ -103,9 +103,9 @@
 			cl := newClock()
 			dr := targets.New(cl.now)
 			applyList(dr, newTargets(all...), cl.now())
-			tc.happen(cl, dr)
-			g.Expect(idsOf(dr.Usable("s", targets.RequireReachable))).To(Equal(tc.proven))
-			g.Expect(idsOf(dr.Usable("s", targets.RequireHealthy))).To(Equal(tc.sure))
+			tc.events(cl, dr)
+			g.Expect(idsOf(dr.Usable("s", targets.RequireReachable))).To(Equal(tc.reachable))
+			g.Expect(idsOf(dr.Usable("s", targets.RequireHealthy))).To(Equal(tc.healthy))
 		})
 	}
 }
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -2,30 +2,32 @@
 
 import "time"
 
-// presence is the newest incarnation known of a name.
+// incarnation identifies the latest known incarnation of a name.
 type incarnation struct {
 	id        string
 	startedAt time.Time
 }
 
-// succeed notes the incarnation that is told of as the present one of its name, and reports whether it is: an old word on an
-// earlier one never overrides it. The incarnation before it, which holds nothing any more, is gone at once. The lock is held.
-func (dr *Directory) registerLatest(tg Target) (present bool, changes []Change) {
-	before, known := dr.latest[tg.NameOrID()]
-	if known && before.id == tg.ID {
+// registerLatest registers a target as the latest incarnation of its name, and reports whether it is: outdated information on an earlier
+// incarnation never replaces a later one. The incarnation that it supersedes is gone at once, because it no longer holds any state. The
+// caller holds the lock.
+func (dr *Directory) registerLatest(tg Target) (latest bool, changes []Change) {
+	previous, known := dr.latest[tg.NameOrID()]
+	if known && previous.id == tg.ID {
 		return true, nil
 	}
-	if known && !tg.StartedAt.After(before.startedAt) {
+	if known && !tg.StartedAt.After(previous.startedAt) {
 		return false, nil
 	}
 	dr.latest[tg.NameOrID()] = incarnation{id: tg.ID, startedAt: tg.StartedAt}
-	if en, ok := dr.entries[before.id]; known && ok {
+	if en, ok := dr.entries[previous.id]; known && ok {
 		return true, dr.supersede(en)
 	}
 	return true, nil
 }
 
-// supersede ends an incarnation: it takes no work, also when the store was away lately. The lock is held.
+// supersede marks an incarnation as replaced. It gets no work, not even during the grace period after a store outage. The caller holds the
+// lock.
 func (dr *Directory) supersede(en *entry) []Change {
 	en.superseded = true
 	changes := dr.markMissing(en)
@@ -34,7 +36,7 @@
 	return changes
 }
 
-// Lost reports whether a target is gone that nobody said was leaving.
+// Lost reports whether a target is gone without having been marked as leaving.
 func (dr *Directory) Lost(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -42,8 +44,8 @@
 	return known && !en.leaving && !en.missingSince.IsZero() && !en.takesWork(dr.now())
 }
 
-// Present reports whether no later incarnation of its name is known: memory set aside at it, and connections to it, may be there
-// still.
+// IsCurrent reports whether no later incarnation with the same name is known. Memory reserved at the target, and connections to it, may then
+// still exist.
 func (dr *Directory) IsCurrent(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -51,16 +53,16 @@
 	return !known || !en.superseded
 }
 
-// forgetNames forgets the names whose newest incarnation is forgotten. The lock is held.
+// pruneNames removes the names whose latest incarnation has no entry any more. The caller holds the lock.
 func (dr *Directory) pruneNames() {
-	for name, pr := range dr.latest {
-		if dr.entries[pr.id] == nil {
+	for name, in := range dr.latest {
+		if dr.entries[in.id] == nil {
 			delete(dr.latest, name)
 		}
 	}
 }
 
-// Incarnation returns a target by its incarnation; of one that is not known nothing else is set.
+// ByID returns the target with an ID. For an unknown one, it returns a Target with nothing but the ID set.
 func (dr *Directory) ByID(id string) Target {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -70,7 +72,7 @@
 	return Target{ID: id}
 }
 
-// Named returns the present incarnation of a target's own name; it reports false when none is known.
+// ByName returns the latest incarnation with a name, or false when none is known.
 func (dr *Directory) ByName(name string) (Target, bool) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -9,71 +9,71 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// life returns an incarnation of the target "a", all at one address.
-func incarnationOfA(born int64) targets.Target {
-	tg := targetAt("a@"+time.UnixMilli(born).UTC().Format("05.000"), "a.example:80")
-	tg.Name, tg.StartedAt = "a", time.UnixMilli(born)
+// incarnationOfA returns the incarnation of the target "a" that started at a time in milliseconds. All have the same address.
+func incarnationOfA(startedAt int64) targets.Target {
+	tg := targetAt("a@"+time.UnixMilli(startedAt).UTC().Format("05.000"), "a.example:80")
+	tg.Name, tg.StartedAt = "a", time.UnixMilli(startedAt)
 	return tg
 }
 
-// TestIncarnationsUnderTheSameID: a target starts again under the id that it had, and knows nothing of before. What was believed of
-// the incarnation before, leaving above all, is no word on the new one.
-func TestIncarnationsUnderTheSameID(t *testing.T) {
+// TestIncarnationsOfOneName: a target restarts under the same name and has lost its state. The state of the previous incarnation, in
+// particular that it is leaving, must not apply to the new one.
+func TestIncarnationsOfOneName(t *testing.T) {
 	first, second := incarnationOfA(1000), incarnationOfA(2000)
 	leavingFirst := first
 	leavingFirst.Leaving = true
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
-		// first and second say which of them takes work in the end.
+		events func(cl *clock, dr *targets.Directory)
+		// first and second say whether each incarnation accepts work after the events.
 		first, second bool
 	}{
-		"one that left starts again": {func(cl *clock, dr *targets.Directory) {
+		"restart of a leaving target": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, leavingFirst, cl.now())
 			applyPut(dr, second, cl.now())
 		}, false, true},
-		"one whose entry went starts again": {func(cl *clock, dr *targets.Directory) {
+		"restart after the entry was removed": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "a", cl.now())
 			applyPut(dr, second, cl.now())
 		}, false, true},
-		"it starts again without a word": {func(cl *clock, dr *targets.Directory) {
+		"restart without prior notice": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 		}, false, true},
-		"a list has the new one": {func(cl *clock, dr *targets.Directory) {
+		"a whole list contains the new incarnation": {func(cl *clock, dr *targets.Directory) {
 			applyList(dr, []targets.Target{second}, cl.now())
 		}, false, true},
-		"an old entry comes late": {func(cl *clock, dr *targets.Directory) {
+		"an outdated entry arrives late": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 			applyPut(dr, leavingFirst, cl.now())
 			applyPut(dr, first, cl.now())
 		}, false, true},
-		"an old list comes late": {func(cl *clock, dr *targets.Directory) {
+		"an outdated list arrives late": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 			applyPeerList(dr, []targets.Target{leavingFirst}, targets.Lapsed{}, cl.now())
 			applyPut(dr, second, cl.now())
 		}, false, true},
-		"a peer still tells that the old one leaves": {func(cl *clock, dr *targets.Directory) {
+		"a peer still reports the old incarnation as leaving": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 			dr.MarkLeaving(first.ID)
 		}, false, true},
-		"the new one leaves": {func(cl *clock, dr *targets.Directory) {
+		"the new incarnation leaves": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 			dr.MarkLeaving(second.ID)
 		}, false, false},
-		"the new one's entry goes": {func(cl *clock, dr *targets.Directory) {
+		"the entry of the new incarnation is removed": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 			applyDelete(dr, "a", cl.now())
 		}, false, false},
-		"the old one's entry lapsed with the store away": {func(cl *clock, dr *targets.Directory) {
+		"the entry of the old incarnation lapsed in a store outage": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
 			dr.RecordStoreRecovery(cl.now())
 			applyDelete(dr, "a", cl.now())
 			applyPut(dr, second, cl.now())
 		}, false, true},
-		"a peer tells of the old one as lapsed": {func(cl *clock, dr *targets.Directory) {
+		"a peer reports the old incarnation as lapsed": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 			applyPeerList(dr, []targets.Target{second}, targets.Lapsed{Targets: []targets.Target{first}, GraceLeft: time.Second}, cl.now())
 		}, false, true},
-		"failures of the old one": {func(cl *clock, dr *targets.Directory) {
+		"failures of the old incarnation": {func(cl *clock, dr *targets.Directory) {
 			for range 5 {
 				dr.RecordFailure(first.ID)
 				dr.RecordUnreachable(first.ID)
@@ -87,7 +87,7 @@
 			cl := newClock()
 			dr := targets.New(cl.now)
 			applyList(dr, []targets.Target{first}, cl.now())
-			tc.happen(cl, dr)
+			tc.events(cl, dr)
 			g.Expect(dr.TakesWork(first.ID)).To(Equal(tc.first))
 			g.Expect(dr.TakesWork(second.ID)).To(Equal(tc.second))
 			g.Expect(dr.Connectivity(second.ID)).To(Equal(targets.Connectivity{}))
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// LapseGrace is how long after the store's return a lapsed entry may be missing: the platform says that entries are back
-// within about two seconds, and that one still missing then is gone.
+// LapseGrace is how long a lapsed entry may be missing after the store has recovered from an outage. The platform states that entries are
+// back within about two seconds, and that an entry still missing then is gone.
 const LapseGrace = 2 * time.Second
 
-// outage is what an instance's own calls say of the store being away.
+// outage is the newest store outage as seen by this instance's own calls.
 type outage struct {
-	// since is when the first call of the newest outage failed, returned when the store was asked that answered again.
+	// startedAt is when the first call failed; recoveredAt is when the first call was made that succeeded again.
 	startedAt, recoveredAt time.Time
 	ongoing                bool
 }
 
-// began notes a call that failed.
+// recordFailure records a failed call.
 func (ou *outage) recordFailure(at time.Time) {
 	if !ou.ongoing {
 		ou.startedAt = at
@@ -21,7 +21,7 @@
 	ou.ongoing = true
 }
 
-// ended notes an answer to a question asked at a time.
+// recordSuccess records the success of a call that was made at a time.
 func (ou *outage) recordSuccess(at time.Time) {
 	if ou.ongoing {
 		ou.recoveredAt = at
@@ -29,7 +29,7 @@
 	ou.ongoing = false
 }
 
-// returnEnds is until when an entry may be missing because of the outage; zero without one.
+// graceEnds returns until when an entry may be missing because of the outage; zero when there was none.
 func (ou *outage) graceEnds() time.Time {
 	if ou.recoveredAt.IsZero() {
 		return time.Time{}
@@ -37,29 +37,29 @@
 	return ou.recoveredAt.Add(LapseGrace)
 }
 
-// Lapsed is what an instance tells its peers beside its list.
+// Lapsed describes the targets whose entries lapsed during a store outage. Instances send it to their peers along with their list.
 type Lapsed struct {
-	// Targets take work although their entries are missing.
+	// Targets accept work although their entries are missing.
 	Targets []Target `json:"Targets"`
-	// Left is how much longer a missing entry may be the doing of the store; zero when the store is well.
+	// GraceLeft is how much longer an entry may be missing because of the outage; zero when there was none recently.
 	GraceLeft time.Duration `json:"Left"`
 }
 
-// Trouble notes that the store could not be asked.
+// RecordStoreFailure records that a call to the store failed.
 func (dr *Directory) RecordStoreFailure() {
 	dr.mu.Lock()
 	dr.ownOutage.recordFailure(dr.now())
 	dr.mu.Unlock()
 }
 
-// Back notes that the store answers a question that was asked at a time. It is called before the answer is taken.
-func (dr *Directory) RecordStoreRecovery(evidence time.Time) {
+// RecordStoreRecovery records that the store answered a call made at asOf. It must be called before the answer is applied.
+func (dr *Directory) RecordStoreRecovery(asOf time.Time) {
 	dr.mu.Lock()
-	dr.ownOutage.recordSuccess(evidence)
+	dr.ownOutage.recordSuccess(asOf)
 	dr.mu.Unlock()
 }
 
-// Lapsed returns what peers have to know beside the list.
+// Lapsed returns the lapsed targets that still accept work, for peers.
 func (dr *Directory) Lapsed() Lapsed {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -73,39 +73,40 @@
 	return la
 }
 
-// replaceTold takes a whole list from a peer. The lock is held.
-func (dr *Directory) replaceFromPeer(list []Target, la Lapsed, evidence time.Time) []Change {
+// replaceFromPeer replaces the whole list with that of a peer. Entries that it newly misses get at most the peer's remaining grace period.
+// The caller holds the lock.
+func (dr *Directory) replaceFromPeer(list []Target, la Lapsed, asOf time.Time) []Change {
 	for _, tg := range la.Targets {
 		dr.addLapsed(tg)
 	}
-	changes := dr.replaceAll(list, evidence)
-	var until time.Time
+	changes := dr.replaceAll(list, asOf)
+	var graceUntil time.Time
 	if la.GraceLeft > 0 {
-		until = dr.now().Add(min(la.GraceLeft, LapseGrace))
-		dr.peerGraceUntil = until
+		graceUntil = dr.now().Add(min(la.GraceLeft, LapseGrace))
+		dr.peerGraceUntil = graceUntil
 	}
 	for _, ch := range changes {
 		if ch.Kind == "gone" {
-			dr.entries[ch.Target.ID].graceUntil = until
+			dr.entries[ch.Target.ID].graceUntil = graceUntil
 		}
 	}
 	return changes
 }
 
-// know adds a target that this instance has not heard of.
+// addLapsed adds a lapsed target that a peer reports and this instance does not know. The caller holds the lock.
 func (dr *Directory) addLapsed(tg Target) {
 	if _, known := dr.entries[tg.ID]; known {
 		return
 	}
-	if present, _ := dr.registerLatest(tg); !present {
+	if latest, _ := dr.registerLatest(tg); !latest {
 		return
 	}
-	_, told := dr.leavingSince[tg.ID]
-	dr.entries[tg.ID] = &entry{Target: tg, leaving: tg.Leaving || told}
+	_, markedLeaving := dr.leavingSince[tg.ID]
+	dr.entries[tg.ID] = &entry{Target: tg, leaving: tg.Leaving || markedLeaving}
 }
 
-// unheard reports whether a target is not listed and nothing shows that it lives: it took no connection, or nothing of
-// its availability zone has answered since the store went away.
+// presumedDead reports whether a target is not listed and there is no sign that it is alive: it accepted no connection, or nothing in its
+// availability zone has answered since the store outage began. The caller holds the lock.
 func (dr *Directory) presumedDead(en *entry, now time.Time) bool {
 	if en.missingSince.IsZero() {
 		return false
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -10,104 +10,105 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-// leavingBench is a directory on a clock that a test moves.
+// testDirectory is a Directory with a manual clock.
 type testDirectory struct {
 	*WithT
 	*Directory
 	now time.Time
-	at  position.Position
+	// at is the position of the newest list.
+	at position.Position
 }
 
 func newTestDirectory(t *testing.T) *testDirectory {
-	lb := &testDirectory{WithT: NewWithT(t), now: time.Unix(1000, 0)}
-	lb.Directory = New(func() time.Time { return lb.now })
-	return lb
+	td := &testDirectory{WithT: NewWithT(t), now: time.Unix(1000, 0)}
+	td.Directory = New(func() time.Time { return td.now })
+	return td
 }
 
-// list takes a newer list of the store.
+// list applies a newer list of the store.
 func (td *testDirectory) list(tgs ...Target) {
 	td.at.Revision++
 	td.ApplyList(tgs, nil, td.at, td.now)
 }
 
-// TestLeavingIsNeverTakenBack marks a target as leaving by its own word, which no list says.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+// TestLeavingIsPermanent marks a target as leaving by an announcement of its own, which no list contains, and checks that nothing resets it.
+func TestLeavingIsPermanent(t *testing.T) {
 	ready := Target{ID: "a@1", Name: "a", StartedAt: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
-	tests := map[string]func(lb *testDirectory){
-		"a newer list":          func(lb *testDirectory) { lb.list(ready) },
-		"an entry that is back": func(lb *testDirectory) { lb.list(); lb.list(ready) },
-		"an entry back after an hour": func(lb *testDirectory) {
-			lb.list()
-			lb.now = lb.now.Add(time.Hour)
-			lb.list()
-			lb.list(ready)
+	tests := map[string]func(td *testDirectory){
+		"newer list":         func(td *testDirectory) { td.list(ready) },
+		"entry listed again": func(td *testDirectory) { td.list(); td.list(ready) },
+		"entry listed again after an hour": func(td *testDirectory) {
+			td.list()
+			td.now = td.now.Add(time.Hour)
+			td.list()
+			td.list(ready)
 		},
-		"an older copy": func(lb *testDirectory) {
-			lb.RecordStoreRestore(2, lb.now)
-			lb.at = position.Position{Era: 2}
-			lb.list(ready)
-			lb.now = lb.now.Add(time.Minute)
-			lb.Confirm(lb.now)
+		"store restored from an older copy": func(td *testDirectory) {
+			td.RecordStoreRestore(2, td.now)
+			td.at = position.Position{Era: 2}
+			td.list(ready)
+			td.now = td.now.Add(time.Minute)
+			td.Confirm(td.now)
 		},
-		"a peer's list": func(lb *testDirectory) {
-			lb.at.Revision++
-			lb.ApplyPeerList([]Target{ready}, Lapsed{}, lb.at, lb.now)
+		"list of a peer": func(td *testDirectory) {
+			td.at.Revision++
+			td.ApplyPeerList([]Target{ready}, Lapsed{}, td.at, td.now)
 		},
-		"a peer's word of a lapse": func(lb *testDirectory) {
-			lb.list()
-			lb.now = lb.now.Add(time.Hour)
-			lb.list()
-			lb.at.Revision++
-			lb.ApplyPeerList(nil, Lapsed{Targets: []Target{ready}, GraceLeft: time.Second}, lb.at, lb.now)
+		"lapse reported by a peer": func(td *testDirectory) {
+			td.list()
+			td.now = td.now.Add(time.Hour)
+			td.list()
+			td.at.Revision++
+			td.ApplyPeerList(nil, Lapsed{Targets: []Target{ready}, GraceLeft: time.Second}, td.at, td.now)
 		},
-		"a store that was away": func(lb *testDirectory) {
-			lb.RecordStoreFailure()
-			lb.RecordStoreRecovery(lb.now)
-			lb.list()
-			lb.list(ready)
+		"store outage": func(td *testDirectory) {
+			td.RecordStoreFailure()
+			td.RecordStoreRecovery(td.now)
+			td.list()
+			td.list(ready)
 		},
 	}
-	for name, undo := range tests {
+	for name, events := range tests {
 		t.Run(name, func(t *testing.T) {
-			lb := newTestDirectory(t)
-			lb.list(ready)
-			lb.Expect(lb.MarkLeaving(ready.ID)).To(BeTrue())
-			undo(lb)
-			lb.Expect(lb.TakesWork(ready.ID)).To(BeFalse())
-			lb.Expect(lb.Usable("s", AllowProbe)).To(BeEmpty())
-			lb.Expect(lb.MarkLeaving(ready.ID)).To(BeFalse(), "it is known")
+			td := newTestDirectory(t)
+			td.list(ready)
+			td.Expect(td.MarkLeaving(ready.ID)).To(BeTrue())
+			events(td)
+			td.Expect(td.TakesWork(ready.ID)).To(BeFalse())
+			td.Expect(td.Usable("s", AllowProbe)).To(BeEmpty())
+			td.Expect(td.MarkLeaving(ready.ID)).To(BeFalse(), "it is marked already")
 		})
 	}
 }
 
-func TestNextIncarnationOfALeavingTargetTakesWorkAtOnce(t *testing.T) {
-	lb := newTestDirectory(t)
+func TestNextIncarnationOfLeavingTargetTakesWorkAtOnce(t *testing.T) {
+	td := newTestDirectory(t)
 	first := Target{ID: "a@1", Name: "a", StartedAt: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
 	second := first
 	second.ID, second.StartedAt = "a@2", time.Unix(2, 0)
-	lb.list(first)
-	lb.MarkLeaving(first.ID)
-	lb.list(second)
-	lb.Expect(lb.TakesWork(second.ID)).To(BeTrue())
+	td.list(first)
+	td.MarkLeaving(first.ID)
+	td.list(second)
+	td.Expect(td.TakesWork(second.ID)).To(BeTrue())
 	other := Target{ID: "b@1", Name: "b", StartedAt: time.Unix(3, 0), Service: "s", Address: first.Address}
-	lb.MarkLeaving(second.ID)
-	lb.list(other)
-	lb.Expect(lb.TakesWork(other.ID)).To(BeTrue())
+	td.MarkLeaving(second.ID)
+	td.list(other)
+	td.Expect(td.TakesWork(other.ID)).To(BeTrue())
 }
 
-// TestLeavingIsBounded marks far more incarnations than are remembered, and peers hear of the late ones alone.
+// TestLeavingIsBounded marks far more incarnations than are kept. Only the recent ones are announced to peers.
 func TestLeavingIsBounded(t *testing.T) {
-	lb := newTestDirectory(t)
+	td := newTestDirectory(t)
 	listed := Target{ID: "listed", Service: "s", Address: "10.0.0.1:80"}
-	lb.list(listed)
-	lb.MarkLeaving(listed.ID)
+	td.list(listed)
+	td.MarkLeaving(listed.ID)
 	for no := range 2 * maxLeaving {
-		lb.now = lb.now.Add(time.Second)
-		lb.MarkLeaving(strconv.Itoa(no))
-		lb.list(listed)
+		td.now = td.now.Add(time.Second)
+		td.MarkLeaving(strconv.Itoa(no))
+		td.list(listed)
 	}
-	lb.Expect(len(lb.leavingSince)).To(BeNumerically("<=", maxLeaving))
-	lb.Expect(len(lb.leavingSince)).To(BeNumerically(">=", maxLeaving/2))
-	lb.Expect(lb.TakesWork(listed.ID)).To(BeFalse())
-	lb.Expect(lb.LeavingIDs()).To(HaveLen(int(goneRetention/time.Second) + 2))
+	td.Expect(len(td.leavingSince)).To(BeNumerically("<=", maxLeaving))
+	td.Expect(len(td.leavingSince)).To(BeNumerically(">=", maxLeaving/2))
+	td.Expect(td.TakesWork(listed.ID)).To(BeFalse())
+	td.Expect(td.LeavingIDs()).To(HaveLen(int(goneRetention/time.Second) + 2))
 }
--- a/internal/targets/restore.go
+++ b/internal/targets/restore.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// StaleFor is how long after it came back from an older copy the store may list targets that had gone before: an entry that nobody
-// writes any more goes after three heartbeats of its target, 3.6 s.
+// RestoreQuarantine is how long after its restore from an older copy the store may list targets that were already gone: an entry that is no
+// longer written expires after three heartbeats of its target, 3.6 s.
 const RestoreQuarantine = 5 * time.Second
 
-// restored is what is known of the store's newest return from an older copy.
+// storeRestore is the newest known restore of the store from an older copy.
 type storeRestore struct {
-	// era is that since the return; it only grows.
+	// era is the era that began with the restore; it never decreases.
 	era int64
-	// at is when the store was asked that showed it; zero when it never came back from a copy.
+	// at is when the call that revealed the restore was made; zero when the store was never restored.
 	at time.Time
-	// doubted holds the targets of the newest list that were gone before the return. They are taken once entries that nobody writes
-	// are gone, if they are still listed then.
+	// quarantined holds the targets of the newest list that were gone before the restore. They are accepted if they are still listed
+	// after RestoreQuarantine, when entries that are no longer written have expired.
 	quarantined map[string]Target
 }
 
-// past reports whether the store lists no more what had gone before its return.
+// quarantineOver reports whether the entries of targets that were gone before the restore have expired in the store.
 func (sr *storeRestore) quarantineOver(now time.Time) bool {
 	return !now.Before(sr.at.Add(RestoreQuarantine))
 }
 
-// Restored notes the era of a store that came back from an older copy, as the answer to a question showed that was asked at a time. It
-// is called before that answer is taken. What was known before goes before the copy: targets that it lacks are written again soon,
-// and take work meanwhile; those that had gone are listed again, and take none.
-func (dr *Directory) RecordStoreRestore(era int64, evidence time.Time) {
+// RecordStoreRestore records that the store was restored from an older copy into a new era, as revealed by the answer to a call made at
+// asOf. It must be called before that answer is applied. What this instance knew before takes precedence over the copy: targets that the
+// copy lacks are written again soon, and accept work meanwhile; targets that were gone are listed again, but get no work.
+func (dr *Directory) RecordStoreRestore(era int64, asOf time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if era <= dr.lastRestore.era {
 		return
 	}
-	dr.lastRestore = storeRestore{era: era, at: evidence, quarantined: map[string]Target{}}
+	dr.lastRestore = storeRestore{era: era, at: asOf, quarantined: map[string]Target{}}
 	dr.ownOutage.ongoing = false
-	dr.ownOutage.recoveredAt = evidence
+	dr.ownOutage.recoveredAt = asOf
 }
 
-// RestoredAt returns the era since the store's newest return from an older copy, and when the store was asked that showed it; zero when
-// it never came back from one.
+// StoreRestoredAt returns the era that began with the newest restore of the store from an older copy, and when the call that revealed it
+// was made; zero when the store was never restored.
 func (dr *Directory) StoreRestoredAt() (era int64, at time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	return dr.lastRestore.era, dr.lastRestore.at
 }
 
-// stale reports whether a whole list names a target only because the store came back from a copy in which its entry still stood. One
-// that was written since is told of as a change.
+// staleAfterRestore reports whether a whole list may contain a target only because the store was restored from a copy that still had its
+// entry. A target whose entry is written after the restore arrives as a change, which is not checked. The caller holds the lock.
 func (dr *Directory) staleAfterRestore(tg Target) bool {
 	en, known := dr.entries[tg.ID]
 	if !known || en.missingSince.IsZero() || en.takesWork(dr.now()) {
@@ -54,7 +54,7 @@
 	return en.missingSince.Before(dr.lastRestore.at) && !dr.lastRestore.quarantineOver(dr.now())
 }
 
-// believe takes the targets that were doubted and are listed still. The lock is held.
+// releaseQuarantined accepts the quarantined targets once the quarantine is over. The caller holds the lock.
 func (dr *Directory) releaseQuarantined() []Change {
 	if len(dr.lastRestore.quarantined) == 0 || !dr.lastRestore.quarantineOver(dr.now()) {
 		return nil
--- a/internal/targets/restore_test.go
+++ b/internal/targets/restore_test.go
@@ -10,76 +10,75 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// TestRestoredStoreAndTargets.
-//
-// The store came back from a copy some seconds old. Targets that had started since were missing there, and were taken for gone,
-// until they had written themselves in again. One that had gone since was listed again, and was sent requests which nobody answered.
-func TestRestoredStoreAndTargets(t *testing.T) {
-	copied, lacks := []string{"a", "b"}, []string{"a"}
+// TestTargetsAfterStoreRestore guards against two faults after the store is restored from a copy that is some seconds old. Targets that
+// started after the copy was made are missing from it, and were treated as gone until they wrote their entries again. A target that went after
+// the copy was made is listed again, and was sent requests that nobody answered.
+func TestTargetsAfterStoreRestore(t *testing.T) {
+	both, onlyA := []string{"a", "b"}, []string{"a"}
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
+		events func(cl *clock, dr *targets.Directory)
 		want   []string
 	}{
-		"one that the copy lacks takes work until it is written again": {func(cl *clock, dr *targets.Directory) {
+		"a target missing from the copy accepts work during the grace period": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRestore(1, cl.now())
-			applyList(dr, makeTargets(inZone("near"), lacks), cl.now())
+			applyList(dr, makeTargets(inZone("near"), onlyA), cl.now())
 			cl.advance(1900 * time.Millisecond)
 		}, []string{"a", "b"}},
-		"and is gone when it is not": {func(cl *clock, dr *targets.Directory) {
+		"a target missing from the copy is gone after the grace period": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRestore(1, cl.now())
-			applyList(dr, makeTargets(inZone("near"), lacks), cl.now())
+			applyList(dr, makeTargets(inZone("near"), onlyA), cl.now())
 			cl.advance(2 * time.Second)
 		}, []string{"a"}},
-		"one that had gone takes none while the copy lists it": {func(cl *clock, dr *targets.Directory) {
+		"a target that was gone accepts none while the copy lists it": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "b", cl.now())
 			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 		}, []string{"a"}},
-		"nor when a peer lists it": {func(cl *clock, dr *targets.Directory) {
+		"a target that was gone accepts none while a peer lists it": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "b", cl.now())
 			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			applyPeerList(dr, makeTargets(inZone("near"), copied), targets.Lapsed{}, cl.now())
+			applyPeerList(dr, makeTargets(inZone("near"), both), targets.Lapsed{}, cl.now())
 		}, []string{"a"}},
-		"it does again once its entry is written": {func(cl *clock, dr *targets.Directory) {
+		"a target that was gone accepts work once its entry is written": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "b", cl.now())
 			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 			applyPut(dr, inZone("near")("b"), cl.now())
 		}, []string{"a", "b"}},
-		"or once it is still listed when entries that nobody writes are gone": {func(cl *clock, dr *targets.Directory) {
+		"a target still listed after the quarantine accepts work": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "b", cl.now())
 			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 			cl.advance(5 * time.Second)
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 		}, []string{"a", "b"}},
-		"whoever tells that the list is the same": {func(cl *clock, dr *targets.Directory) {
+		"a confirmation ends the quarantine too": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "b", cl.now())
 			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			applyPeerList(dr, makeTargets(inZone("near"), copied), targets.Lapsed{}, cl.now())
+			applyPeerList(dr, makeTargets(inZone("near"), both), targets.Lapsed{}, cl.now())
 			cl.advance(5 * time.Second)
 			dr.Confirm(cl.now())
 		}, []string{"a", "b"}},
-		"but not one whose entry has gone meanwhile": {func(cl *clock, dr *targets.Directory) {
+		"a target removed during the quarantine accepts none": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "b", cl.now())
 			cl.advance(time.Second)
 			dr.RecordStoreRestore(1, cl.now())
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 			applyDelete(dr, "b", cl.now())
 			cl.advance(5 * time.Second)
 			dr.Confirm(cl.now())
 		}, []string{"a"}},
-		"one that said it leaves takes none, whatever the copy says": {func(cl *clock, dr *targets.Directory) {
+		"a leaving target accepts none, whatever the copy lists": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("b")
 			dr.RecordStoreRestore(1, cl.now())
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 			cl.advance(10 * time.Second)
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 		}, []string{"a"}},
 	}
 	for name, tc := range tests {
@@ -87,11 +86,11 @@
 			g := NewWithT(t)
 			cl := &clock{at: time.Unix(1_000_000, 0)}
 			dr := targets.New(cl.now)
-			applyList(dr, makeTargets(inZone("near"), copied), cl.now())
+			applyList(dr, makeTargets(inZone("near"), both), cl.now())
 			cl.advance(time.Second)
-			tc.happen(cl, dr)
+			tc.events(cl, dr)
 			var got []string
-			for _, id := range copied {
+			for _, id := range both {
 				if dr.TakesWork(id) {
 					got = append(got, id)
 				}
@@ -101,7 +100,7 @@
 	}
 }
 
-func TestRestoredStoreIsLaterWhateverItsRevision(t *testing.T) {
+func TestNewEraIsLaterWhateverItsRevision(t *testing.T) {
 	g := NewWithT(t)
 	dr := targets.New(time.Now)
 	dr.ApplyList(nil, nil, position.Position{Revision: 480}, time.Now())
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -1,4 +1,5 @@
-// Package targets keeps what this instance believes of each target: whether it takes work, is leaving, gone, or failing.
+// Package targets keeps the directory of targets: which of them accept work, are leaving, are gone, or are failing, as far as this
+// instance knows.
 package targets
 
 import (
@@ -11,36 +12,37 @@
 )
 
 const (
-	// forgetAfter is how long a target that is gone is remembered, well past any list that still names it.
+	// goneRetention is how long a target that is gone is kept, well beyond the age of any list that may still contain it.
 	goneRetention = 60 * time.Second
-	// maxLeaving bounds the incarnations remembered as leaving that have no entry, some 100 bytes each.
+	// maxLeaving bounds the incarnations kept as leaving that have no entry, about 100 bytes each.
 	maxLeaving = 1 << 13
-	// unreachableFor is how long a target that took no connection is first left out: about a restart's detection time.
-	// It doubles up to unreachableMost, so that a cut of some seconds is found to have healed soon after.
+	// minUnreachablePause is how long a target is excluded after a first failed connection: about the time in which a restart is
+	// detected. It doubles with each further failure up to maxUnreachablePause, so that the end of a network partition of some seconds is
+	// noticed soon.
 	minUnreachablePause = 800 * time.Millisecond
 	maxUnreachablePause = 2400 * time.Millisecond
 )
 
-// Target is one incarnation of a target as the store lists it.
+// Target is one incarnation of a target, as listed in the store.
 type Target struct {
-	// ID is unique to the incarnation and never used again.
+	// ID is unique to the incarnation and is never reused.
 	ID string `json:"ID"`
-	// Name is what the target calls itself, which a later incarnation may bear again; empty when that is the ID.
+	// Name is the name that the target gives itself, which later incarnations may reuse. It is empty when it equals the ID.
 	Name string `json:"Name"`
-	// Born is when the incarnation started, by its own clock; zero when that is not told. Of two incarnations of one name the one
-	// born later is the present one.
+	// StartedAt is when the incarnation started, by its own clock; zero when unknown. Of two incarnations with the same name, the one
+	// that started later is current.
 	StartedAt time.Time `json:"Born"`
 	Service   string    `json:"Service"`
 	// Address is an IP address and port.
 	Address          string `json:"Address"`
 	AvailabilityZone string `json:"AvailabilityZone"`
-	// Slots is how many requests it works on at a time.
+	// Slots is how many requests the target processes concurrently.
 	Slots int `json:"Slots"`
-	// Leaving targets take no new work.
+	// Leaving targets accept no new work.
 	Leaving bool `json:"Leaving"`
 }
 
-// OwnName returns what the target calls itself.
+// NameOrID returns the name that the target gives itself, which is its ID when Name is empty.
 func (tg Target) NameOrID() string {
 	if tg.Name == "" {
 		return tg.ID
@@ -48,71 +50,73 @@
 	return tg.Name
 }
 
-// entry is what is believed of one target. Its fields are guarded by the directory.
+// entry is the state of one target. Its fields are guarded by the lock of the directory.
 type entry struct {
 	Target
-	// leaving is never taken back.
+	// leaving is never reset.
 	leaving bool
-	// goneAt is when the entry was missed; zero while it is listed.
+	// missingSince is when the target was first missing from the list; zero while it is listed.
 	missingSince time.Time
-	// workUntil is how long a target whose entry lapsed while the store was away still takes work; zero for others.
+	// graceUntil is until when a target whose entry lapsed during a store outage still accepts work; zero for others.
 	graceUntil time.Time
-	// outUntil is when an ejected target may be tried again.
+	// ejectedUntil is when an ejected target may be tried again.
 	ejectedUntil time.Time
-	// failing is the share of failures among the last outcomes, failedAt the time of the newest.
+	// failureRate is a moving average over the most recent outcomes; lastFailureAt is the time of the newest failure.
 	failureRate   float64
 	lastFailureAt time.Time
-	// ejections counts how often it was left out, as far as it lengthens the pause.
+	// ejections counts the ejections so far, up to maxDoublings; each doubles the duration of the next.
 	ejections int
-	// cutUntil is when a target that took no connection may be tried again.
+	// unreachableUntil is when a target that accepted no connection may be tried again.
 	unreachableUntil time.Time
-	// refusals counts connections not taken since the last one that was, as far as they lengthen the pause.
+	// connectFailures counts failed connections since the target was last reachable, up to maxDoublings; each doubles the next pause.
 	connectFailures int
-	// arrival orders the entries by when they were first listed.
+	// listOrder orders the entries by when they were first listed.
 	listOrder int
-	// superseded is set when a later incarnation of its name is known; it is never taken back.
+	// superseded is set when a later incarnation with the same name is known; it is never reset.
 	superseded bool
 }
 
-// Directory is the set of known targets. It is safe for use by any goroutine.
+// Directory is the set of known targets. It is safe for concurrent use.
 type Directory struct {
 	now func() time.Time
 
-	// superseded is told of each incarnation that a later one of its name takes the place of, with the lock held.
+	// onSuperseded is called, with the lock held, for each incarnation that a later one with the same name replaces.
 	onSuperseded func(Target)
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// entries is keyed by incarnation.
 	entries map[string]*entry
-	// present holds the newest incarnation known of each name.
+	// latest holds the latest known incarnation of each name.
 	latest map[string]incarnation
-	// arrivals counts the entries there were.
+	// listings counts the entries ever listed.
 	listings int
-	// leaving is when incarnations were first told to be leaving, listed or not. They stay, since an entry may come back after any time, and
-	// none of them ever takes work again.
+	// leavingSince holds when each incarnation, listed or not, was first known to be leaving. Incarnations stay in it, because an entry may
+	// be listed again after any time and a leaving incarnation must never get work again.
 	leavingSince map[string]time.Time
-	// store is what the own calls say of the store.
+	// ownOutage is the newest store outage seen by this instance's own calls.
 	ownOutage outage
-	// toldUntil is how long missing entries may be the doing of the store as a peer told.
+	// peerGraceUntil is until when, according to a peer, entries may be missing because of a store outage.
 	peerGraceUntil time.Time
-	// heard is the time of the newest evidence; it only grows.
+	// confirmedAt is the newest time as of which the list is known to be current; it never decreases.
 	confirmedAt time.Time
-	// changedAt is where in its history the store was when the list last changed, as far as known; it only grows.
+	// listPosition is the position in the store's history at which the list last changed, as far as known; it never decreases.
 	listPosition position.Position
-	// restored is what follows from the newest return of the store from an older copy.
+	// lastRestore is the newest known restore of the store from an older copy.
 	lastRestore storeRestore
-	// zones holds what is believed of each availability zone.
+	// zones is keyed by the name of the availability zone.
 	zones map[string]*zone
 }
 
-// Option changes a Directory under construction.
+// Option configures a Directory in New.
 type Option func(*Directory)
 
-// WithSuperseded is told of each incarnation that a later one of its name takes the place of. It must not call the directory.
-func WithSupersededHook(told func(Target)) Option {
-	return func(dr *Directory) { dr.onSuperseded = told }
+// WithSupersededHook sets a function that is called for each incarnation that a later one with the same name replaces. It is called with the
+// lock held, so it must not call the directory.
+func WithSupersededHook(hook func(Target)) Option {
+	return func(dr *Directory) { dr.onSuperseded = hook }
 }
 
-// New returns an empty directory.
+// New returns an empty directory; now is its clock.
 func New(now func() time.Time, opts ...Option) *Directory {
 	dr := &Directory{
 		now: now, onSuperseded: func(Target) {}, entries: map[string]*entry{}, latest: map[string]incarnation{},
@@ -124,16 +128,16 @@
 	return dr
 }
 
-// Change is what a call changed about one target.
+// Change is a change to one target.
 type Change struct {
 	Target Target
-	// What is one of "listed", "leaving", "gone" and "back".
+	// Kind is one of "listed", "leaving", "gone" and "back".
 	Kind string
 }
 
-// replace takes a whole list. Evidence is when the store was asked. The lock is held.
-func (dr *Directory) replaceAll(list []Target, evidence time.Time) []Change {
-	dr.confirm(evidence)
+// replaceAll replaces the whole list with one that was current as of asOf, when the store was asked. The caller holds the lock.
+func (dr *Directory) replaceAll(list []Target, asOf time.Time) []Change {
+	dr.confirm(asOf)
 	var changes []Change
 	listed := map[string]bool{}
 	clear(dr.lastRestore.quarantined)
@@ -154,9 +158,9 @@
 	return changes
 }
 
-// remove notes that the entry of a target, by its own name, is gone. The lock is held.
-func (dr *Directory) removeByName(name string, evidence time.Time) []Change {
-	dr.confirm(evidence)
+// removeByName records that the entry of the target with a name is gone. The caller holds the lock.
+func (dr *Directory) removeByName(name string, asOf time.Time) []Change {
+	dr.confirm(asOf)
 	dr.prune()
 	delete(dr.lastRestore.quarantined, dr.latest[name].id)
 	if en, ok := dr.entries[dr.latest[name].id]; ok {
@@ -165,38 +169,40 @@
 	return nil
 }
 
-// withdraw notes that the entry of a target, by its own name, names no target any more. It takes no work, also when the store was away
-// lately. The lock is held.
-func (dr *Directory) invalidate(name string, evidence time.Time) []Change {
-	changes := dr.removeByName(name, evidence)
+// invalidate records that the entry of the target with a name exists but can no longer be decoded as a target. The target gets no work, not
+// even during the grace period after a store outage. The caller holds the lock.
+func (dr *Directory) invalidate(name string, asOf time.Time) []Change {
+	changes := dr.removeByName(name, asOf)
 	if en, ok := dr.entries[dr.latest[name].id]; ok {
 		en.graceUntil = time.Time{}
 	}
 	return changes
 }
 
-// Confirm notes that the list was unchanged at a time.
-func (dr *Directory) Confirm(evidence time.Time) []Change {
+// Confirm records that the list was unchanged as of asOf. It returns the changes that follow when a quarantine is over.
+func (dr *Directory) Confirm(asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	dr.confirm(evidence)
+	dr.confirm(asOf)
 	return dr.releaseQuarantined()
 }
 
-func (dr *Directory) confirm(evidence time.Time) {
-	if evidence.After(dr.confirmedAt) {
-		dr.confirmedAt = evidence
+// confirm advances confirmedAt. The caller holds the lock.
+func (dr *Directory) confirm(asOf time.Time) {
+	if asOf.After(dr.confirmedAt) {
+		dr.confirmedAt = asOf
 	}
 }
 
-// ChangedAt returns where in its history the store was when the list last changed, and the time of the newest evidence.
-func (dr *Directory) ListPosition() (at position.Position, heard time.Time) {
+// ListPosition returns the position in the store's history at which the list last changed, and the newest time as of which the list is
+// known to be current.
+func (dr *Directory) ListPosition() (at position.Position, confirmedAt time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	return dr.listPosition, dr.confirmedAt
 }
 
-// Listed returns all listed targets, sorted by incarnation, and where in the store's history the list last changed.
+// Listed returns all listed targets, sorted by ID, and the position in the store's history at which the list last changed.
 func (dr *Directory) Listed() (at position.Position, list []Target) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -211,15 +217,16 @@
 	return dr.listPosition, list
 }
 
+// upsert adds or updates a listed target, unless a later incarnation is known. The caller holds the lock.
 func (dr *Directory) upsert(tg Target) []Change {
-	news, changes := dr.registerLatest(tg)
-	if !news {
+	latest, changes := dr.registerLatest(tg)
+	if !latest {
 		return nil
 	}
 	return append(changes, dr.upsertLatest(tg)...)
 }
 
-// list notes the entry of the present incarnation of a name.
+// upsertLatest adds or updates the entry of the latest incarnation of a name. The caller holds the lock.
 func (dr *Directory) upsertLatest(tg Target) []Change {
 	en, known := dr.entries[tg.ID]
 	if !known {
@@ -227,18 +234,18 @@
 		en = &entry{listOrder: dr.listings}
 		dr.entries[tg.ID] = en
 	}
-	back := known && !en.missingSince.IsZero()
+	relisted := known && !en.missingSince.IsZero()
 	wasLeaving := en.leaving
-	_, told := dr.leavingSince[tg.ID]
+	_, markedLeaving := dr.leavingSince[tg.ID]
 	en.Target = tg
 	en.missingSince = time.Time{}
 	en.graceUntil = time.Time{}
-	en.leaving = en.leaving || tg.Leaving || told
+	en.leaving = en.leaving || tg.Leaving || markedLeaving
 	switch {
 	case en.leaving && !wasLeaving:
 		dr.leavingSince[tg.ID] = dr.now()
 		return []Change{{Target: tg, Kind: "leaving"}}
-	case back:
+	case relisted:
 		return []Change{{Target: tg, Kind: "back"}}
 	case !known:
 		return []Change{{Target: tg, Kind: "listed"}}
@@ -246,6 +253,7 @@
 	return nil
 }
 
+// markMissing records that an entry is no longer listed, and grants it the grace period of a store outage. The caller holds the lock.
 func (dr *Directory) markMissing(en *entry) []Change {
 	if !en.missingSince.IsZero() {
 		return nil
@@ -255,6 +263,7 @@
 	return []Change{{Target: en.Target, Kind: "gone"}}
 }
 
+// prune removes entries, names and leaving incarnations that need not be kept any longer. The caller holds the lock.
 func (dr *Directory) prune() {
 	now := dr.now()
 	for id, en := range dr.entries {
@@ -266,7 +275,8 @@
 	dr.pruneLeaving()
 }
 
-// forgetLeaving forgets the incarnations without an entry that were told longest ago once there are too many, some at a time.
+// pruneLeaving evicts the oldest leaving incarnations that have no entry once there are more than maxLeaving. It evicts down to three
+// quarters of maxLeaving at a time. The caller holds the lock.
 func (dr *Directory) pruneLeaving() {
 	if len(dr.leavingSince) <= maxLeaving {
 		return
@@ -283,12 +293,12 @@
 	}
 }
 
-// MarkLeaving notes that an incarnation is leaving, whoever says so. It is never taken back. It reports whether that
-// was news.
+// MarkLeaving records that an incarnation is leaving, whatever the source. It cannot be undone. It reports whether the incarnation was not
+// marked before.
 func (dr *Directory) MarkLeaving(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	if _, told := dr.leavingSince[id]; told {
+	if _, marked := dr.leavingSince[id]; marked {
 		return false
 	}
 	dr.leavingSince[id] = dr.now()
@@ -298,7 +308,7 @@
 	return true
 }
 
-// Leaving returns the incarnations known to be leaving that peers have to hear of, sorted: those with an entry, and those told lately.
+// LeavingIDs returns the sorted IDs of leaving incarnations to announce to peers: those with an entry, and those marked within goneRetention.
 func (dr *Directory) LeavingIDs() []string {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -313,7 +323,7 @@
 	return ids
 }
 
-// LenLeaving returns how many listed targets are leaving.
+// LeavingCount returns the number of listed targets that are leaving.
 func (dr *Directory) LeavingCount() int {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -326,7 +336,7 @@
 	return n
 }
 
-// Len returns how many targets are listed.
+// Len returns the number of listed targets.
 func (dr *Directory) Len() int {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -339,7 +349,7 @@
 	return n
 }
 
-// HeardAt returns the time of the newest evidence of the list.
+// ConfirmedAt returns the newest time as of which the list is known to be current.
 func (dr *Directory) ConfirmedAt() time.Time {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -9,16 +9,17 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// clock is moved by hand.
+// clock is a manual clock.
 type clock struct{ at time.Time }
 
 func (cl *clock) now() time.Time          { return cl.at }
 func (cl *clock) advance(d time.Duration) { cl.at = cl.at.Add(d) }
 func newClock() *clock                    { return &clock{at: time.Unix(1000, 0)} }
 
-// target returns one whose address no other has.
+// newTarget returns a target of service "s" with an address of its own.
 func newTarget(id string) targets.Target { return targetAt(id, id+".example:80") }
 
+// targetAt returns a target of service "s" at an address.
 func targetAt(id, address string) targets.Target {
 	return targets.Target{ID: id, Service: "s", Address: address}
 }
@@ -28,10 +29,10 @@
 }
 func newTargets(ids ...string) []targets.Target { return makeTargets(newTarget, ids) }
 
-func makeTargets(make func(string) targets.Target, ids []string) []targets.Target {
+func makeTargets(build func(string) targets.Target, ids []string) []targets.Target {
 	var tgs []targets.Target
 	for _, id := range ids {
-		tgs = append(tgs, make(id))
+		tgs = append(tgs, build(id))
 	}
 	return tgs
 }
@@ -46,66 +47,66 @@
 
 func TestTakesWork(t *testing.T) {
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
+		events func(cl *clock, dr *targets.Directory)
 		want   []string
 	}{
-		"listed targets take work": {func(*clock, *targets.Directory) {}, []string{"a", "b", "c"}},
-		"a leaving target takes none": {func(cl *clock, dr *targets.Directory) {
+		"listed targets accept work": {func(*clock, *targets.Directory) {}, []string{"a", "b", "c"}},
+		"a leaving target accepts none": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, leavingTarget("a"), cl.now())
 		}, []string{"b", "c"}},
-		"leaving is never taken back": {func(cl *clock, dr *targets.Directory) {
+		"leaving is permanent": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, leavingTarget("a"), cl.now())
 			applyList(dr, newTargets("a", "b", "c"), cl.now())
 		}, []string{"b", "c"}},
-		"leaving told by a peer binds": {func(_ *clock, dr *targets.Directory) {
+		"leaving marked by a peer": {func(_ *clock, dr *targets.Directory) {
 			dr.MarkLeaving("b")
 		}, []string{"a", "c"}},
-		"leaving told before the target is listed binds": {func(cl *clock, dr *targets.Directory) {
+		"leaving marked before the target is listed": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("d")
 			applyPut(dr, newTarget("d"), cl.now())
 		}, []string{"a", "b", "c"}},
-		"a target that is gone takes none": {func(cl *clock, dr *targets.Directory) {
+		"a target that is gone accepts none": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "a", cl.now())
 		}, []string{"b", "c"}},
-		"an entry that is back takes work": {func(cl *clock, dr *targets.Directory) {
+		"a target that is listed again accepts work": {func(cl *clock, dr *targets.Directory) {
 			applyDelete(dr, "a", cl.now())
 			applyPut(dr, newTarget("a"), cl.now())
 		}, []string{"a", "b", "c"}},
-		"a failing target is left out": {func(_ *clock, dr *targets.Directory) {
+		"a failing target is ejected": {func(_ *clock, dr *targets.Directory) {
 			for range 3 {
 				dr.RecordFailure("a")
 			}
 		}, []string{"b", "c"}},
-		"most targets are never left out for failing": {func(_ *clock, dr *targets.Directory) {
+		"no more than half of the targets are ejected": {func(_ *clock, dr *targets.Directory) {
 			for range 3 {
 				dr.RecordFailure("a")
 				dr.RecordFailure("b")
 			}
 		}, []string{"a", "b", "c"}},
-		"a target left out is tried again": {func(cl *clock, dr *targets.Directory) {
+		"an ejected target is readmitted after its pause": {func(cl *clock, dr *targets.Directory) {
 			for range 3 {
 				dr.RecordFailure("a")
 			}
 			cl.advance(1100 * time.Millisecond)
 		}, []string{"a", "b", "c"}},
-		"a target that takes no connection is left out": {func(_ *clock, dr *targets.Directory) {
+		"an unreachable target is excluded": {func(_ *clock, dr *targets.Directory) {
 			dr.RecordUnreachable("a")
 		}, []string{"b", "c"}},
-		"most targets may be left out for it": {func(_ *clock, dr *targets.Directory) {
+		"a majority of unreachable targets is excluded": {func(_ *clock, dr *targets.Directory) {
 			dr.RecordReachable("c")
 			dr.RecordUnreachable("a")
 			dr.RecordUnreachable("b")
 		}, []string{"c"}},
-		"all are tried when none takes connections": {func(_ *clock, dr *targets.Directory) {
+		"all targets are usable when all are unreachable": {func(_ *clock, dr *targets.Directory) {
 			for _, id := range []string{"a", "b", "c"} {
 				dr.RecordUnreachable(id)
 			}
 		}, []string{"a", "b", "c"}},
-		"it is tried again soon": {func(cl *clock, dr *targets.Directory) {
+		"an unreachable target is tried again after its pause": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordUnreachable("a")
 			cl.advance(time.Second)
 		}, []string{"a", "b", "c"}},
-		"and later when it still takes none": {func(cl *clock, dr *targets.Directory) {
+		"the pause doubles while a target stays unreachable": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordUnreachable("a")
 			cl.advance(time.Second)
 			dr.RecordUnreachable("a")
@@ -118,7 +119,7 @@
 			cl := newClock()
 			dr := targets.New(cl.now)
 			applyList(dr, newTargets("a", "b", "c"), cl.now())
-			tc.happen(cl, dr)
+			tc.events(cl, dr)
 			g.Expect(idsOf(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 			for _, id := range tc.want {
 				g.Expect(dr.TakesWork(id)).To(BeTrue())
@@ -127,25 +128,25 @@
 	}
 }
 
-// TestOneIncarnationAtAnAddress lists a new incarnation at the address of one that is still believed to take work.
-func TestOneIncarnationAtAnAddress(t *testing.T) {
+// TestOneUsableTargetPerAddress lists a target at the address of another one that still accepts work as far as the directory knows.
+func TestOneUsableTargetPerAddress(t *testing.T) {
 	const shared = "10.0.0.1:80"
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
+		events func(cl *clock, dr *targets.Directory)
 		want   []string
 	}{
-		"the newer one, while both are listed": {func(cl *clock, dr *targets.Directory) {
+		"newer one while both are listed": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, targetAt("a", shared), cl.now())
 		}, []string{"a", "other"}},
-		"the newer one, after the older lapsed in trouble": {func(cl *clock, dr *targets.Directory) {
+		"newer one after the older lapsed in a store outage": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreFailure()
 			applyList(dr, []targets.Target{targetAt("a", shared), newTarget("other")}, cl.now())
 		}, []string{"a", "other"}},
-		"the older one again, once the newer takes no connection": {func(cl *clock, dr *targets.Directory) {
+		"older one once the newer is unreachable": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, targetAt("a", shared), cl.now())
 			dr.RecordUnreachable("a")
 		}, []string{"b", "other"}},
-		"the older one again, once the newer is leaving": {func(cl *clock, dr *targets.Directory) {
+		"older one once the newer is leaving": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, targetAt("a", shared), cl.now())
 			dr.MarkLeaving("a")
 		}, []string{"b", "other"}},
@@ -156,13 +157,13 @@
 			cl := newClock()
 			dr := targets.New(cl.now)
 			applyList(dr, []targets.Target{targetAt("b", shared), newTarget("other")}, cl.now())
-			tc.happen(cl, dr)
+			tc.events(cl, dr)
 			g.Expect(idsOf(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
+func TestChangesAreReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	cl := newClock()
 	dr := targets.New(cl.now)
@@ -175,17 +176,16 @@
 	g.Expect(dr.LeavingIDs()).To(Equal([]string{"a"}))
 }
 
-// TestCutIsTold checks what is told of a target that took no connection.
-func TestCutIsTold(t *testing.T) {
+func TestConnectivityOfUnreachableTargets(t *testing.T) {
 	tests := map[string]struct {
 		unreachable []string
 		want        targets.Connectivity
 	}{
-		"never":                {nil, targets.Connectivity{}},
-		"once":                 {[]string{"a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond}},
-		"twice":                {[]string{"a", "a"}, targets.Connectivity{ConnectFailures: 2, ExcludedFor: 1600 * time.Millisecond}},
-		"another one as well":  {[]string{"b", "a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond, ZoneExcluded: true}},
-		"one that is not here": {[]string{"d"}, targets.Connectivity{}},
+		"never":               {nil, targets.Connectivity{}},
+		"once":                {[]string{"a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond}},
+		"twice":               {[]string{"a", "a"}, targets.Connectivity{ConnectFailures: 2, ExcludedFor: 1600 * time.Millisecond}},
+		"another target too":  {[]string{"b", "a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond, ZoneExcluded: true}},
+		"unknown target only": {[]string{"d"}, targets.Connectivity{}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/targets/usable.go
+++ b/internal/targets/usable.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// ejectShare bounds the share of a service's targets that are left out for failing.
+// maxEjectedFraction bounds the fraction of a service's targets that may be excluded for failing.
 const maxEjectedFraction = 0.5
 
-// Caution is how sure a request must be of its target.
+// Caution is how much evidence of health a request requires of its target. Higher values require more.
 type Caution int
 
 const (
-	// Any may be the probe of an availability zone that may be back.
+	// AllowProbe permits the request to be the probe of an availability zone that was cut off.
 	AllowProbe Caution = iota
-	// Proven leaves out availability zones that have not answered since they were cut off.
+	// RequireReachable excludes availability zones that have not answered since they were cut off.
 	RequireReachable
-	// Sure leaves out also targets that failed lately, unless those are most: for requests that may run only once.
+	// RequireHealthy also excludes targets that failed recently, unless those are the majority. It is for requests that must run at most
+	// once.
 	RequireHealthy
 )
 
-// Usable returns the targets of a service that may get work now, sorted by incarnation. Those that take no connection,
-// alone or with their availability zone, are left out while others do; failing ones are left out unless too few are
-// left. Lapsed ones that nothing was heard of come last of all. When a probe is due, only its targets are returned. Of
-// several at one address it returns the one listed last.
+// Usable returns the targets of a service that may get work now, sorted by ID. Targets that accept no connections, or whose availability
+// zone is excluded, are returned only when no healthy target is left. Ejected targets are returned only when too few others are left. Lapsed
+// targets that are presumed dead are the last resort. When probes of availability zones are due, only the targets of those zones are returned.
+// Of several targets at one address, only the one that was listed last is returned.
 func (dr *Directory) Usable(service string, ca Caution) []Target {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	now := dr.now()
-	var due, good, suspect, failing, cut, last []Target
+	var probes, good, suspect, ejected, unreachable, lastResort []Target
 	for _, en := range dr.entries {
 		switch {
 		case en.Service != service || !en.takesWork(now):
 		case dr.presumedDead(en, now):
-			last = append(last, en.Target)
+			lastResort = append(lastResort, en.Target)
 		case now.Before(en.unreachableUntil):
-			cut = append(cut, en.Target)
+			unreachable = append(unreachable, en.Target)
 		case ca == AllowProbe && dr.zone(en.AvailabilityZone).probeDue(now):
-			due = append(due, en.Target)
+			probes = append(probes, en.Target)
 		case dr.zone(en.AvailabilityZone).unverified(now):
-			cut = append(cut, en.Target)
+			unreachable = append(unreachable, en.Target)
 		case now.Before(en.ejectedUntil):
-			failing = append(failing, en.Target)
+			ejected = append(ejected, en.Target)
 		case ca == RequireHealthy && en.suspect(now):
 			suspect = append(suspect, en.Target)
 		default:
@@ -50,42 +51,42 @@
 		}
 	}
 	good = readmitMajority(good, suspect)
-	good = readmitMajority(good, failing)
+	good = readmitMajority(good, ejected)
 	if len(good) == 0 {
-		good = append(failing, cut...)
+		good = append(ejected, unreachable...)
 	}
 	if len(good) == 0 {
-		good = last
+		good = lastResort
 	}
-	if len(due) > 0 {
-		good = due
+	if len(probes) > 0 {
+		good = probes
 	}
 	good = dr.dedupeByAddress(good)
 	slices.SortFunc(good, func(a, b Target) int { return strings.Compare(a.ID, b.ID) })
 	return good
 }
 
-// withMany adds what was left out when it is most: the rest could not bear its requests.
-func readmitMajority(good, out []Target) []Target {
-	if float64(len(out)) > maxEjectedFraction*float64(len(good)+len(out)) {
-		return append(good, out...)
+// readmitMajority adds the excluded targets to the good ones when they are the majority, because the rest could not bear the whole load.
+func readmitMajority(good, excluded []Target) []Target {
+	if float64(len(excluded)) > maxEjectedFraction*float64(len(good)+len(excluded)) {
+		return append(good, excluded...)
 	}
 	return good
 }
 
-// newest leaves out each target whose address another one has that was listed later: the address is that of one process,
-// and memory set aside there twice for one request would be the same memory.
+// dedupeByAddress removes each target whose address is also that of a target listed later. One address is one process, so memory reserved
+// there twice for one request would be the same memory. The caller holds the lock.
 func (dr *Directory) dedupeByAddress(tgs []Target) []Target {
-	last := map[string]int{}
+	newest := map[string]int{}
 	for _, tg := range tgs {
-		last[tg.Address] = max(last[tg.Address], dr.entries[tg.ID].listOrder)
+		newest[tg.Address] = max(newest[tg.Address], dr.entries[tg.ID].listOrder)
 	}
 	return slices.DeleteFunc(tgs, func(tg Target) bool {
-		return tg.Address != "" && dr.entries[tg.ID].listOrder < last[tg.Address]
+		return tg.Address != "" && dr.entries[tg.ID].listOrder < newest[tg.Address]
 	})
 }
 
-// TakesWork reports whether a target may be sent a request at this moment.
+// TakesWork reports whether a target is known, not leaving, and listed or within its grace period.
 func (dr *Directory) TakesWork(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -93,6 +94,7 @@
 	return ok && en.takesWork(dr.now())
 }
 
+// takesWork is TakesWork for one entry.
 func (en *entry) takesWork(now time.Time) bool {
 	if en.leaving {
 		return false
--- a/internal/targets/zone.go
+++ b/internal/targets/zone.go
@@ -3,59 +3,60 @@
 import "time"
 
 const (
-	// zoneSuspects is how many targets or instances of an availability zone must fail, and none answer since, for the
-	// whole availability zone to be left out. One alone is a dead target, two at once are seldom chance.
+	// minZoneFailures is how many targets or instances of an availability zone must fail, with no answer from the zone since, to exclude
+	// the whole zone. One alone is a dead target; two at once are rarely a coincidence.
 	minZoneFailures = 2
-	// signFor is how long a failure counts: the longest silences are noticed about 2 s apart.
+	// zoneFailureWindow is how long a failure counts. The longest silences are detected about 2 s apart.
 	zoneFailureWindow = 5 * time.Second
-	// zoneQuiet is the time without any answer from an availability zone after which refused connections show that it
-	// is cut off: answers come many times a second from one that is not.
-	refusalQuiet = 200 * time.Millisecond
-	// zoneSilence is the same for silence, which a long prompt on several engines causes too: their neighbours answer
-	// well within a second.
-	silenceQuiet = time.Second
-	// probeFor is how long a probe may take: the silence after which an attempt is given up, and a margin.
+	// refusalQuietPeriod is the time without any answer from an availability zone after which failed connections count against it. A zone that
+	// is not cut off answers many times per second.
+	refusalQuietPeriod = 200 * time.Millisecond
+	// silenceQuietPeriod is the same for silence. Several engines may also be silent because of long prompts, but then other targets of the
+	// zone answer well within a second.
+	silenceQuietPeriod = time.Second
+	// probeTimeout is how long a probe may take: the silence after which an attempt is aborted, plus a margin.
 	probeTimeout = 2 * time.Second
-	// doubtFor is how long an availability zone may be left to probes: one that nobody probed is taken as sound.
-	maxUnverified = 5 * time.Second
+	// probeOnlyPeriod is how long after its pause an availability zone gets only probes. A zone that was not probed by then is taken as
+	// reachable.
+	probeOnlyPeriod = 5 * time.Second
 )
 
-// zone is what is believed of one availability zone. Its fields are guarded by the directory.
+// zone is the state of one availability zone. Its fields are guarded by the lock of the directory.
 type zone struct {
-	// reachedAt is when a target there last took a connection or answered.
+	// reachedAt is when a target of the zone last accepted a connection or answered.
 	reachedAt time.Time
-	// signs holds the targets and instances that failed since, and when.
+	// failures holds when targets and instances of the zone failed since reachedAt, by their IDs and names.
 	failures map[string]time.Time
-	// outUntil is until when its targets are left out; zero while it is taken as sound.
+	// excludedUntil is when the pause of the zone ends; zero while the zone is taken as reachable.
 	excludedUntil time.Time
-	// cuts counts how often it was left out since the last answer, as far as it lengthens the pause.
+	// exclusions counts the exclusions since the last answer, up to maxDoublings; each doubles the next pause.
 	exclusions int
-	// probeUntil is when a further probe may go out.
+	// nextProbeAt is when another probe may be sent.
 	nextProbeAt time.Time
 }
 
-// answered notes an answer and reports whether the availability zone was in doubt.
+// recordAnswer records an answer and reports whether it ends an exclusion of the zone.
 func (zn *zone) recordAnswer(now time.Time) bool {
 	zn.reachedAt = now
 	clear(zn.failures)
-	doubted := !zn.excludedUntil.IsZero()
+	wasExcluded := !zn.excludedUntil.IsZero()
 	zn.excludedUntil, zn.nextProbeAt, zn.exclusions = time.Time{}, time.Time{}, 0
-	return doubted
+	return wasExcluded
 }
 
-// failed notes that a target or instance did not answer, and reports whether the availability zone is left out for it.
-// It counts when nothing else has answered for longer than quiet.
-func (zn *zone) recordFailure(from string, quiet time.Duration, now time.Time) bool {
+// recordFailure records that a target or instance failed to answer, and reports whether this excludes the zone. It does so only when nothing
+// in the zone has answered for longer than quiet.
+func (zn *zone) recordFailure(source string, quiet time.Duration, now time.Time) bool {
 	for id, at := range zn.failures {
 		if now.Sub(at) > zoneFailureWindow {
 			delete(zn.failures, id)
 		}
 	}
-	zn.failures[from] = now
+	zn.failures[source] = now
 	switch {
 	case now.Sub(zn.reachedAt) <= quiet:
 	case zn.unverified(now) && now.Before(zn.excludedUntil):
-		// What was under way when it was cut off tells nothing new.
+		// Requests in flight when the zone was excluded do not extend the exclusion.
 	case zn.unverified(now) || len(zn.failures) >= minZoneFailures:
 		zn.exclude(now)
 		return true
@@ -63,23 +64,24 @@
 	return false
 }
 
+// exclude starts a pause, which doubles with each exclusion since the last answer.
 func (zn *zone) exclude(now time.Time) {
 	zn.excludedUntil = now.Add(min(maxUnreachablePause, minUnreachablePause<<zn.exclusions))
 	zn.exclusions = min(zn.exclusions+1, maxDoublings)
 	zn.nextProbeAt = time.Time{}
 }
 
-// doubted reports whether it was left out and has not answered since.
+// unverified reports whether the zone was excluded and has not answered since. It ends at the latest probeOnlyPeriod after the pause.
 func (zn *zone) unverified(now time.Time) bool {
-	return !zn.excludedUntil.IsZero() && now.Before(zn.excludedUntil.Add(maxUnverified))
+	return !zn.excludedUntil.IsZero() && now.Before(zn.excludedUntil.Add(probeOnlyPeriod))
 }
 
-// probeDue reports whether one request may find out whether it is back.
+// probeDue reports whether one request may be sent to the zone to find out whether it is reachable again.
 func (zn *zone) probeDue(now time.Time) bool {
 	return zn.unverified(now) && !now.Before(zn.excludedUntil) && !now.Before(zn.nextProbeAt)
 }
 
-// probed notes a request that goes there.
+// recordProbe records a request sent to the zone, which is the probe if one is due.
 func (zn *zone) recordProbe(now time.Time) {
 	if zn.probeDue(now) {
 		zn.nextProbeAt = now.Add(probeTimeout)
