--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,8 @@
 // Package backoff tracks the targets that asked this instance for a back-off, and ramps requests to them up again afterwards.
 //
-// A back-off is between one target and one instance: it binds only the instance that received it. When it ends, a single probe request
-// finds out whether the target accepts work again, and each success allows more requests. This keeps the requests that waited for the
-// end of the back-off, and those of other instances, from arriving all at once.
+// A back-off is between one target and one instance: it binds only the instance that received it. When it ends, a single probe
+// request finds out whether the target accepts work again, and each success allows more requests. This keeps the requests that
+// waited for the end of the back-off, and those of other instances, from arriving all at once.
 package backoff
 
 import (
@@ -12,8 +12,8 @@
 )
 
 const (
-	// jitterFraction and maxJitter bound the random delay that is added to each back-off, so that instances which the target turned away
-	// at the same moment do not come back at the same moment.
+	// jitterFraction and maxJitter bound the random delay that is added to each back-off, so that instances which the target
+	// turned away at the same moment do not come back at the same moment.
 	jitterFraction = 0.1
 	maxJitter      = 250 * time.Millisecond
 	// probeInterval is the time after which another probe may be sent while the previous one has no answer.
@@ -71,8 +71,8 @@
 	return &Tracker{now: now, random: random, backOffs: map[string]*backOff{}}
 }
 
-// Begin starts or extends the back-off that a target asked for in an answer received at receivedAt. It never shortens one that is in force.
-// It reports whether no back-off of the target was in force before.
+// Begin starts or extends the back-off that a target asked for in an answer received at receivedAt. It never shortens one that is
+// in force. It reports whether no back-off of the target was in force before.
 func (tr *Tracker) Begin(target string, duration time.Duration, receivedAt time.Time) (started bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -95,8 +95,8 @@
 	return started
 }
 
-// RecordSuccess records an answer without a back-off to a request that was sent at sentAt. When it makes the target available again, it
-// returns true and the time since the target first asked for a back-off.
+// RecordSuccess records an answer without a back-off to a request that was sent at sentAt. When it makes the target available
+// again, it returns true and the time since the target first asked for a back-off.
 func (tr *Tracker) RecordSuccess(target string, sentAt time.Time) (after time.Duration, recovered bool) {
 	if !tr.nonEmpty.Load() {
 		return 0, false
--- a/internal/backoff/parse.go
+++ b/internal/backoff/parse.go
@@ -21,10 +21,10 @@
 	return "malformed Retry-After value " + strconv.Quote(me.Value)
 }
 
-// Parse parses the values of a Retry-After header and returns the longest back-off, zero when there is none. A value is a number of
-// seconds or an HTTP date. A date is taken relative to answerDate, the Date header of the answer, so that the clocks of both sides need not
-// agree; when that is missing or malformed, relative to now. Parse returns a MalformedError for the first malformed value, together with
-// the longest of the others.
+// Parse parses the values of a Retry-After header and returns the longest back-off, zero when there is none. A value is a number
+// of seconds or an HTTP date. A date is taken relative to answerDate, the Date header of the answer, so that the clocks of both
+// sides need not agree; when that is missing or malformed, relative to now. Parse returns a MalformedError for the first
+// malformed value, together with the longest of the others.
 func Parse(values []string, answerDate string, now time.Time) (time.Duration, error) {
 	var longest time.Duration
 	var firstErr error
--- a/internal/backoff/rapid_test.go
+++ b/internal/backoff/rapid_test.go
@@ -9,8 +9,8 @@
 	"github.com/silvermount/silvermount/internal/backoff"
 )
 
-// TestBackOffBlocksUntilItsEnd draws back-offs, answers, dispatches, prunings and pauses in any order. The target must be blocked until
-// the end of its longest back-off, and after that for no longer than a second.
+// TestBackOffBlocksUntilItsEnd draws back-offs, answers, dispatches, prunings and pauses in any order. The target must be blocked
+// until the end of its longest back-off, and after that for no longer than a second.
 func TestBackOffBlocksUntilItsEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -1,5 +1,5 @@
-// Package ratelimit tracks the rate limits that targets state in their answers. A limit is in requests per second and applies to all
-// instances together.
+// Package ratelimit tracks the rate limits that targets state in their answers. A limit is in requests per second and applies to
+// all instances together.
 package ratelimit
 
 import (
@@ -16,8 +16,8 @@
 	PerSecond float64
 }
 
-// maxPerSecond is the highest limit; higher ones are clamped to it. It is far above the load of any fleet, and one second divided by it is
-// still a valid interval.
+// maxPerSecond is the highest limit; higher ones are clamped to it. It is far above the load of any fleet, and one second divided
+// by it is still a valid interval.
 const maxPerSecond = 1e6
 
 // PerSecond returns a limit of n requests per second, clamped to the range of Limit.PerSecond.
@@ -42,8 +42,8 @@
 	return "malformed rate limit " + strconv.Quote(me.Value[:min(len(me.Value), maxLen)])
 }
 
-// Parse parses the limits that one answer states and returns the lowest, or none when there are no values. It returns a MalformedError for
-// the first value that is not a non-negative decimal number, together with the lowest of the others.
+// Parse parses the limits that one answer states and returns the lowest, or none when there are no values. It returns a
+// MalformedError for the first value that is not a non-negative decimal number, together with the lowest of the others.
 func Parse(values []string) (Limit, error) {
 	var lowest Limit
 	var firstErr error
--- a/internal/ratelimit/tracker.go
+++ b/internal/ratelimit/tracker.go
@@ -12,8 +12,9 @@
 	// Target is the incarnation of the target.
 	Target string
 	Limit  Limit
-	// At orders observations. It is the time at which the request was sent when the answer states no limit, and the time at which the
-	// head of the answer arrived when it does: answers in flight when the target states its first limit must not appear to lift it.
+	// At orders observations. It is the time at which the request was sent when the answer states no limit, and the time at which
+	// the head of the answer arrived when it does: answers in flight when the target states its first limit must not appear to
+	// lift it.
 	At time.Time
 }
 
@@ -46,15 +47,15 @@
 }
 
 const (
-	// liftedRetention is how long an instance keeps and announces that a limit was lifted. It exceeds the time that a peer's report of
-	// the limit may be in transit, and the silence after which a peer is considered lost.
+	// liftedRetention is how long an instance keeps and announces that a limit was lifted. It exceeds the time that a peer's
+	// report of the limit may be in transit, and the silence after which a peer is considered lost.
 	liftedRetention = 15 * time.Second
 	// maxRecords bounds the number of records, 100 bytes each.
 	maxRecords = 1 << 13
 )
 
-// Tracker holds the rate limits of targets that this instance knows from answers of its own requests and from its peers. It is safe for
-// concurrent use.
+// Tracker holds the rate limits of targets that this instance knows from answers of its own requests and from its peers. It is
+// safe for concurrent use.
 type Tracker struct {
 	now func() time.Time
 
@@ -70,8 +71,8 @@
 	return &Tracker{now: now, records: map[string]record{}}
 }
 
-// Observe records the limit stated in an answer whose request was sent at sentAt and whose head arrived at headAt. It reports whether the
-// known limit changed; peers must then be told.
+// Observe records the limit stated in an answer whose request was sent at sentAt and whose head arrived at headAt. It reports
+// whether the known limit changed; peers must then be told.
 func (tr *Tracker) Observe(target string, li Limit, sentAt, headAt time.Time) (Change, bool) {
 	ob := Observation{Target: target, Limit: li, At: sentAt}
 	if li.Limited {
@@ -98,8 +99,8 @@
 // apply records an observation unless the known one is newer. The caller holds the lock.
 func (tr *Tracker) apply(ob Observation, local bool) (Change, bool) {
 	rc, known := tr.records[ob.Target]
-	// Most local answers state no limit and need no record. A peer reports that there is no limit only after it saw one lifted; that is
-	// recorded, because an older report of the limit may still be in transit.
+	// Most local answers state no limit and need no record. A peer reports that there is no limit only after it saw one lifted;
+	// that is recorded, because an older report of the limit may still be in transit.
 	if !known && !ob.Limit.Limited && local {
 		return Change{}, false
 	}
@@ -145,8 +146,8 @@
 	return tr.limitedCount
 }
 
-// LocalObservations returns the observations to announce to peers, sorted by target: those that this instance made before any peer reported
-// them. Across the whole fleet these are a few entries per target, however many instances observe the same limit.
+// LocalObservations returns the observations to announce to peers, sorted by target: those that this instance made before any
+// peer reported them. Across the whole fleet these are a few entries per target, however many instances observe the same limit.
 func (tr *Tracker) LocalObservations() []Observation {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxObservations bounds the observations that one instance sends, about 30 bytes each, and so the memory that decoding allocates.
+	// maxObservations bounds the observations that one instance sends, about 30 bytes each, and so the memory that decoding
+	// allocates.
 	maxObservations = 2048
 	// maxTargetLen bounds the length of an incarnation's name, in bytes.
 	maxTargetLen = 256
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -13,8 +13,8 @@
 	failure.TargetShed:    true,
 }
 
-// Reason says what prevents a retry; it is written to logs. It is empty when a retry follows, and when a retry is out of the question
-// because the request has ended or the failure is not one of the target.
+// Reason says what prevents a retry; it is written to logs. It is empty when a retry follows, and when a retry is out of the
+// question because the request has ended or the failure is not one of the target.
 type Reason string
 
 // The reasons.
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestResumptionIsNotPreparedWithoutRetry guards against preparing a resumption for a request that is not retried: here, one that must run
-// at most once and may have run.
+// TestResumptionIsNotPreparedWithoutRetry guards against preparing a resumption for a request that is not retried: here, one that
+// must run at most once and may have run.
 func TestResumptionIsNotPreparedWithoutRetry(t *testing.T) {
 	g := NewWithT(t)
 	called := false
--- a/internal/targets/apply.go
+++ b/internal/targets/apply.go
@@ -16,11 +16,12 @@
 	Deleted, Unreadable bool
 }
 
-// The list and the position at which it last changed are updated atomically, and a list is never replaced by one of an earlier position.
-// Otherwise an older answer of the store could replace a newer list from a peer, and every peer's confirmation would then make it look current.
+// The list and the position at which it last changed are updated atomically, and a list is never replaced by one of an earlier
+// position. Otherwise an older answer of the store could replace a newer list from a peer, and every peer's confirmation would
+// then make it look current.
 
-// ApplyList replaces the list with a whole list of the store at a position. The names in unreadable have entries that cannot be decoded as
-// targets.
+// ApplyList replaces the list with a whole list of the store at a position. The names in unreadable have entries that cannot be
+// decoded as targets.
 func (dr *Directory) ApplyList(list []Target, unreadable []string, at position.Position, asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -35,8 +36,8 @@
 	return append(changes, dr.releaseQuarantined()...)
 }
 
-// ApplyChanges applies the changes in the store up to a position, in order. Changes that the current list already contains are applied
-// again; the later ones among the changes correct the result.
+// ApplyChanges applies the changes in the store up to a position, in order. Changes that the current list already contains are
+// applied again; the later ones among the changes correct the result.
 func (dr *Directory) ApplyChanges(entries []EntryChange, at position.Position, asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -60,9 +61,9 @@
 	return append(changes, dr.releaseQuarantined()...)
 }
 
-// ApplyPeerList replaces the list with that of a peer, which last changed at a position, unless the current list is as new. Targets that it
-// newly misses are gone at once, unless the peer recently saw the store recover from an outage: an instance that cannot reach the store
-// itself must not treat them as lapsed.
+// ApplyPeerList replaces the list with that of a peer, which last changed at a position, unless the current list is as new.
+// Targets that it newly misses are gone at once, unless the peer recently saw the store recover from an outage: an instance that
+// cannot reach the store itself must not treat them as lapsed.
 func (dr *Directory) ApplyPeerList(list []Target, la Lapsed, at position.Position, asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -76,8 +77,8 @@
 // isOlder reports whether an answer of the store is older than the current list. The caller holds the lock.
 func (dr *Directory) isOlder(at position.Position) bool { return dr.listPosition.After(at) }
 
-// confirmOnly confirms the current list by an older answer of the store, as of when the store was asked: the current list too contains
-// every write that was acknowledged before then. The caller holds the lock.
+// confirmOnly confirms the current list by an older answer of the store, as of when the store was asked: the current list
+// also contains every write that was acknowledged before then. The caller holds the lock.
 func (dr *Directory) confirmOnly(asOf time.Time) []Change {
 	dr.confirm(asOf)
 	return dr.releaseQuarantined()
--- a/internal/targets/apply_test.go
+++ b/internal/targets/apply_test.go
@@ -20,7 +20,8 @@
 	return at
 }
 
-// applyPeerList calls a list of a peer as one newer than the current list. The following functions do the same with answers of the store.
+// applyPeerList calls a list of a peer as one newer than the current list. The following functions do the same with answers of
+// the store.
 func applyPeerList(dr *targets.Directory, list []targets.Target, la targets.Lapsed, asOf time.Time) []targets.Change {
 	return dr.ApplyPeerList(list, la, nextPosition(dr), asOf)
 }
@@ -63,8 +64,9 @@
 	}
 }
 
-// TestListMatchesItsPosition draws any order of changes in the store, of lists and watches that are answered late, of lists from peers, and of
-// restores of the store from an older copy. Whenever an instance is at a position, its list must be the one that the store had there.
+// TestListMatchesItsPosition draws any order of changes in the store, of lists and watches that are answered late, of lists from
+// peers, and of restores of the store from an older copy. Whenever an instance is at a position, its list must be the one that
+// the store had there.
 func TestListMatchesItsPosition(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -190,6 +192,6 @@
 	sh.lists[sh.at] = sh.lists[old]
 }
 
-// mayDiffer reports whether the list of an instance may differ from that of the store at a position: after a restore, targets that were gone
-// before are quarantined at first.
+// mayDiffer reports whether the list of an instance may differ from that of the store at a position: after a restore, targets
+// that were gone before are quarantined at first.
 func (sh *storeHistory) mayDiffer(at position.Position) bool { return at.Era > 0 }
--- a/internal/targets/connectivity.go
+++ b/internal/targets/connectivity.go
@@ -6,7 +6,7 @@
 type Connectivity struct {
 	// ConnectFailures counts failed connections since the target was last reachable; it stops at maxDoublings.
 	ConnectFailures int
-	// ExcludedFor is how much longer the target is excluded for them.
+	// ExcludedFor is how much longer the target is excluded because of them.
 	ExcludedFor time.Duration
 	// ZoneExcluded is set when the whole availability zone of the target is excluded.
 	ZoneExcluded bool
@@ -21,5 +21,8 @@
 		return Connectivity{}
 	}
 	now := dr.now()
-	return Connectivity{ConnectFailures: en.connectFailures, ExcludedFor: max(0, en.unreachableUntil.Sub(now)), ZoneExcluded: dr.zone(en.AvailabilityZone).unverified(now)}
+	return Connectivity{
+		ConnectFailures: en.connectFailures, ExcludedFor: max(0, en.unreachableUntil.Sub(now)),
+		ZoneExcluded: dr.zone(en.AvailabilityZone).unverified(now),
+	}
 }
--- a/internal/targets/incarnation.go
+++ b/internal/targets/incarnation.go
@@ -8,9 +8,9 @@
 	startedAt time.Time
 }
 
-// registerLatest registers a target as the latest incarnation of its name, and reports whether it is: outdated information on an earlier
-// incarnation never replaces a later one. The incarnation that it supersedes is gone at once, because it no longer holds any state. The
-// caller holds the lock.
+// registerLatest registers a target as the latest incarnation of its name, and reports whether it is: outdated information on an
+// earlier incarnation never replaces a later one. The incarnation that it supersedes is gone at once, because it no longer holds
+// any state. The caller holds the lock.
 func (dr *Directory) registerLatest(tg Target) (latest bool, changes []Change) {
 	previous, known := dr.latest[tg.NameOrID()]
 	if known && previous.id == tg.ID {
@@ -26,8 +26,8 @@
 	return true, nil
 }
 
-// supersede marks an incarnation as replaced. It gets no work, not even during the grace period after a store outage. The caller holds the
-// lock.
+// supersede marks an incarnation as replaced. It gets no work, not even during the grace period after a store outage. The caller
+// holds the lock.
 func (dr *Directory) supersede(en *entry) []Change {
 	en.superseded = true
 	changes := dr.markMissing(en)
@@ -44,8 +44,8 @@
 	return known && !en.leaving && !en.missingSince.IsZero() && !en.takesWork(dr.now())
 }
 
-// IsCurrent reports whether no later incarnation with the same name is known. Memory reserved at the target, and connections to it, may then
-// still exist.
+// IsCurrent reports whether no later incarnation with the same name is known. Memory reserved at the target, and connections to
+// it, may then still exist.
 func (dr *Directory) IsCurrent(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// ByID returns the target with an ID. For an unknown one, it returns a Target with nothing but the ID set.
+// ByID returns the target with the given ID. For an unknown one, it returns a Target with nothing but the ID set.
 func (dr *Directory) ByID(id string) Target {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -72,7 +72,7 @@
 	return Target{ID: id}
 }
 
-// ByName returns the latest incarnation with a name, or false when none is known.
+// ByName returns the latest incarnation with the given name, or false when none is known.
 func (dr *Directory) ByName(name string) (Target, bool) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -16,8 +16,8 @@
 	return tg
 }
 
-// TestIncarnationsOfOneName: a target restarts under the same name and has lost its state. The state of the previous incarnation, in
-// particular that it is leaving, must not apply to the new one.
+// TestIncarnationsOfOneName: a target restarts under the same name and has lost its state. The state of the previous incarnation,
+// in particular that it is leaving, must not apply to the new one.
 func TestIncarnationsOfOneName(t *testing.T) {
 	first, second := incarnationOfA(1000), incarnationOfA(2000)
 	leavingFirst := first
--- a/internal/targets/lapse.go
+++ b/internal/targets/lapse.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// LapseGrace is how long a lapsed entry may be missing after the store has recovered from an outage. The platform states that entries are
-// back within about two seconds, and that an entry still missing then is gone.
+// LapseGrace is how long a lapsed entry may be missing after the store has recovered from an outage. The platform states that
+// entries are back within about two seconds, and that an entry still missing then is gone.
 const LapseGrace = 2 * time.Second
 
 // outage is the newest store outage as seen by this instance's own calls.
@@ -29,7 +29,7 @@
 	ou.ongoing = false
 }
 
-// graceEnds returns until when an entry may be missing because of the outage; zero when there was none.
+// graceEnds returns the time until which an entry may be missing because of the outage; zero when there was none.
 func (ou *outage) graceEnds() time.Time {
 	if ou.recoveredAt.IsZero() {
 		return time.Time{}
@@ -73,8 +73,8 @@
 	return la
 }
 
-// replaceFromPeer replaces the whole list with that of a peer. Entries that it newly misses get at most the peer's remaining grace period.
-// The caller holds the lock.
+// replaceFromPeer replaces the whole list with that of a peer. Entries that it newly misses get at most the peer's remaining
+// grace period. The caller holds the lock.
 func (dr *Directory) replaceFromPeer(list []Target, la Lapsed, asOf time.Time) []Change {
 	for _, tg := range la.Targets {
 		dr.addLapsed(tg)
@@ -105,8 +105,8 @@
 	dr.entries[tg.ID] = &entry{Target: tg, leaving: tg.Leaving || markedLeaving}
 }
 
-// presumedDead reports whether a target is not listed and there is no sign that it is alive: it accepted no connection, or nothing in its
-// availability zone has answered since the store outage began. The caller holds the lock.
+// presumedDead reports whether a target is not listed and there is no sign that it is alive: it accepted no connection, or
+// nothing in its availability zone has answered since the store outage began. The caller holds the lock.
 func (dr *Directory) presumedDead(en *entry, now time.Time) bool {
 	if en.missingSince.IsZero() {
 		return false
--- a/internal/targets/leaving_test.go
+++ b/internal/targets/leaving_test.go
@@ -31,7 +31,8 @@
 	td.ApplyList(tgs, nil, td.at, td.now)
 }
 
-// TestLeavingIsPermanent marks a target as leaving by an announcement of its own, which no list contains, and checks that nothing resets it.
+// TestLeavingIsPermanent marks a target as leaving by an announcement of its own, which no list contains, and checks that nothing
+// resets it.
 func TestLeavingIsPermanent(t *testing.T) {
 	ready := Target{ID: "a@1", Name: "a", StartedAt: time.Unix(1, 0), Service: "s", Address: "10.0.0.1:80"}
 	tests := map[string]func(td *testDirectory){
--- a/internal/targets/restore.go
+++ b/internal/targets/restore.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// RestoreQuarantine is how long after its restore from an older copy the store may list targets that were already gone: an entry that is no
-// longer written expires after three heartbeats of its target, 3.6 s.
+// RestoreQuarantine is how long after its restore from an older copy the store may list targets that were already gone: an entry
+// that is no longer written expires after three heartbeats of its target, 3.6 s.
 const RestoreQuarantine = 5 * time.Second
 
 // storeRestore is the newest known restore of the store from an older copy.
@@ -12,8 +12,8 @@
 	era int64
 	// at is when the call that revealed the restore was made; zero when the store was never restored.
 	at time.Time
-	// quarantined holds the targets of the newest list that were gone before the restore. They are accepted if they are still listed
-	// after RestoreQuarantine, when entries that are no longer written have expired.
+	// quarantined holds the targets of the newest list that were gone before the restore. They are accepted if they are still
+	// listed after RestoreQuarantine, when entries that are no longer written have expired.
 	quarantined map[string]Target
 }
 
@@ -22,9 +22,10 @@
 	return !now.Before(sr.at.Add(RestoreQuarantine))
 }
 
-// RecordStoreRestore records that the store was restored from an older copy into a new era, as revealed by the answer to a call made at
-// asOf. It must be called before that answer is applied. What this instance knew before takes precedence over the copy: targets that the
-// copy lacks are written again soon, and accept work meanwhile; targets that were gone are listed again, but get no work.
+// RecordStoreRestore records that the store was restored from an older copy into a new era, as revealed by the answer to a call
+// made at asOf. It must be called before that answer is applied. What this instance knew before takes precedence over the copy:
+// targets that the copy lacks are written again soon, and accept work meanwhile; targets that were gone are listed again, but get
+// no work.
 func (dr *Directory) RecordStoreRestore(era int64, asOf time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -36,16 +37,17 @@
 	dr.ownOutage.recoveredAt = asOf
 }
 
-// StoreRestoredAt returns the era that began with the newest restore of the store from an older copy, and when the call that revealed it
-// was made; zero when the store was never restored.
+// StoreRestoredAt returns the era that began with the newest restore of the store from an older copy, and when the call that
+// revealed it was made; zero when the store was never restored.
 func (dr *Directory) StoreRestoredAt() (era int64, at time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	return dr.lastRestore.era, dr.lastRestore.at
 }
 
-// staleAfterRestore reports whether a whole list may contain a target only because the store was restored from a copy that still had its
-// entry. A target whose entry is written after the restore arrives as a change, which is not checked. The caller holds the lock.
+// staleAfterRestore reports whether a whole list may contain a target only because the store was restored from a copy that still
+// had its entry. A target whose entry is written after the restore arrives as a change, which is not checked. The caller holds
+// the lock.
 func (dr *Directory) staleAfterRestore(tg Target) bool {
 	en, known := dr.entries[tg.ID]
 	if !known || en.missingSince.IsZero() || en.takesWork(dr.now()) {
--- a/internal/targets/targets.go
+++ b/internal/targets/targets.go
@@ -16,9 +16,9 @@
 	goneRetention = 60 * time.Second
 	// maxLeaving bounds the incarnations kept as leaving that have no entry, about 100 bytes each.
 	maxLeaving = 1 << 13
-	// minUnreachablePause is how long a target is excluded after a first failed connection: about the time in which a restart is
-	// detected. It doubles with each further failure up to maxUnreachablePause, so that the end of a network partition of some seconds is
-	// noticed soon.
+	// minUnreachablePause is how long a target is excluded after its first failed connection: about the time in which a restart is
+	// detected. It doubles with each further failure up to maxUnreachablePause, so that the end of a network partition of some
+	// seconds is noticed soon.
 	minUnreachablePause = 800 * time.Millisecond
 	maxUnreachablePause = 2400 * time.Millisecond
 )
@@ -29,8 +29,8 @@
 	ID string `json:"ID"`
 	// Name is the name that the target gives itself, which later incarnations may reuse. It is empty when it equals the ID.
 	Name string `json:"Name"`
-	// StartedAt is when the incarnation started, by its own clock; zero when unknown. Of two incarnations with the same name, the one
-	// that started later is current.
+	// StartedAt is when the incarnation started, by its own clock; zero when unknown. Of two incarnations with the same name, the
+	// one that started later is current.
 	StartedAt time.Time `json:"Born"`
 	Service   string    `json:"Service"`
 	// Address is an IP address and port.
@@ -57,7 +57,7 @@
 	leaving bool
 	// missingSince is when the target was first missing from the list; zero while it is listed.
 	missingSince time.Time
-	// graceUntil is until when a target whose entry lapsed during a store outage still accepts work; zero for others.
+	// graceUntil is the time until which a target whose entry lapsed during a store outage still accepts work; zero for others.
 	graceUntil time.Time
 	// ejectedUntil is when an ejected target may be tried again.
 	ejectedUntil time.Time
@@ -68,7 +68,8 @@
 	ejections int
 	// unreachableUntil is when a target that accepted no connection may be tried again.
 	unreachableUntil time.Time
-	// connectFailures counts failed connections since the target was last reachable, up to maxDoublings; each doubles the next pause.
+	// connectFailures counts failed connections since the target was last reachable, up to maxDoublings; each doubles the next
+	// pause.
 	connectFailures int
 	// listOrder orders the entries by when they were first listed.
 	listOrder int
@@ -90,12 +91,12 @@
 	latest map[string]incarnation
 	// listings counts the entries ever listed.
 	listings int
-	// leavingSince holds when each incarnation, listed or not, was first known to be leaving. Incarnations stay in it, because an entry may
-	// be listed again after any time and a leaving incarnation must never get work again.
+	// leavingSince holds when each incarnation, listed or not, was first known to be leaving. Incarnations stay in it, because an
+	// entry may be listed again after any time and a leaving incarnation must never get work again.
 	leavingSince map[string]time.Time
 	// ownOutage is the newest store outage seen by this instance's own calls.
 	ownOutage outage
-	// peerGraceUntil is until when, according to a peer, entries may be missing because of a store outage.
+	// peerGraceUntil is the time until which, according to a peer, entries may be missing because of a store outage.
 	peerGraceUntil time.Time
 	// confirmedAt is the newest time as of which the list is known to be current; it never decreases.
 	confirmedAt time.Time
@@ -110,8 +111,8 @@
 // Option configures a Directory in New.
 type Option func(*Directory)
 
-// WithSupersededHook sets a function that is called for each incarnation that a later one with the same name replaces. It is called with the
-// lock held, so it must not call the directory.
+// WithSupersededHook sets a function that is called for each incarnation that a later one with the same name replaces. It is
+// called with the lock held, so it must not call the directory.
 func WithSupersededHook(hook func(Target)) Option {
 	return func(dr *Directory) { dr.onSuperseded = hook }
 }
@@ -158,7 +159,7 @@
 	return changes
 }
 
-// removeByName records that the entry of the target with a name is gone. The caller holds the lock.
+// removeByName records that the entry of the target with the given name is gone. The caller holds the lock.
 func (dr *Directory) removeByName(name string, asOf time.Time) []Change {
 	dr.confirm(asOf)
 	dr.prune()
@@ -169,8 +170,8 @@
 	return nil
 }
 
-// invalidate records that the entry of the target with a name exists but can no longer be decoded as a target. The target gets no work, not
-// even during the grace period after a store outage. The caller holds the lock.
+// invalidate records that the entry of the target with the given name exists but can no longer be decoded as a target. The target
+// gets no work, not even during the grace period after a store outage. The caller holds the lock.
 func (dr *Directory) invalidate(name string, asOf time.Time) []Change {
 	changes := dr.removeByName(name, asOf)
 	if en, ok := dr.entries[dr.latest[name].id]; ok {
@@ -194,8 +195,8 @@
 	}
 }
 
-// ListPosition returns the position in the store's history at which the list last changed, and the newest time as of which the list is
-// known to be current.
+// ListPosition returns the position in the store's history at which the list last changed, and the newest time as of which the
+// list is known to be current.
 func (dr *Directory) ListPosition() (at position.Position, confirmedAt time.Time) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -253,7 +254,8 @@
 	return nil
 }
 
-// markMissing records that an entry is no longer listed, and grants it the grace period of a store outage. The caller holds the lock.
+// markMissing records that an entry is no longer listed, and grants it the grace period of a store outage. The caller holds the
+// lock.
 func (dr *Directory) markMissing(en *entry) []Change {
 	if !en.missingSince.IsZero() {
 		return nil
@@ -275,8 +277,8 @@
 	dr.pruneLeaving()
 }
 
-// pruneLeaving evicts the oldest leaving incarnations that have no entry once there are more than maxLeaving. It evicts down to three
-// quarters of maxLeaving at a time. The caller holds the lock.
+// pruneLeaving evicts the oldest leaving incarnations that have no entry once there are more than maxLeaving. It evicts down to
+// three quarters of maxLeaving at a time. The caller holds the lock.
 func (dr *Directory) pruneLeaving() {
 	if len(dr.leavingSince) <= maxLeaving {
 		return
@@ -293,8 +295,8 @@
 	}
 }
 
-// MarkLeaving records that an incarnation is leaving, whatever the source. It cannot be undone. It reports whether the incarnation was not
-// marked before.
+// MarkLeaving records that an incarnation is leaving, whatever the source. It cannot be undone. It reports whether the
+// incarnation was not marked before.
 func (dr *Directory) MarkLeaving(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -308,7 +310,8 @@
 	return true
 }
 
-// LeavingIDs returns the sorted IDs of leaving incarnations to announce to peers: those with an entry, and those marked within goneRetention.
+// LeavingIDs returns the sorted IDs of leaving incarnations to announce to peers: those with an entry, and those marked within
+// goneRetention.
 func (dr *Directory) LeavingIDs() []string {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/targets/usable.go
+++ b/internal/targets/usable.go
@@ -17,15 +17,15 @@
 	AllowProbe Caution = iota
 	// RequireReachable excludes availability zones that have not answered since they were cut off.
 	RequireReachable
-	// RequireHealthy also excludes targets that failed recently, unless those are the majority. It is for requests that must run at most
-	// once.
+	// RequireHealthy also excludes targets that failed recently, unless those are the majority. It is for requests that must run
+	// at most once.
 	RequireHealthy
 )
 
-// Usable returns the targets of a service that may get work now, sorted by ID. Targets that accept no connections, or whose availability
-// zone is excluded, are returned only when no healthy target is left. Ejected targets are returned only when too few others are left. Lapsed
-// targets that are presumed dead are the last resort. When probes of availability zones are due, only the targets of those zones are returned.
-// Of several targets at one address, only the one that was listed last is returned.
+// Usable returns the targets of a service that may get work now, sorted by ID. Targets that accept no connections, or whose
+// availability zone is excluded, are returned only when no healthy target is left. Ejected targets are returned only when too few
+// others are left. Lapsed targets that are presumed dead are the last resort. When probes of availability zones are due, only the
+// targets of those zones are returned. Of several targets at one address, only the one that was listed last is returned.
 func (dr *Directory) Usable(service string, ca Caution) []Target {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
@@ -66,7 +66,8 @@
 	return good
 }
 
-// readmitMajority adds the excluded targets to the good ones when they are the majority, because the rest could not bear the whole load.
+// readmitMajority adds the excluded targets to the good ones when they are the majority, because the rest could not bear the
+// whole load.
 func readmitMajority(good, excluded []Target) []Target {
 	if float64(len(excluded)) > maxEjectedFraction*float64(len(good)+len(excluded)) {
 		return append(good, excluded...)
@@ -74,8 +75,8 @@
 	return good
 }
 
-// dedupeByAddress removes each target whose address is also that of a target listed later. One address is one process, so memory reserved
-// there twice for one request would be the same memory. The caller holds the lock.
+// dedupeByAddress removes each target whose address is also that of a target listed later. One address is one process, so memory
+// reserved there twice for one request would be the same memory. The caller holds the lock.
 func (dr *Directory) dedupeByAddress(tgs []Target) []Target {
 	newest := map[string]int{}
 	for _, tg := range tgs {
--- a/internal/targets/zone.go
+++ b/internal/targets/zone.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// minZoneFailures is how many targets or instances of an availability zone must fail, with no answer from the zone since, to exclude
-	// the whole zone. One alone is a dead target; two at once are rarely a coincidence.
+	// minZoneFailures is how many targets or instances of an availability zone must fail, with no answer from the zone since, to
+	// exclude the whole zone. One alone is a dead target; two at once are rarely a coincidence.
 	minZoneFailures = 2
 	// zoneFailureWindow is how long a failure counts. The longest silences are detected about 2 s apart.
 	zoneFailureWindow = 5 * time.Second
-	// refusalQuietPeriod is the time without any answer from an availability zone after which failed connections count against it. A zone that
-	// is not cut off answers many times per second.
+	// refusalQuietPeriod is the time without any answer from an availability zone after which failed connections count against
+	// it. A zone that is not cut off answers many times per second.
 	refusalQuietPeriod = 200 * time.Millisecond
-	// silenceQuietPeriod is the same for silence. Several engines may also be silent because of long prompts, but then other targets of the
-	// zone answer well within a second.
+	// silenceQuietPeriod is the same for silence. Several engines may also be silent because of long prompts, but then other
+	// targets of the zone answer well within a second.
 	silenceQuietPeriod = time.Second
 	// probeTimeout is how long a probe may take: the silence after which an attempt is aborted, plus a margin.
 	probeTimeout = 2 * time.Second
-	// probeOnlyPeriod is how long after its pause an availability zone gets only probes. A zone that was not probed by then is taken as
-	// reachable.
+	// probeOnlyPeriod is how long after its pause an availability zone gets only probes. A zone that was not probed by then is
+	// taken as reachable.
 	probeOnlyPeriod = 5 * time.Second
 )
 
@@ -44,8 +44,8 @@
 	return wasExcluded
 }
 
-// recordFailure records that a target or instance failed to answer, and reports whether this excludes the zone. It does so only when nothing
-// in the zone has answered for longer than quiet.
+// recordFailure records that a target or instance failed to answer, and reports whether this excludes the zone. It does so only
+// when nothing in the zone has answered for longer than quiet.
 func (zn *zone) recordFailure(source string, quiet time.Duration, now time.Time) bool {
 	for id, at := range zn.failures {
 		if now.Sub(at) > zoneFailureWindow {
@@ -71,7 +71,8 @@
 	zn.nextProbeAt = time.Time{}
 }
 
-// unverified reports whether the zone was excluded and has not answered since. It ends at the latest probeOnlyPeriod after the pause.
+// unverified reports whether the zone was excluded and has not answered since. It ends at the latest probeOnlyPeriod after the
+// pause.
 func (zn *zone) unverified(now time.Time) bool {
 	return !zn.excludedUntil.IsZero() && now.Before(zn.excludedUntil.Add(probeOnlyPeriod))
 }
