--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,8 @@
-// Package backoff holds which targets want no requests from this instance for a while, and lets requests back to them step by step.
+// Package backoff tracks the targets that asked this instance for a back-off, and ramps requests to them up again afterwards.
 //
-// A back-off is between one target and one instance: it binds the instance that was turned away, and nobody else. When it ends, a single
-// request finds out whether the target takes work again, and each good answer lets more go there. What waited for the end does not arrive
-// at once, and neither do the requests of all instances.
+// A back-off is between one target and one instance: it binds only the instance that received it. When it ends, a single probe
+// request finds out whether the target accepts work again, and each success allows more requests. This keeps the requests that
+// waited for the end of the back-off, and those of other instances, from arriving all at once.
 package backoff
 
 import (
@@ -12,193 +12,193 @@
 )
 
 const (
-	// spreadShare and spreadMost bound how much later than the target asked a back-off ends: instances that were turned away at the same
-	// moment come back one after the other.
-	spreadShare = 0.1
-	spreadMost  = 250 * time.Millisecond
-	// trialEvery is when another request may find out whether the target takes work, as long as the one before has no answer.
-	trialEvery = 200 * time.Millisecond
-	// perAnswer is how many requests may follow each good answer, so that their number doubles from one round trip to the next.
-	perAnswer = 2
-	// openAfter is how many good answers open the target to all requests.
-	openAfter = 6
-	// maxTargets bounds the targets remembered, some 150 bytes each.
+	// jitterFraction and maxJitter bound the random delay that is added to each back-off, so that instances which the target
+	// turned away at the same moment do not come back at the same moment.
+	jitterFraction = 0.1
+	maxJitter      = 250 * time.Millisecond
+	// probeInterval is the time after which another probe may be sent while the previous one has no answer.
+	probeInterval = 200 * time.Millisecond
+	// allowancePerSuccess is how many further requests each success allows, so that their number doubles with each round trip.
+	allowancePerSuccess = 2
+	// successesToRecover is how many successes make the target available to all requests.
+	successesToRecover = 6
+	// maxTargets bounds the number of tracked targets, about 150 bytes each.
 	maxTargets = 1 << 13
-	// forgetAfter is how long after its end a back-off is remembered that no request ended.
-	forgetAfter = time.Minute
+	// retention is how long after its end a back-off is kept when too few successes arrive to close it.
+	retention = time.Minute
 )
 
-// Phase is how far a target is open to requests of this instance.
+// Phase says whether a target accepts requests of this instance.
 type Phase int
 
 // The phases.
 const (
-	// Open targets take all requests.
-	Open Phase = iota
-	// OnTrial targets may be sent one more request, which finds out whether they take work again.
-	OnTrial
-	// Closed targets take none now.
-	Closed
+	// Available targets accept all requests.
+	Available Phase = iota
+	// HalfOpen targets may be sent one more request, which probes whether they accept work again.
+	HalfOpen
+	// Blocked targets accept no requests at present.
+	Blocked
 )
 
-// state is what is known of one target.
-type state struct {
-	// began is when the target first asked, and until when the last back-off that it asked for ends.
-	began, until time.Time
-	// left is how many requests may go there before the next good answer.
-	left int
-	// trialAt is when one more may go there without an answer.
-	trialAt time.Time
-	// good counts the good answers since the end, below openAfter.
-	good int
+// backOff is the state of one target.
+type backOff struct {
+	// startedAt is when the target first asked for a back-off; endsAt is when the latest of its back-offs ends.
+	startedAt, endsAt time.Time
+	// allowance is how many requests may be sent before the next success.
+	allowance int
+	// nextProbeAt is when another request may be sent although the allowance is used up and no answer has arrived.
+	nextProbeAt time.Time
+	// successes counts the successes since endsAt; it stays below successesToRecover.
+	successes int
 }
 
-// Book is the set of targets that asked for a back-off. It is safe for use by any goroutine.
-type Book struct {
+// Tracker holds the back-off state of all targets. It is safe for concurrent use.
+type Tracker struct {
 	now    func() time.Time
 	random func() float64
 
-	// any is set while there are targets: a choice in a fleet without back-offs takes no lock for each target.
-	any atomic.Bool
+	// nonEmpty is set while backOffs has entries, so that target selection takes no lock per target when there are no back-offs.
+	nonEmpty atomic.Bool
 
 	mu sync.Mutex
-	// targets holds incarnations.
-	targets map[string]*state
+	// backOffs is keyed by the incarnation of the target.
+	backOffs map[string]*backOff
 }
 
-// New returns an empty book; now is the steady clock, and random is uniform in [0, 1).
-func New(now func() time.Time, random func() float64) *Book {
-	return &Book{now: now, random: random, targets: map[string]*state{}}
+// New returns an empty tracker; now is a monotonic clock, and random returns uniform values in [0, 1).
+func New(now func() time.Time, random func() float64) *Tracker {
+	return &Tracker{now: now, random: random, backOffs: map[string]*backOff{}}
 }
 
-// Ask notes that a target asked for a back-off in an answer that came at a time. A shorter one that comes later shortens nothing. It
-// reports whether the target was not backed off from until then.
-func (bk *Book) Ask(target string, span time.Duration, came time.Time) (first bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
-	if !known && len(bk.targets) >= maxTargets {
+// Begin starts or extends the back-off that a target asked for in an answer received at receivedAt. It never shortens one that is
+// in force. It reports whether no back-off of the target was in force before.
+func (tr *Tracker) Begin(target string, duration time.Duration, receivedAt time.Time) (started bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	bo, known := tr.backOffs[target]
+	if !known && len(tr.backOffs) >= maxTargets {
 		return false
 	}
 	if !known {
-		st = &state{began: came}
-		bk.targets[target] = st
-		bk.any.Store(true)
-	}
-	first = !bk.now().Before(st.until)
-	spread := min(spreadMost, time.Duration(spreadShare*float64(span)))
-	until := came.Add(span + time.Duration(bk.random()*float64(spread)))
-	if until.After(st.until) {
-		st.until = until
-	}
-	st.left, st.good, st.trialAt = 1, 0, time.Time{}
-	return first
+		bo = &backOff{startedAt: receivedAt}
+		tr.backOffs[target] = bo
+		tr.nonEmpty.Store(true)
+	}
+	started = !tr.now().Before(bo.endsAt)
+	jitter := min(maxJitter, time.Duration(jitterFraction*float64(duration)))
+	endsAt := receivedAt.Add(duration + time.Duration(tr.random()*float64(jitter)))
+	if endsAt.After(bo.endsAt) {
+		bo.endsAt = endsAt
+	}
+	bo.allowance, bo.successes, bo.nextProbeAt = 1, 0, time.Time{}
+	return started
 }
 
-// Answered notes an answer that asks for no back-off, to a request that was sent at a time. It returns how long the target was not open,
-// and reports whether it is from now on.
-func (bk *Book) Answered(target string, sent time.Time) (after time.Duration, opened bool) {
-	if !bk.any.Load() {
+// RecordSuccess records an answer without a back-off to a request that was sent at sentAt. When it makes the target available
+// again, it returns true and the time since the target first asked for a back-off.
+func (tr *Tracker) RecordSuccess(target string, sentAt time.Time) (after time.Duration, recovered bool) {
+	if !tr.nonEmpty.Load() {
 		return 0, false
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
-	if !known || sent.Before(st.until) {
-		// What was under way when the target asked proves nothing about the time after.
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	bo, known := tr.backOffs[target]
+	if !known || sentAt.Before(bo.endsAt) {
+		// A request sent before the end of the back-off does not show that the target accepts work after it.
 		return 0, false
 	}
-	st.good++
-	st.left += perAnswer
-	if st.good < openAfter {
+	bo.successes++
+	bo.allowance += allowancePerSuccess
+	if bo.successes < successesToRecover {
 		return 0, false
 	}
-	bk.drop(target)
-	return bk.now().Sub(st.began), true
+	tr.remove(target)
+	return tr.now().Sub(bo.startedAt), true
 }
 
-// drop forgets a target. The lock is held.
-func (bk *Book) drop(target string) {
-	delete(bk.targets, target)
-	bk.any.Store(len(bk.targets) > 0)
+// remove deletes the state of a target. The caller holds the lock.
+func (tr *Tracker) remove(target string) {
+	delete(tr.backOffs, target)
+	tr.nonEmpty.Store(len(tr.backOffs) > 0)
 }
 
-// Of returns the phase of a target; of a closed one also when it may be on trial.
-func (bk *Book) Of(target string) (ph Phase, opens time.Time) {
-	if !bk.any.Load() {
-		return Open, time.Time{}
+// Phase returns the phase of a target. For a blocked target, retryAt is when it may be probed next.
+func (tr *Tracker) Phase(target string) (ph Phase, retryAt time.Time) {
+	if !tr.nonEmpty.Load() {
+		return Available, time.Time{}
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	bo, known := tr.backOffs[target]
 	if !known {
-		return Open, time.Time{}
+		return Available, time.Time{}
 	}
-	now := bk.now()
+	now := tr.now()
 	switch {
-	case now.Before(st.until):
-		return Closed, st.until
-	case st.left > 0 || !now.Before(st.trialAt):
-		return OnTrial, st.until
+	case now.Before(bo.endsAt):
+		return Blocked, bo.endsAt
+	case bo.allowance > 0 || !now.Before(bo.nextProbeAt):
+		return HalfOpen, bo.endsAt
 	default:
-		return Closed, st.trialAt
+		return Blocked, bo.nextProbeAt
 	}
 }
 
-// Until returns when the back-off of a target ends; it reports false when there is none now.
-func (bk *Book) Until(target string) (time.Time, bool) {
-	if !bk.any.Load() {
+// Until returns when the back-off of a target ends, and false when none is in force.
+func (tr *Tracker) Until(target string) (time.Time, bool) {
+	if !tr.nonEmpty.Load() {
 		return time.Time{}, false
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
-	if !known || !bk.now().Before(st.until) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	bo, known := tr.backOffs[target]
+	if !known || !tr.now().Before(bo.endsAt) {
 		return time.Time{}, false
 	}
-	return st.until, true
+	return bo.endsAt, true
 }
 
-// Chosen notes that a request was chosen to go to a target.
-func (bk *Book) Chosen(target string) {
-	if !bk.any.Load() {
+// RecordDispatch records that a request is about to be sent to a target, and charges it to the allowance.
+func (tr *Tracker) RecordDispatch(target string) {
+	if !tr.nonEmpty.Load() {
 		return
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	st, known := bk.targets[target]
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	bo, known := tr.backOffs[target]
 	if !known {
 		return
 	}
-	st.left = max(0, st.left-1)
-	st.trialAt = bk.now().Add(trialEvery)
+	bo.allowance = max(0, bo.allowance-1)
+	bo.nextProbeAt = tr.now().Add(probeInterval)
 }
 
-// Len returns how many targets are backed off from now.
-func (bk *Book) Len() int {
-	if !bk.any.Load() {
+// ActiveCount returns the number of targets whose back-off is in force.
+func (tr *Tracker) ActiveCount() int {
+	if !tr.nonEmpty.Load() {
 		return 0
 	}
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	now := bk.now()
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.now()
 	n := 0
-	for _, st := range bk.targets {
-		if now.Before(st.until) {
+	for _, bo := range tr.backOffs {
+		if now.Before(bo.endsAt) {
 			n++
 		}
 	}
 	return n
 }
 
-// Forget drops the back-offs that ended some time ago, and those that ended of targets that are not there any more.
-func (bk *Book) Forget(there func(target string) bool) {
-	bk.mu.Lock()
-	defer bk.mu.Unlock()
-	now := bk.now()
-	for target, st := range bk.targets {
-		if now.Sub(st.until) > forgetAfter || !now.Before(st.until) && !there(target) {
-			bk.drop(target)
+// Prune removes back-offs that ended longer than the retention time ago, and ended ones of targets that no longer exist.
+func (tr *Tracker) Prune(exists func(target string) bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	now := tr.now()
+	for target, bo := range tr.backOffs {
+		if now.Sub(bo.endsAt) > retention || !now.Before(bo.endsAt) && !exists(target) {
+			tr.remove(target)
 		}
 	}
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,4 +1,4 @@
-// Package budget bounds what requests share: memory for bodies and attempts beyond the first.
+// Package budget bounds resources that all requests of an instance share: memory for bodies, and retries.
 package budget
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Memory is a bounded number of bytes shared by all requests of an instance.
+// Memory is a budget of bytes that all requests of an instance share.
 type Memory struct {
 	mu sync.Mutex
 	// used never exceeds limit.
@@ -16,8 +16,8 @@
 // NewMemory returns a budget of limit bytes.
 func NewMemory(limit int64) *Memory { return &Memory{limit: limit} }
 
-// Take takes n bytes and reports whether they were there.
-func (mm *Memory) Take(n int64) bool {
+// TryAcquire acquires n bytes, or returns false when fewer are free.
+func (mm *Memory) TryAcquire(n int64) bool {
 	mm.mu.Lock()
 	defer mm.mu.Unlock()
 	if mm.used+n > mm.limit {
@@ -27,14 +27,14 @@
 	return true
 }
 
-// Give returns n bytes.
-func (mm *Memory) Give(n int64) {
+// Release returns n acquired bytes to the budget.
+func (mm *Memory) Release(n int64) {
 	mm.mu.Lock()
 	mm.used -= n
 	mm.mu.Unlock()
 }
 
-// Used returns the bytes taken.
+// Used returns the number of acquired bytes.
 func (mm *Memory) Used() int64 {
 	mm.mu.Lock()
 	defer mm.mu.Unlock()
@@ -42,77 +42,79 @@
 }
 
 const (
-	// retryBurst is how many retries are saved up at the most, unless set otherwise.
-	retryBurst = 20
-	// retryTrickle is how many retries a second are allowed without traffic, unless set otherwise.
-	retryTrickle = 0.2
+	// defaultBurst is the default maximum balance, in retries.
+	defaultBurst = 20
+	// defaultMinRate is the default number of retries per second that are allowed without traffic.
+	defaultMinRate = 0.2
 )
 
-// Retries bounds attempts beyond the first to a share of first attempts, so that a failure cannot become a storm.
+// Retries is a retry budget: it limits retries to a ratio of first attempts, so that a failure cannot cause a retry storm.
 type Retries struct {
-	mu    sync.Mutex
-	share float64
+	mu sync.Mutex
+	// ratio is the number of retries that each first attempt adds to the balance.
+	ratio float64
 	now   func() time.Time
-	// burst is the most that is saved, trickle what is saved each second without traffic.
-	burst, trickle float64
-	// saved is between zero and burst.
-	saved float64
-	last  time.Time
+	// burst is the maximum balance; minRate is what the balance gains per second without traffic.
+	burst, minRate float64
+	// balance is between zero and burst.
+	balance    float64
+	refilledAt time.Time
 }
 
-// SetFloor changes how many retries are saved up at the most, and how many are allowed each second without traffic.
-func (rt *Retries) SetFloor(burst, trickle float64) {
+// SetFloor changes the retries that are allowed without traffic: burst is the maximum balance, minRate the number per second.
+func (rt *Retries) SetFloor(burst, minRate float64) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.burst, rt.trickle = burst, trickle
-	rt.saved = min(rt.saved, burst)
+	rt.burst, rt.minRate = burst, minRate
+	rt.balance = min(rt.balance, burst)
 }
 
-// RetryOption changes a Retries under construction.
+// RetryOption configures a retry budget in NewRetries.
 type RetryOption func(*Retries)
 
-// WithBurst sets how many retries are saved up at the most.
+// WithBurst sets the maximum balance, in retries.
 func WithBurst(n float64) RetryOption { return func(rt *Retries) { rt.burst = n } }
 
-// WithTrickle sets how many retries a second are allowed without traffic.
-func WithTrickle(perSecond float64) RetryOption { return func(rt *Retries) { rt.trickle = perSecond } }
+// WithMinRate sets how many retries per second are allowed without traffic.
+func WithMinRate(perSecond float64) RetryOption { return func(rt *Retries) { rt.minRate = perSecond } }
 
-// NewRetries returns a budget of share retries for each first attempt.
-func NewRetries(share float64, now func() time.Time, opts ...RetryOption) *Retries {
-	rt := &Retries{share: share, now: now, burst: retryBurst, trickle: retryTrickle, last: now()}
+// NewRetries returns a retry budget that allows ratio retries per first attempt. It starts with a balance of burst.
+func NewRetries(ratio float64, now func() time.Time, opts ...RetryOption) *Retries {
+	rt := &Retries{ratio: ratio, now: now, burst: defaultBurst, minRate: defaultMinRate, refilledAt: now()}
 	for _, o := range opts {
 		o(rt)
 	}
-	rt.saved = rt.burst
+	rt.balance = rt.burst
 	return rt
 }
 
-// First notes a first attempt.
-func (rt *Retries) First() {
+// Deposit adds ratio retries to the balance; it is called for each first attempt.
+func (rt *Retries) Deposit() {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	rt.add(rt.share)
+	rt.credit(rt.ratio)
 }
 
-// Take takes one retry and reports whether it was there.
-func (rt *Retries) Take() bool {
+// TryWithdraw withdraws one retry, or returns false when the balance is below one.
+func (rt *Retries) TryWithdraw() bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	now := rt.now()
-	rt.add(now.Sub(rt.last).Seconds() * rt.trickle)
-	rt.last = now
-	if rt.saved < 1 {
+	rt.credit(now.Sub(rt.refilledAt).Seconds() * rt.minRate)
+	rt.refilledAt = now
+	if rt.balance < 1 {
 		return false
 	}
-	rt.saved--
+	rt.balance--
 	return true
 }
 
-// Left reports whether a retry is there, without taking it.
-func (rt *Retries) Left() bool {
+// Available reports whether the balance allows a retry, without withdrawing it.
+func (rt *Retries) Available() bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	return rt.saved >= 1
+	return rt.balance >= 1
 }
 
-func (rt *Retries) add(n float64) { rt.saved = min(rt.burst, rt.saved+n) }
+// credit adds n retries to the balance, up to burst. The caller holds the lock.
+func (rt *Retries) credit(n float64) { rt.balance = min(rt.burst, rt.balance+n) }
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -20,7 +20,7 @@
 
 // canProbe reports whether the request may probe a half-open target, because being turned away costs it nothing.
 func (rq Request) canProbe() bool {
-	return rq.CanRetry && rq.Caution == targets.Any && !rq.isLong() && !rq.Resumed
+	return rq.CanRetry && rq.Caution == targets.AllowProbe && !rq.isLong() && !rq.Resumed
 }
 
 // closedByBackOff reports whether a back-off closes a target to the request, in which phase it is, and when it may be tried
@@ -28,21 +28,21 @@
 func (ds *Dispatcher) closedByBackOff(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
 	ph, at := ds.backOffPhase(id)
 	switch ph {
-	case backoff.Closed:
+	case backoff.Blocked:
 		return at, ph, true
-	case backoff.OnTrial:
+	case backoff.HalfOpen:
 		now := ds.opts.Now()
 		return now, ph, !rq.mayProbe && (rq.Retried || now.Sub(at) < probeOnlyPeriod)
-	case backoff.Open:
+	case backoff.Available:
 	}
 	return time.Time{}, ph, false
 }
 
 func (ds *Dispatcher) backOffPhase(id string) (backoff.Phase, time.Time) {
 	if ds.opts.BackOffs == nil {
-		return backoff.Open, time.Time{}
+		return backoff.Available, time.Time{}
 	}
-	return ds.opts.BackOffs.Of(id)
+	return ds.opts.BackOffs.Phase(id)
 }
 
 // isBackedOff reports whether the target's back-off is still running.
@@ -57,7 +57,7 @@
 // recordChosen tells the back-off state that a request is about to be sent to the target.
 func (ds *Dispatcher) recordChosen(id string) {
 	if ds.opts.BackOffs != nil {
-		ds.opts.BackOffs.Chosen(id)
+		ds.opts.BackOffs.RecordDispatch(id)
 	}
 }
 
@@ -139,9 +139,9 @@
 // end of the first back-off if all targets of the service are backed off.
 func (ds *Dispatcher) RetryAfter(service string) time.Duration {
 	var first time.Time
-	for _, tg := range ds.targets.Usable(service, targets.Proven) {
+	for _, tg := range ds.targets.Usable(service, targets.RequireReachable) {
 		ph, at := ds.backOffPhase(tg.ID)
-		if ph != backoff.Closed {
+		if ph != backoff.Blocked {
 			return roomRetryAfter
 		}
 		if first.IsZero() || at.Before(first) {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -88,7 +88,7 @@
 	// Permits grants requests to targets with a rate limit; nil disables rate limits.
 	Permits *permit.Client
 	// BackOffs holds the targets that asked this instance to back off; nil disables back-offs.
-	BackOffs *backoff.Book
+	BackOffs *backoff.Tracker
 	// OnBackOffWait is called each time a request starts to wait for the end of a target's back-off; it may be nil.
 	OnBackOffWait func(request string, tg targets.Target, wait time.Duration)
 	// OnPermitRefused is called each time a request is refused a permit for a target; it may be nil.
@@ -143,7 +143,7 @@
 			return nil, err
 		}
 		if ok {
-			ds.targets.Chosen(sl.Target.ID)
+			ds.targets.RecordDispatch(sl.Target.ID)
 			return sl, nil
 		}
 		rq, ok, err = ds.waitForReopening(ctx, rq)
@@ -154,7 +154,7 @@
 			continue
 		}
 		// A request probes an availability zone on its first try or not at all.
-		rq.Caution = max(rq.Caution, targets.Proven)
+		rq.Caution = max(rq.Caution, targets.RequireReachable)
 		if ds.opts.Now().After(deadline) {
 			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(roomRetryAfter)
 		}
@@ -244,7 +244,7 @@
 func (ds *Dispatcher) usable(rq Request) []targets.Target {
 	kept := ds.usableNotExcluded(rq, rq.effectiveCaution())
 	if len(kept) == 0 {
-		kept = ds.usableNotExcluded(rq, targets.Proven)
+		kept = ds.usableNotExcluded(rq, targets.RequireReachable)
 	}
 	return kept
 }
@@ -264,7 +264,7 @@
 // availability zone.
 func (rq Request) effectiveCaution() targets.Caution {
 	if rq.isLong() {
-		return max(rq.Caution, targets.Proven)
+		return max(rq.Caution, targets.RequireReachable)
 	}
 	return rq.Caution
 }
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -115,7 +115,7 @@
 	tg := targets.Target{
 		ID: id(i), Service: "s", Address: "10.0.0." + strconv.Itoa(i) + ":80", AvailabilityZone: zone, Slots: slots, Leaving: leaving,
 	}
-	hs.directory.TakeChanges([]targets.Entry{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
+	hs.directory.ApplyChanges([]targets.EntryChange{{Name: tg.ID, Target: tg}}, position.Position{}, time.Now())
 }
 
 func runInBubble(t *testing.T, count int, run func(hs *harness)) {
@@ -230,7 +230,7 @@
 		"leaving target is excluded":           {func(hs *harness) { hs.putTarget(0, zone, true) }, nil, id(1)},
 		"target excluded by the request":       {func(*harness) {}, []string{id(0)}, id(1)},
 		"target marked as leaving is excluded": {func(hs *harness) { hs.directory.MarkLeaving(id(1)) }, nil, id(0)},
-		"unreachable target is excluded":       {func(hs *harness) { hs.directory.Unreachable(id(0)) }, nil, id(1)},
+		"unreachable target is excluded":       {func(hs *harness) { hs.directory.RecordUnreachable(id(0)) }, nil, id(1)},
 		"failing target is excluded":           {func(hs *harness) { markFailing(hs, id(1)) }, nil, id(0)},
 	}
 	for name, tc := range cases {
@@ -247,7 +247,7 @@
 
 func markFailing(hs *harness, target string) {
 	for range 3 {
-		hs.directory.Failure(target)
+		hs.directory.RecordFailure(target)
 	}
 }
 
@@ -374,7 +374,7 @@
 	long := func() dispatch.Request { return promptRequest(20_000) }
 	proven := func() dispatch.Request {
 		rq := promptRequest(1000)
-		rq.Caution = targets.Proven
+		rq.Caution = targets.RequireReachable
 		return rq
 	}
 	short := func() dispatch.Request { return promptRequest(1000) }
@@ -406,7 +406,7 @@
 					hs.putTarget(2+i, "farther", false)
 				}
 				for i := range 2 {
-					hs.directory.Unreachable(id(i))
+					hs.directory.RecordUnreachable(id(i))
 				}
 				time.Sleep(time.Second)
 				inZone := 0
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -29,7 +29,7 @@
 		return opens, ph, true
 	}
 	opens, closed = ds.closedByRateLimit(rq, id)
-	return opens, backoff.Open, closed
+	return opens, backoff.Available, closed
 }
 
 // closedByRateLimit reports whether a target has no permit for the request now, and when it may be tried again.
--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -29,7 +29,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		limitOf := func(target string) ratelimit.Limit {
 			if slices.Contains(fi.limited, target) {
-				return ratelimit.Of(2)
+				return ratelimit.PerSecond(2)
 			}
 			return ratelimit.Limit{}
 		}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -159,7 +159,7 @@
 		ph, _ := ds.backOffPhase(tg.ID)
 		cands[i] = placement.Target{
 			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loadTable.total(tg.ID), Slowdown: 1,
-			CanHelp: ph == backoff.Open,
+			CanHelp: ph == backoff.Available,
 			Closed:  closed,
 		}
 		if ds.loadTable.isFull(tg.ID, now) {
--- a/internal/dispatch/reopen.go
+++ b/internal/dispatch/reopen.go
@@ -45,14 +45,14 @@
 		switch {
 		case !allClosed:
 			return rq, false, nil
-		case rq.Caution != targets.Proven:
+		case rq.Caution != targets.RequireReachable:
 			// Targets that failed recently may be open, or those in other availability zones than the one being probed.
-			rq.Caution = targets.Proven
+			rq.Caution = targets.RequireReachable
 			return rq, true, nil
-		case first.phase == backoff.OnTrial:
+		case first.phase == backoff.HalfOpen:
 			rq.mayProbe = true
 			return rq, true, nil
-		case first.phase == backoff.Closed:
+		case first.phase == backoff.Blocked:
 			return rq, true, ds.waitForBackOff(ctx, rq, first)
 		}
 		now := ds.opts.Now()
--- a/internal/dispatch/sim_fleet_test.go
+++ b/internal/dispatch/sim_fleet_test.go
@@ -211,7 +211,7 @@
 			break
 		}
 		rq.Exclude = append(rq.Exclude, sl.Target.ID)
-		rq.Caution = targets.Proven
+		rq.Caution = targets.RequireReachable
 		record = func(oc *outcomeCounts) { oc.failed++ }
 	}
 	fl.recordOutcome(rc, record)
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -46,7 +46,7 @@
 	for _, id := range ids {
 		listed = append(listed, targets.Target{ID: id, Service: "s", Slots: engine.Slots, AvailabilityZone: "a"})
 	}
-	dr.TakeList(listed, nil, position.Position{}, hs.now())
+	dr.ApplyList(listed, nil, position.Position{}, hs.now())
 	hs.dispatcher = dispatch.New(dr, nil, dispatch.Options{Instance: instance, AvailabilityZone: "a", Now: hs.now})
 	return hs
 }
--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -56,7 +56,7 @@
 	}
 	gw := env.Settings.Gateway
 	calls := pt.Metrics.GetOrCreateCounter("silvermount_store_calls_total")
-	pt.Metrics.NewGauge("silvermount_targets_age_ms", func() float64 { return ageMillis(pt.Targets.HeardAt()) })
+	pt.Metrics.NewGauge("silvermount_targets_age_ms", func() float64 { return ageMillis(pt.Targets.ConfirmedAt()) })
 	pt.Metrics.NewGauge("silvermount_proof_age_ms", func() float64 {
 		_, provenAt := pt.Routes.Current()
 		return ageMillis(provenAt)
@@ -135,7 +135,7 @@
 			rd.rewritten(it, evidence)
 			rd.readConfiguration(it, evidence)
 		},
-		Known: rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
+		Known: rd.known, Settle: targets.RestoreQuarantine, Restored: rd.dr.RecordStoreRestore,
 		Confirm: func(evidence time.Time, _ position.Position) {
 			rd.reach.answered()
 			rd.rts.Confirm(rd.version, rd.proof(evidence))
@@ -154,7 +154,7 @@
 			rd.reach.failed()
 			// A listener seldom asks for targets, and a store that nobody reaches is in trouble for both kinds.
 			if !rd.followers.Follows() && rd.unproven(pc.rest) {
-				rd.dr.Trouble()
+				rd.dr.RecordStoreFailure()
 			}
 		},
 	}
@@ -202,12 +202,12 @@
 		Store: st, Kind: rd.ad.TargetKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
 			// The follower lists again after each failed call.
-			rd.dr.Back(evidence)
+			rd.dr.RecordStoreRecovery(evidence)
 			rd.heard.whole = true
 			rd.heard.list, rd.heard.unread = rd.list(items)
 		},
 		Change: func(it objectstore.Object, _ time.Time) { rd.heard.changes = append(rd.heard.changes, rd.entry(it)) },
-		Known:  rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
+		Known:  rd.known, Settle: targets.RestoreQuarantine, Restored: rd.dr.RecordStoreRestore,
 		Confirm: func(evidence time.Time, at position.Position) {
 			rd.reach.answered()
 			rd.tell(rd.take(at, evidence), evidence)
@@ -215,10 +215,10 @@
 		},
 		Trouble: func(error) {
 			rd.reach.failed()
-			rd.dr.Trouble()
+			rd.dr.RecordStoreFailure()
 		},
-		Rest:  func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.HeardAt()) },
-		Retry: func() (least, most time.Duration) { return pc.retry(rd.dr.HeardAt()) },
+		Rest:  func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.ConfirmedAt()) },
+		Retry: func() (least, most time.Duration) { return pc.retry(rd.dr.ConfirmedAt()) },
 	}
 }
 
@@ -227,7 +227,7 @@
 		rd.lg.WithFields(log.Fields{
 			"target": ch.Target.ID, "service": ch.Target.Service, "address": ch.Target.Address, "source": "store",
 			"age": time.Since(evidence).Round(time.Millisecond).String(),
-		}).Info("target " + ch.What)
+		}).Info("target " + ch.Kind)
 	}
 	if len(changes) > 0 {
 		rd.changed.Tell()
--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -19,7 +19,7 @@
 			continue
 		}
 		read = append(read, tg)
-		if !tg.Born.IsZero() {
+		if !tg.StartedAt.IsZero() {
 			born++
 		}
 	}
@@ -28,7 +28,7 @@
 		if rd.written(tg) {
 			list = append(list, tg)
 		} else {
-			unread = append(unread, tg.OwnName())
+			unread = append(unread, tg.NameOrID())
 		}
 	}
 	return list, unread
@@ -41,7 +41,7 @@
 	list   []targets.Target
 	unread []string
 	// changes are those of a watch, in order.
-	changes []targets.Entry
+	changes []targets.EntryChange
 }
 
 // take takes what was heard up to a position, and returns what that changed.
@@ -50,24 +50,24 @@
 	rd.heard = heard{}
 	switch {
 	case he.whole:
-		return rd.dr.TakeList(he.list, he.unread, at, evidence)
+		return rd.dr.ApplyList(he.list, he.unread, at, evidence)
 	case len(he.changes) > 0:
-		return rd.dr.TakeChanges(he.changes, at, evidence)
+		return rd.dr.ApplyChanges(he.changes, at, evidence)
 	default:
 		return rd.dr.Confirm(evidence)
 	}
 }
 
 // entry decodes an entry that changed.
-func (rd *reader) entry(it objectstore.Object) targets.Entry {
+func (rd *reader) entry(it objectstore.Object) targets.EntryChange {
 	if len(it.Value) == 0 {
-		return targets.Entry{Name: it.Name, Gone: true}
+		return targets.EntryChange{Name: it.Name, Deleted: true}
 	}
 	tg, ok := rd.target(it)
 	if !ok || !rd.written(tg) {
-		return targets.Entry{Name: it.Name, Unread: true}
+		return targets.EntryChange{Name: it.Name, Unreadable: true}
 	}
-	return targets.Entry{Name: it.Name, Target: tg}
+	return targets.EntryChange{Name: it.Name, Target: tg}
 }
 
 // target decodes an entry. One that cannot be read is of another writer, and names no target.
@@ -84,9 +84,9 @@
 // written reports whether a target wrote an entry. Where most tell when they were born, one that does not is of another writer;
 // elsewhere none tells it.
 func (rd *reader) written(tg targets.Target) bool {
-	if !rd.tellBirth || !tg.Born.IsZero() {
+	if !rd.tellBirth || !tg.StartedAt.IsZero() {
 		return true
 	}
-	rd.lg.WithField("target", tg.OwnName()).WithField("error", "no time of birth").Error("target cannot be read and is left out")
+	rd.lg.WithField("target", tg.NameOrID()).WithField("error", "no time of birth").Error("target cannot be read and is left out")
 	return false
 }
--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -291,15 +291,15 @@
 }
 
 func hearTargets(to, from *machine) {
-	at, heard := from.rd.dr.ChangedAt()
-	mine, _ := to.rd.dr.ChangedAt()
+	at, heard := from.rd.dr.ListPosition()
+	mine, _ := to.rd.dr.ListPosition()
 	switch {
 	case at.After(mine):
 		if at.RestoredSince(mine) {
-			to.rd.dr.Restored(at.Era, heard)
+			to.rd.dr.RecordStoreRestore(at.Era, heard)
 		}
 		_, list := from.rd.dr.Listed()
-		to.rd.dr.TakeTold(list, targets.Lapsed{}, at, heard)
+		to.rd.dr.ApplyPeerList(list, targets.Lapsed{}, at, heard)
 	case at == mine && !at.IsZero():
 		to.rd.dr.Confirm(heard)
 	}
--- a/internal/duty/facts/restored_test.go
+++ b/internal/duty/facts/restored_test.go
@@ -104,7 +104,7 @@
 		// A target that had gone counts as back once entries that nobody writes are gone.
 		time.Sleep(5 * time.Second)
 		for _, ma := range fl.machines {
-			at, _ := ma.rd.dr.ChangedAt()
+			at, _ := ma.rd.dr.ListPosition()
 			g.Expect(at).To(Equal(position.Position{Era: 1, Revision: 6}), ma.name)
 			g.Expect(ma.rd.dr.TakesWork("target-6")).To(BeTrue(), ma.name)
 			g.Expect(ma.rd.dr.TakesWork("target-5")).To(BeFalse(), ma.name)
@@ -131,7 +131,7 @@
 			g := NewWithT(t)
 			returned := time.Now()
 			rd := &reader{dr: targets.New(time.Now), ad: adapter.Adapter{ConfigurationName: "main"}}
-			rd.dr.Restored(1, returned)
+			rd.dr.RecordStoreRestore(1, returned)
 			rd.rewritten(objectstore.Object{Name: "main", Value: []byte("{}")}, returned.Add(tc.asked))
 			asked := returned.Add(rewriteFor / 2)
 			g.Expect(rd.proof(asked).Equal(asked)).To(Equal(tc.want))
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -47,10 +47,10 @@
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
 	Noted *Changed
 	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
-	Limits  *ratelimit.Book
+	Limits  *ratelimit.Tracker
 	Permits *permit.Client
 	// BackOffs is which targets want no requests from this instance, and Feedback takes what answers say of all this.
-	BackOffs *backoff.Book
+	BackOffs *backoff.Tracker
 	Feedback *feedback.Recorder
 }
 
@@ -70,10 +70,10 @@
 }
 
 // turnedElsewhere returns what logs a request that did not go to a target for want of a permit.
-func turnedElsewhere(lg log.Interface, limits *ratelimit.Book) func(request string, tg targets.Target, again time.Duration) {
+func turnedElsewhere(lg log.Interface, limits *ratelimit.Tracker) func(request string, tg targets.Target, again time.Duration) {
 	return func(request string, tg targets.Target, again time.Duration) {
 		lg.WithFields(log.Fields{
-			"request": request, "target": tg.ID, "service": tg.Service, "limit": limits.Of(tg.ID).String(),
+			"request": request, "target": tg.ID, "service": tg.Service, "limit": limits.Limit(tg.ID).String(),
 			"again": again.Round(time.Millisecond).String(),
 		}).Info("no permit for target")
 	}
@@ -100,25 +100,25 @@
 		ms = metrics.NewSet()
 	}
 	pl := upstream.NewPool(time.Now, ms, env.Settings.Gateway.DialTimeout.Std())
-	dr := targets.New(time.Now, targets.WithSuperseded(func(tg targets.Target) { pl.Forget(tg.Address) }))
+	dr := targets.New(time.Now, targets.WithSupersededHook(func(tg targets.Target) { pl.Forget(tg.Address) }))
 	ch := &Changed{}
 	kp := &reservation.Manager{
-		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, IsCurrent: dr.Present,
+		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, IsCurrent: dr.IsCurrent,
 		Timeout: env.Settings.Gateway.OrderTimeout.Std(), LeaseDuration: env.Settings.Gateway.MemoryHold.Std(), Log: env.Logger("memory"),
 	}
 	limits := ratelimit.New(time.Now)
-	ms.NewGauge("silvermount_targets_limited", func() float64 { return float64(limits.Limited()) })
-	permits := permit.NewClient(time.Now, limits.Of, ms)
+	ms.NewGauge("silvermount_targets_limited", func() float64 { return float64(limits.LimitedCount()) })
+	permits := permit.NewClient(time.Now, limits.Limit, ms)
 	backOffs := backoff.New(time.Now, rand.Float64)
-	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LenLeaving()) })
-	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.Len()) })
+	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LeavingCount()) })
+	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.ActiveCount()) })
 	noted := &Changed{}
 	fb := feedback.New(feedback.Deps{
 		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Tell, LimitsChanged: noted.Tell,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
 	kp.OnAnswer = func(pc reservation.Allocation, hd answer.Head) {
-		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(pc.Target), Head: hd, Came: time.Now()})
+		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.ByID(pc.Target), Head: hd, Came: time.Now()})
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
 		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, OnLoadChange: ch.Tell,
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -85,8 +85,8 @@
 	sh := newShares(env, pt, mesh, rt)
 	sv.sweep(func() {
 		pt.Pool.Sweep()
-		pt.Limits.Forget(pt.Targets.TakesWork)
-		pt.BackOffs.Forget(pt.Targets.TakesWork)
+		pt.Limits.Prune(pt.Targets.TakesWork)
+		pt.BackOffs.Prune(pt.Targets.TakesWork)
 		sh.update()
 	})
 	grace := st.Grace.Std()
@@ -116,7 +116,7 @@
 
 func retries(st *config.Gateway) *budget.Retries {
 	burst, trickle := retryFloor(st, sharersLeast)
-	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithTrickle(trickle))
+	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithMinRate(trickle))
 }
 
 func (sv *servers) serve(ctx context.Context, address string, h http.Handler) error {
--- a/internal/duty/members/fetch_test.go
+++ b/internal/duty/members/fetch_test.go
@@ -56,8 +56,8 @@
 func TestRestoredStoreAsAPeerTells(t *testing.T) {
 	g := NewWithT(t)
 	dr := targets.New(time.Now)
-	dr.TakeList([]targets.Target{{ID: "stays"}, {ID: "left"}, {ID: "goes"}}, nil, position.Position{Revision: 479}, time.Now())
-	dr.TakeChanges([]targets.Entry{{Name: "goes", Gone: true}}, position.Position{Revision: 480}, time.Now())
+	dr.ApplyList([]targets.Target{{ID: "stays"}, {ID: "left"}, {ID: "goes"}}, nil, position.Position{Revision: 479}, time.Now())
+	dr.ApplyChanges([]targets.EntryChange{{Name: "goes", Deleted: true}}, position.Position{Revision: 480}, time.Now())
 	at := position.Position{Era: 1, Revision: 300}
 	list, err := json.Marshal(targetList{
 		Version: at.Pack(), Targets: []targets.Target{{ID: "stays"}, {ID: "left", Leaving: true}, {ID: "goes"}},
@@ -68,7 +68,7 @@
 	du.lg = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	du.document = func(context.Context, gossip.Member, string) ([]byte, error) { return pack(list) }
 	du.fetchTargets(t.Context(), newer{document: targetsDocument, at: at, evidence: time.Now()})
-	mine, _ := dr.ChangedAt()
+	mine, _ := dr.ListPosition()
 	g.Expect(mine).To(Equal(at))
 	g.Expect(dr.TakesWork("stays")).To(BeTrue())
 	g.Expect(dr.TakesWork("left")).To(BeFalse())
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -69,7 +69,7 @@
 	fo  *forwarding.Followers
 	ld  *blame.Tracker
 	// limits is what is believed of the rate limits of targets, and permits keeps to them with the others.
-	limits  *ratelimit.Book
+	limits  *ratelimit.Tracker
 	permits *permits
 	// configurations and lists are the newer documents to be fetched, each kind by a goroutine of its own: a target that is
 	// gone must be known in time, whatever a large configuration takes.
@@ -156,11 +156,11 @@
 
 // body returns this instance's state.
 func (du *duty) body() []byte {
-	st := peerstate.State{Leaving: du.dr.Leaving()}
+	st := peerstate.State{Leaving: du.dr.LeavingIDs()}
 	if !du.left.Load() {
 		st.Loads = du.ds.OwnLoads()
 	}
-	at, heard := du.dr.ChangedAt()
+	at, heard := du.dr.ListPosition()
 	st.Targets = at
 	st.TargetsAge = time.Since(heard)
 	if tb, provenAt := du.rts.Current(); tb != nil {
@@ -227,7 +227,7 @@
 
 // receiveTargets compares a peer's list of targets with this instance's.
 func (du *duty) receiveTargets(from gossip.Member, st peerstate.State, evidence time.Time) {
-	mine, _ := du.dr.ChangedAt()
+	mine, _ := du.dr.ListPosition()
 	switch {
 	case st.Targets.IsZero() || mine.After(st.Targets):
 	case st.Targets == mine:
@@ -257,7 +257,7 @@
 func (du *duty) lost(mb gossip.Member) {
 	du.ds.SetPeerLoads(mb.Name, nil)
 	du.ld.RemovePeer(mb.Name)
-	if silentZone(mb, du.ms.Live()) && du.dr.PeerLost(mb.AvailabilityZone, mb.Name) {
+	if silentZone(mb, du.ms.Live()) && du.dr.RecordPeerLoss(mb.AvailabilityZone, mb.Name) {
 		du.lg.WithFields(log.Fields{"zone": mb.AvailabilityZone, "cause": "instances lost"}).Warn("availability zone left out")
 	}
 }
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -46,7 +46,7 @@
 	self   string
 	mesh   *gossip.Mesh
 	issuer *permit.Issuer
-	limits *ratelimit.Book
+	limits *ratelimit.Tracker
 	lg     log.Interface
 
 	mu sync.Mutex
@@ -56,7 +56,7 @@
 	version    uint64
 }
 
-func newPermits(self string, ms *gossip.Mesh, limits *ratelimit.Book, lg log.Interface) *permits {
+func newPermits(self string, ms *gossip.Mesh, limits *ratelimit.Tracker, lg log.Interface) *permits {
 	return &permits{self: self, mesh: ms, issuer: permit.NewIssuer(time.Now), limits: limits, lg: lg}
 }
 
@@ -122,9 +122,9 @@
 	if ps.issuerOf(tg).Name != ps.self {
 		return permit.Decision{Delay: elsewhereFor}
 	}
-	li := ps.limits.Of(qu.Target)
-	if !li.Named {
-		li = ratelimit.Of(qu.PerSecond)
+	li := ps.limits.Limit(qu.Target)
+	if !li.Limited {
+		li = ratelimit.PerSecond(qu.PerSecond)
 	}
 	return ps.issuer.Issue(qu.Target, li, permit.LimitShare(ps.mesh.Known()), time.Duration(qu.WaitUS)*time.Microsecond)
 }
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -42,14 +42,14 @@
 func withoutIncarnations(tgs []targets.Target) []targets.Target {
 	named := slices.Clone(tgs)
 	for i := range named {
-		named[i].ID, named[i].Name, named[i].Born = named[i].OwnName(), "", time.Time{}
+		named[i].ID, named[i].Name, named[i].StartedAt = named[i].NameOrID(), "", time.Time{}
 	}
 	return named
 }
 
 // fetchTargets asks a peer for a newer list of targets.
 func (du *duty) fetchTargets(ctx context.Context, nw newer) {
-	if mine, _ := du.dr.ChangedAt(); !nw.at.After(mine) {
+	if mine, _ := du.dr.ListPosition(); !nw.at.After(mine) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
@@ -71,16 +71,16 @@
 		return
 	}
 	at := position.Unpack(tl.Version)
-	mine, _ := du.dr.ChangedAt()
+	mine, _ := du.dr.ListPosition()
 	if nw.at.After(at) || !at.After(mine) {
 		// Meanwhile the store told more.
 		return
 	}
 	if at.RestoredSince(mine) {
 		lg.Warn("store came back from an older copy, as a peer tells")
-		du.dr.Restored(at.Era, nw.evidence)
+		du.dr.RecordStoreRestore(at.Era, nw.evidence)
 	}
-	du.tellTargets(lg, du.dr.TakeTold(tl.Targets, tl.Lapsed, at, nw.evidence), nw.evidence)
+	du.tellTargets(lg, du.dr.ApplyPeerList(tl.Targets, tl.Lapsed, at, nw.evidence), nw.evidence)
 }
 
 // tellTargets logs what a peer's word of a time changed.
@@ -89,6 +89,6 @@
 		lg.WithFields(log.Fields{
 			"target": ch.Target.ID, "service": ch.Target.Service, "address": ch.Target.Address, "source": "peer",
 			"age": time.Since(evidence).Round(time.Millisecond).String(),
-		}).Info("target " + ch.What)
+		}).Info("target " + ch.Kind)
 	}
 }
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -60,8 +60,8 @@
 // Deps are the parts that a Recorder works with. All are set.
 type Deps struct {
 	Targets  *targets.Directory
-	Limits   *ratelimit.Book
-	BackOffs *backoff.Book
+	Limits   *ratelimit.Tracker
+	BackOffs *backoff.Tracker
 	// LeavingChanged and LimitsChanged are told when peers have to hear that a target leaves, and of a rate limit.
 	LeavingChanged, LimitsChanged func()
 	Log                           log.Interface
@@ -87,10 +87,10 @@
 // speaker returns the incarnation that gave an answer: the one that was meant, unless the answer names another. It reports false when that
 // one is not known.
 func (rc *Recorder) speaker(rp Report) (targets.Target, bool) {
-	if rp.Head.Target == "" || rp.Head.Target == rp.Target.OwnName() {
+	if rp.Head.Target == "" || rp.Head.Target == rp.Target.NameOrID() {
 		return rp.Target, rp.Head.Verdict != answer.Misdirected
 	}
-	return rc.Targets.Named(rp.Head.Target)
+	return rc.Targets.ByName(rp.Head.Target)
 }
 
 func (rc *Recorder) logMalformed(tg targets.Target, hd answer.Head) {
@@ -135,7 +135,7 @@
 // noteLimit takes what an answer says of the rate limit of its target. One whose limits cannot be read neither sets nor lifts one.
 func (rc *Recorder) noteLimit(tg targets.Target, rp Report) {
 	li := rp.Head.Limit
-	if rp.Head.Unread(answer.RateLimit) && !li.Named {
+	if rp.Head.Unread(answer.RateLimit) && !li.Limited {
 		return
 	}
 	ch, changed := rc.Limits.Observe(tg.ID, li, rp.Sent, rp.Came)
@@ -143,22 +143,22 @@
 		return
 	}
 	fs := rc.fields(tg, rp)
-	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Before.String(), rc.age(ch.At)
-	rc.Log.WithFields(fs).Info("rate limit of target " + ch.What())
+	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Previous.String(), rc.age(ch.At)
+	rc.Log.WithFields(fs).Info("rate limit of target " + ch.Kind())
 	rc.LimitsChanged()
 }
 
 // noteBackOff takes a target's wish for no further requests, and an answer that shows that it takes some.
 func (rc *Recorder) noteBackOff(tg targets.Target, rp Report) {
 	if rp.Head.BackOff > 0 {
-		if rc.BackOffs.Ask(tg.ID, rp.Head.BackOff, rp.Came) {
+		if rc.BackOffs.Begin(tg.ID, rp.Head.BackOff, rp.Came) {
 			fs := rc.fields(tg, rp)
 			fs["back_off"] = rp.Head.BackOff.String()
 			rc.Log.WithFields(fs).Info("target wants no requests")
 		}
 		return
 	}
-	if after, opened := rc.BackOffs.Answered(tg.ID, rp.Sent); opened {
+	if after, opened := rc.BackOffs.RecordSuccess(tg.ID, rp.Sent); opened {
 		fs := rc.fields(tg, rp)
 		fs["after"] = after.Round(time.Millisecond).String()
 		rc.Log.WithFields(fs).Info("target takes requests again")
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -36,7 +36,7 @@
 	be := &bench{WithT: NewWithT(t), lines: memory.New(), now: time.Unix(1000, 0)}
 	now := func() time.Time { return be.now }
 	dr := targets.New(now)
-	dr.TakeList([]targets.Target{meant, other}, nil, position.Position{Revision: 1}, be.now)
+	dr.ApplyList([]targets.Target{meant, other}, nil, position.Position{Revision: 1}, be.now)
 	be.Recorder = feedback.New(feedback.Deps{
 		Targets: dr, Limits: ratelimit.New(now), BackOffs: backoff.New(now, func() float64 { return 0 }),
 		LeavingChanged: func() { be.told++ }, LimitsChanged: func() {}, Log: &log.Logger{Handler: be.lines, Level: log.DebugLevel}, Now: now,
@@ -63,7 +63,7 @@
 }
 
 func TestAnswerSpeaksForTheIncarnationThatGaveIt(t *testing.T) {
-	facts := answer.Head{BackOff: time.Second, Limit: ratelimit.Of(2)}
+	facts := answer.Head{BackOff: time.Second, Limit: ratelimit.PerSecond(2)}
 	tests := map[string]struct {
 		verdict answer.Verdict
 		target  string
@@ -87,7 +87,7 @@
 			for _, tg := range []targets.Target{meant, other} {
 				is := tc.of != nil && tc.of.ID == tg.ID
 				be.Expect(be.backedOff(tg)).To(Equal(is), tg.ID)
-				be.Expect(be.Limits.Of(tg.ID).Named).To(Equal(is), tg.ID)
+				be.Expect(be.Limits.Limit(tg.ID).Limited).To(Equal(is), tg.ID)
 			}
 		})
 	}
@@ -117,10 +117,10 @@
 
 func TestMalformedLimitNeitherSetsNorLiftsOne(t *testing.T) {
 	be := newBench(t)
-	be.record(answer.Head{Limit: ratelimit.Of(2)})
+	be.record(answer.Head{Limit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
 	be.record(answer.Head{Malformed: []answer.MalformedError{{Fact: answer.RateLimit, Value: "many"}}})
-	be.Expect(be.Limits.Of(meant.ID)).To(Equal(ratelimit.Of(2)))
+	be.Expect(be.Limits.Limit(meant.ID)).To(Equal(ratelimit.PerSecond(2)))
 }
 
 func TestMalformedValuesAreLoggedOnceAndBounded(t *testing.T) {
@@ -139,8 +139,8 @@
 
 func TestOrdersLiftNothing(t *testing.T) {
 	be := newBench(t)
-	be.record(answer.Head{Limit: ratelimit.Of(2)})
+	be.record(answer.Head{Limit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
 	be.Record(feedback.Report{Source: feedback.Order, Target: meant, Came: be.now})
-	be.Expect(be.Limits.Of(meant.ID).Named).To(BeTrue())
+	be.Expect(be.Limits.Limit(meant.ID).Limited).To(BeTrue())
 }
--- a/internal/feedback/fleet_test.go
+++ b/internal/feedback/fleet_test.go
@@ -74,7 +74,7 @@
 	fl := &simFleet{rd: rand.New(rand.NewPCG(seed, 11)), began: time.Now()}
 	for no := range fp.targets {
 		fl.targets = append(fl.targets, &simTarget{Target: targets.Target{
-			ID: "t" + strconv.Itoa(no) + "@0", Name: "t" + strconv.Itoa(no), Born: time.Unix(1, 0), Service: "s",
+			ID: "t" + strconv.Itoa(no) + "@0", Name: "t" + strconv.Itoa(no), StartedAt: time.Unix(1, 0), Service: "s",
 			Address: strconv.Itoa(no), AvailabilityZone: "z", Slots: simSlots,
 		}})
 	}
@@ -216,9 +216,9 @@
 
 // opens reports whether an instance may send requests to a target, and sees no load there that a back-off left behind.
 func (in *simInstance) opens(id string) bool {
-	ph, _ := in.recorder.BackOffs.Of(id)
+	ph, _ := in.recorder.BackOffs.Phase(id)
 	_, loaded := in.dispatcher.OwnLoads()[id]
-	return ph != backoff.Closed && !loaded
+	return ph != backoff.Blocked && !loaded
 }
 
 // metUnknown reports whether a call was turned away at last by a target that had not turned its instance away before.
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -149,7 +149,7 @@
 
 // tell tells the peers which targets leave.
 func (fl *simFleet) tell(in *simInstance, life int, dr *targets.Directory) {
-	leaving := dr.Leaving()
+	leaving := dr.LeavingIDs()
 	fl.mu.Lock()
 	peers := append([]*simInstance{}, fl.instances...)
 	fl.mu.Unlock()
@@ -205,7 +205,7 @@
 	in.up, in.disturbed, in.frozen = true, time.Now(), time.Time{}
 	in.beliefs = fl.newBeliefs(in)
 	// A process that starts while the store is away gets the list of a peer.
-	in.directory.TakeList(list, nil, position.Position{Revision: fl.revision}, time.Now())
+	in.directory.ApplyList(list, nil, position.Position{Revision: fl.revision}, time.Now())
 }
 
 // list returns the store's list, which says of all targets that they are ready.
@@ -231,7 +231,7 @@
 		fl.revision++
 		for _, in := range fl.instances {
 			if in.up && !in.cut && !fl.storeAway {
-				in.directory.TakeList(list, nil, position.Position{Revision: fl.revision}, time.Now())
+				in.directory.ApplyList(list, nil, position.Position{Revision: fl.revision}, time.Now())
 			}
 		}
 		fl.mu.Unlock()
@@ -324,7 +324,7 @@
 		be.directory.MarkLeaving(meant.ID)
 	}
 	be.recorder.Record(feedback.Report{Source: feedback.Request, Target: meant, Head: hd, Sent: sent, Came: time.Now()})
-	be.directory.Reached(meant.ID)
+	be.directory.RecordReachable(meant.ID)
 	if hd.BackOff > 0 {
 		sl.RecordBackOff(hd.BackOff)
 		fl.hint(in, life, be)
@@ -341,7 +341,7 @@
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
 	if tg.ID != meant.ID {
-		return tg, tg.add(simExchange{from: ca.from, sent: ca.sent}), answer.Head{Verdict: answer.Misdirected, Target: tg.OwnName()}
+		return tg, tg.add(simExchange{from: ca.from, sent: ca.sent}), answer.Head{Verdict: answer.Misdirected, Target: tg.NameOrID()}
 	}
 	hd := answer.Head{Leaving: tg.leaving, BackOff: tg.backOff}
 	if tg.backOff > 0 {
@@ -387,8 +387,8 @@
 func (tg *simTarget) replace() {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
-	tg.Born = time.Now()
-	tg.ID = tg.Name + "@" + strconv.FormatInt(tg.Born.UnixNano(), 36)
+	tg.StartedAt = time.Now()
+	tg.ID = tg.Name + "@" + strconv.FormatInt(tg.StartedAt.UnixNano(), 36)
 	tg.leaving, tg.backOff = false, 0
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -35,8 +35,8 @@
 	Blame      *blame.Tracker
 	// Feedback takes the head of each answer, and Limits and BackOffs are what follows from them.
 	Feedback *feedback.Recorder
-	Limits   *ratelimit.Book
-	BackOffs *backoff.Book
+	Limits   *ratelimit.Tracker
+	BackOffs *backoff.Tracker
 	Bodies   *budget.Memory
 	Metrics  *metrics.Set
 	Log      log.Interface
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -38,15 +38,15 @@
 	fs["helpers"] = helperNames(sl)
 	fs["prompt_tokens"] = rq.PromptTokens
 	fs["candidates"] = sl.CandidateCount
-	if li := gw.Limits.Of(sl.Target.ID); li.Named {
+	if li := gw.Limits.Limit(sl.Target.ID); li.Limited {
 		fs["limit"] = li.String()
 	}
-	if n := gw.BackOffs.Len(); n > 0 {
+	if n := gw.BackOffs.ActiveCount(); n > 0 {
 		fs["backed_off"] = n
 	}
 	fs["predicted_first"] = sl.PredictedFirstToken.Round(time.Millisecond).String()
 	fs["predicted_pause"] = sl.PredictedPause.Round(time.Millisecond).String()
-	fs["list_age"] = since(gw.Targets.HeardAt(), gw.Now()).String()
+	fs["list_age"] = since(gw.Targets.ConfirmedAt(), gw.Now()).String()
 	fs["attempt"] = len(rq.tried) + 1
 	gw.Log.WithFields(fs).Info("request sent")
 }
@@ -171,10 +171,10 @@
 
 // logLeftOut says that a target takes no connection, and whether its whole availability zone is left out with it.
 func (gw *Gateway) logLeftOut(tg targets.Target) {
-	ct := gw.Targets.Cut(tg.ID)
+	ct := gw.Targets.Connectivity(tg.ID)
 	gw.Log.WithFields(log.Fields{
-		"target": tg.ID, "service": tg.Service, "zone": tg.AvailabilityZone, "refusals": ct.Refusals,
-		"out_for": ct.For.Round(time.Millisecond).String(), "zone_out": ct.Zone,
+		"target": tg.ID, "service": tg.Service, "zone": tg.AvailabilityZone, "refusals": ct.ConnectFailures,
+		"out_for": ct.ExcludedFor.Round(time.Millisecond).String(), "zone_out": ct.ZoneExcluded,
 	}).Warn("target left out for taking no connection")
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -31,7 +31,7 @@
 	if err := gw.fire(ctx, rq, life.Admit); err != nil {
 		return err
 	}
-	gw.Retries.First()
+	gw.Retries.Deposit()
 	rq.service = rq.route.Pick(gw.Random())
 	var last *failure.Error
 	for dials := 0; ; {
@@ -112,7 +112,7 @@
 		Objective: rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
 		Caution: rq.caution(), Authorise: func() error { return gw.stillAllowed(rq) },
-		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Left(), Retried: len(rq.tried) > 0,
+		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Available(), Retried: len(rq.tried) > 0,
 	}
 }
 
@@ -121,11 +121,11 @@
 func (rq *request) caution() targets.Caution {
 	switch {
 	case rq.route.Exclusive():
-		return targets.Sure
+		return targets.RequireHealthy
 	case len(rq.tried) > 0:
-		return targets.Proven
+		return targets.RequireReachable
 	default:
-		return targets.Any
+		return targets.AllowProbe
 	}
 }
 
@@ -171,7 +171,7 @@
 	h := rq.header.Clone()
 	left := rq.due.At.Sub(gw.Now())
 	at := Attempt{
-		Target: sl.Target.OwnName(), Organisation: rq.org.Name, Left: left, Priority: sl.Priority,
+		Target: sl.Target.NameOrID(), Organisation: rq.org.Name, Left: left, Priority: sl.Priority,
 		ResumeAfter: rq.lastEvent,
 	}
 	for _, hp := range sl.Helpers {
@@ -194,7 +194,7 @@
 		}
 		return nil, gw.sendFailed(ctx, rq, sl, err)
 	}
-	gw.Targets.Reached(sl.Target.ID)
+	gw.Targets.RecordReachable(sl.Target.ID)
 	gw.observe("silvermount_target_answer_seconds", rq.headAt.Sub(rq.sentAt))
 	return an, nil
 }
@@ -286,7 +286,7 @@
 
 // held holds a failure against a target.
 func (gw *Gateway) held(tg targets.Target) {
-	if gw.Targets.Failure(tg.ID) {
+	if gw.Targets.RecordFailure(tg.ID) {
 		gw.Log.WithField("target", tg.ID).WithField("service", tg.Service).Warn("target left out for failing")
 	}
 }
@@ -295,10 +295,10 @@
 func (gw *Gateway) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error) bool {
 	claimed := rq.claimed
 	rq.claimed = false
-	again, why := retry.Case{
-		Code: fe.Code, Over: ctx.Err() != nil, Once: rq.route.Exclusive(), MayHaveRun: rq.known.MayHaveRun(),
-		Attempts: gw.stillThere(rq.tried), Most: rq.route.MaxAttempts, Begun: sk.Started(),
-		Continues: func() bool { return rq.route.Resumable }, Paid: claimed,
+	again, why := retry.FailedAttempt{
+		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.route.Exclusive(), MayHaveRun: rq.known.MayHaveRun(),
+		Attempts: gw.stillThere(rq.tried), MaxAttempts: rq.route.MaxAttempts, ResponseStarted: sk.Started(),
+		TryResume: func() bool { return rq.route.Resumable }, BudgetTaken: claimed,
 	}.Decide(gw.Retries)
 	rq.noRetry = why
 	return again
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -116,7 +116,7 @@
 			}
 		}
 		wd.reset(stall)
-		gw.Targets.Reached(sl.Target.ID)
+		gw.Targets.RecordReachable(sl.Target.ID)
 		sl.RecordEvent()
 		if ev.id >= 0 && ev.id <= rq.lastEvent {
 			// The event was passed on before the stream moved here.
@@ -131,13 +131,13 @@
 // claimMove reports whether a request can go on at another target now, and takes the retry for it: the streams of
 // one silent target all ask at once, and there may be a retry for some of them only.
 func (gw *Gateway) claimMove(rt routes.Route, service string, tried []string) bool {
-	return !rt.Exclusive() && gw.another(rt, service, tried) && gw.Retries.Take()
+	return !rt.Exclusive() && gw.another(rt, service, tried) && gw.Retries.TryWithdraw()
 }
 
 // another reports whether the route allows a further target and one is there.
 func (gw *Gateway) another(rt routes.Route, service string, tried []string) bool {
 	untried := func(tg targets.Target) bool { return !slices.Contains(tried, tg.ID) }
-	return gw.stillThere(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.Proven), untried)
+	return gw.stillThere(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.RequireReachable), untried)
 }
 
 func (gw *Gateway) passEvent(rq *request, sk *sink, an *upstream.Answer, ev event) error {
@@ -168,7 +168,7 @@
 // streamEnded notes that a stream is whole. That holds also when its time is over just now.
 func (gw *Gateway) streamEnded(sk *sink, sl *dispatch.Slot, an *upstream.Answer) {
 	an.Whole()
-	gw.Targets.Success(sl.Target.ID)
+	gw.Targets.RecordSuccess(sl.Target.ID)
 	if !sk.Started() {
 		copyHeader(sk.w.Header(), an.Header)
 		sk.start(an.StatusCode)
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -69,7 +69,7 @@
 }
 
 // Limited reports whether requests to a target need permits.
-func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Named }
+func (cl *Client) Limited(target string) bool { return cl.limitOf(target).Limited }
 
 // BlockedUntil returns when the next permit of a target may be requested. It reports false if one may be requested now.
 func (cl *Client) BlockedUntil(target string) (time.Time, bool) {
@@ -82,7 +82,7 @@
 	if !blocked {
 		return time.Time{}, false
 	}
-	if !cl.now().Before(until) || !cl.limitOf(target).Named {
+	if !cl.now().Before(until) || !cl.limitOf(target).Limited {
 		delete(cl.blockedUntil, target)
 		cl.anyBlocked.Store(len(cl.blockedUntil) > 0)
 		return time.Time{}, false
@@ -94,7 +94,7 @@
 // permit or does not answer.
 func (cl *Client) Acquire(ctx context.Context, tg targets.Target, maxWait time.Duration) Decision {
 	li := cl.limitOf(tg.ID)
-	if !li.Named {
+	if !li.Limited {
 		return Decision{Granted: true}
 	}
 	dc, err := cl.sendRequest(ctx, Request{Target: tg, Limit: li, MaxWait: maxWait})
--- a/internal/permit/issuer_test.go
+++ b/internal/permit/issuer_test.go
@@ -42,7 +42,7 @@
 }
 
 func (is *testIssuer) request(perSecond float64) permit.Decision {
-	return is.Issue("a", ratelimit.Of(perSecond), 1, 0)
+	return is.Issue("a", ratelimit.PerSecond(perSecond), 1, 0)
 }
 
 // countGranted requests a permit every ten milliseconds and returns the number of permits granted.
@@ -107,7 +107,7 @@
 	is := newTestIssuer(t)
 	is.advance(2 * time.Second)
 	is.countGranted(2, 5*time.Second)
-	requestInAdvance := func() permit.Decision { return is.Issue("a", ratelimit.Of(2), 1, 1200*time.Millisecond) }
+	requestInAdvance := func() permit.Decision { return is.Issue("a", ratelimit.PerSecond(2), 1, 1200*time.Millisecond) }
 	for is.request(2).Granted {
 	}
 	first, second, third := requestInAdvance(), requestInAdvance(), requestInAdvance()
@@ -150,7 +150,7 @@
 			}
 			limit := maxLimit * rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "share of the limit")
 			wait := time.Duration(rapid.IntRange(0, 1000).Draw(rt, "wait")) * time.Millisecond
-			if dc := is.Issue("a", ratelimit.Of(limit), 1, wait); dc.Granted {
+			if dc := is.Issue("a", ratelimit.PerSecond(limit), 1, wait); dc.Granted {
 				usableAt = append(usableAt, ck.now.Add(dc.Delay))
 			}
 		}
@@ -207,7 +207,7 @@
 func TestClientBlocksTargetsWithoutPermits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		li := ratelimit.Of(2)
+		li := ratelimit.PerSecond(2)
 		cl := permit.NewClient(time.Now, func(string) ratelimit.Limit { return li }, metrics.NewSet())
 		tg := targets.Target{ID: "a"}
 		acquire := func() bool { return cl.Acquire(t.Context(), tg, 0).Granted }
@@ -225,7 +225,7 @@
 		_, blocked = cl.BlockedUntil("a")
 		g.Expect(blocked).To(BeFalse(), "the limit was lifted")
 		g.Expect(acquire()).To(BeTrue())
-		li = ratelimit.Of(2)
+		li = ratelimit.PerSecond(2)
 		cl.SetRequestFunc(func(ctx context.Context, _ permit.Request) (permit.Decision, error) {
 			<-ctx.Done()
 			return permit.Decision{}, ctx.Err()
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -115,7 +115,7 @@
 	// live and knownCount are the instances considered live and the number of instances known, as of the last tick.
 	live       []permit.Candidate
 	knownCount int
-	book       *ratelimit.Book
+	book       *ratelimit.Tracker
 	issuer     *permit.Issuer
 	client     *permit.Client
 	linkDelay  time.Duration
@@ -139,7 +139,7 @@
 	in.book = ratelimit.New(time.Now)
 	in.issuer = permit.NewIssuer(time.Now)
 	book := in.book
-	in.client = permit.NewClient(time.Now, book.Of, metrics.NewSet())
+	in.client = permit.NewClient(time.Now, book.Limit, metrics.NewSet())
 	in.client.SetRequestFunc(func(ctx context.Context, rq permit.Request) (permit.Decision, error) {
 		return fl.requestPermit(ctx, in, rq)
 	})
@@ -236,8 +236,8 @@
 	in.mu.Lock()
 	cl, is, book := in.client, in.issuer, in.book
 	in.mu.Unlock()
-	li := book.Of(tg.ID)
-	if !li.Named {
+	li := book.Limit(tg.ID)
+	if !li.Limited {
 		return true
 	}
 	live, _ := in.view()
@@ -331,7 +331,7 @@
 	time.Sleep(simServiceTime)
 	var li ratelimit.Limit
 	if elapsed := time.Since(fl.startedAt); elapsed >= simLimitStart && elapsed < simLimitEnd && fl.declaresLimit(tg) {
-		li = ratelimit.Of(fl.limitPerSecond)
+		li = ratelimit.PerSecond(fl.limitPerSecond)
 		tg.mu.Lock()
 		if tg.limitedSince.IsZero() {
 			tg.limitedSince = time.Now()
@@ -351,7 +351,7 @@
 // broadcast sends the limits observed by an instance to all others. Each receives them after the delay of the link.
 func (fl *simFleet) broadcast(in *simInstance) {
 	in.mu.Lock()
-	observations := in.book.Told()
+	observations := in.book.LocalObservations()
 	in.mu.Unlock()
 	for _, other := range fl.instances {
 		if other.no == in.no {
@@ -364,7 +364,7 @@
 			other.mu.Lock()
 			book := other.book
 			other.mu.Unlock()
-			book.Hear(observations)
+			book.Merge(observations)
 		})
 	}
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -146,7 +146,7 @@
 	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
 		return err
 	}
-	sv.Retries.First()
+	sv.Retries.Deposit()
 	var tried []string
 	var known outcome.Aggregate
 	for {
@@ -202,11 +202,11 @@
 
 // mayRetry decides whether a failed attempt is followed by another.
 func (sv *Server) mayRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Aggregate) bool {
-	return retry.Case{
-		Code: fe.Code, Over: ctx.Err() != nil, Once: rq.never, MayHaveRun: known.MayHaveRun(),
-		Attempts: rq.life.Attempts, Most: sv.limits.MaxAttempts, Begun: sk.Started(),
-		Continues: func() bool { return rq.class.ContinueElsewhere && sv.rebuild(rq, sk) },
-	}.Again(sv.Retries)
+	return retry.FailedAttempt{
+		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.never, MayHaveRun: known.MayHaveRun(),
+		Attempts: rq.life.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
+		TryResume: func() bool { return rq.class.ContinueElsewhere && sv.rebuild(rq, sk) },
+	}.ShouldRetry(sv.Retries)
 }
 
 // end closes the life of a request that gets no whole answer, and says what is known.
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -66,10 +66,10 @@
 		return claim.Response{}, err
 	}
 	size := int64(len(j.Body))
-	if !sv.Bodies.Take(size) {
+	if !sv.Bodies.TryAcquire(size) {
 		return claim.Response{}, failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(time.Second)
 	}
-	defer sv.Bodies.Give(size)
+	defer sv.Bodies.Release(size)
 	ctx, cancel := context.WithDeadline(ctx, j.Deadline)
 	defer cancel()
 	sk := newSink(&bodyWriter{header: http.Header{}})
--- /dev/null
+++ b/internal/targets/connectivity.go
@@ -0,0 +1,28 @@
+package targets
+
+import "time"
+
+// Connectivity describes whether connections to a target succeed.
+type Connectivity struct {
+	// ConnectFailures counts failed connections since the target was last reachable; it stops at maxDoublings.
+	ConnectFailures int
+	// ExcludedFor is how much longer the target is excluded because of them.
+	ExcludedFor time.Duration
+	// ZoneExcluded is set when the whole availability zone of the target is excluded.
+	ZoneExcluded bool
+}
+
+// Connectivity returns the connectivity of a target; the zero value when the target is unknown.
+func (dr *Directory) Connectivity(id string) Connectivity {
+	dr.mu.Lock()
+	defer dr.mu.Unlock()
+	en, ok := dr.entries[id]
+	if !ok {
+		return Connectivity{}
+	}
+	now := dr.now()
+	return Connectivity{
+		ConnectFailures: en.connectFailures, ExcludedFor: max(0, en.unreachableUntil.Sub(now)),
+		ZoneExcluded: dr.zone(en.AvailabilityZone).unverified(now),
+	}
+}
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -3,71 +3,75 @@
 import "time"
 
 const (
-	// outcomeWeight is what one outcome counts in the share of failures: about the last ten count.
-	outcomeWeight = 0.2
-	// ejectFrom is the share of failures that takes a target out: three in a row, or soon when four in ten fail. A target
-	// that fails one in ten stays: its requests can be asked for elsewhere.
-	ejectFrom = 0.48
-	// wellBelow is the share below which a target comes back early: four good answers in a row of what was under way.
-	wellBelow = 0.15
-	// ejectTrial is the share with which it comes back: two failures take it out again.
-	ejectTrial = 0.32
-	// ejectFor is how long a target is first left out; it doubles with each further ejection up to ejectMost.
-	ejectFor  = time.Second
-	ejectMost = 8 * time.Second
-	// calmFor is the time without failures after which earlier ejections are forgotten: longer than a target is left out.
-	calmFor = 20 * time.Second
-	// suspectFrom is the share of failures from which a target is suspect: two in a row, until a good answer. Single
-	// failures occur on calm days too.
-	suspectFrom = 0.3
-	// suspectFor is how long it stays so when it gets no requests: most troubles of the platform last about as long.
-	suspectFor = 5 * time.Second
+	// failureRateWeight is the weight of a new outcome in the moving average of the failure rate: about the last ten outcomes
+	// count.
+	failureRateWeight = 0.2
+	// ejectThreshold is the failure rate that ejects a target. Three failures in a row reach it, and four in ten reach it soon. A
+	// target that fails one request in ten stays, because its failed requests can be retried elsewhere.
+	ejectThreshold = 0.48
+	// readmitThreshold is the failure rate below which an ejected target is readmitted early: after four successes in a row among
+	// the requests in flight when it was ejected.
+	readmitThreshold = 0.15
+	// readmittedFailureRate is the failure rate with which a target returns from an ejection: two failures eject it again.
+	readmittedFailureRate = 0.32
+	// minEjection is the duration of the first ejection; it doubles with each further ejection, up to maxEjection.
+	minEjection = time.Second
+	maxEjection = 8 * time.Second
+	// ejectionMemory is the time without failures after which earlier ejections no longer count. It is longer than any ejection.
+	ejectionMemory = 20 * time.Second
+	// suspectThreshold is the failure rate from which a target is suspect: two failures in a row reach it, and a success ends it.
+	// Single failures also occur in normal operation.
+	suspectThreshold = 0.3
+	// suspectPeriod is how long a target stays suspect when it gets no requests: most platform incidents last about as long.
+	suspectPeriod = 5 * time.Second
 )
 
-// Success notes a good answer.
-func (dr *Directory) Success(id string) {
+// RecordSuccess records a successful answer of a target.
+func (dr *Directory) RecordSuccess(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
-		en.failing *= 1 - outcomeWeight
-		if en.failing < wellBelow {
-			// What was under way when it was left out went well.
-			en.outUntil = time.Time{}
+		en.failureRate *= 1 - failureRateWeight
+		if en.failureRate < readmitThreshold {
+			// The requests in flight when the target was ejected succeeded.
+			en.ejectedUntil = time.Time{}
 		}
-		dr.reached(en)
+		dr.recordReachable(en)
 	}
 }
 
-// Reached notes that a target answered, whatever it said.
-func (dr *Directory) Reached(id string) {
+// RecordReachable records that a target answered, whether or not with success.
+func (dr *Directory) RecordReachable(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
-		dr.reached(en)
+		dr.recordReachable(en)
 	}
 }
 
-func (dr *Directory) reached(en *entry) {
-	en.refusals = 0
-	en.cutUntil = time.Time{}
-	if dr.zone(en.AvailabilityZone).answered(dr.now()) {
-		dr.reopen(en.AvailabilityZone)
+// recordReachable ends the pause of a target, and that of its availability zone. The caller holds the lock.
+func (dr *Directory) recordReachable(en *entry) {
+	en.connectFailures = 0
+	en.unreachableUntil = time.Time{}
+	if dr.zone(en.AvailabilityZone).recordAnswer(dr.now()) {
+		dr.clearZoneFailures(en.AvailabilityZone)
 	}
 }
 
-// reopen forgets what was held against the targets of an availability zone that answers again.
-func (dr *Directory) reopen(zone string) {
+// clearZoneFailures clears the connection failures of all targets of an availability zone that answers again. The caller holds
+// the lock.
+func (dr *Directory) clearZoneFailures(zone string) {
 	for _, en := range dr.entries {
 		if en.AvailabilityZone == zone {
-			en.refusals = 0
-			en.cutUntil = time.Time{}
+			en.connectFailures = 0
+			en.unreachableUntil = time.Time{}
 		}
 	}
 }
 
-// Failure notes a failed attempt and reports whether it took the target out. A target may fail for some callers only,
-// so that peers are not told.
-func (dr *Directory) Failure(id string) bool {
+// RecordFailure records a failed attempt and reports whether it ejected the target. Peers are not told of ejections, because a
+// target may fail for some callers only.
+func (dr *Directory) RecordFailure(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
@@ -75,32 +79,32 @@
 		return false
 	}
 	now := dr.now()
-	if now.Sub(en.failedAt) > calmFor {
-		en.failing, en.ejections = 0, 0
+	if now.Sub(en.lastFailureAt) > ejectionMemory {
+		en.failureRate, en.ejections = 0, 0
 	}
-	en.failedAt = now
-	if now.Before(en.outUntil) {
-		// What was under way when it was left out tells nothing new.
+	en.lastFailureAt = now
+	if now.Before(en.ejectedUntil) {
+		// Requests that were in flight when the target was ejected do not extend the ejection.
 		return false
 	}
-	en.failing += (1 - en.failing) * outcomeWeight
-	if en.failing < ejectFrom {
+	en.failureRate += (1 - en.failureRate) * failureRateWeight
+	if en.failureRate < ejectThreshold {
 		return false
 	}
-	en.failing = ejectTrial
-	en.outUntil = now.Add(min(ejectMost, ejectFor<<en.ejections))
+	en.failureRate = readmittedFailureRate
+	en.ejectedUntil = now.Add(min(maxEjection, minEjection<<en.ejections))
 	en.ejections = min(en.ejections+1, maxDoublings)
 	return true
 }
 
-// suspect reports whether a target failed lately and has not made up for it by good answers.
+// suspect reports whether a target failed recently without enough successes since.
 func (en *entry) suspect(now time.Time) bool {
-	return en.failing >= suspectFrom && now.Sub(en.failedAt) < suspectFor
+	return en.failureRate >= suspectThreshold && now.Sub(en.lastFailureAt) < suspectPeriod
 }
 
-// Unreachable notes that a target took no connection, which also counts against its availability zone. It reports whether
-// that is left out for it.
-func (dr *Directory) Unreachable(id string) bool {
+// RecordUnreachable records that a target accepted no connection, which also counts against its availability zone. It reports
+// whether this excludes the availability zone.
+func (dr *Directory) RecordUnreachable(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
@@ -108,45 +112,46 @@
 		return false
 	}
 	now := dr.now()
-	en.cutUntil = now.Add(min(unreachableMost, unreachableFor<<en.refusals))
-	en.refusals = min(en.refusals+1, maxDoublings)
-	return dr.zone(en.AvailabilityZone).failed(id, zoneQuiet, now)
+	en.unreachableUntil = now.Add(min(maxUnreachablePause, minUnreachablePause<<en.connectFailures))
+	en.connectFailures = min(en.connectFailures+1, maxDoublings)
+	return dr.zone(en.AvailabilityZone).recordFailure(id, refusalQuietPeriod, now)
 }
 
-// maxDoublings keeps the doubling of pauses within bounds.
+// maxDoublings bounds how often a pause or an ejection doubles.
 const maxDoublings = 3
 
-// Silent notes that a target said nothing for longer than it ever should, which counts against its availability zone
-// only: the attempt goes on until it fails. It reports whether that is left out for it.
-func (dr *Directory) Silent(id string) bool {
+// RecordSilence records that a target was silent for longer than a healthy one ever is. It counts only against the availability
+// zone, since the attempt continues until it fails. It reports whether this excludes the availability zone.
+func (dr *Directory) RecordSilence(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	en, ok := dr.entries[id]
-	return ok && dr.zone(en.AvailabilityZone).failed(id, zoneSilence, dr.now())
+	return ok && dr.zone(en.AvailabilityZone).recordFailure(id, silenceQuietPeriod, dr.now())
 }
 
-// PeerLost notes that an instance fell silent with which all other instances of its availability zone are lost too. It
-// reports whether that is left out for it.
-func (dr *Directory) PeerLost(zone, instance string) bool {
+// RecordPeerLoss records that an instance fell silent and that no other instance of its availability zone is alive. It reports
+// whether this excludes the availability zone.
+func (dr *Directory) RecordPeerLoss(zone, instance string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
-	return dr.zone(zone).failed(instance, zoneSilence, dr.now())
+	return dr.zone(zone).recordFailure(instance, silenceQuietPeriod, dr.now())
 }
 
-// Chosen notes that a request goes to a target. In an availability zone that may be back it is the probe: no other
-// request is sent there until it ends.
-func (dr *Directory) Chosen(id string) {
+// RecordDispatch records that a request is sent to a target. When a probe of the target's availability zone is due, the request
+// is that probe, and no other request is sent there until it ends or probeTimeout has passed.
+func (dr *Directory) RecordDispatch(id string) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	if en, ok := dr.entries[id]; ok {
-		dr.zone(en.AvailabilityZone).probed(dr.now())
+		dr.zone(en.AvailabilityZone).recordProbe(dr.now())
 	}
 }
 
+// zone returns the state of an availability zone, and creates it on first use. The caller holds the lock.
 func (dr *Directory) zone(name string) *zone {
 	zn, ok := dr.zones[name]
 	if !ok {
-		zn = &zone{signs: map[string]time.Time{}}
+		zn = &zone{failures: map[string]time.Time{}}
 		dr.zones[name] = zn
 	}
 	return zn
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -9,76 +9,76 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// life returns an incarnation of the target "a", all at one address.
-func life(born int64) targets.Target {
-	tg := at("a@"+time.UnixMilli(born).UTC().Format("05.000"), "a.example:80")
-	tg.Name, tg.Born = "a", time.UnixMilli(born)
+// incarnationOfA returns the incarnation of the target "a" that started at a time in milliseconds. All have the same address.
+func incarnationOfA(startedAt int64) targets.Target {
+	tg := targetAt("a@"+time.UnixMilli(startedAt).UTC().Format("05.000"), "a.example:80")
+	tg.Name, tg.StartedAt = "a", time.UnixMilli(startedAt)
 	return tg
 }
 
-// TestIncarnationsUnderTheSameID: a target starts again under the id that it had, and knows nothing of before. What was believed of
-// the incarnation before, leaving above all, is no word on the new one.
-func TestIncarnationsUnderTheSameID(t *testing.T) {
-	first, second := life(1000), life(2000)
+// TestIncarnationsOfOneName: a target restarts under the same name and has lost its state. The state of the previous incarnation,
+// in particular that it is leaving, must not apply to the new one.
+func TestIncarnationsOfOneName(t *testing.T) {
+	first, second := incarnationOfA(1000), incarnationOfA(2000)
 	leavingFirst := first
 	leavingFirst.Leaving = true
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
-		// first and second say which of them takes work in the end.
+		events func(cl *clock, dr *targets.Directory)
+		// first and second say whether each incarnation accepts work after the events.
 		first, second bool
 	}{
-		"one that left starts again": {func(cl *clock, dr *targets.Directory) {
-			put(dr, leavingFirst, cl.now())
-			put(dr, second, cl.now())
+		"restart of a leaving target": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, leavingFirst, cl.now())
+			applyPut(dr, second, cl.now())
 		}, false, true},
-		"one whose entry went starts again": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "a", cl.now())
-			put(dr, second, cl.now())
+		"restart after the entry was removed": {func(cl *clock, dr *targets.Directory) {
+			applyDelete(dr, "a", cl.now())
+			applyPut(dr, second, cl.now())
 		}, false, true},
-		"it starts again without a word": {func(cl *clock, dr *targets.Directory) {
-			put(dr, second, cl.now())
+		"restart without prior notice": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, second, cl.now())
 		}, false, true},
-		"a list has the new one": {func(cl *clock, dr *targets.Directory) {
-			replace(dr, []targets.Target{second}, cl.now())
+		"a whole list contains the new incarnation": {func(cl *clock, dr *targets.Directory) {
+			applyList(dr, []targets.Target{second}, cl.now())
 		}, false, true},
-		"an old entry comes late": {func(cl *clock, dr *targets.Directory) {
-			put(dr, second, cl.now())
-			put(dr, leavingFirst, cl.now())
-			put(dr, first, cl.now())
+		"an outdated entry arrives late": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, second, cl.now())
+			applyPut(dr, leavingFirst, cl.now())
+			applyPut(dr, first, cl.now())
 		}, false, true},
-		"an old list comes late": {func(cl *clock, dr *targets.Directory) {
-			put(dr, second, cl.now())
-			replaceTold(dr, []targets.Target{leavingFirst}, targets.Lapsed{}, cl.now())
-			put(dr, second, cl.now())
+		"an outdated list arrives late": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, second, cl.now())
+			applyPeerList(dr, []targets.Target{leavingFirst}, targets.Lapsed{}, cl.now())
+			applyPut(dr, second, cl.now())
 		}, false, true},
-		"a peer still tells that the old one leaves": {func(cl *clock, dr *targets.Directory) {
-			put(dr, second, cl.now())
+		"a peer still reports the old incarnation as leaving": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, second, cl.now())
 			dr.MarkLeaving(first.ID)
 		}, false, true},
-		"the new one leaves": {func(cl *clock, dr *targets.Directory) {
-			put(dr, second, cl.now())
+		"the new incarnation leaves": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, second, cl.now())
 			dr.MarkLeaving(second.ID)
 		}, false, false},
-		"the new one's entry goes": {func(cl *clock, dr *targets.Directory) {
-			put(dr, second, cl.now())
-			remove(dr, "a", cl.now())
+		"the entry of the new incarnation is removed": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, second, cl.now())
+			applyDelete(dr, "a", cl.now())
 		}, false, false},
-		"the old one's entry lapsed with the store away": {func(cl *clock, dr *targets.Directory) {
-			dr.Trouble()
-			dr.Back(cl.now())
-			remove(dr, "a", cl.now())
-			put(dr, second, cl.now())
+		"the entry of the old incarnation lapsed in a store outage": {func(cl *clock, dr *targets.Directory) {
+			dr.RecordStoreFailure()
+			dr.RecordStoreRecovery(cl.now())
+			applyDelete(dr, "a", cl.now())
+			applyPut(dr, second, cl.now())
 		}, false, true},
-		"a peer tells of the old one as lapsed": {func(cl *clock, dr *targets.Directory) {
-			put(dr, second, cl.now())
-			replaceTold(dr, []targets.Target{second}, targets.Lapsed{Targets: []targets.Target{first}, Left: time.Second}, cl.now())
+		"a peer reports the old incarnation as lapsed": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, second, cl.now())
+			applyPeerList(dr, []targets.Target{second}, targets.Lapsed{Targets: []targets.Target{first}, GraceLeft: time.Second}, cl.now())
 		}, false, true},
-		"failures of the old one": {func(cl *clock, dr *targets.Directory) {
+		"failures of the old incarnation": {func(cl *clock, dr *targets.Directory) {
 			for range 5 {
-				dr.Failure(first.ID)
-				dr.Unreachable(first.ID)
+				dr.RecordFailure(first.ID)
+				dr.RecordUnreachable(first.ID)
 			}
-			put(dr, second, cl.now())
+			applyPut(dr, second, cl.now())
 		}, false, true},
 	}
 	for name, tc := range tests {
@@ -86,13 +86,13 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, []targets.Target{first}, cl.now())
-			tc.happen(cl, dr)
+			applyList(dr, []targets.Target{first}, cl.now())
+			tc.events(cl, dr)
 			g.Expect(dr.TakesWork(first.ID)).To(Equal(tc.first))
 			g.Expect(dr.TakesWork(second.ID)).To(Equal(tc.second))
-			g.Expect(dr.Cut(second.ID)).To(Equal(targets.Cut{}))
+			g.Expect(dr.Connectivity(second.ID)).To(Equal(targets.Connectivity{}))
 			_, listed := dr.Listed()
-			g.Expect(ids(listed)).NotTo(ContainElement(first.ID))
+			g.Expect(idsOf(listed)).NotTo(ContainElement(first.ID))
 		})
 	}
 }
--- a/internal/targets/targets_test.go
+++ b/internal/targets/targets_test.go
@@ -9,32 +9,35 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// clock is moved by hand.
+// clock is a manual clock.
 type clock struct{ at time.Time }
 
-func (cl *clock) now() time.Time       { return cl.at }
-func (cl *clock) pass(d time.Duration) { cl.at = cl.at.Add(d) }
-func newClock() *clock                 { return &clock{at: time.Unix(1000, 0)} }
+func (cl *clock) now() time.Time          { return cl.at }
+func (cl *clock) advance(d time.Duration) { cl.at = cl.at.Add(d) }
+func newClock() *clock                    { return &clock{at: time.Unix(1000, 0)} }
 
-// target returns one whose address no other has.
-func target(id string) targets.Target { return at(id, id+".example:80") }
+// newTarget returns a target of service "s" with an address of its own.
+func newTarget(id string) targets.Target { return targetAt(id, id+".example:80") }
 
-func at(id, address string) targets.Target {
+// targetAt returns a target of service "s" at an address.
+func targetAt(id, address string) targets.Target {
 	return targets.Target{ID: id, Service: "s", Address: address}
 }
 
-func leaving(id string) targets.Target    { return targets.Target{ID: id, Service: "s", Leaving: true} }
-func list(ids ...string) []targets.Target { return all(target, ids) }
+func leavingTarget(id string) targets.Target {
+	return targets.Target{ID: id, Service: "s", Leaving: true}
+}
+func newTargets(ids ...string) []targets.Target { return makeTargets(newTarget, ids) }
 
-func all(make func(string) targets.Target, ids []string) []targets.Target {
+func makeTargets(build func(string) targets.Target, ids []string) []targets.Target {
 	var tgs []targets.Target
 	for _, id := range ids {
-		tgs = append(tgs, make(id))
+		tgs = append(tgs, build(id))
 	}
 	return tgs
 }
 
-func ids(tgs []targets.Target) []string {
+func idsOf(tgs []targets.Target) []string {
 	var out []string
 	for _, tg := range tgs {
 		out = append(out, tg.ID)
@@ -44,70 +47,70 @@
 
 func TestTakesWork(t *testing.T) {
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
+		events func(cl *clock, dr *targets.Directory)
 		want   []string
 	}{
-		"listed targets take work": {func(*clock, *targets.Directory) {}, []string{"a", "b", "c"}},
-		"a leaving target takes none": {func(cl *clock, dr *targets.Directory) {
-			put(dr, leaving("a"), cl.now())
+		"listed targets accept work": {func(*clock, *targets.Directory) {}, []string{"a", "b", "c"}},
+		"a leaving target accepts none": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, leavingTarget("a"), cl.now())
 		}, []string{"b", "c"}},
-		"leaving is never taken back": {func(cl *clock, dr *targets.Directory) {
-			put(dr, leaving("a"), cl.now())
-			replace(dr, list("a", "b", "c"), cl.now())
+		"leaving is permanent": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, leavingTarget("a"), cl.now())
+			applyList(dr, newTargets("a", "b", "c"), cl.now())
 		}, []string{"b", "c"}},
-		"leaving told by a peer binds": {func(_ *clock, dr *targets.Directory) {
+		"leaving marked by a peer": {func(_ *clock, dr *targets.Directory) {
 			dr.MarkLeaving("b")
 		}, []string{"a", "c"}},
-		"leaving told before the target is listed binds": {func(cl *clock, dr *targets.Directory) {
+		"leaving marked before the target is listed": {func(cl *clock, dr *targets.Directory) {
 			dr.MarkLeaving("d")
-			put(dr, target("d"), cl.now())
+			applyPut(dr, newTarget("d"), cl.now())
 		}, []string{"a", "b", "c"}},
-		"a target that is gone takes none": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "a", cl.now())
+		"a target that is gone accepts none": {func(cl *clock, dr *targets.Directory) {
+			applyDelete(dr, "a", cl.now())
 		}, []string{"b", "c"}},
-		"an entry that is back takes work": {func(cl *clock, dr *targets.Directory) {
-			remove(dr, "a", cl.now())
-			put(dr, target("a"), cl.now())
+		"a target that is listed again accepts work": {func(cl *clock, dr *targets.Directory) {
+			applyDelete(dr, "a", cl.now())
+			applyPut(dr, newTarget("a"), cl.now())
 		}, []string{"a", "b", "c"}},
-		"a failing target is left out": {func(_ *clock, dr *targets.Directory) {
+		"a failing target is ejected": {func(_ *clock, dr *targets.Directory) {
 			for range 3 {
-				dr.Failure("a")
+				dr.RecordFailure("a")
 			}
 		}, []string{"b", "c"}},
-		"most targets are never left out for failing": {func(_ *clock, dr *targets.Directory) {
+		"no more than half of the targets are ejected": {func(_ *clock, dr *targets.Directory) {
 			for range 3 {
-				dr.Failure("a")
-				dr.Failure("b")
+				dr.RecordFailure("a")
+				dr.RecordFailure("b")
 			}
 		}, []string{"a", "b", "c"}},
-		"a target left out is tried again": {func(cl *clock, dr *targets.Directory) {
+		"an ejected target is readmitted after its pause": {func(cl *clock, dr *targets.Directory) {
 			for range 3 {
-				dr.Failure("a")
+				dr.RecordFailure("a")
 			}
-			cl.pass(1100 * time.Millisecond)
+			cl.advance(1100 * time.Millisecond)
 		}, []string{"a", "b", "c"}},
-		"a target that takes no connection is left out": {func(_ *clock, dr *targets.Directory) {
-			dr.Unreachable("a")
+		"an unreachable target is excluded": {func(_ *clock, dr *targets.Directory) {
+			dr.RecordUnreachable("a")
 		}, []string{"b", "c"}},
-		"most targets may be left out for it": {func(_ *clock, dr *targets.Directory) {
-			dr.Reached("c")
-			dr.Unreachable("a")
-			dr.Unreachable("b")
+		"a majority of unreachable targets is excluded": {func(_ *clock, dr *targets.Directory) {
+			dr.RecordReachable("c")
+			dr.RecordUnreachable("a")
+			dr.RecordUnreachable("b")
 		}, []string{"c"}},
-		"all are tried when none takes connections": {func(_ *clock, dr *targets.Directory) {
+		"all targets are usable when all are unreachable": {func(_ *clock, dr *targets.Directory) {
 			for _, id := range []string{"a", "b", "c"} {
-				dr.Unreachable(id)
+				dr.RecordUnreachable(id)
 			}
 		}, []string{"a", "b", "c"}},
-		"it is tried again soon": {func(cl *clock, dr *targets.Directory) {
-			dr.Unreachable("a")
-			cl.pass(time.Second)
+		"an unreachable target is tried again after its pause": {func(cl *clock, dr *targets.Directory) {
+			dr.RecordUnreachable("a")
+			cl.advance(time.Second)
 		}, []string{"a", "b", "c"}},
-		"and later when it still takes none": {func(cl *clock, dr *targets.Directory) {
-			dr.Unreachable("a")
-			cl.pass(time.Second)
-			dr.Unreachable("a")
-			cl.pass(time.Second)
+		"the pause doubles while a target stays unreachable": {func(cl *clock, dr *targets.Directory) {
+			dr.RecordUnreachable("a")
+			cl.advance(time.Second)
+			dr.RecordUnreachable("a")
+			cl.advance(time.Second)
 		}, []string{"b", "c"}},
 	}
 	for name, tc := range tests {
@@ -115,9 +118,9 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, list("a", "b", "c"), cl.now())
-			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.Any))).To(Equal(tc.want))
+			applyList(dr, newTargets("a", "b", "c"), cl.now())
+			tc.events(cl, dr)
+			g.Expect(idsOf(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 			for _, id := range tc.want {
 				g.Expect(dr.TakesWork(id)).To(BeTrue())
 			}
@@ -125,26 +128,26 @@
 	}
 }
 
-// TestOneIncarnationAtAnAddress lists a new incarnation at the address of one that is still believed to take work.
-func TestOneIncarnationAtAnAddress(t *testing.T) {
+// TestOneUsableTargetPerAddress lists a target at the address of another one that still accepts work as far as the directory knows.
+func TestOneUsableTargetPerAddress(t *testing.T) {
 	const shared = "10.0.0.1:80"
 	tests := map[string]struct {
-		happen func(cl *clock, dr *targets.Directory)
+		events func(cl *clock, dr *targets.Directory)
 		want   []string
 	}{
-		"the newer one, while both are listed": {func(cl *clock, dr *targets.Directory) {
-			put(dr, at("a", shared), cl.now())
+		"newer one while both are listed": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, targetAt("a", shared), cl.now())
 		}, []string{"a", "other"}},
-		"the newer one, after the older lapsed in trouble": {func(cl *clock, dr *targets.Directory) {
-			dr.Trouble()
-			replace(dr, []targets.Target{at("a", shared), target("other")}, cl.now())
+		"newer one after the older lapsed in a store outage": {func(cl *clock, dr *targets.Directory) {
+			dr.RecordStoreFailure()
+			applyList(dr, []targets.Target{targetAt("a", shared), newTarget("other")}, cl.now())
 		}, []string{"a", "other"}},
-		"the older one again, once the newer takes no connection": {func(cl *clock, dr *targets.Directory) {
-			put(dr, at("a", shared), cl.now())
-			dr.Unreachable("a")
+		"older one once the newer is unreachable": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, targetAt("a", shared), cl.now())
+			dr.RecordUnreachable("a")
 		}, []string{"b", "other"}},
-		"the older one again, once the newer is leaving": {func(cl *clock, dr *targets.Directory) {
-			put(dr, at("a", shared), cl.now())
+		"older one once the newer is leaving": {func(cl *clock, dr *targets.Directory) {
+			applyPut(dr, targetAt("a", shared), cl.now())
 			dr.MarkLeaving("a")
 		}, []string{"b", "other"}},
 	}
@@ -153,49 +156,48 @@
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, []targets.Target{at("b", shared), target("other")}, cl.now())
-			tc.happen(cl, dr)
-			g.Expect(ids(dr.Usable("s", targets.Any))).To(Equal(tc.want))
+			applyList(dr, []targets.Target{targetAt("b", shared), newTarget("other")}, cl.now())
+			tc.events(cl, dr)
+			g.Expect(idsOf(dr.Usable("s", targets.AllowProbe))).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestChangesAreToldOnce(t *testing.T) {
+func TestChangesAreReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	cl := newClock()
 	dr := targets.New(cl.now)
-	g.Expect(replace(dr, list("a"), cl.now())).To(HaveLen(1))
-	g.Expect(replace(dr, list("a"), cl.now())).To(BeEmpty())
-	g.Expect(remove(dr, "a", cl.now())).To(HaveLen(1))
-	g.Expect(remove(dr, "a", cl.now())).To(BeEmpty())
+	g.Expect(applyList(dr, newTargets("a"), cl.now())).To(HaveLen(1))
+	g.Expect(applyList(dr, newTargets("a"), cl.now())).To(BeEmpty())
+	g.Expect(applyDelete(dr, "a", cl.now())).To(HaveLen(1))
+	g.Expect(applyDelete(dr, "a", cl.now())).To(BeEmpty())
 	g.Expect(dr.MarkLeaving("a")).To(BeTrue())
 	g.Expect(dr.MarkLeaving("a")).To(BeFalse())
-	g.Expect(dr.Leaving()).To(Equal([]string{"a"}))
+	g.Expect(dr.LeavingIDs()).To(Equal([]string{"a"}))
 }
 
-// TestCutIsTold checks what is told of a target that took no connection.
-func TestCutIsTold(t *testing.T) {
+func TestConnectivityOfUnreachableTargets(t *testing.T) {
 	tests := map[string]struct {
 		unreachable []string
-		want        targets.Cut
+		want        targets.Connectivity
 	}{
-		"never":                {nil, targets.Cut{}},
-		"once":                 {[]string{"a"}, targets.Cut{Refusals: 1, For: 800 * time.Millisecond}},
-		"twice":                {[]string{"a", "a"}, targets.Cut{Refusals: 2, For: 1600 * time.Millisecond}},
-		"another one as well":  {[]string{"b", "a"}, targets.Cut{Refusals: 1, For: 800 * time.Millisecond, Zone: true}},
-		"one that is not here": {[]string{"d"}, targets.Cut{}},
+		"never":               {nil, targets.Connectivity{}},
+		"once":                {[]string{"a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond}},
+		"twice":               {[]string{"a", "a"}, targets.Connectivity{ConnectFailures: 2, ExcludedFor: 1600 * time.Millisecond}},
+		"another target too":  {[]string{"b", "a"}, targets.Connectivity{ConnectFailures: 1, ExcludedFor: 800 * time.Millisecond, ZoneExcluded: true}},
+		"unknown target only": {[]string{"d"}, targets.Connectivity{}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			cl := newClock()
 			dr := targets.New(cl.now)
-			replace(dr, list("a", "b", "c"), cl.now())
+			applyList(dr, newTargets("a", "b", "c"), cl.now())
 			for _, id := range tc.unreachable {
-				dr.Unreachable(id)
+				dr.RecordUnreachable(id)
 			}
-			g.Expect(dr.Cut("a")).To(Equal(tc.want))
-			g.Expect(dr.Cut("d")).To(Equal(targets.Cut{}))
+			g.Expect(dr.Connectivity("a")).To(Equal(tc.want))
+			g.Expect(dr.Connectivity("d")).To(Equal(targets.Connectivity{}))
 		})
 	}
 }
