--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -122,9 +122,9 @@
 	return false
 }
 
-func (rd *reader) configuration(st follow.Store, lg log.Interface) *follow.Follower {
+func (rd *reader) configuration(st follow.Store, lg log.Interface) *follow.ListWatcher {
 	pc := newPace(rd.configurationBound, rd.followers.Part, rd.seeds, rd.first)
-	return &follow.Follower{
+	return &follow.ListWatcher{
 		Store: st, Kind: rd.ad.ConfigurationKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
 			for _, it := range items {
@@ -196,9 +196,9 @@
 	}
 }
 
-func (rd *reader) targets(st follow.Store, lg log.Interface) *follow.Follower {
+func (rd *reader) targets(st follow.Store, lg log.Interface) *follow.ListWatcher {
 	pc := newPace(rd.leavingBound, rd.followers.Part, rd.seeds, rd.first)
-	return &follow.Follower{
+	return &follow.ListWatcher{
 		Store: st, Kind: rd.ad.TargetKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
 			// The follower lists again after each failed call.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -38,7 +38,7 @@
 
 // Follower follows one kind. Its function fields are called by one goroutine. Evidence is the time on the steady clock
 // just before the store was asked: what the answer says held then or later.
-type Follower struct {
+type ListWatcher struct {
 	Store Store
 	Kind  string
 	// Wait returns the bound of one watch; while it waits in silence the newest evidence grows old.
@@ -81,7 +81,7 @@
 }
 
 // Run follows until ctx ends.
-func (fo *Follower) Run(ctx context.Context) {
+func (fo *ListWatcher) Run(ctx context.Context) {
 	var pause time.Duration
 	gone := false
 	for ctx.Err() == nil {
@@ -111,7 +111,7 @@
 
 // waitForStore waits after a failed call: about the pause, and no more than half of the least when others tell of
 // something newer.
-func (fo *Follower) waitForStore(ctx context.Context, pause time.Duration) {
+func (fo *ListWatcher) waitForStore(ctx context.Context, pause time.Duration) {
 	over := time.Now().Add(pause/2 + rand.N(pause))
 	least, _ := fo.retry()
 	known := fo.newest()
@@ -121,7 +121,7 @@
 	}
 }
 
-func (fo *Follower) newest() int64 {
+func (fo *ListWatcher) newest() int64 {
 	if fo.Newest == nil {
 		return 0
 	}
@@ -129,19 +129,19 @@
 }
 
 // longer returns the pause after one more failed call in a row; the one before is zero after a good call.
-func (fo *Follower) longer(before time.Duration) time.Duration {
+func (fo *ListWatcher) longer(before time.Duration) time.Duration {
 	least, most := fo.retry()
 	return min(most, max(least, before*2))
 }
 
-func (fo *Follower) retry() (least, most time.Duration) {
+func (fo *ListWatcher) retry() (least, most time.Duration) {
 	if fo.Retry == nil {
 		return retryLeast, retryMost
 	}
 	return fo.Retry()
 }
 
-func (fo *Follower) list(ctx context.Context) (position.Position, error) {
+func (fo *ListWatcher) list(ctx context.Context) (position.Position, error) {
 	fo.rest(ctx)
 	evidence := time.Now()
 	l, err := fo.Store.List(ctx, fo.Kind)
@@ -160,7 +160,7 @@
 // reach notes where in its history the store was at a list. After a return from an older copy, entries that nobody writes any more
 // are listed for a while, and there is no change that tells which stay: one more list does, at a moment of each follower's own, so
 // that a fleet does not ask at once.
-func (fo *Follower) reach(at position.Position, evidence time.Time) {
+func (fo *ListWatcher) reach(at position.Position, evidence time.Time) {
 	before := fo.known()
 	fo.at = at
 	if !evidence.Before(fo.relistAt) {
@@ -181,7 +181,7 @@
 }
 
 // known returns where in its history the store was before: at the newest list, or by what others tell.
-func (fo *Follower) known() position.Position {
+func (fo *ListWatcher) known() position.Position {
 	if !fo.at.IsZero() || fo.Known == nil {
 		return fo.at
 	}
@@ -189,12 +189,12 @@
 }
 
 // relists reports whether the list has to be asked for in place of what changed.
-func (fo *Follower) relists() bool {
+func (fo *ListWatcher) relists() bool {
 	settled := !fo.relistAt.IsZero() && !time.Now().Before(fo.relistAt)
 	return settled || time.Since(fo.answered) >= historyLeast
 }
 
-func (fo *Follower) watch(ctx context.Context, since position.Position) (position.Position, error) {
+func (fo *ListWatcher) watch(ctx context.Context, since position.Position) (position.Position, error) {
 	fo.rest(ctx)
 	if fo.relists() {
 		return fo.list(ctx)
@@ -218,20 +218,20 @@
 	return l.Position(), nil
 }
 
-func (fo *Follower) pause(ctx context.Context, news bool) {
+func (fo *ListWatcher) pause(ctx context.Context, news bool) {
 	if fo.Pause != nil {
 		wait(ctx, fo.Pause(news))
 	}
 }
 
 // rest waits while others tell enough.
-func (fo *Follower) rest(ctx context.Context) {
+func (fo *ListWatcher) rest(ctx context.Context) {
 	for fo.Rest != nil && fo.Rest() && ctx.Err() == nil {
 		wait(ctx, restStep)
 	}
 }
 
-func (fo *Follower) failed(err error) {
+func (fo *ListWatcher) failed(err error) {
 	if !fo.lost {
 		fo.Log.WithField("kind", fo.Kind).WithField("cause", err.Error()).Warn("lost the store")
 	}
@@ -239,7 +239,7 @@
 	fo.Trouble(err)
 }
 
-func (fo *Follower) regained() {
+func (fo *ListWatcher) regained() {
 	if fo.lost {
 		fo.Log.WithField("kind", fo.Kind).Info("regained the store")
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -142,10 +142,10 @@
 }
 
 // newCopy runs a follower inside a synctest bubble until the test ends.
-func newCopy(t *testing.T, fs *fakeStore, opts ...func(*follow.Follower)) *copyOf {
+func newCopy(t *testing.T, fs *fakeStore, opts ...func(*follow.ListWatcher)) *copyOf {
 	t.Helper()
 	cp := &copyOf{store: fs, log: memory.New(), view: view{items: map[string]string{}}}
-	fo := &follow.Follower{
+	fo := &follow.ListWatcher{
 		Store: follow.Store{List: fs.list, Watch: fs.watch}, Kind: kind, Wait: func() time.Duration { return silence },
 		Replace: cp.replace, Change: cp.change, Confirm: cp.confirm,
 		Trouble: func(error) { cp.mu.Lock(); defer cp.mu.Unlock(); cp.troubles++ },
@@ -335,7 +335,7 @@
 		fs.put("a", `1`)
 		var resting atomic.Bool
 		resting.Store(true)
-		cp := newCopy(t, fs, func(fo *follow.Follower) { fo.Rest = resting.Load })
+		cp := newCopy(t, fs, func(fo *follow.ListWatcher) { fo.Rest = resting.Load })
 		pass(time.Minute)
 		g.Expect(cp.now().replaced).To(BeZero())
 		resting.Store(false)
@@ -359,7 +359,7 @@
 			bubble(t, func(t *testing.T, g *WithT) {
 				fs := newFakeStore()
 				var began time.Time
-				cp := newCopy(t, fs, func(fo *follow.Follower) {
+				cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
 					fo.Rest = func() bool { return !began.IsZero() && time.Since(began) < tc.rest }
 					fo.Pause = func(bool) time.Duration {
 						began = time.Now()
@@ -386,7 +386,7 @@
 	bubble(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `0`)
-		cp := newCopy(t, fs, func(fo *follow.Follower) {
+		cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
 			fo.Pause = func(news bool) time.Duration {
 				if news {
 					return time.Second
@@ -413,7 +413,7 @@
 		fs := newFakeStore()
 		fs.put("a", `1`)
 		var newest atomic.Int64
-		cp := newCopy(t, fs, func(fo *follow.Follower) {
+		cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
 			fo.Retry = func() (least, most time.Duration) { return time.Second, time.Hour }
 			fo.Newest = newest.Load
 		})
--- a/internal/follow/restored_test.go
+++ b/internal/follow/restored_test.go
@@ -41,7 +41,7 @@
 				fs.put("b", "2")
 				fs.put("c", "1")
 				restored := 0
-				cp := newCopy(t, fs, func(fo *follow.Follower) {
+				cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
 					fo.Settle, fo.Restored = 5*time.Second, func(int64, time.Time) { restored++ }
 				})
 				time.Sleep(3 * time.Second)
@@ -62,7 +62,7 @@
 		fs := newFakeStore()
 		fs.put("a", "1")
 		restored := 0
-		cp := newCopy(t, fs, func(fo *follow.Follower) { fo.Restored = func(int64, time.Time) { restored++ } })
+		cp := newCopy(t, fs, func(fo *follow.ListWatcher) { fo.Restored = func(int64, time.Time) { restored++ } })
 		time.Sleep(time.Second)
 		fs.restore(map[string]string{"a": "2"}, 1)
 		time.Sleep(2 * silence)
