--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -81,13 +81,13 @@
 }
 
 // Run follows until ctx ends.
-func (fo *ListWatcher) Run(ctx context.Context) {
+func (lw *ListWatcher) Run(ctx context.Context) {
 	var pause time.Duration
 	gone := false
 	for ctx.Err() == nil {
-		since, err := fo.list(ctx)
+		since, err := lw.list(ctx)
 		for err == nil {
-			since, err = fo.watch(ctx, since)
+			since, err = lw.watch(ctx, since)
 			if err == nil {
 				pause = 0
 				gone = false
@@ -97,153 +97,153 @@
 		// History that is gone again right after a list is trouble like any other.
 		if errors.As(err, &hg) && !gone {
 			gone = true
-			fo.Log.WithField("kind", fo.Kind).WithField("version", since.Revision).Info("history gone, listing again")
+			lw.Log.WithField("kind", lw.Kind).WithField("version", since.Revision).Info("history gone, listing again")
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		fo.failed(err)
-		pause = fo.longer(pause)
-		fo.waitForStore(ctx, pause)
+		lw.failed(err)
+		pause = lw.longer(pause)
+		lw.waitForStore(ctx, pause)
 	}
 }
 
 // waitForStore waits after a failed call: about the pause, and no more than half of the least when others tell of
 // something newer.
-func (fo *ListWatcher) waitForStore(ctx context.Context, pause time.Duration) {
+func (lw *ListWatcher) waitForStore(ctx context.Context, pause time.Duration) {
 	over := time.Now().Add(pause/2 + rand.N(pause))
-	least, _ := fo.retry()
-	known := fo.newest()
+	least, _ := lw.retry()
+	known := lw.newest()
 	wait(ctx, min(least/2, time.Until(over)))
-	for fo.newest() == known && time.Now().Before(over) && ctx.Err() == nil {
+	for lw.newest() == known && time.Now().Before(over) && ctx.Err() == nil {
 		wait(ctx, min(restStep, time.Until(over)))
 	}
 }
 
-func (fo *ListWatcher) newest() int64 {
-	if fo.Newest == nil {
+func (lw *ListWatcher) newest() int64 {
+	if lw.Newest == nil {
 		return 0
 	}
-	return fo.Newest()
+	return lw.Newest()
 }
 
 // longer returns the pause after one more failed call in a row; the one before is zero after a good call.
-func (fo *ListWatcher) longer(before time.Duration) time.Duration {
-	least, most := fo.retry()
+func (lw *ListWatcher) longer(before time.Duration) time.Duration {
+	least, most := lw.retry()
 	return min(most, max(least, before*2))
 }
 
-func (fo *ListWatcher) retry() (least, most time.Duration) {
-	if fo.Retry == nil {
+func (lw *ListWatcher) retry() (least, most time.Duration) {
+	if lw.Retry == nil {
 		return retryLeast, retryMost
 	}
-	return fo.Retry()
+	return lw.Retry()
 }
 
-func (fo *ListWatcher) list(ctx context.Context) (position.Position, error) {
-	fo.rest(ctx)
+func (lw *ListWatcher) list(ctx context.Context) (position.Position, error) {
+	lw.rest(ctx)
 	evidence := time.Now()
-	l, err := fo.Store.List(ctx, fo.Kind)
+	l, err := lw.Store.List(ctx, lw.Kind)
 	if err != nil {
 		return position.Position{}, errors.Wrap(err, "list")
 	}
-	fo.regained()
-	fo.answered = evidence
-	fo.reach(l.Position(), evidence)
-	fo.Replace(l.Items, evidence)
-	fo.Confirm(evidence, fo.at)
-	fo.pause(ctx, true)
-	return fo.at, nil
+	lw.regained()
+	lw.answered = evidence
+	lw.reach(l.Position(), evidence)
+	lw.Replace(l.Items, evidence)
+	lw.Confirm(evidence, lw.at)
+	lw.pause(ctx, true)
+	return lw.at, nil
 }
 
 // reach notes where in its history the store was at a list. After a return from an older copy, entries that nobody writes any more
 // are listed for a while, and there is no change that tells which stay: one more list does, at a moment of each follower's own, so
 // that a fleet does not ask at once.
-func (fo *ListWatcher) reach(at position.Position, evidence time.Time) {
-	before := fo.known()
-	fo.at = at
-	if !evidence.Before(fo.relistAt) {
-		fo.relistAt = time.Time{}
+func (lw *ListWatcher) reach(at position.Position, evidence time.Time) {
+	before := lw.known()
+	lw.at = at
+	if !evidence.Before(lw.relistAt) {
+		lw.relistAt = time.Time{}
 	}
 	if before.IsZero() || before.Era == at.Era {
 		return
 	}
-	if fo.Settle > 0 {
-		fo.relistAt = evidence.Add(fo.Settle + rand.N(relistSpread))
+	if lw.Settle > 0 {
+		lw.relistAt = evidence.Add(lw.Settle + rand.N(relistSpread))
 	}
-	fo.Log.WithFields(log.Fields{
-		"kind": fo.Kind, "era": at.Era, "era_before": before.Era, "version": at.Revision, "version_before": before.Revision,
+	lw.Log.WithFields(log.Fields{
+		"kind": lw.Kind, "era": at.Era, "era_before": before.Era, "version": at.Revision, "version_before": before.Revision,
 	}).Warn("store came back from an older copy")
-	if fo.Restored != nil {
-		fo.Restored(at.Era, evidence)
+	if lw.Restored != nil {
+		lw.Restored(at.Era, evidence)
 	}
 }
 
 // known returns where in its history the store was before: at the newest list, or by what others tell.
-func (fo *ListWatcher) known() position.Position {
-	if !fo.at.IsZero() || fo.Known == nil {
-		return fo.at
+func (lw *ListWatcher) known() position.Position {
+	if !lw.at.IsZero() || lw.Known == nil {
+		return lw.at
 	}
-	return fo.Known()
+	return lw.Known()
 }
 
 // relists reports whether the list has to be asked for in place of what changed.
-func (fo *ListWatcher) relists() bool {
-	settled := !fo.relistAt.IsZero() && !time.Now().Before(fo.relistAt)
-	return settled || time.Since(fo.answered) >= historyLeast
+func (lw *ListWatcher) relists() bool {
+	settled := !lw.relistAt.IsZero() && !time.Now().Before(lw.relistAt)
+	return settled || time.Since(lw.answered) >= historyLeast
 }
 
-func (fo *ListWatcher) watch(ctx context.Context, since position.Position) (position.Position, error) {
-	fo.rest(ctx)
-	if fo.relists() {
-		return fo.list(ctx)
+func (lw *ListWatcher) watch(ctx context.Context, since position.Position) (position.Position, error) {
+	lw.rest(ctx)
+	if lw.relists() {
+		return lw.list(ctx)
 	}
 	evidence := time.Now()
-	l, err := fo.Store.Watch(ctx, fo.Kind, since, fo.Wait())
+	l, err := lw.Store.Watch(ctx, lw.Kind, since, lw.Wait())
 	if err != nil {
 		return since, errors.Wrap(err, "watch")
 	}
-	fo.regained()
+	lw.regained()
 	if l.Era != since.Era {
 		// The same revisions stand for other changes there.
-		return fo.list(ctx)
+		return lw.list(ctx)
 	}
-	fo.answered = evidence
+	lw.answered = evidence
 	for _, it := range l.Items {
-		fo.Change(it, evidence)
+		lw.Change(it, evidence)
 	}
-	fo.Confirm(evidence, l.Position())
-	fo.pause(ctx, len(l.Items) > 0)
+	lw.Confirm(evidence, l.Position())
+	lw.pause(ctx, len(l.Items) > 0)
 	return l.Position(), nil
 }
 
-func (fo *ListWatcher) pause(ctx context.Context, news bool) {
-	if fo.Pause != nil {
-		wait(ctx, fo.Pause(news))
+func (lw *ListWatcher) pause(ctx context.Context, news bool) {
+	if lw.Pause != nil {
+		wait(ctx, lw.Pause(news))
 	}
 }
 
 // rest waits while others tell enough.
-func (fo *ListWatcher) rest(ctx context.Context) {
-	for fo.Rest != nil && fo.Rest() && ctx.Err() == nil {
+func (lw *ListWatcher) rest(ctx context.Context) {
+	for lw.Rest != nil && lw.Rest() && ctx.Err() == nil {
 		wait(ctx, restStep)
 	}
 }
 
-func (fo *ListWatcher) failed(err error) {
-	if !fo.lost {
-		fo.Log.WithField("kind", fo.Kind).WithField("cause", err.Error()).Warn("lost the store")
+func (lw *ListWatcher) failed(err error) {
+	if !lw.lost {
+		lw.Log.WithField("kind", lw.Kind).WithField("cause", err.Error()).Warn("lost the store")
 	}
-	fo.lost = true
-	fo.Trouble(err)
+	lw.lost = true
+	lw.Trouble(err)
 }
 
-func (fo *ListWatcher) regained() {
-	if fo.lost {
-		fo.Log.WithField("kind", fo.Kind).Info("regained the store")
+func (lw *ListWatcher) regained() {
+	if lw.lost {
+		lw.Log.WithField("kind", lw.Kind).Info("regained the store")
 	}
-	fo.lost = false
+	lw.lost = false
 }
 
 func wait(ctx context.Context, d time.Duration) {
