--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -125,7 +125,7 @@
 func (rd *reader) configuration(st follow.Store, lg log.Interface) *follow.ListWatcher {
 	pc := newPace(rd.configurationBound, rd.followers.Part, rd.seeds, rd.first)
 	return &follow.ListWatcher{
-		Store: st, Kind: rd.ad.ConfigurationKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
+		Store: st, Kind: rd.ad.ConfigurationKind, Log: lg, Pause: pc.pause, WatchTimeout: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
 			for _, it := range items {
 				rd.readConfiguration(it, evidence)
@@ -199,7 +199,7 @@
 func (rd *reader) targets(st follow.Store, lg log.Interface) *follow.ListWatcher {
 	pc := newPace(rd.leavingBound, rd.followers.Part, rd.seeds, rd.first)
 	return &follow.ListWatcher{
-		Store: st, Kind: rd.ad.TargetKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
+		Store: st, Kind: rd.ad.TargetKind, Log: lg, Pause: pc.pause, WatchTimeout: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
 			// The follower lists again after each failed call.
 			rd.dr.Back(evidence)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -42,7 +42,7 @@
 	Store Store
 	Kind  string
 	// Wait returns the bound of one watch; while it waits in silence the newest evidence grows old.
-	Wait func() time.Duration
+	WatchTimeout func() time.Duration
 	// Replace takes a whole list.
 	Replace func(items []objectstore.Object, evidence time.Time)
 	// Change takes one change; a removed object has no value.
@@ -200,7 +200,7 @@
 		return lw.list(ctx)
 	}
 	evidence := time.Now()
-	l, err := lw.Store.Watch(ctx, lw.Kind, since, lw.Wait())
+	l, err := lw.Store.Watch(ctx, lw.Kind, since, lw.WatchTimeout())
 	if err != nil {
 		return since, errors.Wrap(err, "watch")
 	}
