--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -131,7 +131,7 @@
 				rd.readConfiguration(it, evidence)
 			}
 		},
-		Change: func(it objectstore.Object, evidence time.Time) {
+		Apply: func(it objectstore.Object, evidence time.Time) {
 			rd.rewritten(it, evidence)
 			rd.readConfiguration(it, evidence)
 		},
@@ -206,8 +206,8 @@
 			rd.heard.whole = true
 			rd.heard.list, rd.heard.unread = rd.list(items)
 		},
-		Change: func(it objectstore.Object, _ time.Time) { rd.heard.changes = append(rd.heard.changes, rd.entry(it)) },
-		Known:  rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
+		Apply: func(it objectstore.Object, _ time.Time) { rd.heard.changes = append(rd.heard.changes, rd.entry(it)) },
+		Known: rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
 		Confirm: func(evidence time.Time, at position.Position) {
 			rd.reach.answered()
 			rd.tell(rd.take(at, evidence), evidence)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -46,7 +46,7 @@
 	// Replace takes a whole list.
 	Replace func(items []objectstore.Object, evidence time.Time)
 	// Change takes one change; a removed object has no value.
-	Change func(item objectstore.Object, evidence time.Time)
+	Apply func(item objectstore.Object, evidence time.Time)
 	// Confirm is told that all changes up to the evidence were taken, and where in its history the store was then.
 	Confirm func(evidence time.Time, at position.Position)
 	// Known returns where in its history the store was by what is known from elsewhere; nil for nowhere.
@@ -211,7 +211,7 @@
 	}
 	lw.answered = evidence
 	for _, it := range l.Items {
-		lw.Change(it, evidence)
+		lw.Apply(it, evidence)
 	}
 	lw.Confirm(evidence, l.Position())
 	lw.pause(ctx, len(l.Items) > 0)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -147,7 +147,7 @@
 	cp := &copyOf{store: fs, log: memory.New(), view: view{items: map[string]string{}}}
 	fo := &follow.ListWatcher{
 		Store: follow.Store{List: fs.list, Watch: fs.watch}, Kind: kind, WatchTimeout: func() time.Duration { return silence },
-		Replace: cp.replace, Change: cp.change, Confirm: cp.confirm,
+		Replace: cp.replace, Apply: cp.change, Confirm: cp.confirm,
 		Trouble: func(error) { cp.mu.Lock(); defer cp.mu.Unlock(); cp.troubles++ },
 		Log:     &log.Logger{Handler: cp.log, Level: log.DebugLevel},
 	}
