--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -135,7 +135,7 @@
 			rd.rewritten(it, evidence)
 			rd.readConfiguration(it, evidence)
 		},
-		Known: rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
+		KnownPosition: rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
 		Confirm: func(evidence time.Time, _ position.Position) {
 			rd.reach.answered()
 			rd.rts.Confirm(rd.version, rd.proof(evidence))
@@ -206,8 +206,8 @@
 			rd.heard.whole = true
 			rd.heard.list, rd.heard.unread = rd.list(items)
 		},
-		Apply: func(it objectstore.Object, _ time.Time) { rd.heard.changes = append(rd.heard.changes, rd.entry(it)) },
-		Known: rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
+		Apply:         func(it objectstore.Object, _ time.Time) { rd.heard.changes = append(rd.heard.changes, rd.entry(it)) },
+		KnownPosition: rd.known, Settle: targets.StaleFor, Restored: rd.dr.Restored,
 		Confirm: func(evidence time.Time, at position.Position) {
 			rd.reach.answered()
 			rd.tell(rd.take(at, evidence), evidence)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -50,7 +50,7 @@
 	// Confirm is told that all changes up to the evidence were taken, and where in its history the store was then.
 	Confirm func(evidence time.Time, at position.Position)
 	// Known returns where in its history the store was by what is known from elsewhere; nil for nowhere.
-	Known func() position.Position
+	KnownPosition func() position.Position
 	// Settle is how long after it came back from an older copy the store may list what had gone before; what is still listed then is
 	// there. Zero asks for no second list.
 	Settle time.Duration
@@ -182,10 +182,10 @@
 
 // known returns where in its history the store was before: at the newest list, or by what others tell.
 func (lw *ListWatcher) known() position.Position {
-	if !lw.at.IsZero() || lw.Known == nil {
+	if !lw.at.IsZero() || lw.KnownPosition == nil {
 		return lw.at
 	}
-	return lw.Known()
+	return lw.KnownPosition()
 }
 
 // relists reports whether the list has to be asked for in place of what changed.
