--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -53,7 +53,7 @@
 	KnownPosition func() position.Position
 	// Settle is how long after it came back from an older copy the store may list what had gone before; what is still listed then is
 	// there. Zero asks for no second list.
-	Settle time.Duration
+	RelistDelay time.Duration
 	// Restored is told the era of a store that came back from an older copy, before the list that shows it is taken; nil for none.
 	Restored func(era int64, evidence time.Time)
 	// Rest reports whether others tell enough, so that the store need not be asked now; nil for never.
@@ -169,8 +169,8 @@
 	if before.IsZero() || before.Era == at.Era {
 		return
 	}
-	if lw.Settle > 0 {
-		lw.relistAt = evidence.Add(lw.Settle + rand.N(relistSpread))
+	if lw.RelistDelay > 0 {
+		lw.relistAt = evidence.Add(lw.RelistDelay + rand.N(relistSpread))
 	}
 	lw.Log.WithFields(log.Fields{
 		"kind": lw.Kind, "era": at.Era, "era_before": before.Era, "version": at.Revision, "version_before": before.Revision,
--- a/internal/follow/restored_test.go
+++ b/internal/follow/restored_test.go
@@ -42,7 +42,7 @@
 				fs.put("c", "1")
 				restored := 0
 				cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
-					fo.Settle, fo.Restored = 5*time.Second, func(int64, time.Time) { restored++ }
+					fo.RelistDelay, fo.Restored = 5*time.Second, func(int64, time.Time) { restored++ }
 				})
 				time.Sleep(3 * time.Second)
 				fs.restore(tc.copied, tc.version)
