--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -135,7 +135,7 @@
 			rd.rewritten(it, evidence)
 			rd.readConfiguration(it, evidence)
 		},
-		KnownPosition: rd.known, RelistDelay: targets.StaleFor, Restored: rd.dr.Restored,
+		KnownPosition: rd.known, RelistDelay: targets.StaleFor, OnRestore: rd.dr.Restored,
 		Confirm: func(evidence time.Time, _ position.Position) {
 			rd.reach.answered()
 			rd.rts.Confirm(rd.version, rd.proof(evidence))
@@ -207,7 +207,7 @@
 			rd.heard.list, rd.heard.unread = rd.list(items)
 		},
 		Apply:         func(it objectstore.Object, _ time.Time) { rd.heard.changes = append(rd.heard.changes, rd.entry(it)) },
-		KnownPosition: rd.known, RelistDelay: targets.StaleFor, Restored: rd.dr.Restored,
+		KnownPosition: rd.known, RelistDelay: targets.StaleFor, OnRestore: rd.dr.Restored,
 		Confirm: func(evidence time.Time, at position.Position) {
 			rd.reach.answered()
 			rd.tell(rd.take(at, evidence), evidence)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -55,7 +55,7 @@
 	// there. Zero asks for no second list.
 	RelistDelay time.Duration
 	// Restored is told the era of a store that came back from an older copy, before the list that shows it is taken; nil for none.
-	Restored func(era int64, evidence time.Time)
+	OnRestore func(era int64, evidence time.Time)
 	// Rest reports whether others tell enough, so that the store need not be asked now; nil for never.
 	Rest func() bool
 	// Pause returns how long the store is left alone after a good answer; news says that the answer was a list or held
@@ -175,8 +175,8 @@
 	lw.Log.WithFields(log.Fields{
 		"kind": lw.Kind, "era": at.Era, "era_before": before.Era, "version": at.Revision, "version_before": before.Revision,
 	}).Warn("store came back from an older copy")
-	if lw.Restored != nil {
-		lw.Restored(at.Era, evidence)
+	if lw.OnRestore != nil {
+		lw.OnRestore(at.Era, evidence)
 	}
 }
 
--- a/internal/follow/restored_test.go
+++ b/internal/follow/restored_test.go
@@ -42,7 +42,7 @@
 				fs.put("c", "1")
 				restored := 0
 				cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
-					fo.RelistDelay, fo.Restored = 5*time.Second, func(int64, time.Time) { restored++ }
+					fo.RelistDelay, fo.OnRestore = 5*time.Second, func(int64, time.Time) { restored++ }
 				})
 				time.Sleep(3 * time.Second)
 				fs.restore(tc.copied, tc.version)
@@ -62,7 +62,7 @@
 		fs := newFakeStore()
 		fs.put("a", "1")
 		restored := 0
-		cp := newCopy(t, fs, func(fo *follow.ListWatcher) { fo.Restored = func(int64, time.Time) { restored++ } })
+		cp := newCopy(t, fs, func(fo *follow.ListWatcher) { fo.OnRestore = func(int64, time.Time) { restored++ } })
 		time.Sleep(time.Second)
 		fs.restore(map[string]string{"a": "2"}, 1)
 		time.Sleep(2 * silence)
