--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -141,7 +141,7 @@
 			rd.rts.Confirm(rd.version, rd.proof(evidence))
 			rd.changed.Tell()
 		},
-		Rest: func() bool {
+		Suspended: func() bool {
 			version, provenAt := rd.inForce()
 			return rd.followers.Lacking(version) < newsTime && rd.rests(pc, rd.ad.ConfigurationKind, rd.provable(provenAt))
 		},
@@ -217,8 +217,8 @@
 			rd.reach.failed()
 			rd.dr.Trouble()
 		},
-		Rest:  func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.HeardAt()) },
-		Retry: func() (least, most time.Duration) { return pc.retry(rd.dr.HeardAt()) },
+		Suspended: func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.HeardAt()) },
+		Retry:     func() (least, most time.Duration) { return pc.retry(rd.dr.HeardAt()) },
 	}
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -57,7 +57,7 @@
 	// Restored is told the era of a store that came back from an older copy, before the list that shows it is taken; nil for none.
 	OnRestore func(era int64, evidence time.Time)
 	// Rest reports whether others tell enough, so that the store need not be asked now; nil for never.
-	Rest func() bool
+	Suspended func() bool
 	// Pause returns how long the store is left alone after a good answer; news says that the answer was a list or held
 	// changes. What changes meanwhile comes with one answer. nil for no pause.
 	Pause func(news bool) time.Duration
@@ -226,7 +226,7 @@
 
 // rest waits while others tell enough.
 func (lw *ListWatcher) rest(ctx context.Context) {
-	for lw.Rest != nil && lw.Rest() && ctx.Err() == nil {
+	for lw.Suspended != nil && lw.Suspended() && ctx.Err() == nil {
 		wait(ctx, restStep)
 	}
 }
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -335,7 +335,7 @@
 		fs.put("a", `1`)
 		var resting atomic.Bool
 		resting.Store(true)
-		cp := newCopy(t, fs, func(fo *follow.ListWatcher) { fo.Rest = resting.Load })
+		cp := newCopy(t, fs, func(fo *follow.ListWatcher) { fo.Suspended = resting.Load })
 		pass(time.Minute)
 		g.Expect(cp.now().replaced).To(BeZero())
 		resting.Store(false)
@@ -360,7 +360,7 @@
 				fs := newFakeStore()
 				var began time.Time
 				cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
-					fo.Rest = func() bool { return !began.IsZero() && time.Since(began) < tc.rest }
+					fo.Suspended = func() bool { return !began.IsZero() && time.Since(began) < tc.rest }
 					fo.Pause = func(bool) time.Duration {
 						began = time.Now()
 						return 0
