--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -145,7 +145,7 @@
 			version, provenAt := rd.inForce()
 			return rd.followers.Lacking(version) < newsTime && rd.rests(pc, rd.ad.ConfigurationKind, rd.provable(provenAt))
 		},
-		Retry: func() (least, most time.Duration) {
+		Backoff: func() (least, most time.Duration) {
 			_, provenAt := rd.rts.Current()
 			return pc.retry(provenAt)
 		},
@@ -218,7 +218,7 @@
 			rd.dr.Trouble()
 		},
 		Suspended: func() bool { return rd.rests(pc, rd.ad.TargetKind, rd.dr.HeardAt()) },
-		Retry:     func() (least, most time.Duration) { return pc.retry(rd.dr.HeardAt()) },
+		Backoff:   func() (least, most time.Duration) { return pc.retry(rd.dr.HeardAt()) },
 	}
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -62,7 +62,7 @@
 	// changes. What changes meanwhile comes with one answer. nil for no pause.
 	Pause func(news bool) time.Duration
 	// Retry returns the first and the longest pause after failed calls; nil for the defaults.
-	Retry func() (least, most time.Duration)
+	Backoff func() (least, most time.Duration)
 	// Newest returns a number that grows when others tell of something newer in the store: the store then answers, and a
 	// pause after a failed call ends early; nil for none.
 	Newest func() int64
@@ -135,10 +135,10 @@
 }
 
 func (lw *ListWatcher) retry() (least, most time.Duration) {
-	if lw.Retry == nil {
+	if lw.Backoff == nil {
 		return retryLeast, retryMost
 	}
-	return lw.Retry()
+	return lw.Backoff()
 }
 
 func (lw *ListWatcher) list(ctx context.Context) (position.Position, error) {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -414,7 +414,7 @@
 		fs.put("a", `1`)
 		var newest atomic.Int64
 		cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
-			fo.Retry = func() (least, most time.Duration) { return time.Second, time.Hour }
+			fo.Backoff = func() (least, most time.Duration) { return time.Second, time.Hour }
 			fo.Newest = newest.Load
 		})
 		pass(2 * travel)
