--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -149,7 +149,7 @@
 			_, provenAt := rd.rts.Current()
 			return pc.retry(provenAt)
 		},
-		Newest: rd.followers.Newest,
+		NewestReported: rd.followers.Newest,
 		Trouble: func(error) {
 			rd.reach.failed()
 			// A listener seldom asks for targets, and a store that nobody reaches is in trouble for both kinds.
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -65,7 +65,7 @@
 	Backoff func() (least, most time.Duration)
 	// Newest returns a number that grows when others tell of something newer in the store: the store then answers, and a
 	// pause after a failed call ends early; nil for none.
-	Newest func() int64
+	NewestReported func() int64
 	// Trouble is told of each failed call.
 	Trouble func(err error)
 	Log     log.Interface
@@ -122,10 +122,10 @@
 }
 
 func (lw *ListWatcher) newest() int64 {
-	if lw.Newest == nil {
+	if lw.NewestReported == nil {
 		return 0
 	}
-	return lw.Newest()
+	return lw.NewestReported()
 }
 
 // longer returns the pause after one more failed call in a row; the one before is zero after a good call.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -415,7 +415,7 @@
 		var newest atomic.Int64
 		cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
 			fo.Backoff = func() (least, most time.Duration) { return time.Second, time.Hour }
-			fo.Newest = newest.Load
+			fo.NewestReported = newest.Load
 		})
 		pass(2 * travel)
 		fs.set(func() { fs.down = &objectstore.UnavailableError{Cause: &objectstore.StatusError{Status: 503}} })
