--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -150,7 +150,7 @@
 			return pc.retry(provenAt)
 		},
 		NewestReported: rd.followers.Newest,
-		Trouble: func(error) {
+		OnFailure: func(error) {
 			rd.reach.failed()
 			// A listener seldom asks for targets, and a store that nobody reaches is in trouble for both kinds.
 			if !rd.followers.Follows() && rd.unproven(pc.rest) {
@@ -213,7 +213,7 @@
 			rd.tell(rd.take(at, evidence), evidence)
 			rd.changed.Tell()
 		},
-		Trouble: func(error) {
+		OnFailure: func(error) {
 			rd.reach.failed()
 			rd.dr.Trouble()
 		},
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -67,8 +67,8 @@
 	// pause after a failed call ends early; nil for none.
 	NewestReported func() int64
 	// Trouble is told of each failed call.
-	Trouble func(err error)
-	Log     log.Interface
+	OnFailure func(err error)
+	Log       log.Interface
 
 	// lost is set between a failed call and the next good one.
 	lost bool
@@ -236,7 +236,7 @@
 		lw.Log.WithField("kind", lw.Kind).WithField("cause", err.Error()).Warn("lost the store")
 	}
 	lw.lost = true
-	lw.Trouble(err)
+	lw.OnFailure(err)
 }
 
 func (lw *ListWatcher) regained() {
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -148,8 +148,8 @@
 	fo := &follow.ListWatcher{
 		Store: follow.Store{List: fs.list, Watch: fs.watch}, Kind: kind, WatchTimeout: func() time.Duration { return silence },
 		Replace: cp.replace, Apply: cp.change, Confirm: cp.confirm,
-		Trouble: func(error) { cp.mu.Lock(); defer cp.mu.Unlock(); cp.troubles++ },
-		Log:     &log.Logger{Handler: cp.log, Level: log.DebugLevel},
+		OnFailure: func(error) { cp.mu.Lock(); defer cp.mu.Unlock(); cp.troubles++ },
+		Log:       &log.Logger{Handler: cp.log, Level: log.DebugLevel},
 	}
 	for _, o := range opts {
 		o(fo)
