--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,4 +1,4 @@
-// Package follow keeps a copy of one kind of object of the store up to date by lists and watches.
+// Package follow keeps an in-memory copy of one kind of object of the store up to date with list and watch calls.
 package follow
 
 import (
@@ -14,239 +14,242 @@
 )
 
 const (
-	// retryLeast and retryMost bound the pause after a failed call. The most keeps several tries within the few
-	// seconds in which a change must be in force.
-	retryLeast = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// historyLeast is the age of the last answer from which a watch is likely to be told that the history it asks for is
-	// gone, and a list is asked for at once: half of the 20 s that the users' store keeps.
-	historyLeast = 10 * time.Second
-	// relistSpread is the time over which the followers of a fleet ask for that list, so that they do not ask at once.
-	relistSpread = time.Second
-	// restStep is how often a follower that rests looks whether it has to ask itself.
-	restStep = 100 * time.Millisecond
+	// minBackoff and maxBackoff bound the back-off after failed calls. maxBackoff allows several attempts within the few seconds in
+	// which a change must be in force.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
+	// maxWatchGap is the time since the last successful call after which a list is requested instead of a watch, because the store
+	// has probably discarded the history that the watch needs. It is half of the 20 s of history that the users' store keeps.
+	maxWatchGap = 10 * time.Second
+	// relistJitter spreads the second list after a restore of the store, so that not all instances request it at once.
+	relistJitter = time.Second
+	// checkInterval is how often a suspended ListWatcher checks whether it has to call the store again, and how often one that backs
+	// off checks whether something newer was reported.
+	checkInterval = 100 * time.Millisecond
 )
 
-// Store asks the store. Both fields are set.
+// Store holds the calls to the store. Both fields are required.
 type Store struct {
 	// List returns all objects of a kind.
 	List func(ctx context.Context, kind string) (objectstore.Listing, error)
-	// Watch waits at most wait for changes after a position. A HistoryGoneError asks for a new list. An answer of another era does
-	// not tell what changed.
+	// Watch waits up to wait for changes after a position. It fails with a HistoryGoneError if a new list is needed. A result with
+	// another era than since does not say what changed.
 	Watch func(ctx context.Context, kind string, since position.Position, wait time.Duration) (objectstore.Listing, error)
 }
 
-// Follower follows one kind. Its function fields are called by one goroutine. Evidence is the time on the steady clock
-// just before the store was asked: what the answer says held then or later.
+// ListWatcher lists the objects of one kind and then watches them for changes. Its function fields are called by one goroutine.
+// Their asOf argument is the monotonic time just before the request was sent: the response reflects the store at that time or later.
 type ListWatcher struct {
 	Store Store
 	Kind  string
-	// Wait returns the bound of one watch; while it waits in silence the newest evidence grows old.
+	// WatchTimeout returns how long a watch may wait for changes. While it waits, the newest asOf time ages.
 	WatchTimeout func() time.Duration
-	// Replace takes a whole list.
-	Replace func(items []objectstore.Object, evidence time.Time)
-	// Change takes one change; a removed object has no value.
-	Apply func(item objectstore.Object, evidence time.Time)
-	// Confirm is told that all changes up to the evidence were taken, and where in its history the store was then.
-	Confirm func(evidence time.Time, at position.Position)
-	// Known returns where in its history the store was by what is known from elsewhere; nil for nowhere.
+	// Replace receives a complete list.
+	Replace func(items []objectstore.Object, asOf time.Time)
+	// Apply receives one change. A removed object has no value.
+	Apply func(item objectstore.Object, asOf time.Time)
+	// Confirm is called when all changes up to asOf have been passed on, with the position of the store in the response.
+	Confirm func(asOf time.Time, at position.Position)
+	// KnownPosition returns the newest position of the store that is known from other sources. It is used before the first list.
+	// Optional.
 	KnownPosition func() position.Position
-	// Settle is how long after it came back from an older copy the store may list what had gone before; what is still listed then is
-	// there. Zero asks for no second list.
+	// RelistDelay is how long after a restore from an older copy the store may still list objects that had been removed before.
+	// After it the list is requested once more, and objects that are still listed exist. Zero disables the second list.
 	RelistDelay time.Duration
-	// Restored is told the era of a store that came back from an older copy, before the list that shows it is taken; nil for none.
-	OnRestore func(era int64, evidence time.Time)
-	// Rest reports whether others tell enough, so that the store need not be asked now; nil for never.
+	// OnRestore is called with the new era when the store was restored from an older copy, before the list that shows the restore is
+	// passed to Replace. Optional.
+	OnRestore func(era int64, asOf time.Time)
+	// Suspended reports whether other sources are fresh enough, so that the store is not called for now. Optional.
 	Suspended func() bool
-	// Pause returns how long the store is left alone after a good answer; news says that the answer was a list or held
-	// changes. What changes meanwhile comes with one answer. nil for no pause.
-	Pause func(news bool) time.Duration
-	// Retry returns the first and the longest pause after failed calls; nil for the defaults.
-	Backoff func() (least, most time.Duration)
-	// Newest returns a number that grows when others tell of something newer in the store: the store then answers, and a
-	// pause after a failed call ends early; nil for none.
+	// Pause returns how long to wait after a successful call, so that the next call returns all changes made meanwhile. changed
+	// reports whether the call was a list or returned changes. Optional: without it there is no pause.
+	Pause func(changed bool) time.Duration
+	// Backoff returns the first and the longest back-off after failed calls. Optional: without it the defaults apply.
+	Backoff func() (minDelay, maxDelay time.Duration)
+	// NewestReported returns a number that increases when another source reports something newer in the store. An increase shows
+	// that the store responds, and ends a back-off early. Optional.
 	NewestReported func() int64
-	// Trouble is told of each failed call.
+	// OnFailure is called for each failed call.
 	OnFailure func(err error)
 	Log       log.Interface
 
-	// lost is set between a failed call and the next good one.
-	lost bool
-	// answered is when the newest good answer was asked for.
-	answered time.Time
-	// at is where in its history the store was at the newest list; zero before the first.
-	at position.Position
-	// relistAt is when a list is asked for once more after the store came back from an older copy; zero for never.
+	// failing is set from a failed call to the next successful one.
+	failing bool
+	// lastSuccess is when the request of the last successful call was sent.
+	lastSuccess time.Time
+	// listedAt is the position of the store in the newest list; zero before the first.
+	listedAt position.Position
+	// relistAt is when the list is requested once more after a restore of the store; zero if it is not.
 	relistAt time.Time
 }
 
-// Run follows until ctx ends.
+// Run lists and watches until ctx is cancelled.
 func (lw *ListWatcher) Run(ctx context.Context) {
-	var pause time.Duration
+	var backoff time.Duration
 	gone := false
 	for ctx.Err() == nil {
 		since, err := lw.list(ctx)
 		for err == nil {
 			since, err = lw.watch(ctx, since)
 			if err == nil {
-				pause = 0
+				backoff = 0
 				gone = false
 			}
 		}
 		var hg *objectstore.HistoryGoneError
-		// History that is gone again right after a list is trouble like any other.
+		// History that is gone again right after a list is handled as a failed call, to avoid a busy loop.
 		if errors.As(err, &hg) && !gone {
 			gone = true
-			lw.Log.WithField("kind", lw.Kind).WithField("version", since.Revision).Info("history gone, listing again")
+			lw.Log.WithField("kind", lw.Kind).WithField("version", since.Revision).Info("change history has expired in the store, listing again")
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		lw.failed(err)
-		pause = lw.longer(pause)
-		lw.waitForStore(ctx, pause)
+		lw.recordFailure(err)
+		backoff = lw.nextBackoff(backoff)
+		lw.waitBackoff(ctx, backoff)
 	}
 }
 
-// waitForStore waits after a failed call: about the pause, and no more than half of the least when others tell of
-// something newer.
-func (lw *ListWatcher) waitForStore(ctx context.Context, pause time.Duration) {
-	over := time.Now().Add(pause/2 + rand.N(pause))
-	least, _ := lw.retry()
-	known := lw.newest()
-	wait(ctx, min(least/2, time.Until(over)))
-	for lw.newest() == known && time.Now().Before(over) && ctx.Err() == nil {
-		wait(ctx, min(restStep, time.Until(over)))
+// waitBackoff waits for the back-off with jitter, from half to one and a half of it. If another source reports something newer, it
+// returns after at most half of the minimum back-off.
+func (lw *ListWatcher) waitBackoff(ctx context.Context, backoff time.Duration) {
+	deadline := time.Now().Add(backoff/2 + rand.N(backoff))
+	minDelay, _ := lw.backoffBounds()
+	known := lw.newestReported()
+	sleep(ctx, min(minDelay/2, time.Until(deadline)))
+	for lw.newestReported() == known && time.Now().Before(deadline) && ctx.Err() == nil {
+		sleep(ctx, min(checkInterval, time.Until(deadline)))
 	}
 }
 
-func (lw *ListWatcher) newest() int64 {
+func (lw *ListWatcher) newestReported() int64 {
 	if lw.NewestReported == nil {
 		return 0
 	}
 	return lw.NewestReported()
 }
 
-// longer returns the pause after one more failed call in a row; the one before is zero after a good call.
-func (lw *ListWatcher) longer(before time.Duration) time.Duration {
-	least, most := lw.retry()
-	return min(most, max(least, before*2))
+// nextBackoff returns the back-off after one more consecutive failure. previous is zero after a successful call.
+func (lw *ListWatcher) nextBackoff(previous time.Duration) time.Duration {
+	minDelay, maxDelay := lw.backoffBounds()
+	return min(maxDelay, max(minDelay, previous*2))
 }
 
-func (lw *ListWatcher) retry() (least, most time.Duration) {
+func (lw *ListWatcher) backoffBounds() (minDelay, maxDelay time.Duration) {
 	if lw.Backoff == nil {
-		return retryLeast, retryMost
+		return minBackoff, maxBackoff
 	}
 	return lw.Backoff()
 }
 
 func (lw *ListWatcher) list(ctx context.Context) (position.Position, error) {
-	lw.rest(ctx)
-	evidence := time.Now()
+	lw.waitWhileSuspended(ctx)
+	asOf := time.Now()
 	l, err := lw.Store.List(ctx, lw.Kind)
 	if err != nil {
 		return position.Position{}, errors.Wrap(err, "list")
 	}
-	lw.regained()
-	lw.answered = evidence
-	lw.reach(l.Position(), evidence)
-	lw.Replace(l.Items, evidence)
-	lw.Confirm(evidence, lw.at)
+	lw.recordSuccess()
+	lw.lastSuccess = asOf
+	lw.detectRestore(l.Position(), asOf)
+	lw.Replace(l.Items, asOf)
+	lw.Confirm(asOf, lw.listedAt)
 	lw.pause(ctx, true)
-	return lw.at, nil
+	return lw.listedAt, nil
 }
 
-// reach notes where in its history the store was at a list. After a return from an older copy, entries that nobody writes any more
-// are listed for a while, and there is no change that tells which stay: one more list does, at a moment of each follower's own, so
-// that a fleet does not ask at once.
-func (lw *ListWatcher) reach(at position.Position, evidence time.Time) {
-	before := lw.known()
-	lw.at = at
-	if !evidence.Before(lw.relistAt) {
+// detectRestore records the position of a list and compares its era with the last known one. For a while after a restore from an
+// older copy the store lists stale entries whose owners no longer write them, and no change event tells them from the others. One
+// more list does. It is scheduled with jitter, so that not all instances request it at once.
+func (lw *ListWatcher) detectRestore(at position.Position, asOf time.Time) {
+	before := lw.lastPosition()
+	lw.listedAt = at
+	if !asOf.Before(lw.relistAt) {
 		lw.relistAt = time.Time{}
 	}
 	if before.IsZero() || before.Era == at.Era {
 		return
 	}
 	if lw.RelistDelay > 0 {
-		lw.relistAt = evidence.Add(lw.RelistDelay + rand.N(relistSpread))
+		lw.relistAt = asOf.Add(lw.RelistDelay + rand.N(relistJitter))
 	}
 	lw.Log.WithFields(log.Fields{
 		"kind": lw.Kind, "era": at.Era, "era_before": before.Era, "version": at.Revision, "version_before": before.Revision,
-	}).Warn("store came back from an older copy")
+	}).Warn("store was restored from an older copy")
 	if lw.OnRestore != nil {
-		lw.OnRestore(at.Era, evidence)
+		lw.OnRestore(at.Era, asOf)
 	}
 }
 
-// known returns where in its history the store was before: at the newest list, or by what others tell.
-func (lw *ListWatcher) known() position.Position {
-	if !lw.at.IsZero() || lw.KnownPosition == nil {
-		return lw.at
+// lastPosition returns the position of the newest list, or before the first list the one known from other sources.
+func (lw *ListWatcher) lastPosition() position.Position {
+	if !lw.listedAt.IsZero() || lw.KnownPosition == nil {
+		return lw.listedAt
 	}
 	return lw.KnownPosition()
 }
 
-// relists reports whether the list has to be asked for in place of what changed.
-func (lw *ListWatcher) relists() bool {
-	settled := !lw.relistAt.IsZero() && !time.Now().Before(lw.relistAt)
-	return settled || time.Since(lw.answered) >= historyLeast
+// mustList reports whether to request a list instead of a watch.
+func (lw *ListWatcher) mustList() bool {
+	relist := !lw.relistAt.IsZero() && !time.Now().Before(lw.relistAt)
+	return relist || time.Since(lw.lastSuccess) >= maxWatchGap
 }
 
 func (lw *ListWatcher) watch(ctx context.Context, since position.Position) (position.Position, error) {
-	lw.rest(ctx)
-	if lw.relists() {
+	lw.waitWhileSuspended(ctx)
+	if lw.mustList() {
 		return lw.list(ctx)
 	}
-	evidence := time.Now()
+	asOf := time.Now()
 	l, err := lw.Store.Watch(ctx, lw.Kind, since, lw.WatchTimeout())
 	if err != nil {
 		return since, errors.Wrap(err, "watch")
 	}
-	lw.regained()
+	lw.recordSuccess()
 	if l.Era != since.Era {
-		// The same revisions stand for other changes there.
+		// The same revision numbers stand for other changes in the new era.
 		return lw.list(ctx)
 	}
-	lw.answered = evidence
+	lw.lastSuccess = asOf
 	for _, it := range l.Items {
-		lw.Apply(it, evidence)
+		lw.Apply(it, asOf)
 	}
-	lw.Confirm(evidence, l.Position())
+	lw.Confirm(asOf, l.Position())
 	lw.pause(ctx, len(l.Items) > 0)
 	return l.Position(), nil
 }
 
-func (lw *ListWatcher) pause(ctx context.Context, news bool) {
+func (lw *ListWatcher) pause(ctx context.Context, changed bool) {
 	if lw.Pause != nil {
-		wait(ctx, lw.Pause(news))
+		sleep(ctx, lw.Pause(changed))
 	}
 }
 
-// rest waits while others tell enough.
-func (lw *ListWatcher) rest(ctx context.Context) {
+// waitWhileSuspended waits until the store has to be called again.
+func (lw *ListWatcher) waitWhileSuspended(ctx context.Context) {
 	for lw.Suspended != nil && lw.Suspended() && ctx.Err() == nil {
-		wait(ctx, restStep)
+		sleep(ctx, checkInterval)
 	}
 }
 
-func (lw *ListWatcher) failed(err error) {
-	if !lw.lost {
+func (lw *ListWatcher) recordFailure(err error) {
+	if !lw.failing {
 		lw.Log.WithField("kind", lw.Kind).WithField("cause", err.Error()).Warn("lost the store")
 	}
-	lw.lost = true
+	lw.failing = true
 	lw.OnFailure(err)
 }
 
-func (lw *ListWatcher) regained() {
-	if lw.lost {
+func (lw *ListWatcher) recordSuccess() {
+	if lw.failing {
 		lw.Log.WithField("kind", lw.Kind).Info("regained the store")
 	}
-	lw.lost = false
+	lw.failing = false
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -21,30 +21,30 @@
 
 const (
 	kind = "things"
-	// silence is how long a watch waits.
-	silence = 1500 * time.Millisecond
-	// travel is how long a call takes besides.
-	travel = 10 * time.Millisecond
+	// watchTimeout is how long a watch waits for changes.
+	watchTimeout = 1500 * time.Millisecond
+	// callLatency is the latency of a call, in addition to the time that a watch waits.
+	callLatency = 10 * time.Millisecond
 )
 
-// fakeStore answers calls with what a test has set.
+// fakeStore is an in-memory store whose contents and failures are set by the test.
 type fakeStore struct {
 	mu sync.Mutex
-	// era rises with each return from a copy, version with each change; items holds the present values by name.
+	// era increases with each restore from an older copy, version with each change. items holds the current values by name.
 	era, version int64
 	items        map[string]string
 	changes      []objectstore.Object
-	// floor is the version before which history is gone.
-	floor int64
-	// down is what all calls fail with; nil when the store is well.
-	down error
-	// lists and watches hold the times of the calls.
-	lists, watches []time.Time
+	// oldestRevision is the oldest revision that a watch can start from.
+	oldestRevision int64
+	// failure is the error of all calls; nil if they succeed.
+	failure error
+	// listTimes and watchTimes hold when the calls were made.
+	listTimes, watchTimes []time.Time
 }
 
 func newFakeStore() *fakeStore { return &fakeStore{items: map[string]string{}} }
 
-// put changes an object; an empty value removes it.
+// put writes an object, or removes it if value is empty.
 func (fs *fakeStore) put(name, value string) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
@@ -58,7 +58,7 @@
 	fs.changes = append(fs.changes, ob)
 }
 
-func (fs *fakeStore) set(edit func()) {
+func (fs *fakeStore) edit(edit func()) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	edit()
@@ -66,42 +66,42 @@
 
 func (fs *fakeStore) list(_ context.Context, _ string) (objectstore.Listing, error) {
 	fs.mu.Lock()
-	fs.lists = append(fs.lists, time.Now())
+	fs.listTimes = append(fs.listTimes, time.Now())
 	fs.mu.Unlock()
-	time.Sleep(travel)
+	time.Sleep(callLatency)
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
 	l := objectstore.Listing{Era: fs.era, Version: fs.version}
 	for name, value := range fs.items {
 		l.Items = append(l.Items, objectstore.Object{Name: name, Version: fs.version, Value: json.RawMessage(value)})
 	}
-	return l, fs.down
+	return l, fs.failure
 }
 
 func (fs *fakeStore) watch(ctx context.Context, _ string, since position.Position, wait time.Duration) (objectstore.Listing, error) {
 	fs.mu.Lock()
-	fs.watches = append(fs.watches, time.Now())
+	fs.watchTimes = append(fs.watchTimes, time.Now())
 	fs.mu.Unlock()
-	over := time.Now().Add(wait)
+	deadline := time.Now().Add(wait)
 	for {
-		l, done, err := fs.since(since.Revision)
-		if done || err != nil || !time.Now().Before(over) {
+		l, done, err := fs.changesSince(since.Revision)
+		if done || err != nil || !time.Now().Before(deadline) {
 			return l, err
 		}
-		time.Sleep(travel)
+		time.Sleep(callLatency)
 		if ctx.Err() != nil {
 			return l, ctx.Err()
 		}
 	}
 }
 
-func (fs *fakeStore) since(since int64) (l objectstore.Listing, found bool, err error) {
+func (fs *fakeStore) changesSince(since int64) (l objectstore.Listing, found bool, err error) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
-	if fs.down != nil {
-		return l, false, fs.down
+	if fs.failure != nil {
+		return l, false, fs.failure
 	}
-	if since < fs.floor || since > fs.version {
+	if since < fs.oldestRevision || since > fs.version {
 		return l, false, &objectstore.HistoryGoneError{Kind: kind}
 	}
 	l.Era, l.Version = fs.era, fs.version
@@ -113,318 +113,320 @@
 	return l, len(l.Items) > 0, nil
 }
 
-// copyOf is what a follower has made of the store.
-type copyOf struct {
+// replica is the copy of a fakeStore that a ListWatcher keeps up to date.
+type replica struct {
 	store *fakeStore
 	log   *memory.Handler
 
 	mu sync.Mutex
-	view
+	replicaState
 }
 
-// view is the state of a copy.
-type view struct {
+// replicaState is the state of a replica that tests check.
+type replicaState struct {
 	items    map[string]string
-	evidence time.Time
-	replaced int
-	troubles int
-	// ahead is set when evidence was later than the call that gave it.
-	ahead bool
+	asOf     time.Time
+	lists    int
+	failures int
+	// asOfTooLate is set if an asOf time was later than the start of the call that it belongs to.
+	asOfTooLate bool
 }
 
-// now returns the state of the copy.
-func (cp *copyOf) now() view {
-	cp.mu.Lock()
-	defer cp.mu.Unlock()
-	vw := cp.view
-	vw.items = maps.Clone(cp.items)
-	return vw
+// state returns a copy of the current state.
+func (rp *replica) state() replicaState {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	st := rp.replicaState
+	st.items = maps.Clone(rp.items)
+	return st
 }
 
-// newCopy runs a follower inside a synctest bubble until the test ends.
-func newCopy(t *testing.T, fs *fakeStore, opts ...func(*follow.ListWatcher)) *copyOf {
+// startReplica runs a ListWatcher inside a synctest bubble until the test ends.
+func startReplica(t *testing.T, fs *fakeStore, opts ...func(*follow.ListWatcher)) *replica {
 	t.Helper()
-	cp := &copyOf{store: fs, log: memory.New(), view: view{items: map[string]string{}}}
-	fo := &follow.ListWatcher{
-		Store: follow.Store{List: fs.list, Watch: fs.watch}, Kind: kind, WatchTimeout: func() time.Duration { return silence },
-		Replace: cp.replace, Apply: cp.change, Confirm: cp.confirm,
-		OnFailure: func(error) { cp.mu.Lock(); defer cp.mu.Unlock(); cp.troubles++ },
-		Log:       &log.Logger{Handler: cp.log, Level: log.DebugLevel},
+	rp := &replica{store: fs, log: memory.New(), replicaState: replicaState{items: map[string]string{}}}
+	lw := &follow.ListWatcher{
+		Store: follow.Store{List: fs.list, Watch: fs.watch}, Kind: kind, WatchTimeout: func() time.Duration { return watchTimeout },
+		Replace: rp.replace, Apply: rp.apply, Confirm: rp.confirm,
+		OnFailure: func(error) { rp.mu.Lock(); defer rp.mu.Unlock(); rp.failures++ },
+		Log:       &log.Logger{Handler: rp.log, Level: log.DebugLevel},
 	}
 	for _, o := range opts {
-		o(fo)
+		o(lw)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
-		fo.Run(ctx)
+		lw.Run(ctx)
 		close(done)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return cp
+	return rp
 }
 
-func (cp *copyOf) replace(items []objectstore.Object, evidence time.Time) {
-	cp.mu.Lock()
-	cp.replaced++
-	cp.items = map[string]string{}
-	cp.mu.Unlock()
+func (rp *replica) replace(items []objectstore.Object, asOf time.Time) {
+	rp.mu.Lock()
+	rp.lists++
+	rp.items = map[string]string{}
+	rp.mu.Unlock()
 	for _, it := range items {
-		cp.change(it, evidence)
+		rp.apply(it, asOf)
 	}
 }
 
-func (cp *copyOf) change(it objectstore.Object, evidence time.Time) {
-	cp.mu.Lock()
-	defer cp.mu.Unlock()
-	cp.check(evidence)
+func (rp *replica) apply(it objectstore.Object, asOf time.Time) {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	rp.checkAsOf(asOf)
 	if len(it.Value) == 0 {
-		delete(cp.items, it.Name)
+		delete(rp.items, it.Name)
 		return
 	}
-	cp.items[it.Name] = string(it.Value)
+	rp.items[it.Name] = string(it.Value)
 }
 
-func (cp *copyOf) confirm(evidence time.Time, _ position.Position) {
-	cp.mu.Lock()
-	defer cp.mu.Unlock()
-	cp.check(evidence)
-	cp.evidence = evidence
+func (rp *replica) confirm(asOf time.Time, _ position.Position) {
+	rp.mu.Lock()
+	defer rp.mu.Unlock()
+	rp.checkAsOf(asOf)
+	rp.asOf = asOf
 }
 
-// check compares evidence with the start of the newest call. The lock is held.
-func (cp *copyOf) check(evidence time.Time) {
-	cp.store.mu.Lock()
-	defer cp.store.mu.Unlock()
+// checkAsOf compares asOf with the start of the newest call. The caller holds rp.mu.
+func (rp *replica) checkAsOf(asOf time.Time) {
+	rp.store.mu.Lock()
+	defer rp.store.mu.Unlock()
 	newest := time.Time{}
-	for _, calls := range [][]time.Time{cp.store.lists, cp.store.watches} {
+	for _, calls := range [][]time.Time{rp.store.listTimes, rp.store.watchTimes} {
 		if len(calls) > 0 && calls[len(calls)-1].After(newest) {
 			newest = calls[len(calls)-1]
 		}
 	}
-	cp.ahead = cp.ahead || evidence.After(newest)
+	rp.asOfTooLate = rp.asOfTooLate || asOf.After(newest)
 }
 
-func (cp *copyOf) lines() []string {
+func (rp *replica) logMessages() []string {
 	var all []string
-	for _, en := range cp.log.Entries {
+	for _, en := range rp.log.Entries {
 		all = append(all, en.Message)
 	}
 	return all
 }
 
-// bubble runs a test with a fake clock.
-func bubble(t *testing.T, run func(t *testing.T, g *WithT)) {
+// withFakeClock runs a test in a synctest bubble.
+func withFakeClock(t *testing.T, run func(t *testing.T, g *WithT)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { run(t, NewWithT(t)) })
 }
 
-// pass lets time go by and waits until all is at rest.
-func pass(d time.Duration) {
+// advance advances the fake clock and waits until all goroutines are blocked.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-func TestListThenChanges(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+func TestAppliesListThenChanges(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `1`)
-		cp := newCopy(t, fs)
-		pass(2 * travel)
-		g.Expect(cp.now().items).To(Equal(map[string]string{"a": `1`}))
+		rp := startReplica(t, fs)
+		advance(2 * callLatency)
+		g.Expect(rp.state().items).To(Equal(map[string]string{"a": `1`}))
 		fs.put("b", `2`)
 		fs.put("a", "")
-		pass(2 * travel)
-		g.Expect(cp.now().items).To(Equal(map[string]string{"b": `2`}))
-		g.Expect(cp.now().replaced).To(Equal(1))
-		g.Expect(cp.now().troubles).To(BeZero())
-		g.Expect(cp.now().ahead).To(BeFalse())
+		advance(2 * callLatency)
+		g.Expect(rp.state().items).To(Equal(map[string]string{"b": `2`}))
+		g.Expect(rp.state().lists).To(Equal(1))
+		g.Expect(rp.state().failures).To(BeZero())
+		g.Expect(rp.state().asOfTooLate).To(BeFalse())
 	})
 }
 
-func TestSilentWatchesConfirm(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+func TestWatchesWithoutChangesConfirm(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
-		cp := newCopy(t, fs)
+		rp := startReplica(t, fs)
 		for range 20 {
-			pass(silence)
-			g.Expect(time.Since(cp.now().evidence)).To(BeNumerically("<=", 2*silence+4*travel))
+			advance(watchTimeout)
+			g.Expect(time.Since(rp.state().asOf)).To(BeNumerically("<=", 2*watchTimeout+4*callLatency))
 		}
-		g.Expect(cp.now().ahead).To(BeFalse())
-		g.Expect(fs.lists).To(HaveLen(1))
+		g.Expect(rp.state().asOfTooLate).To(BeFalse())
+		g.Expect(fs.listTimes).To(HaveLen(1))
 	})
 }
 
-// TestEvidenceIsFromBeforeTheQuestion changes the store while a call is under way.
-func TestEvidenceIsFromBeforeTheQuestion(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+// TestAsOfPrecedesTheRequest checks that asOf is when the request was sent, not when the response came: the store may change in
+// between.
+func TestAsOfPrecedesTheRequest(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		began := time.Now()
-		cp := newCopy(t, fs)
-		pass(travel)
-		g.Expect(cp.now().evidence).To(Equal(began))
-		pass(silence / 2)
-		g.Expect(cp.now().evidence).To(Equal(began), "a watch that waits proves nothing yet")
+		rp := startReplica(t, fs)
+		advance(callLatency)
+		g.Expect(rp.state().asOf).To(Equal(began))
+		advance(watchTimeout / 2)
+		g.Expect(rp.state().asOf).To(Equal(began), "a pending watch confirms nothing yet")
 	})
 }
 
-func TestHistoryGoneListsAgainAtOnce(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+func TestListsAgainAtOnceWhenHistoryIsGone(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `1`)
-		cp := newCopy(t, fs)
-		pass(2 * travel)
+		rp := startReplica(t, fs)
+		advance(2 * callLatency)
 		fs.put("a", "")
 		fs.put("b", `2`)
-		fs.set(func() { fs.floor = fs.version })
-		pass(4 * travel)
-		g.Expect(cp.now().items).To(Equal(map[string]string{"b": `2`}))
-		g.Expect(cp.now().replaced).To(Equal(2))
-		g.Expect(cp.now().troubles).To(BeZero())
-		g.Expect(cp.lines()).To(Equal([]string{"history gone, listing again"}))
+		fs.edit(func() { fs.oldestRevision = fs.version })
+		advance(4 * callLatency)
+		g.Expect(rp.state().items).To(Equal(map[string]string{"b": `2`}))
+		g.Expect(rp.state().lists).To(Equal(2))
+		g.Expect(rp.state().failures).To(BeZero())
+		g.Expect(rp.logMessages()).To(Equal([]string{"change history has expired in the store, listing again"}))
 	})
 }
 
-func TestTroubleAndBack(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+func TestRecoversAfterStoreOutage(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `1`)
-		cp := newCopy(t, fs)
-		pass(2 * travel)
-		before := cp.now().evidence
-		fs.set(func() { fs.down = &objectstore.UnavailableError{Cause: &objectstore.StatusError{Status: 503}} })
-		pass(time.Minute)
-		g.Expect(cp.now().evidence).To(Equal(before))
-		g.Expect(cp.now().items).To(Equal(map[string]string{"a": `1`}), "trouble takes nothing away")
-		g.Expect(cp.now().troubles).To(BeNumerically(">", 30), "tries become too rare")
-		g.Expect(cp.now().troubles).To(BeNumerically("<", 200), "tries are too many")
-		g.Expect(cp.lines()).To(Equal([]string{"lost the store"}))
+		rp := startReplica(t, fs)
+		advance(2 * callLatency)
+		before := rp.state().asOf
+		fs.edit(func() { fs.failure = &objectstore.UnavailableError{Cause: &objectstore.StatusError{Status: 503}} })
+		advance(time.Minute)
+		g.Expect(rp.state().asOf).To(Equal(before))
+		g.Expect(rp.state().items).To(Equal(map[string]string{"a": `1`}), "a store failure removes nothing")
+		g.Expect(rp.state().failures).To(BeNumerically(">", 30), "calls are too rare")
+		g.Expect(rp.state().failures).To(BeNumerically("<", 200), "calls are too frequent")
+		g.Expect(rp.logMessages()).To(Equal([]string{"lost the store"}))
 
 		fs.put("a", "")
 		fs.put("b", `2`)
-		fs.set(func() { fs.down = nil })
-		pass(2 * time.Second)
-		g.Expect(cp.now().items).To(Equal(map[string]string{"b": `2`}))
-		g.Expect(cp.now().evidence.After(before)).To(BeTrue())
-		g.Expect(cp.lines()).To(Equal([]string{"lost the store", "regained the store"}))
-		g.Expect(cp.now().ahead).To(BeFalse())
+		fs.edit(func() { fs.failure = nil })
+		advance(2 * time.Second)
+		g.Expect(rp.state().items).To(Equal(map[string]string{"b": `2`}))
+		g.Expect(rp.state().asOf.After(before)).To(BeTrue())
+		g.Expect(rp.logMessages()).To(Equal([]string{"lost the store", "regained the store"}))
+		g.Expect(rp.state().asOfTooLate).To(BeFalse())
 	})
 }
 
-// TestHistoryThatStaysGoneIsNoBusyLoop lets the store forget each change at once, so that no watch finds its version.
-func TestHistoryThatStaysGoneIsNoBusyLoop(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+// TestBacksOffWhileHistoryStaysGone guards against a busy loop of lists and watches. The store discards its history at once, so that
+// each watch fails with a HistoryGoneError.
+func TestBacksOffWhileHistoryStaysGone(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
-		fs.floor = 1 << 40
-		newCopy(t, fs)
-		pass(10 * time.Second)
+		fs.oldestRevision = 1 << 40
+		startReplica(t, fs)
+		advance(10 * time.Second)
 		fs.mu.Lock()
 		defer fs.mu.Unlock()
-		g.Expect(len(fs.lists)).To(BeNumerically(">", 5), "tries become too rare")
-		g.Expect(len(fs.lists)).To(BeNumerically("<", 200), "lists follow each other without a pause")
+		g.Expect(len(fs.listTimes)).To(BeNumerically(">", 5), "calls are too rare")
+		g.Expect(len(fs.listTimes)).To(BeNumerically("<", 200), "lists without back-off")
 	})
 }
 
-// TestFollowerThatRestsAsksNothing lets others tell for a while.
-func TestFollowerThatRestsAsksNothing(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+func TestMakesNoCallsWhileSuspended(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `1`)
-		var resting atomic.Bool
-		resting.Store(true)
-		cp := newCopy(t, fs, func(fo *follow.ListWatcher) { fo.Suspended = resting.Load })
-		pass(time.Minute)
-		g.Expect(cp.now().replaced).To(BeZero())
-		resting.Store(false)
-		pass(time.Second)
-		g.Expect(cp.now().items).To(Equal(map[string]string{"a": `1`}))
+		var suspended atomic.Bool
+		suspended.Store(true)
+		rp := startReplica(t, fs, func(lw *follow.ListWatcher) { lw.Suspended = suspended.Load })
+		advance(time.Minute)
+		g.Expect(rp.state().lists).To(BeZero())
+		suspended.Store(false)
+		advance(time.Second)
+		g.Expect(rp.state().items).To(Equal(map[string]string{"a": `1`}))
 	})
 }
 
-// TestPauseAfterNews lets changes come one after another; after a pause one answer holds them all.
-// TestAfterALongRestTheListIsAskedFor: the store has forgotten what changed since, so a watch would be a call in vain.
-func TestAfterALongRestTheListIsAskedFor(t *testing.T) {
+// TestListsAfterLongSuspension checks that a list replaces the watch after a long suspension: the store has discarded the changes since
+// then, so a watch would only fail.
+func TestListsAfterLongSuspension(t *testing.T) {
 	tests := map[string]struct {
-		rest           time.Duration
+		suspension     time.Duration
 		lists, watches int
 	}{
-		"short": {rest: 5 * time.Second, lists: 1, watches: 1},
-		"long":  {rest: 15 * time.Second, lists: 2, watches: 0},
+		"short": {suspension: 5 * time.Second, lists: 1, watches: 1},
+		"long":  {suspension: 15 * time.Second, lists: 2, watches: 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			bubble(t, func(t *testing.T, g *WithT) {
+			withFakeClock(t, func(t *testing.T, g *WithT) {
 				fs := newFakeStore()
 				var began time.Time
-				cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
-					fo.Suspended = func() bool { return !began.IsZero() && time.Since(began) < tc.rest }
-					fo.Pause = func(bool) time.Duration {
+				rp := startReplica(t, fs, func(lw *follow.ListWatcher) {
+					lw.Suspended = func() bool { return !began.IsZero() && time.Since(began) < tc.suspension }
+					lw.Pause = func(bool) time.Duration {
 						began = time.Now()
 						return 0
 					}
 				})
-				pass(tc.rest - time.Second)
+				advance(tc.suspension - time.Second)
 				fs.put("a", "1")
-				pass(time.Second + restStepAndCall)
-				g.Expect(cp.now().items).To(HaveKey("a"))
-				fs.set(func() {
-					g.Expect(fs.lists).To(HaveLen(tc.lists))
-					g.Expect(fs.watches).To(HaveLen(tc.watches))
+				advance(time.Second + resumeLatency)
+				g.Expect(rp.state().items).To(HaveKey("a"))
+				fs.edit(func() {
+					g.Expect(fs.listTimes).To(HaveLen(tc.lists))
+					g.Expect(fs.watchTimes).To(HaveLen(tc.watches))
 				})
 			})
 		})
 	}
 }
 
-// restStepAndCall is how long it takes at most until a follower that no longer rests has its answer.
-const restStepAndCall = 200 * time.Millisecond
+// resumeLatency is the maximum time from the end of a suspension to the response of the store.
+const resumeLatency = 200 * time.Millisecond
 
-func TestPauseAfterNews(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+// TestPauseAfterChangesBatchesThem checks that one response returns all changes made during the pause.
+func TestPauseAfterChangesBatchesThem(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `0`)
-		cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
-			fo.Pause = func(news bool) time.Duration {
-				if news {
+		rp := startReplica(t, fs, func(lw *follow.ListWatcher) {
+			lw.Pause = func(changed bool) time.Duration {
+				if changed {
 					return time.Second
 				}
 				return 0
 			}
 		})
-		pass(5 * time.Second)
-		before := len(fs.watches)
+		advance(5 * time.Second)
+		before := len(fs.watchTimes)
 		for range 100 {
 			fs.put("a", `1`)
-			pass(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 		}
 		fs.put("a", `2`)
-		pass(time.Second + 2*travel)
-		g.Expect(cp.now().items).To(Equal(map[string]string{"a": `2`}))
-		g.Expect(len(fs.watches) - before).To(BeNumerically("~", 10, 2))
+		advance(time.Second + 2*callLatency)
+		g.Expect(rp.state().items).To(Equal(map[string]string{"a": `2`}))
+		g.Expect(len(fs.watchTimes) - before).To(BeNumerically("~", 10, 2))
 	})
 }
 
-// TestOthersTellThatTheStoreIsBack ends a long pause.
-func TestOthersTellThatTheStoreIsBack(t *testing.T) {
-	bubble(t, func(t *testing.T, g *WithT) {
+// TestReportedChangeEndsBackoff checks that a change reported by another source ends a back-off of minutes.
+func TestReportedChangeEndsBackoff(t *testing.T) {
+	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `1`)
 		var newest atomic.Int64
-		cp := newCopy(t, fs, func(fo *follow.ListWatcher) {
-			fo.Backoff = func() (least, most time.Duration) { return time.Second, time.Hour }
-			fo.NewestReported = newest.Load
+		rp := startReplica(t, fs, func(lw *follow.ListWatcher) {
+			lw.Backoff = func() (least, most time.Duration) { return time.Second, time.Hour }
+			lw.NewestReported = newest.Load
 		})
-		pass(2 * travel)
-		fs.set(func() { fs.down = &objectstore.UnavailableError{Cause: &objectstore.StatusError{Status: 503}} })
-		pass(10 * time.Minute)
-		g.Expect(cp.now().troubles).To(BeNumerically("<", 14), "pauses become longer")
+		advance(2 * callLatency)
+		fs.edit(func() { fs.failure = &objectstore.UnavailableError{Cause: &objectstore.StatusError{Status: 503}} })
+		advance(10 * time.Minute)
+		g.Expect(rp.state().failures).To(BeNumerically("<", 14), "the back-off grows")
 		fs.put("a", `2`)
-		fs.set(func() { fs.down = nil })
+		fs.edit(func() { fs.failure = nil })
 		newest.Store(2)
-		pass(time.Second)
-		g.Expect(cp.now().items).To(Equal(map[string]string{"a": `2`}))
+		advance(time.Second)
+		g.Expect(rp.state().items).To(Equal(map[string]string{"a": `2`}))
 	})
 }
