--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -58,10 +58,10 @@
 	fs.changes = append(fs.changes, ob)
 }
 
-func (fs *fakeStore) edit(edit func()) {
+func (fs *fakeStore) edit(f func()) {
 	fs.mu.Lock()
 	defer fs.mu.Unlock()
-	edit()
+	f()
 }
 
 func (fs *fakeStore) list(_ context.Context, _ string) (objectstore.Listing, error) {
@@ -345,8 +345,8 @@
 	})
 }
 
-// TestListsAfterLongSuspension checks that a list replaces the watch after a long suspension: the store has discarded the changes since
-// then, so a watch would only fail.
+// TestListsAfterLongSuspension checks that a list replaces the watch after a long suspension: the store has discarded the changes
+// since then, so a watch would only fail.
 func TestListsAfterLongSuspension(t *testing.T) {
 	tests := map[string]struct {
 		suspension     time.Duration
--- a/internal/follow/restore_test.go
+++ b/internal/follow/restore_test.go
@@ -19,9 +19,9 @@
 	})
 }
 
-// TestListsAgainAfterStoreRestore guards against missed changes after a restore. The store is restored from a copy and written to until
-// it passes the revision that a client watches from. The watch then returns only the changes after that revision, and the client
-// misses the different changes up to it.
+// TestListsAgainAfterStoreRestore guards against missed changes after a restore. The store is restored from a copy and written to
+// until it passes the revision that a client watches from. The watch then returns only the changes after that revision, and the
+// client misses the different changes up to it.
 func TestListsAgainAfterStoreRestore(t *testing.T) {
 	tests := map[string]struct {
 		items   map[string]string
