--- a/internal/duty/members/documents.go
+++ b/internal/duty/members/documents.go
@@ -9,39 +9,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxDocumentBytes bounds what a peer's document may unfold to: sixteen times the store's largest value.
+// maxDocumentBytes is the maximum size of a decompressed document from a peer, sixteen times the largest value in the store.
 const maxDocumentBytes = 16 << 20
 
-// packed keeps the compressed form of one version of a document, which many peers ask for at once: a configuration of 1,500
-// routes takes a tenth of its size, and twenty peers get it over a link of 20 Mbit/s in a third of a second. It is safe for
-// use by any goroutine.
-type packed struct {
+// compressedCache caches the compressed form of one version of a document that many peers fetch at once. A configuration of 1,500
+// routes compresses to a tenth of its size, and twenty peers get it over a link of 20 Mbit/s in a third of a second. It is safe for
+// concurrent use.
+type compressedCache struct {
 	mu      sync.Mutex
 	version int64
-	bytes   []byte
+	data    []byte
 }
 
-// of returns the compressed form of a version's document.
-func (pk *packed) of(version int64, document []byte) ([]byte, error) {
-	pk.mu.Lock()
-	defer pk.mu.Unlock()
-	if pk.version == version && pk.bytes != nil {
-		return pk.bytes, nil
+// get returns the compressed form of a document at a version. It compresses the document only if the version is not cached.
+func (cc *compressedCache) get(version int64, document []byte) ([]byte, error) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if cc.version == version && cc.data != nil {
+		return cc.data, nil
 	}
-	b, err := pack(document)
+	b, err := compress(document)
 	if err != nil {
 		return nil, err
 	}
-	pk.version, pk.bytes = version, b
+	cc.version, cc.data = version, b
 	return b, nil
 }
 
-// pack compresses a document.
-func pack(document []byte) ([]byte, error) {
+func compress(document []byte) ([]byte, error) {
 	var buf bytes.Buffer
 	fw, err := flate.NewWriter(&buf, flate.BestSpeed)
 	if err != nil {
-		return nil, errors.Wrap(err, "make compressor")
+		return nil, errors.Wrap(err, "create compressor")
 	}
 	if _, err := fw.Write(document); err != nil {
 		return nil, errors.Wrap(err, "compress document")
@@ -52,12 +51,12 @@
 	return buf.Bytes(), nil
 }
 
-// unpack returns the document that was compressed.
-func unpack(b []byte) ([]byte, error) {
+// decompress returns the document that compress compressed. It fails with a TooLargeError if the document exceeds maxDocumentBytes.
+func decompress(b []byte) ([]byte, error) {
 	rd := flate.NewReader(bytes.NewReader(b))
 	document, err := io.ReadAll(io.LimitReader(rd, maxDocumentBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "unfold document")
+		return nil, errors.Wrap(err, "decompress document")
 	}
 	if len(document) > maxDocumentBytes {
 		return nil, &TooLargeError{Bytes: len(document)}
@@ -65,8 +64,8 @@
 	return document, nil
 }
 
-// TooLargeError says that a peer's document unfolds to too many bytes.
+// TooLargeError reports that a document from a peer exceeds the maximum size. Bytes is the size at which decompression stopped.
 type TooLargeError struct{ Bytes int }
 
-// Error names the bound.
-func (*TooLargeError) Error() string { return "document of a peer is too large" }
+// Error implements the error interface.
+func (*TooLargeError) Error() string { return "document from peer exceeds 16 MiB when decompressed" }
--- a/internal/duty/members/documents_test.go
+++ b/internal/duty/members/documents_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestDocumentIsUnfoldedAsItWas(t *testing.T) {
+func TestCompressRoundTrip(t *testing.T) {
 	tests := map[string][]byte{
 		"empty":    {},
 		"short":    []byte(`{"version":7}`),
@@ -17,45 +17,45 @@
 	for name, document := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			b, err := pack(document)
+			b, err := compress(document)
 			g.Expect(err).NotTo(HaveOccurred())
-			got, err := unpack(b)
+			got, err := decompress(b)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(bytes.Equal(got, document)).To(BeTrue())
 		})
 	}
 }
 
-func TestRepeatedDocumentIsSmall(t *testing.T) {
+func TestCompressShrinksRepetitiveDocument(t *testing.T) {
 	g := NewWithT(t)
 	document := bytes.Repeat([]byte(`{"route":"a","service":"b"},`), 10_000)
-	b, err := pack(document)
+	b, err := compress(document)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(b)).To(BeNumerically("<", len(document)/10))
 }
 
-func TestDocumentThatCannotBeUnfolded(t *testing.T) {
+func TestDecompressRejectsInvalidDocument(t *testing.T) {
 	g := NewWithT(t)
-	_, err := unpack([]byte("not compressed"))
+	_, err := decompress([]byte("not compressed"))
 	g.Expect(err).To(HaveOccurred())
-	b, err := pack(make([]byte, maxDocumentBytes+1))
+	b, err := compress(make([]byte, maxDocumentBytes+1))
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = unpack(b)
+	_, err = decompress(b)
 	var tooLarge *TooLargeError
 	g.Expect(errors.As(err, &tooLarge)).To(BeTrue())
 }
 
-func TestPackedKeepsTheNewestVersion(t *testing.T) {
+func TestCompressedCacheKeepsLastVersion(t *testing.T) {
 	g := NewWithT(t)
-	var pk packed
-	first, err := pk.of(1, []byte("one"))
+	var cc compressedCache
+	first, err := cc.get(1, []byte("one"))
 	g.Expect(err).NotTo(HaveOccurred())
-	again, err := pk.of(1, []byte("not looked at"))
+	again, err := cc.get(1, []byte("ignored for a cached version"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(Equal(first))
-	second, err := pk.of(2, []byte("two"))
+	second, err := cc.get(2, []byte("two"))
 	g.Expect(err).NotTo(HaveOccurred())
-	got, err := unpack(second)
+	got, err := decompress(second)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(got)).To(Equal("two"))
 }
--- a/internal/duty/members/fetch_test.go
+++ b/internal/duty/members/fetch_test.go
@@ -18,9 +18,10 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// TestListOfTargetsDoesNotWaitForConfigurations: that a target is gone, which is read from the list alone, must be known within
-// seconds. Lists and configurations were fetched one at a time, and each configuration that a peer does not hand out took 0.6 s.
-func TestListOfTargetsDoesNotWaitForConfigurations(t *testing.T) {
+// TestTargetFetchDoesNotWaitForConfigurations guards against late lists of targets. Only the list shows that a target is gone,
+// which must be known within seconds. Lists and configurations were fetched one at a time, and each configuration that a peer did
+// not serve took 0.6 s to time out.
+func TestTargetFetchDoesNotWaitForConfigurations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		list, err := json.Marshal(targetList{Version: 9, Targets: []targets.Target{{ID: "new"}}})
@@ -28,17 +29,17 @@
 		du := newDuty()
 		du.rts, du.dr = &routes.Holder{}, targets.New(time.Now)
 		du.lg = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-		du.document = func(ctx context.Context, _ gossip.Member, name string) ([]byte, error) {
+		du.fetchDocument = func(ctx context.Context, _ gossip.Member, name string) ([]byte, error) {
 			if name == targetsDocument {
-				return pack(list)
+				return compress(list)
 			}
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		for version := range int64(3) {
-			du.want(newer{document: configurationDocument, version: version + 1})
+			du.enqueueFetch(fetchRequest{document: configurationDocument, version: version + 1})
 		}
-		du.want(newer{document: targetsDocument, at: position.Position{Revision: 9}, evidence: time.Now()})
+		du.enqueueFetch(fetchRequest{document: targetsDocument, at: position.Position{Revision: 9}, asOf: time.Now()})
 		ctx, cancel := context.WithCancel(t.Context())
 		var wg sync.WaitGroup
 		wg.Go(func() { du.fetchAll(ctx) })
@@ -49,11 +50,10 @@
 	})
 }
 
-// TestRestoredStoreAsAPeerTells.
-//
-// The store came back from an older copy, and a peer told of a list at a lower revision than this instance's. It was taken for older,
-// and a target that had left since was sent requests.
-func TestRestoredStoreAsAPeerTells(t *testing.T) {
+// TestTakesTargetsFromPeerAfterStoreRestore guards against requests to targets that have left since a restore of the store. A peer
+// reported the list from the restored store, whose revision was lower than that of this instance. The list was mistaken for an
+// older one.
+func TestTakesTargetsFromPeerAfterStoreRestore(t *testing.T) {
 	g := NewWithT(t)
 	dr := targets.New(time.Now)
 	dr.TakeList([]targets.Target{{ID: "stays"}, {ID: "left"}, {ID: "goes"}}, nil, position.Position{Revision: 479}, time.Now())
@@ -66,16 +66,16 @@
 	du := newDuty()
 	du.rts, du.dr = &routes.Holder{}, dr
 	du.lg = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
-	du.document = func(context.Context, gossip.Member, string) ([]byte, error) { return pack(list) }
-	du.fetchTargets(t.Context(), newer{document: targetsDocument, at: at, evidence: time.Now()})
-	mine, _ := dr.ChangedAt()
-	g.Expect(mine).To(Equal(at))
+	du.fetchDocument = func(context.Context, gossip.Member, string) ([]byte, error) { return compress(list) }
+	du.fetchTargets(t.Context(), fetchRequest{document: targetsDocument, at: at, asOf: time.Now()})
+	own, _ := dr.ChangedAt()
+	g.Expect(own).To(Equal(at))
 	g.Expect(dr.TakesWork("stays")).To(BeTrue())
 	g.Expect(dr.TakesWork("left")).To(BeFalse())
-	g.Expect(dr.TakesWork("goes")).To(BeFalse(), "it was gone before the return")
-	du.document = func(context.Context, gossip.Member, string) ([]byte, error) {
-		t.Error("a list of the era before is older, whatever its revision")
+	g.Expect(dr.TakesWork("goes")).To(BeFalse(), "it was gone before the restore")
+	du.fetchDocument = func(context.Context, gossip.Member, string) ([]byte, error) {
+		t.Error("a list of an earlier era is older, regardless of its revision")
 		return nil, context.Canceled
 	}
-	du.fetchTargets(t.Context(), newer{document: targetsDocument, at: position.Position{Revision: 900}, evidence: time.Now()})
+	du.fetchTargets(t.Context(), fetchRequest{document: targetsDocument, at: position.Position{Revision: 900}, asOf: time.Now()})
 }
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -15,55 +15,55 @@
 )
 
 const (
-	// followersFrom is the number of instances beyond which only some follow the store: each call is priced, and the bill
-	// of a small fleet is small.
-	followersFrom = 16
-	// followers is how many follow the store for the whole fleet, in different availability zones where there are as many:
-	// two may be lost, or be turned away by the store, and nobody is without fresh proof.
-	followers = 3
-	// standInsPerZone is how many of each availability zone ask the store first when the followers are silent, followers
-	// among them; one may be lost.
+	// maxFleetWithoutFollowers is the maximum number of instances with which each of them watches the store itself. In a larger fleet
+	// only some do, because each call is billed. The bill of a small fleet is small.
+	maxFleetWithoutFollowers = 16
+	// followerCount is the number of instances that watch the store for the whole fleet, in different availability zones if there are
+	// enough. If two of them are lost or rejected by the store, all instances still get fresh proof.
+	followerCount = 3
+	// standInsPerZone is the number of instances per availability zone, followers included, that are the first to call the store when
+	// the followers report nothing. One of them may be lost.
 	standInsPerZone = 2
 )
 
-// part returns what an instance does for the others. In each availability zone the live instances are in an order: those that the
-// store answers before those that it does not, then those with more of the network, as for the relays of gossip, and then by hash.
-// The followers are the first of the zones, and then the second ones. Two instances that see different ones as live only mean
-// a follower more or less for a while, since what peers tell grows old and is then asked for.
-func part(self gossip.Member, live []gossip.Member) forwarding.Part {
+// assignPart returns the part of an instance in a fleet of live instances. The instances of each availability zone are ranked:
+// those that reach the store first, then those with more bandwidth, as for gossip relays, and then by hash. The followers are the
+// first instances of the zones, and then the second ones. If two instances see different live instances, there is only one follower
+// more or less for a while: state from peers becomes stale, and is then requested from the store.
+func assignPart(self gossip.Member, live []gossip.Member) forwarding.Part {
 	switch {
 	case len(live) == 1:
 		return forwarding.PartUnmet
-	case len(live) <= followersFrom:
+	case len(live) <= maxFleetWithoutFollowers:
 		return forwarding.PartAlone
 	}
-	place := placeOf(self, live)
+	rank := rankOf(self, live)
 	switch {
-	case place < followers, placeOf(self, allAnswered(live)) < followers:
-		// A follower that the store leaves without an answer goes on asking beside the one in its place, so that it is back as soon
-		// as the store answers it.
+	case rank < followerCount, rankOf(self, ignoreStoreless(live)) < followerCount:
+		// A follower that does not reach the store keeps calling it besides its replacement, so that it takes over again as soon as
+		// the store responds.
 		return forwarding.PartFollower
-	case place < nowhere:
+	case rank < unranked:
 		return forwarding.PartStandIn
 	default:
 		return forwarding.PartListener
 	}
 }
 
-// nowhere is the place of who is not among the stand-ins.
-const nowhere = math.MaxInt
+// unranked is the rank of an instance that is neither a follower nor a stand-in.
+const unranked = math.MaxInt
 
-// placeOf returns the place of an instance in the order of the stand-ins, from zero.
-func placeOf(self gossip.Member, live []gossip.Member) int {
-	place := slices.IndexFunc(standIns(live), func(si standIn) bool { return si.name == self.Name })
-	if place < 0 {
-		return nowhere
+// rankOf returns the rank of an instance among followers and stand-ins, from zero, or unranked.
+func rankOf(self gossip.Member, live []gossip.Member) int {
+	rank := slices.IndexFunc(rankCandidates(live), func(ca candidate) bool { return ca.name == self.Name })
+	if rank < 0 {
+		return unranked
 	}
-	return place
+	return rank
 }
 
-// allAnswered returns the members as if the store answered each of them.
-func allAnswered(live []gossip.Member) []gossip.Member {
+// ignoreStoreless returns the members as if each of them reached the store.
+func ignoreStoreless(live []gossip.Member) []gossip.Member {
 	all := slices.Clone(live)
 	for i := range all {
 		all[i].Storeless = false
@@ -71,71 +71,71 @@
 	return all
 }
 
-// standIn is an instance that is a follower or may take one's place.
-type standIn struct {
+// candidate is an instance that may be a follower or stand-in.
+type candidate struct {
 	name      string
 	storeless bool
 	megabits  uint64
 	hash      uint64
-	// place is that in the order of its availability zone.
-	place int
+	// zoneRank is the rank within the availability zone, from zero.
+	zoneRank int
 }
 
-func newStandIn(mb gossip.Member) standIn {
-	return standIn{name: mb.Name, storeless: mb.Storeless, megabits: mb.Megabits, hash: xxhash.Sum64String(mb.Name)}
+func newCandidate(mb gossip.Member) candidate {
+	return candidate{name: mb.Name, storeless: mb.Storeless, megabits: mb.Megabits, hash: xxhash.Sum64String(mb.Name)}
 }
 
-// compare puts those that the store answers first, and then those with more of the network.
-func (si standIn) compare(other standIn) int {
-	return cmp.Or(si.compareStoreless(other), cmp.Compare(other.megabits, si.megabits), cmp.Compare(si.hash, other.hash), cmp.Compare(si.name, other.name))
+// compare orders candidates that reach the store first, and then those with more bandwidth.
+func (ca candidate) compare(other candidate) int {
+	return cmp.Or(ca.compareStoreless(other), cmp.Compare(other.megabits, ca.megabits), cmp.Compare(ca.hash, other.hash), cmp.Compare(ca.name, other.name))
 }
 
-// compareStoreless puts those that the store answers first: a follower without an answer must not be all that the fleet has.
-func (si standIn) compareStoreless(other standIn) int {
+// compareStoreless orders candidates that reach the store first, so that the fleet does not depend on followers that do not reach it.
+func (ca candidate) compareStoreless(other candidate) int {
 	switch {
-	case si.storeless == other.storeless:
+	case ca.storeless == other.storeless:
 		return 0
-	case si.storeless:
+	case ca.storeless:
 		return 1
 	default:
 		return -1
 	}
 }
 
-// standIns returns the first of all availability zones, then the second ones.
-func standIns(live []gossip.Member) []standIn {
-	zones := map[string][]standIn{}
+// rankCandidates returns the followers and stand-ins by rank: the first candidates of all availability zones, then the second ones.
+func rankCandidates(live []gossip.Member) []candidate {
+	zones := map[string][]candidate{}
 	for _, mb := range live {
 		if !mb.Stopping {
-			zones[mb.AvailabilityZone] = append(zones[mb.AvailabilityZone], newStandIn(mb))
+			zones[mb.AvailabilityZone] = append(zones[mb.AvailabilityZone], newCandidate(mb))
 		}
 	}
-	var order []standIn
-	for _, near := range zones {
-		slices.SortFunc(near, standIn.compare)
-		for place, si := range near[:min(len(near), standInsPerZone)] {
-			si.place = place
-			order = append(order, si)
+	var order []candidate
+	for _, cands := range zones {
+		slices.SortFunc(cands, candidate.compare)
+		for rank, ca := range cands[:min(len(cands), standInsPerZone)] {
+			ca.zoneRank = rank
+			order = append(order, ca)
 		}
 	}
-	slices.SortFunc(order, func(a, b standIn) int {
-		return cmp.Or(a.compareStoreless(b), cmp.Compare(a.place, b.place), a.compare(b))
+	slices.SortFunc(order, func(a, b candidate) int {
+		return cmp.Or(a.compareStoreless(b), cmp.Compare(a.zoneRank, b.zoneRank), a.compare(b))
 	})
 	return order
 }
 
-// storelessShare is the share of the live instances that may say that the store does not answer them: far more than it takes to find
-// others that it answers, and a store that answers nobody does not have one after the other say so.
-const storelessShare = 0.25
+// maxStorelessFraction is the maximum fraction of live instances that report that they do not reach the store. It is far more than
+// needed to find others that do, and keeps the instances from reporting it one after another if no instance reaches the store.
+const maxStorelessFraction = 0.25
 
-// reach tells the others whether the store answers this instance, as far as it concerns them: that it does not, only a follower or
-// a stand-in says, since each change is passed on to all.
-func reach(answered bool, pa forwarding.Part, live func() []gossip.Member, setStoreless func(bool)) {
+// reportStoreReachability reports to the other instances whether this instance reaches the store. Only followers and stand-ins
+// report that they do not, because each change is gossiped to all instances.
+func reportStoreReachability(answered bool, part forwarding.Part, live func() []gossip.Member, setStoreless func(bool)) {
 	if answered {
 		setStoreless(false)
 		return
 	}
-	if pa != forwarding.PartFollower && pa != forwarding.PartStandIn {
+	if part != forwarding.PartFollower && part != forwarding.PartStandIn {
 		return
 	}
 	all := live()
@@ -145,46 +145,46 @@
 			storeless++
 		}
 	}
-	if float64(storeless) < storelessShare*float64(len(all)) {
+	if float64(storeless) < maxStorelessFraction*float64(len(all)) {
 		setStoreless(true)
 	}
 }
 
-// follower tells when this instance begins and ends to follow the store for others.
-type follower struct {
+// partTracker tracks the part of this instance, and logs when it starts and stops to rely on other instances to watch the store.
+type partTracker struct {
 	self gossip.Member
 	lg   log.Interface
-	// rests is set while others follow the store for this instance.
-	rests atomic.Bool
+	// passive is set while other instances watch the store on behalf of this one.
+	passive atomic.Bool
 
 	mu sync.Mutex
-	// newest was decided for a version of the member list.
-	newest  forwarding.Part
-	version uint64
+	// current is the part at membersVersion of the member list.
+	current        forwarding.Part
+	membersVersion uint64
 }
 
-// of returns what this instance does for the others by the newest list of members.
-func (fl *follower) of(ms *gossip.Mesh) forwarding.Part {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	if version := ms.Version(); version != fl.version {
-		fl.version = version
-		fl.newest = fl.part(ms.Live())
+// currentPart returns the part of this instance at the newest version of the member list.
+func (tk *partTracker) currentPart(ms *gossip.Mesh) forwarding.Part {
+	tk.mu.Lock()
+	defer tk.mu.Unlock()
+	if version := ms.Version(); version != tk.membersVersion {
+		tk.membersVersion = version
+		tk.current = tk.update(ms.Live())
 	}
-	return fl.newest
+	return tk.current
 }
 
-// part decides from the live members.
-func (fl *follower) part(live []gossip.Member) forwarding.Part {
-	pa := part(fl.self, live)
-	rests := pa >= forwarding.PartStandIn
-	if fl.rests.Swap(rests) == rests {
-		return pa
+// update returns the part among the given live members, and logs a change of passive.
+func (tk *partTracker) update(live []gossip.Member) forwarding.Part {
+	part := assignPart(tk.self, live)
+	passive := part >= forwarding.PartStandIn
+	if tk.passive.Swap(passive) == passive {
+		return part
 	}
-	message := "this instance follows the store for others"
-	if rests {
-		message = "others follow the store for this instance"
+	message := "watching the store directly"
+	if passive {
+		message = "relying on other instances to watch the store"
 	}
-	fl.lg.WithField("live", len(live)).Info(message)
-	return pa
+	tk.lg.WithField("live", len(live)).Info(message)
+	return part
 }
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -13,7 +13,8 @@
 	"github.com/silvermount/silvermount/internal/gossip"
 )
 
-func fleet(perZone int, zones ...string) []gossip.Member {
+// newFleet returns the live members of a fleet with a number of instances in each availability zone.
+func newFleet(perZone int, zones ...string) []gossip.Member {
 	var live []gossip.Member
 	for _, zone := range zones {
 		for i := range perZone {
@@ -23,210 +24,211 @@
 	return live
 }
 
-func countFollowers(live []gossip.Member) map[string]int {
+// watchersPerZone returns the number of instances that watch the store themselves, by availability zone.
+func watchersPerZone(live []gossip.Member) map[string]int {
 	n := map[string]int{}
 	for _, mb := range live {
-		if follows(mb, live) {
+		if watchesStore(mb, live) {
 			n[mb.AvailabilityZone]++
 		}
 	}
 	return n
 }
 
-func follows(self gossip.Member, live []gossip.Member) bool {
-	return part(self, live) < forwarding.PartStandIn
+func watchesStore(self gossip.Member, live []gossip.Member) bool {
+	return assignPart(self, live) < forwarding.PartStandIn
 }
 
-func TestFollowers(t *testing.T) {
+func TestStoreWatchersPerZone(t *testing.T) {
 	tests := map[string]struct {
 		live []gossip.Member
 		want map[string]int
 	}{
-		"all of a small fleet":            {fleet(4, "a", "b"), map[string]int{"a": 4, "b": 4}},
-		"one of each of three zones":      {fleet(25, "a", "b", "c"), map[string]int{"a": 1, "b": 1, "c": 1}},
-		"two of one of two zones":         {append(fleet(20, "a"), fleet(1, "b")...), map[string]int{"a": 2, "b": 1}},
-		"two where there is but one zone": {fleet(30, "a"), map[string]int{"a": 2}},
+		"all instances of a small fleet": {newFleet(4, "a", "b"), map[string]int{"a": 4, "b": 4}},
+		"one in each of three zones":     {newFleet(25, "a", "b", "c"), map[string]int{"a": 1, "b": 1, "c": 1}},
+		"two in the larger of two zones": {append(newFleet(20, "a"), newFleet(1, "b")...), map[string]int{"a": 2, "b": 1}},
+		"two in a single zone":           {newFleet(30, "a"), map[string]int{"a": 2}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(countFollowers(tc.live)).To(Equal(tc.want))
+			g.Expect(watchersPerZone(tc.live)).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestThreeFollowInManyZones(t *testing.T) {
+func TestThreeFollowersInDifferentZones(t *testing.T) {
 	g := NewWithT(t)
-	live := fleet(59, "a", "b", "c", "d", "e")
+	live := newFleet(59, "a", "b", "c", "d", "e")
 	counts := map[forwarding.Part]int{}
 	for _, mb := range live {
-		counts[part(mb, live)]++
+		counts[assignPart(mb, live)]++
 	}
 	g.Expect(counts).To(Equal(map[forwarding.Part]int{
 		forwarding.PartFollower: 3, forwarding.PartStandIn: 7, forwarding.PartListener: 285,
 	}))
-	g.Expect(countFollowers(live)).To(HaveLen(3), "in different zones")
+	g.Expect(watchersPerZone(live)).To(HaveLen(3), "in different zones")
 }
 
-func TestThoseWithMoreOfTheNetworkFollow(t *testing.T) {
+func TestInstancesWithMoreBandwidthAreFollowers(t *testing.T) {
 	g := NewWithT(t)
-	live := fleet(20, "a", "b", "c")
+	live := newFleet(20, "a", "b", "c")
 	for i := range live {
 		live[i].Megabits = 20
 	}
-	large := []int{7, 33, 51}
-	for _, i := range large {
+	fast := []int{7, 33, 51}
+	for _, i := range fast {
 		live[i].Megabits = 200
 	}
-	for _, i := range large {
-		g.Expect(part(live[i], live)).To(Equal(forwarding.PartFollower))
+	for _, i := range fast {
+		g.Expect(assignPart(live[i], live)).To(Equal(forwarding.PartFollower))
 	}
 }
 
-func TestInstanceThatKnowsNobody(t *testing.T) {
-	live := fleet(1, "a")
-	NewWithT(t).Expect(part(live[0], live)).To(Equal(forwarding.PartUnmet))
+func TestInstanceWithoutPeersIsUnmet(t *testing.T) {
+	live := newFleet(1, "a")
+	NewWithT(t).Expect(assignPart(live[0], live)).To(Equal(forwarding.PartUnmet))
 }
 
-func TestAnotherFollowsForOneThatIsLost(t *testing.T) {
+func TestLostFollowerIsReplaced(t *testing.T) {
 	g := NewWithT(t)
-	live := fleet(20, "a")
-	lost := slices.IndexFunc(live, func(mb gossip.Member) bool { return follows(mb, live) })
+	live := newFleet(20, "a")
+	lost := slices.IndexFunc(live, func(mb gossip.Member) bool { return watchesStore(mb, live) })
 	left := slices.Delete(slices.Clone(live), lost, lost+1)
-	g.Expect(countFollowers(left)).To(Equal(map[string]int{"a": 2}))
+	g.Expect(watchersPerZone(left)).To(Equal(map[string]int{"a": 2}))
 }
 
-func TestStoppingInstanceDoesNotFollowForOthers(t *testing.T) {
+func TestStoppingInstanceIsNoFollower(t *testing.T) {
 	g := NewWithT(t)
-	live := fleet(20, "a")
-	first := slices.IndexFunc(live, func(mb gossip.Member) bool { return follows(mb, live) })
+	live := newFleet(20, "a")
+	first := slices.IndexFunc(live, func(mb gossip.Member) bool { return watchesStore(mb, live) })
 	live[first].Stopping = true
-	g.Expect(follows(live[first], live)).To(BeFalse())
-	g.Expect(countFollowers(live)).To(Equal(map[string]int{"a": 2}))
+	g.Expect(watchesStore(live[first], live)).To(BeFalse())
+	g.Expect(watchersPerZone(live)).To(Equal(map[string]int{"a": 2}))
 }
 
-// TestAnotherFollowsForOneThatTheStoreLeavesUnanswered.
-//
-// While the store answered none of the three followers, the list of targets of the whole fleet was up to nine seconds old: who
-// follows was decided by who lives, and a follower without an answer stayed one. The log of one that kept its part:
+// TestStorelessFollowerIsReplaced guards against followers that do not reach the store and are not replaced. While the store
+// responded to none of the three followers, the list of targets of the whole fleet was up to nine seconds old: followers were
+// selected from the live instances alone, and one that did not reach the store remained a follower. The log of such a follower:
 //
 //	msg="lost the store" kind=servers cause="watch: store unavailable: ... context deadline exceeded"
-func TestAnotherFollowsForOneThatTheStoreLeavesUnanswered(t *testing.T) {
+func TestStorelessFollowerIsReplaced(t *testing.T) {
 	tests := map[string]struct {
-		// storeless counts the followers that get no answer; then that many of those in their place do not either.
-		storeless, then int
-		// want is how many follow, among them those that get no answer and go on asking.
+		// storeless is the number of followers that do not reach the store, replacements the number of their replacements that do not
+		// reach it either.
+		storeless, replacements int
+		// want is the number of followers, including those that do not reach the store and keep calling it.
 		want int
 	}{
-		"one follower":                      {1, 0, 4},
-		"all followers":                     {3, 0, 6},
-		"all, and two of those after them":  {3, 2, 6},
-		"the store answers nobody any more": {60, 0, 3},
+		"one follower":                       {1, 0, 4},
+		"all followers":                      {3, 0, 6},
+		"all followers and two replacements": {3, 2, 6},
+		"no instance reaches the store":      {60, 0, 3},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			live := fleet(20, "a", "b", "c")
-			usual := followersOf(live)
-			strike(live, tc.storeless)
-			strike(live, tc.then)
-			g.Expect(followersOf(live)).To(HaveLen(tc.want))
-			g.Expect(followersOf(live)).To(ContainElements(usual), "they are back as soon as they are answered")
+			live := newFleet(20, "a", "b", "c")
+			initial := followerNames(live)
+			makeStoreless(live, tc.storeless)
+			makeStoreless(live, tc.replacements)
+			g.Expect(followerNames(live)).To(HaveLen(tc.want))
+			g.Expect(followerNames(live)).To(ContainElements(initial), "they take over again as soon as the store responds")
 			if tc.storeless < len(live) {
-				g.Expect(answered(live, followersOf(live))).To(HaveLen(3))
+				g.Expect(notStoreless(live, followerNames(live))).To(HaveLen(3))
 			}
 		})
 	}
 }
 
-func TestOnlyFollowersAndStandInsTellThatTheyAreUnanswered(t *testing.T) {
+func TestOnlyFollowersAndStandInsReportStoreless(t *testing.T) {
 	tests := map[string]struct {
 		answered bool
 		part     forwarding.Part
-		// storeless counts those of twenty that say so already.
+		// storeless is the number of twenty live instances that already report that they do not reach the store.
 		storeless int
 		want      []bool
 	}{
-		"follower":                     {false, forwarding.PartFollower, 0, []bool{true}},
-		"stand-in":                     {false, forwarding.PartStandIn, 0, []bool{true}},
-		"listener":                     {false, forwarding.PartListener, 0, nil},
-		"alone":                        {false, forwarding.PartAlone, 0, nil},
-		"answered as listener":         {true, forwarding.PartListener, 0, []bool{false}},
-		"follower, some say so":        {false, forwarding.PartFollower, 4, []bool{true}},
-		"follower, enough say so":      {false, forwarding.PartFollower, 5, nil},
-		"answered, although many said": {true, forwarding.PartFollower, 9, []bool{false}},
+		"follower":                           {false, forwarding.PartFollower, 0, []bool{true}},
+		"stand-in":                           {false, forwarding.PartStandIn, 0, []bool{true}},
+		"listener":                           {false, forwarding.PartListener, 0, nil},
+		"alone":                              {false, forwarding.PartAlone, 0, nil},
+		"listener, answered":                 {true, forwarding.PartListener, 0, []bool{false}},
+		"follower, few storeless":            {false, forwarding.PartFollower, 4, []bool{true}},
+		"follower, enough storeless":         {false, forwarding.PartFollower, 5, nil},
+		"follower, answered, many storeless": {true, forwarding.PartFollower, 9, []bool{false}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			var told []bool
-			live := fleet(20, "a")
+			var reports []bool
+			live := newFleet(20, "a")
 			for i := range tc.storeless {
 				live[i].Storeless = true
 			}
-			reach(tc.answered, tc.part, func() []gossip.Member { return live }, func(storeless bool) { told = append(told, storeless) })
-			NewWithT(t).Expect(told).To(Equal(tc.want))
+			reportStoreReachability(tc.answered, tc.part, func() []gossip.Member { return live }, func(storeless bool) { reports = append(reports, storeless) })
+			NewWithT(t).Expect(reports).To(Equal(tc.want))
 		})
 	}
 }
 
-// followersOf returns the names of those that follow the store for others.
-func followersOf(live []gossip.Member) []string {
+// followerNames returns the names of the followers.
+func followerNames(live []gossip.Member) []string {
 	var names []string
 	for _, mb := range live {
-		if part(mb, live) == forwarding.PartFollower {
+		if assignPart(mb, live) == forwarding.PartFollower {
 			names = append(names, mb.Name)
 		}
 	}
 	return names
 }
 
-// strike lets the store leave members without an answer: followers first, and those that others follow for.
-func strike(live []gossip.Member, count int) {
-	struck := answered(live, followersOf(live))
+// makeStoreless makes a number of followers storeless. If there are fewer followers, it makes all live members storeless.
+func makeStoreless(live []gossip.Member, count int) {
+	reaching := notStoreless(live, followerNames(live))
 	for i := range live {
-		if count > len(struck) || slices.Contains(struck[:count], live[i].Name) {
+		if count > len(reaching) || slices.Contains(reaching[:count], live[i].Name) {
 			live[i].Storeless = true
 		}
 	}
 }
 
-// answered returns the named members that the store answers.
-func answered(live []gossip.Member, names []string) []string {
+// notStoreless returns the names of those named members that reach the store.
+func notStoreless(live []gossip.Member, names []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		return slices.ContainsFunc(live, func(mb gossip.Member) bool { return mb.Name == name && mb.Storeless })
 	})
 }
 
-// TestFollowingIsToldWhenItChanges lets a fleet grow and shrink around one instance that is not among the followers.
-func TestFollowingIsToldWhenItChanges(t *testing.T) {
+// TestLogsOnlyChangesOfPart lets a fleet grow and shrink around an instance that is not a follower in the large fleet.
+func TestLogsOnlyChangesOfPart(t *testing.T) {
 	g := NewWithT(t)
-	large := fleet(20, "a")
-	rests := slices.IndexFunc(large, func(mb gossip.Member) bool { return !follows(mb, large) })
+	large := newFleet(20, "a")
+	passive := slices.IndexFunc(large, func(mb gossip.Member) bool { return !watchesStore(mb, large) })
 	mh := memory.New()
-	fl := &follower{self: large[rests], lg: &log.Logger{Handler: mh, Level: log.InfoLevel}}
-	small := []gossip.Member{large[rests]}
+	tk := &partTracker{self: large[passive], lg: &log.Logger{Handler: mh, Level: log.InfoLevel}}
+	small := []gossip.Member{large[passive]}
 	for _, live := range [][]gossip.Member{small, small, large, large, small} {
-		fl.part(live)
+		tk.update(live)
 	}
-	var told []string
+	var messages []string
 	for _, e := range mh.Entries {
-		told = append(told, e.Message)
+		messages = append(messages, e.Message)
 	}
-	g.Expect(told).To(Equal([]string{"others follow the store for this instance", "this instance follows the store for others"}))
+	g.Expect(messages).To(Equal([]string{"relying on other instances to watch the store", "watching the store directly"}))
 }
 
-func TestSilentZone(t *testing.T) {
+func TestZoneLost(t *testing.T) {
 	tests := map[string]struct {
 		live []gossip.Member
 		want bool
 	}{
-		"all of it are lost":    {fleet(2, "b", "c"), true},
-		"one of it still lives": {fleet(1, "a", "b"), false},
+		"all instances of the zone lost": {newFleet(2, "b", "c"), true},
+		"one instance of the zone live":  {newFleet(1, "a", "b"), false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			lost := gossip.Member{Name: "a-9", AvailabilityZone: "a"}
-			NewWithT(t).Expect(silentZone(lost, tc.live)).To(Equal(tc.want))
+			NewWithT(t).Expect(zoneLost(lost, tc.live)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/duty/members/limits.go
+++ b/internal/duty/members/limits.go
@@ -11,41 +11,42 @@
 	"github.com/silvermount/silvermount/internal/ratelimit"
 )
 
-// limitsVersion is the first byte of notes that hold rate limits beside what peers hear of requests that end targets. An instance of the
-// build before reads only notes that begin with another number, and logs that it cannot read these: they are sent only while there are limits.
-const limitsVersion = 200
+// limitsFormat is the first byte of notes that hold rate limits besides the snapshot of requests that crash targets. An instance of
+// the previous build supports only another first byte and logs an error for this one, so this format is used only while there are
+// limits.
+const limitsFormat = 200
 
-// withLimits adds what this instance tells of rate limits to its notes.
-func withLimits(notes []byte, told []ratelimit.Observation, now time.Time) []byte {
-	if len(told) == 0 {
+// joinLimits appends rate limits to notes. Without limits it returns the notes unchanged.
+func joinLimits(notes []byte, obs []ratelimit.Observation, now time.Time) []byte {
+	if len(obs) == 0 {
 		return notes
 	}
-	b := binary.AppendUvarint([]byte{limitsVersion}, uint64(len(notes)))
+	b := binary.AppendUvarint([]byte{limitsFormat}, uint64(len(notes)))
 	b = append(b, notes...)
-	return append(b, ratelimit.Encode(told, now)...)
+	return append(b, ratelimit.Encode(obs, now)...)
 }
 
-// splitLimits returns the notes and what stands behind them of rate limits.
+// splitLimits returns the notes and the encoded rate limits that joinLimits has appended.
 func splitLimits(b []byte) (notes, limits []byte, err error) {
-	if len(b) == 0 || b[0] != limitsVersion {
+	if len(b) == 0 || b[0] != limitsFormat {
 		return b, nil, nil
 	}
 	size, n := binary.Uvarint(b[1:])
 	if n <= 0 || size > uint64(len(b)-1-n) {
-		return nil, nil, &peerbytes.MalformedError{Reason: "notes that are cut off"}
+		return nil, nil, &peerbytes.MalformedError{Reason: "truncated notes"}
 	}
 	b = b[1+n:]
 	return b[:size], b[size:], nil
 }
 
-// receiveLimits takes what a peer tells of rate limits.
-func (du *duty) receiveLimits(from gossip.Member, b []byte, made time.Time) {
+// receiveLimits applies the rate limits that a peer knew at a time.
+func (du *duty) receiveLimits(from gossip.Member, b []byte, at time.Time) {
 	if len(b) == 0 {
 		return
 	}
-	obs, err := ratelimit.Decode(b, made)
+	obs, err := ratelimit.Decode(b, at)
 	if err != nil {
-		du.lg.WithError(err).WithField("peer", from.Name).Error("peer's rate limits cannot be read")
+		du.lg.WithError(err).WithField("peer", from.Name).Error("cannot decode rate limits of peer")
 		return
 	}
 	for _, ch := range du.limits.Hear(obs) {
--- a/internal/duty/members/limits_test.go
+++ b/internal/duty/members/limits_test.go
@@ -13,38 +13,39 @@
 	"github.com/silvermount/silvermount/internal/ratelimit"
 )
 
-// TestNotesWithoutLimitsAreThoseOfTheBuildBefore: that build cannot read others.
-func TestNotesWithoutLimitsAreThoseOfTheBuildBefore(t *testing.T) {
+// TestNotesWithoutLimitsKeepPreviousFormat checks that notes without limits can be decoded by the previous build, which supports no
+// other format.
+func TestNotesWithoutLimitsKeepPreviousFormat(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	notes := blame.Snapshot{}.Encode(now)
-	g.Expect(withLimits(notes, nil, now)).To(Equal(notes))
-	g.Expect(notes[0]).NotTo(BeEquivalentTo(limitsVersion))
+	g.Expect(joinLimits(notes, nil, now)).To(Equal(notes))
+	g.Expect(notes[0]).NotTo(BeEquivalentTo(limitsFormat))
 	got, limits, err := splitLimits(notes)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(notes))
 	g.Expect(limits).To(BeEmpty())
 }
 
-func TestPeersHearOfRateLimits(t *testing.T) {
+func TestRateLimitsReachPeers(t *testing.T) {
 	g := NewWithT(t)
 	du := newDuty()
 	du.limits = ratelimit.New(time.Now)
 	du.lg = &log.Logger{Handler: discard.New()}
 	now := time.Now()
 	notes := blame.Snapshot{}.Encode(now)
-	told := []ratelimit.Observation{{Target: "a@1", Limit: ratelimit.Of(1.5), At: now.Add(-time.Second)}}
-	got, limits, err := splitLimits(withLimits(notes, told, now))
+	obs := []ratelimit.Observation{{Target: "a@1", Limit: ratelimit.Of(1.5), At: now.Add(-time.Second)}}
+	got, limits, err := splitLimits(joinLimits(notes, obs, now))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(notes))
 	du.receiveLimits(gossip.Member{Name: "b"}, limits, now)
 	g.Expect(du.limits.Of("a@1")).To(Equal(ratelimit.Of(1.5)))
-	g.Expect(du.limits.Of("a@2").Named).To(BeFalse(), "a later incarnation names none")
+	g.Expect(du.limits.Of("a@2").Named).To(BeFalse(), "the limit does not apply to a later incarnation")
 }
 
-func TestNotesThatAreCutOffAreRefused(t *testing.T) {
+func TestSplitLimitsRejectsTruncatedNotes(t *testing.T) {
 	g := NewWithT(t)
-	for _, b := range [][]byte{{limitsVersion}, {limitsVersion, 9}, {limitsVersion, 0xff}} {
+	for _, b := range [][]byte{{limitsFormat}, {limitsFormat, 9}, {limitsFormat, 0xff}} {
 		_, _, err := splitLimits(b)
 		g.Expect(err).To(HaveOccurred())
 	}
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -1,4 +1,4 @@
-// Package members is the duty that tells peers what this instance knows and has in flight, and hears the same of them.
+// Package members implements the duty that exchanges with peers what each instance knows and has in flight.
 package members
 
 import (
@@ -32,33 +32,33 @@
 }
 
 const (
-	// configurationDocument and targetsDocument are what a peer is asked for whose configuration or list is newer.
+	// configurationDocument and targetsDocument name the documents that are fetched from a peer with a newer configuration or list.
 	configurationDocument = "configuration"
 	targetsDocument       = "incarnations"
-	// nameDocument is the list of targets without their incarnations, for instances of the build before.
-	nameDocument = "targets"
-	// fetchTimeout bounds that question: many round trips, and well under the time a change has to be in force.
+	// legacyTargetsDocument names the list of targets without incarnations, which instances of the previous build fetch.
+	legacyTargetsDocument = "targets"
+	// fetchTimeout is the timeout of a fetch. It allows many round trips, and is well below the time until a change must be in force.
 	fetchTimeout = 600 * time.Millisecond
-	// coalesce is the least time between two sends of the state: two long prompts must not choose the same targets
-	// before they know of each other.
-	coalesce = 2 * time.Millisecond
-	// fetchesWaiting bounds the peers remembered as having a newer document of a kind; more are told again by their next
-	// heartbeat.
-	fetchesWaiting = 4
+	// minPublishInterval is the minimum time between two sends of the state. It is short, so that two long prompts do not choose the
+	// same targets before their instances know of each other's choice.
+	minPublishInterval = 2 * time.Millisecond
+	// maxQueuedFetches is the maximum number of queued fetches per kind of document. Further ones are dropped: the next heartbeat of
+	// the peer requests them again.
+	maxQueuedFetches = 4
 )
 
-// newer is a peer that told of something newer.
-type newer struct {
-	// document is what the peer has a newer version of.
+// fetchRequest is a document to fetch from a peer that reported a newer version than this instance has.
+type fetchRequest struct {
 	document string
 	from     gossip.Member
-	// version is that of the configuration, at the position of the list of targets: one of them is set.
-	version  int64
-	at       position.Position
-	evidence time.Time
+	// version is the reported version of the configuration, at the reported position of the list of targets. One of them is set.
+	version int64
+	at      position.Position
+	// asOf is the time at which the store is proven to have held the reported version.
+	asOf time.Time
 }
 
-// duty joins the mesh to what this instance knows.
+// duty connects the gossip mesh to the state of this instance.
 type duty struct {
 	ad  adapter.Adapter
 	rts *routes.Holder
@@ -67,22 +67,23 @@
 	lg  log.Interface
 	ms  *gossip.Mesh
 	fo  *forwarding.Followers
-	ld  *blame.Tracker
-	// limits is what is believed of the rate limits of targets, and permits keeps to them with the others.
+	tr  *blame.Tracker
+	// limits holds the known rate limits of targets, and permits enforces them together with the other instances.
 	limits  *ratelimit.Book
-	permits *permits
-	// configurations and lists are the newer documents to be fetched, each kind by a goroutine of its own: a target that is
-	// gone must be known in time, whatever a large configuration takes.
-	configurations, lists chan newer
-	// document asks a peer for a document.
-	document func(ctx context.Context, from gossip.Member, name string) ([]byte, error)
-	// awaited is the newest configuration that the linked relays are expected to tell of; it is used by one callback at
-	// a time.
-	awaited int64
-	// configuration is that in force, as peers get it.
-	configuration packed
-	// left is set when the instance leaves the others: nothing is in flight any more, whatever has not been noted yet.
-	left atomic.Bool
+	permits *permitService
+	// configurationFetches and listFetches queue the documents to fetch, with one goroutine for each kind: a list with a target
+	// that is gone must not wait for a large configuration.
+	configurationFetches, listFetches chan fetchRequest
+	// fetchDocument fetches a document from a peer.
+	fetchDocument func(ctx context.Context, from gossip.Member, name string) ([]byte, error)
+	// awaitedFromRelays is the newest version of the configuration that the linked relays are expected to report. It is used by one
+	// callback at a time.
+	awaitedFromRelays int64
+	// compressedConfiguration holds the configuration in force as it is sent to peers.
+	compressedConfiguration compressedCache
+	// hasLeft is set when this instance leaves the fleet. It then reports nothing in flight, even if the end of a request has not
+	// been recorded yet.
+	hasLeft atomic.Bool
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -91,7 +92,7 @@
 		return nil, err
 	}
 	du := newDuty()
-	du.ad, du.rts, du.dr, du.ds, du.fo, du.ld = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.Followers, pt.Blame
+	du.ad, du.rts, du.dr, du.ds, du.fo, du.tr = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.Followers, pt.Blame
 	du.limits = pt.Limits
 	du.lg = env.Logger("peers")
 	var lc net.ListenConfig
@@ -101,23 +102,25 @@
 	}
 	op := du.options(env)
 	du.ms = gossip.New(op)
-	du.document = du.ms.Fetch
-	du.permits = newPermits(op.Self.Name, du.ms, du.limits, du.lg)
-	pt.Permits.SetRequestFunc(du.permits.ask)
+	du.fetchDocument = du.ms.Fetch
+	du.permits = newPermitService(op.Self.Name, du.ms, du.limits, du.lg)
+	pt.Permits.SetRequestFunc(du.permits.requestPermit)
 	pt.Changed.Set(du.ms.Publish)
 	pt.Noted.Set(du.ms.PublishNotes)
 	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.Links()) })
 	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.Subscribers()) })
 	pt.Dispatcher.SetLag(du.ms.Lag)
-	fl := &follower{self: op.Self, lg: du.lg}
-	pt.Followers.Set(func() forwarding.Part { return fl.of(du.ms) })
-	pt.Followers.SetReach(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreless) })
+	tk := &partTracker{self: op.Self, lg: du.lg}
+	pt.Followers.Set(func() forwarding.Part { return tk.currentPart(du.ms) })
+	pt.Followers.SetReach(func(answered bool) {
+		reportStoreReachability(answered, tk.currentPart(du.ms), du.ms.Live, du.ms.SetStoreless)
+	})
 	kernel.Provide(env, du.ms)
 	return du.run(l, env), nil
 }
 
 func newDuty() *duty {
-	return &duty{configurations: make(chan newer, fetchesWaiting), lists: make(chan newer, fetchesWaiting)}
+	return &duty{configurationFetches: make(chan fetchRequest, maxQueuedFetches), listFetches: make(chan fetchRequest, maxQueuedFetches)}
 }
 
 func (du *duty) options(env *kernel.Env) gossip.Options {
@@ -127,62 +130,62 @@
 			Name: env.Settings.Instance, Incarnation: env.Incarnation, Address: gw.Peers,
 			AvailabilityZone: env.Settings.AvailabilityZone, Megabits: uint64(gw.Megabits),
 		},
-		Seeds: gw.Seeds, Coalesce: coalesce, Body: du.body, Receive: du.receive, Notes: du.notes, ReceiveNotes: du.receiveNotes, OnLost: du.lost, Serve: du.serve, Log: du.lg,
-		Answer: func(name string, question []byte) ([]byte, bool) { return du.permits.answer(name, question) },
+		Seeds: gw.Seeds, Coalesce: minPublishInterval, Body: du.encodeState, Receive: du.receiveState, Notes: du.encodeNotes, ReceiveNotes: du.receiveNotes, OnLost: du.onPeerLost, Serve: du.serveDocument, Log: du.lg,
+		Answer: func(name string, request []byte) ([]byte, bool) { return du.permits.answerPeer(name, request) },
 	}
 }
 
 func (du *duty) run(l net.Listener, env *kernel.Env) kernel.Stop {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { du.ended(ctx, du.ms.Serve(ctx, l)) })
-	wg.Go(func() { du.ended(ctx, du.ms.Run(ctx)) })
+	wg.Go(func() { du.logUnexpectedEnd(ctx, du.ms.Serve(ctx, l)) })
+	wg.Go(func() { du.logUnexpectedEnd(ctx, du.ms.Run(ctx)) })
 	wg.Go(func() { du.fetchAll(ctx) })
-	wg.Go(func() { du.permits.beat(ctx) })
+	wg.Go(func() { du.permits.tickIssuer(ctx) })
 	return func(context.Context) error {
-		env.Logger("peers").Info("leaving the other instances")
-		du.left.Store(true)
+		env.Logger("peers").Info("leaving the fleet")
+		du.hasLeft.Store(true)
 		cancel()
 		wg.Wait()
 		return nil
 	}
 }
 
-func (du *duty) ended(ctx context.Context, err error) {
+func (du *duty) logUnexpectedEnd(ctx context.Context, err error) {
 	if err != nil && ctx.Err() == nil {
-		du.lg.WithError(err).Error("exchange with peers ended")
+		du.lg.WithError(err).Error("gossip with peers ended unexpectedly")
 	}
 }
 
-// body returns this instance's state.
-func (du *duty) body() []byte {
+// encodeState returns the encoded state of this instance.
+func (du *duty) encodeState() []byte {
 	st := peerstate.State{Leaving: du.dr.Leaving()}
-	if !du.left.Load() {
+	if !du.hasLeft.Load() {
 		st.Loads = du.ds.Own()
 	}
-	at, heard := du.dr.ChangedAt()
+	at, asOf := du.dr.ChangedAt()
 	st.Targets = at
-	st.TargetsAge = time.Since(heard)
+	st.TargetsAge = time.Since(asOf)
 	if tb, provenAt := du.rts.Current(); tb != nil {
 		st.Configuration = tb.Version()
 		st.ProofAge = time.Since(provenAt)
 	}
 	b, err := st.Encode()
 	if err != nil {
-		du.lg.WithError(err).Error("own state not told")
+		du.lg.WithError(err).Error("cannot encode own state for peers")
 		return nil
 	}
 	return b
 }
 
-// receive takes a peer's state.
-func (du *duty) receive(from gossip.Member, body []byte, made time.Time) {
+// receiveState applies the state that a peer had at a time.
+func (du *duty) receiveState(from gossip.Member, body []byte, at time.Time) {
 	if len(body) == 0 {
 		return
 	}
 	st, err := peerstate.Decode(body)
 	if err != nil {
-		du.lg.WithError(err).WithField("peer", from.Name).Error("peer's state cannot be read")
+		du.lg.WithError(err).WithField("peer", from.Name).Error("cannot decode state of peer")
 		return
 	}
 	loads := st.Loads
@@ -192,97 +195,97 @@
 	du.ds.Heard(from.Name, loads)
 	for _, id := range st.Leaving {
 		if du.dr.MarkLeaving(id) {
-			du.lg.WithFields(log.Fields{"target": id, "peer": from.Name, "age": time.Since(made).String(), "source": "peer"}).Info("target leaving")
+			du.lg.WithFields(log.Fields{"target": id, "peer": from.Name, "age": time.Since(at).String(), "source": "peer"}).Info("target leaving")
 		}
 	}
-	du.receiveTargets(from, st, made.Add(-st.TargetsAge))
+	du.receiveTargets(from, st, at.Add(-st.TargetsAge))
 	if st.Configuration == 0 {
 		return
 	}
-	evidence := made.Add(-st.ProofAge)
-	if du.rts.Confirm(st.Configuration, evidence) {
+	asOf := at.Add(-st.ProofAge)
+	if du.rts.Confirm(st.Configuration, asOf) {
 		return
 	}
-	du.wantConfiguration(newer{document: configurationDocument, from: from, version: st.Configuration, evidence: evidence})
+	du.requestConfiguration(fetchRequest{document: configurationDocument, from: from, version: st.Configuration, asOf: asOf})
 }
 
-// wantConfiguration gets a newer configuration. In a large fleet all hear of it from the few that follow the store, whose
-// links would not carry it to all at once: there it is taken from those that this instance is linked to, once they have it,
-// and from another only when that does not help.
-func (du *duty) wantConfiguration(nw newer) {
-	du.fo.Heard(nw.version)
-	if du.fo.Follows() || du.ms.Source(nw.from) {
-		du.want(nw)
+// requestConfiguration fetches a newer configuration. In a large fleet all instances learn of it from the few followers, whose
+// links could not carry it to all of them at once. It is therefore fetched from the linked relays once they have it, and from
+// another peer only if that does not succeed.
+func (du *duty) requestConfiguration(fr fetchRequest) {
+	du.fo.Heard(fr.version)
+	if du.fo.Follows() || du.ms.Source(fr.from) {
+		du.enqueueFetch(fr)
 		return
 	}
-	if nw.version > du.awaited {
-		du.awaited = nw.version
-		time.AfterFunc(sourceFirst, func() { du.want(nw) })
+	if fr.version > du.awaitedFromRelays {
+		du.awaitedFromRelays = fr.version
+		time.AfterFunc(relayHeadStart, func() { du.enqueueFetch(fr) })
 	}
 }
 
-// sourceFirst is the time that the linked relays have to get a newer configuration first: several times what a document
-// takes from one to the next.
-const sourceFirst = 500 * time.Millisecond
+// relayHeadStart is the time in which the linked relays can get a newer document before it is fetched from another peer. It is
+// several times as long as a document takes from one relay to the next.
+const relayHeadStart = 500 * time.Millisecond
 
-// receiveTargets compares a peer's list of targets with this instance's.
-func (du *duty) receiveTargets(from gossip.Member, st peerstate.State, evidence time.Time) {
-	mine, _ := du.dr.ChangedAt()
+// receiveTargets compares the position of a peer's list of targets with that of this instance, and fetches a newer list.
+func (du *duty) receiveTargets(from gossip.Member, st peerstate.State, asOf time.Time) {
+	own, _ := du.dr.ChangedAt()
 	switch {
-	case st.Targets.IsZero() || mine.After(st.Targets):
-	case st.Targets == mine:
-		du.tellTargets(du.lg.WithField("peer", from.Name), du.dr.Confirm(evidence), evidence)
+	case st.Targets.IsZero() || own.After(st.Targets):
+	case st.Targets == own:
+		du.logTargetChanges(du.lg.WithField("peer", from.Name), du.dr.Confirm(asOf), asOf)
 	case !du.fo.Follows() && !du.ms.Source(from):
-		// The linked relays will have it too.
-		time.AfterFunc(sourceFirst, func() {
-			du.want(newer{document: targetsDocument, from: from, at: st.Targets, evidence: evidence})
+		// The linked relays get the list too.
+		time.AfterFunc(relayHeadStart, func() {
+			du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.Targets, asOf: asOf})
 		})
 	default:
-		du.want(newer{document: targetsDocument, from: from, at: st.Targets, evidence: evidence})
+		du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.Targets, asOf: asOf})
 	}
 }
 
-func (du *duty) want(nw newer) {
-	waiting := du.configurations
-	if nw.document == targetsDocument {
-		waiting = du.lists
+func (du *duty) enqueueFetch(fr fetchRequest) {
+	queue := du.configurationFetches
+	if fr.document == targetsDocument {
+		queue = du.listFetches
 	}
 	select {
-	case waiting <- nw:
+	case queue <- fr:
 	default:
-		// Others are asked already; the peer tells again.
+		// The queue is full. The peer reports the document again with its next heartbeat.
 	}
 }
 
-func (du *duty) lost(mb gossip.Member) {
+func (du *duty) onPeerLost(mb gossip.Member) {
 	du.ds.Heard(mb.Name, nil)
-	du.ld.RemovePeer(mb.Name)
-	if silentZone(mb, du.ms.Live()) && du.dr.PeerLost(mb.AvailabilityZone, mb.Name) {
+	du.tr.RemovePeer(mb.Name)
+	if zoneLost(mb, du.ms.Live()) && du.dr.PeerLost(mb.AvailabilityZone, mb.Name) {
 		du.lg.WithFields(log.Fields{"zone": mb.AvailabilityZone, "cause": "instances lost"}).Warn("availability zone left out")
 	}
 }
 
-// silentZone reports whether all instances of a lost one's availability zone are lost.
-func silentZone(lost gossip.Member, live []gossip.Member) bool {
+// zoneLost reports whether no live instance remains in the availability zone of a lost instance.
+func zoneLost(lost gossip.Member, live []gossip.Member) bool {
 	return !slices.ContainsFunc(live, func(mb gossip.Member) bool { return mb.AvailabilityZone == lost.AvailabilityZone })
 }
 
-func (du *duty) serve(name string) ([]byte, bool) {
+func (du *duty) serveDocument(name string) ([]byte, bool) {
 	switch name {
 	case configurationDocument:
 		version, doc := du.rts.Document()
 		if doc == nil {
 			return nil, false
 		}
-		b, err := du.configuration.of(version, doc)
+		b, err := du.compressedConfiguration.get(version, doc)
 		if err != nil {
-			du.lg.WithError(err).Error("configuration not told")
+			du.lg.WithError(err).Error("cannot compress configuration for peers")
 		}
 		return b, err == nil
-	case targetsDocument, nameDocument:
-		doc, err := du.targetsDocument(name)
+	case targetsDocument, legacyTargetsDocument:
+		doc, err := du.encodeTargets(name)
 		if err != nil {
-			du.lg.WithError(err).Error("list of targets not told")
+			du.lg.WithError(err).Error("cannot encode list of targets for peers")
 		}
 		return doc, err == nil
 	default:
@@ -290,62 +293,62 @@
 	}
 }
 
-// fetchAll asks peers for newer documents until ctx ends, one of each kind at a time.
+// fetchAll fetches newer documents from peers until ctx is cancelled, one of each kind at a time.
 func (du *duty) fetchAll(ctx context.Context) {
 	var wg sync.WaitGroup
-	wg.Go(func() { each(ctx, du.configurations, du.fetchConfiguration) })
-	wg.Go(func() { each(ctx, du.lists, du.fetchTargets) })
+	wg.Go(func() { fetchEach(ctx, du.configurationFetches, du.fetchConfiguration) })
+	wg.Go(func() { fetchEach(ctx, du.listFetches, du.fetchTargets) })
 	wg.Wait()
 }
 
-// each hands over what waits, one after another.
-func each(ctx context.Context, waiting <-chan newer, fetch func(context.Context, newer)) {
+// fetchEach calls fetch for each queued request until ctx is cancelled.
+func fetchEach(ctx context.Context, queue <-chan fetchRequest, fetch func(context.Context, fetchRequest)) {
 	for {
 		select {
-		case nw := <-waiting:
-			fetch(ctx, nw)
+		case fr := <-queue:
+			fetch(ctx, fr)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// fetchConfiguration asks a peer for a newer configuration.
-func (du *duty) fetchConfiguration(ctx context.Context, nw newer) {
-	if tb, _ := du.rts.Current(); tb != nil && tb.Version() >= nw.version {
+// fetchConfiguration fetches a newer configuration from a peer.
+func (du *duty) fetchConfiguration(ctx context.Context, fr fetchRequest) {
+	if tb, _ := du.rts.Current(); tb != nil && tb.Version() >= fr.version {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	lg := du.lg.WithField("peer", nw.from.Name).WithField("version", nw.version)
-	doc, err := du.document(ctx, nw.from, configurationDocument)
+	lg := du.lg.WithField("peer", fr.from.Name).WithField("version", fr.version)
+	doc, err := du.fetchDocument(ctx, fr.from, configurationDocument)
 	if err != nil {
-		lg.WithError(err).Warn("newer configuration not fetched")
+		lg.WithError(err).Warn("cannot fetch newer configuration from peer")
 		return
 	}
-	doc, err = unpack(doc)
+	doc, err = decompress(doc)
 	if err != nil {
-		lg.WithError(err).Error("peer's configuration cannot be read")
+		lg.WithError(err).Error("cannot decompress configuration from peer")
 		return
 	}
 	ct, err := du.ad.Configuration(doc)
 	if err != nil {
-		lg.WithError(err).Error("peer's configuration cannot be read")
+		lg.WithError(err).Error("cannot decode configuration from peer")
 		return
 	}
-	if ct.Version < nw.version {
-		lg.WithField("got", ct.Version).Warn("newer configuration not fetched")
+	if ct.Version < fr.version {
+		lg.WithField("got", ct.Version).Warn("peer served an older configuration than it reported")
 		return
 	}
-	evidence := nw.evidence
-	if ct.Version > nw.version {
-		// The proof was of an older version.
-		evidence = time.Time{}
+	asOf := fr.asOf
+	if ct.Version > fr.version {
+		// The proof is for an older version.
+		asOf = time.Time{}
 	}
-	if du.rts.Offer(routes.New(ct), doc, evidence) {
+	if du.rts.Offer(routes.New(ct), doc, asOf) {
 		fs := log.Fields{"version": ct.Version, "routes": len(ct.Routes), "services": len(ct.Services), "source": "peer"}
-		if !evidence.IsZero() {
-			fs["age"] = time.Since(evidence).Round(time.Millisecond).String()
+		if !asOf.IsZero() {
+			fs["age"] = time.Since(asOf).Round(time.Millisecond).String()
 		}
 		lg.WithFields(fs).Info("configuration in force")
 	}
--- a/internal/duty/members/notes.go
+++ b/internal/duty/members/notes.go
@@ -7,27 +7,27 @@
 	"github.com/silvermount/silvermount/internal/gossip"
 )
 
-// notes returns what peers hear of requests that end targets, and of rate limits.
-func (du *duty) notes() []byte {
+// encodeNotes returns the notes for peers: the snapshot of requests that crash targets, and rate limits.
+func (du *duty) encodeNotes() []byte {
 	now := time.Now()
-	return withLimits(du.ld.Snapshot().Encode(now), du.limits.Told(), now)
+	return joinLimits(du.tr.Snapshot().Encode(now), du.limits.Told(), now)
 }
 
-// receiveNotes takes what a peer tells of them.
-func (du *duty) receiveNotes(from gossip.Member, b []byte, made time.Time) {
+// receiveNotes applies the notes that a peer had at a time.
+func (du *duty) receiveNotes(from gossip.Member, b []byte, at time.Time) {
 	b, limits, err := splitLimits(b)
 	if err != nil {
-		du.lg.WithError(err).WithField("peer", from.Name).Error("peer's notes cannot be read")
+		du.lg.WithError(err).WithField("peer", from.Name).Error("cannot decode notes of peer")
 		return
 	}
-	du.receiveLimits(from, limits, made)
+	du.receiveLimits(from, limits, at)
 	if len(b) == 0 {
 		return
 	}
-	nt, err := blame.Decode(b, made)
+	sn, err := blame.Decode(b, at)
 	if err != nil {
-		du.lg.WithError(err).WithField("peer", from.Name).Error("peer's notes cannot be read")
+		du.lg.WithError(err).WithField("peer", from.Name).Error("cannot decode notes of peer")
 		return
 	}
-	du.ld.MergePeer(from.Name, nt)
+	du.tr.MergePeer(from.Name, sn)
 }
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	// permitQuestion is the name under which a peer is asked for a permit.
-	permitQuestion = "permit"
-	// elsewhereFor is when to ask again after an instance was asked that does not issue the target's permits: about the time after which
-	// two views of who lives agree.
-	elsewhereFor = 100 * time.Millisecond
-	// beatEvery is how often the issuer is told that this process runs.
-	beatEvery = 250 * time.Millisecond
+	// permitQuery is the name of the gossip query that requests a permit.
+	permitQuery = "permit"
+	// wrongIssuerRetryDelay is the delay before a retry after an instance was asked that does not issue the permits of the target.
+	// It is about the time until two instances agree on the live instances.
+	wrongIssuerRetryDelay = 100 * time.Millisecond
+	// issuerTickInterval is the interval between calls of Issuer.Tick, by which the issuer detects that the process was frozen.
+	issuerTickInterval = 250 * time.Millisecond
 )
 
-// question asks the issuer of a target for a permit.
-type question struct {
+// permitRequest is a request for a permit to the issuer of a target.
+type permitRequest struct {
 	Target string `json:"target"`
 	Zone   string `json:"zone"`
-	// PerSecond is the limit that the instance which asks believes in.
+	// PerSecond is the rate limit as known to the requesting instance.
 	PerSecond float64 `json:"per_second"`
-	WaitUS    int64   `json:"wait_us"`
+	MaxWaitUS int64   `json:"wait_us"`
 }
 
-// reply is the issuer's answer.
-type reply struct {
+// permitReply is the response of the issuer.
+type permitReply struct {
 	Granted bool  `json:"granted"`
-	AfterUS int64 `json:"after_us"`
+	DelayUS int64 `json:"after_us"`
 }
 
-// permits issues permits and asks others for them.
-type permits struct {
+// permitService issues permits to peers, and requests permits from the issuers of targets.
+type permitService struct {
 	self   string
 	mesh   *gossip.Mesh
 	issuer *permit.Issuer
@@ -50,32 +50,33 @@
 	lg     log.Interface
 
 	mu sync.Mutex
-	// live is the list of live instances of a version of the mesh, and candidates the same as the choice of an issuer takes them.
-	live       []gossip.Member
-	candidates []permit.Candidate
-	version    uint64
+	// live holds the live instances at a version of the member list, and candidates the same instances as input of
+	// permit.SelectIssuer.
+	live           []gossip.Member
+	candidates     []permit.Candidate
+	membersVersion uint64
 }
 
-func newPermits(self string, ms *gossip.Mesh, limits *ratelimit.Book, lg log.Interface) *permits {
-	return &permits{self: self, mesh: ms, issuer: permit.NewIssuer(time.Now), limits: limits, lg: lg}
+func newPermitService(self string, ms *gossip.Mesh, limits *ratelimit.Book, lg log.Interface) *permitService {
+	return &permitService{self: self, mesh: ms, issuer: permit.NewIssuer(time.Now), limits: limits, lg: lg}
 }
 
-// issuerOf returns the instance that issues the permits of a target.
-func (ps *permits) issuerOf(tg targets.Target) gossip.Member {
-	live, cands := ps.members()
+// issuerOf returns the instance that issues the permits of a target, in the view of this instance.
+func (ps *permitService) issuerOf(tg targets.Target) gossip.Member {
+	live, cands := ps.liveMembers()
 	name := permit.SelectIssuer(cands, tg)
 	return live[slices.IndexFunc(live, func(mb gossip.Member) bool { return mb.Name == name })]
 }
 
-// members returns the live instances; there is always this one.
-func (ps *permits) members() ([]gossip.Member, []permit.Candidate) {
+// liveMembers returns the live instances, which always include this one.
+func (ps *permitService) liveMembers() ([]gossip.Member, []permit.Candidate) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
 	version := ps.mesh.Version()
-	if ps.live != nil && version == ps.version {
+	if ps.live != nil && version == ps.membersVersion {
 		return ps.live, ps.candidates
 	}
-	ps.version, ps.live = version, ps.mesh.Live()
+	ps.membersVersion, ps.live = version, ps.mesh.Live()
 	ps.candidates = make([]permit.Candidate, len(ps.live))
 	for i, mb := range ps.live {
 		ps.candidates[i] = permit.Candidate{Name: mb.Name, AvailabilityZone: mb.AvailabilityZone, Stopping: mb.Stopping}
@@ -83,73 +84,73 @@
 	return ps.live, ps.candidates
 }
 
-// ask is the permit.Ask of this instance.
-func (ps *permits) ask(ctx context.Context, rq permit.Request) (permit.Decision, error) {
-	qu := question{
-		Target: rq.Target.ID, Zone: rq.Target.AvailabilityZone, PerSecond: rq.Limit.PerSecond, WaitUS: rq.MaxWait.Microseconds(),
+// requestPermit is the permit.RequestFunc of this instance.
+func (ps *permitService) requestPermit(ctx context.Context, rq permit.Request) (permit.Decision, error) {
+	pr := permitRequest{
+		Target: rq.Target.ID, Zone: rq.Target.AvailabilityZone, PerSecond: rq.Limit.PerSecond, MaxWaitUS: rq.MaxWait.Microseconds(),
 	}
 	issuer := ps.issuerOf(rq.Target)
 	if issuer.Name == ps.self {
-		return ps.issue(qu), nil
+		return ps.issue(pr), nil
 	}
-	an, err := ps.askPeer(ctx, issuer, qu)
+	de, err := ps.requestFromPeer(ctx, issuer, pr)
 	if err != nil {
-		ps.lg.WithError(err).WithFields(log.Fields{"target": qu.Target, "peer": issuer.Name}).Warn("no answer about a permit")
+		ps.lg.WithError(err).WithFields(log.Fields{"target": pr.Target, "peer": issuer.Name}).Warn("cannot get permit from issuer")
 	}
-	return an, err
+	return de, err
 }
 
-// askPeer puts a question to the issuer that is another instance.
-func (ps *permits) askPeer(ctx context.Context, issuer gossip.Member, qu question) (permit.Decision, error) {
-	b, err := json.Marshal(qu)
+// requestFromPeer requests a permit from an issuer that is another instance.
+func (ps *permitService) requestFromPeer(ctx context.Context, issuer gossip.Member, pr permitRequest) (permit.Decision, error) {
+	b, err := json.Marshal(pr)
 	if err != nil {
-		return permit.Decision{}, errors.Wrap(err, "encode question")
+		return permit.Decision{}, errors.Wrap(err, "encode permit request")
 	}
-	b, err = ps.mesh.Ask(ctx, issuer, permitQuestion, b)
+	b, err = ps.mesh.Ask(ctx, issuer, permitQuery, b)
 	if err != nil {
-		return permit.Decision{}, errors.Wrap(err, "ask for permit")
+		return permit.Decision{}, errors.Wrap(err, "request permit from peer")
 	}
-	var rp reply
+	var rp permitReply
 	if err := json.Unmarshal(b, &rp); err != nil {
-		return permit.Decision{}, errors.Wrap(err, "decode permit")
+		return permit.Decision{}, errors.Wrap(err, "decode permit reply")
 	}
-	return permit.Decision{Granted: rp.Granted, Delay: time.Duration(rp.AfterUS) * time.Microsecond}, nil
+	return permit.Decision{Granted: rp.Granted, Delay: time.Duration(rp.DelayUS) * time.Microsecond}, nil
 }
 
-// issue answers a question, of this instance itself or a peer. Only the issuer by this instance's own view grants anything.
-func (ps *permits) issue(qu question) permit.Decision {
-	tg := targets.Target{ID: qu.Target, AvailabilityZone: qu.Zone}
+// issue decides on a request from this instance or a peer. It grants permits only if this instance is the issuer in its own view.
+func (ps *permitService) issue(pr permitRequest) permit.Decision {
+	tg := targets.Target{ID: pr.Target, AvailabilityZone: pr.Zone}
 	if ps.issuerOf(tg).Name != ps.self {
-		return permit.Decision{Delay: elsewhereFor}
+		return permit.Decision{Delay: wrongIssuerRetryDelay}
 	}
-	li := ps.limits.Of(qu.Target)
+	li := ps.limits.Of(pr.Target)
 	if !li.Named {
-		li = ratelimit.Of(qu.PerSecond)
+		li = ratelimit.Of(pr.PerSecond)
 	}
-	return ps.issuer.Issue(qu.Target, li, permit.LimitShare(ps.mesh.Known()), time.Duration(qu.WaitUS)*time.Microsecond)
+	return ps.issuer.Issue(pr.Target, li, permit.LimitShare(ps.mesh.Known()), time.Duration(pr.MaxWaitUS)*time.Microsecond)
 }
 
-// answer answers a peer's question.
-func (ps *permits) answer(name string, b []byte) ([]byte, bool) {
-	if name != permitQuestion {
+// answerPeer responds to the request of a peer. It reports false if the query is not a request for a permit or cannot be decoded.
+func (ps *permitService) answerPeer(name string, b []byte) ([]byte, bool) {
+	if name != permitQuery {
 		return nil, false
 	}
-	var qu question
-	if err := json.Unmarshal(b, &qu); err != nil {
-		ps.lg.WithError(err).Error("peer's question about a permit cannot be read")
+	var pr permitRequest
+	if err := json.Unmarshal(b, &pr); err != nil {
+		ps.lg.WithError(err).Error("cannot decode permit request of peer")
 		return nil, false
 	}
-	an := ps.issue(qu)
-	b, err := json.Marshal(reply{Granted: an.Granted, AfterUS: an.Delay.Microseconds()})
+	de := ps.issue(pr)
+	b, err := json.Marshal(permitReply{Granted: de.Granted, DelayUS: de.Delay.Microseconds()})
 	if err != nil {
-		ps.lg.WithError(err).Error("permit not told")
+		ps.lg.WithError(err).Error("cannot encode permit for peer")
 	}
 	return b, err == nil
 }
 
-// beat tells the issuer that this process runs, until ctx ends.
-func (ps *permits) beat(ctx context.Context) {
-	tick := time.NewTicker(beatEvery)
+// tickIssuer calls Issuer.Tick at regular intervals until ctx is cancelled.
+func (ps *permitService) tickIssuer(ctx context.Context) {
+	tick := time.NewTicker(issuerTickInterval)
 	defer tick.Stop()
 	for {
 		select {
--- a/internal/duty/members/targets.go
+++ b/internal/duty/members/targets.go
@@ -13,21 +13,22 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// targetList is the list of targets that peers get.
+// targetList is the list of targets as it is sent to peers.
 type targetList struct {
-	// Version is the number of the position at which the list last changed.
+	// Version is the packed position of the store at the last change of the list.
 	Version int64            `json:"Version"`
 	Targets []targets.Target `json:"Targets"`
-	// Lapsed are missing from the list and still take work.
+	// Lapsed holds targets that are missing from the list and still take work.
 	Lapsed targets.Lapsed `json:"Lapsed"`
 }
 
-func (du *duty) targetsDocument(name string) ([]byte, error) {
+// encodeTargets returns the compressed list of targets as the legacy document.
+func (du *duty) encodeTargets(name string) ([]byte, error) {
 	var tl targetList
 	at, list := du.dr.Listed()
 	tl.Version, tl.Targets = at.Pack(), list
 	tl.Lapsed = du.dr.Lapsed()
-	if name == nameDocument {
+	if name == legacyTargetsDocument {
 		tl.Targets = withoutIncarnations(tl.Targets)
 		tl.Lapsed.Targets = withoutIncarnations(tl.Lapsed.Targets)
 	}
@@ -35,60 +36,61 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode list of targets")
 	}
-	return pack(b)
+	return compress(b)
 }
 
-// withoutIncarnations returns targets as an instance of the build before takes them, which names each to itself by its ID.
+// withoutIncarnations returns targets in the form that instances of the previous build expect, which address a target by its ID.
+// The ID is therefore replaced by the name that the target itself uses.
 func withoutIncarnations(tgs []targets.Target) []targets.Target {
-	named := slices.Clone(tgs)
-	for i := range named {
-		named[i].ID, named[i].Name, named[i].Born = named[i].OwnName(), "", time.Time{}
+	legacy := slices.Clone(tgs)
+	for i := range legacy {
+		legacy[i].ID, legacy[i].Name, legacy[i].Born = legacy[i].OwnName(), "", time.Time{}
 	}
-	return named
+	return legacy
 }
 
-// fetchTargets asks a peer for a newer list of targets.
-func (du *duty) fetchTargets(ctx context.Context, nw newer) {
-	if mine, _ := du.dr.ChangedAt(); !nw.at.After(mine) {
+// fetchTargets fetches a newer list of targets from a peer.
+func (du *duty) fetchTargets(ctx context.Context, fr fetchRequest) {
+	if own, _ := du.dr.ChangedAt(); !fr.at.After(own) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	lg := du.lg.WithField("peer", nw.from.Name).WithField("era", nw.at.Era).WithField("version", nw.at.Revision)
-	doc, err := du.document(ctx, nw.from, targetsDocument)
+	lg := du.lg.WithField("peer", fr.from.Name).WithField("era", fr.at.Era).WithField("version", fr.at.Revision)
+	doc, err := du.fetchDocument(ctx, fr.from, targetsDocument)
 	if err != nil {
-		lg.WithError(err).Warn("newer list of targets not fetched")
+		lg.WithError(err).Warn("cannot fetch newer list of targets from peer")
 		return
 	}
-	doc, err = unpack(doc)
+	doc, err = decompress(doc)
 	if err != nil {
-		lg.WithError(err).Error("peer's list of targets cannot be read")
+		lg.WithError(err).Error("cannot decompress list of targets from peer")
 		return
 	}
 	var tl targetList
 	if err := json.Unmarshal(doc, &tl); err != nil {
-		lg.WithError(err).Error("peer's list of targets cannot be read")
+		lg.WithError(err).Error("cannot decode list of targets from peer")
 		return
 	}
 	at := position.Unpack(tl.Version)
-	mine, _ := du.dr.ChangedAt()
-	if nw.at.After(at) || !at.After(mine) {
-		// Meanwhile the store told more.
+	own, _ := du.dr.ChangedAt()
+	if fr.at.After(at) || !at.After(own) {
+		// The peer served an older list than it reported, or this instance has got a newer one meanwhile.
 		return
 	}
-	if at.RestoredSince(mine) {
-		lg.Warn("store came back from an older copy, as a peer tells")
-		du.dr.Restored(at.Era, nw.evidence)
+	if at.RestoredSince(own) {
+		lg.Warn("store was restored from an older copy, as reported by peer")
+		du.dr.Restored(at.Era, fr.asOf)
 	}
-	du.tellTargets(lg, du.dr.TakeTold(tl.Targets, tl.Lapsed, at, nw.evidence), nw.evidence)
+	du.logTargetChanges(lg, du.dr.TakeTold(tl.Targets, tl.Lapsed, at, fr.asOf), fr.asOf)
 }
 
-// tellTargets logs what a peer's word of a time changed.
-func (du *duty) tellTargets(lg log.Interface, changes []targets.Change, evidence time.Time) {
+// logTargetChanges logs changes of targets that result from the state of a peer.
+func (du *duty) logTargetChanges(lg log.Interface, changes []targets.Change, asOf time.Time) {
 	for _, ch := range changes {
 		lg.WithFields(log.Fields{
 			"target": ch.Target.ID, "service": ch.Target.Service, "address": ch.Target.Address, "source": "peer",
-			"age": time.Since(evidence).Round(time.Millisecond).String(),
+			"age": time.Since(asOf).Round(time.Millisecond).String(),
 		}).Info("target " + ch.What)
 	}
 }
--- a/internal/duty/members/targets_test.go
+++ b/internal/duty/members/targets_test.go
@@ -11,8 +11,9 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// TestListForInstancesOfTheBuildBefore: those name a target to itself by its ID, and would be turned away with that of an incarnation.
-func TestListForInstancesOfTheBuildBefore(t *testing.T) {
+// TestTargetListForPreviousBuild checks the list for instances of the previous build. They address a target by its ID, and the
+// target would reject the ID of an incarnation.
+func TestTargetListForPreviousBuild(t *testing.T) {
 	g := NewWithT(t)
 	du := newDuty()
 	du.dr = targets.New(time.Now)
@@ -21,13 +22,13 @@
 		{Name: "a", Target: targets.Target{ID: "a@2", Name: "a", Born: time.UnixMilli(2000), Service: "s"}},
 	}, position.Position{}, time.Now())
 	want := map[string][]targets.Target{
-		nameDocument:    {{ID: "a", Service: "s"}},
-		targetsDocument: {{ID: "a@2", Name: "a", Born: time.UnixMilli(2000), Service: "s"}},
+		legacyTargetsDocument: {{ID: "a", Service: "s"}},
+		targetsDocument:       {{ID: "a@2", Name: "a", Born: time.UnixMilli(2000), Service: "s"}},
 	}
 	for name, listed := range want {
-		b, ok := du.serve(name)
+		b, ok := du.serveDocument(name)
 		g.Expect(ok).To(BeTrue())
-		b, err := unpack(b)
+		b, err := decompress(b)
 		g.Expect(err).NotTo(HaveOccurred())
 		var tl targetList
 		g.Expect(json.Unmarshal(b, &tl)).To(Succeed())
