--- a/internal/gossip/delay_test.go
+++ b/internal/gossip/delay_test.go
@@ -67,9 +67,9 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			ck := &clock{now: time.Unix(0, 0)}
-			from := newNode(t, Options{Self: Member{Name: "a"}, Interval: defaultInterval, Now: ck.read})
+			from := newNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: defaultInterval, Now: ck.read})
 			ck.now = ck.now.Add(time.Hour)
-			to := newNode(t, Options{Self: Member{Name: "b"}, Interval: defaultInterval, Now: ck.read})
+			to := newNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: defaultInterval, Now: ck.read})
 			var age time.Duration
 			to.ms.opts.Receive = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
 			wy := newWay(from, to)
--- a/internal/gossip/dial.go
+++ b/internal/gossip/dial.go
@@ -161,7 +161,7 @@
 func (ms *Mesh) standsTwice(lk *link, awake time.Duration) bool {
 	for other := range ms.links {
 		samePeer := other != lk && other.peer.Name == lk.peer.Name && other.peer.Incarnation == lk.peer.Incarnation
-		if !samePeer || awake-other.heard > 2*ms.opts.Interval {
+		if !samePeer || awake-other.heard > 2*ms.opts.HeartbeatInterval {
 			continue
 		}
 		if other.address == "" && lk.peer.Name < ms.self.Name {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -90,7 +90,7 @@
 		links:    map[*link]struct{}{},
 		dials:    map[string]*dialState{},
 		resting:  newRestingConns(),
-		awake:    awakeClock{step: o.Interval, last: now},
+		awake:    awakeClock{step: o.HeartbeatInterval, last: now},
 		stalls:   stalls{began: now},
 		began:    now,
 	}
@@ -121,7 +121,7 @@
 	defer ms.resting.closeAll()
 	ctx, cancel := ms.untilTold(ctx)
 	defer cancel()
-	tick := time.NewTicker(ms.opts.Interval)
+	tick := time.NewTicker(ms.opts.HeartbeatInterval)
 	defer tick.Stop()
 	pause := time.NewTimer(0)
 	defer pause.Stop()
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -86,8 +86,8 @@
 
 func TestPublishDoesNotWaitForTheInterval(t *testing.T) {
 	g := NewWithT(t)
-	a := startNode(t, Options{Self: Member{Name: "a"}, Interval: never, Lost: 2 * never})
-	b := startNode(t, Options{Self: Member{Name: "b"}, Interval: never, Lost: 2 * never, Seeds: []string{a.address()}})
+	a := startNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: never, Lost: 2 * never})
+	b := startNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: never, Lost: 2 * never, Seeds: []string{a.address()}})
 	g.Eventually(b.stateOf("a"), patience).Should(Equal("state of a"))
 	for i := range 5 {
 		a.publish([]byte(fmt.Sprint("new ", i)))
@@ -193,9 +193,9 @@
 	var seeds []string
 	for i := range members {
 		nd := startNode(t, Options{
-			Self:     Member{Name: fmt.Sprintf("m%02d", i), AvailabilityZone: string(rune('x' + i%3))},
-			Seeds:    seeds,
-			Interval: 100 * time.Millisecond,
+			Self:              Member{Name: fmt.Sprintf("m%02d", i), AvailabilityZone: string(rune('x' + i%3))},
+			Seeds:             seeds,
+			HeartbeatInterval: 100 * time.Millisecond,
 			// So many members in one process may be slow under the race detector.
 			Lost:     patience,
 			FullMesh: full,
@@ -247,7 +247,7 @@
 
 func TestPartialMeshLosesOnlyTheDeadMember(t *testing.T) {
 	g := NewWithT(t)
-	o := Options{FullMesh: 3, Lost: 3 * time.Second, Interval: 100 * time.Millisecond}
+	o := Options{FullMesh: 3, Lost: 3 * time.Second, HeartbeatInterval: 100 * time.Millisecond}
 	var nodes []*node
 	var stop func()
 	for i := range 12 {
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -60,8 +60,8 @@
 	if o.Self.Address == "" {
 		o.Self.Address = nd.lis.Addr().String()
 	}
-	if o.Interval == 0 {
-		o.Interval = 20 * time.Millisecond
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 20 * time.Millisecond
 	}
 	if o.Log == nil {
 		o.Log = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -31,7 +31,7 @@
 	// Seeds are addresses to start from. They may be out of date, and may be this instance's own.
 	Seeds []string
 	// Interval is the time between two heartbeats.
-	Interval time.Duration
+	HeartbeatInterval time.Duration
 	// Lost is the silence after which a member is not live.
 	Lost time.Duration
 	// Farewell bounds the time in which the last state is told when Serve and Run are asked to end.
@@ -91,7 +91,7 @@
 )
 
 func (o Options) withDefaults() Options {
-	o.Interval = cmp.Or(o.Interval, defaultInterval)
+	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultInterval)
 	o.Lost = cmp.Or(o.Lost, defaultLost)
 	o.Farewell = cmp.Or(o.Farewell, defaultFarewell)
 	o.Coalesce = cmp.Or(o.Coalesce, defaultCoalesce)
--- a/internal/gossip/record.go
+++ b/internal/gossip/record.go
@@ -194,7 +194,7 @@
 func (ms *Mesh) notePulse(r *record, now time.Time) {
 	awake := ms.awake.at(now)
 	near := r.AvailabilityZone == ms.self.AvailabilityZone
-	if near && awake-r.pulseTold < time.Duration(pulseShare*float64(ms.opts.Interval)) {
+	if near && awake-r.pulseTold < time.Duration(pulseShare*float64(ms.opts.HeartbeatInterval)) {
 		return
 	}
 	r.pulseTold = awake
--- a/internal/gossip/record_test.go
+++ b/internal/gossip/record_test.go
@@ -17,7 +17,7 @@
 func still(t *testing.T) (*node, *clock) {
 	t.Helper()
 	ck := &clock{now: time.Unix(0, 0)}
-	nd := newNode(t, Options{Self: Member{Name: "a"}, Interval: defaultInterval, Now: ck.read})
+	nd := newNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: defaultInterval, Now: ck.read})
 	return nd, ck
 }
 
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -42,7 +42,7 @@
 		}
 	}
 	for lk := range ms.links {
-		if lk.peer.Name != "" && awake-lk.heard >= silentBeats*ms.opts.Interval && !ms.hearsOtherwise(lk, awake) {
+		if lk.peer.Name != "" && awake-lk.heard >= silentBeats*ms.opts.HeartbeatInterval && !ms.hearsOtherwise(lk, awake) {
 			ms.suspect(lk.peer.Name, now)
 		}
 	}
@@ -51,7 +51,7 @@
 // hearsOtherwise reports whether another link to the same process is not silent.
 func (ms *Mesh) hearsOtherwise(silent *link, awake time.Duration) bool {
 	for lk := range ms.links {
-		if lk != silent && lk.peer.Name == silent.peer.Name && awake-lk.heard < silentBeats*ms.opts.Interval {
+		if lk != silent && lk.peer.Name == silent.peer.Name && awake-lk.heard < silentBeats*ms.opts.HeartbeatInterval {
 			return true
 		}
 	}
