--- a/internal/gossip/dial.go
+++ b/internal/gossip/dial.go
@@ -149,7 +149,7 @@
 		case lk.unwanted == 0:
 			lk.unwanted = awake
 		}
-		if lk.unwanted > 0 && awake-lk.unwanted >= ms.opts.Lost || ms.standsTwice(lk, awake) {
+		if lk.unwanted > 0 && awake-lk.unwanted >= ms.opts.LostAfter || ms.standsTwice(lk, awake) {
 			lk.closing = true
 			lk.close()
 		}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -292,7 +292,7 @@
 	ms.suspectSilent(now)
 	ms.mu.Unlock()
 	for _, m := range gone {
-		ms.logLost(m, "silent", "silence", ms.opts.Lost.String())
+		ms.logLost(m, "silent", "silence", ms.opts.LostAfter.String())
 		ms.opts.OnLost(m)
 	}
 }
@@ -302,18 +302,18 @@
 	var gone []Member
 	for name, r := range ms.records {
 		silence := awake - r.heard
-		if r.live && silence >= ms.opts.Lost {
+		if r.live && silence >= ms.opts.LostAfter {
 			r.live = false
 			ms.topology++
 			gone = append(gone, r.Member)
 		}
-		if silence >= max(forgetAfter, ms.opts.Lost) {
+		if silence >= max(forgetAfter, ms.opts.LostAfter) {
 			delete(ms.records, name)
 			ms.log.remove(r)
 		}
 	}
 	for lk := range ms.links {
-		if awake-lk.heard >= idleLosts*ms.opts.Lost {
+		if awake-lk.heard >= idleLosts*ms.opts.LostAfter {
 			lk.close()
 		}
 	}
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -86,8 +86,8 @@
 
 func TestPublishDoesNotWaitForTheInterval(t *testing.T) {
 	g := NewWithT(t)
-	a := startNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: never, Lost: 2 * never})
-	b := startNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: never, Lost: 2 * never, Seeds: []string{a.address()}})
+	a := startNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: never, LostAfter: 2 * never})
+	b := startNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: never, LostAfter: 2 * never, Seeds: []string{a.address()}})
 	g.Eventually(b.stateOf("a"), patience).Should(Equal("state of a"))
 	for i := range 5 {
 		a.publish([]byte(fmt.Sprint("new ", i)))
@@ -127,7 +127,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			// Nobody is lost by silence here.
-			o := Options{Lost: never}
+			o := Options{LostAfter: never}
 			o.Self = Member{Name: "a"}
 			a := startNode(t, o)
 			o.Seeds = []string{a.address()}
@@ -197,8 +197,8 @@
 			Seeds:             seeds,
 			HeartbeatInterval: 100 * time.Millisecond,
 			// So many members in one process may be slow under the race detector.
-			Lost:     patience,
-			FullMesh: full,
+			LostAfter: patience,
+			FullMesh:  full,
 		})
 		if i == 0 {
 			seeds = []string{nd.address()}
@@ -221,7 +221,7 @@
 
 func TestPartialMeshClosesSpareLinks(t *testing.T) {
 	g := NewWithT(t)
-	o := Options{FullMesh: 3, Lost: 2 * time.Second}
+	o := Options{FullMesh: 3, LostAfter: 2 * time.Second}
 	var nodes []*node
 	for i := range 9 {
 		o.Self = Member{Name: fmt.Sprint("m", i), AvailabilityZone: string(rune('x' + i%3))}
@@ -247,7 +247,7 @@
 
 func TestPartialMeshLosesOnlyTheDeadMember(t *testing.T) {
 	g := NewWithT(t)
-	o := Options{FullMesh: 3, Lost: 3 * time.Second, HeartbeatInterval: 100 * time.Millisecond}
+	o := Options{FullMesh: 3, LostAfter: 3 * time.Second, HeartbeatInterval: 100 * time.Millisecond}
 	var nodes []*node
 	var stop func()
 	for i := range 12 {
@@ -360,9 +360,9 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			// The first of two names dials.
-			leaver := newNode(t, Options{Self: Member{Name: tc.first}, Coalesce: 20 * time.Millisecond, Lost: never, Farewell: patience})
+			leaver := newNode(t, Options{Self: Member{Name: tc.first}, Coalesce: 20 * time.Millisecond, LostAfter: never, Farewell: patience})
 			stop := leaver.start(t)
-			stays := startNode(t, Options{Self: Member{Name: tc.second}, Seeds: []string{leaver.address()}, Lost: never})
+			stays := startNode(t, Options{Self: Member{Name: tc.second}, Seeds: []string{leaver.address()}, LostAfter: never})
 			g.Eventually(stays.stateOf(tc.first), patience).Should(Equal("state of " + tc.first))
 			g.Eventually(leaver.stateOf(tc.second), patience).Should(Equal("state of " + tc.second))
 			leaver.publish([]byte("nothing in flight"))
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -33,7 +33,7 @@
 	// Interval is the time between two heartbeats.
 	HeartbeatInterval time.Duration
 	// Lost is the silence after which a member is not live.
-	Lost time.Duration
+	LostAfter time.Duration
 	// Farewell bounds the time in which the last state is told when Serve and Run are asked to end.
 	Farewell time.Duration
 	// Coalesce is the least time between two sends that Publish causes.
@@ -92,7 +92,7 @@
 
 func (o Options) withDefaults() Options {
 	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultInterval)
-	o.Lost = cmp.Or(o.Lost, defaultLost)
+	o.LostAfter = cmp.Or(o.LostAfter, defaultLost)
 	o.Farewell = cmp.Or(o.Farewell, defaultFarewell)
 	o.Coalesce = cmp.Or(o.Coalesce, defaultCoalesce)
 	o.FullMesh = cmp.Or(o.FullMesh, defaultFullMesh)
--- a/internal/gossip/question_test.go
+++ b/internal/gossip/question_test.go
@@ -61,8 +61,8 @@
 
 func TestKnownCountsThoseLostLately(t *testing.T) {
 	g := NewWithT(t)
-	a := startNode(t, Options{Self: Member{Name: "a"}, Lost: 200 * time.Millisecond})
-	b := newNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}, Lost: 200 * time.Millisecond})
+	a := startNode(t, Options{Self: Member{Name: "a"}, LostAfter: 200 * time.Millisecond})
+	b := newNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}, LostAfter: 200 * time.Millisecond})
 	stop := b.start(t)
 	both := func() []int {
 		live, known := a.ms.Known()
--- a/internal/gossip/record.go
+++ b/internal/gossip/record.go
@@ -133,7 +133,7 @@
 	if e.Pulse == 0 {
 		return nil, nil
 	}
-	if r != nil && !c.follows(r) && (r.live || e.PulseAge >= ms.opts.Lost) {
+	if r != nil && !c.follows(r) && (r.live || e.PulseAge >= ms.opts.LostAfter) {
 		return nil, nil
 	}
 	var events []event
@@ -160,7 +160,7 @@
 	if r.card != c {
 		ms.takeCard(r, c)
 	}
-	if r.live || ms.awake.at(now)-r.heard >= ms.opts.Lost {
+	if r.live || ms.awake.at(now)-r.heard >= ms.opts.LostAfter {
 		ms.notePulse(r, now)
 		return false
 	}
--- a/internal/gossip/relay_test.go
+++ b/internal/gossip/relay_test.go
@@ -68,7 +68,7 @@
 // before those that they no longer hear of seem lost.
 func TestRelaysThatFallSilentAreReplaced(t *testing.T) {
 	g := NewWithT(t)
-	relays, others, silence := relayed(t, 12, Options{FullMesh: 3, HeartbeatInterval: 200 * time.Millisecond, Lost: 4 * time.Second})
+	relays, others, silence := relayed(t, 12, Options{FullMesh: 3, HeartbeatInterval: 200 * time.Millisecond, LostAfter: 4 * time.Second})
 	var names []string
 	for _, nd := range relays {
 		names = append(names, nd.ms.self.Name)
@@ -140,7 +140,7 @@
 		for i := range members {
 			nd := newNode(b, Options{
 				Self:  Member{Name: fmt.Sprintf("m%03d", i), AvailabilityZone: fmt.Sprint(i % 5)},
-				Seeds: seeds, HeartbeatInterval: defaultInterval, Lost: patience,
+				Seeds: seeds, HeartbeatInterval: defaultInterval, LostAfter: patience,
 			})
 			seeds = append(seeds, nd.address())[:min(len(seeds)+1, 3)]
 			wg.Go(func() { _ = nd.ms.Serve(ctx, nd.lis) })
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -36,7 +36,7 @@
 func (ms *Mesh) suspectSilent(now time.Time) {
 	awake := ms.awake.at(now)
 	for name, since := range ms.suspects {
-		if awake-since >= ms.opts.Lost {
+		if awake-since >= ms.opts.LostAfter {
 			delete(ms.suspects, name)
 			ms.topology++
 		}
