--- a/internal/gossip/farewell.go
+++ b/internal/gossip/farewell.go
@@ -24,7 +24,7 @@
 
 // tellLast publishes the state and waits until it is on its way by every link, or Options.Farewell is over.
 func (ms *Mesh) tellLast() {
-	over := time.NewTimer(ms.opts.Farewell)
+	over := time.NewTimer(ms.opts.FlushTimeout)
 	defer over.Stop()
 	look := time.NewTicker(farewellLook)
 	defer look.Stop()
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -35,7 +35,7 @@
 	// Lost is the silence after which a member is not live.
 	LostAfter time.Duration
 	// Farewell bounds the time in which the last state is told when Serve and Run are asked to end.
-	Farewell time.Duration
+	FlushTimeout time.Duration
 	// Coalesce is the least time between two sends that Publish causes.
 	Coalesce time.Duration
 	// FullMesh is the number of members up to which every two are linked; beyond it most are linked to two relays alone.
@@ -93,7 +93,7 @@
 func (o Options) withDefaults() Options {
 	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultInterval)
 	o.LostAfter = cmp.Or(o.LostAfter, defaultLost)
-	o.Farewell = cmp.Or(o.Farewell, defaultFarewell)
+	o.FlushTimeout = cmp.Or(o.FlushTimeout, defaultFarewell)
 	o.Coalesce = cmp.Or(o.Coalesce, defaultCoalesce)
 	o.FullMesh = cmp.Or(o.FullMesh, defaultFullMesh)
 	if o.Body == nil {
