--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -360,7 +360,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			// The first of two names dials.
-			leaver := newNode(t, Options{Self: Member{Name: tc.first}, Coalesce: 20 * time.Millisecond, LostAfter: never, FlushTimeout: patience})
+			leaver := newNode(t, Options{Self: Member{Name: tc.first}, MinSendInterval: 20 * time.Millisecond, LostAfter: never, FlushTimeout: patience})
 			stop := leaver.start(t)
 			stays := startNode(t, Options{Self: Member{Name: tc.second}, Seeds: []string{leaver.address()}, LostAfter: never})
 			g.Eventually(stays.stateOf(tc.first), patience).Should(Equal("state of " + tc.first))
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -37,7 +37,7 @@
 	// Farewell bounds the time in which the last state is told when Serve and Run are asked to end.
 	FlushTimeout time.Duration
 	// Coalesce is the least time between two sends that Publish causes.
-	Coalesce time.Duration
+	MinSendInterval time.Duration
 	// FullMesh is the number of members up to which every two are linked; beyond it most are linked to two relays alone.
 	FullMesh int
 	// Body returns this instance's state now. The slice must not be changed afterwards.
@@ -94,7 +94,7 @@
 	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultInterval)
 	o.LostAfter = cmp.Or(o.LostAfter, defaultLost)
 	o.FlushTimeout = cmp.Or(o.FlushTimeout, defaultFarewell)
-	o.Coalesce = cmp.Or(o.Coalesce, defaultCoalesce)
+	o.MinSendInterval = cmp.Or(o.MinSendInterval, defaultCoalesce)
 	o.FullMesh = cmp.Or(o.FullMesh, defaultFullMesh)
 	if o.Body == nil {
 		o.Body = func() []byte { return nil }
--- a/internal/gossip/pace.go
+++ b/internal/gossip/pace.go
@@ -11,7 +11,7 @@
 
 func (ms *Mesh) coalesceFor(links int) time.Duration {
 	beyond := max(0, links-ms.opts.FullMesh)
-	return min(ms.opts.HeartbeatInterval, ms.opts.Coalesce+time.Duration(beyond)*coalescePerLink)
+	return min(ms.opts.HeartbeatInterval, ms.opts.MinSendInterval+time.Duration(beyond)*coalescePerLink)
 }
 
 // Lag returns the time after which a new state of this instance is known to the others when all is well: the wait for
