--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -197,8 +197,8 @@
 			Seeds:             seeds,
 			HeartbeatInterval: 100 * time.Millisecond,
 			// So many members in one process may be slow under the race detector.
-			LostAfter: patience,
-			FullMesh:  full,
+			LostAfter:          patience,
+			MaxFullMeshMembers: full,
 		})
 		if i == 0 {
 			seeds = []string{nd.address()}
@@ -221,7 +221,7 @@
 
 func TestPartialMeshClosesSpareLinks(t *testing.T) {
 	g := NewWithT(t)
-	o := Options{FullMesh: 3, LostAfter: 2 * time.Second}
+	o := Options{MaxFullMeshMembers: 3, LostAfter: 2 * time.Second}
 	var nodes []*node
 	for i := range 9 {
 		o.Self = Member{Name: fmt.Sprint("m", i), AvailabilityZone: string(rune('x' + i%3))}
@@ -232,7 +232,7 @@
 	for _, nd := range nodes {
 		all = append(all, nd.ms.self.Member)
 	}
-	pl := newPlan(all, o.FullMesh)
+	pl := newPlan(all, o.MaxFullMeshMembers)
 	for i, nd := range nodes {
 		var planned []string
 		for j, m := range all {
@@ -247,7 +247,7 @@
 
 func TestPartialMeshLosesOnlyTheDeadMember(t *testing.T) {
 	g := NewWithT(t)
-	o := Options{FullMesh: 3, LostAfter: 3 * time.Second, HeartbeatInterval: 100 * time.Millisecond}
+	o := Options{MaxFullMeshMembers: 3, LostAfter: 3 * time.Second, HeartbeatInterval: 100 * time.Millisecond}
 	var nodes []*node
 	var stop func()
 	for i := range 12 {
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -39,7 +39,7 @@
 	// Coalesce is the least time between two sends that Publish causes.
 	MinSendInterval time.Duration
 	// FullMesh is the number of members up to which every two are linked; beyond it most are linked to two relays alone.
-	FullMesh int
+	MaxFullMeshMembers int
 	// Body returns this instance's state now. The slice must not be changed afterwards.
 	Body func() []byte
 	// Receive takes the newest state of a member, and when its sender made it by this instance's clock, or earlier. It is called
@@ -95,7 +95,7 @@
 	o.LostAfter = cmp.Or(o.LostAfter, defaultLost)
 	o.FlushTimeout = cmp.Or(o.FlushTimeout, defaultFarewell)
 	o.MinSendInterval = cmp.Or(o.MinSendInterval, defaultCoalesce)
-	o.FullMesh = cmp.Or(o.FullMesh, defaultFullMesh)
+	o.MaxFullMeshMembers = cmp.Or(o.MaxFullMeshMembers, defaultFullMesh)
 	if o.Body == nil {
 		o.Body = func() []byte { return nil }
 	}
--- a/internal/gossip/pace.go
+++ b/internal/gossip/pace.go
@@ -10,7 +10,7 @@
 }
 
 func (ms *Mesh) coalesceFor(links int) time.Duration {
-	beyond := max(0, links-ms.opts.FullMesh)
+	beyond := max(0, links-ms.opts.MaxFullMeshMembers)
 	return min(ms.opts.HeartbeatInterval, ms.opts.MinSendInterval+time.Duration(beyond)*coalescePerLink)
 }
 
--- a/internal/gossip/relay_test.go
+++ b/internal/gossip/relay_test.go
@@ -45,7 +45,7 @@
 	for _, nd := range nodes {
 		all = append(all, nd.ms.self.Member)
 	}
-	pl := newPlan(all, o.FullMesh)
+	pl := newPlan(all, o.MaxFullMeshMembers)
 	for _, nd := range nodes {
 		var rest []string
 		for _, m := range all {
@@ -68,7 +68,7 @@
 // before those that they no longer hear of seem lost.
 func TestRelaysThatFallSilentAreReplaced(t *testing.T) {
 	g := NewWithT(t)
-	relays, others, silence := relayed(t, 12, Options{FullMesh: 3, HeartbeatInterval: 200 * time.Millisecond, LostAfter: 4 * time.Second})
+	relays, others, silence := relayed(t, 12, Options{MaxFullMeshMembers: 3, HeartbeatInterval: 200 * time.Millisecond, LostAfter: 4 * time.Second})
 	var names []string
 	for _, nd := range relays {
 		names = append(names, nd.ms.self.Name)
@@ -90,7 +90,7 @@
 
 func TestMemberTakesHalfOfTheStatesFromEachRelay(t *testing.T) {
 	g := NewWithT(t)
-	relays, others, _ := relayed(t, 12, Options{FullMesh: 3})
+	relays, others, _ := relayed(t, 12, Options{MaxFullMeshMembers: 3})
 	g.Expect(relays).To(HaveLen(2))
 	nd := others[0]
 	nd.ms.mu.Lock()
--- a/internal/gossip/topology.go
+++ b/internal/gossip/topology.go
@@ -28,7 +28,7 @@
 	}
 	ms.planned, ms.plannedAt, ms.urgent = ms.topology, now, false
 	ms.plan = plan{full: true}
-	if ms.liveCount() > ms.opts.FullMesh {
+	if ms.liveCount() > ms.opts.MaxFullMeshMembers {
 		ms.plan = newPlan(ms.usableLocked(), 0)
 	}
 	ms.wantedNames = ms.wantedByPlan()
