--- a/internal/gossip/delay_test.go
+++ b/internal/gossip/delay_test.go
@@ -132,7 +132,7 @@
 	nd, ck := still(t)
 	provenAt := ck.now
 	var told time.Duration
-	nd.ms.opts.Body = func() []byte {
+	nd.ms.opts.State = func() []byte {
 		told = ck.now.Sub(provenAt)
 		ck.now = ck.now.Add(frozen)
 		return []byte("state")
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -238,7 +238,7 @@
 	number := ms.beginRefresh()
 	// The ages in a body hold from before it is made: a freeze until it is there must not make what it proves seem newer.
 	made := ms.opts.Now()
-	body := ms.opts.Body()
+	body := ms.opts.State()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.refreshed = number
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -41,7 +41,7 @@
 	// FullMesh is the number of members up to which every two are linked; beyond it most are linked to two relays alone.
 	MaxFullMeshMembers int
 	// Body returns this instance's state now. The slice must not be changed afterwards.
-	Body func() []byte
+	State func() []byte
 	// Receive takes the newest state of a member, and when its sender made it by this instance's clock, or earlier. It is called
 	// again with the last state when a lost member comes back.
 	Receive func(from Member, body []byte, made time.Time)
@@ -96,8 +96,8 @@
 	o.FlushTimeout = cmp.Or(o.FlushTimeout, defaultFarewell)
 	o.MinSendInterval = cmp.Or(o.MinSendInterval, defaultCoalesce)
 	o.MaxFullMeshMembers = cmp.Or(o.MaxFullMeshMembers, defaultFullMesh)
-	if o.Body == nil {
-		o.Body = func() []byte { return nil }
+	if o.State == nil {
+		o.State = func() []byte { return nil }
 	}
 	if o.Receive == nil {
 		o.Receive = func(Member, []byte, time.Time) {}
--- a/internal/peerstate/wire_test.go
+++ b/internal/peerstate/wire_test.go
@@ -62,7 +62,7 @@
 	nd := &node{lis: lis, heard: make(chan int, 16)}
 	nd.ms = gossip.New(gossip.Options{
 		Self:  gossip.Member{Name: name, Incarnation: name + "-1", Address: lis.Addr().String(), AvailabilityZone: name},
-		Seeds: seeds, HeartbeatInterval: quiet, LostAfter: 8 * quiet, Body: nd.state,
+		Seeds: seeds, HeartbeatInterval: quiet, LostAfter: 8 * quiet, State: nd.state,
 		Receive: func(_ gossip.Member, body []byte, _ time.Time) { nd.heard <- len(body) },
 		Log:     &log.Logger{Handler: discard.New()},
 	})
