--- a/internal/gossip/delay_test.go
+++ b/internal/gossip/delay_test.go
@@ -71,7 +71,7 @@
 			ck.now = ck.now.Add(time.Hour)
 			to := newNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: defaultInterval, Now: ck.read})
 			var age time.Duration
-			to.ms.opts.Receive = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
+			to.ms.opts.ReceiveState = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
 			wy := newWay(from, to)
 			for i, took := range append(tc.before, tc.took) {
 				from.body = []byte{byte(i)}
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -66,7 +66,7 @@
 	if o.Log == nil {
 		o.Log = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	}
-	o.State, o.Receive, o.OnLost = nd.state, nd.receive, nd.lose
+	o.State, o.ReceiveState, o.OnLost = nd.state, nd.receive, nd.lose
 	nd.ms = New(o)
 	return nd
 }
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -44,7 +44,7 @@
 	State func() []byte
 	// Receive takes the newest state of a member, and when its sender made it by this instance's clock, or earlier. It is called
 	// again with the last state when a lost member comes back.
-	Receive func(from Member, body []byte, made time.Time)
+	ReceiveState func(from Member, body []byte, made time.Time)
 	// Notes returns what this instance tells of itself beside its state, seldom: it is asked after PublishNotes alone. The slice must
 	// not be changed afterwards.
 	Notes func() []byte
@@ -99,8 +99,8 @@
 	if o.State == nil {
 		o.State = func() []byte { return nil }
 	}
-	if o.Receive == nil {
-		o.Receive = func(Member, []byte, time.Time) {}
+	if o.ReceiveState == nil {
+		o.ReceiveState = func(Member, []byte, time.Time) {}
 	}
 	if o.Notes == nil {
 		o.Notes = func() []byte { return nil }
--- a/internal/gossip/record.go
+++ b/internal/gossip/record.go
@@ -84,7 +84,7 @@
 			ms.opts.ReceiveNotes(ev.member, ev.body, ev.made)
 			continue
 		}
-		ms.opts.Receive(ev.member, ev.body, ev.made)
+		ms.opts.ReceiveState(ev.member, ev.body, ev.made)
 	}
 }
 
--- a/internal/gossip/record_test.go
+++ b/internal/gossip/record_test.go
@@ -73,7 +73,7 @@
 	g := NewWithT(t)
 	a, ck := still(t)
 	var ages []time.Duration
-	a.ms.opts.Receive = func(_ Member, _ []byte, made time.Time) { ages = append(ages, ck.now.Sub(made)) }
+	a.ms.opts.ReceiveState = func(_ Member, _ []byte, made time.Time) { ages = append(ages, ck.now.Sub(made)) }
 	a.hears(cardB, entry{Pulse: 1, State: part{Version: 1, Age: 30 * time.Millisecond}})
 	a.beats(ck, int(defaultLost/defaultInterval))
 	a.hears(cardB, entry{Pulse: 2})
@@ -101,7 +101,7 @@
 			g := NewWithT(t)
 			a, ck := still(t)
 			var age time.Duration
-			a.ms.opts.Receive = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
+			a.ms.opts.ReceiveState = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
 			a.beats(ck, 10)
 			a.hears(cardB, entry{Pulse: 1, State: part{Version: 1, Age: told}})
 			g.Expect(age).To(Equal(told))
--- a/internal/peerstate/wire_test.go
+++ b/internal/peerstate/wire_test.go
@@ -63,8 +63,8 @@
 	nd.ms = gossip.New(gossip.Options{
 		Self:  gossip.Member{Name: name, Incarnation: name + "-1", Address: lis.Addr().String(), AvailabilityZone: name},
 		Seeds: seeds, HeartbeatInterval: quiet, LostAfter: 8 * quiet, State: nd.state,
-		Receive: func(_ gossip.Member, body []byte, _ time.Time) { nd.heard <- len(body) },
-		Log:     &log.Logger{Handler: discard.New()},
+		ReceiveState: func(_ gossip.Member, body []byte, _ time.Time) { nd.heard <- len(body) },
+		Log:          &log.Logger{Handler: discard.New()},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
