--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -41,7 +41,7 @@
 		body, found := ms.opts.Answer(rq.Name, rq.Body)
 		return &document{Found: found, Body: body}
 	}
-	body, found := ms.opts.Serve(rq.Name)
+	body, found := ms.opts.HandleFetch(rq.Name)
 	return &document{Found: found, Body: body}
 }
 
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -156,7 +156,7 @@
 	for _, closed := range []string{"a", "b", "c"} {
 		t.Run(closed+" cannot be dialled", func(t *testing.T) {
 			g := NewWithT(t)
-			o := Options{Serve: func(name string) ([]byte, bool) { return []byte("the " + name), name == "map" }}
+			o := Options{HandleFetch: func(name string) ([]byte, bool) { return []byte("the " + name), name == "map" }}
 			seed := startNode(t, Options{Self: Member{Name: "s"}})
 			o.Seeds = []string{seed.address()}
 			nodes := map[string]*node{}
@@ -271,7 +271,7 @@
 func TestFetch(t *testing.T) {
 	serve := func(name string) ([]byte, bool) { return bytes.Repeat([]byte("x"), 1<<20), name == "map" }
 	g := NewWithT(t)
-	a := startNode(t, Options{Self: Member{Name: "a"}, Serve: serve})
+	a := startNode(t, Options{Self: Member{Name: "a"}, HandleFetch: serve})
 	b := startNode(t, Options{Self: Member{Name: "b"}})
 	body, err := b.ms.Fetch(t.Context(), a.ms.self.Member, "map")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -53,7 +53,7 @@
 	// OnLost is called once when a member is lost, and when another incarnation replaces it.
 	OnLost func(Member)
 	// Serve returns a document that a peer asked for. It may be called by several goroutines at once.
-	Serve func(name string) ([]byte, bool)
+	HandleFetch func(name string) ([]byte, bool)
 	// Answer answers a question that a peer puts under a name. It may be called by several goroutines at once, and must be short.
 	Answer func(name string, question []byte) ([]byte, bool)
 	// Log is the part's logger.
@@ -111,8 +111,8 @@
 	if o.OnLost == nil {
 		o.OnLost = func(Member) {}
 	}
-	if o.Serve == nil {
-		o.Serve = func(string) ([]byte, bool) { return nil, false }
+	if o.HandleFetch == nil {
+		o.HandleFetch = func(string) ([]byte, bool) { return nil, false }
 	}
 	if o.Answer == nil {
 		o.Answer = func(string, []byte) ([]byte, bool) { return nil, false }
