--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -128,7 +128,7 @@
 			AvailabilityZone: env.Settings.AvailabilityZone, Megabits: uint64(gw.Megabits),
 		},
 		Seeds: gw.Seeds, MinSendInterval: coalesce, State: du.body, ReceiveState: du.receive, Notes: du.notes, ReceiveNotes: du.receiveNotes, OnLost: du.lost, HandleFetch: du.serve, Log: du.lg,
-		Answer: func(name string, question []byte) ([]byte, bool) { return du.permits.answer(name, question) },
+		HandleQuery: func(name string, question []byte) ([]byte, bool) { return du.permits.answer(name, question) },
 	}
 }
 
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -38,7 +38,7 @@
 
 func (ms *Mesh) serveDocument(rq *request) *document {
 	if len(rq.Body) > 0 {
-		body, found := ms.opts.Answer(rq.Name, rq.Body)
+		body, found := ms.opts.HandleQuery(rq.Name, rq.Body)
 		return &document{Found: found, Body: body}
 	}
 	body, found := ms.opts.HandleFetch(rq.Name)
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -55,7 +55,7 @@
 	// Serve returns a document that a peer asked for. It may be called by several goroutines at once.
 	HandleFetch func(name string) ([]byte, bool)
 	// Answer answers a question that a peer puts under a name. It may be called by several goroutines at once, and must be short.
-	Answer func(name string, question []byte) ([]byte, bool)
+	HandleQuery func(name string, question []byte) ([]byte, bool)
 	// Log is the part's logger.
 	Log log.Interface
 	// Now is a steady clock.
@@ -114,8 +114,8 @@
 	if o.HandleFetch == nil {
 		o.HandleFetch = func(string) ([]byte, bool) { return nil, false }
 	}
-	if o.Answer == nil {
-		o.Answer = func(string, []byte) ([]byte, bool) { return nil, false }
+	if o.HandleQuery == nil {
+		o.HandleQuery = func(string, []byte) ([]byte, bool) { return nil, false }
 	}
 	if o.Log == nil {
 		o.Log = log.Log
--- a/internal/gossip/question_test.go
+++ b/internal/gossip/question_test.go
@@ -13,7 +13,7 @@
 
 func TestAsk(t *testing.T) {
 	g := NewWithT(t)
-	a := startNode(t, Options{Self: Member{Name: "a"}, Answer: echo})
+	a := startNode(t, Options{Self: Member{Name: "a"}, HandleQuery: echo})
 	// One that is linked to a, and one that is not.
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
 	c := startNode(t, Options{Self: Member{Name: "c"}})
