--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -82,7 +82,7 @@
 }
 
 func newStandIn(mb gossip.Member) standIn {
-	return standIn{name: mb.Name, storeless: mb.Storeless, megabits: mb.Megabits, hash: xxhash.Sum64String(mb.Name)}
+	return standIn{name: mb.Name, storeless: mb.Storeless, megabits: mb.BandwidthMbps, hash: xxhash.Sum64String(mb.Name)}
 }
 
 // compare puts those that the store answers first, and then those with more of the network.
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -72,11 +72,11 @@
 	g := NewWithT(t)
 	live := fleet(20, "a", "b", "c")
 	for i := range live {
-		live[i].Megabits = 20
+		live[i].BandwidthMbps = 20
 	}
 	large := []int{7, 33, 51}
 	for _, i := range large {
-		live[i].Megabits = 200
+		live[i].BandwidthMbps = 200
 	}
 	for _, i := range large {
 		g.Expect(part(live[i], live)).To(Equal(forwarding.PartFollower))
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -125,7 +125,7 @@
 	return gossip.Options{
 		Self: gossip.Member{
 			Name: env.Settings.Instance, Incarnation: env.Incarnation, Address: gw.Peers,
-			AvailabilityZone: env.Settings.AvailabilityZone, Megabits: uint64(gw.Megabits),
+			AvailabilityZone: env.Settings.AvailabilityZone, BandwidthMbps: uint64(gw.Megabits),
 		},
 		Seeds: gw.Seeds, MinSendInterval: coalesce, State: du.body, ReceiveState: du.receive, Notes: du.notes, ReceiveNotes: du.receiveNotes, OnLost: du.lost, HandleFetch: du.serve, Log: du.lg,
 		HandleQuery: func(name string, question []byte) ([]byte, bool) { return du.permits.answer(name, question) },
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -16,7 +16,7 @@
 	Address          string
 	AvailabilityZone string
 	// Megabits is the instance's share of the network, in Mbit/s; 0 when it is not known. Those with more relay first.
-	Megabits uint64
+	BandwidthMbps uint64
 	// Stopping says that the process takes no new work.
 	Stopping bool
 	// Storeless says that the object store leaves the process without an answer. It is told of few members, since each change is
--- a/internal/gossip/plan.go
+++ b/internal/gossip/plan.go
@@ -55,7 +55,7 @@
 // seconds: one of 20 Mbit/s and a fifth of a core refused a key 11 s after the configuration that has it was in force.
 func relayCount(cs []candidate) int {
 	count := min(len(cs), max(relaysLeast, (len(cs)+membersPerRelay-1)/membersPerRelay))
-	for count > relaysLeast && cs[count-1].Megabits < cs[0].Megabits/relayDivisor {
+	for count > relaysLeast && cs[count-1].BandwidthMbps < cs[0].BandwidthMbps/relayDivisor {
 		count--
 	}
 	return count
@@ -77,7 +77,7 @@
 		}
 		return -1
 	}
-	return cmp.Or(cmp.Compare(other.Megabits, c.Megabits), cmp.Compare(c.hash, other.hash), cmp.Compare(c.Name, other.Name))
+	return cmp.Or(cmp.Compare(other.BandwidthMbps, c.BandwidthMbps), cmp.Compare(c.hash, other.hash), cmp.Compare(c.Name, other.Name))
 }
 
 // relay reports whether a member is a relay.
--- a/internal/gossip/plan_test.go
+++ b/internal/gossip/plan_test.go
@@ -115,11 +115,11 @@
 	g := NewWithT(t)
 	members := zoned(60, 3)
 	for i := range members {
-		members[i].Megabits = 20
+		members[i].BandwidthMbps = 20
 	}
 	large := []int{6, 27, 43}
 	for _, i := range large {
-		members[i].Megabits = 200
+		members[i].BandwidthMbps = 200
 	}
 	pl := newPlan(members, defaultFullMesh)
 	for _, i := range large {
@@ -145,9 +145,9 @@
 			g := NewWithT(t)
 			members := zoned(64, 1)
 			for i := range members {
-				members[i].Megabits = 20
+				members[i].BandwidthMbps = 20
 				if i < tt.large {
-					members[i].Megabits = 200
+					members[i].BandwidthMbps = 200
 				}
 			}
 			relays := newPlan(members, defaultFullMesh).relays["z0"]
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -212,7 +212,7 @@
 	b = appendBytes(b, cardAddress, []byte(c.Address))
 	b = appendBytes(b, cardZone, []byte(c.AvailabilityZone))
 	b = appendBool(b, cardStopping, c.Stopping)
-	b = appendVarint(b, cardMegabits, c.Megabits)
+	b = appendVarint(b, cardMegabits, c.BandwidthMbps)
 	b = appendBool(b, cardStoreless, c.Storeless)
 	return appendVarint(b, cardGeneration, c.Generation)
 }
@@ -334,7 +334,7 @@
 	case cardGeneration:
 		c.Generation = f.varint
 	case cardMegabits:
-		c.Megabits = f.varint
+		c.BandwidthMbps = f.varint
 	}
 	return nil
 }
