--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -66,7 +66,7 @@
 func allAnswered(live []gossip.Member) []gossip.Member {
 	all := slices.Clone(live)
 	for i := range all {
-		all[i].Storeless = false
+		all[i].StoreUnreachable = false
 	}
 	return all
 }
@@ -82,7 +82,7 @@
 }
 
 func newStandIn(mb gossip.Member) standIn {
-	return standIn{name: mb.Name, storeless: mb.Storeless, megabits: mb.BandwidthMbps, hash: xxhash.Sum64String(mb.Name)}
+	return standIn{name: mb.Name, storeless: mb.StoreUnreachable, megabits: mb.BandwidthMbps, hash: xxhash.Sum64String(mb.Name)}
 }
 
 // compare puts those that the store answers first, and then those with more of the network.
@@ -141,7 +141,7 @@
 	all := live()
 	storeless := 0
 	for _, mb := range all {
-		if mb.Storeless {
+		if mb.StoreUnreachable {
 			storeless++
 		}
 	}
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -161,7 +161,7 @@
 			var told []bool
 			live := fleet(20, "a")
 			for i := range tc.storeless {
-				live[i].Storeless = true
+				live[i].StoreUnreachable = true
 			}
 			reach(tc.answered, tc.part, func() []gossip.Member { return live }, func(storeless bool) { told = append(told, storeless) })
 			NewWithT(t).Expect(told).To(Equal(tc.want))
@@ -185,7 +185,7 @@
 	struck := answered(live, followersOf(live))
 	for i := range live {
 		if count > len(struck) || slices.Contains(struck[:count], live[i].Name) {
-			live[i].Storeless = true
+			live[i].StoreUnreachable = true
 		}
 	}
 }
@@ -193,7 +193,7 @@
 // answered returns the named members that the store answers.
 func answered(live []gossip.Member, names []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool {
-		return slices.ContainsFunc(live, func(mb gossip.Member) bool { return mb.Name == name && mb.Storeless })
+		return slices.ContainsFunc(live, func(mb gossip.Member) bool { return mb.Name == name && mb.StoreUnreachable })
 	})
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -220,10 +220,10 @@
 func (ms *Mesh) SetStoreless(storeless bool) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	if ms.self.Storeless == storeless {
+	if ms.self.StoreUnreachable == storeless {
 		return
 	}
-	ms.self.Storeless = storeless
+	ms.self.StoreUnreachable = storeless
 	ms.self.pulse++
 	ms.log.touch(ms.self, changedAll)
 	ms.storeless++
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -340,7 +340,7 @@
 	for _, storeless := range []bool{true, false, true} {
 		before := b.ms.Version()
 		a.ms.SetStoreless(storeless)
-		g.Eventually(func() bool { return b.ms.Live()[0].Storeless }, patience).Should(Equal(storeless))
+		g.Eventually(func() bool { return b.ms.Live()[0].StoreUnreachable }, patience).Should(Equal(storeless))
 		g.Expect(b.ms.Version()).To(BeNumerically(">", before))
 	}
 	g.Expect(b.lostMembers()).To(BeEmpty())
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -21,7 +21,7 @@
 	Stopping bool
 	// Storeless says that the object store leaves the process without an answer. It is told of few members, since each change is
 	// passed on to all.
-	Storeless bool
+	StoreUnreachable bool
 }
 
 // Options are what New needs. Callbacks are called one at a time; they must be short and must not call Fetch.
--- a/internal/gossip/record.go
+++ b/internal/gossip/record.go
@@ -175,7 +175,7 @@
 	before := r.card
 	r.card = c
 	ms.log.touch(r, changedAll)
-	before.Storeless = c.Storeless
+	before.StoreUnreachable = c.StoreUnreachable
 	if before == c {
 		ms.storeless++
 		ms.signal()
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -213,7 +213,7 @@
 	b = appendBytes(b, cardZone, []byte(c.AvailabilityZone))
 	b = appendBool(b, cardStopping, c.Stopping)
 	b = appendVarint(b, cardMegabits, c.BandwidthMbps)
-	b = appendBool(b, cardStoreless, c.Storeless)
+	b = appendBool(b, cardStoreless, c.StoreUnreachable)
 	return appendVarint(b, cardGeneration, c.Generation)
 }
 
@@ -328,7 +328,7 @@
 	case cardZone:
 		c.AvailabilityZone = string(f.bytes)
 	case cardStoreless:
-		c.Storeless = f.varint != 0
+		c.StoreUnreachable = f.varint != 0
 	case cardStopping:
 		c.Stopping = f.varint != 0
 	case cardGeneration:
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -37,7 +37,7 @@
 			Member: Member{
 				Name: rapid.String().Draw(rt, "name"), Incarnation: rapid.String().Draw(rt, "incarnation"),
 				Address: rapid.String().Draw(rt, "address"), AvailabilityZone: rapid.String().Draw(rt, "zone"),
-				Stopping: rapid.Bool().Draw(rt, "stopping"), Storeless: rapid.Bool().Draw(rt, "storeless"), BandwidthMbps: rapid.Uint64().Draw(rt, "megabits"),
+				Stopping: rapid.Bool().Draw(rt, "stopping"), StoreUnreachable: rapid.Bool().Draw(rt, "storeless"), BandwidthMbps: rapid.Uint64().Draw(rt, "megabits"),
 			},
 			Generation: rapid.Uint64().Draw(rt, "generation"),
 		}
