--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -217,7 +217,7 @@
 }
 
 // SetStoreless tells all members whether the object store leaves this instance without an answer.
-func (ms *Mesh) SetStoreless(storeless bool) {
+func (ms *Mesh) SetStoreUnreachable(storeless bool) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	if ms.self.StoreUnreachable == storeless {
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -339,7 +339,7 @@
 	g.Eventually(b.names, patience).Should(Equal([]string{"a", "b"}))
 	for _, storeless := range []bool{true, false, true} {
 		before := b.ms.Version()
-		a.ms.SetStoreless(storeless)
+		a.ms.SetStoreUnreachable(storeless)
 		g.Eventually(func() bool { return b.ms.Live()[0].StoreUnreachable }, patience).Should(Equal(storeless))
 		g.Expect(b.ms.Version()).To(BeNumerically(">", before))
 	}
