--- a/internal/gossip/delay_test.go
+++ b/internal/gossip/delay_test.go
@@ -75,7 +75,7 @@
 			wy := newWay(from, to)
 			for i, took := range append(tc.before, tc.took) {
 				from.body = []byte{byte(i)}
-				from.ms.Publish()
+				from.ms.PublishState()
 				from.ms.refresh()
 				sent := wy.send(g)
 				to.awaits(ck, took)
--- a/internal/gossip/farewell.go
+++ b/internal/gossip/farewell.go
@@ -31,7 +31,7 @@
 	ms.mu.Lock()
 	before := ms.refreshing
 	ms.mu.Unlock()
-	ms.Publish()
+	ms.PublishState()
 	for last := uint64(0); ; {
 		select {
 		case <-look.C:
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -147,7 +147,7 @@
 }
 
 // Publish says that this instance's state has changed. It never blocks.
-func (ms *Mesh) Publish() {
+func (ms *Mesh) PublishState() {
 	ms.published.Store(true)
 	ms.signal()
 }
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -106,7 +106,7 @@
 	nd.mu.Lock()
 	nd.body = body
 	nd.mu.Unlock()
-	nd.ms.Publish()
+	nd.ms.PublishState()
 }
 
 func (nd *node) receive(from Member, body []byte, _ time.Time) {
--- a/internal/peerstate/wire_test.go
+++ b/internal/peerstate/wire_test.go
@@ -88,7 +88,7 @@
 func (nd *node) publish(g Gomega, peer *node, body []byte) int64 {
 	before := peer.received.Load()
 	nd.body.Store(&body)
-	nd.ms.Publish()
+	nd.ms.PublishState()
 	g.Eventually(peer.heard, arrives).Should(Receive(Equal(len(body))))
 	return peer.received.Load() - before
 }
@@ -104,7 +104,7 @@
 	here.body.Store(&first)
 	g.Eventually(func() <-chan int {
 		// Each signal also dials again, should the first attempt have failed.
-		here.ms.Publish()
+		here.ms.PublishState()
 		return there.heard
 	}, arrives).Should(Receive(Equal(len(first))))
 	t.Logf("link and first state: %d bytes", there.received.Load())
