--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -167,7 +167,7 @@
 }
 
 // Links returns the number of links to other members.
-func (ms *Mesh) Links() int {
+func (ms *Mesh) LinkCount() int {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	return len(ms.links)
