--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -107,7 +107,7 @@
 	pt.Changed.Set(du.ms.PublishState)
 	pt.Noted.Set(du.ms.PublishNotes)
 	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.LinkCount()) })
-	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.Subscribers()) })
+	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.SubscriberCount()) })
 	pt.Dispatcher.SetLag(du.ms.Lag)
 	fl := &follower{self: op.Self, lg: du.lg}
 	pt.Followers.Set(func() forwarding.Part { return fl.of(du.ms) })
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -174,7 +174,7 @@
 }
 
 // Subscribers returns how many members take all states from this one.
-func (ms *Mesh) Subscribers() int {
+func (ms *Mesh) SubscriberCount() int {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	return len(ms.subscribers)
