--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -167,7 +167,7 @@
 func (fl *follower) of(ms *gossip.Mesh) forwarding.Part {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	if version := ms.Version(); version != fl.version {
+	if version := ms.MembershipVersion(); version != fl.version {
 		fl.version = version
 		fl.newest = fl.part(ms.Live())
 	}
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -71,7 +71,7 @@
 func (ps *permits) members() ([]gossip.Member, []permit.Candidate) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	version := ps.mesh.Version()
+	version := ps.mesh.MembershipVersion()
 	if ps.live != nil && version == ps.version {
 		return ps.live, ps.candidates
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -181,7 +181,7 @@
 }
 
 // Version returns the version of the list of members and of what is known of their links: while it stays, so does Live.
-func (ms *Mesh) Version() uint64 {
+func (ms *Mesh) MembershipVersion() uint64 {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	return ms.topology + ms.storeless
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -338,10 +338,10 @@
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
 	g.Eventually(b.names, patience).Should(Equal([]string{"a", "b"}))
 	for _, storeless := range []bool{true, false, true} {
-		before := b.ms.Version()
+		before := b.ms.MembershipVersion()
 		a.ms.SetStoreUnreachable(storeless)
 		g.Eventually(func() bool { return b.ms.Live()[0].StoreUnreachable }, patience).Should(Equal(storeless))
-		g.Expect(b.ms.Version()).To(BeNumerically(">", before))
+		g.Expect(b.ms.MembershipVersion()).To(BeNumerically(">", before))
 	}
 	g.Expect(b.lostMembers()).To(BeEmpty())
 }
