--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -126,7 +126,7 @@
 	if !li.Named {
 		li = ratelimit.Of(qu.PerSecond)
 	}
-	return ps.issuer.Issue(qu.Target, li, permit.LimitShare(ps.mesh.Known()), time.Duration(qu.WaitUS)*time.Microsecond)
+	return ps.issuer.Issue(qu.Target, li, permit.LimitShare(ps.mesh.MemberCounts()), time.Duration(qu.WaitUS)*time.Microsecond)
 }
 
 // answer answers a peer's question.
--- a/internal/gossip/question.go
+++ b/internal/gossip/question.go
@@ -123,7 +123,7 @@
 
 // Known returns how many instances live by what this one hears, itself among them, and how many it knew within the last minute; those that
 // said farewell are left out of both.
-func (ms *Mesh) Known() (live, known int) {
+func (ms *Mesh) MemberCounts() (live, known int) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	live, known = 1, 1
--- a/internal/gossip/question_test.go
+++ b/internal/gossip/question_test.go
@@ -65,7 +65,7 @@
 	b := newNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}, LostAfter: 200 * time.Millisecond})
 	stop := b.start(t)
 	both := func() []int {
-		live, known := a.ms.Known()
+		live, known := a.ms.MemberCounts()
 		return []int{live, known}
 	}
 	g.Eventually(both, patience).Should(Equal([]int{2, 2}))
