--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return permit.Decision{}, errors.Wrap(err, "encode question")
 	}
-	b, err = ps.mesh.Ask(ctx, issuer, permitQuestion, b)
+	b, err = ps.mesh.Query(ctx, issuer, permitQuestion, b)
 	if err != nil {
 		return permit.Decision{}, errors.Wrap(err, "ask for permit")
 	}
--- a/internal/gossip/question.go
+++ b/internal/gossip/question.go
@@ -18,7 +18,7 @@
 
 // Ask puts a question under a name to a member: over the link to it, if there is one, else over a connection that then rests for the next
 // question. Answers are small, and come within a round trip.
-func (ms *Mesh) Ask(ctx context.Context, m Member, name string, question []byte) ([]byte, error) {
+func (ms *Mesh) Query(ctx context.Context, m Member, name string, question []byte) ([]byte, error) {
 	rq := request{Name: name, Body: question}
 	doc, err := ms.put(ctx, m, rq)
 	if err != nil {
--- a/internal/gossip/question_test.go
+++ b/internal/gossip/question_test.go
@@ -20,15 +20,15 @@
 	g.Eventually(b.stateOf("a"), patience).Should(Equal("state of a"))
 	for _, nd := range []*node{b, c} {
 		for range 3 {
-			answer, err := nd.ms.Ask(t.Context(), a.ms.self.Member, "echo", []byte("hello"))
+			answer, err := nd.ms.Query(t.Context(), a.ms.self.Member, "echo", []byte("hello"))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(string(answer)).To(Equal("hello"))
 		}
-		_, err := nd.ms.Ask(t.Context(), a.ms.self.Member, "other", []byte("hello"))
+		_, err := nd.ms.Query(t.Context(), a.ms.self.Member, "other", []byte("hello"))
 		g.Expect(err).To(MatchError(&MissingError{Instance: "a", Document: "other"}))
 	}
 	g.Expect(c.ms.resting.count).To(Equal(1), "the connection is used again")
-	_, err := c.ms.Ask(t.Context(), Member{Name: "d", Address: deadAddress(t)}, "echo", []byte("hello"))
+	_, err := c.ms.Query(t.Context(), Member{Name: "d", Address: deadAddress(t)}, "echo", []byte("hello"))
 	g.Expect(err).To(MatchError(ContainSubstring("dial peer")))
 }
 
@@ -39,7 +39,7 @@
 	b := startNode(t, Options{Self: Member{Name: "b"}})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, err := b.ms.Ask(ctx, Member{Name: "a", Address: silent.Addr().String()}, "echo", []byte("hello"))
+	_, err := b.ms.Query(ctx, Member{Name: "a", Address: silent.Addr().String()}, "echo", []byte("hello"))
 	g.Expect(err).To(MatchError(context.DeadlineExceeded))
 	g.Expect(b.ms.resting.count).To(BeZero())
 }
