--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -108,7 +108,7 @@
 	pt.Noted.Set(du.ms.PublishNotes)
 	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.LinkCount()) })
 	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.SubscriberCount()) })
-	pt.Dispatcher.SetLag(du.ms.Lag)
+	pt.Dispatcher.SetLag(du.ms.PropagationDelay)
 	fl := &follower{self: op.Self, lg: du.lg}
 	pt.Followers.Set(func() forwarding.Part { return fl.of(du.ms) })
 	pt.Followers.SetReach(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreUnreachable) })
--- a/internal/gossip/pace.go
+++ b/internal/gossip/pace.go
@@ -16,7 +16,7 @@
 
 // Lag returns the time after which a new state of this instance is known to the others when all is well: the wait for
 // the next send, and that of two relays where there are any.
-func (ms *Mesh) Lag() time.Duration {
+func (ms *Mesh) PropagationDelay() time.Duration {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.replan()
