--- a/internal/gossip/topology.go
+++ b/internal/gossip/topology.go
@@ -9,7 +9,7 @@
 
 // Source reports whether this instance should take from a member what all need: from each other one when it is itself one of
 // those that others take it from, else only from the relays that it subscribes to.
-func (ms *Mesh) Source(m Member) bool {
+func (ms *Mesh) IsUpstream(m Member) bool {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.replan()
