--- a/internal/gossip/failure.go
+++ b/internal/gossip/failure.go
@@ -7,10 +7,10 @@
 func (me *MalformedError) Error() string { return "malformed gossip message: " + me.Message }
 
 // SelfError says that an address led back to this instance.
-type SelfError struct{ Address string }
+type SelfDialError struct{ Address string }
 
 // Error names the address.
-func (se *SelfError) Error() string { return "address " + se.Address + " is this instance" }
+func (se *SelfDialError) Error() string { return "address " + se.Address + " is this instance" }
 
 // MissingError says that a peer has no document of a name.
 type MissingError struct{ Instance, Document string }
--- a/internal/gossip/link.go
+++ b/internal/gossip/link.go
@@ -275,7 +275,7 @@
 		ds.reached = m.Name
 	}
 	if isSelf {
-		return &SelfError{Address: lk.address}
+		return &SelfDialError{Address: lk.address}
 	}
 	if first {
 		// What is asked of the peer depends on who it is.
