--- a/internal/gossip/failure.go
+++ b/internal/gossip/failure.go
@@ -13,10 +13,10 @@
 func (se *SelfDialError) Error() string { return "address " + se.Address + " is this instance" }
 
 // MissingError says that a peer has no document of a name.
-type MissingError struct{ Instance, Document string }
+type NotFoundError struct{ Instance, Document string }
 
 // Error names the peer and the document.
-func (me *MissingError) Error() string {
+func (me *NotFoundError) Error() string {
 	return "instance " + me.Instance + " has no document " + me.Document
 }
 
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -53,7 +53,7 @@
 		return nil, err
 	}
 	if !doc.Found {
-		return nil, &MissingError{Instance: m.Name, Document: name}
+		return nil, &NotFoundError{Instance: m.Name, Document: name}
 	}
 	return doc.Body, nil
 }
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -180,7 +180,7 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(string(body)).To(Equal("the map"))
 				_, err = nd.ms.Fetch(t.Context(), nodes[closed].ms.self.Member, "other")
-				g.Expect(err).To(MatchError(&MissingError{Instance: closed, Document: "other"}))
+				g.Expect(err).To(MatchError(&NotFoundError{Instance: closed, Document: "other"}))
 			}
 		})
 	}
@@ -277,7 +277,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(HaveLen(1 << 20))
 	_, err = b.ms.Fetch(t.Context(), a.ms.self.Member, "other")
-	g.Expect(err).To(MatchError(&MissingError{Instance: "a", Document: "other"}))
+	g.Expect(err).To(MatchError(&NotFoundError{Instance: "a", Document: "other"}))
 	_, err = b.ms.Fetch(t.Context(), Member{Name: "c", Address: deadAddress(t)}, "map")
 	g.Expect(err).To(MatchError(ContainSubstring("dial peer")))
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/gossip/question.go
+++ b/internal/gossip/question.go
@@ -25,7 +25,7 @@
 		return nil, err
 	}
 	if !doc.Found {
-		return nil, &MissingError{Instance: m.Name, Document: name}
+		return nil, &NotFoundError{Instance: m.Name, Document: name}
 	}
 	return doc.Body, nil
 }
--- a/internal/gossip/question_test.go
+++ b/internal/gossip/question_test.go
@@ -25,7 +25,7 @@
 			g.Expect(string(answer)).To(Equal("hello"))
 		}
 		_, err := nd.ms.Query(t.Context(), a.ms.self.Member, "other", []byte("hello"))
-		g.Expect(err).To(MatchError(&MissingError{Instance: "a", Document: "other"}))
+		g.Expect(err).To(MatchError(&NotFoundError{Instance: "a", Document: "other"}))
 	}
 	g.Expect(c.ms.resting.count).To(Equal(1), "the connection is used again")
 	_, err := c.ms.Query(t.Context(), Member{Name: "d", Address: deadAddress(t)}, "echo", []byte("hello"))
