--- a/internal/gossip/changes.go
+++ b/internal/gossip/changes.go
@@ -9,55 +9,55 @@
 // by it what its peer lacks: what a link keeps does not grow with the number of members.
 type changeLog struct {
 	// last is the number of the newest change.
-	last uint64
+	newest uint64
 	// order holds the records, the last changed first.
-	order list.List
+	byRecency list.List
 }
 
 // changed says what of a record is new.
-type changed int
+type changeKind int
 
 const (
 	// changedPulse is a newer pulse alone.
-	changedPulse changed = iota
+	heartbeatChanged changeKind = iota
 	// changedAll is all there is to tell, the card too.
-	changedAll
+	everythingChanged
 )
 
 // touch notes a change of a record, which the log need not have held before.
-func (cl *changeLog) touch(r *record, what changed) {
-	cl.last++
-	r.changed = cl.last
-	if what >= changedAll {
-		r.cardChanged, r.state.changed, r.notes.changed = cl.last, cl.last, cl.last
+func (cl *changeLog) touch(r *record, what changeKind) {
+	cl.newest++
+	r.lastChange = cl.newest
+	if what >= everythingChanged {
+		r.infoChange, r.state.lastChange, r.notes.lastChange = cl.newest, cl.newest, cl.newest
 	}
-	if r.place == nil {
-		r.place = cl.order.PushFront(r)
+	if r.element == nil {
+		r.element = cl.byRecency.PushFront(r)
 		return
 	}
-	cl.order.MoveToFront(r.place)
+	cl.byRecency.MoveToFront(r.element)
 }
 
 // touchTold notes a change of what a member tells of itself, and of its pulse.
-func (cl *changeLog) touchTold(r *record, td *told) {
-	cl.touch(r, changedPulse)
-	td.changed = cl.last
+func (cl *changeLog) touchPayload(r *record, td *storedPayload) {
+	cl.touch(r, heartbeatChanged)
+	td.lastChange = cl.newest
 }
 
 // remove forgets a record.
 func (cl *changeLog) remove(r *record) {
-	if r.place != nil {
-		cl.order.Remove(r.place)
-		r.place = nil
+	if r.element != nil {
+		cl.byRecency.Remove(r.element)
+		r.element = nil
 	}
 }
 
 // since returns the records that changed after a change, the last changed first. The log must not change meanwhile.
 func (cl *changeLog) since(number uint64) iter.Seq[*record] {
 	return func(yield func(*record) bool) {
-		for el := cl.order.Front(); el != nil; el = el.Next() {
+		for el := cl.byRecency.Front(); el != nil; el = el.Next() {
 			r := el.Value.(*record)
-			if r.changed <= number || !yield(r) {
+			if r.lastChange <= number || !yield(r) {
 				return
 			}
 		}
--- a/internal/gossip/awake.go
+++ b/internal/gossip/clock.go
@@ -4,20 +4,20 @@
 
 // awakeClock counts only time in which this process ran. A process that was frozen could hear nobody, so the silence
 // of that time tells nothing about others.
-type awakeClock struct {
+type activeClock struct {
 	// step is the interval of advances, and the most that one counts for.
-	step time.Duration
+	maxStep time.Duration
 	// sum is the time counted up to last.
-	sum  time.Duration
-	last time.Time
+	elapsed time.Duration
+	last    time.Time
 }
 
 // advanced returns the clock at the next tick.
-func (ac awakeClock) advanced(now time.Time) awakeClock {
-	return awakeClock{step: ac.step, sum: ac.at(now), last: now}
+func (ac activeClock) advance(now time.Time) activeClock {
+	return activeClock{maxStep: ac.maxStep, elapsed: ac.elapsedAt(now), last: now}
 }
 
 // at returns the time counted up to now.
-func (ac awakeClock) at(now time.Time) time.Duration {
-	return ac.sum + max(0, min(now.Sub(ac.last), ac.step))
+func (ac activeClock) elapsedAt(now time.Time) time.Duration {
+	return ac.elapsed + max(0, min(now.Sub(ac.last), ac.maxStep))
 }
--- a/internal/gossip/delay_test.go
+++ b/internal/gossip/delay_test.go
@@ -8,36 +8,36 @@
 )
 
 // way is a link from a node to another whose frames a test carries. Neither end sends by itself.
-type way struct {
+type oneWayLink struct {
 	out, in *link
 }
 
 // newWay links two nodes that share a clock and do not run.
-func newWay(from, to *node) *way {
-	wy := &way{out: from.ms.newLink(nil, nil, ""), in: to.ms.newLink(nil, nil, "")}
-	wy.out.wanted.Scope = scopeAll
+func newOneWayLink(from, to *node) *oneWayLink {
+	wy := &oneWayLink{out: from.ms.newLink(nil, nil, ""), in: to.ms.newLink(nil, nil, "")}
+	wy.out.peerSubscription.Scope = scopeAll
 	return wy
 }
 
 // send returns what would be written now.
-func (wy *way) send(g *WithT) []byte {
-	b, err := encoding{}.Marshal(wy.out.news())
+func (ol *oneWayLink) send(g *WithT) []byte {
+	b, err := encoding{}.Marshal(ol.out.nextFrame())
 	g.Expect(err).NotTo(HaveOccurred())
 	return b
 }
 
 // arrive has the other end read what was written.
-func (wy *way) arrive(g *WithT, b []byte) {
+func (ol *oneWayLink) deliver(g *WithT, b []byte) {
 	var fr frame
 	g.Expect(encoding{}.Unmarshal(b, &fr)).To(Succeed())
-	g.Expect(wy.in.take(fr)).To(Succeed())
+	g.Expect(ol.in.handleFrame(fr)).To(Succeed())
 }
 
 // awaits lets a time go by in which a node that does not run is awake.
-func (nd *node) awaits(ck *clock, d time.Duration) {
+func (nd *node) advance(ck *clock, d time.Duration) {
 	for over := ck.now.Add(d); ck.now.Before(over); {
-		ck.now = ck.now.Add(min(over.Sub(ck.now), defaultInterval))
-		nd.ms.beat()
+		ck.now = ck.now.Add(min(over.Sub(ck.now), defaultHeartbeatInterval))
+		nd.ms.heartbeat()
 	}
 }
 
@@ -48,7 +48,7 @@
 // what it was told waits in the buffers of the link and is read late. Cause: a state tells its age from when it was made to when
 // it was written, and the time from there to the reader counts for nothing, so that an old proof is taken for a new one, once for
 // each hop.
-func TestAgeCountsTheTimeInBuffers(t *testing.T) {
+func TestStateAgeIncludesTimeInBuffers(t *testing.T) {
 	const usual = 2 * time.Millisecond
 	tests := map[string]struct {
 		// before are the times that earlier frames took, took that of the last.
@@ -67,19 +67,19 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			ck := &clock{now: time.Unix(0, 0)}
-			from := newNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: defaultInterval, Now: ck.read})
+			from := newNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: defaultHeartbeatInterval, Now: ck.read})
 			ck.now = ck.now.Add(time.Hour)
-			to := newNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: defaultInterval, Now: ck.read})
+			to := newNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: defaultHeartbeatInterval, Now: ck.read})
 			var age time.Duration
 			to.ms.opts.ReceiveState = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
-			wy := newWay(from, to)
+			wy := newOneWayLink(from, to)
 			for i, took := range append(tc.before, tc.took) {
 				from.body = []byte{byte(i)}
 				from.ms.PublishState()
-				from.ms.refresh()
+				from.ms.refreshState()
 				sent := wy.send(g)
-				to.awaits(ck, took)
-				wy.arrive(g, sent)
+				to.advance(ck, took)
+				wy.deliver(g, sent)
 			}
 			g.Expect(age).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most)))
 		})
@@ -87,7 +87,7 @@
 }
 
 // TestDelayOfALinkThatLastsLong takes a frame each second on a link whose clocks differ.
-func TestDelayOfALinkThatLastsLong(t *testing.T) {
+func TestDelayEstimateOnLongLivedLink(t *testing.T) {
 	const frames = 3600
 	tests := map[string]struct {
 		// sent returns the sender's clock when the receiver's has counted so long.
@@ -105,17 +105,17 @@
 				return d - 3*time.Second
 			}
 			return d
-		}, 3*time.Second - time.Second/delayForget},
+		}, 3*time.Second - time.Second/minOffsetRiseDivisor},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			began := time.Unix(0, 0)
-			var de delays
+			var de delayEstimator
 			var delay time.Duration
 			for no := range frames {
 				counted := time.Duration(no+1) * time.Second
-				delay = de.of(tc.sent(counted), began.Add(counted), began)
+				delay = de.observe(tc.sent(counted), began.Add(counted), began)
 			}
 			g.Expect(delay).To(Equal(tc.want))
 		})
@@ -126,10 +126,10 @@
 //
 // Symptom: as above. Sequence: a member that is frozen, or waits for its share of a core, in the middle of telling its state says
 // how old its proof is, and seconds later that it made its state just now. Cause: the time of the state was read after it was made.
-func TestAgeCountsTheMakingOfTheState(t *testing.T) {
+func TestStateAgeIncludesPauseWhileStateIsBuilt(t *testing.T) {
 	const frozen = 5 * time.Second
 	g := NewWithT(t)
-	nd, ck := still(t)
+	nd, ck := newStoppedNode(t)
 	provenAt := ck.now
 	var told time.Duration
 	nd.ms.opts.State = func() []byte {
@@ -137,6 +137,6 @@
 		ck.now = ck.now.Add(frozen)
 		return []byte("state")
 	}
-	nd.ms.refresh()
-	g.Expect(nd.ms.self.state.made.Add(-told)).NotTo(BeTemporally(">", provenAt))
+	nd.ms.refreshState()
+	g.Expect(nd.ms.self.state.madeAt.Add(-told)).NotTo(BeTemporally(">", provenAt))
 }
--- a/internal/gossip/dial.go
+++ b/internal/gossip/dial.go
@@ -13,53 +13,53 @@
 // dialState is what is known of an address that was dialled.
 type dialState struct {
 	// busy is set while a goroutine dials or keeps a link.
-	busy bool
+	inUse bool
 	// ended is when the last attempt ended.
-	ended time.Time
+	endedAt time.Time
 	// reached is the name of who answered last; empty when nobody did yet.
-	reached string
+	peerName string
 }
 
 // connect dials the members and seeds that a link is missing to, and closes links that are not needed.
-func (ms *Mesh) connect(ctx context.Context, wg *sync.WaitGroup) {
+func (ms *Mesh) reconcileLinks(ctx context.Context, wg *sync.WaitGroup) {
 	now := ms.opts.Now()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	wanted := ms.wanted()
-	ms.tidy(wanted, now)
-	addresses := append(ms.missing(wanted, now), ms.missingSeeds()...)
-	ms.forgetDials(addresses, now)
+	wanted := ms.wantedMembers()
+	ms.closeUnneededLinks(wanted, now)
+	addresses := append(ms.missingAddresses(wanted, now), ms.missingSeeds()...)
+	ms.evictDials(addresses, now)
 	for _, address := range addresses {
 		ds := ms.dials[address]
 		if ds == nil {
 			ds = &dialState{}
 			ms.dials[address] = ds
 		}
-		if ds.busy || !ds.ended.IsZero() && now.Sub(ds.ended) < redialPause {
+		if ds.inUse || !ds.endedAt.IsZero() && now.Sub(ds.endedAt) < redialInterval {
 			continue
 		}
-		ds.busy = true
-		wg.Go(func() { ms.keep(ctx, address, ds) })
+		ds.inUse = true
+		wg.Go(func() { ms.runLink(ctx, address, ds) })
 	}
 }
 
-func (ms *Mesh) keep(ctx context.Context, address string, ds *dialState) {
-	err := ms.open(ctx, address)
+func (ms *Mesh) runLink(ctx context.Context, address string, ds *dialState) {
+	err := ms.openLink(ctx, address)
 	if ctx.Err() == nil {
 		ms.opts.Log.WithField("address", address).WithError(err).Debug("gossip link down")
 	}
 	now := ms.opts.Now()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ds.busy, ds.ended = false, now
+	ds.inUse, ds.endedAt = false, now
 	var de *dialError
 	if errors.As(err, &de) {
-		ms.suspectAt(address, now)
+		ms.suspectAddress(address, now)
 	}
 }
 
 // suspectAt suspects the live member of an address that could not be dialled, unless a link to it stands.
-func (ms *Mesh) suspectAt(address string, now time.Time) {
+func (ms *Mesh) suspectAddress(address string, now time.Time) {
 	for _, r := range ms.records {
 		if r.Address == address && r.live && ms.linkTo(r.Member) == nil {
 			ms.suspect(r.Name, now)
@@ -68,10 +68,10 @@
 }
 
 // forgetDials drops what is known of addresses that are neither dialled nor seeds.
-func (ms *Mesh) forgetDials(needed []string, now time.Time) {
+func (ms *Mesh) evictDials(needed []string, now time.Time) {
 	keep := set.Of(append(needed, ms.opts.Seeds...)...)
 	for address, ds := range ms.dials {
-		if !ds.busy && !keep.Has(address) && now.Sub(ds.ended) >= redialPause {
+		if !ds.inUse && !keep.Has(address) && now.Sub(ds.endedAt) >= redialInterval {
 			delete(ms.dials, address)
 		}
 	}
@@ -79,14 +79,14 @@
 
 // missing returns the addresses of the wanted members without a link. The instance with the higher name gives the other
 // time to dial first.
-func (ms *Mesh) missing(wanted []*record, now time.Time) []string {
+func (ms *Mesh) missingAddresses(wanted []*record, now time.Time) []string {
 	linked := map[string]string{}
 	for lk := range ms.links {
 		linked[lk.peer.Name] = lk.peer.Incarnation
 	}
 	var addresses []string
 	for _, r := range wanted {
-		waits := !ms.dialsFirst(r) && ms.awake.at(now)-r.unlinked < dialGrace
+		waits := !ms.dialsFirst(r) && ms.clock.elapsedAt(now)-r.unlinkedSince < dialGracePeriod
 		incarnation, ok := linked[r.Name]
 		if waits || ok && incarnation == r.Incarnation || r.Address == "" || r.Address == ms.self.Address {
 			continue
@@ -99,8 +99,8 @@
 // dialsFirst reports whether this instance is the one of a pair that dials: who subscribes, else who has the lower name.
 func (ms *Mesh) dialsFirst(r *record) bool {
 	self := ms.self.Member
-	if !ms.plan.full && r.AvailabilityZone == self.AvailabilityZone && ms.plan.relay(self) != ms.plan.relay(r.Member) {
-		return !ms.plan.relay(self)
+	if !ms.plan.fullMesh && r.AvailabilityZone == self.AvailabilityZone && ms.plan.isRelay(self) != ms.plan.isRelay(r.Member) {
+		return !ms.plan.isRelay(self)
 	}
 	return self.Name < r.Name
 }
@@ -115,41 +115,41 @@
 	}
 	var seeds []string
 	for _, address := range ms.opts.Seeds {
-		if !live[address] && !ms.reachedLive(address) {
+		if !live[address] && !ms.seedReachedLive(address) {
 			seeds = append(seeds, address)
 		}
 	}
 	return seeds
 }
 
-func (ms *Mesh) reachedLive(address string) bool {
+func (ms *Mesh) seedReachedLive(address string) bool {
 	ds := ms.dials[address]
-	if ds == nil || ds.reached == "" {
+	if ds == nil || ds.peerName == "" {
 		return false
 	}
-	r := ms.records[ds.reached]
-	return ds.reached == ms.self.Name || r != nil && r.live
+	r := ms.records[ds.peerName]
+	return ds.peerName == ms.self.Name || r != nil && r.live
 }
 
 // tidy closes links that this instance dialled and that the plan has no longer, or that stand twice. Since only who
 // dialled closes, two instances never close both links of a pair.
-func (ms *Mesh) tidy(wanted []*record, now time.Time) {
+func (ms *Mesh) closeUnneededLinks(wanted []*record, now time.Time) {
 	names := map[string]bool{}
 	for _, r := range wanted {
 		names[r.Name] = true
 	}
-	awake := ms.awake.at(now)
+	awake := ms.clock.elapsedAt(now)
 	for lk := range ms.links {
 		if lk.address == "" || lk.peer.Name == "" {
 			continue
 		}
 		switch {
 		case names[lk.peer.Name]:
-			lk.unwanted = 0
-		case lk.unwanted == 0:
-			lk.unwanted = awake
+			lk.unwantedSince = 0
+		case lk.unwantedSince == 0:
+			lk.unwantedSince = awake
 		}
-		if lk.unwanted > 0 && awake-lk.unwanted >= ms.opts.LostAfter || ms.standsTwice(lk, awake) {
+		if lk.unwantedSince > 0 && awake-lk.unwantedSince >= ms.opts.LostAfter || ms.isDuplicateLink(lk, awake) {
 			lk.closing = true
 			lk.close()
 		}
@@ -158,16 +158,16 @@
 
 // standsTwice reports whether another link to the peer is the one to keep: of two links that of the lower name, or the
 // older one.
-func (ms *Mesh) standsTwice(lk *link, awake time.Duration) bool {
+func (ms *Mesh) isDuplicateLink(lk *link, awake time.Duration) bool {
 	for other := range ms.links {
 		samePeer := other != lk && other.peer.Name == lk.peer.Name && other.peer.Incarnation == lk.peer.Incarnation
-		if !samePeer || awake-other.heard > 2*ms.opts.HeartbeatInterval {
+		if !samePeer || awake-other.lastHeard > 2*ms.opts.HeartbeatInterval {
 			continue
 		}
 		if other.address == "" && lk.peer.Name < ms.self.Name {
 			return true
 		}
-		if other.address != "" && other.opened < lk.opened {
+		if other.address != "" && other.seq < lk.seq {
 			return true
 		}
 	}
--- a/internal/gossip/failure.go
+++ b/internal/gossip/errors.go
@@ -16,8 +16,8 @@
 type NotFoundError struct{ Instance, Document string }
 
 // Error names the peer and the document.
-func (me *NotFoundError) Error() string {
-	return "instance " + me.Instance + " has no document " + me.Document
+func (ne *NotFoundError) Error() string {
+	return "instance " + ne.Instance + " has no document " + ne.Document
 }
 
 // LinkError says that the link to an instance could not be used.
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -13,13 +13,13 @@
 )
 
 // description tells drpc the two methods of a mesh.
-type description struct{}
+type serviceDescription struct{}
 
 // NumMethods returns the number of methods.
-func (description) NumMethods() int { return 2 }
+func (serviceDescription) NumMethods() int { return 2 }
 
 // Method returns the nth method.
-func (description) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
+func (serviceDescription) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
 	switch n {
 	case 0:
 		receive := func(srv any, _ context.Context, in1, _ any) (drpc.Message, error) {
@@ -28,21 +28,21 @@
 		return exchangeRPC, encoding{}, receive, (*Mesh).accept, true
 	case 1:
 		receive := func(srv any, _ context.Context, in1, _ any) (drpc.Message, error) {
-			return srv.(*Mesh).serveDocument(in1.(*request)), nil
+			return srv.(*Mesh).handleRequest(in1.(*request)), nil
 		}
-		method := func(*Mesh, context.Context, *request) (*document, error) { return nil, nil }
+		method := func(*Mesh, context.Context, *request) (*response, error) { return nil, nil }
 		return fetchRPC, encoding{}, receive, method, true
 	}
 	return "", nil, nil, nil, false
 }
 
-func (ms *Mesh) serveDocument(rq *request) *document {
+func (ms *Mesh) handleRequest(rq *request) *response {
 	if len(rq.Body) > 0 {
 		body, found := ms.opts.HandleQuery(rq.Name, rq.Body)
-		return &document{Found: found, Body: body}
+		return &response{Found: found, Body: body}
 	}
 	body, found := ms.opts.HandleFetch(rq.Name)
-	return &document{Found: found, Body: body}
+	return &response{Found: found, Body: body}
 }
 
 // Fetch asks a member for a document: over a connection of its own, so that a large document delays no heartbeat, or,
@@ -58,8 +58,8 @@
 	return doc.Body, nil
 }
 
-func (ms *Mesh) fetch(ctx context.Context, m Member, name string) (document, error) {
-	var doc document
+func (ms *Mesh) fetch(ctx context.Context, m Member, name string) (response, error) {
+	var doc response
 	conn, _, err := dial(ctx, m.Address)
 	if err != nil {
 		ms.mu.Lock()
@@ -68,7 +68,7 @@
 		if lk == nil {
 			return doc, err
 		}
-		return lk.ask(ctx, request{Name: name})
+		return lk.call(ctx, request{Name: name})
 	}
 	defer conn.Close()
 	err = conn.Invoke(ctx, fetchRPC, encoding{}, &request{Name: name}, &doc)
--- a/internal/gossip/field.go
+++ b/internal/gossip/field.go
@@ -11,11 +11,11 @@
 const maxAge = time.Hour
 
 // maxSent is the longest time since a start that is taken, in milliseconds: some thirty years, and safe to count in a Duration.
-const maxSent = 1 << 40
+const maxUptimeMillis = 1 << 40
 
-func micros(d time.Duration) uint64 { return uint64(max(0, min(d, maxAge)).Microseconds()) }
+func toMicros(d time.Duration) uint64 { return uint64(max(0, min(d, maxAge)).Microseconds()) }
 
-func duration(us uint64) time.Duration {
+func fromMicros(us uint64) time.Duration {
 	return time.Duration(min(us, uint64(maxAge.Microseconds()))) * time.Microsecond
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -24,56 +24,56 @@
 type Mesh struct {
 	opts Options
 	// kick has room for one signal: there is something to send.
-	kick chan struct{}
+	wake chan struct{}
 	// beats counts heartbeats; it is used by Run only.
-	beats int
+	heartbeatCount int
 	// published says that Options.Body is to be called at the next send.
-	published atomic.Bool
+	statePublished atomic.Bool
 	// noted says the same of Options.Notes.
-	noted atomic.Bool
+	notesPublished atomic.Bool
 
 	// calls is held while callbacks run, so that they see changes in their order. It is taken before mu.
-	calls sync.Mutex
-	mu    sync.Mutex
-	self  *record
+	callbackMu sync.Mutex
+	mu         sync.Mutex
+	self       *record
 	// records are the other members by name, live and lost, until they are forgotten.
 	records map[string]*record
 	// entries is the number of records there were, this instance's own first: it makes their entry IDs.
-	entries uint64
-	log     changeLog
+	lastEntryID uint64
+	changes     changeLog
 	// topology is the version of what the plan is made of: it grows when a member comes, goes, changes or is suspected.
-	topology uint64
+	topologyVersion uint64
 	// storeless counts the changes of who is without an answer of the store: no plan is made of them.
-	storeless uint64
+	storeStatusVersion uint64
 	// plan was made for the version planned, at a time; wantedNames are those that a link is to be kept to by it. A change
 	// that is urgent, as of a link, is planned for at once.
-	plan        plan
-	planned     uint64
-	plannedAt   time.Time
-	urgent      bool
-	wantedNames []string
+	plan           plan
+	plannedVersion uint64
+	plannedAt      time.Time
+	replanNow      bool
+	plannedPeers   []string
 	// suspects are the members whose link ended or failed, and when, by the awake clock.
 	suspects map[string]time.Duration
 	// relays says that this instance was a relay by the last plan.
-	relays bool
+	wasRelay bool
 	// sources are the relays that this instance takes states from now, sorted: each tells a part of them.
-	sources []string
+	upstreamRelays []string
 	// subscribers counts the links by which each member takes all states from this instance.
 	subscribers map[string]int
 	links       map[*link]struct{}
 	// opened is the number of links there were.
-	opened uint64
-	dials  map[string]*dialState
+	lastLinkSeq uint64
+	dials       map[string]*dialState
 	// resting are connections over which questions were put, by address.
-	resting *restingConns
-	awake   awakeClock
-	stalls  stalls
+	queryConns *connPool
+	clock      activeClock
+	pauses     pauseDetector
 	// began is when this mesh was made.
-	began time.Time
+	start time.Time
 	// refreshing is the number of the newest refresh that has begun, refreshed of the newest that has ended.
-	refreshing, refreshed uint64
+	refreshesStarted, refreshesFinished uint64
 	// farewell runs once, when the first of Serve and Run is asked to end.
-	farewell sync.Once
+	flushOnce sync.Once
 }
 
 // New returns a mesh; Serve and Run do its work.
@@ -81,30 +81,30 @@
 	o = o.withDefaults()
 	now := o.Now()
 	ms := &Mesh{
-		opts:     o,
-		kick:     make(chan struct{}, 1),
-		self:     &record{card: card{Member: o.Self}, live: true, pulse: 1},
-		records:  map[string]*record{},
-		topology: 1,
-		suspects: map[string]time.Duration{},
-		links:    map[*link]struct{}{},
-		dials:    map[string]*dialState{},
-		resting:  newRestingConns(),
-		awake:    awakeClock{step: o.HeartbeatInterval, last: now},
-		stalls:   stalls{began: now},
-		began:    now,
+		opts:            o,
+		wake:            make(chan struct{}, 1),
+		self:            &record{memberInfo: memberInfo{Member: o.Self}, live: true, heartbeat: 1},
+		records:         map[string]*record{},
+		topologyVersion: 1,
+		suspects:        map[string]time.Duration{},
+		links:           map[*link]struct{}{},
+		dials:           map[string]*dialState{},
+		queryConns:      newConnPool(),
+		clock:           activeClock{maxStep: o.HeartbeatInterval, last: now},
+		pauses:          pauseDetector{start: now},
+		start:           now,
 	}
-	ms.log.touch(ms.self, changedAll)
-	ms.published.Store(true)
+	ms.changes.touch(ms.self, everythingChanged)
+	ms.statePublished.Store(true)
 	return ms
 }
 
 // Serve answers peers until ctx ends and they were told the last state.
 func (ms *Mesh) Serve(ctx context.Context, lis net.Listener) error {
-	ctx, cancel := ms.untilTold(ctx)
+	ctx, cancel := ms.cancelAfterFlush(ctx)
 	defer cancel()
 	mux := drpcmux.New()
-	if err := mux.Register(ms, description{}); err != nil {
+	if err := mux.Register(ms, serviceDescription{}); err != nil {
 		return errors.Wrap(err, "register gossip service")
 	}
 	sv := drpcserver.NewWithOptions(mux, drpcserver.Options{
@@ -118,49 +118,49 @@
 func (ms *Mesh) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	defer ms.resting.closeAll()
-	ctx, cancel := ms.untilTold(ctx)
+	defer ms.queryConns.closeAll()
+	ctx, cancel := ms.cancelAfterFlush(ctx)
 	defer cancel()
 	tick := time.NewTicker(ms.opts.HeartbeatInterval)
 	defer tick.Stop()
 	pause := time.NewTimer(0)
 	defer pause.Stop()
-	kick := ms.kick
+	kick := ms.wake
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-			ms.beat()
+			ms.heartbeat()
 		case <-kick:
 			// Further signals wait in the channel until the pause is over.
 			kick = nil
-			pause.Reset(ms.coalesce())
+			pause.Reset(ms.sendInterval())
 		case <-pause.C:
-			kick = ms.kick
+			kick = ms.wake
 		}
-		ms.refresh()
+		ms.refreshState()
 		ms.refreshNotes()
-		ms.connect(ctx, &wg)
+		ms.reconcileLinks(ctx, &wg)
 		ms.wakeLinks()
 	}
 }
 
 // Publish says that this instance's state has changed. It never blocks.
 func (ms *Mesh) PublishState() {
-	ms.published.Store(true)
+	ms.statePublished.Store(true)
 	ms.signal()
 }
 
 // PublishNotes says that this instance's notes have changed. It never blocks.
 func (ms *Mesh) PublishNotes() {
-	ms.noted.Store(true)
+	ms.notesPublished.Store(true)
 	ms.signal()
 }
 
 func (ms *Mesh) signal() {
 	select {
-	case ms.kick <- struct{}{}:
+	case ms.wake <- struct{}{}:
 	default:
 		// A signal waits already.
 	}
@@ -184,7 +184,7 @@
 func (ms *Mesh) MembershipVersion() uint64 {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	return ms.topology + ms.storeless
+	return ms.topologyVersion + ms.storeStatusVersion
 }
 
 // Live returns the live members and this instance, by name.
@@ -209,9 +209,9 @@
 func (ms *Mesh) SetStopping() {
 	ms.mu.Lock()
 	ms.self.Stopping = true
-	ms.self.pulse++
-	ms.log.touch(ms.self, changedAll)
-	ms.topology++
+	ms.self.heartbeat++
+	ms.changes.touch(ms.self, everythingChanged)
+	ms.topologyVersion++
 	ms.mu.Unlock()
 	ms.signal()
 }
@@ -224,15 +224,15 @@
 		return
 	}
 	ms.self.StoreUnreachable = storeless
-	ms.self.pulse++
-	ms.log.touch(ms.self, changedAll)
-	ms.storeless++
+	ms.self.heartbeat++
+	ms.changes.touch(ms.self, everythingChanged)
+	ms.storeStatusVersion++
 	ms.signal()
 }
 
 // refresh takes this instance's state anew when it was published.
-func (ms *Mesh) refresh() {
-	if !ms.published.Swap(false) {
+func (ms *Mesh) refreshState() {
+	if !ms.statePublished.Swap(false) {
 		return
 	}
 	number := ms.beginRefresh()
@@ -241,55 +241,55 @@
 	body := ms.opts.State()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ms.refreshed = number
-	ms.tell(&ms.self.state, body, made)
+	ms.refreshesFinished = number
+	ms.setPayload(&ms.self.state, body, made)
 }
 
 // refreshNotes takes this instance's notes anew when they were published.
 func (ms *Mesh) refreshNotes() {
-	if !ms.noted.Swap(false) {
+	if !ms.notesPublished.Swap(false) {
 		return
 	}
 	made := ms.opts.Now()
 	notes := ms.opts.Notes()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ms.tell(&ms.self.notes, notes, made)
+	ms.setPayload(&ms.self.notes, notes, made)
 }
 
 // tell takes a new text of this instance, made at a time. The lock is held.
-func (ms *Mesh) tell(td *told, body []byte, made time.Time) {
+func (ms *Mesh) setPayload(td *storedPayload, body []byte, made time.Time) {
 	if body == nil || td.version > 0 && bytes.Equal(body, td.body) {
 		return
 	}
-	ms.self.pulse++
-	td.version, td.body, td.made = ms.self.pulse, body, made
-	ms.log.touchTold(ms.self, td)
+	ms.self.heartbeat++
+	td.version, td.body, td.madeAt = ms.self.heartbeat, body, made
+	ms.changes.touchPayload(ms.self, td)
 }
 
 func (ms *Mesh) beginRefresh() uint64 {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ms.refreshing++
-	return ms.refreshing
+	ms.refreshesStarted++
+	return ms.refreshesStarted
 }
 
 // beat begins an interval: it renews this instance's pulse, and drops members that were silent for too long.
-func (ms *Mesh) beat() {
-	ms.beats++
-	if ms.beats%refreshBeats == 0 {
-		ms.published.Store(true)
+func (ms *Mesh) heartbeat() {
+	ms.heartbeatCount++
+	if ms.heartbeatCount%refreshHeartbeats == 0 {
+		ms.statePublished.Store(true)
 	}
 	now := ms.opts.Now()
-	ms.calls.Lock()
-	defer ms.calls.Unlock()
+	ms.callbackMu.Lock()
+	defer ms.callbackMu.Unlock()
 	ms.mu.Lock()
-	ms.stalls.noticed(ms.awake.at(now), now)
-	ms.awake = ms.awake.advanced(now)
-	ms.self.pulse++
-	ms.log.touch(ms.self, changedPulse)
-	gone := ms.judge(ms.awake.at(now))
-	ms.suspectSilent(now)
+	ms.pauses.observe(ms.clock.elapsedAt(now), now)
+	ms.clock = ms.clock.advance(now)
+	ms.self.heartbeat++
+	ms.changes.touch(ms.self, heartbeatChanged)
+	gone := ms.expireMembers(ms.clock.elapsedAt(now))
+	ms.suspectSilentPeers(now)
 	ms.mu.Unlock()
 	for _, m := range gone {
 		ms.logLost(m, "silent", "silence", ms.opts.LostAfter.String())
@@ -298,22 +298,22 @@
 }
 
 // judge returns the members that are now lost and forgets those lost for long.
-func (ms *Mesh) judge(awake time.Duration) []Member {
+func (ms *Mesh) expireMembers(awake time.Duration) []Member {
 	var gone []Member
 	for name, r := range ms.records {
-		silence := awake - r.heard
+		silence := awake - r.lastHeard
 		if r.live && silence >= ms.opts.LostAfter {
 			r.live = false
-			ms.topology++
+			ms.topologyVersion++
 			gone = append(gone, r.Member)
 		}
 		if silence >= max(forgetAfter, ms.opts.LostAfter) {
 			delete(ms.records, name)
-			ms.log.remove(r)
+			ms.changes.remove(r)
 		}
 	}
 	for lk := range ms.links {
-		if awake-lk.heard >= idleLosts*ms.opts.LostAfter {
+		if awake-lk.lastHeard >= idleLinkFactor*ms.opts.LostAfter {
 			lk.close()
 		}
 	}
--- a/internal/gossip/link.go
+++ b/internal/gossip/link.go
@@ -25,43 +25,43 @@
 	// peer is known, and has a name, once the peer's first frame is here.
 	peer Member
 	// opened only grows from link to link.
-	opened uint64
+	seq uint64
 	// heard is when the last frame came, at first when the link was opened, by the awake clock.
-	heard time.Duration
+	lastHeard time.Duration
 	// unwanted is since when the plan has no such link, by the awake clock; 0 when it has.
-	unwanted time.Duration
+	unwantedSince time.Duration
 	// sent is the newest change that the peer was sent, or is being sent; told is the newest whose sending has ended.
-	sent, told uint64
+	sentChange, flushedChange uint64
 	// wanted is what the peer asked to be told, asked what this instance asked for.
-	wanted, asked subscription
+	peerSubscription, ownSubscription subscription
 	// closing is set when this instance closes the link because it needs it no longer.
 	closing bool
 	// asks and answers wait to be sent, at most maxAsks of each.
-	asks    []ask
-	answers []answer
+	requestQueue  []streamRequest
+	responseQueue []streamResponse
 	// waiting are who asked, by ask ID; each channel has room for its one answer.
-	waiting map[uint64]chan document
-	lastAsk uint64
+	waiters       map[uint64]chan response
+	lastRequestID uint64
 
 	// done is closed when the link has ended.
 	done chan struct{}
 	// cards are those received, by entry ID. Only the receiving goroutine uses them.
-	cards map[uint64]*card
+	infos map[uint64]*memberInfo
 	// delays is used by the receiving goroutine only.
-	delays delays
+	delay delayEstimator
 }
 
 func (ms *Mesh) newLink(stream drpc.Stream, transport io.Closer, address string) *link {
 	now := ms.opts.Now()
 	lk := &link{
 		ms: ms, transport: transport, stream: stream, address: address, wake: make(chan struct{}, 1),
-		cards: map[uint64]*card{}, waiting: map[uint64]chan document{}, done: make(chan struct{}),
+		infos: map[uint64]*memberInfo{}, waiters: map[uint64]chan response{}, done: make(chan struct{}),
 	}
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ms.opened++
-	lk.opened = ms.opened
-	lk.heard = ms.awake.at(now)
+	ms.lastLinkSeq++
+	lk.seq = ms.lastLinkSeq
+	lk.lastHeard = ms.clock.elapsedAt(now)
 	ms.links[lk] = struct{}{}
 	lk.wakeUp()
 	return lk
@@ -77,7 +77,7 @@
 }
 
 // open keeps a stream to an address until it ends.
-func (ms *Mesh) open(ctx context.Context, address string) error {
+func (ms *Mesh) openLink(ctx context.Context, address string) error {
 	conn, transport, err := dial(ctx, address)
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 
 // exchange sends and receives until either fails.
 func (lk *link) exchange(ctx context.Context) error {
-	defer lk.ms.drop(lk)
+	defer lk.ms.removeLink(lk)
 	defer lk.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -108,11 +108,11 @@
 		if err := lk.stream.MsgRecv(&fr, encoding{}); err != nil {
 			return errors.Wrap(err, "receive")
 		}
-		if err := lk.take(fr); err != nil {
+		if err := lk.handleFrame(fr); err != nil {
 			return err
 		}
-		lk.answer(fr.Asks)
-		lk.takeAnswers(fr.Answers)
+		lk.serveRequests(fr.Requests)
+		lk.deliverResponses(fr.Responses)
 	}
 }
 
@@ -137,76 +137,76 @@
 		case <-ctx.Done():
 			return nil
 		}
-		fr := lk.news()
+		fr := lk.nextFrame()
 		if !fr.empty() {
 			if err := lk.stream.MsgSend(fr, encoding{}); err != nil {
 				return errors.Wrap(err, "send")
 			}
 		}
-		lk.noteTold()
+		lk.markFlushed()
 	}
 }
 
 // noteTold notes that what was to be sent is on its way.
-func (lk *link) noteTold() {
+func (lk *link) markFlushed() {
 	lk.ms.mu.Lock()
 	defer lk.ms.mu.Unlock()
-	lk.told = lk.sent
+	lk.flushedChange = lk.sentChange
 }
 
 // news returns what the peer was not told yet.
-func (lk *link) news() *frame {
+func (lk *link) nextFrame() *frame {
 	ms := lk.ms
 	now := ms.opts.Now()
 	fr := &frame{}
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.replan()
-	fr.Asks, lk.asks = lk.asks, nil
-	fr.Answers, lk.answers = lk.answers, nil
-	if su := ms.subscriptionTo(lk); su != lk.asked {
-		lk.asked = su
-		fr.Wants = &su
+	fr.Requests, lk.requestQueue = lk.requestQueue, nil
+	fr.Responses, lk.responseQueue = lk.responseQueue, nil
+	if su := ms.subscriptionTo(lk); su != lk.ownSubscription {
+		lk.ownSubscription = su
+		fr.Subscription = &su
 	}
-	for r := range ms.log.since(lk.sent) {
-		if e, ok := lk.entry(r, now); ok {
+	for r := range ms.changes.since(lk.sentChange) {
+		if e, ok := lk.entryFor(r, now); ok {
 			fr.Entries = append(fr.Entries, e)
 		}
 	}
-	lk.sent = ms.log.last
-	fr.Sent = now.Sub(ms.began)
+	lk.sentChange = ms.changes.newest
+	fr.SenderUptime = now.Sub(ms.start)
 	return fr
 }
 
 // entry returns what the peer is to be told of a member that changed; it reports false when that is nothing.
-func (lk *link) entry(r *record, now time.Time) (entry, bool) {
+func (lk *link) entryFor(r *record, now time.Time) (entry, bool) {
 	isPeer := r.Name == lk.peer.Name && r.Incarnation == lk.peer.Incarnation
 	if !r.live || isPeer {
 		return entry{}, false
 	}
-	tells := lk.tells(r)
+	tells := lk.inScope(r)
 	e := entry{ID: r.id}
-	if r.cardChanged > lk.sent && (tells || lk.wanted.Scope.cards()) {
-		c := r.card
-		e.Card = &c
+	if r.infoChange > lk.sentChange && (tells || lk.peerSubscription.Scope.includesAllInfo()) {
+		c := r.memberInfo
+		e.Info = &c
 	}
-	if !tells && e.Card == nil {
+	if !tells && e.Info == nil {
 		return entry{}, false
 	}
-	e.Pulse, e.PulseAge = r.pulse, lk.ms.silence(r, now)
-	if tells && lk.wanted.takesState(r.Name) {
-		e.State = r.state.since(lk.sent, now)
-		e.Notes = r.notes.since(lk.sent, now)
+	e.Heartbeat, e.HeartbeatAge = r.heartbeat, lk.ms.silence(r, now)
+	if tells && lk.peerSubscription.includesState(r.Name) {
+		e.State = r.state.since(lk.sentChange, now)
+		e.Notes = r.notes.since(lk.sentChange, now)
 	}
 	return e, true
 }
 
 // since returns the text when it changed after a change.
-func (td told) since(sent uint64, now time.Time) part {
-	if td.version == 0 || td.changed <= sent {
-		return part{}
+func (sp storedPayload) since(sent uint64, now time.Time) payload {
+	if sp.version == 0 || sp.lastChange <= sent {
+		return payload{}
 	}
-	return part{Version: td.version, Body: td.body, Age: now.Sub(td.made)}
+	return payload{Version: sp.version, Body: sp.body, Age: now.Sub(sp.madeAt)}
 }
 
 // silence returns how long a member was not heard.
@@ -214,95 +214,95 @@
 	if r == ms.self {
 		return 0
 	}
-	return ms.awake.at(now) - r.heard
+	return ms.clock.elapsedAt(now) - r.lastHeard
 }
 
 // take takes a frame.
-func (lk *link) take(fr frame) error {
+func (lk *link) handleFrame(fr frame) error {
 	ms := lk.ms
 	now := ms.opts.Now()
-	ms.calls.Lock()
-	defer ms.calls.Unlock()
+	ms.callbackMu.Lock()
+	defer ms.callbackMu.Unlock()
 	ms.mu.Lock()
-	events, err := lk.takeLocked(fr, now)
+	events, err := lk.handleFrameLocked(fr, now)
 	ms.mu.Unlock()
-	ms.notify(events)
+	ms.runCallbacks(events)
 	return err
 }
 
-func (lk *link) takeLocked(fr frame, now time.Time) ([]event, error) {
+func (lk *link) handleFrameLocked(fr frame, now time.Time) ([]event, error) {
 	var events []event
-	lk.heard = lk.ms.awake.at(now)
-	delay := lk.delays.of(fr.Sent, now, lk.ms.began)
+	lk.lastHeard = lk.ms.clock.elapsedAt(now)
+	delay := lk.delay.observe(fr.SenderUptime, now, lk.ms.start)
 	for _, e := range fr.Entries {
-		e.Delay = delay
-		if e.Card != nil {
-			lk.cards[e.ID] = e.Card
+		e.ExtraDelay = delay
+		if e.Info != nil {
+			lk.infos[e.ID] = e.Info
 		}
-		c, ok := lk.cards[e.ID]
+		c, ok := lk.infos[e.ID]
 		if !ok || c.Name == "" {
 			return events, &MalformedError{Message: "an entry about nobody"}
 		}
 		if e.ID == senderID {
-			if err := lk.meet(c.Member); err != nil {
+			if err := lk.identifyPeer(c.Member); err != nil {
 				return events, err
 			}
 		}
-		events = append(events, lk.ms.hear(*c, e, now)...)
+		events = append(events, lk.ms.applyEntry(*c, e, now)...)
 	}
-	lk.ms.trust(lk.peer.Name)
-	if fr.Wants != nil {
-		lk.subscribed(*fr.Wants)
+	lk.ms.clearSuspicion(lk.peer.Name)
+	if fr.Subscription != nil {
+		lk.setSubscription(*fr.Subscription)
 	}
 	return events, nil
 }
 
 // subscribed takes what the peer wants to be told. All of it is told anew: what the peer was not told before is not known.
-func (lk *link) subscribed(su subscription) {
-	lk.wanted = su
-	lk.sent = 0
-	lk.ms.resubscribe()
+func (lk *link) setSubscription(su subscription) {
+	lk.peerSubscription = su
+	lk.sentChange = 0
+	lk.ms.countSubscribers()
 	lk.wakeUp()
 }
 
 // meet notes who the peer says it is.
-func (lk *link) meet(m Member) error {
+func (lk *link) identifyPeer(m Member) error {
 	ms := lk.ms
 	first := lk.peer.Name == ""
 	lk.peer = m
 	isSelf := m.Name == ms.self.Name && m.Incarnation == ms.self.Incarnation
 	if ds := ms.dials[lk.address]; ds != nil && (isSelf || m.Name != ms.self.Name) {
-		ds.reached = m.Name
+		ds.peerName = m.Name
 	}
 	if isSelf {
 		return &SelfDialError{Address: lk.address}
 	}
 	if first {
 		// What is asked of the peer depends on who it is.
-		ms.topology++
-		ms.urgent = true
-		ms.resubscribe()
+		ms.topologyVersion++
+		ms.replanNow = true
+		ms.countSubscribers()
 		ms.signal()
 	}
 	return nil
 }
 
 // drop forgets a link that has ended.
-func (ms *Mesh) drop(lk *link) {
+func (ms *Mesh) removeLink(lk *link) {
 	now := ms.opts.Now()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	delete(ms.links, lk)
 	close(lk.done)
-	ms.topology++
-	ms.urgent = true
-	ms.resubscribe()
+	ms.topologyVersion++
+	ms.replanNow = true
+	ms.countSubscribers()
 	r := ms.records[lk.peer.Name]
 	if r == nil || r.Incarnation != lk.peer.Incarnation {
 		return
 	}
-	r.unlinked = ms.awake.at(now)
-	if !lk.closing && ms.plan.linked(ms.self.Member, lk.peer) && !ms.hearsOtherwise(lk, r.unlinked) {
+	r.unlinkedSince = ms.clock.elapsedAt(now)
+	if !lk.closing && ms.plan.linked(ms.self.Member, lk.peer) && !ms.hasOtherActiveLink(lk, r.unlinkedSince) {
 		ms.suspect(lk.peer.Name, now)
 	}
 }
--- a/internal/gossip/lines.go
+++ b/internal/gossip/log.go
@@ -16,22 +16,22 @@
 // logFound says that a member is live, for the first time or again.
 func (ms *Mesh) logFound(ev event) {
 	message := "found a peer"
-	if ev.again {
+	if ev.seenBefore {
 		message = "regained a peer"
 	}
 	ms.opts.Log.WithFields(log.Fields{
 		"peer": ev.member.Name, "incarnation": ev.member.Incarnation, "zone": ev.member.AvailabilityZone,
-		"age": ev.age.Round(time.Millisecond).String(),
+		"age": ev.heartbeatAge.Round(time.Millisecond).String(),
 	}).Info(message)
 }
 
 // logPart says when this instance begins and ends to be a relay. The lock is held; the logger never blocks.
-func (ms *Mesh) logPart() {
-	relays := ms.plan.relay(ms.self.Member)
-	if relays == ms.relays {
+func (ms *Mesh) logRelayRole() {
+	relays := ms.plan.isRelay(ms.self.Member)
+	if relays == ms.wasRelay {
 		return
 	}
-	ms.relays = relays
+	ms.wasRelay = relays
 	message := "this instance relays states no longer"
 	if relays {
 		message = "this instance relays states"
--- a/internal/gossip/lines_test.go
+++ b/internal/gossip/log_test.go
@@ -9,16 +9,16 @@
 )
 
 // TestLostAndFoundMembersAreTold follows one name through silence, return and replacement.
-func TestLostAndFoundMembersAreTold(t *testing.T) {
+func TestMemberLossAndReturnAreLogged(t *testing.T) {
 	g := NewWithT(t)
-	a, ck := still(t)
+	a, ck := newStoppedNode(t)
 	mh := memory.New()
 	a.ms.opts.Log = &log.Logger{Handler: mh, Level: log.InfoLevel}
-	next := card{Member: Member{Name: "b", Incarnation: "2"}, Generation: 1}
-	a.hears(cardB, entry{Pulse: 1})
-	a.beats(ck, int(defaultLost/defaultInterval))
-	a.hears(cardB, entry{Pulse: 2})
-	a.hears(next, entry{Pulse: 1})
+	next := memberInfo{Member: Member{Name: "b", Incarnation: "2"}, Generation: 1}
+	a.receiveEntry(infoB, entry{Heartbeat: 1})
+	a.heartbeats(ck, int(defaultLostAfter/defaultHeartbeatInterval))
+	a.receiveEntry(infoB, entry{Heartbeat: 2})
+	a.receiveEntry(next, entry{Heartbeat: 1})
 	var told []string
 	for _, e := range mh.Entries {
 		cause, _ := e.Fields["cause"].(string)
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -21,14 +21,14 @@
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
 	c := startNode(t, Options{Self: Member{Name: "c"}, Seeds: []string{a.address()}})
 	for _, nd := range []*node{a, b, c} {
-		g.Eventually(nd.names, patience).Should(Equal([]string{"a", "b", "c"}))
-		g.Eventually(nd.states, patience).Should(Equal(2))
-		g.Eventually(nd.linkCount, patience).Should(Equal(2))
+		g.Eventually(nd.liveNames, waitTimeout).Should(Equal([]string{"a", "b", "c"}))
+		g.Eventually(nd.stateCount, waitTimeout).Should(Equal(2))
+		g.Eventually(nd.linkCount, waitTimeout).Should(Equal(2))
 	}
 	g.Expect(c.stateOf("b")()).To(Equal("state of b"))
 }
 
-func TestSeeds(t *testing.T) {
+func TestMemberJoinsDespiteUnusableSeed(t *testing.T) {
 	tests := map[string]func(t *testing.T, good, own string) []string{
 		"one is dead":          func(t *testing.T, good, _ string) []string { return []string{deadAddress(t), good} },
 		"one is the own":       func(_ *testing.T, good, own string) []string { return []string{own, good} },
@@ -41,13 +41,13 @@
 			b := newNode(t, Options{Self: Member{Name: "b"}})
 			b.ms.opts.Seeds = seeds(t, a.address(), b.address())
 			b.start(t)
-			g.Eventually(a.names, patience).Should(Equal([]string{"a", "b"}))
-			g.Eventually(b.stateOf("a"), patience).Should(Equal("state of a"))
+			g.Eventually(a.liveNames, waitTimeout).Should(Equal([]string{"a", "b"}))
+			g.Eventually(b.stateOf("a"), waitTimeout).Should(Equal("state of a"))
 		})
 	}
 }
 
-func TestSeedThatIsThisInstanceUnderAnotherAddress(t *testing.T) {
+func TestLinkToOwnAddressIsClosed(t *testing.T) {
 	g := NewWithT(t)
 	a := newNode(t, Options{Self: Member{Name: "a", Address: deadAddress(t)}})
 	a.ms.opts.Seeds = []string{a.address()}
@@ -56,15 +56,15 @@
 		a.ms.mu.Lock()
 		defer a.ms.mu.Unlock()
 		if ds := a.ms.dials[a.address()]; ds != nil {
-			return ds.reached
+			return ds.peerName
 		}
 		return ""
-	}, patience).Should(Equal("a"))
-	g.Eventually(a.linkCount, patience).Should(BeZero())
-	g.Expect(a.names()).To(Equal([]string{"a"}))
+	}, waitTimeout).Should(Equal("a"))
+	g.Eventually(a.linkCount, waitTimeout).Should(BeZero())
+	g.Expect(a.liveNames()).To(Equal([]string{"a"}))
 }
 
-func TestNewestStateWins(t *testing.T) {
+func TestStatesArriveInOrderUpToNewest(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}})
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
@@ -72,11 +72,11 @@
 	for i := range last + 1 {
 		a.publish([]byte(strconv.Itoa(i)))
 	}
-	g.Eventually(b.stateOf("a"), patience).Should(Equal(strconv.Itoa(last)))
+	g.Eventually(b.stateOf("a"), waitTimeout).Should(Equal(strconv.Itoa(last)))
 	var seen []int
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, s := range b.order {
+	for _, s := range b.receivedOrder {
 		if n, err := strconv.Atoi(s); err == nil {
 			seen = append(seen, n)
 		}
@@ -84,28 +84,28 @@
 	g.Expect(slices.IsSorted(seen)).To(BeTrue(), "states came in order: %v", seen)
 }
 
-func TestPublishDoesNotWaitForTheInterval(t *testing.T) {
+func TestPublishedStateIsSentBeforeNextHeartbeat(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: never, LostAfter: 2 * never})
 	b := startNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: never, LostAfter: 2 * never, Seeds: []string{a.address()}})
-	g.Eventually(b.stateOf("a"), patience).Should(Equal("state of a"))
+	g.Eventually(b.stateOf("a"), waitTimeout).Should(Equal("state of a"))
 	for i := range 5 {
 		a.publish([]byte(fmt.Sprint("new ", i)))
-		g.Eventually(b.stateOf("a"), patience).Should(Equal(fmt.Sprint("new ", i)))
+		g.Eventually(b.stateOf("a"), waitTimeout).Should(Equal(fmt.Sprint("new ", i)))
 	}
 	b.publish([]byte("new"))
-	g.Eventually(a.stateOf("b"), patience).Should(Equal("new"))
+	g.Eventually(a.stateOf("b"), waitTimeout).Should(Equal("new"))
 }
 
-func TestLostAndBack(t *testing.T) {
+func TestLostMemberRejoinsWithItsState(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}})
 	b := newNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
 	stop := b.start(t)
-	g.Eventually(a.stateOf("b"), patience).Should(Equal("state of b"))
+	g.Eventually(a.stateOf("b"), waitTimeout).Should(Equal("state of b"))
 	stop()
-	g.Eventually(a.names, patience).Should(Equal([]string{"a"}))
-	g.Eventually(a.lostMembers, patience).Should(ConsistOf(b.ms.self.Member))
+	g.Eventually(a.liveNames, waitTimeout).Should(Equal([]string{"a"}))
+	g.Eventually(a.lostMembers, waitTimeout).Should(ConsistOf(b.ms.self.Member))
 	a.mu.Lock()
 	delete(a.received, "b")
 	a.mu.Unlock()
@@ -113,12 +113,12 @@
 	b.lis, err = net.Listen("tcp", b.address())
 	g.Expect(err).NotTo(HaveOccurred())
 	b.start(t)
-	g.Eventually(a.names, patience).Should(Equal([]string{"a", "b"}))
-	g.Eventually(a.stateOf("b"), patience).Should(Equal("state of b"))
+	g.Eventually(a.liveNames, waitTimeout).Should(Equal([]string{"a", "b"}))
+	g.Eventually(a.stateOf("b"), waitTimeout).Should(Equal("state of b"))
 	g.Expect(a.lostMembers()).To(HaveLen(1))
 }
 
-func TestRestartReplacesTheOldIncarnation(t *testing.T) {
+func TestRestartReplacesOldIncarnation(t *testing.T) {
 	tests := map[string]struct{ before, after string }{
 		"the new one sorts higher": {before: "1", after: "2"},
 		"the new one sorts lower":  {before: "2", after: "1"},
@@ -136,15 +136,15 @@
 			o.Self = Member{Name: "b", Incarnation: tt.before}
 			old := newNode(t, o)
 			stop := old.start(t)
-			g.Eventually(a.stateOf("b"), patience).Should(Equal("state of b"))
-			g.Eventually(c.stateOf("b"), patience).Should(Equal("state of b"))
+			g.Eventually(a.stateOf("b"), waitTimeout).Should(Equal("state of b"))
+			g.Eventually(c.stateOf("b"), waitTimeout).Should(Equal("state of b"))
 			stop()
 			o.Self.Incarnation = tt.after
 			b := newNode(t, o)
 			b.body = []byte("after")
 			b.start(t)
 			for _, nd := range []*node{a, c} {
-				g.Eventually(nd.stateOf("b"), patience).Should(Equal("after"))
+				g.Eventually(nd.stateOf("b"), waitTimeout).Should(Equal("after"))
 				g.Expect(nd.ms.Live()).To(ContainElement(b.ms.self.Member))
 				g.Expect(nd.lostMembers()).To(ConsistOf(old.ms.self.Member))
 			}
@@ -152,7 +152,7 @@
 	}
 }
 
-func TestOneWayDial(t *testing.T) {
+func TestMemberThatCannotBeDialledIsReachedOverItsOwnLinks(t *testing.T) {
 	for _, closed := range []string{"a", "b", "c"} {
 		t.Run(closed+" cannot be dialled", func(t *testing.T) {
 			g := NewWithT(t)
@@ -170,7 +170,7 @@
 			for name, nd := range nodes {
 				for other := range nodes {
 					if other != name {
-						g.Eventually(nd.stateOf(other), patience).Should(Equal("state of "+other), "at %s", name)
+						g.Eventually(nd.stateOf(other), waitTimeout).Should(Equal("state of "+other), "at %s", name)
 					}
 				}
 				if name == closed {
@@ -197,7 +197,7 @@
 			Seeds:             seeds,
 			HeartbeatInterval: 100 * time.Millisecond,
 			// So many members in one process may be slow under the race detector.
-			LostAfter:          patience,
+			LostAfter:          waitTimeout,
 			MaxFullMeshMembers: full,
 		})
 		if i == 0 {
@@ -206,12 +206,12 @@
 		nodes = append(nodes, nd)
 	}
 	for _, nd := range nodes {
-		g.Eventually(nd.states, patience).Should(Equal(members - 1))
+		g.Eventually(nd.stateCount, waitTimeout).Should(Equal(members - 1))
 	}
 	nodes[5].publish([]byte("new"))
 	for i, nd := range nodes {
 		if i != 5 {
-			g.Eventually(nd.stateOf("m05"), patience).Should(Equal("new"), "at %d", i)
+			g.Eventually(nd.stateOf("m05"), waitTimeout).Should(Equal("new"), "at %d", i)
 		}
 	}
 	for _, nd := range nodes {
@@ -219,7 +219,7 @@
 	}
 }
 
-func TestPartialMeshClosesSpareLinks(t *testing.T) {
+func TestPartialMeshClosesUnplannedLinks(t *testing.T) {
 	g := NewWithT(t)
 	o := Options{MaxFullMeshMembers: 3, LostAfter: 2 * time.Second}
 	var nodes []*node
@@ -240,12 +240,12 @@
 				planned = append(planned, m.Name)
 			}
 		}
-		g.Eventually(nd.names, patience).Should(HaveLen(9))
-		g.Eventually(nd.peers, patience).Should(Equal(planned))
+		g.Eventually(nd.liveNames, waitTimeout).Should(HaveLen(9))
+		g.Eventually(nd.peers, waitTimeout).Should(Equal(planned))
 	}
 }
 
-func TestPartialMeshLosesOnlyTheDeadMember(t *testing.T) {
+func TestPartialMeshReportsOnlyStoppedMemberLost(t *testing.T) {
 	g := NewWithT(t)
 	o := Options{MaxFullMeshMembers: 3, LostAfter: 3 * time.Second, HeartbeatInterval: 100 * time.Millisecond}
 	var nodes []*node
@@ -258,13 +258,13 @@
 		o.Seeds = []string{nodes[0].address()}
 	}
 	for _, nd := range nodes {
-		g.Eventually(nd.states, patience).Should(Equal(11))
+		g.Eventually(nd.stateCount, waitTimeout).Should(Equal(11))
 	}
 	stop()
 	dead := nodes[11].ms.self.Member
 	for _, nd := range nodes[:11] {
-		g.Eventually(nd.lostMembers, patience).Should(Equal([]Member{dead}))
-		g.Expect(nd.names()).To(HaveLen(11))
+		g.Eventually(nd.lostMembers, waitTimeout).Should(Equal([]Member{dead}))
+		g.Expect(nd.liveNames()).To(HaveLen(11))
 	}
 }
 
@@ -286,7 +286,7 @@
 	g.Expect(err).To(MatchError(context.Canceled))
 }
 
-func TestFetchFromASilentPeerEndsWithTheContext(t *testing.T) {
+func TestFetchFromSilentPeerFailsAtContextDeadline(t *testing.T) {
 	g := NewWithT(t)
 	// The kernel completes the handshake; nobody accepts.
 	silent := listen(t)
@@ -297,50 +297,50 @@
 	g.Expect(err).To(MatchError(context.DeadlineExceeded))
 }
 
-func TestPeerThatNeverReadsDelaysNoOther(t *testing.T) {
+func TestPeerThatNeverReadsDelaysNoOtherPeer(t *testing.T) {
 	g := NewWithT(t)
 	const bodyBytes, rounds = 1 << 20, 30
 	a := startNode(t, Options{Self: Member{Name: "a"}})
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
-	g.Eventually(b.stateOf("a"), patience).Should(Equal("state of a"))
+	g.Eventually(b.stateOf("a"), waitTimeout).Should(Equal("state of a"))
 
 	conn, _, err := dial(t.Context(), a.address())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	stream, err := conn.NewStream(t.Context(), exchangeRPC, encoding{})
 	g.Expect(err).NotTo(HaveOccurred())
-	hello := card{Member: Member{Name: "silent", Incarnation: "1", Address: deadAddress(t)}}
-	g.Expect(stream.MsgSend(&frame{Entries: []entry{{Card: &hello, Pulse: 1}}}, encoding{})).To(Succeed())
-	g.Eventually(a.peers, patience).Should(Equal([]string{"b", "silent"}))
+	hello := memberInfo{Member: Member{Name: "silent", Incarnation: "1", Address: deadAddress(t)}}
+	g.Expect(stream.MsgSend(&frame{Entries: []entry{{Info: &hello, Heartbeat: 1}}}, encoding{})).To(Succeed())
+	g.Eventually(a.peers, waitTimeout).Should(Equal([]string{"b", "silent"}))
 
 	for i := range rounds {
 		body := bytes.Repeat([]byte{byte('a' + i)}, bodyBytes)
 		a.publish(body)
-		g.Eventually(func() bool { return b.stateOf("a")() == string(body) }, patience).Should(BeTrue())
+		g.Eventually(func() bool { return b.stateOf("a")() == string(body) }, waitTimeout).Should(BeTrue())
 	}
-	g.Eventually(a.peers, patience).Should(Equal([]string{"b"}))
+	g.Eventually(a.peers, waitTimeout).Should(Equal([]string{"b"}))
 	g.Expect(a.lostMembers()).NotTo(ContainElement(b.ms.self.Member))
 }
 
-func TestSetStopping(t *testing.T) {
+func TestStoppingIsPropagated(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}})
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
-	g.Eventually(b.names, patience).Should(Equal([]string{"a", "b"}))
+	g.Eventually(b.liveNames, waitTimeout).Should(Equal([]string{"a", "b"}))
 	a.ms.SetStopping()
-	g.Eventually(func() bool { return b.ms.Live()[0].Stopping }, patience).Should(BeTrue())
+	g.Eventually(func() bool { return b.ms.Live()[0].Stopping }, waitTimeout).Should(BeTrue())
 	g.Expect(b.lostMembers()).To(BeEmpty())
 }
 
-func TestSetStoreless(t *testing.T) {
+func TestStoreUnreachableIsPropagated(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}})
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
-	g.Eventually(b.names, patience).Should(Equal([]string{"a", "b"}))
+	g.Eventually(b.liveNames, waitTimeout).Should(Equal([]string{"a", "b"}))
 	for _, storeless := range []bool{true, false, true} {
 		before := b.ms.MembershipVersion()
 		a.ms.SetStoreUnreachable(storeless)
-		g.Eventually(func() bool { return b.ms.Live()[0].StoreUnreachable }, patience).Should(Equal(storeless))
+		g.Eventually(func() bool { return b.ms.Live()[0].StoreUnreachable }, waitTimeout).Should(Equal(storeless))
 		g.Expect(b.ms.MembershipVersion()).To(BeNumerically(">", before))
 	}
 	g.Expect(b.lostMembers()).To(BeEmpty())
@@ -351,7 +351,7 @@
 // Symptom: for as long as a silent member counts as live, the others hold what one that has ended had in flight.
 // Sequence: the last request of a member ends, its state says so, and the member ends.
 // Cause: the end closes the links, whatever waits to be told.
-func TestLastStateIsToldBeforeTheEnd(t *testing.T) {
+func TestFinalStateIsSentBeforeShutdown(t *testing.T) {
 	tests := map[string]struct{ first, second string }{
 		"by a link that the member opened": {"a", "b"},
 		"by a link that the peer opened":   {"b", "a"},
@@ -360,14 +360,14 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			// The first of two names dials.
-			leaver := newNode(t, Options{Self: Member{Name: tc.first}, MinSendInterval: 20 * time.Millisecond, LostAfter: never, FlushTimeout: patience})
+			leaver := newNode(t, Options{Self: Member{Name: tc.first}, MinSendInterval: 20 * time.Millisecond, LostAfter: never, FlushTimeout: waitTimeout})
 			stop := leaver.start(t)
 			stays := startNode(t, Options{Self: Member{Name: tc.second}, Seeds: []string{leaver.address()}, LostAfter: never})
-			g.Eventually(stays.stateOf(tc.first), patience).Should(Equal("state of " + tc.first))
-			g.Eventually(leaver.stateOf(tc.second), patience).Should(Equal("state of " + tc.second))
+			g.Eventually(stays.stateOf(tc.first), waitTimeout).Should(Equal("state of " + tc.first))
+			g.Eventually(leaver.stateOf(tc.second), waitTimeout).Should(Equal("state of " + tc.second))
 			leaver.publish([]byte("nothing in flight"))
 			stop()
-			g.Eventually(stays.stateOf(tc.first), patience).Should(Equal("nothing in flight"))
+			g.Eventually(stays.stateOf(tc.first), waitTimeout).Should(Equal("nothing in flight"))
 		})
 	}
 }
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -15,7 +15,7 @@
 )
 
 // patience is far beyond what any wait in these tests needs, also on a busy machine.
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
 // never is longer than any test.
 const never = 24 * time.Hour
@@ -25,11 +25,11 @@
 	ms  *Mesh
 	lis net.Listener
 
-	mu       sync.Mutex
-	body     []byte
-	received map[string]string
-	order    []string
-	lost     []Member
+	mu            sync.Mutex
+	body          []byte
+	received      map[string]string
+	receivedOrder []string
+	lost          []Member
 }
 
 func listen(t testing.TB) net.Listener {
@@ -66,7 +66,7 @@
 	if o.Log == nil {
 		o.Log = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	}
-	o.State, o.ReceiveState, o.OnLost = nd.state, nd.receive, nd.lose
+	o.State, o.ReceiveState, o.OnLost = nd.state, nd.receive, nd.memberLost
 	nd.ms = New(o)
 	return nd
 }
@@ -113,10 +113,10 @@
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	nd.received[from.Name] = string(body)
-	nd.order = append(nd.order, string(body))
+	nd.receivedOrder = append(nd.receivedOrder, string(body))
 }
 
-func (nd *node) lose(m Member) {
+func (nd *node) memberLost(m Member) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	nd.lost = append(nd.lost, m)
@@ -136,20 +136,20 @@
 	}
 }
 
-func (nd *node) states() int {
+func (nd *node) stateCount() int {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return len(nd.received)
 }
 
 // heardOf returns the names of the members whose state came, sorted.
-func (nd *node) heardOf() []string {
+func (nd *node) receivedFrom() []string {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return slices.Sorted(maps.Keys(nd.received))
 }
 
-func (nd *node) names() []string {
+func (nd *node) liveNames() []string {
 	var names []string
 	for _, m := range nd.ms.Live() {
 		names = append(names, m.Name)
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -64,38 +64,38 @@
 
 const (
 	// defaultInterval allows eight heartbeats within the default silence.
-	defaultInterval = 250 * time.Millisecond
+	defaultHeartbeatInterval = 250 * time.Millisecond
 	// defaultLost is the silence of a process that restarts at once, and some more.
-	defaultLost = 2 * time.Second
+	defaultLostAfter = 2 * time.Second
 	// defaultFarewell is above the least time between two sends in a fleet of 300 instances, and below the 450 ms that a
 	// planned stop keeps for the end of the process.
-	defaultFarewell = 250 * time.Millisecond
+	defaultFlushTimeout = 250 * time.Millisecond
 	// defaultCoalesce bounds the sends for a busy instance to a hundred a second.
-	defaultCoalesce = 10 * time.Millisecond
+	defaultMinSendInterval = 10 * time.Millisecond
 	// defaultFullMesh is where the relays' work becomes less than that of the links saved.
-	defaultFullMesh = 16
+	defaultMaxFullMeshMembers = 16
 	// coalescePerLink is what each link beyond those of a full mesh adds to the least time between two sends: a relay
 	// then sends at most two thousand frames a second, however many subscribe to it.
-	coalescePerLink = 500 * time.Microsecond
+	sendIntervalPerLink = 500 * time.Microsecond
 	// forgetAfter is the silence after which a member is no longer dialled: longer than a restart.
 	forgetAfter = time.Minute
 	// redialPause bounds the attempts at an address to two a second.
-	redialPause = 500 * time.Millisecond
+	redialInterval = 500 * time.Millisecond
 	// dialGrace is how long the instance with the higher name waits for the other to dial: two attempts and their pause.
-	dialGrace = 1500 * time.Millisecond
+	dialGracePeriod = 1500 * time.Millisecond
 	// refreshBeats is the number of heartbeats after which the state is taken anew though it was not published: what
 	// it says of ages has changed.
-	refreshBeats = 4
+	refreshHeartbeats = 4
 	// idleLosts is the number of silences Options.Lost after which a stream is closed.
-	idleLosts = 3
+	idleLinkFactor = 3
 )
 
 func (o Options) withDefaults() Options {
-	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultInterval)
-	o.LostAfter = cmp.Or(o.LostAfter, defaultLost)
-	o.FlushTimeout = cmp.Or(o.FlushTimeout, defaultFarewell)
-	o.MinSendInterval = cmp.Or(o.MinSendInterval, defaultCoalesce)
-	o.MaxFullMeshMembers = cmp.Or(o.MaxFullMeshMembers, defaultFullMesh)
+	o.HeartbeatInterval = cmp.Or(o.HeartbeatInterval, defaultHeartbeatInterval)
+	o.LostAfter = cmp.Or(o.LostAfter, defaultLostAfter)
+	o.FlushTimeout = cmp.Or(o.FlushTimeout, defaultFlushTimeout)
+	o.MinSendInterval = cmp.Or(o.MinSendInterval, defaultMinSendInterval)
+	o.MaxFullMeshMembers = cmp.Or(o.MaxFullMeshMembers, defaultMaxFullMeshMembers)
 	if o.State == nil {
 		o.State = func() []byte { return nil }
 	}
--- a/internal/gossip/plan.go
+++ b/internal/gossip/plan.go
@@ -9,16 +9,16 @@
 
 const (
 	// relaysLeast leaves one relay of an availability zone when another fails.
-	relaysLeast = 2
+	minRelays = 2
 	// membersPerRelay is the number of members of an availability zone for which it has one relay, beyond the least: a
 	// relay passes all states on to its subscribers, and a link of 20 Mbit/s carries those to some forty.
 	membersPerRelay = 20
 	// relayDivisor says what a relay beyond the least must have at least: the preferred one's Mbit/s divided by it.
-	relayDivisor = 2
+	relayBandwidthDivisor = 2
 	// subscriptions is the number of relays that a member subscribes to.
-	subscriptions = 2
+	subscriptionsPerMember = 2
 	// remoteLinks is the number of relays of each other availability zone that a relay is linked to.
-	remoteLinks = 2
+	remoteLinksPerZone = 2
 )
 
 // plan says which members keep a link to each other. Beyond a number of members, some in each availability zone are
@@ -26,7 +26,7 @@
 // the same plan.
 type plan struct {
 	// full says that every two members are linked.
-	full bool
+	fullMesh bool
 	// relays are the names of the relays of each availability zone, the preferred first.
 	relays map[string][]string
 }
@@ -34,7 +34,7 @@
 // newPlan makes the plan of the given members.
 func newPlan(members []Member, fullMesh int) plan {
 	if len(members) <= fullMesh {
-		return plan{full: true}
+		return plan{fullMesh: true}
 	}
 	zones := map[string][]candidate{}
 	for _, m := range members {
@@ -54,8 +54,8 @@
 // those with a large share of the network. A small machine that relays to thirty others beside large ones falls behind by
 // seconds: one of 20 Mbit/s and a fifth of a core refused a key 11 s after the configuration that has it was in force.
 func relayCount(cs []candidate) int {
-	count := min(len(cs), max(relaysLeast, (len(cs)+membersPerRelay-1)/membersPerRelay))
-	for count > relaysLeast && cs[count-1].BandwidthMbps < cs[0].BandwidthMbps/relayDivisor {
+	count := min(len(cs), max(minRelays, (len(cs)+membersPerRelay-1)/membersPerRelay))
+	for count > minRelays && cs[count-1].BandwidthMbps < cs[0].BandwidthMbps/relayBandwidthDivisor {
 		count--
 	}
 	return count
@@ -81,16 +81,16 @@
 }
 
 // relay reports whether a member is a relay.
-func (pl plan) relay(m Member) bool { return slices.Contains(pl.relays[m.AvailabilityZone], m.Name) }
+func (pl plan) isRelay(m Member) bool { return slices.Contains(pl.relays[m.AvailabilityZone], m.Name) }
 
 // subscriptions returns the relays of its availability zone that a member subscribes to.
 func (pl plan) subscriptions(m Member) []string {
-	return highest(m.Name, pl.relays[m.AvailabilityZone], subscriptions)
+	return topRanked(m.Name, pl.relays[m.AvailabilityZone], subscriptionsPerMember)
 }
 
 // remote returns the relays of other availability zones that a relay is linked to: those that are as preferred in their
 // zone as it is in its own, and the next ones, so that the links of a pair of zones spread over their relays.
-func (pl plan) remote(m Member) []string {
+func (pl plan) remoteRelays(m Member) []string {
 	place := slices.Index(pl.relays[m.AvailabilityZone], m.Name)
 	if place < 0 {
 		return nil
@@ -100,7 +100,7 @@
 		if zone == m.AvailabilityZone {
 			continue
 		}
-		for i := range min(remoteLinks, len(relays)) {
+		for i := range min(remoteLinksPerZone, len(relays)) {
 			names = append(names, relays[(place+i)%len(relays)])
 		}
 	}
@@ -109,17 +109,17 @@
 
 // links returns the names of the members that a member keeps a link to; full plans have none. A relay is also linked to
 // those that subscribe to it.
-func (pl plan) links(m Member) []string {
-	if !pl.relay(m) {
+func (pl plan) linkedNames(m Member) []string {
+	if !pl.isRelay(m) {
 		return pl.subscriptions(m)
 	}
-	names := slices.Concat(pl.relays[m.AvailabilityZone], pl.remote(m))
+	names := slices.Concat(pl.relays[m.AvailabilityZone], pl.remoteRelays(m))
 	for zone, relays := range pl.relays {
 		if zone == m.AvailabilityZone {
 			continue
 		}
 		for _, name := range relays {
-			if slices.Contains(pl.remote(Member{Name: name, AvailabilityZone: zone}), m.Name) {
+			if slices.Contains(pl.remoteRelays(Member{Name: name, AvailabilityZone: zone}), m.Name) {
 				names = append(names, name)
 			}
 		}
@@ -129,14 +129,14 @@
 
 // linked reports whether two members keep a link.
 func (pl plan) linked(a, b Member) bool {
-	if pl.full {
+	if pl.fullMesh {
 		return true
 	}
 	if a.AvailabilityZone != b.AvailabilityZone {
-		return pl.relay(a) && pl.relay(b) &&
-			(slices.Contains(pl.remote(a), b.Name) || slices.Contains(pl.remote(b), a.Name))
+		return pl.isRelay(a) && pl.isRelay(b) &&
+			(slices.Contains(pl.remoteRelays(a), b.Name) || slices.Contains(pl.remoteRelays(b), a.Name))
 	}
-	if pl.relay(a) && pl.relay(b) {
+	if pl.isRelay(a) && pl.isRelay(b) {
 		return true
 	}
 	return pl.subscribes(a, b) || pl.subscribes(b, a)
@@ -144,12 +144,12 @@
 
 // subscribes reports whether a takes all states from b.
 func (pl plan) subscribes(a, b Member) bool {
-	return !pl.full && a.AvailabilityZone == b.AvailabilityZone && !pl.relay(a) &&
+	return !pl.fullMesh && a.AvailabilityZone == b.AvailabilityZone && !pl.isRelay(a) &&
 		slices.Contains(pl.subscriptions(a), b.Name)
 }
 
 // highest returns those of the names that have the highest rank with a name, at most n.
-func highest(name string, names []string, n int) []string {
+func topRanked(name string, names []string, n int) []string {
 	hash := xxhash.Sum64String(name)
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int { return cmp.Compare(rank(hash, b), rank(hash, a)) })
--- a/internal/gossip/plan_test.go
+++ b/internal/gossip/plan_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func zoned(n, zoneCount int) []Member {
+func membersInZones(n, zoneCount int) []Member {
 	var members []Member
 	for i := range n {
 		members = append(members, Member{Name: fmt.Sprint("m", i), AvailabilityZone: fmt.Sprint("z", i%zoneCount)})
@@ -24,7 +24,7 @@
 
 // reached returns the names of the members that hear the state of an origin, when all but a silent one pass on what the
 // plan says.
-func reached(pl plan, members []Member, origin Member, silent string) map[string]bool {
+func reachedMembers(pl plan, members []Member, origin Member, silent string) map[string]bool {
 	heard := map[string]bool{origin.Name: true}
 	for range 4 {
 		for _, from := range members {
@@ -35,7 +35,7 @@
 				direct := from == origin && pl.linked(from, to)
 				subscribed := pl.subscribes(to, from)
 				ofSubscriber := pl.linked(from, to) && pl.subscribes(origin, from)
-				zone := slices.Contains(pl.remote(to), from.Name) && from.AvailabilityZone == origin.AvailabilityZone
+				zone := slices.Contains(pl.remoteRelays(to), from.Name) && from.AvailabilityZone == origin.AvailabilityZone
 				if direct || subscribed || ofSubscriber || zone {
 					heard[to.Name] = true
 				}
@@ -57,10 +57,10 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			members := zoned(tt.members, tt.zones)
-			pl := newPlan(members, defaultFullMesh)
+			members := membersInZones(tt.members, tt.zones)
+			pl := newPlan(members, defaultMaxFullMeshMembers)
 			for _, origin := range members[:10] {
-				g.Expect(reached(pl, members, origin, "")).To(HaveLen(tt.members), "from %s", origin.Name)
+				g.Expect(reachedMembers(pl, members, origin, "")).To(HaveLen(tt.members), "from %s", origin.Name)
 			}
 		})
 	}
@@ -76,11 +76,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			members := zoned(tt.members, tt.zones)
-			pl := newPlan(members, defaultFullMesh)
+			members := membersInZones(tt.members, tt.zones)
+			pl := newPlan(members, defaultMaxFullMeshMembers)
 			for _, silent := range slices.Concat(slices.Collect(maps.Values(pl.relays))...) {
 				for _, origin := range without(members, silent)[:10] {
-					heard := reached(pl, members, origin, silent)
+					heard := reachedMembers(pl, members, origin, silent)
 					delete(heard, silent)
 					g.Expect(heard).To(HaveLen(tt.members-1), "from %s without %s", origin.Name, silent)
 				}
@@ -89,10 +89,10 @@
 	}
 }
 
-func TestPlanHasFewLinks(t *testing.T) {
+func TestPlanBoundsLinkCount(t *testing.T) {
 	g := NewWithT(t)
-	members := zoned(295, 5)
-	pl := newPlan(members, defaultFullMesh)
+	members := membersInZones(295, 5)
+	pl := newPlan(members, defaultMaxFullMeshMembers)
 	links, most := 0, 0
 	for _, a := range members {
 		own := 0
@@ -101,8 +101,8 @@
 				own++
 			}
 		}
-		if !pl.relay(a) {
-			g.Expect(own).To(Equal(subscriptions), "at %s", a.Name)
+		if !pl.isRelay(a) {
+			g.Expect(own).To(Equal(subscriptionsPerMember), "at %s", a.Name)
 		}
 		links += own
 		most = max(most, own)
@@ -111,9 +111,9 @@
 	g.Expect(most).To(BeNumerically("<", 80), "at one relay")
 }
 
-func TestRelaysAreTheMembersWithTheLargestShareOfTheNetwork(t *testing.T) {
+func TestRelaysAreMembersWithMostBandwidth(t *testing.T) {
 	g := NewWithT(t)
-	members := zoned(60, 3)
+	members := membersInZones(60, 3)
 	for i := range members {
 		members[i].BandwidthMbps = 20
 	}
@@ -121,16 +121,16 @@
 	for _, i := range large {
 		members[i].BandwidthMbps = 200
 	}
-	pl := newPlan(members, defaultFullMesh)
+	pl := newPlan(members, defaultMaxFullMeshMembers)
 	for _, i := range large {
-		g.Expect(pl.relay(members[i])).To(BeTrue())
+		g.Expect(pl.isRelay(members[i])).To(BeTrue())
 	}
 	members[6].Stopping = true
-	g.Expect(newPlan(members, defaultFullMesh).relay(members[6])).To(BeFalse(), "it stops")
+	g.Expect(newPlan(members, defaultMaxFullMeshMembers).isRelay(members[6])).To(BeFalse(), "it stops")
 }
 
 // TestSmallMembersDoNotRelayBesideLargeOnes: four relays would be due for 64 members, of which three are large.
-func TestSmallMembersDoNotRelayBesideLargeOnes(t *testing.T) {
+func TestLowBandwidthMembersDoNotRelayBesideHighBandwidthOnes(t *testing.T) {
 	tests := map[string]struct {
 		large int
 		want  int
@@ -143,14 +143,14 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			members := zoned(64, 1)
+			members := membersInZones(64, 1)
 			for i := range members {
 				members[i].BandwidthMbps = 20
 				if i < tt.large {
 					members[i].BandwidthMbps = 200
 				}
 			}
-			relays := newPlan(members, defaultFullMesh).relays["z0"]
+			relays := newPlan(members, defaultMaxFullMeshMembers).relays["z0"]
 			g.Expect(relays).To(HaveLen(tt.want))
 			for i := range min(tt.large, tt.want) {
 				if tt.large <= tt.want {
@@ -162,8 +162,8 @@
 }
 
 func BenchmarkPlan(b *testing.B) {
-	members := zoned(370, 3)
+	members := membersInZones(370, 3)
 	for b.Loop() {
-		newPlan(members, defaultFullMesh)
+		newPlan(members, defaultMaxFullMeshMembers)
 	}
 }
--- a/internal/gossip/question.go
+++ b/internal/gossip/query.go
@@ -11,16 +11,16 @@
 
 const (
 	// restMost is how long a connection rests between two questions: below the time after which the other side closes it.
-	restMost = time.Second
+	maxIdleTime = time.Second
 	// maxResting bounds the connections that rest, to all members together.
-	maxResting = 64
+	maxIdleConns = 64
 )
 
 // Ask puts a question under a name to a member: over the link to it, if there is one, else over a connection that then rests for the next
 // question. Answers are small, and come within a round trip.
 func (ms *Mesh) Query(ctx context.Context, m Member, name string, question []byte) ([]byte, error) {
 	rq := request{Name: name, Body: question}
-	doc, err := ms.put(ctx, m, rq)
+	doc, err := ms.sendQuery(ctx, m, rq)
 	if err != nil {
 		return nil, err
 	}
@@ -30,95 +30,95 @@
 	return doc.Body, nil
 }
 
-func (ms *Mesh) put(ctx context.Context, m Member, rq request) (document, error) {
+func (ms *Mesh) sendQuery(ctx context.Context, m Member, rq request) (response, error) {
 	ms.mu.Lock()
 	lk := ms.linkTo(m)
 	ms.mu.Unlock()
 	if lk != nil {
-		return lk.ask(ctx, rq)
+		return lk.call(ctx, rq)
 	}
 	now := ms.opts.Now()
-	conn := ms.resting.take(m.Address, now)
+	conn := ms.queryConns.get(m.Address, now)
 	if conn == nil {
 		var err error
 		conn, _, err = dial(ctx, m.Address)
 		if err != nil {
-			return document{}, err
+			return response{}, err
 		}
 	}
-	var doc document
+	var doc response
 	if err := conn.Invoke(ctx, fetchRPC, encoding{}, &rq, &doc); err != nil {
 		conn.Close()
-		return document{}, errors.Wrap(err, "put question")
+		return response{}, errors.Wrap(err, "put question")
 	}
-	ms.resting.rest(m.Address, conn, now)
+	ms.queryConns.put(m.Address, conn, now)
 	return doc, nil
 }
 
 // restingConn is a connection without a question under way.
-type restingConn struct {
+type idleConn struct {
 	*drpcconn.Conn
-	since time.Time
+	idleSince time.Time
 }
 
 // restingConns are connections over which the next question is put.
-type restingConns struct {
+type connPool struct {
 	mu        sync.Mutex
-	byAddress map[string][]restingConn
+	byAddress map[string][]idleConn
 	count     int
 }
 
-func newRestingConns() *restingConns { return &restingConns{byAddress: map[string][]restingConn{}} }
+func newConnPool() *connPool { return &connPool{byAddress: map[string][]idleConn{}} }
 
 // take returns the connection to an address that was used last; nil when there is none.
-func (rc *restingConns) take(address string, now time.Time) *drpcconn.Conn {
-	rc.mu.Lock()
-	defer rc.mu.Unlock()
-	rc.sweep(now)
-	list := rc.byAddress[address]
+func (cp *connPool) get(address string, now time.Time) *drpcconn.Conn {
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
+	cp.closeExpired(now)
+	list := cp.byAddress[address]
 	if len(list) == 0 {
 		return nil
 	}
 	conn := list[len(list)-1].Conn
-	rc.byAddress[address] = list[:len(list)-1]
-	rc.count--
+	cp.byAddress[address] = list[:len(list)-1]
+	cp.count--
 	return conn
 }
 
 // rest keeps a connection, or closes it when there are too many.
-func (rc *restingConns) rest(address string, conn *drpcconn.Conn, now time.Time) {
-	rc.mu.Lock()
-	defer rc.mu.Unlock()
-	rc.sweep(now)
-	if rc.count >= maxResting {
+func (cp *connPool) put(address string, conn *drpcconn.Conn, now time.Time) {
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
+	cp.closeExpired(now)
+	if cp.count >= maxIdleConns {
 		conn.Close()
 		return
 	}
-	rc.byAddress[address] = append(rc.byAddress[address], restingConn{Conn: conn, since: now})
-	rc.count++
+	cp.byAddress[address] = append(cp.byAddress[address], idleConn{Conn: conn, idleSince: now})
+	cp.count++
 }
 
 // sweep closes connections that have rested for too long. The lock is held.
-func (rc *restingConns) sweep(now time.Time) {
-	for address, list := range rc.byAddress {
+func (cp *connPool) closeExpired(now time.Time) {
+	for address, list := range cp.byAddress {
 		old := 0
-		for old < len(list) && now.Sub(list[old].since) >= restMost {
+		for old < len(list) && now.Sub(list[old].idleSince) >= maxIdleTime {
 			list[old].Close()
 			old++
 		}
-		rc.count -= old
-		rc.byAddress[address] = list[old:]
+		cp.count -= old
+		cp.byAddress[address] = list[old:]
 		if old == len(list) {
-			delete(rc.byAddress, address)
+			delete(cp.byAddress, address)
 		}
 	}
 }
 
 // closeAll closes all connections that rest.
-func (rc *restingConns) closeAll() {
-	rc.mu.Lock()
-	defer rc.mu.Unlock()
-	rc.sweep(time.Now().Add(2 * restMost))
+func (cp *connPool) closeAll() {
+	cp.mu.Lock()
+	defer cp.mu.Unlock()
+	cp.closeExpired(time.Now().Add(2 * maxIdleTime))
 }
 
 // Known returns how many instances live by what this one hears, itself among them, and how many it knew within the last minute; those that
--- a/internal/gossip/question_test.go
+++ b/internal/gossip/query_test.go
@@ -11,13 +11,13 @@
 // echo answers questions under the name "echo" with themselves.
 func echo(name string, question []byte) ([]byte, bool) { return question, name == "echo" }
 
-func TestAsk(t *testing.T) {
+func TestQuery(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}, HandleQuery: echo})
 	// One that is linked to a, and one that is not.
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
 	c := startNode(t, Options{Self: Member{Name: "c"}})
-	g.Eventually(b.stateOf("a"), patience).Should(Equal("state of a"))
+	g.Eventually(b.stateOf("a"), waitTimeout).Should(Equal("state of a"))
 	for _, nd := range []*node{b, c} {
 		for range 3 {
 			answer, err := nd.ms.Query(t.Context(), a.ms.self.Member, "echo", []byte("hello"))
@@ -27,12 +27,12 @@
 		_, err := nd.ms.Query(t.Context(), a.ms.self.Member, "other", []byte("hello"))
 		g.Expect(err).To(MatchError(&NotFoundError{Instance: "a", Document: "other"}))
 	}
-	g.Expect(c.ms.resting.count).To(Equal(1), "the connection is used again")
+	g.Expect(c.ms.queryConns.count).To(Equal(1), "the connection is used again")
 	_, err := c.ms.Query(t.Context(), Member{Name: "d", Address: deadAddress(t)}, "echo", []byte("hello"))
 	g.Expect(err).To(MatchError(ContainSubstring("dial peer")))
 }
 
-func TestQuestionToASilentPeerEndsWithTheContext(t *testing.T) {
+func TestQueryToSilentPeerFailsAtContextDeadline(t *testing.T) {
 	g := NewWithT(t)
 	// The kernel completes the handshake; nobody accepts.
 	silent := listen(t)
@@ -41,25 +41,25 @@
 	defer cancel()
 	_, err := b.ms.Query(ctx, Member{Name: "a", Address: silent.Addr().String()}, "echo", []byte("hello"))
 	g.Expect(err).To(MatchError(context.DeadlineExceeded))
-	g.Expect(b.ms.resting.count).To(BeZero())
+	g.Expect(b.ms.queryConns.count).To(BeZero())
 }
 
-func TestRestingConnectionsAreBounded(t *testing.T) {
+func TestIdleConnectionsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}})
-	rc := newRestingConns()
+	rc := newConnPool()
 	now := time.Now()
-	for range maxResting + 5 {
+	for range maxIdleConns + 5 {
 		conn, _, err := dial(t.Context(), a.address())
 		g.Expect(err).NotTo(HaveOccurred())
-		rc.rest(a.address(), conn, now)
+		rc.put(a.address(), conn, now)
 	}
-	g.Expect(rc.count).To(Equal(maxResting))
-	g.Expect(rc.take(a.address(), now.Add(restMost))).To(BeNil(), "all have rested for too long")
+	g.Expect(rc.count).To(Equal(maxIdleConns))
+	g.Expect(rc.get(a.address(), now.Add(maxIdleTime))).To(BeNil(), "all have rested for too long")
 	g.Expect(rc.count).To(BeZero())
 }
 
-func TestKnownCountsThoseLostLately(t *testing.T) {
+func TestMemberCountsIncludeRecentlyLostMembers(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}, LostAfter: 200 * time.Millisecond})
 	b := newNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}, LostAfter: 200 * time.Millisecond})
@@ -68,7 +68,7 @@
 		live, known := a.ms.MemberCounts()
 		return []int{live, known}
 	}
-	g.Eventually(both, patience).Should(Equal([]int{2, 2}))
+	g.Eventually(both, waitTimeout).Should(Equal([]int{2, 2}))
 	stop()
-	g.Eventually(both, patience).Should(Equal([]int{1, 2}))
+	g.Eventually(both, waitTimeout).Should(Equal([]int{1, 2}))
 }
--- a/internal/gossip/relay_test.go
+++ b/internal/gossip/relay_test.go
@@ -29,7 +29,7 @@
 }
 
 // relayed starts members of one availability zone, and returns the relays and the others once all know each other.
-func relayed(t *testing.T, members int, o Options) (relays, others []*node, silence map[*node]func()) {
+func startRelayedZone(t *testing.T, members int, o Options) (relays, others []*node, silence map[*node]func()) {
 	t.Helper()
 	g := NewWithT(t)
 	silence = map[*node]func(){}
@@ -53,22 +53,22 @@
 				rest = append(rest, m.Name)
 			}
 		}
-		g.Eventually(nd.heardOf, patience).Should(Equal(rest))
-		if pl.relay(nd.ms.self.Member) {
+		g.Eventually(nd.receivedFrom, waitTimeout).Should(Equal(rest))
+		if pl.isRelay(nd.ms.self.Member) {
 			relays = append(relays, nd)
 			continue
 		}
 		others = append(others, nd)
-		g.Eventually(nd.peers, patience).Should(ConsistOf(pl.subscriptions(nd.ms.self.Member)))
+		g.Eventually(nd.peers, waitTimeout).Should(ConsistOf(pl.subscriptions(nd.ms.self.Member)))
 	}
 	return relays, others, silence
 }
 
 // TestRelaysThatFallSilentAreReplaced has all relays fall silent at once, with their links open: members ask others well
 // before those that they no longer hear of seem lost.
-func TestRelaysThatFallSilentAreReplaced(t *testing.T) {
+func TestSilentRelaysAreReplaced(t *testing.T) {
 	g := NewWithT(t)
-	relays, others, silence := relayed(t, 12, Options{MaxFullMeshMembers: 3, HeartbeatInterval: 200 * time.Millisecond, LostAfter: 4 * time.Second})
+	relays, others, silence := startRelayedZone(t, 12, Options{MaxFullMeshMembers: 3, HeartbeatInterval: 200 * time.Millisecond, LostAfter: 4 * time.Second})
 	var names []string
 	for _, nd := range relays {
 		names = append(names, nd.ms.self.Name)
@@ -77,51 +77,51 @@
 	others[3].publish([]byte("new"))
 	for i, nd := range others {
 		if i != 3 {
-			g.Eventually(nd.stateOf(others[3].ms.self.Name), patience).Should(Equal("new"))
+			g.Eventually(nd.stateOf(others[3].ms.self.Name), waitTimeout).Should(Equal("new"))
 		}
 	}
 	for _, nd := range others {
-		g.Eventually(nd.lostMembers, patience).Should(HaveLen(len(relays)))
+		g.Eventually(nd.lostMembers, waitTimeout).Should(HaveLen(len(relays)))
 		for _, m := range nd.lostMembers() {
 			g.Expect(names).To(ContainElement(m.Name), "only the silent ones are lost")
 		}
 	}
 }
 
-func TestMemberTakesHalfOfTheStatesFromEachRelay(t *testing.T) {
+func TestMemberSubscribesToHalfOfStatesAtEachRelay(t *testing.T) {
 	g := NewWithT(t)
-	relays, others, _ := relayed(t, 12, Options{MaxFullMeshMembers: 3})
+	relays, others, _ := startRelayedZone(t, 12, Options{MaxFullMeshMembers: 3})
 	g.Expect(relays).To(HaveLen(2))
 	nd := others[0]
 	nd.ms.mu.Lock()
 	defer nd.ms.mu.Unlock()
 	var parts []uint64
 	for lk := range nd.ms.links {
-		if slices.Contains(nd.ms.sources, lk.peer.Name) {
+		if slices.Contains(nd.ms.upstreamRelays, lk.peer.Name) {
 			su := nd.ms.subscriptionTo(lk)
 			g.Expect(su.Scope).To(Equal(scopeAll))
-			g.Expect(su.Parts).To(BeEquivalentTo(2))
-			parts = append(parts, su.Part)
+			g.Expect(su.ShardCount).To(BeEquivalentTo(2))
+			parts = append(parts, su.Shard)
 		}
 	}
 	g.Expect(parts).To(ConsistOf(BeEquivalentTo(0), BeEquivalentTo(1)))
 }
 
-func TestLinkIsToldOnlyWhatChanged(t *testing.T) {
+func TestFrameContainsOnlyChangedMembers(t *testing.T) {
 	g := NewWithT(t)
-	a, _ := still(t)
+	a, _ := newStoppedNode(t)
 	lk := a.ms.newLink(nil, nopCloser{}, "")
-	lk.subscribed(subscription{Scope: scopeAll})
+	lk.setSubscription(subscription{Scope: scopeAll})
 	const members = 300
 	for i := range members {
-		c := card{Member: Member{Name: fmt.Sprint("m", i), Incarnation: "1"}}
-		a.hears(c, entry{Pulse: 1, State: part{Version: 1, Body: []byte("state")}})
+		c := memberInfo{Member: Member{Name: fmt.Sprint("m", i), Incarnation: "1"}}
+		a.receiveEntry(c, entry{Heartbeat: 1, State: payload{Version: 1, Body: []byte("state")}})
 	}
-	g.Expect(lk.news().Entries).To(HaveLen(members + 1))
-	a.hears(card{Member: Member{Name: "m7", Incarnation: "1"}}, entry{Pulse: 2, State: part{Version: 2, Body: []byte("newer")}})
-	fr := lk.news()
+	g.Expect(lk.nextFrame().Entries).To(HaveLen(members + 1))
+	a.receiveEntry(memberInfo{Member: Member{Name: "m7", Incarnation: "1"}}, entry{Heartbeat: 2, State: payload{Version: 2, Body: []byte("newer")}})
+	fr := lk.nextFrame()
 	g.Expect(fr.Entries).To(HaveLen(1), "only what changed since")
-	g.Expect(fr.Entries[0].Card).To(BeNil())
+	g.Expect(fr.Entries[0].Info).To(BeNil())
 	g.Expect(string(fr.Entries[0].State.Body)).To(Equal("newer"))
 }
 
@@ -140,7 +140,7 @@
 		for i := range members {
 			nd := newNode(b, Options{
 				Self:  Member{Name: fmt.Sprintf("m%03d", i), AvailabilityZone: fmt.Sprint(i % 5)},
-				Seeds: seeds, HeartbeatInterval: defaultInterval, LostAfter: patience,
+				Seeds: seeds, HeartbeatInterval: defaultHeartbeatInterval, LostAfter: waitTimeout,
 			})
 			seeds = append(seeds, nd.address())[:min(len(seeds)+1, 3)]
 			wg.Go(func() { _ = nd.ms.Serve(ctx, nd.lis) })
@@ -165,12 +165,12 @@
 	defer nd.ms.mu.Unlock()
 	now := nd.ms.opts.Now()
 	for i := 1; i < 350; i++ {
-		c := card{Member: Member{Name: fmt.Sprintf("m%03d", i), AvailabilityZone: fmt.Sprint(i % 5), Incarnation: "1"}}
-		nd.ms.hear(c, entry{Pulse: 1}, now)
+		c := memberInfo{Member: Member{Name: fmt.Sprintf("m%03d", i), AvailabilityZone: fmt.Sprint(i % 5), Incarnation: "1"}}
+		nd.ms.applyEntry(c, entry{Heartbeat: 1}, now)
 	}
 	for b.Loop() {
-		nd.ms.topology++
-		nd.ms.urgent = true
+		nd.ms.topologyVersion++
+		nd.ms.replanNow = true
 		nd.ms.replan()
 	}
 }
--- a/internal/gossip/scope.go
+++ b/internal/gossip/scope.go
@@ -22,30 +22,30 @@
 )
 
 // cards reports whether the cards of those outside the scope are told.
-func (sc scope) cards() bool { return sc != scopeDirect }
+func (sc scope) includesAllInfo() bool { return sc != scopeDirect }
 
 // subscription is what one side of a link asks the other to tell.
 type subscription struct {
 	Scope scope
 	// Parts is the number of relays that share the states among them, and Part the one that is asked for, from 0. With
 	// Parts of at most 1 all states are told.
-	Part, Parts uint64
+	Shard, ShardCount uint64
 }
 
 // takesState reports whether the state of a member is in the part asked for. Pulses and cards are in each part, so that
 // nobody seems lost while one relay is silent.
-func (su subscription) takesState(name string) bool {
-	return su.Parts <= 1 || xxhash.Sum64String(name)%su.Parts == su.Part
+func (su subscription) includesState(name string) bool {
+	return su.ShardCount <= 1 || xxhash.Sum64String(name)%su.ShardCount == su.Shard
 }
 
 // subscriptionTo returns what this instance wants to be told on a link; the lock is held.
 func (ms *Mesh) subscriptionTo(lk *link) subscription {
 	self := ms.self.Member
-	if ms.plan.full || lk.peer.Name == "" {
+	if ms.plan.fullMesh || lk.peer.Name == "" {
 		return subscription{Scope: scopeMembers}
 	}
 	if lk.peer.AvailabilityZone != self.AvailabilityZone {
-		if slices.Contains(ms.plan.remote(self), lk.peer.Name) {
+		if slices.Contains(ms.plan.remoteRelays(self), lk.peer.Name) {
 			return subscription{Scope: scopeZone}
 		}
 		return subscription{Scope: scopeMembers}
@@ -53,17 +53,17 @@
 	if !ms.plan.subscribes(self, lk.peer) {
 		return subscription{Scope: scopeDirect}
 	}
-	part := slices.Index(ms.sources, lk.peer.Name)
+	part := slices.Index(ms.upstreamRelays, lk.peer.Name)
 	if part < 0 {
 		return subscription{Scope: scopeAll}
 	}
-	return subscription{Scope: scopeAll, Part: uint64(part), Parts: uint64(len(ms.sources))}
+	return subscription{Scope: scopeAll, Shard: uint64(part), ShardCount: uint64(len(ms.upstreamRelays))}
 }
 
 // tells reports whether a member is in the scope that the peer of a link asked for; the lock is held.
-func (lk *link) tells(r *record) bool {
+func (lk *link) inScope(r *record) bool {
 	ms := lk.ms
-	switch lk.wanted.Scope {
+	switch lk.peerSubscription.Scope {
 	case scopeAll:
 		return true
 	case scopeZone:
@@ -75,17 +75,17 @@
 
 // resubscribe counts the links of each subscriber anew. What a new one is told of was outside the scope of other links
 // before, so all of its record is told again. The lock is held.
-func (ms *Mesh) resubscribe() {
+func (ms *Mesh) countSubscribers() {
 	before := ms.subscribers
 	ms.subscribers = map[string]int{}
 	for lk := range ms.links {
-		if lk.wanted.Scope == scopeAll && lk.peer.Name != "" {
+		if lk.peerSubscription.Scope == scopeAll && lk.peer.Name != "" {
 			ms.subscribers[lk.peer.Name]++
 		}
 	}
 	for name := range ms.subscribers {
 		if r := ms.records[name]; r != nil && before[name] == 0 {
-			ms.log.touch(r, changedAll)
+			ms.changes.touch(r, everythingChanged)
 		}
 	}
 }
--- a/internal/gossip/pace.go
+++ b/internal/gossip/sendinterval.go
@@ -3,15 +3,15 @@
 import "time"
 
 // coalesce is the least time between two sends; it grows with the links that each send is for.
-func (ms *Mesh) coalesce() time.Duration {
+func (ms *Mesh) sendInterval() time.Duration {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	return ms.coalesceFor(len(ms.links))
+	return ms.sendIntervalFor(len(ms.links))
 }
 
-func (ms *Mesh) coalesceFor(links int) time.Duration {
+func (ms *Mesh) sendIntervalFor(links int) time.Duration {
 	beyond := max(0, links-ms.opts.MaxFullMeshMembers)
-	return min(ms.opts.HeartbeatInterval, ms.opts.MinSendInterval+time.Duration(beyond)*coalescePerLink)
+	return min(ms.opts.HeartbeatInterval, ms.opts.MinSendInterval+time.Duration(beyond)*sendIntervalPerLink)
 }
 
 // Lag returns the time after which a new state of this instance is known to the others when all is well: the wait for
@@ -20,15 +20,15 @@
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.replan()
-	own := ms.coalesceFor(len(ms.links))
-	if ms.plan.full {
+	own := ms.sendIntervalFor(len(ms.links))
+	if ms.plan.fullMesh {
 		return own
 	}
-	return own + 2*ms.coalesceFor(ms.linksOfRelay())
+	return own + 2*ms.sendIntervalFor(ms.estimatedRelayLinks())
 }
 
 // linksOfRelay returns about how many links a relay of this availability zone has; the lock is held.
-func (ms *Mesh) linksOfRelay() int {
+func (ms *Mesh) estimatedRelayLinks() int {
 	near := 1
 	for _, r := range ms.records {
 		if r.live && r.AvailabilityZone == ms.self.AvailabilityZone {
@@ -36,5 +36,5 @@
 		}
 	}
 	relays := max(1, len(ms.plan.relays[ms.self.AvailabilityZone]))
-	return near*subscriptions/relays + relays + 2*remoteLinks*(len(ms.plan.relays)-1)
+	return near*subscriptionsPerMember/relays + relays + 2*remoteLinksPerZone*(len(ms.plan.relays)-1)
 }
--- a/internal/gossip/topology.go
+++ b/internal/gossip/topology.go
@@ -13,27 +13,27 @@
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.replan()
-	return ms.plan.full || ms.plan.relay(ms.self.Member) || slices.Contains(ms.sources, m.Name)
+	return ms.plan.fullMesh || ms.plan.isRelay(ms.self.Member) || slices.Contains(ms.upstreamRelays, m.Name)
 }
 
 // replanPause is the least time between two plans made for members that came or changed: hundreds that start at once are
 // planned for together, since each plan takes a fifth of a core some milliseconds.
-const replanPause = 100 * time.Millisecond
+const minReplanInterval = 100 * time.Millisecond
 
 // replan makes the plan for the live members that are not suspected, when they changed. The lock is held.
 func (ms *Mesh) replan() {
 	now := ms.opts.Now()
-	if ms.planned == ms.topology || !ms.urgent && now.Sub(ms.plannedAt) < replanPause {
+	if ms.plannedVersion == ms.topologyVersion || !ms.replanNow && now.Sub(ms.plannedAt) < minReplanInterval {
 		return
 	}
-	ms.planned, ms.plannedAt, ms.urgent = ms.topology, now, false
-	ms.plan = plan{full: true}
+	ms.plannedVersion, ms.plannedAt, ms.replanNow = ms.topologyVersion, now, false
+	ms.plan = plan{fullMesh: true}
 	if ms.liveCount() > ms.opts.MaxFullMeshMembers {
-		ms.plan = newPlan(ms.usableLocked(), 0)
+		ms.plan = newPlan(ms.unsuspectedMembers(), 0)
 	}
-	ms.wantedNames = ms.wantedByPlan()
-	ms.findSources()
-	ms.logPart()
+	ms.plannedPeers = ms.selectPeers()
+	ms.updateUpstreamRelays()
+	ms.logRelayRole()
 }
 
 func (ms *Mesh) liveCount() int {
@@ -49,14 +49,14 @@
 // wantedByPlan returns the names of the members, live or lost, that a link is to be kept to. Those of an availability
 // zone of which nobody is usable are planned for as if they were, so that it is not given up while it is cut off. In its
 // own zone an instance goes on with all that it serves.
-func (ms *Mesh) wantedByPlan() []string {
+func (ms *Mesh) selectPeers() []string {
 	self := ms.self.Member
-	serves := ms.plan.full || ms.plan.relay(self)
-	linked := set.Of(slices.Concat(ms.plan.links(self), ms.hopefulPlan().links(self))...)
+	serves := ms.plan.fullMesh || ms.plan.isRelay(self)
+	linked := set.Of(slices.Concat(ms.plan.linkedNames(self), ms.planWithSilentZones().linkedNames(self))...)
 	var names []string
 	for name, r := range ms.records {
 		near := r.AvailabilityZone == self.AvailabilityZone
-		if r.live && ms.plan.full || near && serves || linked.Has(name) {
+		if r.live && ms.plan.fullMesh || near && serves || linked.Has(name) {
 			names = append(names, name)
 		}
 	}
@@ -64,8 +64,8 @@
 }
 
 // hopefulPlan is the plan as it would be with all that are known in the availability zones of which nobody is usable.
-func (ms *Mesh) hopefulPlan() plan {
-	members := ms.usableLocked()
+func (ms *Mesh) planWithSilentZones() plan {
+	members := ms.unsuspectedMembers()
 	zones := map[string]bool{}
 	for _, m := range members {
 		zones[m.AvailabilityZone] = true
@@ -84,7 +84,7 @@
 
 // findSources notes from which relays this instance takes states: those it subscribes to and has a link to. The lock is
 // held.
-func (ms *Mesh) findSources() {
+func (ms *Mesh) updateUpstreamRelays() {
 	var sources []string
 	for lk := range ms.links {
 		_, suspected := ms.suspects[lk.peer.Name]
@@ -93,14 +93,14 @@
 		}
 	}
 	slices.Sort(sources)
-	ms.sources = slices.Compact(sources)
+	ms.upstreamRelays = slices.Compact(sources)
 }
 
 // wanted returns the members, live or lost, that a link is to be kept to; the lock is held.
-func (ms *Mesh) wanted() []*record {
+func (ms *Mesh) wantedMembers() []*record {
 	ms.replan()
 	var wanted []*record
-	for _, name := range ms.wantedNames {
+	for _, name := range ms.plannedPeers {
 		if r := ms.records[name]; r != nil {
 			wanted = append(wanted, r)
 		}
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -9,7 +9,7 @@
 )
 
 // card is what the member list holds of one process.
-type card struct {
+type memberInfo struct {
 	Member
 	// Generation orders the incarnations of a name: a process that hears of another incarnation of its own name takes
 	// a higher one.
@@ -21,18 +21,18 @@
 	// ID stands for the process on one stream; the first entry with an ID has a card. senderID is the sender.
 	ID uint64
 	// Card is nil when it was sent before on this stream and has not changed.
-	Card *card
+	Info *memberInfo
 	// Pulse only grows within an incarnation; 0 means that the entry tells none.
-	Pulse uint64
+	Heartbeat uint64
 	// PulseAge is the time since the process itself was heard.
-	PulseAge     time.Duration
-	State, Notes part
+	HeartbeatAge time.Duration
+	State, Notes payload
 	// Delay is by how much longer than usual the frame was under way. The receiver finds it; it is not on the wire.
-	Delay time.Duration
+	ExtraDelay time.Duration
 }
 
 // part is one of the texts that a process tells of itself.
-type part struct {
+type payload struct {
 	// Version is the pulse at which Body was made; 0 means that the entry has none.
 	Version uint64
 	Body    []byte
@@ -46,30 +46,30 @@
 // frame is the message of a stream, in both directions.
 type frame struct {
 	// Wants is what the sender wants to be told from now on; nil when that is as before.
-	Wants   *subscription
-	Entries []entry
-	Asks    []ask
-	Answers []answer
+	Subscription *subscription
+	Entries      []entry
+	Requests     []streamRequest
+	Responses    []streamResponse
 	// Sent is the time from the sender's start to when the frame was made, in whole milliseconds on the wire; 0 when the
 	// sender does not tell.
-	Sent time.Duration
+	SenderUptime time.Duration
 }
 
 func (fr *frame) empty() bool {
-	return fr.Wants == nil && len(fr.Entries) == 0 && len(fr.Asks) == 0 && len(fr.Answers) == 0
+	return fr.Subscription == nil && len(fr.Entries) == 0 && len(fr.Requests) == 0 && len(fr.Responses) == 0
 }
 
 // ask asks for a document on the stream.
-type ask struct {
+type streamRequest struct {
 	// ID is unique among the asks of one sender on one stream.
 	ID uint64
 	request
 }
 
 // answer answers the ask of its ID.
-type answer struct {
+type streamResponse struct {
 	ID uint64
-	document
+	response
 }
 
 // request asks for a document, or, with a body, puts a question.
@@ -80,51 +80,51 @@
 }
 
 // document answers a request.
-type document struct {
+type response struct {
 	Found bool
 	Body  []byte
 }
 
 // Field numbers on the wire. They are never used again for something else.
 const (
-	frameEntry  protowire.Number = 1
-	frameAsk    protowire.Number = 2
-	frameAnswer protowire.Number = 3
-	frameWants  protowire.Number = 4
-	frameSent   protowire.Number = 5
-
-	wantsScope protowire.Number = 1
-	wantsPart  protowire.Number = 2
-	wantsParts protowire.Number = 3
-
-	entryID       protowire.Number = 1
-	entryCard     protowire.Number = 2
-	entryPulse    protowire.Number = 3
-	entryPulseAge protowire.Number = 4
-	entryVersion  protowire.Number = 5
-	entryBody     protowire.Number = 6
-	entryBodyAge  protowire.Number = 7
+	frameEntry        protowire.Number = 1
+	frameRequest      protowire.Number = 2
+	frameResponse     protowire.Number = 3
+	frameSubscription protowire.Number = 4
+	frameSenderUptime protowire.Number = 5
+
+	subscriptionScope      protowire.Number = 1
+	subscriptionShard      protowire.Number = 2
+	subscriptionShardCount protowire.Number = 3
+
+	entryID           protowire.Number = 1
+	entryInfo         protowire.Number = 2
+	entryHeartbeat    protowire.Number = 3
+	entryHeartbeatAge protowire.Number = 4
+	entryStateVersion protowire.Number = 5
+	entryState        protowire.Number = 6
+	entryStateAge     protowire.Number = 7
 	// An instance of the build before passes over the notes.
 	entryNotesVersion protowire.Number = 8
 	entryNotes        protowire.Number = 9
 	entryNotesAge     protowire.Number = 10
 
-	cardName        protowire.Number = 1
-	cardIncarnation protowire.Number = 2
-	cardAddress     protowire.Number = 3
-	cardZone        protowire.Number = 4
-	cardStopping    protowire.Number = 5
-	cardGeneration  protowire.Number = 6
-	cardMegabits    protowire.Number = 7
-	cardStoreless   protowire.Number = 8
+	infoName             protowire.Number = 1
+	infoIncarnation      protowire.Number = 2
+	infoAddress          protowire.Number = 3
+	infoZone             protowire.Number = 4
+	infoStopping         protowire.Number = 5
+	infoGeneration       protowire.Number = 6
+	infoBandwidth        protowire.Number = 7
+	infoStoreUnreachable protowire.Number = 8
 
 	requestName protowire.Number = 1
 	requestID   protowire.Number = 2
 	requestBody protowire.Number = 3
 
-	documentFound protowire.Number = 1
-	documentBody  protowire.Number = 2
-	documentID    protowire.Number = 3
+	responseFound protowire.Number = 1
+	responseBody  protowire.Number = 2
+	responseID    protowire.Number = 3
 )
 
 // encoding writes messages in the protocol buffer wire format.
@@ -140,7 +140,7 @@
 		return m.append(b), nil
 	case *request:
 		return m.append(b), nil
-	case *document:
+	case *response:
 		return m.append(b), nil
 	}
 	return nil, &MalformedError{Message: "of an unknown type"}
@@ -153,32 +153,32 @@
 		return eachField(b, m.set)
 	case *request:
 		return eachField(b, m.set)
-	case *document:
+	case *response:
 		return eachField(b, m.set)
 	}
 	return &MalformedError{Message: "of an unknown type"}
 }
 
 func (fr *frame) append(b []byte) []byte {
-	if fr.Wants != nil {
-		b = appendMessage(b, frameWants, fr.Wants.append(nil))
+	if fr.Subscription != nil {
+		b = appendMessage(b, frameSubscription, fr.Subscription.append(nil))
 	}
 	for _, e := range fr.Entries {
 		b = appendMessage(b, frameEntry, e.append(nil))
 	}
-	for _, a := range fr.Asks {
-		b = appendMessage(b, frameAsk, appendVarint(a.append(nil), requestID, a.ID))
+	for _, a := range fr.Requests {
+		b = appendMessage(b, frameRequest, appendVarint(a.append(nil), requestID, a.ID))
 	}
-	for _, a := range fr.Answers {
-		b = appendMessage(b, frameAnswer, appendVarint(a.append(nil), documentID, a.ID))
+	for _, a := range fr.Responses {
+		b = appendMessage(b, frameResponse, appendVarint(a.append(nil), responseID, a.ID))
 	}
-	return appendVarint(b, frameSent, uint64(fr.Sent.Milliseconds()))
+	return appendVarint(b, frameSenderUptime, uint64(fr.SenderUptime.Milliseconds()))
 }
 
 func (su subscription) append(b []byte) []byte {
-	b = appendVarint(b, wantsScope, uint64(su.Scope))
-	b = appendVarint(b, wantsPart, su.Part)
-	return appendVarint(b, wantsParts, su.Parts)
+	b = appendVarint(b, subscriptionScope, uint64(su.Scope))
+	b = appendVarint(b, subscriptionShard, su.Shard)
+	return appendVarint(b, subscriptionShardCount, su.ShardCount)
 }
 
 func (rq request) append(b []byte) []byte {
@@ -186,35 +186,35 @@
 	return appendBytes(b, requestBody, rq.Body)
 }
 
-func (doc document) append(b []byte) []byte {
-	b = appendBool(b, documentFound, doc.Found)
-	return appendBytes(b, documentBody, doc.Body)
+func (rs response) append(b []byte) []byte {
+	b = appendBool(b, responseFound, rs.Found)
+	return appendBytes(b, responseBody, rs.Body)
 }
 
 func (e entry) append(b []byte) []byte {
 	b = appendVarint(b, entryID, e.ID)
-	if e.Card != nil {
-		b = appendMessage(b, entryCard, e.Card.append(nil))
+	if e.Info != nil {
+		b = appendMessage(b, entryInfo, e.Info.append(nil))
 	}
-	b = appendVarint(b, entryPulse, e.Pulse)
-	b = appendVarint(b, entryPulseAge, micros(e.PulseAge))
-	b = appendVarint(b, entryVersion, e.State.Version)
-	b = appendBytes(b, entryBody, e.State.Body)
-	b = appendVarint(b, entryBodyAge, micros(e.State.Age))
+	b = appendVarint(b, entryHeartbeat, e.Heartbeat)
+	b = appendVarint(b, entryHeartbeatAge, toMicros(e.HeartbeatAge))
+	b = appendVarint(b, entryStateVersion, e.State.Version)
+	b = appendBytes(b, entryState, e.State.Body)
+	b = appendVarint(b, entryStateAge, toMicros(e.State.Age))
 	b = appendVarint(b, entryNotesVersion, e.Notes.Version)
 	b = appendBytes(b, entryNotes, e.Notes.Body)
-	return appendVarint(b, entryNotesAge, micros(e.Notes.Age))
+	return appendVarint(b, entryNotesAge, toMicros(e.Notes.Age))
 }
 
-func (c card) append(b []byte) []byte {
-	b = appendBytes(b, cardName, []byte(c.Name))
-	b = appendBytes(b, cardIncarnation, []byte(c.Incarnation))
-	b = appendBytes(b, cardAddress, []byte(c.Address))
-	b = appendBytes(b, cardZone, []byte(c.AvailabilityZone))
-	b = appendBool(b, cardStopping, c.Stopping)
-	b = appendVarint(b, cardMegabits, c.BandwidthMbps)
-	b = appendBool(b, cardStoreless, c.StoreUnreachable)
-	return appendVarint(b, cardGeneration, c.Generation)
+func (mi memberInfo) append(b []byte) []byte {
+	b = appendBytes(b, infoName, []byte(mi.Name))
+	b = appendBytes(b, infoIncarnation, []byte(mi.Incarnation))
+	b = appendBytes(b, infoAddress, []byte(mi.Address))
+	b = appendBytes(b, infoZone, []byte(mi.AvailabilityZone))
+	b = appendBool(b, infoStopping, mi.Stopping)
+	b = appendVarint(b, infoBandwidth, mi.BandwidthMbps)
+	b = appendBool(b, infoStoreUnreachable, mi.StoreUnreachable)
+	return appendVarint(b, infoGeneration, mi.Generation)
 }
 
 // set takes a field of a frame.
@@ -225,49 +225,49 @@
 		var e entry
 		err = eachField(f.bytes, e.set)
 		fr.Entries = append(fr.Entries, e)
-	case frameAsk:
-		var a ask
+	case frameRequest:
+		var a streamRequest
 		err = eachField(f.bytes, a.set)
-		fr.Asks = append(fr.Asks, a)
-	case frameAnswer:
-		var a answer
+		fr.Requests = append(fr.Requests, a)
+	case frameResponse:
+		var a streamResponse
 		err = eachField(f.bytes, a.set)
-		fr.Answers = append(fr.Answers, a)
-	case frameWants:
-		fr.Wants = &subscription{}
-		err = eachField(f.bytes, fr.Wants.set)
-	case frameSent:
-		fr.Sent = time.Duration(min(f.varint, maxSent)) * time.Millisecond
+		fr.Responses = append(fr.Responses, a)
+	case frameSubscription:
+		fr.Subscription = &subscription{}
+		err = eachField(f.bytes, fr.Subscription.set)
+	case frameSenderUptime:
+		fr.SenderUptime = time.Duration(min(f.varint, maxUptimeMillis)) * time.Millisecond
 	}
 	return err
 }
 
 func (su *subscription) set(f field) error {
 	switch f.num {
-	case wantsScope:
+	case subscriptionScope:
 		su.Scope = scope(f.varint)
-	case wantsPart:
-		su.Part = f.varint
-	case wantsParts:
-		su.Parts = f.varint
+	case subscriptionShard:
+		su.Shard = f.varint
+	case subscriptionShardCount:
+		su.ShardCount = f.varint
 	}
 	return nil
 }
 
-func (a *ask) set(f field) error {
+func (sr *streamRequest) set(f field) error {
 	if f.num == requestID {
-		a.ID = f.varint
+		sr.ID = f.varint
 		return nil
 	}
-	return a.request.set(f)
+	return sr.request.set(f)
 }
 
-func (a *answer) set(f field) error {
-	if f.num == documentID {
-		a.ID = f.varint
+func (sr *streamResponse) set(f field) error {
+	if f.num == responseID {
+		sr.ID = f.varint
 		return nil
 	}
-	return a.document.set(f)
+	return sr.response.set(f)
 }
 
 func (rq *request) set(f field) error {
@@ -280,12 +280,12 @@
 	return nil
 }
 
-func (doc *document) set(f field) error {
+func (rs *response) set(f field) error {
 	switch f.num {
-	case documentFound:
-		doc.Found = f.varint != 0
-	case documentBody:
-		doc.Body = bytes.Clone(f.bytes)
+	case responseFound:
+		rs.Found = f.varint != 0
+	case responseBody:
+		rs.Body = bytes.Clone(f.bytes)
 	}
 	return nil
 }
@@ -294,47 +294,47 @@
 	switch f.num {
 	case entryID:
 		e.ID = f.varint
-	case entryCard:
-		e.Card = &card{}
-		return eachField(f.bytes, e.Card.set)
-	case entryPulse:
-		e.Pulse = f.varint
-	case entryPulseAge:
-		e.PulseAge = duration(f.varint)
-	case entryVersion:
+	case entryInfo:
+		e.Info = &memberInfo{}
+		return eachField(f.bytes, e.Info.set)
+	case entryHeartbeat:
+		e.Heartbeat = f.varint
+	case entryHeartbeatAge:
+		e.HeartbeatAge = fromMicros(f.varint)
+	case entryStateVersion:
 		e.State.Version = f.varint
-	case entryBody:
+	case entryState:
 		e.State.Body = bytes.Clone(f.bytes)
-	case entryBodyAge:
-		e.State.Age = duration(f.varint)
+	case entryStateAge:
+		e.State.Age = fromMicros(f.varint)
 	case entryNotesVersion:
 		e.Notes.Version = f.varint
 	case entryNotes:
 		e.Notes.Body = bytes.Clone(f.bytes)
 	case entryNotesAge:
-		e.Notes.Age = duration(f.varint)
+		e.Notes.Age = fromMicros(f.varint)
 	}
 	return nil
 }
 
-func (c *card) set(f field) error {
+func (mi *memberInfo) set(f field) error {
 	switch f.num {
-	case cardName:
-		c.Name = string(f.bytes)
-	case cardIncarnation:
-		c.Incarnation = string(f.bytes)
-	case cardAddress:
-		c.Address = string(f.bytes)
-	case cardZone:
-		c.AvailabilityZone = string(f.bytes)
-	case cardStoreless:
-		c.StoreUnreachable = f.varint != 0
-	case cardStopping:
-		c.Stopping = f.varint != 0
-	case cardGeneration:
-		c.Generation = f.varint
-	case cardMegabits:
-		c.BandwidthMbps = f.varint
+	case infoName:
+		mi.Name = string(f.bytes)
+	case infoIncarnation:
+		mi.Incarnation = string(f.bytes)
+	case infoAddress:
+		mi.Address = string(f.bytes)
+	case infoZone:
+		mi.AvailabilityZone = string(f.bytes)
+	case infoStoreUnreachable:
+		mi.StoreUnreachable = f.varint != 0
+	case infoStopping:
+		mi.Stopping = f.varint != 0
+	case infoGeneration:
+		mi.Generation = f.varint
+	case infoBandwidth:
+		mi.BandwidthMbps = f.varint
 	}
 	return nil
 }
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -21,19 +21,19 @@
 	return b
 }
 
-func drawPart(rt *rapid.T, label string) part {
-	return part{
+func drawPart(rt *rapid.T, label string) payload {
+	return payload{
 		Version: rapid.Uint64().Draw(rt, label+" version"), Body: drawBytes(rt, label+" body"), Age: drawDuration(rt, label+" age"),
 	}
 }
 
 func drawEntry(rt *rapid.T) entry {
 	e := entry{
-		ID: rapid.Uint64().Draw(rt, "id"), Pulse: rapid.Uint64().Draw(rt, "pulse"), PulseAge: drawDuration(rt, "pulse age"),
+		ID: rapid.Uint64().Draw(rt, "id"), Heartbeat: rapid.Uint64().Draw(rt, "pulse"), HeartbeatAge: drawDuration(rt, "pulse age"),
 		State: drawPart(rt, "state"), Notes: drawPart(rt, "notes"),
 	}
 	if rapid.Bool().Draw(rt, "with card") {
-		e.Card = &card{
+		e.Info = &memberInfo{
 			Member: Member{
 				Name: rapid.String().Draw(rt, "name"), Incarnation: rapid.String().Draw(rt, "incarnation"),
 				Address: rapid.String().Draw(rt, "address"), AvailabilityZone: rapid.String().Draw(rt, "zone"),
@@ -45,7 +45,7 @@
 	return e
 }
 
-func TestFrameIsReadAsWritten(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
 		var in, out frame
@@ -53,19 +53,19 @@
 			in.Entries = append(in.Entries, drawEntry(rt))
 		}
 		for range rapid.IntRange(0, 2).Draw(rt, "asks") {
-			in.Asks = append(in.Asks, ask{ID: rapid.Uint64().Draw(rt, "id"), request: request{
+			in.Requests = append(in.Requests, streamRequest{ID: rapid.Uint64().Draw(rt, "id"), request: request{
 				Name: rapid.String().Draw(rt, "name"), Body: drawBytes(rt, "question"),
 			}})
-			in.Answers = append(in.Answers, answer{
-				ID: rapid.Uint64().Draw(rt, "id"), document: document{Found: rapid.Bool().Draw(rt, "found"), Body: drawBytes(rt, "body")},
+			in.Responses = append(in.Responses, streamResponse{
+				ID: rapid.Uint64().Draw(rt, "id"), response: response{Found: rapid.Bool().Draw(rt, "found"), Body: drawBytes(rt, "body")},
 			})
 		}
 		if rapid.Bool().Draw(rt, "with wants") {
-			in.Wants = &subscription{
-				Scope: scope(rapid.Uint64().Draw(rt, "scope")), Part: rapid.Uint64().Draw(rt, "part"), Parts: rapid.Uint64().Draw(rt, "parts"),
+			in.Subscription = &subscription{
+				Scope: scope(rapid.Uint64().Draw(rt, "scope")), Shard: rapid.Uint64().Draw(rt, "part"), ShardCount: rapid.Uint64().Draw(rt, "parts"),
 			}
 		}
-		in.Sent = time.Duration(rapid.Uint64Range(0, maxSent).Draw(rt, "sent")) * time.Millisecond
+		in.SenderUptime = time.Duration(rapid.Uint64Range(0, maxUptimeMillis).Draw(rt, "sent")) * time.Millisecond
 		b, err := encoding{}.Marshal(&in)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(encoding{}.Unmarshal(b, &out)).To(Succeed())
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestAnyBytesAreReadOrRefused(t *testing.T) {
+func TestArbitraryBytesDecodeOrFailAsMalformed(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var malformed *MalformedError
 		var fr frame
