--- a/internal/gossip/changes.go
+++ b/internal/gossip/changes.go
@@ -5,30 +5,30 @@
 	"iter"
 )
 
-// changeLog orders the records by their last change. A link keeps the number of the newest change that it sent, and finds
-// by it what its peer lacks: what a link keeps does not grow with the number of members.
+// changeLog orders the records by their last change. A link stores only the number of the newest change that it has sent and
+// looks up later ones here, so the memory per link does not grow with the number of members.
 type changeLog struct {
-	// last is the number of the newest change.
+	// newest is the number of the last change; numbers start at 1.
 	newest uint64
-	// order holds the records, the last changed first.
+	// byRecency holds the records, the last changed first.
 	byRecency list.List
 }
 
-// changed says what of a record is new.
+// changeKind is the extent of a change to a record.
 type changeKind int
 
 const (
-	// changedPulse is a newer pulse alone.
+	// heartbeatChanged covers the heartbeat only.
 	heartbeatChanged changeKind = iota
-	// changedAll is all there is to tell, the card too.
+	// everythingChanged covers the member info, state, notes and heartbeat.
 	everythingChanged
 )
 
-// touch notes a change of a record, which the log need not have held before.
-func (cl *changeLog) touch(r *record, what changeKind) {
+// touch logs a change of a record, and adds the record if the log does not hold it yet.
+func (cl *changeLog) touch(r *record, kind changeKind) {
 	cl.newest++
 	r.lastChange = cl.newest
-	if what >= everythingChanged {
+	if kind >= everythingChanged {
 		r.infoChange, r.state.lastChange, r.notes.lastChange = cl.newest, cl.newest, cl.newest
 	}
 	if r.element == nil {
@@ -38,13 +38,12 @@
 	cl.byRecency.MoveToFront(r.element)
 }
 
-// touchTold notes a change of what a member tells of itself, and of its pulse.
-func (cl *changeLog) touchPayload(r *record, td *storedPayload) {
+// touchPayload logs a change of a member's state or notes and of its heartbeat.
+func (cl *changeLog) touchPayload(r *record, sp *storedPayload) {
 	cl.touch(r, heartbeatChanged)
-	td.lastChange = cl.newest
+	sp.lastChange = cl.newest
 }
 
-// remove forgets a record.
 func (cl *changeLog) remove(r *record) {
 	if r.element != nil {
 		cl.byRecency.Remove(r.element)
@@ -52,12 +51,13 @@
 	}
 }
 
-// since returns the records that changed after a change, the last changed first. The log must not change meanwhile.
-func (cl *changeLog) since(number uint64) iter.Seq[*record] {
+// since returns the records changed after the given change, the last changed first. The log must not be modified during the
+// iteration.
+func (cl *changeLog) since(change uint64) iter.Seq[*record] {
 	return func(yield func(*record) bool) {
 		for el := cl.byRecency.Front(); el != nil; el = el.Next() {
 			r := el.Value.(*record)
-			if r.lastChange <= number || !yield(r) {
+			if r.lastChange <= change || !yield(r) {
 				return
 			}
 		}
--- a/internal/gossip/clock.go
+++ b/internal/gossip/clock.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// awakeClock counts only time in which this process ran. A process that was frozen could hear nobody, so the silence
-// of that time tells nothing about others.
+// activeClock measures only time during which this process was running. A suspended process receives nothing, so peers must
+// not count as silent for that time.
 type activeClock struct {
-	// step is the interval of advances, and the most that one counts for.
+	// maxStep is the interval between two calls of advance, and the maximum time counted between them.
 	maxStep time.Duration
-	// sum is the time counted up to last.
+	// elapsed is the active time up to last.
 	elapsed time.Duration
 	last    time.Time
 }
 
-// advanced returns the clock at the next tick.
+// advance returns the clock moved on to now.
 func (ac activeClock) advance(now time.Time) activeClock {
 	return activeClock{maxStep: ac.maxStep, elapsed: ac.elapsedAt(now), last: now}
 }
 
-// at returns the time counted up to now.
+// elapsedAt returns the active time up to now.
 func (ac activeClock) elapsedAt(now time.Time) time.Duration {
 	return ac.elapsed + max(0, min(now.Sub(ac.last), ac.maxStep))
 }
--- a/internal/gossip/conn.go
+++ b/internal/gossip/conn.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// dialTimeout is some hundred times a round trip between availability zones.
+	// dialTimeout is about a hundred round trips between availability zones.
 	dialTimeout = 500 * time.Millisecond
-	// writeTimeout is half the default silence after which a member is lost.
+	// writeTimeout is half of defaultLostAfter.
 	writeTimeout = time.Second
-	// userTimeout is how long the kernel waits for an acknowledgement: the default silence after which a member is lost.
+	// userTimeout is how long the kernel waits for a TCP acknowledgement. It equals defaultLostAfter.
 	userTimeout = 2 * time.Second
-	// maxMessageBytes bounds a message that is read: four times the default of drpc, for documents.
+	// maxMessageBytes bounds a received message: four times drpc's default, because documents are large.
 	maxMessageBytes = 16 << 20
 )
 
-// boundedConn fails a write that makes no progress in time.
+// boundedConn sets a deadline on every write.
 type boundedConn struct{ net.Conn }
 
-// Write writes within writeTimeout.
+// Write fails if it takes longer than writeTimeout.
 func (bc boundedConn) Write(b []byte) (int, error) {
 	if err := bc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, errors.Wrap(err, "set write deadline")
@@ -36,13 +36,13 @@
 	return bc.Conn.Write(b)
 }
 
-// boundedListener accepts bounded connections.
+// boundedListener accepts connections whose writes have a deadline.
 type boundedListener struct {
 	net.Listener
 	lg log.Interface
 }
 
-// Accept returns a bounded connection.
+// Accept wraps the next connection in a boundedConn and sets its TCP user timeout.
 func (bl boundedListener) Accept() (net.Conn, error) {
 	nc, err := bl.Listener.Accept()
 	if err != nil {
@@ -54,20 +54,20 @@
 			err = setUserTimeout("", "", rc)
 		}
 		if err != nil {
-			// The write timeout alone bounds a silent peer then.
-			bl.lg.WithError(err).Debug("gossip connection takes no option")
+			// Without the option only the write timeout bounds how long a silent peer blocks a link.
+			bl.lg.WithError(err).Debug("cannot set the TCP user timeout of a gossip connection")
 		}
 	}
 	return boundedConn{Conn: nc}, nil
 }
 
-// setUserTimeout has the form of net.Dialer.Control.
+// setUserTimeout sets TCP_USER_TIMEOUT on a socket. Its signature is that of net.Dialer.Control.
 func setUserTimeout(_, _ string, rc syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := rc.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
-	return errors.Wrap(errors.CombineErrors(err, failed), "set user timeout")
+	return errors.Wrap(errors.CombineErrors(err, optErr), "set user timeout")
 }
 
 func managerOptions() drpcmanager.Options {
@@ -77,7 +77,7 @@
 	}
 }
 
-// dial returns a connection to a peer and the transport below it.
+// dial returns a drpc connection to a peer and the TCP connection below it.
 func dial(ctx context.Context, address string) (*drpcconn.Conn, net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, Control: setUserTimeout}
 	nc, err := d.DialContext(ctx, "tcp", address)
--- a/internal/gossip/delay.go
+++ b/internal/gossip/delay.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// delayForget is the part of elapsed time by which a link may become slower for good: the clocks of two machines that drift
-// apart, or one that stood still, must not make all that the link tells seem old for ever. A reader that stays behind for ten
-// seconds is told a tenth of a second too little.
+// minOffsetRiseDivisor limits the rise of the minimum clock offset to this fraction of the elapsed time. The rise keeps clock
+// drift, or a clock that stood still, from making everything on the link seem old for ever. In return, the delay of a reader
+// that stays behind for ten seconds is underestimated by a tenth of a second.
 const minOffsetRiseDivisor = 100
 
-// delays finds by how much longer a frame was under way than the quickest on its link, by the sender's clock and the
-// receiver's. A state that lay for 3 s in the buffers of a slow reader seemed as young as when it was written without it, and
-// with it the proof of a configuration that was no longer the newest.
+// delayEstimator estimates how much longer a frame took than the fastest recent frame on its link, from the clocks of sender
+// and receiver. Without it, a state that waits 3 s in the buffers of a slow reader seems as recent as when it was written, and
+// so does the proof in it of a configuration that is no longer the newest.
 type delayEstimator struct {
-	// least is the smallest difference of the two clocks lately; it means nothing before the first frame.
+	// minOffset is the smallest recent offset between the two clocks; it is undefined before the first frame.
 	minOffset time.Duration
-	// at is when the newest frame came, by the receiver's clock, and zero before the first.
+	// lastFrame is when the last frame arrived, on the receiver's clock; zero before the first.
 	lastFrame time.Time
 }
 
-// of takes a frame that was made a time after its sender began and came now, and returns by how much it was delayed.
-func (de *delayEstimator) observe(sent time.Duration, now, began time.Time) time.Duration {
-	if sent == 0 {
-		// The sender does not tell.
+// observe records a frame that arrives now and was created when its sender had been up for uptime, and returns its extra
+// delay. The receiver started at start.
+func (de *delayEstimator) observe(uptime time.Duration, now, start time.Time) time.Duration {
+	if uptime == 0 {
+		// The sender does not report its uptime.
 		return 0
 	}
-	difference := now.Sub(began) - sent
+	offset := now.Sub(start) - uptime
 	if de.lastFrame.IsZero() {
-		de.minOffset, de.lastFrame = difference, now
+		de.minOffset, de.lastFrame = offset, now
 	}
-	de.minOffset = min(difference, de.minOffset+now.Sub(de.lastFrame)/minOffsetRiseDivisor)
+	de.minOffset = min(offset, de.minOffset+now.Sub(de.lastFrame)/minOffsetRiseDivisor)
 	de.lastFrame = now
-	return difference - de.minOffset
+	return offset - de.minOffset
 }
--- a/internal/gossip/dial.go
+++ b/internal/gossip/dial.go
@@ -10,17 +10,17 @@
 	"github.com/silvermount/silvermount/internal/set"
 )
 
-// dialState is what is known of an address that was dialled.
+// dialState is the result of dialling an address.
 type dialState struct {
-	// busy is set while a goroutine dials or keeps a link.
+	// inUse is set while a goroutine dials the address or runs a link to it.
 	inUse bool
-	// ended is when the last attempt ended.
+	// endedAt is when the last attempt or link ended; zero before.
 	endedAt time.Time
-	// reached is the name of who answered last; empty when nobody did yet.
+	// peerName is the name of the last peer that answered; empty before the first answer.
 	peerName string
 }
 
-// connect dials the members and seeds that a link is missing to, and closes links that are not needed.
+// reconcileLinks dials the planned members and seeds that have no link, and closes links that are not needed.
 func (ms *Mesh) reconcileLinks(ctx context.Context, wg *sync.WaitGroup) {
 	now := ms.opts.Now()
 	ms.mu.Lock()
@@ -46,7 +46,7 @@
 func (ms *Mesh) runLink(ctx context.Context, address string, ds *dialState) {
 	err := ms.openLink(ctx, address)
 	if ctx.Err() == nil {
-		ms.opts.Log.WithField("address", address).WithError(err).Debug("gossip link down")
+		ms.opts.Log.WithField("address", address).WithError(err).Debug("gossip link ended")
 	}
 	now := ms.opts.Now()
 	ms.mu.Lock()
@@ -58,7 +58,8 @@
 	}
 }
 
-// suspectAt suspects the live member of an address that could not be dialled, unless a link to it stands.
+// suspectAddress marks the live member at an address that could not be dialled as suspected, unless a link to it exists. The
+// lock is held.
 func (ms *Mesh) suspectAddress(address string, now time.Time) {
 	for _, r := range ms.records {
 		if r.Address == address && r.live && ms.linkTo(r.Member) == nil {
@@ -67,7 +68,7 @@
 	}
 }
 
-// forgetDials drops what is known of addresses that are neither dialled nor seeds.
+// evictDials removes the dial states of addresses that are not needed, not in use and not seeds.
 func (ms *Mesh) evictDials(needed []string, now time.Time) {
 	keep := set.Of(append(needed, ms.opts.Seeds...)...)
 	for address, ds := range ms.dials {
@@ -77,8 +78,8 @@
 	}
 }
 
-// missing returns the addresses of the wanted members without a link. The instance with the higher name gives the other
-// time to dial first.
+// missingAddresses returns the addresses of the wanted members that have no link. The side of a pair that does not dial first
+// leaves the other dialGracePeriod to do so.
 func (ms *Mesh) missingAddresses(wanted []*record, now time.Time) []string {
 	linked := map[string]string{}
 	for lk := range ms.links {
@@ -96,7 +97,8 @@
 	return addresses
 }
 
-// dialsFirst reports whether this instance is the one of a pair that dials: who subscribes, else who has the lower name.
+// dialsFirst reports whether this instance of a pair dials: between a relay and another member of its availability zone the
+// other member does, as the subscriber; otherwise the one with the lower name.
 func (ms *Mesh) dialsFirst(r *record) bool {
 	self := ms.self.Member
 	if !ms.plan.fullMesh && r.AvailabilityZone == self.AvailabilityZone && ms.plan.isRelay(self) != ms.plan.isRelay(r.Member) {
@@ -105,7 +107,7 @@
 	return self.Name < r.Name
 }
 
-// missingSeeds returns the seeds that led neither to this instance nor to a live member.
+// missingSeeds returns the seeds that lead neither to this instance nor to a live member.
 func (ms *Mesh) missingSeeds() []string {
 	live := map[string]bool{ms.self.Address: true}
 	for _, r := range ms.records {
@@ -131,14 +133,14 @@
 	return ds.peerName == ms.self.Name || r != nil && r.live
 }
 
-// tidy closes links that this instance dialled and that the plan has no longer, or that stand twice. Since only who
-// dialled closes, two instances never close both links of a pair.
+// closeUnneededLinks closes links dialled by this instance that are duplicates or have been outside the plan for LostAfter.
+// Since only the dialling side closes a link, two instances never close both links between them.
 func (ms *Mesh) closeUnneededLinks(wanted []*record, now time.Time) {
 	names := map[string]bool{}
 	for _, r := range wanted {
 		names[r.Name] = true
 	}
-	awake := ms.clock.elapsedAt(now)
+	elapsed := ms.clock.elapsedAt(now)
 	for lk := range ms.links {
 		if lk.address == "" || lk.peer.Name == "" {
 			continue
@@ -147,21 +149,21 @@
 		case names[lk.peer.Name]:
 			lk.unwantedSince = 0
 		case lk.unwantedSince == 0:
-			lk.unwantedSince = awake
+			lk.unwantedSince = elapsed
 		}
-		if lk.unwantedSince > 0 && awake-lk.unwantedSince >= ms.opts.LostAfter || ms.isDuplicateLink(lk, awake) {
+		if lk.unwantedSince > 0 && elapsed-lk.unwantedSince >= ms.opts.LostAfter || ms.isDuplicateLink(lk, elapsed) {
 			lk.closing = true
 			lk.close()
 		}
 	}
 }
 
-// standsTwice reports whether another link to the peer is the one to keep: of two links that of the lower name, or the
-// older one.
-func (ms *Mesh) isDuplicateLink(lk *link, awake time.Duration) bool {
+// isDuplicateLink reports whether another active link to the same peer is kept instead: the one dialled by the instance with
+// the lower name or, of two that this instance dialled, the older one.
+func (ms *Mesh) isDuplicateLink(lk *link, elapsed time.Duration) bool {
 	for other := range ms.links {
 		samePeer := other != lk && other.peer.Name == lk.peer.Name && other.peer.Incarnation == lk.peer.Incarnation
-		if !samePeer || awake-other.lastHeard > 2*ms.opts.HeartbeatInterval {
+		if !samePeer || elapsed-other.lastHeard > 2*ms.opts.HeartbeatInterval {
 			continue
 		}
 		if other.address == "" && lk.peer.Name < ms.self.Name {
--- a/internal/gossip/errors.go
+++ b/internal/gossip/errors.go
@@ -1,36 +1,36 @@
 package gossip
 
-// MalformedError says that a message could not be read or written.
+// MalformedError is returned for a message that cannot be decoded or encoded.
 type MalformedError struct{ Message string }
 
-// Error names the message.
+// Error implements error.
 func (me *MalformedError) Error() string { return "malformed gossip message: " + me.Message }
 
-// SelfError says that an address led back to this instance.
+// SelfDialError is returned when a dialled address leads back to this instance.
 type SelfDialError struct{ Address string }
 
-// Error names the address.
-func (se *SelfDialError) Error() string { return "address " + se.Address + " is this instance" }
+// Error implements error.
+func (se *SelfDialError) Error() string { return "address " + se.Address + " leads back to this instance" }
 
-// MissingError says that a peer has no document of a name.
+// NotFoundError is returned when a peer serves no document or query of the given name.
 type NotFoundError struct{ Instance, Document string }
 
-// Error names the peer and the document.
+// Error implements error.
 func (ne *NotFoundError) Error() string {
-	return "instance " + ne.Instance + " has no document " + ne.Document
+	return "instance " + ne.Instance + " serves no document or query " + ne.Document
 }
 
-// LinkError says that the link to an instance could not be used.
+// LinkError is returned for a request over a link that cannot be used.
 type LinkError struct{ Instance, Reason string }
 
-// Error names the instance and the reason.
+// Error implements error.
 func (le *LinkError) Error() string { return "link to instance " + le.Instance + " " + le.Reason }
 
-// dialError says that an address could not be reached.
+// dialError is returned when a peer's address cannot be dialled.
 type dialError struct{ cause error }
 
-// Error names the cause.
+// Error implements error.
 func (de *dialError) Error() string { return de.cause.Error() }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause of the failure.
 func (de *dialError) Unwrap() error { return de.cause }
--- a/internal/gossip/fetch.go
+++ b/internal/gossip/fetch.go
@@ -12,13 +12,13 @@
 	fetchRPC    = "/gossip.Mesh/Fetch"
 )
 
-// description tells drpc the two methods of a mesh.
+// serviceDescription is the drpc description of the mesh service.
 type serviceDescription struct{}
 
-// NumMethods returns the number of methods.
+// NumMethods implements drpc.Description.
 func (serviceDescription) NumMethods() int { return 2 }
 
-// Method returns the nth method.
+// Method implements drpc.Description.
 func (serviceDescription) Method(n int) (string, drpc.Encoding, drpc.Receiver, any, bool) {
 	switch n {
 	case 0:
@@ -45,37 +45,37 @@
 	return &response{Found: found, Body: body}
 }
 
-// Fetch asks a member for a document: over a connection of its own, so that a large document delays no heartbeat, or,
-// when the member's address does not answer, over the link that the member opened.
+// Fetch requests a document from a member. It uses a connection of its own, so that a large document delays no heartbeat, or
+// an existing link to the member if its address cannot be dialled.
 func (ms *Mesh) Fetch(ctx context.Context, m Member, name string) ([]byte, error) {
-	doc, err := ms.fetch(ctx, m, name)
+	rs, err := ms.fetch(ctx, m, name)
 	if err != nil {
 		return nil, err
 	}
-	if !doc.Found {
+	if !rs.Found {
 		return nil, &NotFoundError{Instance: m.Name, Document: name}
 	}
-	return doc.Body, nil
+	return rs.Body, nil
 }
 
 func (ms *Mesh) fetch(ctx context.Context, m Member, name string) (response, error) {
-	var doc response
+	var rs response
 	conn, _, err := dial(ctx, m.Address)
 	if err != nil {
 		ms.mu.Lock()
 		lk := ms.linkTo(m)
 		ms.mu.Unlock()
 		if lk == nil {
-			return doc, err
+			return rs, err
 		}
 		return lk.call(ctx, request{Name: name})
 	}
 	defer conn.Close()
-	err = conn.Invoke(ctx, fetchRPC, encoding{}, &request{Name: name}, &doc)
-	return doc, errors.Wrap(err, "fetch document")
+	err = conn.Invoke(ctx, fetchRPC, encoding{}, &request{Name: name}, &rs)
+	return rs, errors.Wrap(err, "fetch document")
 }
 
-// linkTo returns a link to a process; nil when there is none. The lock is held.
+// linkTo returns a link to the member's incarnation; nil if there is none. The lock is held.
 func (ms *Mesh) linkTo(m Member) *link {
 	for lk := range ms.links {
 		if lk.peer.Name == m.Name && lk.peer.Incarnation == m.Incarnation {
--- a/internal/gossip/field.go
+++ b/internal/gossip/field.go
@@ -7,10 +7,10 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// maxAge is the longest age that is told: far beyond every use of an age, and safe to count in a Duration.
+// maxAge is the largest age on the wire: far beyond every use of an age, and far from overflowing a Duration.
 const maxAge = time.Hour
 
-// maxSent is the longest time since a start that is taken, in milliseconds: some thirty years, and safe to count in a Duration.
+// maxUptimeMillis is the largest sender uptime that is accepted: some thirty years, which does not overflow a Duration.
 const maxUptimeMillis = 1 << 40
 
 func toMicros(d time.Duration) uint64 { return uint64(max(0, min(d, maxAge)).Microseconds()) }
@@ -19,15 +19,15 @@
 	return time.Duration(min(us, uint64(maxAge.Microseconds()))) * time.Microsecond
 }
 
-// field is one field of a message; which of varint and bytes is set depends on its wire type.
+// field is one decoded field of a message. Either varint or bytes is set, depending on the wire type.
 type field struct {
 	num    protowire.Number
 	varint uint64
 	bytes  []byte
 }
 
-// eachField calls take for each field; fields of other wire types are passed over.
-func eachField(b []byte, take func(field) error) error {
+// eachField calls set for each field of a message. Fields of other wire types are passed with number 0, which no message uses.
+func eachField(b []byte, set func(field) error) error {
 	for len(b) > 0 {
 		num, typ, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -48,7 +48,7 @@
 			return errors.Wrap(&MalformedError{Message: protowire.ParseError(n).Error()}, "read field")
 		}
 		b = b[n:]
-		if err := take(f); err != nil {
+		if err := set(f); err != nil {
 			return err
 		}
 	}
@@ -74,7 +74,7 @@
 	return appendMessage(b, num, v)
 }
 
-// appendMessage also appends a message without fields: unlike an empty string it is not the same as none.
+// appendMessage appends v even if it is empty: a message without fields differs from an absent one.
 func appendMessage(b []byte, num protowire.Number, v []byte) []byte {
 	b = protowire.AppendTag(b, num, protowire.BytesType)
 	return protowire.AppendBytes(b, v)
--- a/internal/gossip/flush.go
+++ b/internal/gossip/flush.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// farewellLook is the time between two looks whether all links were told.
+// flushPollInterval is the time between two checks whether all links have sent the final state.
 const flushPollInterval = time.Millisecond
 
-// untilTold returns a context that ends once this instance's last state was told to all peers after ctx ended: they would
-// go on with what it had in flight until it counts as lost.
+// cancelAfterFlush returns a context that is cancelled once ctx has ended and the final state has been sent to all peers.
+// Otherwise the peers would count the requests that this instance had in flight until they consider it lost.
 func (ms *Mesh) cancelAfterFlush(ctx context.Context) (context.Context, context.CancelFunc) {
-	held, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	flushCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	stop := context.AfterFunc(ctx, func() {
 		ms.flushOnce.Do(ms.flushState)
 		cancel()
 	})
-	return held, func() {
+	return flushCtx, func() {
 		stop()
 		cancel()
 	}
 }
 
-// tellLast publishes the state and waits until it is on its way by every link, or Options.Farewell is over.
+// flushState publishes the state and waits until every link has sent it, for at most Options.FlushTimeout.
 func (ms *Mesh) flushState() {
-	over := time.NewTimer(ms.opts.FlushTimeout)
-	defer over.Stop()
-	look := time.NewTicker(flushPollInterval)
-	defer look.Stop()
+	timeout := time.NewTimer(ms.opts.FlushTimeout)
+	defer timeout.Stop()
+	poll := time.NewTicker(flushPollInterval)
+	defer poll.Stop()
 	ms.mu.Lock()
 	before := ms.refreshesStarted
 	ms.mu.Unlock()
 	ms.PublishState()
-	for last := uint64(0); ; {
+	for change := uint64(0); ; {
 		select {
-		case <-look.C:
-		case <-over.C:
+		case <-poll.C:
+		case <-timeout.C:
 			return
 		}
-		if last == 0 {
-			last = ms.changeAfterRefresh(before)
+		if change == 0 {
+			change = ms.changeAfterRefresh(before)
 		}
-		if last > 0 && ms.allLinksFlushed(last) {
+		if change > 0 && ms.allLinksFlushed(change) {
 			return
 		}
 	}
 }
 
-// refreshedSince returns the newest change once a refresh has ended that began after another one; zero before.
+// changeAfterRefresh returns the number of the newest change once a refresh numbered above before has finished; else 0.
 func (ms *Mesh) changeAfterRefresh(before uint64) uint64 {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -57,12 +57,12 @@
 	return ms.changes.newest
 }
 
-// toldAll reports whether all links have sent a change.
-func (ms *Mesh) allLinksFlushed(last uint64) bool {
+// allLinksFlushed reports whether all links have sent all changes up to the given one.
+func (ms *Mesh) allLinksFlushed(change uint64) bool {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	for lk := range ms.links {
-		if lk.peer.Name != "" && lk.flushedChange < last {
+		if lk.peer.Name != "" && lk.flushedChange < change {
 			return false
 		}
 	}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,8 +1,8 @@
-// Package gossip keeps the list of live instances and spreads the state of each to all others.
+// Package gossip maintains the list of live instances and propagates the state of each to all others.
 //
-// Every two instances keep one stream, or in a large fleet only those that the plan says: most members then subscribe to
-// two relays. An instance sends a heartbeat each interval, and on a stream only what its peer does not know yet. So what
-// waits for a peer is never more than the newest state of each member.
+// In a small fleet every two instances share one stream (full mesh). In a large fleet a plan selects the streams, and most
+// members subscribe to two relays. An instance sends a heartbeat every interval, and on each stream only what the peer does not
+// have yet, so the backlog for a peer never exceeds the newest state of each member.
 package gossip
 
 import (
@@ -20,63 +20,63 @@
 	"storj.io/drpc/drpcserver"
 )
 
-// Mesh is this instance's view of the fleet and its links.
+// Mesh is this instance's view of the fleet and its links to other members.
 type Mesh struct {
 	opts Options
-	// kick has room for one signal: there is something to send.
+	// wake has a buffer of one signal, which says that there is something to send.
 	wake chan struct{}
-	// beats counts heartbeats; it is used by Run only.
+	// heartbeatCount counts the heartbeats sent. Only Run uses it.
 	heartbeatCount int
-	// published says that Options.Body is to be called at the next send.
+	// statePublished requests a call of Options.State before the next send.
 	statePublished atomic.Bool
-	// noted says the same of Options.Notes.
+	// notesPublished requests a call of Options.Notes before the next send.
 	notesPublished atomic.Bool
 
-	// calls is held while callbacks run, so that they see changes in their order. It is taken before mu.
+	// callbackMu is held while callbacks run, so that they see changes in order. It is locked before mu.
 	callbackMu sync.Mutex
 	mu         sync.Mutex
 	self       *record
-	// records are the other members by name, live and lost, until they are forgotten.
+	// records are the other members by name, live and lost, until they are removed after forgetAfter.
 	records map[string]*record
-	// entries is the number of records there were, this instance's own first: it makes their entry IDs.
+	// lastEntryID is the entry ID of the newest record. This instance's own record has ID 0.
 	lastEntryID uint64
 	changes     changeLog
-	// topology is the version of what the plan is made of: it grows when a member comes, goes, changes or is suspected.
+	// topologyVersion is the version of the plan's inputs. It grows when a member joins, is lost, changes or is suspected.
 	topologyVersion uint64
-	// storeless counts the changes of who is without an answer of the store: no plan is made of them.
+	// storeStatusVersion counts the changes of Member.StoreUnreachable, which is not an input of the plan.
 	storeStatusVersion uint64
-	// plan was made for the version planned, at a time; wantedNames are those that a link is to be kept to by it. A change
-	// that is urgent, as of a link, is planned for at once.
+	// plan was made at plannedAt for plannedVersion of the topology; plannedPeers are the members that it requires links to.
+	// replanNow skips minReplanInterval after an urgent change, such as that of a link.
 	plan           plan
 	plannedVersion uint64
 	plannedAt      time.Time
 	replanNow      bool
 	plannedPeers   []string
-	// suspects are the members whose link ended or failed, and when, by the awake clock.
+	// suspects are the members whose link ended, failed or fell silent, with the time of that on the active clock.
 	suspects map[string]time.Duration
-	// relays says that this instance was a relay by the last plan.
+	// wasRelay is set if the last plan made this instance a relay.
 	wasRelay bool
-	// sources are the relays that this instance takes states from now, sorted: each tells a part of them.
+	// upstreamRelays are the relays that this instance receives states from, sorted. Each sends one shard of the states.
 	upstreamRelays []string
-	// subscribers counts the links by which each member takes all states from this instance.
+	// subscribers counts, for each member that receives all states from this instance, the links that it does so over.
 	subscribers map[string]int
 	links       map[*link]struct{}
-	// opened is the number of links there were.
+	// lastLinkSeq is the sequence number of the newest link.
 	lastLinkSeq uint64
 	dials       map[string]*dialState
-	// resting are connections over which questions were put, by address.
+	// queryConns are idle connections kept for queries, by address.
 	queryConns *connPool
 	clock      activeClock
 	pauses     pauseDetector
-	// began is when this mesh was made.
+	// start is when New was called.
 	start time.Time
-	// refreshing is the number of the newest refresh that has begun, refreshed of the newest that has ended.
+	// refreshesStarted and refreshesFinished are the numbers of the last refresh of the state that has started and finished.
 	refreshesStarted, refreshesFinished uint64
-	// farewell runs once, when the first of Serve and Run is asked to end.
+	// flushOnce flushes the final state when the context of Serve or of Run ends, whichever is first.
 	flushOnce sync.Once
 }
 
-// New returns a mesh; Serve and Run do its work.
+// New returns a mesh that does nothing until Serve and Run are called.
 func New(o Options) *Mesh {
 	o = o.withDefaults()
 	now := o.Now()
@@ -99,7 +99,7 @@
 	return ms
 }
 
-// Serve answers peers until ctx ends and they were told the last state.
+// Serve accepts streams and requests from peers until ctx ends and the final state is flushed.
 func (ms *Mesh) Serve(ctx context.Context, lis net.Listener) error {
 	ctx, cancel := ms.cancelAfterFlush(ctx)
 	defer cancel()
@@ -114,7 +114,7 @@
 	return errors.Wrap(sv.Serve(ctx, boundedListener{Listener: lis, lg: ms.opts.Log}), "serve gossip")
 }
 
-// Run sends heartbeats, keeps links and judges silence until ctx ends and all peers were told the last state.
+// Run sends heartbeats, maintains links and detects lost members until ctx ends and the final state is flushed.
 func (ms *Mesh) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -123,21 +123,21 @@
 	defer cancel()
 	tick := time.NewTicker(ms.opts.HeartbeatInterval)
 	defer tick.Stop()
-	pause := time.NewTimer(0)
-	defer pause.Stop()
-	kick := ms.wake
+	throttle := time.NewTimer(0)
+	defer throttle.Stop()
+	wake := ms.wake
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
 			ms.heartbeat()
-		case <-kick:
-			// Further signals wait in the channel until the pause is over.
-			kick = nil
-			pause.Reset(ms.sendInterval())
-		case <-pause.C:
-			kick = ms.wake
+		case <-wake:
+			// Further signals stay in the channel until the minimum interval between two sends is over.
+			wake = nil
+			throttle.Reset(ms.sendInterval())
+		case <-throttle.C:
+			wake = ms.wake
 		}
 		ms.refreshState()
 		ms.refreshNotes()
@@ -146,13 +146,13 @@
 	}
 }
 
-// Publish says that this instance's state has changed. It never blocks.
+// PublishState announces that this instance's state has changed. It never blocks.
 func (ms *Mesh) PublishState() {
 	ms.statePublished.Store(true)
 	ms.signal()
 }
 
-// PublishNotes says that this instance's notes have changed. It never blocks.
+// PublishNotes announces that this instance's notes have changed. It never blocks.
 func (ms *Mesh) PublishNotes() {
 	ms.notesPublished.Store(true)
 	ms.signal()
@@ -162,32 +162,33 @@
 	select {
 	case ms.wake <- struct{}{}:
 	default:
-		// A signal waits already.
+		// A signal is already pending.
 	}
 }
 
-// Links returns the number of links to other members.
+// LinkCount returns the number of links to other members.
 func (ms *Mesh) LinkCount() int {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	return len(ms.links)
 }
 
-// Subscribers returns how many members take all states from this one.
+// SubscriberCount returns the number of members that receive all states from this instance.
 func (ms *Mesh) SubscriberCount() int {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	return len(ms.subscribers)
 }
 
-// Version returns the version of the list of members and of what is known of their links: while it stays, so does Live.
+// MembershipVersion returns the version of the member list and of what is known of its links. While it is unchanged, so is the
+// result of Live.
 func (ms *Mesh) MembershipVersion() uint64 {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	return ms.topologyVersion + ms.storeStatusVersion
 }
 
-// Live returns the live members and this instance, by name.
+// Live returns the live members, including this instance, sorted by name.
 func (ms *Mesh) Live() []Member {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -205,7 +206,7 @@
 	return live
 }
 
-// SetStopping tells all members that this instance is stopping.
+// SetStopping announces to all members that this instance is stopping.
 func (ms *Mesh) SetStopping() {
 	ms.mu.Lock()
 	ms.self.Stopping = true
@@ -216,55 +217,56 @@
 	ms.signal()
 }
 
-// SetStoreless tells all members whether the object store leaves this instance without an answer.
-func (ms *Mesh) SetStoreUnreachable(storeless bool) {
+// SetStoreUnreachable announces to all members whether the object store fails to answer this instance.
+func (ms *Mesh) SetStoreUnreachable(unreachable bool) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	if ms.self.StoreUnreachable == storeless {
+	if ms.self.StoreUnreachable == unreachable {
 		return
 	}
-	ms.self.StoreUnreachable = storeless
+	ms.self.StoreUnreachable = unreachable
 	ms.self.heartbeat++
 	ms.changes.touch(ms.self, everythingChanged)
 	ms.storeStatusVersion++
 	ms.signal()
 }
 
-// refresh takes this instance's state anew when it was published.
+// refreshState calls Options.State if the state has been published since the last call.
 func (ms *Mesh) refreshState() {
 	if !ms.statePublished.Swap(false) {
 		return
 	}
-	number := ms.beginRefresh()
-	// The ages in a body hold from before it is made: a freeze until it is there must not make what it proves seem newer.
-	made := ms.opts.Now()
+	refresh := ms.beginRefresh()
+	// The ages inside a state count from before it is built: a pause of this process during the build must not make the proofs
+	// in it seem more recent.
+	madeAt := ms.opts.Now()
 	body := ms.opts.State()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ms.refreshesFinished = number
-	ms.setPayload(&ms.self.state, body, made)
+	ms.refreshesFinished = refresh
+	ms.setPayload(&ms.self.state, body, madeAt)
 }
 
-// refreshNotes takes this instance's notes anew when they were published.
+// refreshNotes calls Options.Notes if the notes have been published since the last call.
 func (ms *Mesh) refreshNotes() {
 	if !ms.notesPublished.Swap(false) {
 		return
 	}
-	made := ms.opts.Now()
+	madeAt := ms.opts.Now()
 	notes := ms.opts.Notes()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ms.setPayload(&ms.self.notes, notes, made)
+	ms.setPayload(&ms.self.notes, notes, madeAt)
 }
 
-// tell takes a new text of this instance, made at a time. The lock is held.
-func (ms *Mesh) setPayload(td *storedPayload, body []byte, made time.Time) {
-	if body == nil || td.version > 0 && bytes.Equal(body, td.body) {
+// setPayload stores a new state or new notes of this instance, built at madeAt, unless unchanged. The lock is held.
+func (ms *Mesh) setPayload(sp *storedPayload, body []byte, madeAt time.Time) {
+	if body == nil || sp.version > 0 && bytes.Equal(body, sp.body) {
 		return
 	}
 	ms.self.heartbeat++
-	td.version, td.body, td.madeAt = ms.self.heartbeat, body, made
-	ms.changes.touchPayload(ms.self, td)
+	sp.version, sp.body, sp.madeAt = ms.self.heartbeat, body, madeAt
+	ms.changes.touchPayload(ms.self, sp)
 }
 
 func (ms *Mesh) beginRefresh() uint64 {
@@ -274,7 +276,7 @@
 	return ms.refreshesStarted
 }
 
-// beat begins an interval: it renews this instance's pulse, and drops members that were silent for too long.
+// heartbeat starts an interval: it increments this instance's heartbeat and reports members as lost that were silent too long.
 func (ms *Mesh) heartbeat() {
 	ms.heartbeatCount++
 	if ms.heartbeatCount%refreshHeartbeats == 0 {
@@ -288,24 +290,24 @@
 	ms.clock = ms.clock.advance(now)
 	ms.self.heartbeat++
 	ms.changes.touch(ms.self, heartbeatChanged)
-	gone := ms.expireMembers(ms.clock.elapsedAt(now))
+	lost := ms.expireMembers(ms.clock.elapsedAt(now))
 	ms.suspectSilentPeers(now)
 	ms.mu.Unlock()
-	for _, m := range gone {
+	for _, m := range lost {
 		ms.logLost(m, "silent", "silence", ms.opts.LostAfter.String())
 		ms.opts.OnLost(m)
 	}
 }
 
-// judge returns the members that are now lost and forgets those lost for long.
-func (ms *Mesh) expireMembers(awake time.Duration) []Member {
-	var gone []Member
+// expireMembers marks and returns the members that are newly lost, removes those silent for forgetAfter, and closes idle links.
+func (ms *Mesh) expireMembers(elapsed time.Duration) []Member {
+	var lost []Member
 	for name, r := range ms.records {
-		silence := awake - r.lastHeard
+		silence := elapsed - r.lastHeard
 		if r.live && silence >= ms.opts.LostAfter {
 			r.live = false
 			ms.topologyVersion++
-			gone = append(gone, r.Member)
+			lost = append(lost, r.Member)
 		}
 		if silence >= max(forgetAfter, ms.opts.LostAfter) {
 			delete(ms.records, name)
@@ -313,11 +315,11 @@
 		}
 	}
 	for lk := range ms.links {
-		if awake-lk.lastHeard >= idleLinkFactor*ms.opts.LostAfter {
+		if elapsed-lk.lastHeard >= idleLinkFactor*ms.opts.LostAfter {
 			lk.close()
 		}
 	}
-	return gone
+	return lost
 }
 
 func (ms *Mesh) wakeLinks() {
--- a/internal/gossip/link.go
+++ b/internal/gossip/link.go
@@ -10,44 +10,44 @@
 	"storj.io/drpc/drpcctx"
 )
 
-// link is one stream to a peer, opened by either side. One goroutine receives and one sends.
+// link is one stream to a peer, opened by either side. One goroutine receives from it and one sends to it.
 type link struct {
 	ms        *Mesh
 	transport io.Closer
 	stream    drpc.Stream
-	// address is where this instance dialled; it is empty when the peer did.
+	// address is the address that this instance dialled; empty if the peer dialled.
 	address string
-	// wake has room for one signal: there may be something to send.
+	// wake has a buffer of one signal, which says that there may be something to send.
 	wake chan struct{}
 
 	// The fields below are guarded by ms.mu.
 
-	// peer is known, and has a name, once the peer's first frame is here.
+	// peer is the zero value until the peer's first frame arrives.
 	peer Member
-	// opened only grows from link to link.
+	// seq increases from link to link, so an older link has a lower number.
 	seq uint64
-	// heard is when the last frame came, at first when the link was opened, by the awake clock.
+	// lastHeard is when the last frame arrived, or else when the link was opened, on the active clock.
 	lastHeard time.Duration
-	// unwanted is since when the plan has no such link, by the awake clock; 0 when it has.
+	// unwantedSince is the time on the active clock since which the plan has no such link; 0 while it has.
 	unwantedSince time.Duration
-	// sent is the newest change that the peer was sent, or is being sent; told is the newest whose sending has ended.
+	// sentChange is the newest change sent or being sent to the peer, flushedChange the newest whose sending has finished.
 	sentChange, flushedChange uint64
-	// wanted is what the peer asked to be told, asked what this instance asked for.
+	// peerSubscription is what the peer subscribes to, ownSubscription what this instance has asked the peer for.
 	peerSubscription, ownSubscription subscription
-	// closing is set when this instance closes the link because it needs it no longer.
+	// closing is set when this instance closes a link that is no longer needed, so that the peer is not suspected.
 	closing bool
-	// asks and answers wait to be sent, at most maxAsks of each.
+	// requestQueue and responseQueue wait to be sent; each holds at most maxStreamRequests.
 	requestQueue  []streamRequest
 	responseQueue []streamResponse
-	// waiting are who asked, by ask ID; each channel has room for its one answer.
+	// waiters are the channels of pending calls by request ID; each buffers its single response.
 	waiters       map[uint64]chan response
 	lastRequestID uint64
 
-	// done is closed when the link has ended.
+	// done is closed after the link has ended.
 	done chan struct{}
-	// cards are those received, by entry ID. Only the receiving goroutine uses them.
+	// infos are the member infos received on this stream, by entry ID. Only the receiving goroutine uses them.
 	infos map[uint64]*memberInfo
-	// delays is used by the receiving goroutine only.
+	// delay is used by the receiving goroutine only.
 	delay delayEstimator
 }
 
@@ -67,16 +67,16 @@
 	return lk
 }
 
-// accept serves a stream that a peer opened.
+// accept runs a link over a stream that a peer has opened.
 func (ms *Mesh) accept(stream drpc.Stream) error {
 	transport, ok := drpcctx.Transport(stream.Context())
 	if !ok {
-		return &MalformedError{Message: "a stream without a connection"}
+		return &MalformedError{Message: "stream has no transport connection"}
 	}
 	return ms.newLink(stream, transport, "").exchange(stream.Context())
 }
 
-// open keeps a stream to an address until it ends.
+// openLink dials an address and runs a link to it until the link ends.
 func (ms *Mesh) openLink(ctx context.Context, address string) error {
 	conn, transport, err := dial(ctx, address)
 	if err != nil {
@@ -90,14 +90,14 @@
 	return ms.newLink(stream, transport, address).exchange(ctx)
 }
 
-// exchange sends and receives until either fails.
+// exchange sends and receives frames until one of the two fails.
 func (lk *link) exchange(ctx context.Context) error {
 	defer lk.ms.removeLink(lk)
 	defer lk.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		// The receiver ends, and tells why, when the connection is closed.
+		// Closing the connection ends the receive loop, which returns the cause.
 		defer lk.close()
 		if err := lk.send(ctx); err != nil && ctx.Err() == nil {
 			lk.ms.opts.Log.WithError(err).Debug("gossip send failed")
@@ -117,7 +117,7 @@
 }
 
 func (lk *link) close() {
-	// Closing twice is harmless, and there is nothing to do about a connection that fails to close.
+	// A second close is harmless, and an error of close cannot be handled.
 	_ = lk.transport.Close()
 }
 
@@ -125,11 +125,11 @@
 	select {
 	case lk.wake <- struct{}{}:
 	default:
-		// A signal waits already; the sender then sends the newest.
+		// A signal is already pending; the sender then sends the newest data.
 	}
 }
 
-// send sends what is new to the peer each time that the link is woken.
+// send sends a frame with all news for the peer each time that the link is woken.
 func (lk *link) send(ctx context.Context) error {
 	for {
 		select {
@@ -147,14 +147,14 @@
 	}
 }
 
-// noteTold notes that what was to be sent is on its way.
+// markFlushed records that all changes up to sentChange have been sent.
 func (lk *link) markFlushed() {
 	lk.ms.mu.Lock()
 	defer lk.ms.mu.Unlock()
 	lk.flushedChange = lk.sentChange
 }
 
-// news returns what the peer was not told yet.
+// nextFrame returns a frame of everything that the peer has not been sent yet.
 func (lk *link) nextFrame() *frame {
 	ms := lk.ms
 	now := ms.opts.Now()
@@ -178,38 +178,38 @@
 	return fr
 }
 
-// entry returns what the peer is to be told of a member that changed; it reports false when that is nothing.
+// entryFor returns the entry to send about a changed member; it reports false if there is nothing to send.
 func (lk *link) entryFor(r *record, now time.Time) (entry, bool) {
 	isPeer := r.Name == lk.peer.Name && r.Incarnation == lk.peer.Incarnation
 	if !r.live || isPeer {
 		return entry{}, false
 	}
-	tells := lk.inScope(r)
+	inScope := lk.inScope(r)
 	e := entry{ID: r.id}
-	if r.infoChange > lk.sentChange && (tells || lk.peerSubscription.Scope.includesAllInfo()) {
-		c := r.memberInfo
-		e.Info = &c
+	if r.infoChange > lk.sentChange && (inScope || lk.peerSubscription.Scope.includesAllInfo()) {
+		mi := r.memberInfo
+		e.Info = &mi
 	}
-	if !tells && e.Info == nil {
+	if !inScope && e.Info == nil {
 		return entry{}, false
 	}
 	e.Heartbeat, e.HeartbeatAge = r.heartbeat, lk.ms.silence(r, now)
-	if tells && lk.peerSubscription.includesState(r.Name) {
+	if inScope && lk.peerSubscription.includesState(r.Name) {
 		e.State = r.state.since(lk.sentChange, now)
 		e.Notes = r.notes.since(lk.sentChange, now)
 	}
 	return e, true
 }
 
-// since returns the text when it changed after a change.
-func (sp storedPayload) since(sent uint64, now time.Time) payload {
-	if sp.version == 0 || sp.lastChange <= sent {
+// since returns the payload if it changed after the given change, otherwise an empty one.
+func (sp storedPayload) since(change uint64, now time.Time) payload {
+	if sp.version == 0 || sp.lastChange <= change {
 		return payload{}
 	}
 	return payload{Version: sp.version, Body: sp.body, Age: now.Sub(sp.madeAt)}
 }
 
-// silence returns how long a member was not heard.
+// silence returns the time since a member was last heard.
 func (ms *Mesh) silence(r *record, now time.Time) time.Duration {
 	if r == ms.self {
 		return 0
@@ -217,7 +217,7 @@
 	return ms.clock.elapsedAt(now) - r.lastHeard
 }
 
-// take takes a frame.
+// handleFrame applies a received frame and runs the callbacks that result from it.
 func (lk *link) handleFrame(fr frame) error {
 	ms := lk.ms
 	now := ms.opts.Now()
@@ -239,16 +239,16 @@
 		if e.Info != nil {
 			lk.infos[e.ID] = e.Info
 		}
-		c, ok := lk.infos[e.ID]
-		if !ok || c.Name == "" {
-			return events, &MalformedError{Message: "an entry about nobody"}
+		mi, ok := lk.infos[e.ID]
+		if !ok || mi.Name == "" {
+			return events, &MalformedError{Message: "entry names no member"}
 		}
 		if e.ID == senderID {
-			if err := lk.identifyPeer(c.Member); err != nil {
+			if err := lk.identifyPeer(mi.Member); err != nil {
 				return events, err
 			}
 		}
-		events = append(events, lk.ms.applyEntry(*c, e, now)...)
+		events = append(events, lk.ms.applyEntry(*mi, e, now)...)
 	}
 	lk.ms.clearSuspicion(lk.peer.Name)
 	if fr.Subscription != nil {
@@ -257,7 +257,8 @@
 	return events, nil
 }
 
-// subscribed takes what the peer wants to be told. All of it is told anew: what the peer was not told before is not known.
+// setSubscription stores the peer's new subscription. Everything in it is sent again, because it is unknown which parts of it
+// the previous subscription left out.
 func (lk *link) setSubscription(su subscription) {
 	lk.peerSubscription = su
 	lk.sentChange = 0
@@ -265,10 +266,10 @@
 	lk.wakeUp()
 }
 
-// meet notes who the peer says it is.
+// identifyPeer records the peer's identity, and fails if the peer is this process.
 func (lk *link) identifyPeer(m Member) error {
 	ms := lk.ms
-	first := lk.peer.Name == ""
+	firstFrame := lk.peer.Name == ""
 	lk.peer = m
 	isSelf := m.Name == ms.self.Name && m.Incarnation == ms.self.Incarnation
 	if ds := ms.dials[lk.address]; ds != nil && (isSelf || m.Name != ms.self.Name) {
@@ -277,8 +278,8 @@
 	if isSelf {
 		return &SelfDialError{Address: lk.address}
 	}
-	if first {
-		// What is asked of the peer depends on who it is.
+	if firstFrame {
+		// The subscription to the peer depends on its identity.
 		ms.topologyVersion++
 		ms.replanNow = true
 		ms.countSubscribers()
@@ -287,7 +288,7 @@
 	return nil
 }
 
-// drop forgets a link that has ended.
+// removeLink removes a link that has ended, and suspects its peer if the plan still has the link.
 func (ms *Mesh) removeLink(lk *link) {
 	now := ms.opts.Now()
 	ms.mu.Lock()
--- a/internal/gossip/log.go
+++ b/internal/gossip/log.go
@@ -6,14 +6,14 @@
 	"github.com/apex/log"
 )
 
-// logLost says that a member is no longer live, and why; the last pair is the input that decided it.
+// logLost logs that a member is lost, and the cause; key and value are the input that decided it.
 func (ms *Mesh) logLost(m Member, cause, key, value string) {
 	ms.opts.Log.WithFields(log.Fields{
 		"peer": m.Name, "incarnation": m.Incarnation, "zone": m.AvailabilityZone, "cause": cause, key: value,
 	}).Warn("lost a peer")
 }
 
-// logFound says that a member is live, for the first time or again.
+// logFound logs that a member is live, for the first time or again.
 func (ms *Mesh) logFound(ev event) {
 	message := "found a peer"
 	if ev.seenBefore {
@@ -25,16 +25,16 @@
 	}).Info(message)
 }
 
-// logPart says when this instance begins and ends to be a relay. The lock is held; the logger never blocks.
+// logRelayRole logs when this instance becomes a relay or ceases to be one. The lock is held; the logger never blocks.
 func (ms *Mesh) logRelayRole() {
-	relays := ms.plan.isRelay(ms.self.Member)
-	if relays == ms.wasRelay {
+	isRelay := ms.plan.isRelay(ms.self.Member)
+	if isRelay == ms.wasRelay {
 		return
 	}
-	ms.wasRelay = relays
-	message := "this instance relays states no longer"
-	if relays {
-		message = "this instance relays states"
+	ms.wasRelay = isRelay
+	message := "this instance is no longer a relay"
+	if isRelay {
+		message = "this instance is now a relay"
 	}
 	ms.opts.Log.WithFields(log.Fields{
 		"live": ms.liveCount(), "relays": len(ms.plan.relays[ms.self.AvailabilityZone]), "subscribers": len(ms.subscribers),
--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -7,86 +7,89 @@
 	"github.com/apex/log"
 )
 
-// Member is one process of the fleet.
+// Member is one instance of the fleet.
 type Member struct {
 	Name string
-	// Incarnation differs between two processes of one name.
+	// Incarnation tells apart two processes of the same name.
 	Incarnation string
 	// Address is the ip:port of the gossip listener.
 	Address          string
 	AvailabilityZone string
-	// Megabits is the instance's share of the network, in Mbit/s; 0 when it is not known. Those with more relay first.
+	// BandwidthMbps is the instance's share of the network in Mbit/s; 0 if unknown. Members with more are preferred as relays.
 	BandwidthMbps uint64
-	// Stopping says that the process takes no new work.
+	// Stopping is set once the instance takes no new work.
 	Stopping bool
-	// Storeless says that the object store leaves the process without an answer. It is told of few members, since each change is
-	// passed on to all.
+	// StoreUnreachable is set while the object store does not answer the instance. Only few members announce it, since every
+	// change is propagated to all.
 	StoreUnreachable bool
 }
 
-// Options are what New needs. Callbacks are called one at a time; they must be short and must not call Fetch.
+// Options configure a Mesh. Callbacks must return quickly and must not call Fetch. They are called one at a time, except
+// where their comment says otherwise.
 type Options struct {
-	// Self is this process.
+	// Self is this instance.
 	Self Member
-	// Seeds are addresses to start from. They may be out of date, and may be this instance's own.
+	// Seeds are addresses of members to join through. They may be out of date or this instance's own.
 	Seeds []string
-	// Interval is the time between two heartbeats.
+	// HeartbeatInterval is the time between two heartbeats.
 	HeartbeatInterval time.Duration
-	// Lost is the silence after which a member is not live.
+	// LostAfter is the silence after which a member counts as lost.
 	LostAfter time.Duration
-	// Farewell bounds the time in which the last state is told when Serve and Run are asked to end.
+	// FlushTimeout bounds the time to send the final state after the context of Serve or Run has ended.
 	FlushTimeout time.Duration
-	// Coalesce is the least time between two sends that Publish causes.
+	// MinSendInterval is the minimum time between two sends that PublishState and PublishNotes cause.
 	MinSendInterval time.Duration
-	// FullMesh is the number of members up to which every two are linked; beyond it most are linked to two relays alone.
+	// MaxFullMeshMembers is the number of members up to which every two are linked. In a larger fleet most members are linked
+	// to two relays only.
 	MaxFullMeshMembers int
-	// Body returns this instance's state now. The slice must not be changed afterwards.
+	// State returns this instance's current state. The slice must not be modified afterwards.
 	State func() []byte
-	// Receive takes the newest state of a member, and when its sender made it by this instance's clock, or earlier. It is called
-	// again with the last state when a lost member comes back.
-	ReceiveState func(from Member, body []byte, made time.Time)
-	// Notes returns what this instance tells of itself beside its state, seldom: it is asked after PublishNotes alone. The slice must
-	// not be changed afterwards.
+	// ReceiveState receives the newest state of a member. The member built it at madeAt or later, on this instance's clock. It is
+	// called again with the last state when a lost member returns.
+	ReceiveState func(from Member, body []byte, madeAt time.Time)
+	// Notes returns the second, rarely changing part of what this instance announces. It is called only after PublishNotes. The
+	// slice must not be modified afterwards.
 	Notes func() []byte
-	// ReceiveNotes takes the newest notes of a member as Receive takes its state.
-	ReceiveNotes func(from Member, notes []byte, made time.Time)
-	// OnLost is called once when a member is lost, and when another incarnation replaces it.
+	// ReceiveNotes receives the newest notes of a member, as ReceiveState receives its state.
+	ReceiveNotes func(from Member, notes []byte, madeAt time.Time)
+	// OnLost is called once when a member is lost or replaced by another incarnation.
 	OnLost func(Member)
-	// Serve returns a document that a peer asked for. It may be called by several goroutines at once.
+	// HandleFetch returns the document that a peer fetches. It may be called concurrently.
 	HandleFetch func(name string) ([]byte, bool)
-	// Answer answers a question that a peer puts under a name. It may be called by several goroutines at once, and must be short.
-	HandleQuery func(name string, question []byte) ([]byte, bool)
-	// Log is the part's logger.
+	// HandleQuery answers a peer's query of the given name. It may be called concurrently and must return quickly.
+	HandleQuery func(name string, query []byte) ([]byte, bool)
+	// Log receives the log lines of the mesh.
 	Log log.Interface
-	// Now is a steady clock.
+	// Now is a monotonic clock.
 	Now func() time.Time
 }
 
 const (
-	// defaultInterval allows eight heartbeats within the default silence.
+	// defaultHeartbeatInterval allows eight heartbeats within defaultLostAfter.
 	defaultHeartbeatInterval = 250 * time.Millisecond
-	// defaultLost is the silence of a process that restarts at once, and some more.
+	// defaultLostAfter is the silence of a process that restarts immediately, plus a margin.
 	defaultLostAfter = 2 * time.Second
-	// defaultFarewell is above the least time between two sends in a fleet of 300 instances, and below the 450 ms that a
-	// planned stop keeps for the end of the process.
+	// defaultFlushTimeout is above the minimum time between two sends in a fleet of 300 instances, and below the 450 ms that a
+	// planned stop reserves for the end of the process.
 	defaultFlushTimeout = 250 * time.Millisecond
-	// defaultCoalesce bounds the sends for a busy instance to a hundred a second.
+	// defaultMinSendInterval limits a busy instance to a hundred sends per second.
 	defaultMinSendInterval = 10 * time.Millisecond
-	// defaultFullMesh is where the relays' work becomes less than that of the links saved.
+	// defaultMaxFullMeshMembers is the size beyond which relaying costs less than the links that it saves.
 	defaultMaxFullMeshMembers = 16
-	// coalescePerLink is what each link beyond those of a full mesh adds to the least time between two sends: a relay
-	// then sends at most two thousand frames a second, however many subscribe to it.
+	// sendIntervalPerLink is added to the minimum time between two sends for each link beyond MaxFullMeshMembers. It limits a
+	// relay to two thousand frames per second, whatever its number of subscribers.
 	sendIntervalPerLink = 500 * time.Microsecond
-	// forgetAfter is the silence after which a member is no longer dialled: longer than a restart.
+	// forgetAfter is the silence after which a member is removed and no longer dialled: longer than a restart.
 	forgetAfter = time.Minute
-	// redialPause bounds the attempts at an address to two a second.
+	// redialInterval limits dialling to two attempts per second and address.
 	redialInterval = 500 * time.Millisecond
-	// dialGrace is how long the instance with the higher name waits for the other to dial: two attempts and their pause.
+	// dialGracePeriod is how long the side of a pair that does not dial first waits for the other: two attempts and the
+	// interval between them.
 	dialGracePeriod = 1500 * time.Millisecond
-	// refreshBeats is the number of heartbeats after which the state is taken anew though it was not published: what
-	// it says of ages has changed.
+	// refreshHeartbeats is the number of heartbeats after which Options.State is called without a publication, because the
+	// ages in the state have changed.
 	refreshHeartbeats = 4
-	// idleLosts is the number of silences Options.Lost after which a stream is closed.
+	// idleLinkFactor is the multiple of Options.LostAfter after which a silent link is closed.
 	idleLinkFactor = 3
 )
 
--- a/internal/gossip/pause.go
+++ b/internal/gossip/pause.go
@@ -3,36 +3,35 @@
 import "time"
 
 const (
-	// stallLeast is the time lost at once from which this process counts as having been frozen. Less is a busy machine,
-	// and well within the margins of those who use the ages of states.
+	// minPause is the inactive time that counts as a pause of this process. Less occurs on a busy machine, and is well within
+	// the margins of the code that uses the ages of states.
 	minPause = 100 * time.Millisecond
-	// stallDrain is how long after a freeze what is read may have come during it: the buffers of all links are read
-	// within milliseconds, also on a tenth of a core within this.
+	// pauseDrainTime is how long after a pause a frame that is read may have arrived during it. The buffers of all links are
+	// read within milliseconds, and within this time even on a tenth of a core.
 	pauseDrainTime = time.Second
 )
 
-// stalls is the time that this process lost lately. What came in meanwhile lay in the buffers of its links, and its
-// sender's word on its age does not count that.
+// pauseDetector measures recent pauses of this process, in which it was not running. Frames that arrive during a pause wait in
+// the buffers of the links, and the age that the sender put on them does not include that wait.
 type pauseDetector struct {
-	// began is when the clock that counts the lost time began, seen how much of it was noticed.
+	// start is when the measurement began, inactive the total inactive time at the last call of observe.
 	start    time.Time
 	inactive time.Duration
-	// woke is when the newest freeze was noticed, lost what was lost in it and others shortly before.
+	// resumedAt is when the newest pause was detected, recentPause the length of it and of others shortly before.
 	resumedAt   time.Time
 	recentPause time.Duration
 }
 
-// noticed takes the time for which the process was awake, and returns by how much longer what is read now may have been
-// under way.
-func (pd *pauseDetector) observe(awake time.Duration, now time.Time) time.Duration {
+// observe takes the total active time of the process, and returns the extra delay that a frame read now may have had.
+func (pd *pauseDetector) observe(active time.Duration, now time.Time) time.Duration {
 	if now.Sub(pd.resumedAt) > pauseDrainTime {
 		pd.recentPause = 0
 	}
-	lost := now.Sub(pd.start) - awake
-	if lost-pd.inactive >= minPause {
+	inactive := now.Sub(pd.start) - active
+	if inactive-pd.inactive >= minPause {
 		pd.resumedAt = now
-		pd.recentPause += lost - pd.inactive
+		pd.recentPause += inactive - pd.inactive
 	}
-	pd.inactive = lost
+	pd.inactive = inactive
 	return pd.recentPause
 }
--- a/internal/gossip/plan.go
+++ b/internal/gossip/plan.go
@@ -8,32 +8,33 @@
 )
 
 const (
-	// relaysLeast leaves one relay of an availability zone when another fails.
+	// minRelays leaves an availability zone one relay when another fails.
 	minRelays = 2
-	// membersPerRelay is the number of members of an availability zone for which it has one relay, beyond the least: a
-	// relay passes all states on to its subscribers, and a link of 20 Mbit/s carries those to some forty.
+	// membersPerRelay is the number of members of an availability zone per relay, above minRelays. A relay forwards all states
+	// to its subscribers, and 20 Mbit/s suffice for about forty of them.
 	membersPerRelay = 20
-	// relayDivisor says what a relay beyond the least must have at least: the preferred one's Mbit/s divided by it.
+	// relayBandwidthDivisor sets the minimum bandwidth of a relay beyond minRelays: that of the zone's most preferred candidate
+	// divided by it.
 	relayBandwidthDivisor = 2
-	// subscriptions is the number of relays that a member subscribes to.
+	// subscriptionsPerMember is the number of relays that a member subscribes to.
 	subscriptionsPerMember = 2
-	// remoteLinks is the number of relays of each other availability zone that a relay is linked to.
+	// remoteLinksPerZone is the number of relays in each other availability zone that a relay selects for a link.
 	remoteLinksPerZone = 2
 )
 
-// plan says which members keep a link to each other. Beyond a number of members, some in each availability zone are
-// relays: the others are linked to two of these alone, and the relays to each other. Members with the same list make
+// plan determines which members are linked. A large fleet has relays in each availability zone: the other members are linked
+// only to two of these, and the relays to each other and to relays of other zones. Members with the same member list compute
 // the same plan.
 type plan struct {
-	// full says that every two members are linked.
+	// fullMesh is set if every two members are linked.
 	fullMesh bool
-	// relays are the names of the relays of each availability zone, the preferred first.
+	// relays are the names of the relays by availability zone, the most preferred first.
 	relays map[string][]string
 }
 
-// newPlan makes the plan of the given members.
-func newPlan(members []Member, fullMesh int) plan {
-	if len(members) <= fullMesh {
+// newPlan computes the plan of the given members: a full mesh if they are at most maxFullMesh.
+func newPlan(members []Member, maxFullMesh int) plan {
+	if len(members) <= maxFullMesh {
 		return plan{fullMesh: true}
 	}
 	zones := map[string][]candidate{}
@@ -50,9 +51,9 @@
 	return pl
 }
 
-// relayCount returns how many of an availability zone's candidates, the preferred first, are relays: beyond the least only
-// those with a large share of the network. A small machine that relays to thirty others beside large ones falls behind by
-// seconds: one of 20 Mbit/s and a fifth of a core refused a key 11 s after the configuration that has it was in force.
+// relayCount returns how many of an availability zone's candidates, sorted by preference, become relays: beyond minRelays only
+// those with high bandwidth. A small machine that relays to thirty members beside large ones falls behind by seconds: one with
+// 20 Mbit/s and a fifth of a core refused a key 11 s after the configuration with that key was in force.
 func relayCount(cs []candidate) int {
 	count := min(len(cs), max(minRelays, (len(cs)+membersPerRelay-1)/membersPerRelay))
 	for count > minRelays && cs[count-1].BandwidthMbps < cs[0].BandwidthMbps/relayBandwidthDivisor {
@@ -61,7 +62,7 @@
 	return count
 }
 
-// candidate is a member that may be a relay.
+// candidate is a member that may become a relay.
 type candidate struct {
 	Member
 	hash uint64
@@ -69,7 +70,7 @@
 
 func newCandidate(m Member) candidate { return candidate{Member: m, hash: xxhash.Sum64String(m.Name)} }
 
-// compare puts those that stay before those that stop, and those with a larger share of the network before others.
+// compare sorts members that are not stopping first, then by descending bandwidth, then by hash and name.
 func (c candidate) compare(other candidate) int {
 	if c.Stopping != other.Stopping {
 		if c.Stopping {
@@ -80,19 +81,18 @@
 	return cmp.Or(cmp.Compare(other.BandwidthMbps, c.BandwidthMbps), cmp.Compare(c.hash, other.hash), cmp.Compare(c.Name, other.Name))
 }
 
-// relay reports whether a member is a relay.
 func (pl plan) isRelay(m Member) bool { return slices.Contains(pl.relays[m.AvailabilityZone], m.Name) }
 
-// subscriptions returns the relays of its availability zone that a member subscribes to.
+// subscriptions returns the relays that a member subscribes to, all of its own availability zone.
 func (pl plan) subscriptions(m Member) []string {
 	return topRanked(m.Name, pl.relays[m.AvailabilityZone], subscriptionsPerMember)
 }
 
-// remote returns the relays of other availability zones that a relay is linked to: those that are as preferred in their
-// zone as it is in its own, and the next ones, so that the links of a pair of zones spread over their relays.
+// remoteRelays returns the relays of other availability zones that a relay selects for links: in each zone the one with the
+// relay's own index and the next, so that the links between two zones are spread over their relays.
 func (pl plan) remoteRelays(m Member) []string {
-	place := slices.Index(pl.relays[m.AvailabilityZone], m.Name)
-	if place < 0 {
+	index := slices.Index(pl.relays[m.AvailabilityZone], m.Name)
+	if index < 0 {
 		return nil
 	}
 	var names []string
@@ -101,14 +101,14 @@
 			continue
 		}
 		for i := range min(remoteLinksPerZone, len(relays)) {
-			names = append(names, relays[(place+i)%len(relays)])
+			names = append(names, relays[(index+i)%len(relays)])
 		}
 	}
 	return names
 }
 
-// links returns the names of the members that a member keeps a link to; full plans have none. A relay is also linked to
-// those that subscribe to it.
+// linkedNames returns the names of the members that a member is linked to, except the subscribers of a relay. It is empty for
+// a full mesh.
 func (pl plan) linkedNames(m Member) []string {
 	if !pl.isRelay(m) {
 		return pl.subscriptions(m)
@@ -127,7 +127,7 @@
 	return names
 }
 
-// linked reports whether two members keep a link.
+// linked reports whether the plan has a link between two members.
 func (pl plan) linked(a, b Member) bool {
 	if pl.fullMesh {
 		return true
@@ -142,13 +142,13 @@
 	return pl.subscribes(a, b) || pl.subscribes(b, a)
 }
 
-// subscribes reports whether a takes all states from b.
+// subscribes reports whether a subscribes to all states from b.
 func (pl plan) subscribes(a, b Member) bool {
 	return !pl.fullMesh && a.AvailabilityZone == b.AvailabilityZone && !pl.isRelay(a) &&
 		slices.Contains(pl.subscriptions(a), b.Name)
 }
 
-// highest returns those of the names that have the highest rank with a name, at most n.
+// topRanked returns up to n of the names, those with the highest rank for the given name.
 func topRanked(name string, names []string, n int) []string {
 	hash := xxhash.Sum64String(name)
 	ranked := slices.Clone(names)
@@ -156,7 +156,7 @@
 	return ranked[:min(n, len(ranked))]
 }
 
-// rank is the rendezvous hash of two names, the first given by its hash. The steps are the finalizer of splitmix64.
+// rank is the rendezvous hash of two names, the first given by its hash. Its mixing steps are the finalizer of splitmix64.
 func rank(hash uint64, name string) uint64 {
 	x := hash + 3*xxhash.Sum64String(name)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/gossip/query.go
+++ b/internal/gossip/query.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// restMost is how long a connection rests between two questions: below the time after which the other side closes it.
+	// maxIdleTime is how long a connection is kept between two queries: less than the time after which the peer closes it.
 	maxIdleTime = time.Second
-	// maxResting bounds the connections that rest, to all members together.
+	// maxIdleConns bounds the number of idle connections to all members together.
 	maxIdleConns = 64
 )
 
-// Ask puts a question under a name to a member: over the link to it, if there is one, else over a connection that then rests for the next
-// question. Answers are small, and come within a round trip.
-func (ms *Mesh) Query(ctx context.Context, m Member, name string, question []byte) ([]byte, error) {
-	rq := request{Name: name, Body: question}
-	doc, err := ms.sendQuery(ctx, m, rq)
+// Query sends a query of the given name to a member and returns the response. It uses the link to the member if there is one,
+// else a pooled connection. Responses are small and arrive within a round trip.
+func (ms *Mesh) Query(ctx context.Context, m Member, name string, query []byte) ([]byte, error) {
+	rq := request{Name: name, Body: query}
+	rs, err := ms.sendQuery(ctx, m, rq)
 	if err != nil {
 		return nil, err
 	}
-	if !doc.Found {
+	if !rs.Found {
 		return nil, &NotFoundError{Instance: m.Name, Document: name}
 	}
-	return doc.Body, nil
+	return rs.Body, nil
 }
 
 func (ms *Mesh) sendQuery(ctx context.Context, m Member, rq request) (response, error) {
@@ -46,22 +46,22 @@
 			return response{}, err
 		}
 	}
-	var doc response
-	if err := conn.Invoke(ctx, fetchRPC, encoding{}, &rq, &doc); err != nil {
+	var rs response
+	if err := conn.Invoke(ctx, fetchRPC, encoding{}, &rq, &rs); err != nil {
 		conn.Close()
-		return response{}, errors.Wrap(err, "put question")
+		return response{}, errors.Wrap(err, "send query")
 	}
 	ms.queryConns.put(m.Address, conn, now)
-	return doc, nil
+	return rs, nil
 }
 
-// restingConn is a connection without a question under way.
+// idleConn is a connection without a query in flight.
 type idleConn struct {
 	*drpcconn.Conn
 	idleSince time.Time
 }
 
-// restingConns are connections over which the next question is put.
+// connPool holds the idle connections for queries.
 type connPool struct {
 	mu        sync.Mutex
 	byAddress map[string][]idleConn
@@ -70,22 +70,22 @@
 
 func newConnPool() *connPool { return &connPool{byAddress: map[string][]idleConn{}} }
 
-// take returns the connection to an address that was used last; nil when there is none.
+// get returns the most recently used idle connection to an address; nil if there is none.
 func (cp *connPool) get(address string, now time.Time) *drpcconn.Conn {
 	cp.mu.Lock()
 	defer cp.mu.Unlock()
 	cp.closeExpired(now)
-	list := cp.byAddress[address]
-	if len(list) == 0 {
+	conns := cp.byAddress[address]
+	if len(conns) == 0 {
 		return nil
 	}
-	conn := list[len(list)-1].Conn
-	cp.byAddress[address] = list[:len(list)-1]
+	conn := conns[len(conns)-1].Conn
+	cp.byAddress[address] = conns[:len(conns)-1]
 	cp.count--
 	return conn
 }
 
-// rest keeps a connection, or closes it when there are too many.
+// put returns a connection to the pool, or closes it if the pool is full.
 func (cp *connPool) put(address string, conn *drpcconn.Conn, now time.Time) {
 	cp.mu.Lock()
 	defer cp.mu.Unlock()
@@ -98,31 +98,31 @@
 	cp.count++
 }
 
-// sweep closes connections that have rested for too long. The lock is held.
+// closeExpired closes the connections that have been idle for maxIdleTime. The lock is held.
 func (cp *connPool) closeExpired(now time.Time) {
-	for address, list := range cp.byAddress {
-		old := 0
-		for old < len(list) && now.Sub(list[old].idleSince) >= maxIdleTime {
-			list[old].Close()
-			old++
+	for address, conns := range cp.byAddress {
+		expired := 0
+		for expired < len(conns) && now.Sub(conns[expired].idleSince) >= maxIdleTime {
+			conns[expired].Close()
+			expired++
 		}
-		cp.count -= old
-		cp.byAddress[address] = list[old:]
-		if old == len(list) {
+		cp.count -= expired
+		cp.byAddress[address] = conns[expired:]
+		if expired == len(conns) {
 			delete(cp.byAddress, address)
 		}
 	}
 }
 
-// closeAll closes all connections that rest.
+// closeAll closes all idle connections.
 func (cp *connPool) closeAll() {
 	cp.mu.Lock()
 	defer cp.mu.Unlock()
 	cp.closeExpired(time.Now().Add(2 * maxIdleTime))
 }
 
-// Known returns how many instances live by what this one hears, itself among them, and how many it knew within the last minute; those that
-// said farewell are left out of both.
+// MemberCounts returns the number of live members and of those known within the last minute, including this instance. Members
+// that are stopping count in neither.
 func (ms *Mesh) MemberCounts() (live, known int) {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
--- a/internal/gossip/request.go
+++ b/internal/gossip/request.go
@@ -6,10 +6,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAsks bounds the documents asked for at once on one link. Documents are few and change seldom.
+// maxStreamRequests bounds the outstanding requests on one link, per direction. Documents are few and rarely change.
 const maxStreamRequests = 16
 
-// ask asks the peer for a document over the link.
+// call sends a request to the peer over the link and waits for the response.
 func (lk *link) call(ctx context.Context, rq request) (response, error) {
 	ch := make(chan response, 1)
 	id, err := lk.enqueue(rq, ch)
@@ -19,12 +19,12 @@
 	defer lk.removeWaiter(id)
 	lk.wakeUp()
 	select {
-	case doc := <-ch:
-		return doc, nil
+	case rs := <-ch:
+		return rs, nil
 	case <-lk.done:
 		return response{}, &LinkError{Instance: lk.peerName(), Reason: "ended"}
 	case <-ctx.Done():
-		return response{}, errors.Wrap(ctx.Err(), "wait for document")
+		return response{}, errors.Wrap(ctx.Err(), "wait for response")
 	}
 }
 
@@ -38,7 +38,7 @@
 	lk.ms.mu.Lock()
 	defer lk.ms.mu.Unlock()
 	if len(lk.waiters) >= maxStreamRequests || len(lk.requestQueue) >= maxStreamRequests {
-		return 0, &LinkError{Instance: lk.peer.Name, Reason: "has too many open asks"}
+		return 0, &LinkError{Instance: lk.peer.Name, Reason: "has too many open requests"}
 	}
 	lk.lastRequestID++
 	lk.waiters[lk.lastRequestID] = ch
@@ -52,30 +52,30 @@
 	delete(lk.waiters, id)
 }
 
-// answer looks up the documents that the peer asks for. Those beyond maxAsks get no answer; the peer's wait then ends
-// by its context.
-func (lk *link) serveRequests(asks []streamRequest) {
-	for _, a := range asks {
-		doc := lk.ms.handleRequest(&a.request)
+// serveRequests handles the peer's requests and queues the responses. Responses beyond maxStreamRequests are dropped; the
+// peer's call then ends with its context.
+func (lk *link) serveRequests(requests []streamRequest) {
+	for _, sr := range requests {
+		rs := lk.ms.handleRequest(&sr.request)
 		lk.ms.mu.Lock()
 		if len(lk.responseQueue) < maxStreamRequests {
-			lk.responseQueue = append(lk.responseQueue, streamResponse{ID: a.ID, response: *doc})
+			lk.responseQueue = append(lk.responseQueue, streamResponse{ID: sr.ID, response: *rs})
 		}
 		lk.ms.mu.Unlock()
 		lk.wakeUp()
 	}
 }
 
-func (lk *link) deliverResponses(answers []streamResponse) {
+func (lk *link) deliverResponses(responses []streamResponse) {
 	lk.ms.mu.Lock()
 	defer lk.ms.mu.Unlock()
-	for _, a := range answers {
-		ch, ok := lk.waiters[a.ID]
+	for _, sr := range responses {
+		ch, ok := lk.waiters[sr.ID]
 		if !ok {
-			// Who asked has given up.
+			// The caller has already returned.
 			continue
 		}
-		delete(lk.waiters, a.ID)
-		ch <- a.response
+		delete(lk.waiters, sr.ID)
+		ch <- sr.response
 	}
 }
--- a/internal/gossip/scope.go
+++ b/internal/gossip/scope.go
@@ -6,39 +6,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// scope says of which members a peer is told. The member list, that is the card of each, goes beyond it where cards
-// says so.
+// scope selects the members about which a peer is sent heartbeats, states and notes. Member infos are sent about all members
+// where includesAllInfo says so.
 type scope uint64
 
 const (
-	// scopeDirect is the sender and its subscribers. It is what a peer is told that asked for nothing yet.
+	// scopeDirect is the sender and its subscribers. It applies until a peer has sent a subscription.
 	scopeDirect scope = iota
-	// scopeMembers is the same, and the cards of all.
+	// scopeMembers is scopeDirect plus the infos of all members.
 	scopeMembers
-	// scopeZone is the availability zone of the sender, and the cards of all.
+	// scopeZone is the sender's availability zone plus the infos of all members.
 	scopeZone
-	// scopeAll is everybody.
+	// scopeAll is all members.
 	scopeAll
 )
 
-// cards reports whether the cards of those outside the scope are told.
+// includesAllInfo reports whether the infos of members outside the scope are sent too.
 func (sc scope) includesAllInfo() bool { return sc != scopeDirect }
 
-// subscription is what one side of a link asks the other to tell.
+// subscription is what one side of a link asks the other to send.
 type subscription struct {
 	Scope scope
-	// Parts is the number of relays that share the states among them, and Part the one that is asked for, from 0. With
-	// Parts of at most 1 all states are told.
+	// ShardCount is the number of relays among which the states are divided, Shard the index of the requested share from 0. With
+	// a ShardCount of at most 1 all states are sent.
 	Shard, ShardCount uint64
 }
 
-// takesState reports whether the state of a member is in the part asked for. Pulses and cards are in each part, so that
-// nobody seems lost while one relay is silent.
+// includesState reports whether the state and notes of a member belong to the subscribed shard. Heartbeats and member infos
+// are in every shard, so that no member seems lost while one relay is silent.
 func (su subscription) includesState(name string) bool {
 	return su.ShardCount <= 1 || xxhash.Sum64String(name)%su.ShardCount == su.Shard
 }
 
-// subscriptionTo returns what this instance wants to be told on a link; the lock is held.
+// subscriptionTo returns this instance's subscription to the peer of a link. The lock is held.
 func (ms *Mesh) subscriptionTo(lk *link) subscription {
 	self := ms.self.Member
 	if ms.plan.fullMesh || lk.peer.Name == "" {
@@ -53,14 +53,14 @@
 	if !ms.plan.subscribes(self, lk.peer) {
 		return subscription{Scope: scopeDirect}
 	}
-	part := slices.Index(ms.upstreamRelays, lk.peer.Name)
-	if part < 0 {
+	shard := slices.Index(ms.upstreamRelays, lk.peer.Name)
+	if shard < 0 {
 		return subscription{Scope: scopeAll}
 	}
-	return subscription{Scope: scopeAll, Shard: uint64(part), ShardCount: uint64(len(ms.upstreamRelays))}
+	return subscription{Scope: scopeAll, Shard: uint64(shard), ShardCount: uint64(len(ms.upstreamRelays))}
 }
 
-// tells reports whether a member is in the scope that the peer of a link asked for; the lock is held.
+// inScope reports whether a member is in the scope that the peer subscribes to. The lock is held.
 func (lk *link) inScope(r *record) bool {
 	ms := lk.ms
 	switch lk.peerSubscription.Scope {
@@ -73,8 +73,8 @@
 	}
 }
 
-// resubscribe counts the links of each subscriber anew. What a new one is told of was outside the scope of other links
-// before, so all of its record is told again. The lock is held.
+// countSubscribers recounts the links of each subscriber. A new subscriber was outside the scope of other links before, so its
+// whole record is sent again. The lock is held.
 func (ms *Mesh) countSubscribers() {
 	before := ms.subscribers
 	ms.subscribers = map[string]int{}
--- a/internal/gossip/sendinterval.go
+++ b/internal/gossip/sendinterval.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// coalesce is the least time between two sends; it grows with the links that each send is for.
+// sendInterval returns the minimum time between two sends. It grows with the number of links, since a send goes to all.
 func (ms *Mesh) sendInterval() time.Duration {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -10,12 +10,12 @@
 }
 
 func (ms *Mesh) sendIntervalFor(links int) time.Duration {
-	beyond := max(0, links-ms.opts.MaxFullMeshMembers)
-	return min(ms.opts.HeartbeatInterval, ms.opts.MinSendInterval+time.Duration(beyond)*sendIntervalPerLink)
+	extraLinks := max(0, links-ms.opts.MaxFullMeshMembers)
+	return min(ms.opts.HeartbeatInterval, ms.opts.MinSendInterval+time.Duration(extraLinks)*sendIntervalPerLink)
 }
 
-// Lag returns the time after which a new state of this instance is known to the others when all is well: the wait for
-// the next send, and that of two relays where there are any.
+// PropagationDelay returns the expected time until all other members have a new state of this instance, without faults: the
+// wait for the next send here and, outside a full mesh, at two relays.
 func (ms *Mesh) PropagationDelay() time.Duration {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -27,14 +27,14 @@
 	return own + 2*ms.sendIntervalFor(ms.estimatedRelayLinks())
 }
 
-// linksOfRelay returns about how many links a relay of this availability zone has; the lock is held.
+// estimatedRelayLinks estimates the number of links of a relay in this availability zone. The lock is held.
 func (ms *Mesh) estimatedRelayLinks() int {
-	near := 1
+	zoneMembers := 1
 	for _, r := range ms.records {
 		if r.live && r.AvailabilityZone == ms.self.AvailabilityZone {
-			near++
+			zoneMembers++
 		}
 	}
 	relays := max(1, len(ms.plan.relays[ms.self.AvailabilityZone]))
-	return near*subscriptionsPerMember/relays + relays + 2*remoteLinksPerZone*(len(ms.plan.relays)-1)
+	return zoneMembers*subscriptionsPerMember/relays + relays + 2*remoteLinksPerZone*(len(ms.plan.relays)-1)
 }
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// silentBeats is the number of heartbeats without a frame after which the peer of a link is suspected: a lost packet is
-// sent again well before, and a suspected relay is replaced before anybody seems lost for its silence.
+// suspectAfterHeartbeats is the number of heartbeat intervals without a frame after which the peer of a link is suspected. A
+// lost packet is retransmitted well before, and a silent relay is replaced before the members behind it seem lost.
 const suspectAfterHeartbeats = 3
 
-// suspect notes that a member could not be reached, or that its link ended; the lock is held.
+// suspect marks a member as suspected because it is silent, cannot be dialled or its link ended. The lock is held.
 func (ms *Mesh) suspect(name string, now time.Time) {
 	if name == "" || name == ms.self.Name {
 		return
@@ -21,7 +21,7 @@
 	ms.signal()
 }
 
-// trust forgets a suspicion, since the member was heard; the lock is held.
+// clearSuspicion clears the suspicion of a member that was heard. The lock is held.
 func (ms *Mesh) clearSuspicion(name string) {
 	if _, ok := ms.suspects[name]; ok {
 		delete(ms.suspects, name)
@@ -31,41 +31,41 @@
 	}
 }
 
-// suspectSilent suspects the peers of silent links, and forgets suspicions that are old: by then a member is lost, or
-// others hear it. The lock is held.
+// suspectSilentPeers suspects the peers of silent links, and clears suspicions older than LostAfter: by then a member is either
+// lost or heard through others. The lock is held.
 func (ms *Mesh) suspectSilentPeers(now time.Time) {
-	awake := ms.clock.elapsedAt(now)
+	elapsed := ms.clock.elapsedAt(now)
 	for name, since := range ms.suspects {
-		if awake-since >= ms.opts.LostAfter {
+		if elapsed-since >= ms.opts.LostAfter {
 			delete(ms.suspects, name)
 			ms.topologyVersion++
 		}
 	}
 	for lk := range ms.links {
-		if lk.peer.Name != "" && awake-lk.lastHeard >= suspectAfterHeartbeats*ms.opts.HeartbeatInterval && !ms.hasOtherActiveLink(lk, awake) {
+		if lk.peer.Name != "" && elapsed-lk.lastHeard >= suspectAfterHeartbeats*ms.opts.HeartbeatInterval && !ms.hasOtherActiveLink(lk, elapsed) {
 			ms.suspect(lk.peer.Name, now)
 		}
 	}
 }
 
-// hearsOtherwise reports whether another link to the same process is not silent.
-func (ms *Mesh) hasOtherActiveLink(silent *link, awake time.Duration) bool {
+// hasOtherActiveLink reports whether another link to the silent link's peer is not silent.
+func (ms *Mesh) hasOtherActiveLink(silent *link, elapsed time.Duration) bool {
 	for lk := range ms.links {
-		if lk != silent && lk.peer.Name == silent.peer.Name && awake-lk.lastHeard < suspectAfterHeartbeats*ms.opts.HeartbeatInterval {
+		if lk != silent && lk.peer.Name == silent.peer.Name && elapsed-lk.lastHeard < suspectAfterHeartbeats*ms.opts.HeartbeatInterval {
 			return true
 		}
 	}
 	return false
 }
 
-// usableLocked returns the live members that are not suspected, and this instance.
+// unsuspectedMembers returns this instance and the live members that are not suspected. The lock is held.
 func (ms *Mesh) unsuspectedMembers() []Member {
-	usable := make([]Member, 0, len(ms.records)+1)
-	usable = append(usable, ms.self.Member)
+	members := make([]Member, 0, len(ms.records)+1)
+	members = append(members, ms.self.Member)
 	for _, r := range ms.records {
 		if _, suspected := ms.suspects[r.Name]; r.live && !suspected {
-			usable = append(usable, r.Member)
+			members = append(members, r.Member)
 		}
 	}
-	return usable
+	return members
 }
--- a/internal/gossip/topology.go
+++ b/internal/gossip/topology.go
@@ -7,8 +7,8 @@
 	"github.com/silvermount/silvermount/internal/set"
 )
 
-// Source reports whether this instance should take from a member what all need: from each other one when it is itself one of
-// those that others take it from, else only from the relays that it subscribes to.
+// IsUpstream reports whether this instance should fetch documents that all instances need from the given member. A relay, and
+// every instance of a full mesh, fetches from any member, other instances only from the relays that they subscribe to.
 func (ms *Mesh) IsUpstream(m Member) bool {
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
@@ -16,11 +16,11 @@
 	return ms.plan.fullMesh || ms.plan.isRelay(ms.self.Member) || slices.Contains(ms.upstreamRelays, m.Name)
 }
 
-// replanPause is the least time between two plans made for members that came or changed: hundreds that start at once are
-// planned for together, since each plan takes a fifth of a core some milliseconds.
+// minReplanInterval is the minimum time between two plans for members that join or change. It batches hundreds that start at
+// once, since a plan takes some milliseconds on a fifth of a core.
 const minReplanInterval = 100 * time.Millisecond
 
-// replan makes the plan for the live members that are not suspected, when they changed. The lock is held.
+// replan computes a new plan of the live members that are not suspected if the topology has changed. The lock is held.
 func (ms *Mesh) replan() {
 	now := ms.opts.Now()
 	if ms.plannedVersion == ms.topologyVersion || !ms.replanNow && now.Sub(ms.plannedAt) < minReplanInterval {
@@ -46,57 +46,57 @@
 	return live
 }
 
-// wantedByPlan returns the names of the members, live or lost, that a link is to be kept to. Those of an availability
-// zone of which nobody is usable are planned for as if they were, so that it is not given up while it is cut off. In its
-// own zone an instance goes on with all that it serves.
+// selectPeers returns the names of the members, live or lost, to keep links to. Members of an availability zone without any
+// unsuspected member are planned for as if unsuspected, so that dialling goes on while the zone is cut off. In its own zone an
+// instance that serves others keeps links to all members.
 func (ms *Mesh) selectPeers() []string {
 	self := ms.self.Member
-	serves := ms.plan.fullMesh || ms.plan.isRelay(self)
+	servesZone := ms.plan.fullMesh || ms.plan.isRelay(self)
 	linked := set.Of(slices.Concat(ms.plan.linkedNames(self), ms.planWithSilentZones().linkedNames(self))...)
 	var names []string
 	for name, r := range ms.records {
-		near := r.AvailabilityZone == self.AvailabilityZone
-		if r.live && ms.plan.fullMesh || near && serves || linked.Has(name) {
+		sameZone := r.AvailabilityZone == self.AvailabilityZone
+		if r.live && ms.plan.fullMesh || sameZone && servesZone || linked.Has(name) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// hopefulPlan is the plan as it would be with all that are known in the availability zones of which nobody is usable.
+// planWithSilentZones returns the plan that also counts all known members of availability zones without an unsuspected member.
 func (ms *Mesh) planWithSilentZones() plan {
 	members := ms.unsuspectedMembers()
 	zones := map[string]bool{}
 	for _, m := range members {
 		zones[m.AvailabilityZone] = true
 	}
-	usable := len(members)
+	unsuspected := len(members)
 	for _, r := range ms.records {
 		if !zones[r.AvailabilityZone] {
 			members = append(members, r.Member)
 		}
 	}
-	if len(members) == usable {
+	if len(members) == unsuspected {
 		return ms.plan
 	}
 	return newPlan(members, 0)
 }
 
-// findSources notes from which relays this instance takes states: those it subscribes to and has a link to. The lock is
-// held.
+// updateUpstreamRelays determines the relays that this instance receives states from: those that it subscribes to and has a
+// link to. The lock is held.
 func (ms *Mesh) updateUpstreamRelays() {
-	var sources []string
+	var upstream []string
 	for lk := range ms.links {
 		_, suspected := ms.suspects[lk.peer.Name]
 		if lk.peer.Name != "" && !suspected && ms.plan.subscribes(ms.self.Member, lk.peer) {
-			sources = append(sources, lk.peer.Name)
+			upstream = append(upstream, lk.peer.Name)
 		}
 	}
-	slices.Sort(sources)
-	ms.upstreamRelays = slices.Compact(sources)
+	slices.Sort(upstream)
+	ms.upstreamRelays = slices.Compact(upstream)
 }
 
-// wanted returns the members, live or lost, that a link is to be kept to; the lock is held.
+// wantedMembers returns the members, live or lost, to keep links to. The lock is held.
 func (ms *Mesh) wantedMembers() []*record {
 	ms.replan()
 	var wanted []*record
