--- a/internal/gossip/options.go
+++ b/internal/gossip/options.go
@@ -37,7 +37,7 @@
 	LostAfter time.Duration
 	// FlushTimeout bounds the time to send the final state after the context of Serve or Run has ended.
 	FlushTimeout time.Duration
-	// MinSendInterval is the minimum time between two sends that PublishState and PublishNotes cause.
+	// MinSendInterval is the minimum time between two sends outside the heartbeats, such as after PublishState.
 	MinSendInterval time.Duration
 	// MaxFullMeshMembers is the number of members up to which every two are linked. In a larger fleet most members are linked
 	// to two relays only.
--- a/internal/gossip/pause.go
+++ b/internal/gossip/pause.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// minPause is the inactive time that counts as a pause of this process. Less occurs on a busy machine, and is well within
-	// the margins of the code that uses the ages of states.
+	// minPause is the inactive time between two observations that counts as a pause of this process. Less occurs on a busy
+	// machine, and is well within the margins of the code that uses the ages of states.
 	minPause = 100 * time.Millisecond
 	// pauseDrainTime is how long after a pause a frame that is read may have arrived during it. The buffers of all links are
 	// read within milliseconds, and within this time even on a tenth of a core.
--- a/internal/gossip/record.go
+++ b/internal/gossip/record.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// record is what is known of one member.
+// record is what this instance knows of one member.
 type record struct {
 	memberInfo
-	// id stands for the record in the entries that are sent.
+	// id identifies the record in the entries sent to peers.
 	id uint64
-	// changed and cardChanged are the newest changes of anything and of the card.
+	// lastChange is the newest change of anything in the record, infoChange that of the member info.
 	lastChange, infoChange uint64
-	// place is that in the change log; nil while the log does not hold the record.
+	// element is the record's element in the change log; nil while the log does not hold it.
 	element *list.Element
-	// pulseTold is when a pulse was last noted in the change log, by the awake clock.
+	// heartbeatRelayed is when a heartbeat was last added to the change log, on the active clock.
 	heartbeatRelayed time.Duration
-	// live turns false once per silence.
+	// live turns false when the silence reaches LostAfter, and the member is reported lost only then.
 	live bool
-	// pulse is the highest pulse known of this incarnation.
+	// heartbeat is the highest heartbeat counter received of this incarnation.
 	heartbeat uint64
-	// heard is when that pulse was heard, by the awake clock.
+	// lastHeard is when the member sent that heartbeat, on the active clock.
 	lastHeard time.Duration
-	// unlinked is when the member was first known, or its last link ended, by the awake clock.
+	// unlinkedSince is when the member was discovered or its last link ended, on the active clock.
 	unlinkedSince time.Duration
-	// known says that this process, or an earlier one of its name, was live here before.
+	// seenBefore is set if this incarnation, or an earlier one of the name, was live here before.
 	seenBefore bool
-	// state changes with each request, notes seldom.
+	// state changes with every request, notes rarely.
 	state, notes storedPayload
 }
 
-// told is one of the texts that a member tells of itself.
+// storedPayload is the newest state or the newest notes of a member.
 type storedPayload struct {
-	// version is the pulse at which body was made; 0 when there is none.
+	// version is the member's heartbeat counter when it built body; 0 if there is no body.
 	version uint64
 	body    []byte
-	// made is when the member made body, by this instance's clock.
+	// madeAt is when the member built body, or earlier, on this instance's clock.
 	madeAt time.Time
-	// changed is its newest change.
+	// lastChange is the newest change of the payload in the change log.
 	lastChange uint64
 }
 
-// follows reports whether c is of a newer process than r. Two incarnations of one generation are put in some order that
-// all members agree on; the live process takes a higher generation when it hears of the other.
+// supersedes reports whether mi describes a newer process than r. Incarnations of the same generation have an arbitrary order
+// that all members agree on; the live process takes a higher generation when it hears of another.
 func (mi memberInfo) supersedes(r *record) bool {
 	if mi.Generation != r.Generation {
 		return mi.Generation > r.Generation
@@ -50,25 +50,25 @@
 	return mi.Incarnation > r.Incarnation
 }
 
-// event is a callback to be made.
+// event is a callback to run.
 type event struct {
 	lost   bool
 	found  bool
 	member Member
-	// notes says that body is the notes of the member, else it is its state.
+	// notes is set if body holds the member's notes instead of its state.
 	notes bool
 	body  []byte
-	// made is when the member made body, or earlier.
+	// madeAt is when the member built body, or earlier.
 	madeAt time.Time
-	// age is that of the pulse by which a member was found.
+	// heartbeatAge is the age of the heartbeat by which a member was found.
 	heartbeatAge time.Duration
-	// by is the incarnation that replaces a lost member.
+	// replacedBy is the incarnation that replaces a lost member.
 	replacedBy string
-	// again says that a found member, or an earlier process of its name, was live here before.
+	// seenBefore is set if a found member, or an earlier incarnation of its name, was live here before.
 	seenBefore bool
 }
 
-// notify makes callbacks; the caller holds ms.calls.
+// runCallbacks logs the events and runs their callbacks. The caller holds ms.callbackMu.
 func (ms *Mesh) runCallbacks(events []event) {
 	for _, ev := range events {
 		if ev.found {
@@ -88,77 +88,77 @@
 	}
 }
 
-// hear takes an entry about the process that c names; the caller holds ms.mu.
-func (ms *Mesh) applyEntry(c memberInfo, e entry, now time.Time) []event {
-	if c.Name == ms.self.Name {
-		ms.refute(c)
+// applyEntry merges an entry about the member mi, and returns the resulting events. The caller holds ms.mu.
+func (ms *Mesh) applyEntry(mi memberInfo, e entry, now time.Time) []event {
+	if mi.Name == ms.self.Name {
+		ms.refute(mi)
 		return nil
 	}
-	r, events := ms.recordFor(c, e, now)
+	r, events := ms.recordFor(mi, e, now)
 	if r == nil {
 		return events
 	}
-	back := ms.applyHeartbeat(r, c, e, now)
-	if back {
+	revived := ms.applyHeartbeat(r, mi, e, now)
+	if revived {
 		events = append(events, event{found: true, member: r.Member, seenBefore: r.seenBefore, heartbeatAge: e.HeartbeatAge})
 		r.seenBefore = true
 	}
-	if back || e.State.Version > r.state.version {
+	if revived || e.State.Version > r.state.version {
 		events = append(events, ms.applyPayload(r, &r.state, e.State, e.ExtraDelay, now)...)
 	}
-	if back || e.Notes.Version > r.notes.version {
+	if revived || e.Notes.Version > r.notes.version {
 		events = append(events, ms.applyPayload(r, &r.notes, e.Notes, e.ExtraDelay, now)...)
 	}
 	return events
 }
 
-// refute takes a higher generation when another incarnation of this instance's name is told of.
-func (ms *Mesh) refute(c memberInfo) {
-	if c.Incarnation == ms.self.Incarnation || c.Generation < ms.self.Generation {
+// refute takes a higher generation when peers know another incarnation of this instance's name that may supersede this one.
+func (ms *Mesh) refute(mi memberInfo) {
+	if mi.Incarnation == ms.self.Incarnation || mi.Generation < ms.self.Generation {
 		return
 	}
-	ms.opts.Log.WithField("incarnation", c.Incarnation).Info("replacing an earlier process of this name")
-	ms.self.Generation = c.Generation + 1
+	ms.opts.Log.WithField("incarnation", mi.Incarnation).Info("taking a higher generation than another incarnation of this instance")
+	ms.self.Generation = mi.Generation + 1
 	ms.self.heartbeat++
 	ms.changes.touch(ms.self, everythingChanged)
 	ms.topologyChanged()
 }
 
-// recordFor returns the record that an entry is about, new when the process is; nil when the entry is out of date.
-func (ms *Mesh) recordFor(c memberInfo, e entry, now time.Time) (*record, []event) {
-	r := ms.records[c.Name]
-	if r != nil && r.Incarnation == c.Incarnation {
+// recordFor returns the record that an entry is about, a new one for a new process, or nil if the entry is out of date.
+func (ms *Mesh) recordFor(mi memberInfo, e entry, now time.Time) (*record, []event) {
+	r := ms.records[mi.Name]
+	if r != nil && r.Incarnation == mi.Incarnation {
 		return r, nil
 	}
 	if e.Heartbeat == 0 {
 		return nil, nil
 	}
-	if r != nil && !c.supersedes(r) && (r.live || e.HeartbeatAge >= ms.opts.LostAfter) {
+	if r != nil && !mi.supersedes(r) && (r.live || e.HeartbeatAge >= ms.opts.LostAfter) {
 		return nil, nil
 	}
 	var events []event
 	if r != nil && r.live {
-		events = []event{{lost: true, member: r.Member, replacedBy: c.Incarnation}}
+		events = []event{{lost: true, member: r.Member, replacedBy: mi.Incarnation}}
 	}
-	awake := ms.clock.elapsedAt(now)
+	elapsed := ms.clock.elapsedAt(now)
 	if r != nil {
 		ms.changes.remove(r)
 	}
 	ms.lastEntryID++
-	r = &record{memberInfo: c, id: ms.lastEntryID, unlinkedSince: awake, lastHeard: awake - e.HeartbeatAge, seenBefore: r != nil}
-	ms.records[c.Name] = r
+	r = &record{memberInfo: mi, id: ms.lastEntryID, unlinkedSince: elapsed, lastHeard: elapsed - e.HeartbeatAge, seenBefore: r != nil}
+	ms.records[mi.Name] = r
 	return r, events
 }
 
-// takePulse takes a newer pulse, and reports whether the member came back to life by it.
-func (ms *Mesh) applyHeartbeat(r *record, c memberInfo, e entry, now time.Time) bool {
+// applyHeartbeat applies a newer heartbeat, and reports whether the member becomes live by it.
+func (ms *Mesh) applyHeartbeat(r *record, mi memberInfo, e entry, now time.Time) bool {
 	if e.Heartbeat <= r.heartbeat {
 		return false
 	}
 	r.heartbeat = e.Heartbeat
 	r.lastHeard = max(r.lastHeard, ms.clock.elapsedAt(now)-e.HeartbeatAge)
-	if r.memberInfo != c {
-		ms.updateInfo(r, c)
+	if r.memberInfo != mi {
+		ms.updateInfo(r, mi)
 	}
 	if r.live || ms.clock.elapsedAt(now)-r.lastHeard >= ms.opts.LostAfter {
 		ms.relayHeartbeat(r, now)
@@ -170,13 +170,13 @@
 	return true
 }
 
-// takeCard takes a card that differs from the one known.
-func (ms *Mesh) updateInfo(r *record, c memberInfo) {
+// updateInfo replaces a record's member info by a different one.
+func (ms *Mesh) updateInfo(r *record, mi memberInfo) {
 	before := r.memberInfo
-	r.memberInfo = c
+	r.memberInfo = mi
 	ms.changes.touch(r, everythingChanged)
-	before.StoreUnreachable = c.StoreUnreachable
-	if before == c {
+	before.StoreUnreachable = mi.StoreUnreachable
+	if before == mi {
 		ms.storeStatusVersion++
 		ms.signal()
 		return
@@ -184,20 +184,19 @@
 	ms.topologyChanged()
 }
 
-// pulseShare is how much of an interval lies at least between two pulses of a subscriber that a relay passes on, in
-// intervals: more than one halves what pulses take, and three relays after each other still tell of a member well within
-// the silence after which it is lost.
+// relayedHeartbeatIntervals is the minimum time between two relayed heartbeats of a subscriber, in heartbeat intervals. A value
+// above 1 halves the traffic of heartbeats; even three relays in a row still report a member well within LostAfter.
 const relayedHeartbeatIntervals = 1.6
 
-// notePulse has a newer pulse passed on; those of this availability zone, which come from the members themselves, less
-// often.
+// relayHeartbeat passes on a newer heartbeat. Those of this availability zone, which come from the members themselves, are
+// passed on less often.
 func (ms *Mesh) relayHeartbeat(r *record, now time.Time) {
-	awake := ms.clock.elapsedAt(now)
-	near := r.AvailabilityZone == ms.self.AvailabilityZone
-	if near && awake-r.heartbeatRelayed < time.Duration(relayedHeartbeatIntervals*float64(ms.opts.HeartbeatInterval)) {
+	elapsed := ms.clock.elapsedAt(now)
+	sameZone := r.AvailabilityZone == ms.self.AvailabilityZone
+	if sameZone && elapsed-r.heartbeatRelayed < time.Duration(relayedHeartbeatIntervals*float64(ms.opts.HeartbeatInterval)) {
 		return
 	}
-	r.heartbeatRelayed = awake
+	r.heartbeatRelayed = elapsed
 	ms.changes.touch(r, heartbeatChanged)
 }
 
@@ -206,19 +205,19 @@
 	ms.signal()
 }
 
-// takeBody takes a newer state or newer notes, and returns the newest there are of a live member.
-func (ms *Mesh) applyPayload(r *record, known *storedPayload, news payload, delay time.Duration, now time.Time) []event {
-	if news.Version > known.version {
-		// A freeze of this process delayed the frames that came meanwhile: that time counts once.
-		late := max(delay, ms.pauses.observe(ms.clock.elapsedAt(now), now))
-		known.version, known.body, known.madeAt = news.Version, news.Body, now.Add(-news.Age-late)
-		ms.changes.touchPayload(r, known)
+// applyPayload stores a newer state or newer notes, and returns an event with the newest if the member is live.
+func (ms *Mesh) applyPayload(r *record, stored *storedPayload, update payload, extraDelay time.Duration, now time.Time) []event {
+	if update.Version > stored.version {
+		// A pause of this process delays frames that arrive during it. Both estimates include that time, so it counts only once.
+		delay := max(extraDelay, ms.pauses.observe(ms.clock.elapsedAt(now), now))
+		stored.version, stored.body, stored.madeAt = update.Version, update.Body, now.Add(-update.Age-delay)
+		ms.changes.touchPayload(r, stored)
 		if len(ms.subscribers) > 0 {
 			ms.signal()
 		}
 	}
-	if known.version == 0 || !r.live {
+	if stored.version == 0 || !r.live {
 		return nil
 	}
-	return []event{{member: r.Member, notes: known == &r.notes, body: known.body, madeAt: known.madeAt}}
+	return []event{{member: r.Member, notes: stored == &r.notes, body: stored.body, madeAt: stored.madeAt}}
 }
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -8,50 +8,50 @@
 	"storj.io/drpc"
 )
 
-// card is what the member list holds of one process.
+// memberInfo is the member list's information about one process.
 type memberInfo struct {
 	Member
-	// Generation orders the incarnations of a name: a process that hears of another incarnation of its own name takes
-	// a higher one.
+	// Generation orders the incarnations of a name. A process that hears of another incarnation of its own name takes a higher
+	// generation.
 	Generation uint64
 }
 
-// entry tells about one process. Fields that the receiver knows already are left out.
+// entry is an update about one process. Fields that the receiver already has are omitted.
 type entry struct {
-	// ID stands for the process on one stream; the first entry with an ID has a card. senderID is the sender.
+	// ID identifies the process on one stream. The first entry with an ID has an Info; senderID is the sender's own.
 	ID uint64
-	// Card is nil when it was sent before on this stream and has not changed.
+	// Info is nil if it was sent before on this stream and has not changed.
 	Info *memberInfo
-	// Pulse only grows within an incarnation; 0 means that the entry tells none.
+	// Heartbeat is a counter that only grows within an incarnation; 0 if the entry carries none.
 	Heartbeat uint64
-	// PulseAge is the time since the process itself was heard.
+	// HeartbeatAge is the time since the process itself was heard.
 	HeartbeatAge time.Duration
 	State, Notes payload
-	// Delay is by how much longer than usual the frame was under way. The receiver finds it; it is not on the wire.
+	// ExtraDelay is how much longer than the fastest the frame was in transit. The receiver sets it; it is not on the wire.
 	ExtraDelay time.Duration
 }
 
-// part is one of the texts that a process tells of itself.
+// payload is the state or the notes of a process.
 type payload struct {
-	// Version is the pulse at which Body was made; 0 means that the entry has none.
+	// Version is the heartbeat counter when Body was built; 0 if the entry has no payload.
 	Version uint64
 	Body    []byte
-	// Age is the time since Body was made.
+	// Age is the time since Body was built.
 	Age time.Duration
 }
 
-// senderID is the entry ID of the sender itself.
+// senderID is the entry ID of the sender's own entry.
 const senderID = 0
 
-// frame is the message of a stream, in both directions.
+// frame is a message on a stream, in either direction.
 type frame struct {
-	// Wants is what the sender wants to be told from now on; nil when that is as before.
+	// Subscription is what the sender subscribes to from now on; nil if unchanged.
 	Subscription *subscription
 	Entries      []entry
 	Requests     []streamRequest
 	Responses    []streamResponse
-	// Sent is the time from the sender's start to when the frame was made, in whole milliseconds on the wire; 0 when the
-	// sender does not tell.
+	// SenderUptime is the time from the sender's start to the creation of the frame, in whole milliseconds on the wire; 0 if the
+	// sender does not report it.
 	SenderUptime time.Duration
 }
 
@@ -59,33 +59,33 @@
 	return fr.Subscription == nil && len(fr.Entries) == 0 && len(fr.Requests) == 0 && len(fr.Responses) == 0
 }
 
-// ask asks for a document on the stream.
+// streamRequest is a request sent on a stream.
 type streamRequest struct {
-	// ID is unique among the asks of one sender on one stream.
+	// ID is unique among the requests of one sender on one stream.
 	ID uint64
 	request
 }
 
-// answer answers the ask of its ID.
+// streamResponse is the response to the streamRequest with the same ID.
 type streamResponse struct {
 	ID uint64
 	response
 }
 
-// request asks for a document, or, with a body, puts a question.
+// request fetches a document or, with a body, sends a query.
 type request struct {
 	Name string
-	// Body is empty for documents. An instance of the build before passes it over, and has no document of the name.
+	// Body is empty for a fetch. An instance of the previous build ignores it, and finds no document of the name.
 	Body []byte
 }
 
-// document answers a request.
+// response is the response to a request.
 type response struct {
 	Found bool
 	Body  []byte
 }
 
-// Field numbers on the wire. They are never used again for something else.
+// Field numbers on the wire. A number is never reused for another field.
 const (
 	frameEntry        protowire.Number = 1
 	frameRequest      protowire.Number = 2
@@ -104,7 +104,7 @@
 	entryStateVersion protowire.Number = 5
 	entryState        protowire.Number = 6
 	entryStateAge     protowire.Number = 7
-	// An instance of the build before passes over the notes.
+	// An instance of the previous build ignores the notes.
 	entryNotesVersion protowire.Number = 8
 	entryNotes        protowire.Number = 9
 	entryNotesAge     protowire.Number = 10
@@ -127,13 +127,13 @@
 	responseID    protowire.Number = 3
 )
 
-// encoding writes messages in the protocol buffer wire format.
+// encoding encodes messages in the protocol buffer wire format.
 type encoding struct{}
 
-// Marshal returns the bytes of a message.
+// Marshal implements drpc.Encoding.
 func (en encoding) Marshal(msg drpc.Message) ([]byte, error) { return en.MarshalAppend(nil, msg) }
 
-// MarshalAppend appends the bytes of a message.
+// MarshalAppend appends the encoded message to b.
 func (encoding) MarshalAppend(b []byte, msg drpc.Message) ([]byte, error) {
 	switch m := msg.(type) {
 	case *frame:
@@ -143,10 +143,10 @@
 	case *response:
 		return m.append(b), nil
 	}
-	return nil, &MalformedError{Message: "of an unknown type"}
+	return nil, &MalformedError{Message: "unknown message type"}
 }
 
-// Unmarshal reads a message; it keeps no part of b.
+// Unmarshal decodes a message. It retains no part of b.
 func (encoding) Unmarshal(b []byte, msg drpc.Message) error {
 	switch m := msg.(type) {
 	case *frame:
@@ -156,7 +156,7 @@
 	case *response:
 		return eachField(b, m.set)
 	}
-	return &MalformedError{Message: "of an unknown type"}
+	return &MalformedError{Message: "unknown message type"}
 }
 
 func (fr *frame) append(b []byte) []byte {
@@ -166,11 +166,11 @@
 	for _, e := range fr.Entries {
 		b = appendMessage(b, frameEntry, e.append(nil))
 	}
-	for _, a := range fr.Requests {
-		b = appendMessage(b, frameRequest, appendVarint(a.append(nil), requestID, a.ID))
+	for _, sr := range fr.Requests {
+		b = appendMessage(b, frameRequest, appendVarint(sr.append(nil), requestID, sr.ID))
 	}
-	for _, a := range fr.Responses {
-		b = appendMessage(b, frameResponse, appendVarint(a.append(nil), responseID, a.ID))
+	for _, sr := range fr.Responses {
+		b = appendMessage(b, frameResponse, appendVarint(sr.append(nil), responseID, sr.ID))
 	}
 	return appendVarint(b, frameSenderUptime, uint64(fr.SenderUptime.Milliseconds()))
 }
@@ -217,7 +217,7 @@
 	return appendVarint(b, infoGeneration, mi.Generation)
 }
 
-// set takes a field of a frame.
+// set stores one decoded field in the frame.
 func (fr *frame) set(f field) error {
 	var err error
 	switch f.num {
@@ -226,13 +226,13 @@
 		err = eachField(f.bytes, e.set)
 		fr.Entries = append(fr.Entries, e)
 	case frameRequest:
-		var a streamRequest
-		err = eachField(f.bytes, a.set)
-		fr.Requests = append(fr.Requests, a)
+		var sr streamRequest
+		err = eachField(f.bytes, sr.set)
+		fr.Requests = append(fr.Requests, sr)
 	case frameResponse:
-		var a streamResponse
-		err = eachField(f.bytes, a.set)
-		fr.Responses = append(fr.Responses, a)
+		var sr streamResponse
+		err = eachField(f.bytes, sr.set)
+		fr.Responses = append(fr.Responses, sr)
 	case frameSubscription:
 		fr.Subscription = &subscription{}
 		err = eachField(f.bytes, fr.Subscription.set)
