--- a/internal/gossip/delay_test.go
+++ b/internal/gossip/delay_test.go
@@ -7,61 +7,58 @@
 	. "github.com/onsi/gomega"
 )
 
-// way is a link from a node to another whose frames a test carries. Neither end sends by itself.
+// oneWayLink is a link from one node to another whose frames a test delivers. Neither end sends on its own.
 type oneWayLink struct {
 	out, in *link
 }
 
-// newWay links two nodes that share a clock and do not run.
+// newOneWayLink links two unstarted nodes that share a clock.
 func newOneWayLink(from, to *node) *oneWayLink {
-	wy := &oneWayLink{out: from.ms.newLink(nil, nil, ""), in: to.ms.newLink(nil, nil, "")}
-	wy.out.peerSubscription.Scope = scopeAll
-	return wy
+	ol := &oneWayLink{out: from.ms.newLink(nil, nil, ""), in: to.ms.newLink(nil, nil, "")}
+	ol.out.peerSubscription.Scope = scopeAll
+	return ol
 }
 
-// send returns what would be written now.
+// send returns the encoded frame that the sending end would write now.
 func (ol *oneWayLink) send(g *WithT) []byte {
 	b, err := encoding{}.Marshal(ol.out.nextFrame())
 	g.Expect(err).NotTo(HaveOccurred())
 	return b
 }
 
-// arrive has the other end read what was written.
+// deliver makes the receiving end handle an encoded frame.
 func (ol *oneWayLink) deliver(g *WithT, b []byte) {
 	var fr frame
 	g.Expect(encoding{}.Unmarshal(b, &fr)).To(Succeed())
 	g.Expect(ol.in.handleFrame(fr)).To(Succeed())
 }
 
-// awaits lets a time go by in which a node that does not run is awake.
+// advance moves the clock forward while an unstarted node sends its heartbeats, so that the time counts as active.
 func (nd *node) advance(ck *clock, d time.Duration) {
-	for over := ck.now.Add(d); ck.now.Before(over); {
-		ck.now = ck.now.Add(min(over.Sub(ck.now), defaultHeartbeatInterval))
+	for end := ck.now.Add(d); ck.now.Before(end); {
+		ck.now = ck.now.Add(min(end.Sub(ck.now), defaultHeartbeatInterval))
 		nd.ms.heartbeat()
 	}
 }
 
-// TestAgeCountsTheTimeInBuffers holds frames up between two members.
-//
-// Symptom: an instance refuses a key with 401 long after the configuration that has it was taken, and its proof of the older one
-// seems young. Sequence: a relay, or who hears from it, falls behind by seconds on a small share of a core or of the network;
-// what it was told waits in the buffers of the link and is read late. Cause: a state tells its age from when it was made to when
-// it was written, and the time from there to the reader counts for nothing, so that an old proof is taken for a new one, once for
-// each hop.
+// TestStateAgeIncludesTimeInBuffers delays frames between two members. It guards against an instance that refuses a key with 401
+// long after the configuration with that key is in force, because its proof of the older configuration seems recent: a relay or
+// its subscriber with little CPU or bandwidth falls behind by seconds, and its frames wait in the buffers of the link. The age in a
+// state covers only the time from building to writing it, so on each hop the wait would make an old proof pass for a new one.
 func TestStateAgeIncludesTimeInBuffers(t *testing.T) {
-	const usual = 2 * time.Millisecond
+	const typical = 2 * time.Millisecond
 	tests := map[string]struct {
-		// before are the times that earlier frames took, took that of the last.
-		before []time.Duration
-		took   time.Duration
-		// least and most bound the age that the last state is taken to have.
-		least, most time.Duration
+		// earlier are the transit times of the earlier frames, last that of the last frame.
+		earlier []time.Duration
+		last    time.Duration
+		// minAge and maxAge bound the computed age of the last state.
+		minAge, maxAge time.Duration
 	}{
-		"in time":               {[]time.Duration{usual}, usual, 0, usual},
-		"late by seconds":       {[]time.Duration{usual}, 3 * time.Second, 2900 * time.Millisecond, 3 * time.Second},
-		"later each time":       {[]time.Duration{usual, time.Second, 2 * time.Second}, 3 * time.Second, 2900 * time.Millisecond, 3 * time.Second},
-		"in time again":         {[]time.Duration{usual, 3 * time.Second}, usual, 0, 100 * time.Millisecond},
-		"sooner than the first": {[]time.Duration{500 * time.Millisecond}, usual, 0, usual},
+		"in time":               {[]time.Duration{typical}, typical, 0, typical},
+		"late by seconds":       {[]time.Duration{typical}, 3 * time.Second, 2900 * time.Millisecond, 3 * time.Second},
+		"later each time":       {[]time.Duration{typical, time.Second, 2 * time.Second}, 3 * time.Second, 2900 * time.Millisecond, 3 * time.Second},
+		"in time again":         {[]time.Duration{typical, 3 * time.Second}, typical, 0, 100 * time.Millisecond},
+		"sooner than the first": {[]time.Duration{500 * time.Millisecond}, typical, 0, typical},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -71,35 +68,35 @@
 			ck.now = ck.now.Add(time.Hour)
 			to := newNode(t, Options{Self: Member{Name: "b"}, HeartbeatInterval: defaultHeartbeatInterval, Now: ck.read})
 			var age time.Duration
-			to.ms.opts.ReceiveState = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
-			wy := newOneWayLink(from, to)
-			for i, took := range append(tc.before, tc.took) {
+			to.ms.opts.ReceiveState = func(_ Member, _ []byte, madeAt time.Time) { age = ck.now.Sub(madeAt) }
+			ol := newOneWayLink(from, to)
+			for i, delay := range append(tc.earlier, tc.last) {
 				from.body = []byte{byte(i)}
 				from.ms.PublishState()
 				from.ms.refreshState()
-				sent := wy.send(g)
-				to.advance(ck, took)
-				wy.deliver(g, sent)
+				sent := ol.send(g)
+				to.advance(ck, delay)
+				ol.deliver(g, sent)
 			}
-			g.Expect(age).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most)))
+			g.Expect(age).To(And(BeNumerically(">=", tc.minAge), BeNumerically("<=", tc.maxAge)))
 		})
 	}
 }
 
-// TestDelayOfALinkThatLastsLong takes a frame each second on a link whose clocks differ.
+// TestDelayEstimateOnLongLivedLink observes one frame per second for an hour on a link whose ends have different clocks.
 func TestDelayEstimateOnLongLivedLink(t *testing.T) {
 	const frames = 3600
 	tests := map[string]struct {
-		// sent returns the sender's clock when the receiver's has counted so long.
-		sent func(counted time.Duration) time.Duration
-		want time.Duration
+		// uptime returns the sender's uptime after the given time on the receiver's clock.
+		uptime func(elapsed time.Duration) time.Duration
+		want   time.Duration
 	}{
-		"same clock":                {func(d time.Duration) time.Duration { return d }, 0},
-		"sender's clock ahead":      {func(d time.Duration) time.Duration { return d + time.Hour }, 0},
-		"sender's clock runs slow":  {func(d time.Duration) time.Duration { return d - d/1000 }, 0},
-		"sender's clock runs fast":  {func(d time.Duration) time.Duration { return d + d/1000 }, 0},
-		"sender's clock stood long": {func(d time.Duration) time.Duration { return d - min(d, 10*time.Second) + 1 }, 0},
-		"sender does not tell":      {func(time.Duration) time.Duration { return 0 }, 0},
+		"same clock":                 {func(d time.Duration) time.Duration { return d }, 0},
+		"sender's clock ahead":       {func(d time.Duration) time.Duration { return d + time.Hour }, 0},
+		"sender's clock runs slow":   {func(d time.Duration) time.Duration { return d - d/1000 }, 0},
+		"sender's clock runs fast":   {func(d time.Duration) time.Duration { return d + d/1000 }, 0},
+		"sender's clock stood still": {func(d time.Duration) time.Duration { return d - min(d, 10*time.Second) + 1 }, 0},
+		"sender reports no uptime":   {func(time.Duration) time.Duration { return 0 }, 0},
 		"last frame late": {func(d time.Duration) time.Duration {
 			if d == frames*time.Second {
 				return d - 3*time.Second
@@ -110,33 +107,32 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			began := time.Unix(0, 0)
+			start := time.Unix(0, 0)
 			var de delayEstimator
 			var delay time.Duration
-			for no := range frames {
-				counted := time.Duration(no+1) * time.Second
-				delay = de.observe(tc.sent(counted), began.Add(counted), began)
+			for i := range frames {
+				elapsed := time.Duration(i+1) * time.Second
+				delay = de.observe(tc.uptime(elapsed), start.Add(elapsed), start)
 			}
 			g.Expect(delay).To(Equal(tc.want))
 		})
 	}
 }
 
-// TestAgeCountsTheMakingOfTheState has an instance freeze while it makes its state.
-//
-// Symptom: as above. Sequence: a member that is frozen, or waits for its share of a core, in the middle of telling its state says
-// how old its proof is, and seconds later that it made its state just now. Cause: the time of the state was read after it was made.
+// TestStateAgeIncludesPauseWhileStateIsBuilt guards against an old proof that seems recent: a member is paused, or waits for CPU,
+// while it builds its state. The state contains the age of the proof before the pause, so the state's own age must count from
+// before it is built; if it counted from the end of the build, the pause would be left out.
 func TestStateAgeIncludesPauseWhileStateIsBuilt(t *testing.T) {
-	const frozen = 5 * time.Second
+	const pause = 5 * time.Second
 	g := NewWithT(t)
-	nd, ck := newStoppedNode(t)
+	nd, ck := newUnstartedNode(t)
 	provenAt := ck.now
-	var told time.Duration
+	var proofAge time.Duration
 	nd.ms.opts.State = func() []byte {
-		told = ck.now.Sub(provenAt)
-		ck.now = ck.now.Add(frozen)
+		proofAge = ck.now.Sub(provenAt)
+		ck.now = ck.now.Add(pause)
 		return []byte("state")
 	}
 	nd.ms.refreshState()
-	g.Expect(nd.ms.self.state.madeAt.Add(-told)).NotTo(BeTemporally(">", provenAt))
+	g.Expect(nd.ms.self.state.madeAt.Add(-proofAge)).NotTo(BeTemporally(">", provenAt))
 }
--- a/internal/gossip/errors.go
+++ b/internal/gossip/errors.go
@@ -10,7 +10,9 @@
 type SelfDialError struct{ Address string }
 
 // Error implements error.
-func (se *SelfDialError) Error() string { return "address " + se.Address + " leads back to this instance" }
+func (se *SelfDialError) Error() string {
+	return "address " + se.Address + " leads back to this instance"
+}
 
 // NotFoundError is returned when a peer serves no document or query of the given name.
 type NotFoundError struct{ Instance, Document string }
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -30,9 +30,9 @@
 
 func TestMemberJoinsDespiteUnusableSeed(t *testing.T) {
 	tests := map[string]func(t *testing.T, good, own string) []string{
-		"one is dead":          func(t *testing.T, good, _ string) []string { return []string{deadAddress(t), good} },
-		"one is the own":       func(_ *testing.T, good, own string) []string { return []string{own, good} },
-		"one cannot be parsed": func(_ *testing.T, good, _ string) []string { return []string{"nonsense", good} },
+		"one has no listener":    func(t *testing.T, good, _ string) []string { return []string{closedAddress(t), good} },
+		"one is its own address": func(_ *testing.T, good, own string) []string { return []string{own, good} },
+		"one cannot be parsed":   func(_ *testing.T, good, _ string) []string { return []string{"nonsense", good} },
 	}
 	for name, seeds := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 
 func TestLinkToOwnAddressIsClosed(t *testing.T) {
 	g := NewWithT(t)
-	a := newNode(t, Options{Self: Member{Name: "a", Address: deadAddress(t)}})
+	a := newNode(t, Options{Self: Member{Name: "a", Address: closedAddress(t)}})
 	a.ms.opts.Seeds = []string{a.address()}
 	a.start(t)
 	g.Eventually(func() string {
@@ -120,13 +120,13 @@
 
 func TestRestartReplacesOldIncarnation(t *testing.T) {
 	tests := map[string]struct{ before, after string }{
-		"the new one sorts higher": {before: "1", after: "2"},
-		"the new one sorts lower":  {before: "2", after: "1"},
+		"new incarnation sorts higher": {before: "1", after: "2"},
+		"new incarnation sorts lower":  {before: "2", after: "1"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			// Nobody is lost by silence here.
+			// No member is lost by silence in this test.
 			o := Options{LostAfter: never}
 			o.Self = Member{Name: "a"}
 			a := startNode(t, o)
@@ -163,7 +163,7 @@
 			for _, name := range []string{"a", "b", "c"} {
 				o.Self = Member{Name: name}
 				if name == closed {
-					o.Self.Address = deadAddress(t)
+					o.Self.Address = closedAddress(t)
 				}
 				nodes[name] = startNode(t, o)
 			}
@@ -196,7 +196,7 @@
 			Self:              Member{Name: fmt.Sprintf("m%02d", i), AvailabilityZone: string(rune('x' + i%3))},
 			Seeds:             seeds,
 			HeartbeatInterval: 100 * time.Millisecond,
-			// So many members in one process may be slow under the race detector.
+			// This many members in one process can be slow under the race detector.
 			LostAfter:          waitTimeout,
 			MaxFullMeshMembers: full,
 		})
@@ -278,7 +278,7 @@
 	g.Expect(body).To(HaveLen(1 << 20))
 	_, err = b.ms.Fetch(t.Context(), a.ms.self.Member, "other")
 	g.Expect(err).To(MatchError(&NotFoundError{Instance: "a", Document: "other"}))
-	_, err = b.ms.Fetch(t.Context(), Member{Name: "c", Address: deadAddress(t)}, "map")
+	_, err = b.ms.Fetch(t.Context(), Member{Name: "c", Address: closedAddress(t)}, "map")
 	g.Expect(err).To(MatchError(ContainSubstring("dial peer")))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -288,7 +288,7 @@
 
 func TestFetchFromSilentPeerFailsAtContextDeadline(t *testing.T) {
 	g := NewWithT(t)
-	// The kernel completes the handshake; nobody accepts.
+	// The kernel completes the handshake, but no one accepts the connection.
 	silent := listen(t)
 	b := startNode(t, Options{Self: Member{Name: "b"}})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -309,7 +309,7 @@
 	defer conn.Close()
 	stream, err := conn.NewStream(t.Context(), exchangeRPC, encoding{})
 	g.Expect(err).NotTo(HaveOccurred())
-	hello := memberInfo{Member: Member{Name: "silent", Incarnation: "1", Address: deadAddress(t)}}
+	hello := memberInfo{Member: Member{Name: "silent", Incarnation: "1", Address: closedAddress(t)}}
 	g.Expect(stream.MsgSend(&frame{Entries: []entry{{Info: &hello, Heartbeat: 1}}}, encoding{})).To(Succeed())
 	g.Eventually(a.peers, waitTimeout).Should(Equal([]string{"b", "silent"}))
 
@@ -346,11 +346,9 @@
 	g.Expect(b.lostMembers()).To(BeEmpty())
 }
 
-// TestLastStateIsToldBeforeTheEnd changes a member's state right before it ends.
-//
-// Symptom: for as long as a silent member counts as live, the others hold what one that has ended had in flight.
-// Sequence: the last request of a member ends, its state says so, and the member ends.
-// Cause: the end closes the links, whatever waits to be told.
+// TestFinalStateIsSentBeforeShutdown changes a member's state right before it shuts down, as when its last request ends. If
+// shutdown closed the links while that state is still queued, the other members would count the request as in flight until they
+// consider the member lost.
 func TestFinalStateIsSentBeforeShutdown(t *testing.T) {
 	tests := map[string]struct{ first, second string }{
 		"by a link that the member opened": {"a", "b"},
@@ -359,15 +357,15 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			// The first of two names dials.
-			leaver := newNode(t, Options{Self: Member{Name: tc.first}, MinSendInterval: 20 * time.Millisecond, LostAfter: never, FlushTimeout: waitTimeout})
-			stop := leaver.start(t)
-			stays := startNode(t, Options{Self: Member{Name: tc.second}, Seeds: []string{leaver.address()}, LostAfter: never})
-			g.Eventually(stays.stateOf(tc.first), waitTimeout).Should(Equal("state of " + tc.first))
-			g.Eventually(leaver.stateOf(tc.second), waitTimeout).Should(Equal("state of " + tc.second))
-			leaver.publish([]byte("nothing in flight"))
+			// The member with the lower name dials.
+			leaving := newNode(t, Options{Self: Member{Name: tc.first}, MinSendInterval: 20 * time.Millisecond, LostAfter: never, FlushTimeout: waitTimeout})
+			stop := leaving.start(t)
+			remaining := startNode(t, Options{Self: Member{Name: tc.second}, Seeds: []string{leaving.address()}, LostAfter: never})
+			g.Eventually(remaining.stateOf(tc.first), waitTimeout).Should(Equal("state of " + tc.first))
+			g.Eventually(leaving.stateOf(tc.second), waitTimeout).Should(Equal("state of " + tc.second))
+			leaving.publish([]byte("nothing in flight"))
 			stop()
-			g.Eventually(stays.stateOf(tc.first), waitTimeout).Should(Equal("nothing in flight"))
+			g.Eventually(remaining.stateOf(tc.first), waitTimeout).Should(Equal("nothing in flight"))
 		})
 	}
 }
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -14,13 +14,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// patience is far beyond what any wait in these tests needs, also on a busy machine.
+// waitTimeout is far beyond what any wait in these tests needs, even on a busy machine.
 const waitTimeout = 30 * time.Second
 
-// never is longer than any test.
+// never is an interval longer than any test.
 const never = 24 * time.Hour
 
-// node is a mesh with what its callbacks were told.
+// node is a mesh together with the arguments of its callbacks.
 type node struct {
 	ms  *Mesh
 	lis net.Listener
@@ -34,16 +34,16 @@
 
 func listen(t testing.TB) net.Listener {
 	t.Helper()
-	// Not the address of the tests of other packages, which run side by side: an instance there goes on dialling the address of one
-	// that has ended, whose port the system may have given to a listener here, and joins its mesh.
+	// The tests of other packages run at the same time on other loopback addresses. On a shared one, an instance there that keeps
+	// dialling a stopped peer could join the mesh here, if the system has reassigned the peer's port.
 	lis, err := net.Listen("tcp", "127.0.0.4:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = lis.Close() })
 	return lis
 }
 
-// deadAddress returns an address at which nobody listens.
-func deadAddress(t *testing.T) string {
+// closedAddress returns an address without a listener.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	lis := listen(t)
 	_ = lis.Close()
@@ -142,7 +142,7 @@
 	return len(nd.received)
 }
 
-// heardOf returns the names of the members whose state came, sorted.
+// receivedFrom returns the names of the members whose state was received, sorted.
 func (nd *node) receivedFrom() []string {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
@@ -163,7 +163,7 @@
 	return len(nd.ms.links)
 }
 
-// peers returns the names at the other ends of the node's links, each once.
+// peers returns the names of the node's linked peers, sorted and without duplicates.
 func (nd *node) peers() []string {
 	nd.ms.mu.Lock()
 	defer nd.ms.mu.Unlock()
--- a/internal/gossip/plan_test.go
+++ b/internal/gossip/plan_test.go
@@ -17,18 +17,18 @@
 	return members
 }
 
-// without returns the members but one.
+// without returns all members except the named one.
 func without(members []Member, name string) []Member {
 	return slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return m.Name == name })
 }
 
-// reached returns the names of the members that hear the state of an origin, when all but a silent one pass on what the
-// plan says.
+// reachedMembers returns the names of the members that receive the state of an origin, if all members except a silent one forward
+// states as the plan says.
 func reachedMembers(pl plan, members []Member, origin Member, silent string) map[string]bool {
-	heard := map[string]bool{origin.Name: true}
+	reached := map[string]bool{origin.Name: true}
 	for range 4 {
 		for _, from := range members {
-			if !heard[from.Name] || from.Name == silent {
+			if !reached[from.Name] || from.Name == silent {
 				continue
 			}
 			for _, to := range members {
@@ -37,22 +37,22 @@
 				ofSubscriber := pl.linked(from, to) && pl.subscribes(origin, from)
 				zone := slices.Contains(pl.remoteRelays(to), from.Name) && from.AvailabilityZone == origin.AvailabilityZone
 				if direct || subscribed || ofSubscriber || zone {
-					heard[to.Name] = true
+					reached[to.Name] = true
 				}
 			}
 		}
 	}
-	return heard
+	return reached
 }
 
 func TestPlanReachesEveryMember(t *testing.T) {
 	tests := map[string]struct{ members, zones int }{
-		"full mesh":     {members: 16, zones: 3},
-		"a little more": {members: 17, zones: 3},
-		"ninety":        {members: 90, zones: 3},
-		"one zone":      {members: 50, zones: 1},
-		"small zones":   {members: 20, zones: 20},
-		"five zones":    {members: 120, zones: 5},
+		"full mesh":               {members: 16, zones: 3},
+		"one more than full mesh": {members: 17, zones: 3},
+		"ninety members":          {members: 90, zones: 3},
+		"one zone":                {members: 50, zones: 1},
+		"one member per zone":     {members: 20, zones: 20},
+		"five zones":              {members: 120, zones: 5},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -68,10 +68,10 @@
 
 func TestPlanReachesAllOthersWhileOneRelayIsSilent(t *testing.T) {
 	tests := map[string]struct{ members, zones int }{
-		"a little more": {members: 17, zones: 3},
-		"ninety":        {members: 90, zones: 3},
-		"one zone":      {members: 50, zones: 1},
-		"five zones":    {members: 120, zones: 5},
+		"one more than full mesh": {members: 17, zones: 3},
+		"ninety members":          {members: 90, zones: 3},
+		"one zone":                {members: 50, zones: 1},
+		"five zones":              {members: 120, zones: 5},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -80,9 +80,9 @@
 			pl := newPlan(members, defaultMaxFullMeshMembers)
 			for _, silent := range slices.Concat(slices.Collect(maps.Values(pl.relays))...) {
 				for _, origin := range without(members, silent)[:10] {
-					heard := reachedMembers(pl, members, origin, silent)
-					delete(heard, silent)
-					g.Expect(heard).To(HaveLen(tt.members-1), "from %s without %s", origin.Name, silent)
+					reached := reachedMembers(pl, members, origin, silent)
+					delete(reached, silent)
+					g.Expect(reached).To(HaveLen(tt.members-1), "from %s without %s", origin.Name, silent)
 				}
 			}
 		})
@@ -93,22 +93,22 @@
 	g := NewWithT(t)
 	members := membersInZones(295, 5)
 	pl := newPlan(members, defaultMaxFullMeshMembers)
-	links, most := 0, 0
+	links, maxLinks := 0, 0
 	for _, a := range members {
-		own := 0
+		memberLinks := 0
 		for _, b := range members {
 			if a != b && pl.linked(a, b) {
-				own++
+				memberLinks++
 			}
 		}
 		if !pl.isRelay(a) {
-			g.Expect(own).To(Equal(subscriptionsPerMember), "at %s", a.Name)
+			g.Expect(memberLinks).To(Equal(subscriptionsPerMember), "at %s", a.Name)
 		}
-		links += own
-		most = max(most, own)
+		links += memberLinks
+		maxLinks = max(maxLinks, memberLinks)
 	}
 	g.Expect(links).To(BeNumerically("<", 295*6), "the sum over all members")
-	g.Expect(most).To(BeNumerically("<", 80), "at one relay")
+	g.Expect(maxLinks).To(BeNumerically("<", 80), "at one relay")
 }
 
 func TestRelaysAreMembersWithMostBandwidth(t *testing.T) {
@@ -117,28 +117,29 @@
 	for i := range members {
 		members[i].BandwidthMbps = 20
 	}
-	large := []int{6, 27, 43}
-	for _, i := range large {
+	highBandwidth := []int{6, 27, 43}
+	for _, i := range highBandwidth {
 		members[i].BandwidthMbps = 200
 	}
 	pl := newPlan(members, defaultMaxFullMeshMembers)
-	for _, i := range large {
+	for _, i := range highBandwidth {
 		g.Expect(pl.isRelay(members[i])).To(BeTrue())
 	}
 	members[6].Stopping = true
-	g.Expect(newPlan(members, defaultMaxFullMeshMembers).isRelay(members[6])).To(BeFalse(), "it stops")
+	g.Expect(newPlan(members, defaultMaxFullMeshMembers).isRelay(members[6])).To(BeFalse(), "a stopping member is no relay")
 }
 
-// TestSmallMembersDoNotRelayBesideLargeOnes: four relays would be due for 64 members, of which three are large.
+// TestLowBandwidthMembersDoNotRelayBesideHighBandwidthOnes uses 64 members, for which the plan has four relays if all have the
+// same bandwidth.
 func TestLowBandwidthMembersDoNotRelayBesideHighBandwidthOnes(t *testing.T) {
 	tests := map[string]struct {
-		large int
-		want  int
+		highBandwidth int
+		want          int
 	}{
-		"all are small":        {large: 0, want: 4},
-		"one is large":         {large: 1, want: 2},
-		"three are large":      {large: 3, want: 3},
-		"enough of them large": {large: 9, want: 4},
+		"none has high bandwidth":    {highBandwidth: 0, want: 4},
+		"one has high bandwidth":     {highBandwidth: 1, want: 2},
+		"three have high bandwidth":  {highBandwidth: 3, want: 3},
+		"enough have high bandwidth": {highBandwidth: 9, want: 4},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -146,14 +147,14 @@
 			members := membersInZones(64, 1)
 			for i := range members {
 				members[i].BandwidthMbps = 20
-				if i < tt.large {
+				if i < tt.highBandwidth {
 					members[i].BandwidthMbps = 200
 				}
 			}
 			relays := newPlan(members, defaultMaxFullMeshMembers).relays["z0"]
 			g.Expect(relays).To(HaveLen(tt.want))
-			for i := range min(tt.large, tt.want) {
-				if tt.large <= tt.want {
+			for i := range min(tt.highBandwidth, tt.want) {
+				if tt.highBandwidth <= tt.want {
 					g.Expect(relays).To(ContainElement(members[i].Name))
 				}
 			}
--- a/internal/gossip/query_test.go
+++ b/internal/gossip/query_test.go
@@ -8,13 +8,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// echo answers questions under the name "echo" with themselves.
-func echo(name string, question []byte) ([]byte, bool) { return question, name == "echo" }
+// echo answers queries of the name "echo" with their own body.
+func echo(name string, query []byte) ([]byte, bool) { return query, name == "echo" }
 
 func TestQuery(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}, HandleQuery: echo})
-	// One that is linked to a, and one that is not.
+	// b is linked to a, c is not.
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
 	c := startNode(t, Options{Self: Member{Name: "c"}})
 	g.Eventually(b.stateOf("a"), waitTimeout).Should(Equal("state of a"))
@@ -27,14 +27,14 @@
 		_, err := nd.ms.Query(t.Context(), a.ms.self.Member, "other", []byte("hello"))
 		g.Expect(err).To(MatchError(&NotFoundError{Instance: "a", Document: "other"}))
 	}
-	g.Expect(c.ms.queryConns.count).To(Equal(1), "the connection is used again")
-	_, err := c.ms.Query(t.Context(), Member{Name: "d", Address: deadAddress(t)}, "echo", []byte("hello"))
+	g.Expect(c.ms.queryConns.count).To(Equal(1), "the connection is reused")
+	_, err := c.ms.Query(t.Context(), Member{Name: "d", Address: closedAddress(t)}, "echo", []byte("hello"))
 	g.Expect(err).To(MatchError(ContainSubstring("dial peer")))
 }
 
 func TestQueryToSilentPeerFailsAtContextDeadline(t *testing.T) {
 	g := NewWithT(t)
-	// The kernel completes the handshake; nobody accepts.
+	// The kernel completes the handshake, but no one accepts the connection.
 	silent := listen(t)
 	b := startNode(t, Options{Self: Member{Name: "b"}})
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -47,16 +47,16 @@
 func TestIdleConnectionsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	a := startNode(t, Options{Self: Member{Name: "a"}})
-	rc := newConnPool()
+	cp := newConnPool()
 	now := time.Now()
 	for range maxIdleConns + 5 {
 		conn, _, err := dial(t.Context(), a.address())
 		g.Expect(err).NotTo(HaveOccurred())
-		rc.put(a.address(), conn, now)
+		cp.put(a.address(), conn, now)
 	}
-	g.Expect(rc.count).To(Equal(maxIdleConns))
-	g.Expect(rc.get(a.address(), now.Add(maxIdleTime))).To(BeNil(), "all have rested for too long")
-	g.Expect(rc.count).To(BeZero())
+	g.Expect(cp.count).To(Equal(maxIdleConns))
+	g.Expect(cp.get(a.address(), now.Add(maxIdleTime))).To(BeNil(), "all have been idle for too long")
+	g.Expect(cp.count).To(BeZero())
 }
 
 func TestMemberCountsIncludeRecentlyLostMembers(t *testing.T) {
--- a/internal/gossip/record_test.go
+++ b/internal/gossip/record_test.go
@@ -8,22 +8,22 @@
 	. "github.com/onsi/gomega"
 )
 
-// clock is a clock that a test moves.
+// clock is a clock that a test sets.
 type clock struct{ now time.Time }
 
 func (ck *clock) read() time.Time { return ck.now }
 
-// still is a node that does not run, with a clock that the test moves.
-func newStoppedNode(t *testing.T) (*node, *clock) {
+// newUnstartedNode returns a node that does not run, and the clock that it reads.
+func newUnstartedNode(t *testing.T) (*node, *clock) {
 	t.Helper()
 	ck := &clock{now: time.Unix(0, 0)}
 	nd := newNode(t, Options{Self: Member{Name: "a"}, HeartbeatInterval: defaultHeartbeatInterval, Now: ck.read})
 	return nd, ck
 }
 
-func (nd *node) receiveEntry(c memberInfo, e entry) {
+func (nd *node) receiveEntry(mi memberInfo, e entry) {
 	nd.ms.mu.Lock()
-	events := nd.ms.applyEntry(c, e, nd.ms.opts.Now())
+	events := nd.ms.applyEntry(mi, e, nd.ms.opts.Now())
 	nd.ms.mu.Unlock()
 	nd.ms.runCallbacks(events)
 }
@@ -39,10 +39,10 @@
 
 func TestSilentMemberIsReportedLostOnce(t *testing.T) {
 	g := NewWithT(t)
-	a, ck := newStoppedNode(t)
+	a, ck := newUnstartedNode(t)
 	a.receiveEntry(infoB, entry{Heartbeat: 1})
-	beats := int(defaultLostAfter / defaultHeartbeatInterval)
-	a.heartbeats(ck, beats-1)
+	intervals := int(defaultLostAfter / defaultHeartbeatInterval)
+	a.heartbeats(ck, intervals-1)
 	g.Expect(a.liveNames()).To(Equal([]string{"a", "b"}))
 	a.heartbeats(ck, 1)
 	g.Expect(a.liveNames()).To(Equal([]string{"a"}))
@@ -55,7 +55,7 @@
 
 func TestPauseOfThisProcessDoesNotCountAsPeerSilence(t *testing.T) {
 	g := NewWithT(t)
-	a, ck := newStoppedNode(t)
+	a, ck := newUnstartedNode(t)
 	a.receiveEntry(infoB, entry{Heartbeat: 1})
 	a.heartbeats(ck, 1)
 	ck.now = ck.now.Add(time.Hour)
@@ -71,46 +71,46 @@
 
 func TestStateAgeGrowsWhileMemberIsLost(t *testing.T) {
 	g := NewWithT(t)
-	a, ck := newStoppedNode(t)
+	a, ck := newUnstartedNode(t)
 	var ages []time.Duration
-	a.ms.opts.ReceiveState = func(_ Member, _ []byte, made time.Time) { ages = append(ages, ck.now.Sub(made)) }
+	a.ms.opts.ReceiveState = func(_ Member, _ []byte, madeAt time.Time) { ages = append(ages, ck.now.Sub(madeAt)) }
 	a.receiveEntry(infoB, entry{Heartbeat: 1, State: payload{Version: 1, Age: 30 * time.Millisecond}})
 	a.heartbeats(ck, int(defaultLostAfter/defaultHeartbeatInterval))
 	a.receiveEntry(infoB, entry{Heartbeat: 2})
 	g.Expect(ages).To(Equal([]time.Duration{30 * time.Millisecond, 30*time.Millisecond + defaultLostAfter}))
 }
 
-// TestWhatCameDuringAFreezeIsOld reads a state right after this process was frozen for seven seconds, in which it may
-// have lain in a buffer, and others later.
+// TestStateReadAfterPauseCountsAsOld reads a state at various times after this process was paused for seven seconds. Soon after
+// the pause the state may have waited in a buffer during it, so the pause is added to the state's age.
 func TestStateReadAfterPauseCountsAsOld(t *testing.T) {
-	const told, frozen = 30 * time.Millisecond, 7 * time.Second
+	const sentAge, pause = 30 * time.Millisecond, 7 * time.Second
 	tests := map[string]struct {
-		// beaten is set when the process notices the freeze before it reads.
-		beaten bool
-		// beats pass between the freeze and the state.
-		beats int
-		want  time.Duration
+		// heartbeatFirst is set if the process sends a heartbeat, and so detects the pause, before it reads the state.
+		heartbeatFirst bool
+		// heartbeats is the number of heartbeat intervals between the pause and the read.
+		heartbeats int
+		want       time.Duration
 	}{
-		"read at once":                 {want: told + frozen - defaultHeartbeatInterval},
-		"read after a beat of its own": {beaten: true, want: told + frozen - defaultHeartbeatInterval},
-		"read half a second later":     {beaten: true, beats: 2, want: told + frozen - defaultHeartbeatInterval},
-		"read when all is read":        {beaten: true, beats: 8, want: told},
+		"read at once":                   {want: sentAge + pause - defaultHeartbeatInterval},
+		"read after own heartbeat":       {heartbeatFirst: true, want: sentAge + pause - defaultHeartbeatInterval},
+		"read half a second later":       {heartbeatFirst: true, heartbeats: 2, want: sentAge + pause - defaultHeartbeatInterval},
+		"read after buffers are drained": {heartbeatFirst: true, heartbeats: 8, want: sentAge},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			a, ck := newStoppedNode(t)
+			a, ck := newUnstartedNode(t)
 			var age time.Duration
-			a.ms.opts.ReceiveState = func(_ Member, _ []byte, made time.Time) { age = ck.now.Sub(made) }
+			a.ms.opts.ReceiveState = func(_ Member, _ []byte, madeAt time.Time) { age = ck.now.Sub(madeAt) }
 			a.heartbeats(ck, 10)
-			a.receiveEntry(infoB, entry{Heartbeat: 1, State: payload{Version: 1, Age: told}})
-			g.Expect(age).To(Equal(told))
-			ck.now = ck.now.Add(frozen)
-			if tt.beaten {
+			a.receiveEntry(infoB, entry{Heartbeat: 1, State: payload{Version: 1, Age: sentAge}})
+			g.Expect(age).To(Equal(sentAge))
+			ck.now = ck.now.Add(pause)
+			if tt.heartbeatFirst {
 				a.ms.heartbeat()
 			}
-			a.heartbeats(ck, tt.beats)
-			a.receiveEntry(infoB, entry{Heartbeat: 2, State: payload{Version: 2, Age: told}})
+			a.heartbeats(ck, tt.heartbeats)
+			a.receiveEntry(infoB, entry{Heartbeat: 2, State: payload{Version: 2, Age: sentAge}})
 			g.Expect(age).To(Equal(tt.want))
 		})
 	}
@@ -118,38 +118,38 @@
 
 func TestApplyEntry(t *testing.T) {
 	newer := memberInfo{Member: Member{Name: "b", Incarnation: "2"}}
-	ruled := memberInfo{Member: Member{Name: "b", Incarnation: "0"}, Generation: 1}
-	type heard struct {
-		c memberInfo
-		e entry
+	higherGeneration := memberInfo{Member: Member{Name: "b", Incarnation: "0"}, Generation: 1}
+	type update struct {
+		mi memberInfo
+		e  entry
 	}
 	tests := map[string]struct {
-		heard []heard
-		state string
-		lost  int
+		updates []update
+		state   string
+		lost    int
 	}{
-		"an older state is passed over": {
-			heard: []heard{{infoB, entry{Heartbeat: 5, State: payload{Version: 5, Body: []byte("5")}}}, {infoB, entry{Heartbeat: 6, State: payload{Version: 4, Body: []byte("4")}}}},
-			state: "5",
+		"older state is ignored": {
+			updates: []update{{infoB, entry{Heartbeat: 5, State: payload{Version: 5, Body: []byte("5")}}}, {infoB, entry{Heartbeat: 6, State: payload{Version: 4, Body: []byte("4")}}}},
+			state:   "5",
 		},
-		"a late pulse brings no one to life": {
-			heard: []heard{{infoB, entry{Heartbeat: 5, HeartbeatAge: defaultLostAfter, State: payload{Version: 5, Body: []byte("5")}}}},
+		"late heartbeat does not make member live": {
+			updates: []update{{infoB, entry{Heartbeat: 5, HeartbeatAge: defaultLostAfter, State: payload{Version: 5, Body: []byte("5")}}}},
 		},
-		"a higher generation replaces": {
-			heard: []heard{{infoB, entry{Heartbeat: 5, State: payload{Version: 5, Body: []byte("5")}}}, {ruled, entry{Heartbeat: 1, State: payload{Version: 1, Body: []byte("1")}}}},
-			state: "1", lost: 1,
+		"higher generation replaces lower one": {
+			updates: []update{{infoB, entry{Heartbeat: 5, State: payload{Version: 5, Body: []byte("5")}}}, {higherGeneration, entry{Heartbeat: 1, State: payload{Version: 1, Body: []byte("1")}}}},
+			state:   "1", lost: 1,
 		},
-		"an earlier incarnation is passed over": {
-			heard: []heard{{newer, entry{Heartbeat: 1, State: payload{Version: 1, Body: []byte("1")}}}, {infoB, entry{Heartbeat: 9, State: payload{Version: 9, Body: []byte("9")}}}},
-			state: "1",
+		"earlier incarnation is ignored": {
+			updates: []update{{newer, entry{Heartbeat: 1, State: payload{Version: 1, Body: []byte("1")}}}, {infoB, entry{Heartbeat: 9, State: payload{Version: 9, Body: []byte("9")}}}},
+			state:   "1",
 		},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			a, _ := newStoppedNode(t)
-			for _, h := range tt.heard {
-				a.receiveEntry(h.c, h.e)
+			a, _ := newUnstartedNode(t)
+			for _, u := range tt.updates {
+				a.receiveEntry(u.mi, u.e)
 			}
 			g.Expect(a.stateOf("b")()).To(Equal(tt.state))
 			g.Expect(a.lostMembers()).To(HaveLen(tt.lost))
@@ -159,7 +159,7 @@
 
 func TestProcessTakesHigherGenerationThanEarlierIncarnation(t *testing.T) {
 	g := NewWithT(t)
-	a, _ := newStoppedNode(t)
+	a, _ := newUnstartedNode(t)
 	a.receiveEntry(memberInfo{Member: Member{Name: "a", Incarnation: "0"}, Generation: 3}, entry{Heartbeat: 7})
 	g.Expect(a.ms.self.Generation).To(BeEquivalentTo(4))
 	g.Expect(a.liveNames()).To(Equal([]string{"a"}))
@@ -167,7 +167,7 @@
 
 func TestFrameContainsOnlyNewestState(t *testing.T) {
 	g := NewWithT(t)
-	a, _ := newStoppedNode(t)
+	a, _ := newUnstartedNode(t)
 	lk := a.ms.newLink(nil, nil, "")
 	for i := range 100 {
 		a.publish([]byte(fmt.Sprint(i)))
@@ -188,7 +188,7 @@
 
 func TestNewGenerationIsSentWithState(t *testing.T) {
 	g := NewWithT(t)
-	a, _ := newStoppedNode(t)
+	a, _ := newUnstartedNode(t)
 	a.ms.refreshState()
 	lk := a.ms.newLink(nil, nil, "")
 	g.Expect(lk.nextFrame().Entries).To(HaveLen(1))
@@ -201,7 +201,7 @@
 
 func TestReturningMemberIsSentInFull(t *testing.T) {
 	g := NewWithT(t)
-	a, ck := newStoppedNode(t)
+	a, ck := newUnstartedNode(t)
 	lk := a.ms.newLink(nil, nopCloser{}, "")
 	lk.setSubscription(subscription{Scope: scopeMembers})
 	a.receiveEntry(infoB, entry{Heartbeat: 1})
--- a/internal/gossip/relay_test.go
+++ b/internal/gossip/relay_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// startSilenceable runs a node. silence ends what it sends, while its links stay open and take what comes.
+// startSilenceable runs a node. silence stops its sending, while its links stay open and keep receiving.
 func (nd *node) startSilenceable(t *testing.T) (silence func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -28,7 +28,7 @@
 	return silence
 }
 
-// relayed starts members of one availability zone, and returns the relays and the others once all know each other.
+// startRelayedZone starts members of one availability zone, and returns the relays and the others once all know each other.
 func startRelayedZone(t *testing.T, members int, o Options) (relays, others []*node, silence map[*node]func()) {
 	t.Helper()
 	g := NewWithT(t)
@@ -47,13 +47,13 @@
 	}
 	pl := newPlan(all, o.MaxFullMeshMembers)
 	for _, nd := range nodes {
-		var rest []string
+		var otherNames []string
 		for _, m := range all {
 			if m.Name != nd.ms.self.Name {
-				rest = append(rest, m.Name)
+				otherNames = append(otherNames, m.Name)
 			}
 		}
-		g.Eventually(nd.receivedFrom, waitTimeout).Should(Equal(rest))
+		g.Eventually(nd.receivedFrom, waitTimeout).Should(Equal(otherNames))
 		if pl.isRelay(nd.ms.self.Member) {
 			relays = append(relays, nd)
 			continue
@@ -64,8 +64,8 @@
 	return relays, others, silence
 }
 
-// TestRelaysThatFallSilentAreReplaced has all relays fall silent at once, with their links open: members ask others well
-// before those that they no longer hear of seem lost.
+// TestSilentRelaysAreReplaced silences all relays at once while their links stay open. The other members must get new relays
+// well before members that they hear of only through relays seem lost.
 func TestSilentRelaysAreReplaced(t *testing.T) {
 	g := NewWithT(t)
 	relays, others, silence := startRelayedZone(t, 12, Options{MaxFullMeshMembers: 3, HeartbeatInterval: 200 * time.Millisecond, LostAfter: 4 * time.Second})
@@ -83,7 +83,7 @@
 	for _, nd := range others {
 		g.Eventually(nd.lostMembers, waitTimeout).Should(HaveLen(len(relays)))
 		for _, m := range nd.lostMembers() {
-			g.Expect(names).To(ContainElement(m.Name), "only the silent ones are lost")
+			g.Expect(names).To(ContainElement(m.Name), "only the silent relays are lost")
 		}
 	}
 }
@@ -95,39 +95,39 @@
 	nd := others[0]
 	nd.ms.mu.Lock()
 	defer nd.ms.mu.Unlock()
-	var parts []uint64
+	var shards []uint64
 	for lk := range nd.ms.links {
 		if slices.Contains(nd.ms.upstreamRelays, lk.peer.Name) {
 			su := nd.ms.subscriptionTo(lk)
 			g.Expect(su.Scope).To(Equal(scopeAll))
 			g.Expect(su.ShardCount).To(BeEquivalentTo(2))
-			parts = append(parts, su.Shard)
+			shards = append(shards, su.Shard)
 		}
 	}
-	g.Expect(parts).To(ConsistOf(BeEquivalentTo(0), BeEquivalentTo(1)))
+	g.Expect(shards).To(ConsistOf(BeEquivalentTo(0), BeEquivalentTo(1)))
 }
 
 func TestFrameContainsOnlyChangedMembers(t *testing.T) {
 	g := NewWithT(t)
-	a, _ := newStoppedNode(t)
+	a, _ := newUnstartedNode(t)
 	lk := a.ms.newLink(nil, nopCloser{}, "")
 	lk.setSubscription(subscription{Scope: scopeAll})
 	const members = 300
 	for i := range members {
-		c := memberInfo{Member: Member{Name: fmt.Sprint("m", i), Incarnation: "1"}}
-		a.receiveEntry(c, entry{Heartbeat: 1, State: payload{Version: 1, Body: []byte("state")}})
+		mi := memberInfo{Member: Member{Name: fmt.Sprint("m", i), Incarnation: "1"}}
+		a.receiveEntry(mi, entry{Heartbeat: 1, State: payload{Version: 1, Body: []byte("state")}})
 	}
 	g.Expect(lk.nextFrame().Entries).To(HaveLen(members + 1))
 	a.receiveEntry(memberInfo{Member: Member{Name: "m7", Incarnation: "1"}}, entry{Heartbeat: 2, State: payload{Version: 2, Body: []byte("newer")}})
 	fr := lk.nextFrame()
-	g.Expect(fr.Entries).To(HaveLen(1), "only what changed since")
+	g.Expect(fr.Entries).To(HaveLen(1), "only the changed member")
 	g.Expect(fr.Entries[0].Info).To(BeNil())
 	g.Expect(string(fr.Entries[0].State.Body)).To(Equal("newer"))
 }
 
-// BenchmarkFleet keeps a fleet of 120 in five availability zones for four seconds, and reports what a member keeps and how
-// many goroutines it has. With a link between every two of an availability zone it was 5,309 KB and 222; with relays it is
-// 791 KB and 60.
+// BenchmarkFleet runs a fleet of 120 members in five availability zones for four seconds, and reports the memory and goroutines
+// per member. A link between every two members of an availability zone took 5,309 KB and 222 goroutines; relays take 791 KB
+// and 60.
 func BenchmarkFleet(b *testing.B) {
 	const members = 120
 	for b.Loop() {
@@ -157,16 +157,16 @@
 	}
 }
 
-// BenchmarkReplan makes the plan of one of 350 members anew, as when one more is found. It took 537,311 ns while each
-// member was asked for its own links, and takes 187,323 ns.
+// BenchmarkReplan recomputes the plan of one of 350 members, as when a member joins. It took 537,311 ns when the links of each
+// member were computed one by one, and takes 187,323 ns now.
 func BenchmarkReplan(b *testing.B) {
 	nd := newNode(b, Options{Self: Member{Name: "m000", AvailabilityZone: "0"}})
 	nd.ms.mu.Lock()
 	defer nd.ms.mu.Unlock()
 	now := nd.ms.opts.Now()
 	for i := 1; i < 350; i++ {
-		c := memberInfo{Member: Member{Name: fmt.Sprintf("m%03d", i), AvailabilityZone: fmt.Sprint(i % 5), Incarnation: "1"}}
-		nd.ms.applyEntry(c, entry{Heartbeat: 1}, now)
+		mi := memberInfo{Member: Member{Name: fmt.Sprintf("m%03d", i), AvailabilityZone: fmt.Sprint(i % 5), Incarnation: "1"}}
+		nd.ms.applyEntry(mi, entry{Heartbeat: 1}, now)
 	}
 	for b.Loop() {
 		nd.ms.topologyVersion++
--- a/internal/gossip/wire_test.go
+++ b/internal/gossip/wire_test.go
@@ -21,7 +21,7 @@
 	return b
 }
 
-func drawPart(rt *rapid.T, label string) payload {
+func drawPayload(rt *rapid.T, label string) payload {
 	return payload{
 		Version: rapid.Uint64().Draw(rt, label+" version"), Body: drawBytes(rt, label+" body"), Age: drawDuration(rt, label+" age"),
 	}
@@ -29,15 +29,15 @@
 
 func drawEntry(rt *rapid.T) entry {
 	e := entry{
-		ID: rapid.Uint64().Draw(rt, "id"), Heartbeat: rapid.Uint64().Draw(rt, "pulse"), HeartbeatAge: drawDuration(rt, "pulse age"),
-		State: drawPart(rt, "state"), Notes: drawPart(rt, "notes"),
+		ID: rapid.Uint64().Draw(rt, "id"), Heartbeat: rapid.Uint64().Draw(rt, "heartbeat"), HeartbeatAge: drawDuration(rt, "heartbeat age"),
+		State: drawPayload(rt, "state"), Notes: drawPayload(rt, "notes"),
 	}
-	if rapid.Bool().Draw(rt, "with card") {
+	if rapid.Bool().Draw(rt, "with info") {
 		e.Info = &memberInfo{
 			Member: Member{
 				Name: rapid.String().Draw(rt, "name"), Incarnation: rapid.String().Draw(rt, "incarnation"),
 				Address: rapid.String().Draw(rt, "address"), AvailabilityZone: rapid.String().Draw(rt, "zone"),
-				Stopping: rapid.Bool().Draw(rt, "stopping"), StoreUnreachable: rapid.Bool().Draw(rt, "storeless"), BandwidthMbps: rapid.Uint64().Draw(rt, "megabits"),
+				Stopping: rapid.Bool().Draw(rt, "stopping"), StoreUnreachable: rapid.Bool().Draw(rt, "store unreachable"), BandwidthMbps: rapid.Uint64().Draw(rt, "bandwidth"),
 			},
 			Generation: rapid.Uint64().Draw(rt, "generation"),
 		}
@@ -52,20 +52,20 @@
 		for range rapid.IntRange(0, 4).Draw(rt, "entries") {
 			in.Entries = append(in.Entries, drawEntry(rt))
 		}
-		for range rapid.IntRange(0, 2).Draw(rt, "asks") {
+		for range rapid.IntRange(0, 2).Draw(rt, "requests") {
 			in.Requests = append(in.Requests, streamRequest{ID: rapid.Uint64().Draw(rt, "id"), request: request{
-				Name: rapid.String().Draw(rt, "name"), Body: drawBytes(rt, "question"),
+				Name: rapid.String().Draw(rt, "name"), Body: drawBytes(rt, "query"),
 			}})
 			in.Responses = append(in.Responses, streamResponse{
 				ID: rapid.Uint64().Draw(rt, "id"), response: response{Found: rapid.Bool().Draw(rt, "found"), Body: drawBytes(rt, "body")},
 			})
 		}
-		if rapid.Bool().Draw(rt, "with wants") {
+		if rapid.Bool().Draw(rt, "with subscription") {
 			in.Subscription = &subscription{
-				Scope: scope(rapid.Uint64().Draw(rt, "scope")), Shard: rapid.Uint64().Draw(rt, "part"), ShardCount: rapid.Uint64().Draw(rt, "parts"),
+				Scope: scope(rapid.Uint64().Draw(rt, "scope")), Shard: rapid.Uint64().Draw(rt, "shard"), ShardCount: rapid.Uint64().Draw(rt, "shard count"),
 			}
 		}
-		in.SenderUptime = time.Duration(rapid.Uint64Range(0, maxUptimeMillis).Draw(rt, "sent")) * time.Millisecond
+		in.SenderUptime = time.Duration(rapid.Uint64Range(0, maxUptimeMillis).Draw(rt, "sender uptime")) * time.Millisecond
 		b, err := encoding{}.Marshal(&in)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(encoding{}.Unmarshal(b, &out)).To(Succeed())
