--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -337,10 +337,10 @@
 	a := startNode(t, Options{Self: Member{Name: "a"}})
 	b := startNode(t, Options{Self: Member{Name: "b"}, Seeds: []string{a.address()}})
 	g.Eventually(b.liveNames, waitTimeout).Should(Equal([]string{"a", "b"}))
-	for _, storeless := range []bool{true, false, true} {
+	for _, unreachable := range []bool{true, false, true} {
 		before := b.ms.MembershipVersion()
-		a.ms.SetStoreUnreachable(storeless)
-		g.Eventually(func() bool { return b.ms.Live()[0].StoreUnreachable }, waitTimeout).Should(Equal(storeless))
+		a.ms.SetStoreUnreachable(unreachable)
+		g.Eventually(func() bool { return b.ms.Live()[0].StoreUnreachable }, waitTimeout).Should(Equal(unreachable))
 		g.Expect(b.ms.MembershipVersion()).To(BeNumerically(">", before))
 	}
 	g.Expect(b.lostMembers()).To(BeEmpty())
