--- a/internal/gossip/conn.go
+++ b/internal/gossip/conn.go
@@ -25,26 +25,26 @@
 	maxMessageBytes = 16 << 20
 )
 
-// boundedConn sets a deadline on every write.
-type boundedConn struct{ net.Conn }
+// deadlineConn sets a deadline on every write.
+type deadlineConn struct{ net.Conn }
 
 // Write fails if it takes longer than writeTimeout.
-func (bc boundedConn) Write(b []byte) (int, error) {
-	if err := bc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+func (dc deadlineConn) Write(b []byte) (int, error) {
+	if err := dc.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return 0, errors.Wrap(err, "set write deadline")
 	}
-	return bc.Conn.Write(b)
+	return dc.Conn.Write(b)
 }
 
-// boundedListener accepts connections whose writes have a deadline.
-type boundedListener struct {
+// deadlineListener accepts connections whose writes have a deadline.
+type deadlineListener struct {
 	net.Listener
 	lg log.Interface
 }
 
-// Accept wraps the next connection in a boundedConn and sets its TCP user timeout.
-func (bl boundedListener) Accept() (net.Conn, error) {
-	nc, err := bl.Listener.Accept()
+// Accept wraps the next connection in a deadlineConn and sets its TCP user timeout.
+func (dl deadlineListener) Accept() (net.Conn, error) {
+	nc, err := dl.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
@@ -55,10 +55,10 @@
 		}
 		if err != nil {
 			// Without the option only the write timeout bounds how long a silent peer blocks a link.
-			bl.lg.WithError(err).Debug("cannot set the TCP user timeout of a gossip connection")
+			dl.lg.WithError(err).Debug("cannot set the TCP user timeout of a gossip connection")
 		}
 	}
-	return boundedConn{Conn: nc}, nil
+	return deadlineConn{Conn: nc}, nil
 }
 
 // setUserTimeout sets TCP_USER_TIMEOUT on a socket. Its signature is that of net.Dialer.Control.
@@ -84,6 +84,6 @@
 	if err != nil {
 		return nil, nil, &dialError{cause: errors.Wrap(err, "dial peer")}
 	}
-	nc = boundedConn{Conn: nc}
+	nc = deadlineConn{Conn: nc}
 	return drpcconn.NewWithOptions(nc, drpcconn.Options{Manager: managerOptions()}), nc, nil
 }
