--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -66,7 +66,7 @@
 func ignoreStoreless(live []gossip.Member) []gossip.Member {
 	all := slices.Clone(live)
 	for i := range all {
-		all[i].Storeless = false
+		all[i].StoreUnreachable = false
 	}
 	return all
 }
@@ -82,7 +82,7 @@
 }
 
 func newCandidate(mb gossip.Member) candidate {
-	return candidate{name: mb.Name, storeless: mb.Storeless, megabits: mb.Megabits, hash: xxhash.Sum64String(mb.Name)}
+	return candidate{name: mb.Name, storeless: mb.StoreUnreachable, megabits: mb.BandwidthMbps, hash: xxhash.Sum64String(mb.Name)}
 }
 
 // compare orders candidates that reach the store first, and then those with more bandwidth.
@@ -141,7 +141,7 @@
 	all := live()
 	storeless := 0
 	for _, mb := range all {
-		if mb.Storeless {
+		if mb.StoreUnreachable {
 			storeless++
 		}
 	}
@@ -167,7 +167,7 @@
 func (tk *partTracker) currentPart(ms *gossip.Mesh) forwarding.Part {
 	tk.mu.Lock()
 	defer tk.mu.Unlock()
-	if version := ms.Version(); version != tk.membersVersion {
+	if version := ms.MembershipVersion(); version != tk.membersVersion {
 		tk.membersVersion = version
 		tk.current = tk.update(ms.Live())
 	}
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -74,11 +74,11 @@
 	g := NewWithT(t)
 	live := newFleet(20, "a", "b", "c")
 	for i := range live {
-		live[i].Megabits = 20
+		live[i].BandwidthMbps = 20
 	}
 	fast := []int{7, 33, 51}
 	for _, i := range fast {
-		live[i].Megabits = 200
+		live[i].BandwidthMbps = 200
 	}
 	for _, i := range fast {
 		g.Expect(assignPart(live[i], live)).To(Equal(forwarding.PartFollower))
@@ -163,7 +163,7 @@
 			var reports []bool
 			live := newFleet(20, "a")
 			for i := range tc.storeless {
-				live[i].Storeless = true
+				live[i].StoreUnreachable = true
 			}
 			reportStoreReachability(tc.answered, tc.part, func() []gossip.Member { return live }, func(storeless bool) { reports = append(reports, storeless) })
 			NewWithT(t).Expect(reports).To(Equal(tc.want))
@@ -187,7 +187,7 @@
 	reaching := notStoreless(live, followerNames(live))
 	for i := range live {
 		if count > len(reaching) || slices.Contains(reaching[:count], live[i].Name) {
-			live[i].Storeless = true
+			live[i].StoreUnreachable = true
 		}
 	}
 }
@@ -195,7 +195,7 @@
 // notStoreless returns the names of those named members that reach the store.
 func notStoreless(live []gossip.Member, names []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool {
-		return slices.ContainsFunc(live, func(mb gossip.Member) bool { return mb.Name == name && mb.Storeless })
+		return slices.ContainsFunc(live, func(mb gossip.Member) bool { return mb.Name == name && mb.StoreUnreachable })
 	})
 }
 
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -105,15 +105,15 @@
 	du.fetchDocument = du.ms.Fetch
 	du.permits = newPermitService(op.Self.Name, du.ms, du.limits, du.lg)
 	pt.Permits.SetRequestFunc(du.permits.requestPermit)
-	pt.Changed.Set(du.ms.Publish)
+	pt.Changed.Set(du.ms.PublishState)
 	pt.Noted.Set(du.ms.PublishNotes)
-	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.Links()) })
-	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.Subscribers()) })
-	pt.Dispatcher.SetPropagationDelay(du.ms.Lag)
+	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.LinkCount()) })
+	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.SubscriberCount()) })
+	pt.Dispatcher.SetPropagationDelay(du.ms.PropagationDelay)
 	tk := &partTracker{self: op.Self, lg: du.lg}
 	pt.Followers.Set(func() forwarding.Part { return tk.currentPart(du.ms) })
 	pt.Followers.SetReach(func(answered bool) {
-		reportStoreReachability(answered, tk.currentPart(du.ms), du.ms.Live, du.ms.SetStoreless)
+		reportStoreReachability(answered, tk.currentPart(du.ms), du.ms.Live, du.ms.SetStoreUnreachable)
 	})
 	kernel.Provide(env, du.ms)
 	return du.run(l, env), nil
@@ -128,10 +128,10 @@
 	return gossip.Options{
 		Self: gossip.Member{
 			Name: env.Settings.Instance, Incarnation: env.Incarnation, Address: gw.Peers,
-			AvailabilityZone: env.Settings.AvailabilityZone, Megabits: uint64(gw.Megabits),
+			AvailabilityZone: env.Settings.AvailabilityZone, BandwidthMbps: uint64(gw.Megabits),
 		},
-		Seeds: gw.Seeds, Coalesce: minPublishInterval, Body: du.encodeState, Receive: du.receiveState, Notes: du.encodeNotes, ReceiveNotes: du.receiveNotes, OnLost: du.onPeerLost, Serve: du.serveDocument, Log: du.lg,
-		Answer: func(name string, request []byte) ([]byte, bool) { return du.permits.answerPeer(name, request) },
+		Seeds: gw.Seeds, MinSendInterval: minPublishInterval, State: du.encodeState, ReceiveState: du.receiveState, Notes: du.encodeNotes, ReceiveNotes: du.receiveNotes, OnLost: du.onPeerLost, HandleFetch: du.serveDocument, Log: du.lg,
+		HandleQuery: func(name string, request []byte) ([]byte, bool) { return du.permits.answerPeer(name, request) },
 	}
 }
 
@@ -214,7 +214,7 @@
 // another peer only if that does not succeed.
 func (du *duty) requestConfiguration(fr fetchRequest) {
 	du.fo.Heard(fr.version)
-	if du.fo.Follows() || du.ms.Source(fr.from) {
+	if du.fo.Follows() || du.ms.IsUpstream(fr.from) {
 		du.enqueueFetch(fr)
 		return
 	}
@@ -235,7 +235,7 @@
 	case st.Targets.IsZero() || own.After(st.Targets):
 	case st.Targets == own:
 		du.logTargetChanges(du.lg.WithField("peer", from.Name), du.dr.Confirm(asOf), asOf)
-	case !du.fo.Follows() && !du.ms.Source(from):
+	case !du.fo.Follows() && !du.ms.IsUpstream(from):
 		// The linked relays get the list too.
 		time.AfterFunc(relayHeadStart, func() {
 			du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.Targets, asOf: asOf})
--- a/internal/duty/members/permits.go
+++ b/internal/duty/members/permits.go
@@ -72,7 +72,7 @@
 func (ps *permitService) liveMembers() ([]gossip.Member, []permit.Candidate) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	version := ps.mesh.Version()
+	version := ps.mesh.MembershipVersion()
 	if ps.live != nil && version == ps.membersVersion {
 		return ps.live, ps.candidates
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return permit.Decision{}, errors.Wrap(err, "encode permit request")
 	}
-	b, err = ps.mesh.Ask(ctx, issuer, permitQuery, b)
+	b, err = ps.mesh.Query(ctx, issuer, permitQuery, b)
 	if err != nil {
 		return permit.Decision{}, errors.Wrap(err, "request permit from peer")
 	}
@@ -127,7 +127,7 @@
 	if !li.Limited {
 		li = ratelimit.PerSecond(pr.PerSecond)
 	}
-	return ps.issuer.Issue(pr.Target, li, permit.LimitShare(ps.mesh.Known()), time.Duration(pr.MaxWaitUS)*time.Microsecond)
+	return ps.issuer.Issue(pr.Target, li, permit.LimitShare(ps.mesh.MemberCounts()), time.Duration(pr.MaxWaitUS)*time.Microsecond)
 }
 
 // answerPeer responds to the request of a peer. It reports false if the query is not a request for a permit or cannot be decoded.
--- a/internal/gossip/changes.go
+++ b/internal/gossip/changes.go
@@ -5,59 +5,59 @@
 	"iter"
 )
 
-// changeLog orders the records by their last change. A link keeps the number of the newest change that it sent, and finds
-// by it what its peer lacks: what a link keeps does not grow with the number of members.
+// changeLog orders the records by their last change. A link stores only the number of the newest change that it has sent and
+// looks up later ones here, so the memory per link does not grow with the number of members.
 type changeLog struct {
-	// last is the number of the newest change.
-	last uint64
-	// order holds the records, the last changed first.
-	order list.List
+	// newest is the number of the last change; numbers start at 1.
+	newest uint64
+	// byRecency holds the records, the last changed first.
+	byRecency list.List
 }
 
-// changed says what of a record is new.
-type changed int
+// changeKind is the extent of a change to a record.
+type changeKind int
 
 const (
-	// changedPulse is a newer pulse alone.
-	changedPulse changed = iota
-	// changedAll is all there is to tell, the card too.
-	changedAll
+	// heartbeatChanged covers the heartbeat only.
+	heartbeatChanged changeKind = iota
+	// everythingChanged covers the member info, state, notes and heartbeat.
+	everythingChanged
 )
 
-// touch notes a change of a record, which the log need not have held before.
-func (cl *changeLog) touch(r *record, what changed) {
-	cl.last++
-	r.changed = cl.last
-	if what >= changedAll {
-		r.cardChanged, r.state.changed, r.notes.changed = cl.last, cl.last, cl.last
+// touch logs a change of a record, and adds the record if the log does not hold it yet.
+func (cl *changeLog) touch(r *record, kind changeKind) {
+	cl.newest++
+	r.lastChange = cl.newest
+	if kind >= everythingChanged {
+		r.infoChange, r.state.lastChange, r.notes.lastChange = cl.newest, cl.newest, cl.newest
 	}
-	if r.place == nil {
-		r.place = cl.order.PushFront(r)
+	if r.element == nil {
+		r.element = cl.byRecency.PushFront(r)
 		return
 	}
-	cl.order.MoveToFront(r.place)
+	cl.byRecency.MoveToFront(r.element)
 }
 
-// touchTold notes a change of what a member tells of itself, and of its pulse.
-func (cl *changeLog) touchTold(r *record, td *told) {
-	cl.touch(r, changedPulse)
-	td.changed = cl.last
+// touchPayload logs a change of a member's state or notes and of its heartbeat.
+func (cl *changeLog) touchPayload(r *record, sp *storedPayload) {
+	cl.touch(r, heartbeatChanged)
+	sp.lastChange = cl.newest
 }
 
-// remove forgets a record.
 func (cl *changeLog) remove(r *record) {
-	if r.place != nil {
-		cl.order.Remove(r.place)
-		r.place = nil
+	if r.element != nil {
+		cl.byRecency.Remove(r.element)
+		r.element = nil
 	}
 }
 
-// since returns the records that changed after a change, the last changed first. The log must not change meanwhile.
-func (cl *changeLog) since(number uint64) iter.Seq[*record] {
+// since returns the records changed after the given change, the last changed first. The log must not be modified during the
+// iteration.
+func (cl *changeLog) since(change uint64) iter.Seq[*record] {
 	return func(yield func(*record) bool) {
-		for el := cl.order.Front(); el != nil; el = el.Next() {
+		for el := cl.byRecency.Front(); el != nil; el = el.Next() {
 			r := el.Value.(*record)
-			if r.changed <= number || !yield(r) {
+			if r.lastChange <= change || !yield(r) {
 				return
 			}
 		}
--- a/internal/gossip/dial.go
+++ b/internal/gossip/dial.go
@@ -10,56 +10,57 @@
 	"github.com/silvermount/silvermount/internal/set"
 )
 
-// dialState is what is known of an address that was dialled.
+// dialState is the result of dialling an address.
 type dialState struct {
-	// busy is set while a goroutine dials or keeps a link.
-	busy bool
-	// ended is when the last attempt ended.
-	ended time.Time
-	// reached is the name of who answered last; empty when nobody did yet.
-	reached string
+	// inUse is set while a goroutine dials the address or runs a link to it.
+	inUse bool
+	// endedAt is when the last attempt or link ended; zero before.
+	endedAt time.Time
+	// peerName is the name of the last peer that answered; empty before the first answer.
+	peerName string
 }
 
-// connect dials the members and seeds that a link is missing to, and closes links that are not needed.
-func (ms *Mesh) connect(ctx context.Context, wg *sync.WaitGroup) {
+// reconcileLinks dials the planned members and seeds that have no link, and closes links that are not needed.
+func (ms *Mesh) reconcileLinks(ctx context.Context, wg *sync.WaitGroup) {
 	now := ms.opts.Now()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	wanted := ms.wanted()
-	ms.tidy(wanted, now)
-	addresses := append(ms.missing(wanted, now), ms.missingSeeds()...)
-	ms.forgetDials(addresses, now)
+	wanted := ms.wantedMembers()
+	ms.closeUnneededLinks(wanted, now)
+	addresses := append(ms.missingAddresses(wanted, now), ms.missingSeeds()...)
+	ms.evictDials(addresses, now)
 	for _, address := range addresses {
 		ds := ms.dials[address]
 		if ds == nil {
 			ds = &dialState{}
 			ms.dials[address] = ds
 		}
-		if ds.busy || !ds.ended.IsZero() && now.Sub(ds.ended) < redialPause {
+		if ds.inUse || !ds.endedAt.IsZero() && now.Sub(ds.endedAt) < redialInterval {
 			continue
 		}
-		ds.busy = true
-		wg.Go(func() { ms.keep(ctx, address, ds) })
+		ds.inUse = true
+		wg.Go(func() { ms.runLink(ctx, address, ds) })
 	}
 }
 
-func (ms *Mesh) keep(ctx context.Context, address string, ds *dialState) {
-	err := ms.open(ctx, address)
+func (ms *Mesh) runLink(ctx context.Context, address string, ds *dialState) {
+	err := ms.openLink(ctx, address)
 	if ctx.Err() == nil {
-		ms.opts.Log.WithField("address", address).WithError(err).Debug("gossip link down")
+		ms.opts.Log.WithField("address", address).WithError(err).Debug("gossip link ended")
 	}
 	now := ms.opts.Now()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ds.busy, ds.ended = false, now
+	ds.inUse, ds.endedAt = false, now
 	var de *dialError
 	if errors.As(err, &de) {
-		ms.suspectAt(address, now)
+		ms.suspectAddress(address, now)
 	}
 }
 
-// suspectAt suspects the live member of an address that could not be dialled, unless a link to it stands.
-func (ms *Mesh) suspectAt(address string, now time.Time) {
+// suspectAddress marks the live member at an address that could not be dialled as suspected, unless a link to it exists. The
+// lock is held.
+func (ms *Mesh) suspectAddress(address string, now time.Time) {
 	for _, r := range ms.records {
 		if r.Address == address && r.live && ms.linkTo(r.Member) == nil {
 			ms.suspect(r.Name, now)
@@ -67,26 +68,26 @@
 	}
 }
 
-// forgetDials drops what is known of addresses that are neither dialled nor seeds.
-func (ms *Mesh) forgetDials(needed []string, now time.Time) {
+// evictDials removes the dial states of addresses that are not needed, not in use and not seeds.
+func (ms *Mesh) evictDials(needed []string, now time.Time) {
 	keep := set.Of(append(needed, ms.opts.Seeds...)...)
 	for address, ds := range ms.dials {
-		if !ds.busy && !keep.Has(address) && now.Sub(ds.ended) >= redialPause {
+		if !ds.inUse && !keep.Has(address) && now.Sub(ds.endedAt) >= redialInterval {
 			delete(ms.dials, address)
 		}
 	}
 }
 
-// missing returns the addresses of the wanted members without a link. The instance with the higher name gives the other
-// time to dial first.
-func (ms *Mesh) missing(wanted []*record, now time.Time) []string {
+// missingAddresses returns the addresses of the wanted members that have no link. The side of a pair that does not dial first
+// leaves the other dialGracePeriod to do so.
+func (ms *Mesh) missingAddresses(wanted []*record, now time.Time) []string {
 	linked := map[string]string{}
 	for lk := range ms.links {
 		linked[lk.peer.Name] = lk.peer.Incarnation
 	}
 	var addresses []string
 	for _, r := range wanted {
-		waits := !ms.dialsFirst(r) && ms.awake.at(now)-r.unlinked < dialGrace
+		waits := !ms.dialsFirst(r) && ms.clock.elapsedAt(now)-r.unlinkedSince < dialGracePeriod
 		incarnation, ok := linked[r.Name]
 		if waits || ok && incarnation == r.Incarnation || r.Address == "" || r.Address == ms.self.Address {
 			continue
@@ -96,16 +97,17 @@
 	return addresses
 }
 
-// dialsFirst reports whether this instance is the one of a pair that dials: who subscribes, else who has the lower name.
+// dialsFirst reports whether this instance of a pair dials: between a relay and another member of its availability zone the
+// other member does, as the subscriber; otherwise the one with the lower name.
 func (ms *Mesh) dialsFirst(r *record) bool {
 	self := ms.self.Member
-	if !ms.plan.full && r.AvailabilityZone == self.AvailabilityZone && ms.plan.relay(self) != ms.plan.relay(r.Member) {
-		return !ms.plan.relay(self)
+	if !ms.plan.fullMesh && r.AvailabilityZone == self.AvailabilityZone && ms.plan.isRelay(self) != ms.plan.isRelay(r.Member) {
+		return !ms.plan.isRelay(self)
 	}
 	return self.Name < r.Name
 }
 
-// missingSeeds returns the seeds that led neither to this instance nor to a live member.
+// missingSeeds returns the seeds that lead neither to this instance nor to a live member.
 func (ms *Mesh) missingSeeds() []string {
 	live := map[string]bool{ms.self.Address: true}
 	for _, r := range ms.records {
@@ -115,59 +117,59 @@
 	}
 	var seeds []string
 	for _, address := range ms.opts.Seeds {
-		if !live[address] && !ms.reachedLive(address) {
+		if !live[address] && !ms.seedReachedLive(address) {
 			seeds = append(seeds, address)
 		}
 	}
 	return seeds
 }
 
-func (ms *Mesh) reachedLive(address string) bool {
+func (ms *Mesh) seedReachedLive(address string) bool {
 	ds := ms.dials[address]
-	if ds == nil || ds.reached == "" {
+	if ds == nil || ds.peerName == "" {
 		return false
 	}
-	r := ms.records[ds.reached]
-	return ds.reached == ms.self.Name || r != nil && r.live
+	r := ms.records[ds.peerName]
+	return ds.peerName == ms.self.Name || r != nil && r.live
 }
 
-// tidy closes links that this instance dialled and that the plan has no longer, or that stand twice. Since only who
-// dialled closes, two instances never close both links of a pair.
-func (ms *Mesh) tidy(wanted []*record, now time.Time) {
+// closeUnneededLinks closes links dialled by this instance that are duplicates or have been outside the plan for LostAfter.
+// Since only the dialling side closes a link, two instances never close both links between them.
+func (ms *Mesh) closeUnneededLinks(wanted []*record, now time.Time) {
 	names := map[string]bool{}
 	for _, r := range wanted {
 		names[r.Name] = true
 	}
-	awake := ms.awake.at(now)
+	elapsed := ms.clock.elapsedAt(now)
 	for lk := range ms.links {
 		if lk.address == "" || lk.peer.Name == "" {
 			continue
 		}
 		switch {
 		case names[lk.peer.Name]:
-			lk.unwanted = 0
-		case lk.unwanted == 0:
-			lk.unwanted = awake
+			lk.unwantedSince = 0
+		case lk.unwantedSince == 0:
+			lk.unwantedSince = elapsed
 		}
-		if lk.unwanted > 0 && awake-lk.unwanted >= ms.opts.Lost || ms.standsTwice(lk, awake) {
+		if lk.unwantedSince > 0 && elapsed-lk.unwantedSince >= ms.opts.LostAfter || ms.isDuplicateLink(lk, elapsed) {
 			lk.closing = true
 			lk.close()
 		}
 	}
 }
 
-// standsTwice reports whether another link to the peer is the one to keep: of two links that of the lower name, or the
-// older one.
-func (ms *Mesh) standsTwice(lk *link, awake time.Duration) bool {
+// isDuplicateLink reports whether another active link to the same peer is kept instead: the one dialled by the instance with
+// the lower name or, of two that this instance dialled, the older one.
+func (ms *Mesh) isDuplicateLink(lk *link, elapsed time.Duration) bool {
 	for other := range ms.links {
 		samePeer := other != lk && other.peer.Name == lk.peer.Name && other.peer.Incarnation == lk.peer.Incarnation
-		if !samePeer || awake-other.heard > 2*ms.opts.Interval {
+		if !samePeer || elapsed-other.lastHeard > 2*ms.opts.HeartbeatInterval {
 			continue
 		}
 		if other.address == "" && lk.peer.Name < ms.self.Name {
 			return true
 		}
-		if other.address != "" && other.opened < lk.opened {
+		if other.address != "" && other.seq < lk.seq {
 			return true
 		}
 	}
--- a/internal/gossip/link.go
+++ b/internal/gossip/link.go
@@ -10,74 +10,74 @@
 	"storj.io/drpc/drpcctx"
 )
 
-// link is one stream to a peer, opened by either side. One goroutine receives and one sends.
+// link is one stream to a peer, opened by either side. One goroutine receives from it and one sends to it.
 type link struct {
 	ms        *Mesh
 	transport io.Closer
 	stream    drpc.Stream
-	// address is where this instance dialled; it is empty when the peer did.
+	// address is the address that this instance dialled; empty if the peer dialled.
 	address string
-	// wake has room for one signal: there may be something to send.
+	// wake has a buffer of one signal, which says that there may be something to send.
 	wake chan struct{}
 
 	// The fields below are guarded by ms.mu.
 
-	// peer is known, and has a name, once the peer's first frame is here.
+	// peer is the zero value until the peer's first frame arrives.
 	peer Member
-	// opened only grows from link to link.
-	opened uint64
-	// heard is when the last frame came, at first when the link was opened, by the awake clock.
-	heard time.Duration
-	// unwanted is since when the plan has no such link, by the awake clock; 0 when it has.
-	unwanted time.Duration
-	// sent is the newest change that the peer was sent, or is being sent; told is the newest whose sending has ended.
-	sent, told uint64
-	// wanted is what the peer asked to be told, asked what this instance asked for.
-	wanted, asked subscription
-	// closing is set when this instance closes the link because it needs it no longer.
+	// seq increases from link to link, so an older link has a lower number.
+	seq uint64
+	// lastHeard is when the last frame arrived, or else when the link was opened, on the active clock.
+	lastHeard time.Duration
+	// unwantedSince is the time on the active clock since which the plan has no such link; 0 while it has.
+	unwantedSince time.Duration
+	// sentChange is the newest change sent or being sent to the peer, flushedChange the newest whose sending has finished.
+	sentChange, flushedChange uint64
+	// peerSubscription is what the peer subscribes to, ownSubscription what this instance has asked the peer for.
+	peerSubscription, ownSubscription subscription
+	// closing is set when this instance closes a link that is no longer needed, so that the peer is not suspected.
 	closing bool
-	// asks and answers wait to be sent, at most maxAsks of each.
-	asks    []ask
-	answers []answer
-	// waiting are who asked, by ask ID; each channel has room for its one answer.
-	waiting map[uint64]chan document
-	lastAsk uint64
+	// requestQueue and responseQueue wait to be sent; each holds at most maxStreamRequests.
+	requestQueue  []streamRequest
+	responseQueue []streamResponse
+	// waiters are the channels of pending calls by request ID; each buffers its single response.
+	waiters       map[uint64]chan response
+	lastRequestID uint64
 
-	// done is closed when the link has ended.
+	// done is closed after the link has ended.
 	done chan struct{}
-	// cards are those received, by entry ID. Only the receiving goroutine uses them.
-	cards map[uint64]*card
-	// delays is used by the receiving goroutine only.
-	delays delays
+	// infos are the member infos received on this stream, by entry ID. Only the receiving goroutine uses them.
+	infos map[uint64]*memberInfo
+	// delay is used by the receiving goroutine only.
+	delay delayEstimator
 }
 
 func (ms *Mesh) newLink(stream drpc.Stream, transport io.Closer, address string) *link {
 	now := ms.opts.Now()
 	lk := &link{
 		ms: ms, transport: transport, stream: stream, address: address, wake: make(chan struct{}, 1),
-		cards: map[uint64]*card{}, waiting: map[uint64]chan document{}, done: make(chan struct{}),
+		infos: map[uint64]*memberInfo{}, waiters: map[uint64]chan response{}, done: make(chan struct{}),
 	}
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
-	ms.opened++
-	lk.opened = ms.opened
-	lk.heard = ms.awake.at(now)
+	ms.lastLinkSeq++
+	lk.seq = ms.lastLinkSeq
+	lk.lastHeard = ms.clock.elapsedAt(now)
 	ms.links[lk] = struct{}{}
 	lk.wakeUp()
 	return lk
 }
 
-// accept serves a stream that a peer opened.
+// accept runs a link over a stream that a peer has opened.
 func (ms *Mesh) accept(stream drpc.Stream) error {
 	transport, ok := drpcctx.Transport(stream.Context())
 	if !ok {
-		return &MalformedError{Message: "a stream without a connection"}
+		return &MalformedError{Message: "stream has no transport connection"}
 	}
 	return ms.newLink(stream, transport, "").exchange(stream.Context())
 }
 
-// open keeps a stream to an address until it ends.
-func (ms *Mesh) open(ctx context.Context, address string) error {
+// openLink dials an address and runs a link to it until the link ends.
+func (ms *Mesh) openLink(ctx context.Context, address string) error {
 	conn, transport, err := dial(ctx, address)
 	if err != nil {
 		return err
@@ -90,14 +90,14 @@
 	return ms.newLink(stream, transport, address).exchange(ctx)
 }
 
-// exchange sends and receives until either fails.
+// exchange sends and receives frames until one of the two fails.
 func (lk *link) exchange(ctx context.Context) error {
-	defer lk.ms.drop(lk)
+	defer lk.ms.removeLink(lk)
 	defer lk.close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		// The receiver ends, and tells why, when the connection is closed.
+		// Closing the connection ends the receive loop, which returns the cause.
 		defer lk.close()
 		if err := lk.send(ctx); err != nil && ctx.Err() == nil {
 			lk.ms.opts.Log.WithError(err).Debug("gossip send failed")
@@ -108,16 +108,16 @@
 		if err := lk.stream.MsgRecv(&fr, encoding{}); err != nil {
 			return errors.Wrap(err, "receive")
 		}
-		if err := lk.take(fr); err != nil {
+		if err := lk.handleFrame(fr); err != nil {
 			return err
 		}
-		lk.answer(fr.Asks)
-		lk.takeAnswers(fr.Answers)
+		lk.serveRequests(fr.Requests)
+		lk.deliverResponses(fr.Responses)
 	}
 }
 
 func (lk *link) close() {
-	// Closing twice is harmless, and there is nothing to do about a connection that fails to close.
+	// A second close is harmless, and an error of close cannot be handled.
 	_ = lk.transport.Close()
 }
 
@@ -125,11 +125,11 @@
 	select {
 	case lk.wake <- struct{}{}:
 	default:
-		// A signal waits already; the sender then sends the newest.
+		// A signal is already pending; the sender then sends the newest data.
 	}
 }
 
-// send sends what is new to the peer each time that the link is woken.
+// send sends a frame with all news for the peer each time that the link is woken.
 func (lk *link) send(ctx context.Context) error {
 	for {
 		select {
@@ -137,172 +137,173 @@
 		case <-ctx.Done():
 			return nil
 		}
-		fr := lk.news()
+		fr := lk.nextFrame()
 		if !fr.empty() {
 			if err := lk.stream.MsgSend(fr, encoding{}); err != nil {
 				return errors.Wrap(err, "send")
 			}
 		}
-		lk.noteTold()
+		lk.markFlushed()
 	}
 }
 
-// noteTold notes that what was to be sent is on its way.
-func (lk *link) noteTold() {
+// markFlushed records that all changes up to sentChange have been sent.
+func (lk *link) markFlushed() {
 	lk.ms.mu.Lock()
 	defer lk.ms.mu.Unlock()
-	lk.told = lk.sent
+	lk.flushedChange = lk.sentChange
 }
 
-// news returns what the peer was not told yet.
-func (lk *link) news() *frame {
+// nextFrame returns a frame of everything that the peer has not been sent yet.
+func (lk *link) nextFrame() *frame {
 	ms := lk.ms
 	now := ms.opts.Now()
 	fr := &frame{}
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	ms.replan()
-	fr.Asks, lk.asks = lk.asks, nil
-	fr.Answers, lk.answers = lk.answers, nil
-	if su := ms.subscriptionTo(lk); su != lk.asked {
-		lk.asked = su
-		fr.Wants = &su
+	fr.Requests, lk.requestQueue = lk.requestQueue, nil
+	fr.Responses, lk.responseQueue = lk.responseQueue, nil
+	if su := ms.subscriptionTo(lk); su != lk.ownSubscription {
+		lk.ownSubscription = su
+		fr.Subscription = &su
 	}
-	for r := range ms.log.since(lk.sent) {
-		if e, ok := lk.entry(r, now); ok {
+	for r := range ms.changes.since(lk.sentChange) {
+		if e, ok := lk.entryFor(r, now); ok {
 			fr.Entries = append(fr.Entries, e)
 		}
 	}
-	lk.sent = ms.log.last
-	fr.Sent = now.Sub(ms.began)
+	lk.sentChange = ms.changes.newest
+	fr.SenderUptime = now.Sub(ms.start)
 	return fr
 }
 
-// entry returns what the peer is to be told of a member that changed; it reports false when that is nothing.
-func (lk *link) entry(r *record, now time.Time) (entry, bool) {
+// entryFor returns the entry to send about a changed member; it reports false if there is nothing to send.
+func (lk *link) entryFor(r *record, now time.Time) (entry, bool) {
 	isPeer := r.Name == lk.peer.Name && r.Incarnation == lk.peer.Incarnation
 	if !r.live || isPeer {
 		return entry{}, false
 	}
-	tells := lk.tells(r)
+	inScope := lk.inScope(r)
 	e := entry{ID: r.id}
-	if r.cardChanged > lk.sent && (tells || lk.wanted.Scope.cards()) {
-		c := r.card
-		e.Card = &c
+	if r.infoChange > lk.sentChange && (inScope || lk.peerSubscription.Scope.includesAllInfo()) {
+		mi := r.memberInfo
+		e.Info = &mi
 	}
-	if !tells && e.Card == nil {
+	if !inScope && e.Info == nil {
 		return entry{}, false
 	}
-	e.Pulse, e.PulseAge = r.pulse, lk.ms.silence(r, now)
-	if tells && lk.wanted.takesState(r.Name) {
-		e.State = r.state.since(lk.sent, now)
-		e.Notes = r.notes.since(lk.sent, now)
+	e.Heartbeat, e.HeartbeatAge = r.heartbeat, lk.ms.silence(r, now)
+	if inScope && lk.peerSubscription.includesState(r.Name) {
+		e.State = r.state.since(lk.sentChange, now)
+		e.Notes = r.notes.since(lk.sentChange, now)
 	}
 	return e, true
 }
 
-// since returns the text when it changed after a change.
-func (td told) since(sent uint64, now time.Time) part {
-	if td.version == 0 || td.changed <= sent {
-		return part{}
+// since returns the payload if it changed after the given change, otherwise an empty one.
+func (sp storedPayload) since(change uint64, now time.Time) payload {
+	if sp.version == 0 || sp.lastChange <= change {
+		return payload{}
 	}
-	return part{Version: td.version, Body: td.body, Age: now.Sub(td.made)}
+	return payload{Version: sp.version, Body: sp.body, Age: now.Sub(sp.madeAt)}
 }
 
-// silence returns how long a member was not heard.
+// silence returns the time since a member was last heard.
 func (ms *Mesh) silence(r *record, now time.Time) time.Duration {
 	if r == ms.self {
 		return 0
 	}
-	return ms.awake.at(now) - r.heard
+	return ms.clock.elapsedAt(now) - r.lastHeard
 }
 
-// take takes a frame.
-func (lk *link) take(fr frame) error {
+// handleFrame applies a received frame and runs the callbacks that result from it.
+func (lk *link) handleFrame(fr frame) error {
 	ms := lk.ms
 	now := ms.opts.Now()
-	ms.calls.Lock()
-	defer ms.calls.Unlock()
+	ms.callbackMu.Lock()
+	defer ms.callbackMu.Unlock()
 	ms.mu.Lock()
-	events, err := lk.takeLocked(fr, now)
+	events, err := lk.handleFrameLocked(fr, now)
 	ms.mu.Unlock()
-	ms.notify(events)
+	ms.runCallbacks(events)
 	return err
 }
 
-func (lk *link) takeLocked(fr frame, now time.Time) ([]event, error) {
+func (lk *link) handleFrameLocked(fr frame, now time.Time) ([]event, error) {
 	var events []event
-	lk.heard = lk.ms.awake.at(now)
-	delay := lk.delays.of(fr.Sent, now, lk.ms.began)
+	lk.lastHeard = lk.ms.clock.elapsedAt(now)
+	delay := lk.delay.observe(fr.SenderUptime, now, lk.ms.start)
 	for _, e := range fr.Entries {
-		e.Delay = delay
-		if e.Card != nil {
-			lk.cards[e.ID] = e.Card
+		e.ExtraDelay = delay
+		if e.Info != nil {
+			lk.infos[e.ID] = e.Info
 		}
-		c, ok := lk.cards[e.ID]
-		if !ok || c.Name == "" {
-			return events, &MalformedError{Message: "an entry about nobody"}
+		mi, ok := lk.infos[e.ID]
+		if !ok || mi.Name == "" {
+			return events, &MalformedError{Message: "entry names no member"}
 		}
 		if e.ID == senderID {
-			if err := lk.meet(c.Member); err != nil {
+			if err := lk.identifyPeer(mi.Member); err != nil {
 				return events, err
 			}
 		}
-		events = append(events, lk.ms.hear(*c, e, now)...)
+		events = append(events, lk.ms.applyEntry(*mi, e, now)...)
 	}
-	lk.ms.trust(lk.peer.Name)
-	if fr.Wants != nil {
-		lk.subscribed(*fr.Wants)
+	lk.ms.clearSuspicion(lk.peer.Name)
+	if fr.Subscription != nil {
+		lk.setSubscription(*fr.Subscription)
 	}
 	return events, nil
 }
 
-// subscribed takes what the peer wants to be told. All of it is told anew: what the peer was not told before is not known.
-func (lk *link) subscribed(su subscription) {
-	lk.wanted = su
-	lk.sent = 0
-	lk.ms.resubscribe()
+// setSubscription stores the peer's new subscription. Everything in it is sent again, because it is unknown which parts of it
+// the previous subscription left out.
+func (lk *link) setSubscription(su subscription) {
+	lk.peerSubscription = su
+	lk.sentChange = 0
+	lk.ms.countSubscribers()
 	lk.wakeUp()
 }
 
-// meet notes who the peer says it is.
-func (lk *link) meet(m Member) error {
+// identifyPeer records the peer's identity, and fails if the peer is this process.
+func (lk *link) identifyPeer(m Member) error {
 	ms := lk.ms
-	first := lk.peer.Name == ""
+	firstFrame := lk.peer.Name == ""
 	lk.peer = m
 	isSelf := m.Name == ms.self.Name && m.Incarnation == ms.self.Incarnation
 	if ds := ms.dials[lk.address]; ds != nil && (isSelf || m.Name != ms.self.Name) {
-		ds.reached = m.Name
+		ds.peerName = m.Name
 	}
 	if isSelf {
-		return &SelfError{Address: lk.address}
+		return &SelfDialError{Address: lk.address}
 	}
-	if first {
-		// What is asked of the peer depends on who it is.
-		ms.topology++
-		ms.urgent = true
-		ms.resubscribe()
+	if firstFrame {
+		// The subscription to the peer depends on its identity.
+		ms.topologyVersion++
+		ms.replanNow = true
+		ms.countSubscribers()
 		ms.signal()
 	}
 	return nil
 }
 
-// drop forgets a link that has ended.
-func (ms *Mesh) drop(lk *link) {
+// removeLink removes a link that has ended, and suspects its peer if the plan still has the link.
+func (ms *Mesh) removeLink(lk *link) {
 	now := ms.opts.Now()
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	delete(ms.links, lk)
 	close(lk.done)
-	ms.topology++
-	ms.urgent = true
-	ms.resubscribe()
+	ms.topologyVersion++
+	ms.replanNow = true
+	ms.countSubscribers()
 	r := ms.records[lk.peer.Name]
 	if r == nil || r.Incarnation != lk.peer.Incarnation {
 		return
 	}
-	r.unlinked = ms.awake.at(now)
-	if !lk.closing && ms.plan.linked(ms.self.Member, lk.peer) && !ms.hearsOtherwise(lk, r.unlinked) {
+	r.unlinkedSince = ms.clock.elapsedAt(now)
+	if !lk.closing && ms.plan.linked(ms.self.Member, lk.peer) && !ms.hasOtherActiveLink(lk, r.unlinkedSince) {
 		ms.suspect(lk.peer.Name, now)
 	}
 }
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -14,36 +14,36 @@
 	. "github.com/onsi/gomega"
 )
 
-// patience is far beyond what any wait in these tests needs, also on a busy machine.
-const patience = 30 * time.Second
+// waitTimeout is far beyond what any wait in these tests needs, even on a busy machine.
+const waitTimeout = 30 * time.Second
 
-// never is longer than any test.
+// never is an interval longer than any test.
 const never = 24 * time.Hour
 
-// node is a mesh with what its callbacks were told.
+// node is a mesh together with the arguments of its callbacks.
 type node struct {
 	ms  *Mesh
 	lis net.Listener
 
-	mu       sync.Mutex
-	body     []byte
-	received map[string]string
-	order    []string
-	lost     []Member
+	mu            sync.Mutex
+	body          []byte
+	received      map[string]string
+	receivedOrder []string
+	lost          []Member
 }
 
 func listen(t testing.TB) net.Listener {
 	t.Helper()
-	// Not the address of the tests of other packages, which run side by side: an instance there goes on dialling the address of one
-	// that has ended, whose port the system may have given to a listener here, and joins its mesh.
+	// The tests of other packages run at the same time on other loopback addresses. On a shared one, an instance there that keeps
+	// dialling a stopped peer could join the mesh here, if the system has reassigned the peer's port.
 	lis, err := net.Listen("tcp", "127.0.0.4:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = lis.Close() })
 	return lis
 }
 
-// deadAddress returns an address at which nobody listens.
-func deadAddress(t *testing.T) string {
+// closedAddress returns an address without a listener.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	lis := listen(t)
 	_ = lis.Close()
@@ -60,13 +60,13 @@
 	if o.Self.Address == "" {
 		o.Self.Address = nd.lis.Addr().String()
 	}
-	if o.Interval == 0 {
-		o.Interval = 20 * time.Millisecond
+	if o.HeartbeatInterval == 0 {
+		o.HeartbeatInterval = 20 * time.Millisecond
 	}
 	if o.Log == nil {
 		o.Log = &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	}
-	o.Body, o.Receive, o.OnLost = nd.state, nd.receive, nd.lose
+	o.State, o.ReceiveState, o.OnLost = nd.state, nd.receive, nd.memberLost
 	nd.ms = New(o)
 	return nd
 }
@@ -106,17 +106,17 @@
 	nd.mu.Lock()
 	nd.body = body
 	nd.mu.Unlock()
-	nd.ms.Publish()
+	nd.ms.PublishState()
 }
 
 func (nd *node) receive(from Member, body []byte, _ time.Time) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	nd.received[from.Name] = string(body)
-	nd.order = append(nd.order, string(body))
+	nd.receivedOrder = append(nd.receivedOrder, string(body))
 }
 
-func (nd *node) lose(m Member) {
+func (nd *node) memberLost(m Member) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	nd.lost = append(nd.lost, m)
@@ -136,20 +136,20 @@
 	}
 }
 
-func (nd *node) states() int {
+func (nd *node) stateCount() int {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return len(nd.received)
 }
 
-// heardOf returns the names of the members whose state came, sorted.
-func (nd *node) heardOf() []string {
+// receivedFrom returns the names of the members whose state was received, sorted.
+func (nd *node) receivedFrom() []string {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
 	return slices.Sorted(maps.Keys(nd.received))
 }
 
-func (nd *node) names() []string {
+func (nd *node) liveNames() []string {
 	var names []string
 	for _, m := range nd.ms.Live() {
 		names = append(names, m.Name)
@@ -163,7 +163,7 @@
 	return len(nd.ms.links)
 }
 
-// peers returns the names at the other ends of the node's links, each once.
+// peers returns the names of the node's linked peers, sorted and without duplicates.
 func (nd *node) peers() []string {
 	nd.ms.mu.Lock()
 	defer nd.ms.mu.Unlock()
--- a/internal/peerstate/wire_test.go
+++ b/internal/peerstate/wire_test.go
@@ -62,9 +62,9 @@
 	nd := &node{lis: lis, heard: make(chan int, 16)}
 	nd.ms = gossip.New(gossip.Options{
 		Self:  gossip.Member{Name: name, Incarnation: name + "-1", Address: lis.Addr().String(), AvailabilityZone: name},
-		Seeds: seeds, Interval: quiet, Lost: 8 * quiet, Body: nd.state,
-		Receive: func(_ gossip.Member, body []byte, _ time.Time) { nd.heard <- len(body) },
-		Log:     &log.Logger{Handler: discard.New()},
+		Seeds: seeds, HeartbeatInterval: quiet, LostAfter: 8 * quiet, State: nd.state,
+		ReceiveState: func(_ gossip.Member, body []byte, _ time.Time) { nd.heard <- len(body) },
+		Log:          &log.Logger{Handler: discard.New()},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -88,7 +88,7 @@
 func (nd *node) publish(g Gomega, peer *node, body []byte) int64 {
 	before := peer.received.Load()
 	nd.body.Store(&body)
-	nd.ms.Publish()
+	nd.ms.PublishState()
 	g.Eventually(peer.heard, arrives).Should(Receive(Equal(len(body))))
 	return peer.received.Load() - before
 }
@@ -104,7 +104,7 @@
 	here.body.Store(&first)
 	g.Eventually(func() <-chan int {
 		// Each signal also dials again, should the first attempt have failed.
-		here.ms.Publish()
+		here.ms.PublishState()
 		return there.heard
 	}, arrives).Should(Receive(Equal(len(first))))
 	t.Logf("link and first state: %d bytes", there.received.Load())
