--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,10 +28,10 @@
 const nonceBytes = 16
 
 // StrangerError says that a peer did not prove that it knows the secret.
-type StrangerError struct{ Instance string }
+type AuthenticationError struct{ Instance string }
 
 // Error names the peer.
-func (se *StrangerError) Error() string { return "peer " + se.Instance + " is not one of ours" }
+func (se *AuthenticationError) Error() string { return "peer " + se.Instance + " is not one of ours" }
 
 // UnreachableError says that no live link leads to an instance.
 type UnreachableError struct{ Instance string }
@@ -111,7 +111,7 @@
 	h := f.GetHello()
 	if h == nil || !hmac.Equal(h.GetProof(), proof(ms.opts.Secret, h)) {
 		ms.opts.Log.WithField("peer", h.GetInstance()).Warn("peer turned away")
-		return &StrangerError{Instance: h.GetInstance()}
+		return &AuthenticationError{Instance: h.GetInstance()}
 	}
 	from := sender(h)
 	for told := false; ; {
