--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -231,7 +231,7 @@
 func (lk *link) due(n uint64) bool {
 	every := uint64(lk.ms.stretch.Load())
 	if p := lk.peer.Load(); p != nil && p.AvailabilityZone != lk.ms.fl.Self().AvailabilityZone {
-		every *= uint64(lk.ms.opts.RemoteEvery)
+		every *= uint64(lk.ms.opts.RemoteHeartbeatDivisor)
 	}
 	return n%max(1, every) == 0
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -48,7 +48,7 @@
 	// Heartbeat is the time between two beats to a peer in the same availability zone.
 	Heartbeat time.Duration
 	// RemoteEvery is how many beats pass between two to a peer elsewhere.
-	RemoteEvery int
+	RemoteHeartbeatDivisor int
 	// FullMesh is the number of peers up to which all are linked; beyond it only those in the same availability zone
 	// and RemoteLinks in each other.
 	FullMesh, RemoteLinks int
