--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -81,7 +81,7 @@
 		if p.Live && p.AvailabilityZone == self.AvailabilityZone {
 			near++
 		}
-		if far := p.AvailabilityZone != self.AvailabilityZone; far && keep && len(peers) > ms.opts.FullMesh {
+		if far := p.AvailabilityZone != self.AvailabilityZone; far && keep && len(peers) > ms.opts.MaxFullMeshPeers {
 			keep = remote[p.AvailabilityZone] < ms.opts.RemoteLinks
 			remote[p.AvailabilityZone]++
 		}
