--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -93,7 +93,7 @@
 	ledger := grant.New(env.Settings.Routing.LongPerTarget, fl.Busy, time.Now)
 	ms := peer.New(fl, holder, ledger, env.Stopping.Load, peer.Options{
 		Secret: p.Secret, TLS: tc, Heartbeat: p.Heartbeat.Std(), RemoteHeartbeatDivisor: p.RemoteEvery, Seeds: p.Seeds,
-		MaxFullMeshPeers: p.FullMesh, RemoteLinks: p.RemoteLinks,
+		MaxFullMeshPeers: p.FullMesh, RemoteLinksPerZone: p.RemoteLinks,
 		Blocked: blocked, Log: env.Logger("peers"),
 	})
 	kernel.Provide(env, ms)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -82,7 +82,7 @@
 			near++
 		}
 		if far := p.AvailabilityZone != self.AvailabilityZone; far && keep && len(peers) > ms.opts.MaxFullMeshPeers {
-			keep = remote[p.AvailabilityZone] < ms.opts.RemoteLinks
+			keep = remote[p.AvailabilityZone] < ms.opts.RemoteLinksPerZone
 			remote[p.AvailabilityZone]++
 		}
 		wanted[p.PeerAddress] = wanted[p.PeerAddress] || keep
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -51,7 +51,7 @@
 	RemoteHeartbeatDivisor int
 	// FullMesh is the number of peers up to which all are linked; beyond it only those in the same availability zone
 	// and RemoteLinks in each other.
-	MaxFullMeshPeers, RemoteLinks int
+	MaxFullMeshPeers, RemoteLinksPerZone int
 	// Seeds are tried when they are not yet known as peers.
 	Seeds []string
 	// Blocked cuts the link to a peer; for tests and experiments.
