--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -94,7 +94,7 @@
 	ms := peer.New(fl, holder, ledger, env.Stopping.Load, peer.Options{
 		Secret: p.Secret, TLS: tc, Heartbeat: p.Heartbeat.Std(), RemoteHeartbeatDivisor: p.RemoteEvery, Seeds: p.Seeds,
 		MaxFullMeshPeers: p.FullMesh, RemoteLinksPerZone: p.RemoteLinks,
-		Blocked: blocked, Log: env.Logger("peers"),
+		ZoneBlocked: blocked, Log: env.Logger("peers"),
 	})
 	kernel.Provide(env, ms)
 	serve := kernel.Go(func(ctx context.Context) {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -219,7 +219,7 @@
 }
 
 func (lk *link) sendOne(stream peerpb.DRPCPeer_ExchangeClient, f *peerpb.Frame) error {
-	if p := lk.peer.Load(); p != nil && lk.ms.opts.Blocked(p.AvailabilityZone) {
+	if p := lk.peer.Load(); p != nil && lk.ms.opts.ZoneBlocked(p.AvailabilityZone) {
 		return &UnreachableError{Instance: lk.name()}
 	}
 	lk.ms.Messages.Add(1)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -55,7 +55,7 @@
 	// Seeds are tried when they are not yet known as peers.
 	Seeds []string
 	// Blocked cuts the link to a peer; for tests and experiments.
-	Blocked func(zone string) bool
+	ZoneBlocked func(zone string) bool
 	// Log is the part's logger.
 	Log log.Interface
 }
@@ -83,8 +83,8 @@
 
 // New returns a mesh; Serve and Run do its work.
 func New(fl *fleet.Fleet, bundles *rollout.Holder, grants *grant.Ledger, stopping func() bool, o Options) *Mesh {
-	if o.Blocked == nil {
-		o.Blocked = func(string) bool { return false }
+	if o.ZoneBlocked == nil {
+		o.ZoneBlocked = func(string) bool { return false }
 	}
 	return &Mesh{fl: fl, bundles: bundles, grants: grants, stopping: stopping, opts: o, links: map[string]*link{}}
 }
@@ -119,7 +119,7 @@
 		if err != nil {
 			return errors.Wrap(err, "receive")
 		}
-		if ms.opts.Blocked(from.AvailabilityZone) {
+		if ms.opts.ZoneBlocked(from.AvailabilityZone) {
 			return &UnreachableError{Instance: from.Name}
 		}
 		if out := ms.answer(from, f); out != nil {
