--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -145,7 +145,7 @@
 func (ap *api) gauges() {
 	ap.metrics.NewGauge("silvermount_peer_bytes_out", func() float64 { return float64(ap.mesh.BytesOut.Load()) })
 	ap.metrics.NewGauge("silvermount_peer_bytes_in", func() float64 { return float64(ap.mesh.BytesIn.Load()) })
-	ap.metrics.NewGauge("silvermount_peer_messages", func() float64 { return float64(ap.mesh.Messages.Load()) })
+	ap.metrics.NewGauge("silvermount_peer_messages", func() float64 { return float64(ap.mesh.FramesSent.Load()) })
 	ap.metrics.NewGauge("silvermount_bundle_version", func() float64 { return float64(ap.bundles.Version()) })
 }
 
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -222,7 +222,7 @@
 	if p := lk.peer.Load(); p != nil && lk.ms.opts.ZoneBlocked(p.AvailabilityZone) {
 		return &UnreachableError{Instance: lk.name()}
 	}
-	lk.ms.Messages.Add(1)
+	lk.ms.FramesSent.Add(1)
 	return errors.Wrap(stream.Send(f), "send")
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -75,8 +75,8 @@
 	links map[string]*link
 
 	// BytesOut and BytesIn count what went over peer connections; Messages counts frames sent.
-	BytesOut, BytesIn, Messages atomic.Int64
-	nextID                      atomic.Uint64
+	BytesOut, BytesIn, FramesSent atomic.Int64
+	nextID                        atomic.Uint64
 	// stretch is how many ticks pass between two heartbeats to a peer nearby.
 	stretch atomic.Int64
 }
@@ -129,7 +129,7 @@
 			if err := stream.Send(out); err != nil {
 				return errors.Wrap(err, "send")
 			}
-			ms.Messages.Add(1)
+			ms.FramesSent.Add(1)
 		}
 	}
 }
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -187,7 +187,7 @@
 	var sum traffic
 	for _, in := range lf.Instances {
 		if ms, err := kernel.Need[*peer.Mesh](in.Env()); err == nil {
-			sum.messages += ms.Messages.Load()
+			sum.messages += ms.FramesSent.Load()
 			sum.bytes += ms.BytesOut.Load()
 		}
 	}
