--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -194,7 +194,7 @@
 
 // Grant asks the owner of a target for room; this instance's own ledger is asked directly. When the owner cannot
 // be reached the grant is given, since grants are for speed only.
-func (ms *Mesh) Grant(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool) {
+func (ms *Mesh) RequestGrant(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool) {
 	key := grant.Key{Holder: ms.fl.Self().Incarnation, ID: ms.nextID.Add(1)}
 	owner := ms.fl.Owner(t)
 	if owner == ms.fl.Self().Name {
