--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -24,7 +24,7 @@
 type ChooseShort func(model string, rq policy.Request) (target string, wait time.Duration, ok bool)
 
 // SetChooseShort sets the choice that answers to peers are made by.
-func (ms *Mesh) SetChooseShort(f ChooseShort) { ms.chooseShort.Store(&f) }
+func (ms *Mesh) SetShortPromptChooser(f ChooseShort) { ms.chooseShort.Store(&f) }
 
 func (ms *Mesh) answerShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
 	ans := &peerpb.ShortAnswer{Id: ask.GetId()}
