--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -39,7 +39,7 @@
 }
 
 // AskShort asks some other owners, of this availability zone where there are any, and returns what they offer in time.
-func (ms *Mesh) AskShort(ctx context.Context, model string, rq policy.Request) []offer.Offer {
+func (ms *Mesh) RequestShortOffers(ctx context.Context, model string, rq policy.Request) []offer.Offer {
 	ctx, cancel := context.WithTimeout(ctx, shortTimeout)
 	defer cancel()
 	links := ms.someOwners(model)
