--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -68,7 +68,7 @@
 	opts     Options
 	stopping func() bool
 
-	chooseShort atomic.Pointer[ChooseShort]
+	chooseShort atomic.Pointer[ShortPromptChooser]
 
 	mu sync.Mutex
 	// links are by the peer's address.
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -21,10 +21,10 @@
 )
 
 // ChooseShort chooses the best owned target for a peer's short prompt.
-type ChooseShort func(model string, rq policy.Request) (target string, wait time.Duration, ok bool)
+type ShortPromptChooser func(model string, rq policy.Request) (target string, wait time.Duration, ok bool)
 
 // SetChooseShort sets the choice that answers to peers are made by.
-func (ms *Mesh) SetShortPromptChooser(f ChooseShort) { ms.chooseShort.Store(&f) }
+func (ms *Mesh) SetShortPromptChooser(f ShortPromptChooser) { ms.chooseShort.Store(&f) }
 
 func (ms *Mesh) answerShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
 	ans := &peerpb.ShortAnswer{Id: ask.GetId()}
