--- a/internal/peerstate/decode.go
+++ b/internal/peerstate/decode.go
@@ -78,7 +78,7 @@
 func (rd *reader) targets(st *State) {
 	count := rd.uvarint()
 	if rd.err == nil && count > maxTargets {
-		rd.err = &TooManyError{Targets: count}
+		rd.err = &TooManyTargetsError{Targets: count}
 	}
 	last := ""
 	for no := uint64(0); no < count && rd.err == nil; no++ {
--- a/internal/peerstate/encode.go
+++ b/internal/peerstate/encode.go
@@ -48,7 +48,7 @@
 func (st State) Encode() ([]byte, error) {
 	ts := st.targets()
 	if len(ts) > maxTargets {
-		return nil, errors.Wrap(&TooManyError{Targets: uint64(len(ts))}, "encode state")
+		return nil, errors.Wrap(&TooManyTargetsError{Targets: uint64(len(ts))}, "encode state")
 	}
 	b := []byte{version}
 	b = binary.AppendUvarint(b, uint64(st.Configuration))
--- a/internal/peerstate/failure.go
+++ b/internal/peerstate/failure.go
@@ -20,12 +20,12 @@
 func (me *MalformedError) Error() string { return "malformed state: " + me.Reason }
 
 // TooManyError says that a state tells of more targets than maxTargets.
-type TooManyError struct {
+type TooManyTargetsError struct {
 	// Targets is the number of targets that it tells of.
 	Targets uint64
 }
 
 // Error names the number.
-func (te *TooManyError) Error() string {
+func (te *TooManyTargetsError) Error() string {
 	return "a state of " + strconv.FormatUint(te.Targets, 10) + " targets"
 }
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -111,7 +111,7 @@
 func refused(err error) bool {
 	var ve *VersionError
 	var me *MalformedError
-	var te *TooManyError
+	var te *TooManyTargetsError
 	var ee *placement.EncodingError
 	return errors.As(err, &ve) || errors.As(err, &me) || errors.As(err, &te) || errors.As(err, &ee)
 }
@@ -160,8 +160,8 @@
 		"no configuration":     {"03", new(*MalformedError)},
 		"long number":          {"03ffffffffffffffffffffff", new(*MalformedError)},
 		"age too large":        {"0300" + huge + "00", new(*MalformedError)},
-		"too many targets":     {"0300000000" + "818001", new(*TooManyError)},
-		"far too many targets": {"0300000000" + huge, new(*TooManyError)},
+		"too many targets":     {"0300000000" + "818001", new(*TooManyTargetsError)},
+		"far too many targets": {"0300000000" + huge, new(*TooManyTargetsError)},
 		"long incarnation":     {"0300000000" + "01" + huge, new(*MalformedError)},
 		"target missing":       {"0300000000" + "02" + "1a692d41", new(*MalformedError)},
 		"target twice":         {"0300000000" + "02" + "0b01" + "0b01", new(*MalformedError)},
@@ -192,7 +192,7 @@
 		st.Leaving = append(st.Leaving, fmt.Sprintf("i-%08x", no))
 	}
 	_, err := st.Encode()
-	var many *TooManyError
+	var many *TooManyTargetsError
 	g.Expect(errors.As(err, &many)).To(BeTrue())
 	g.Expect(many.Targets).To(BeEquivalentTo(maxTargets + 1))
 	st.Leaving = st.Leaving[1:]
