--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -161,7 +161,7 @@
 		st.Loads = du.ds.Own()
 	}
 	at, heard := du.dr.ChangedAt()
-	st.Targets = at
+	st.TargetsPosition = at
 	st.TargetsAge = time.Since(heard)
 	if tb, provenAt := du.rts.Current(); tb != nil {
 		st.Configuration = tb.Version()
@@ -229,16 +229,16 @@
 func (du *duty) receiveTargets(from gossip.Member, st peerstate.State, evidence time.Time) {
 	mine, _ := du.dr.ChangedAt()
 	switch {
-	case st.Targets.IsZero() || mine.After(st.Targets):
-	case st.Targets == mine:
+	case st.TargetsPosition.IsZero() || mine.After(st.TargetsPosition):
+	case st.TargetsPosition == mine:
 		du.tellTargets(du.lg.WithField("peer", from.Name), du.dr.Confirm(evidence), evidence)
 	case !du.fo.Follows() && !du.ms.Source(from):
 		// The linked relays will have it too.
 		time.AfterFunc(sourceFirst, func() {
-			du.want(newer{document: targetsDocument, from: from, at: st.Targets, evidence: evidence})
+			du.want(newer{document: targetsDocument, from: from, at: st.TargetsPosition, evidence: evidence})
 		})
 	default:
-		du.want(newer{document: targetsDocument, from: from, at: st.Targets, evidence: evidence})
+		du.want(newer{document: targetsDocument, from: from, at: st.TargetsPosition, evidence: evidence})
 	}
 }
 
--- a/internal/peerstate/decode.go
+++ b/internal/peerstate/decode.go
@@ -30,7 +30,7 @@
 	rd := reader{rest: b[1:]}
 	st := State{Configuration: int64(rd.uvarint())}
 	st.ProofAge = rd.age()
-	st.Targets = position.Unpack(int64(rd.uvarint()))
+	st.TargetsPosition = position.Unpack(int64(rd.uvarint()))
 	st.TargetsAge = rd.age()
 	rd.targets(&st)
 	if rd.err == nil && len(rd.rest) > 0 {
--- a/internal/peerstate/encode.go
+++ b/internal/peerstate/encode.go
@@ -53,7 +53,7 @@
 	b := []byte{version}
 	b = binary.AppendUvarint(b, uint64(st.Configuration))
 	b = binary.AppendUvarint(b, millis(st.ProofAge))
-	b = binary.AppendUvarint(b, uint64(st.Targets.Pack()))
+	b = binary.AppendUvarint(b, uint64(st.TargetsPosition.Pack()))
 	b = binary.AppendUvarint(b, millis(st.TargetsAge))
 	b = binary.AppendUvarint(b, uint64(len(ts)))
 	for _, ta := range ts {
--- a/internal/peerstate/peerstate.go
+++ b/internal/peerstate/peerstate.go
@@ -18,7 +18,7 @@
 	// Leaving are incarnations of targets that take no new work. Peers get them sorted and each once.
 	Leaving []string
 	// Targets is where in its history the store was when the list of targets last changed; zero for none.
-	Targets position.Position
+	TargetsPosition position.Position
 	// TargetsAge is the age of the newest evidence of that list; peers get it as ProofAge.
 	TargetsAge time.Duration
 	// Loads is what the instance has in flight, by incarnation of the target; empty loads are left out. Peers get them
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -48,12 +48,12 @@
 func genState() *rapid.Generator[State] {
 	return rapid.Custom(func(t *rapid.T) State {
 		return State{
-			Configuration: rapid.Int64().Draw(t, "configuration"),
-			ProofAge:      time.Duration(rapid.Int64().Draw(t, "proof age")),
-			Targets:       position.Unpack(rapid.Int64().Draw(t, "targets")),
-			TargetsAge:    time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "targets age")).Truncate(time.Millisecond),
-			Leaving:       rapid.SliceOfN(genID(), 0, 6).Draw(t, "leaving"),
-			Loads:         rapid.MapOfN(genID(), genLoad(), 0, 6).Draw(t, "loads"),
+			Configuration:   rapid.Int64().Draw(t, "configuration"),
+			ProofAge:        time.Duration(rapid.Int64().Draw(t, "proof age")),
+			TargetsPosition: position.Unpack(rapid.Int64().Draw(t, "targets")),
+			TargetsAge:      time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "targets age")).Truncate(time.Millisecond),
+			Leaving:         rapid.SliceOfN(genID(), 0, 6).Draw(t, "leaving"),
+			Loads:           rapid.MapOfN(genID(), genLoad(), 0, 6).Draw(t, "loads"),
 		}
 	})
 }
@@ -64,7 +64,7 @@
 	if rest := age % time.Millisecond; rest > 0 {
 		age += time.Millisecond - rest
 	}
-	to := State{Configuration: st.Configuration, ProofAge: age, Targets: st.Targets, TargetsAge: st.TargetsAge}
+	to := State{Configuration: st.Configuration, ProofAge: age, TargetsPosition: st.TargetsPosition, TargetsAge: st.TargetsAge}
 	to.Leaving = slices.Compact(slices.Sorted(slices.Values(st.Leaving)))
 	for id, lo := range st.Loads {
 		if lo == (placement.Load{}) {
@@ -125,7 +125,7 @@
 	}{
 		"empty":         {State{}, "030000000000"},
 		"configuration": {State{Configuration: 300, ProofAge: time.Millisecond + 1}, "03ac0202000000"},
-		"targets":       {State{Targets: position.Position{Revision: 5}, TargetsAge: 3 * time.Millisecond}, "030000" + "0503" + "00"},
+		"targets":       {State{TargetsPosition: position.Position{Revision: 5}, TargetsAge: 3 * time.Millisecond}, "030000" + "0503" + "00"},
 		"empty load":    {State{Loads: map[string]placement.Load{"i-01": {}}}, "030000000000"},
 		"leaving":       {State{Leaving: []string{"i-7f3a91c2"}}, "0300000000" + "01" + "237f3a91c2"},
 		"longer":        {State{Leaving: []string{"i-2f8030e4a8"}}, "0300000000" + "01" + "2b2f8030e4a8"},
