--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -121,10 +121,10 @@
 // reader reads the parts of a snapshot. After a failure it returns zero values.
 type reader struct{ *peerbytes.Reader }
 
-func (rd *reader) count() int { return int(rd.Number(maxListLength)) }
+func (rd *reader) count() int { return int(rd.ReadUvarint(maxListLength)) }
 
 // boundedInt reads a number of crashes or a quarantine level.
-func (rd *reader) boundedInt() int { return int(rd.Number(1 << 16)) }
+func (rd *reader) boundedInt() int { return int(rd.ReadUvarint(1 << 16)) }
 
 func (rd *reader) duration() time.Duration { return rd.Span(maxDuration) }
 
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -42,7 +42,7 @@
 }
 
 // Number reads a number that is at most a bound.
-func (rd *Reader) Number(most uint64) uint64 {
+func (rd *Reader) ReadUvarint(most uint64) uint64 {
 	if rd.failed != nil {
 		return 0
 	}
@@ -69,11 +69,11 @@
 }
 
 // Name reads a text of at most so many bytes, behind its length.
-func (rd *Reader) Name(most int) string { return string(rd.Bytes(int(rd.Number(uint64(most))))) }
+func (rd *Reader) Name(most int) string { return string(rd.Bytes(int(rd.ReadUvarint(uint64(most))))) }
 
 // Span reads a time in whole milliseconds that is at most a bound.
 func (rd *Reader) Span(most time.Duration) time.Duration {
-	return time.Duration(rd.Number(uint64(most.Milliseconds()))) * time.Millisecond
+	return time.Duration(rd.ReadUvarint(uint64(most.Milliseconds()))) * time.Millisecond
 }
 
 // AppendName appends a text as Name reads it.
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -22,17 +22,17 @@
 	g.Expect(rd.Span(time.Minute)).To(Equal(1500 * time.Millisecond))
 	g.Expect(rd.Span(time.Minute)).To(Equal(time.Minute))
 	g.Expect(rd.Span(time.Minute)).To(BeZero())
-	g.Expect(rd.Number(7)).To(BeEquivalentTo(7))
+	g.Expect(rd.ReadUvarint(7)).To(BeEquivalentTo(7))
 	g.Expect(rd.End()).To(Succeed())
 }
 
 func TestReaderFails(t *testing.T) {
 	cases := map[string]func(rd *peerbytes.Reader){
-		"a number out of range": func(rd *peerbytes.Reader) { rd.Number(5) },
+		"a number out of range": func(rd *peerbytes.Reader) { rd.ReadUvarint(5) },
 		"a name out of range":   func(rd *peerbytes.Reader) { rd.Name(5) },
 		"a name that is cut":    func(rd *peerbytes.Reader) { rd.Name(10) },
 		"bytes that are cut":    func(rd *peerbytes.Reader) { rd.Bytes(10) },
-		"bytes that are left":   func(rd *peerbytes.Reader) { rd.Number(10) },
+		"bytes that are left":   func(rd *peerbytes.Reader) { rd.ReadUvarint(10) },
 		"a reason of one's own": func(rd *peerbytes.Reader) { rd.Fail("out of order"); rd.Fail("another") },
 	}
 	for name, read := range cases {
@@ -43,7 +43,7 @@
 			var me *peerbytes.MalformedError
 			g.Expect(rd.End()).To(BeAssignableToTypeOf(me))
 			g.Expect(rd.Failed()).To(BeTrue())
-			g.Expect(rd.Number(100)).To(BeZero())
+			g.Expect(rd.ReadUvarint(100)).To(BeZero())
 			g.Expect(rd.Bytes(1)).To(BeNil())
 		})
 	}
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -43,7 +43,7 @@
 func Decode(b []byte, told time.Time) ([]Observation, error) {
 	rd := peerbytes.NewReader(b)
 	var obs []Observation
-	for no := rd.Number(maxTold); no > 0 && !rd.Failed(); no-- {
+	for no := rd.ReadUvarint(maxTold); no > 0 && !rd.Failed(); no-- {
 		obs = append(obs, readObservation(rd, told))
 	}
 	if err := rd.End(); err != nil {
@@ -58,7 +58,7 @@
 		rd.Fail("an observation of nothing")
 	}
 	ob.At = told.Add(-rd.Span(maxAge))
-	bits := rd.Number(math.MaxUint64)
+	bits := rd.ReadUvarint(math.MaxUint64)
 	if bits == 0 {
 		return ob
 	}
