--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -130,7 +130,7 @@
 
 func (rd *reader) fingerprint() fingerprint.Fingerprint {
 	var fp fingerprint.Fingerprint
-	copy(fp[:], rd.Bytes(len(fp)))
+	copy(fp[:], rd.ReadBytes(len(fp)))
 	return fp
 }
 
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -56,7 +56,7 @@
 }
 
 // Bytes reads so many bytes. They are part of what is read, not a copy.
-func (rd *Reader) Bytes(n int) []byte {
+func (rd *Reader) ReadBytes(n int) []byte {
 	if n > len(rd.rest) {
 		rd.Fail("cut off")
 	}
@@ -69,7 +69,9 @@
 }
 
 // Name reads a text of at most so many bytes, behind its length.
-func (rd *Reader) Name(most int) string { return string(rd.Bytes(int(rd.ReadUvarint(uint64(most))))) }
+func (rd *Reader) Name(most int) string {
+	return string(rd.ReadBytes(int(rd.ReadUvarint(uint64(most)))))
+}
 
 // Span reads a time in whole milliseconds that is at most a bound.
 func (rd *Reader) Span(most time.Duration) time.Duration {
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -31,7 +31,7 @@
 		"a number out of range": func(rd *peerbytes.Reader) { rd.ReadUvarint(5) },
 		"a name out of range":   func(rd *peerbytes.Reader) { rd.Name(5) },
 		"a name that is cut":    func(rd *peerbytes.Reader) { rd.Name(10) },
-		"bytes that are cut":    func(rd *peerbytes.Reader) { rd.Bytes(10) },
+		"bytes that are cut":    func(rd *peerbytes.Reader) { rd.ReadBytes(10) },
 		"bytes that are left":   func(rd *peerbytes.Reader) { rd.ReadUvarint(10) },
 		"a reason of one's own": func(rd *peerbytes.Reader) { rd.Fail("out of order"); rd.Fail("another") },
 	}
@@ -44,7 +44,7 @@
 			g.Expect(rd.End()).To(BeAssignableToTypeOf(me))
 			g.Expect(rd.Failed()).To(BeTrue())
 			g.Expect(rd.ReadUvarint(100)).To(BeZero())
-			g.Expect(rd.Bytes(1)).To(BeNil())
+			g.Expect(rd.ReadBytes(1)).To(BeNil())
 		})
 	}
 }
