--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -134,4 +134,4 @@
 	return fp
 }
 
-func (rd *reader) incarnation() string { return rd.Name(maxIncarnationLength) }
+func (rd *reader) incarnation() string { return rd.ReadString(maxIncarnationLength) }
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -69,7 +69,7 @@
 }
 
 // Name reads a text of at most so many bytes, behind its length.
-func (rd *Reader) Name(most int) string {
+func (rd *Reader) ReadString(most int) string {
 	return string(rd.ReadBytes(int(rd.ReadUvarint(uint64(most)))))
 }
 
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -18,7 +18,7 @@
 	b = peerbytes.AppendSpan(b, -time.Hour, time.Minute)
 	b = binary.AppendUvarint(b, 7)
 	rd := peerbytes.NewReader(b)
-	g.Expect(rd.Name(10)).To(Equal("a name"))
+	g.Expect(rd.ReadString(10)).To(Equal("a name"))
 	g.Expect(rd.Span(time.Minute)).To(Equal(1500 * time.Millisecond))
 	g.Expect(rd.Span(time.Minute)).To(Equal(time.Minute))
 	g.Expect(rd.Span(time.Minute)).To(BeZero())
@@ -29,8 +29,8 @@
 func TestReaderFails(t *testing.T) {
 	cases := map[string]func(rd *peerbytes.Reader){
 		"a number out of range": func(rd *peerbytes.Reader) { rd.ReadUvarint(5) },
-		"a name out of range":   func(rd *peerbytes.Reader) { rd.Name(5) },
-		"a name that is cut":    func(rd *peerbytes.Reader) { rd.Name(10) },
+		"a name out of range":   func(rd *peerbytes.Reader) { rd.ReadString(5) },
+		"a name that is cut":    func(rd *peerbytes.Reader) { rd.ReadString(10) },
 		"bytes that are cut":    func(rd *peerbytes.Reader) { rd.ReadBytes(10) },
 		"bytes that are left":   func(rd *peerbytes.Reader) { rd.ReadUvarint(10) },
 		"a reason of one's own": func(rd *peerbytes.Reader) { rd.Fail("out of order"); rd.Fail("another") },
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -53,7 +53,7 @@
 }
 
 func readObservation(rd *peerbytes.Reader, told time.Time) Observation {
-	ob := Observation{Target: rd.Name(maxName)}
+	ob := Observation{Target: rd.ReadString(maxName)}
 	if ob.Target == "" {
 		rd.Fail("an observation of nothing")
 	}
