--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -126,7 +126,7 @@
 // boundedInt reads a number of crashes or a quarantine level.
 func (rd *reader) boundedInt() int { return int(rd.ReadUvarint(1 << 16)) }
 
-func (rd *reader) duration() time.Duration { return rd.Span(maxDuration) }
+func (rd *reader) duration() time.Duration { return rd.ReadDuration(maxDuration) }
 
 func (rd *reader) fingerprint() fingerprint.Fingerprint {
 	var fp fingerprint.Fingerprint
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -74,7 +74,7 @@
 }
 
 // Span reads a time in whole milliseconds that is at most a bound.
-func (rd *Reader) Span(most time.Duration) time.Duration {
+func (rd *Reader) ReadDuration(most time.Duration) time.Duration {
 	return time.Duration(rd.ReadUvarint(uint64(most.Milliseconds()))) * time.Millisecond
 }
 
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -19,9 +19,9 @@
 	b = binary.AppendUvarint(b, 7)
 	rd := peerbytes.NewReader(b)
 	g.Expect(rd.ReadString(10)).To(Equal("a name"))
-	g.Expect(rd.Span(time.Minute)).To(Equal(1500 * time.Millisecond))
-	g.Expect(rd.Span(time.Minute)).To(Equal(time.Minute))
-	g.Expect(rd.Span(time.Minute)).To(BeZero())
+	g.Expect(rd.ReadDuration(time.Minute)).To(Equal(1500 * time.Millisecond))
+	g.Expect(rd.ReadDuration(time.Minute)).To(Equal(time.Minute))
+	g.Expect(rd.ReadDuration(time.Minute)).To(BeZero())
 	g.Expect(rd.ReadUvarint(7)).To(BeEquivalentTo(7))
 	g.Expect(rd.End()).To(Succeed())
 }
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -57,7 +57,7 @@
 	if ob.Target == "" {
 		rd.Fail("an observation of nothing")
 	}
-	ob.At = told.Add(-rd.Span(maxAge))
+	ob.At = told.Add(-rd.ReadDuration(maxAge))
 	bits := rd.ReadUvarint(math.MaxUint64)
 	if bits == 0 {
 		return ob
