--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -112,7 +112,7 @@
 	for range rd.count() {
 		sn.ActiveRuns = append(sn.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: takenAt.Add(-rd.duration())})
 	}
-	if err := rd.End(); err != nil {
+	if err := rd.Finish(); err != nil {
 		return Snapshot{}, errors.Wrap(err, "decode snapshot")
 	}
 	return sn, nil
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -34,7 +34,7 @@
 func (rd *Reader) Failed() bool { return rd.failed != nil }
 
 // End returns the first failure, a MalformedError; bytes that are left are one.
-func (rd *Reader) End() error {
+func (rd *Reader) Finish() error {
 	if len(rd.rest) > 0 {
 		rd.Fail("bytes after the end")
 	}
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -23,7 +23,7 @@
 	g.Expect(rd.ReadDuration(time.Minute)).To(Equal(time.Minute))
 	g.Expect(rd.ReadDuration(time.Minute)).To(BeZero())
 	g.Expect(rd.ReadUvarint(7)).To(BeEquivalentTo(7))
-	g.Expect(rd.End()).To(Succeed())
+	g.Expect(rd.Finish()).To(Succeed())
 }
 
 func TestReaderFails(t *testing.T) {
@@ -41,7 +41,7 @@
 			rd := peerbytes.NewReader([]byte{6, 'a', 'b'})
 			read(rd)
 			var me *peerbytes.MalformedError
-			g.Expect(rd.End()).To(BeAssignableToTypeOf(me))
+			g.Expect(rd.Finish()).To(BeAssignableToTypeOf(me))
 			g.Expect(rd.Failed()).To(BeTrue())
 			g.Expect(rd.ReadUvarint(100)).To(BeZero())
 			g.Expect(rd.ReadBytes(1)).To(BeNil())
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -46,7 +46,7 @@
 	for no := rd.ReadUvarint(maxTold); no > 0 && !rd.Failed(); no-- {
 		obs = append(obs, readObservation(rd, told))
 	}
-	if err := rd.End(); err != nil {
+	if err := rd.Finish(); err != nil {
 		return nil, errors.Wrap(err, "decode observations")
 	}
 	return obs, nil
