--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -37,7 +37,7 @@
 	b = binary.AppendUvarint(b, uint64(len(evidence)))
 	for _, rn := range evidence {
 		b = append(b, rn.Request[:]...)
-		b = peerbytes.AppendName(b, rn.Incarnation)
+		b = peerbytes.AppendString(b, rn.Incarnation)
 		b = appendDuration(b, rn.Elapsed)
 		b = appendDuration(b, takenAt.Sub(rn.At))
 	}
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -79,7 +79,7 @@
 }
 
 // AppendName appends a text as Name reads it.
-func AppendName(b []byte, name string) []byte {
+func AppendString(b []byte, name string) []byte {
 	b = binary.AppendUvarint(b, uint64(len(name)))
 	return append(b, name...)
 }
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -12,7 +12,7 @@
 
 func TestReader(t *testing.T) {
 	g := NewWithT(t)
-	b := peerbytes.AppendName(nil, "a name")
+	b := peerbytes.AppendString(nil, "a name")
 	b = peerbytes.AppendSpan(b, 1500*time.Millisecond, time.Minute)
 	b = peerbytes.AppendSpan(b, time.Hour, time.Minute)
 	b = peerbytes.AppendSpan(b, -time.Hour, time.Minute)
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -24,7 +24,7 @@
 	told = told[:min(len(told), maxTold)]
 	b := binary.AppendUvarint(nil, uint64(len(told)))
 	for _, ob := range told {
-		b = peerbytes.AppendName(b, ob.Target)
+		b = peerbytes.AppendString(b, ob.Target)
 		b = peerbytes.AppendSpan(b, now.Sub(ob.At), maxAge)
 		b = binary.AppendUvarint(b, limitBits(ob.Limit))
 	}
