--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -77,7 +77,9 @@
 	return max(time.Millisecond, ts.Until.Sub(takenAt))
 }
 
-func appendDuration(b []byte, d time.Duration) []byte { return peerbytes.AppendSpan(b, d, maxDuration) }
+func appendDuration(b []byte, d time.Duration) []byte {
+	return peerbytes.AppendDuration(b, d, maxDuration)
+}
 
 // Decode reads the snapshot of a peer. takenAt is when it was taken, on the local clock. It fails with a VersionError or a
 // peerbytes.MalformedError.
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -85,6 +85,6 @@
 }
 
 // AppendSpan appends a time as Span reads it with the same bound; one out of range is told as the nearest that is not.
-func AppendSpan(b []byte, span, most time.Duration) []byte {
+func AppendDuration(b []byte, span, most time.Duration) []byte {
 	return binary.AppendUvarint(b, uint64(max(0, min(span, most)).Milliseconds()))
 }
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -13,9 +13,9 @@
 func TestReader(t *testing.T) {
 	g := NewWithT(t)
 	b := peerbytes.AppendString(nil, "a name")
-	b = peerbytes.AppendSpan(b, 1500*time.Millisecond, time.Minute)
-	b = peerbytes.AppendSpan(b, time.Hour, time.Minute)
-	b = peerbytes.AppendSpan(b, -time.Hour, time.Minute)
+	b = peerbytes.AppendDuration(b, 1500*time.Millisecond, time.Minute)
+	b = peerbytes.AppendDuration(b, time.Hour, time.Minute)
+	b = peerbytes.AppendDuration(b, -time.Hour, time.Minute)
 	b = binary.AppendUvarint(b, 7)
 	rd := peerbytes.NewReader(b)
 	g.Expect(rd.ReadString(10)).To(Equal("a name"))
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -25,7 +25,7 @@
 	b := binary.AppendUvarint(nil, uint64(len(told)))
 	for _, ob := range told {
 		b = peerbytes.AppendString(b, ob.Target)
-		b = peerbytes.AppendSpan(b, now.Sub(ob.At), maxAge)
+		b = peerbytes.AppendDuration(b, now.Sub(ob.At), maxAge)
 		b = binary.AppendUvarint(b, limitBits(ob.Limit))
 	}
 	return b
