--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -66,7 +66,7 @@
 }
 
 // Blocked is a part that tests and experiments may provide to cut availability zones off.
-type Blocked func(zone string) bool
+type ZoneBlocked func(zone string) bool
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	fl, err := kernel.Need[*fleet.Fleet](env)
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	blocked, err := kernel.Need[Blocked](env)
+	blocked, err := kernel.Need[ZoneBlocked](env)
 	if err != nil {
 		blocked = func(string) bool { return false }
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -42,7 +42,7 @@
 
 // WithBlocked cuts links to peers in some availability zones; for tests and experiments.
 func WithBlocked(f func(zone string) bool) Option {
-	return func(env *kernel.Env) { kernel.Provide(env, peers.Blocked(f)) }
+	return func(env *kernel.Env) { kernel.Provide(env, peers.ZoneBlocked(f)) }
 }
 
 // WithMetrics makes a gateway export what is in a set besides its own metrics.
