--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
-		knowledge.Follow(ctx, client, objectstore.KindPointers, 0, fo.log, fo.hear)
+		knowledge.ListAndWatch(ctx, client, objectstore.KindPointers, 0, fo.log, fo.hear)
 	})
 	fetch := kernel.Go(fo.run)
 	return func(ctx context.Context) error {
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -82,7 +82,7 @@
 	kp.server.Mount("/v1/jobs", kp.handler())
 	work, cancelWork := context.WithCancel(context.Background())
 	follow := kernel.Go(func(ctx context.Context) {
-		knowledge.Follow(ctx, client, objectstore.KindJobs, pace, kp.log, kp.learn)
+		knowledge.ListAndWatch(ctx, client, objectstore.KindJobs, pace, kp.log, kp.learn)
 	})
 	look := kernel.Go(func(ctx context.Context) { kp.run(ctx, work) })
 	return func(ctx context.Context) error {
--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/knowledge/knowledge.go
@@ -58,10 +58,10 @@
 	kernel.Provide(env, burn.New(time.Now))
 	lg := env.Logger("knowledge")
 	targets := kernel.Go(func(ctx context.Context) {
-		Follow(ctx, cl, objectstore.KindTargets, targetPace, lg, func(items []objectstore.Object) { fl.SetTargets(decode[fleet.Target](items, lg)) })
+		ListAndWatch(ctx, cl, objectstore.KindTargets, targetPace, lg, func(items []objectstore.Object) { fl.SetTargets(decode[fleet.Target](items, lg)) })
 	})
 	instances := kernel.Go(func(ctx context.Context) {
-		Follow(ctx, cl, objectstore.KindInstances, instancePace, lg, func(items []objectstore.Object) {
+		ListAndWatch(ctx, cl, objectstore.KindInstances, instancePace, lg, func(items []objectstore.Object) {
 			fl.SetInstances(decode[fleet.Listed](items, lg))
 		})
 	})
@@ -92,7 +92,7 @@
 
 // Follow lists a kind, then watches it with at least pace between two calls, and calls apply with all objects after each
 // change. It goes on through outages with what it heard last.
-func Follow(ctx context.Context, cl *objectstore.Client, kind string, pace time.Duration, lg log.Interface, apply func([]objectstore.Object)) {
+func ListAndWatch(ctx context.Context, cl *objectstore.Client, kind string, pace time.Duration, lg log.Interface, apply func([]objectstore.Object)) {
 	pause := minPause
 	for ctx.Err() == nil {
 		err := follow(ctx, cl, kind, pace, apply, func() { pause = minPause })
