--- a/internal/duty/reports/reports.go
+++ b/internal/duty/reports/reports.go
@@ -45,7 +45,7 @@
 			case <-ctx.Done():
 				return
 			}
-			Ask(ctx, fl, clients)
+			Poll(ctx, fl, clients)
 		}
 	}), nil
 }
@@ -58,7 +58,7 @@
 }
 
 // Ask asks every owned target once and waits for the answers.
-func Ask(ctx context.Context, fl *fleet.Fleet, clients Clients) {
+func Poll(ctx context.Context, fl *fleet.Fleet, clients Clients) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
