--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -75,7 +75,7 @@
 	}
 	freed := 0
 	for _, h := range held {
-		if Over(h, gone) && cl.Cancel(ctx, h.Attempt) == nil {
+		if Orphaned(h, gone) && cl.Cancel(ctx, h.Attempt) == nil {
 			freed++
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // Over reports whether nobody can be waiting for what an engine holds.
-func Over(h engine.Held, gone set.Set[string]) bool {
+func Orphaned(h engine.Held, gone set.Set[string]) bool {
 	left := time.Duration(h.LeftMillis) * time.Millisecond
 	return left < -grace || gone.Has(h.Holder)
 }
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -23,7 +23,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(Over(tc.held, set.Of("ended"))).To(Equal(tc.want))
+			NewWithT(t).Expect(Orphaned(tc.held, set.Of("ended"))).To(Equal(tc.want))
 		})
 	}
 }
