--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -165,7 +165,7 @@
 }
 
 // Prepared is the answer to a prepare.
-type Prepared struct {
+type PrepareResult struct {
 	Version int64 `json:"version"`
 	// Fault is empty when the instance can put the bundle in force.
 	Fault string `json:"fault,omitempty"`
@@ -178,7 +178,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	answer := Prepared{Version: version}
+	answer := PrepareResult{Version: version}
 	b, err := ap.store.Get(r.Context(), version)
 	if err == nil {
 		err = b.FitsStop(ap.env.Settings.Stop.Drain.Std()).OrNil()
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -53,8 +53,8 @@
 }
 
 // Prepare asks every instance to fetch and check a pushed bundle, without putting it in force.
-func (cl *Client) Prepare(ctx context.Context, version int64) ([]Reply[operators.Prepared], error) {
-	return askAll[operators.Prepared](ctx, cl, http.MethodPost, "/prepare/"+strconv.FormatInt(version, 10))
+func (cl *Client) Prepare(ctx context.Context, version int64) ([]Reply[operators.PrepareResult], error) {
+	return askAll[operators.PrepareResult](ctx, cl, http.MethodPost, "/prepare/"+strconv.FormatInt(version, 10))
 }
 
 func askAll[T any](ctx context.Context, cl *Client, method, path string) ([]Reply[T], error) {
