--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -81,7 +81,7 @@
 type PeerStatus struct {
 	Name          string          `json:"name"`
 	Live          bool            `json:"live"`
-	Heard         config.Duration `json:"heard"`
+	SinceHeard    config.Duration `json:"heard"`
 	BundleVersion int64           `json:"bundle_version"`
 }
 
@@ -213,7 +213,7 @@
 	}
 	for _, p := range ap.fleet.Peers() {
 		st.Peers = append(st.Peers, PeerStatus{
-			Name: p.Name, Live: p.Live, Heard: config.Duration(p.Heard.Round(time.Millisecond)), BundleVersion: p.BundleVersion,
+			Name: p.Name, Live: p.Live, SinceHeard: config.Duration(p.Heard.Round(time.Millisecond)), BundleVersion: p.BundleVersion,
 		})
 	}
 	for target, incarnation := range ap.fleet.Leaving() {
