--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -62,7 +62,7 @@
 		return ageMillis(provenAt)
 	})
 	rd := &reader{
-		ad: pt.Adapter, rts: pt.Routes, dr: pt.Targets, lg: env.Logger("facts"), changed: pt.Changed, followers: pt.Followers,
+		ad: pt.Adapter, rts: pt.Routes, dr: pt.Targets, lg: env.Logger("facts"), changed: pt.StateNotifier, followers: pt.Followers,
 		seeds: len(gw.Seeds) > 0, first: gw.FirstStart,
 		leavingBound: gw.LeavingBound.Std(), configurationBound: configurationBound(gw),
 	}
