--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -62,11 +62,11 @@
 		return ageMillis(provenAt)
 	})
 	rd := &reader{
-		ad: pt.Adapter, rts: pt.Routes, dr: pt.Targets, lg: env.Logger("facts"), changed: pt.StateNotifier, followers: pt.Followers,
+		ad: pt.Adapter, rts: pt.Routes, dr: pt.Targets, lg: env.Logger("facts"), changed: pt.StateNotifier, followers: pt.StoreCoordinator,
 		seeds: len(gw.Seeds) > 0, first: gw.FirstStart,
 		leavingBound: gw.LeavingBound.Std(), configurationBound: configurationBound(gw),
 	}
-	rd.reach = newReach(rd.patience(), pt.Followers.Reach)
+	rd.reach = newReach(rd.patience(), pt.StoreCoordinator.Reach)
 	st := pt.Adapter.Store(gw.Store, rd.patience(), calls.Inc)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -35,15 +35,15 @@
 
 // Parts are what the duties of a gateway share. All fields are set.
 type Parts struct {
-	Adapter       adapter.Adapter
-	Routes        *routes.Holder
-	Targets       *targets.Directory
-	Dispatcher    *dispatch.Dispatcher
-	Pool          *upstream.Pool
-	Metrics       *metrics.Set
-	StateNotifier *Changed
-	Followers     *Followers
-	Blame         *blame.Tracker
+	Adapter          adapter.Adapter
+	Routes           *routes.Holder
+	Targets          *targets.Directory
+	Dispatcher       *dispatch.Dispatcher
+	Pool             *upstream.Pool
+	Metrics          *metrics.Set
+	StateNotifier    *Changed
+	StoreCoordinator *Followers
+	Blame            *blame.Tracker
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
 	NotesNotifier *Changed
 	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
@@ -130,7 +130,7 @@
 	})
 	kernel.Provide(env, &Parts{
 		Blame: ld, NotesNotifier: noted, Limits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
-		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, Followers: &Followers{}, Pool: pl,
+		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, StoreCoordinator: &Followers{}, Pool: pl,
 	})
 	return func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, releaseMost)
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	du := newDuty()
-	du.ad, du.rts, du.dr, du.ds, du.fo, du.ld = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.Followers, pt.Blame
+	du.ad, du.rts, du.dr, du.ds, du.fo, du.ld = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.StoreCoordinator, pt.Blame
 	du.limits = pt.Limits
 	du.lg = env.Logger("peers")
 	var lc net.ListenConfig
@@ -110,8 +110,8 @@
 	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.Subscribers()) })
 	pt.Dispatcher.SetLag(du.ms.Lag)
 	fl := &follower{self: op.Self, lg: du.lg}
-	pt.Followers.Set(func() forwarding.Part { return fl.of(du.ms) })
-	pt.Followers.SetReach(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreless) })
+	pt.StoreCoordinator.Set(func() forwarding.Part { return fl.of(du.ms) })
+	pt.StoreCoordinator.SetReach(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreless) })
 	kernel.Provide(env, du.ms)
 	return du.run(l, env), nil
 }
