--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -47,8 +47,8 @@
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
 	NotesNotifier *Changed
 	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
-	Limits  *ratelimit.Book
-	Permits *permit.Client
+	RateLimits *ratelimit.Book
+	Permits    *permit.Client
 	// BackOffs is which targets want no requests from this instance, and Feedback takes what answers say of all this.
 	BackOffs *backoff.Book
 	Feedback *feedback.Recorder
@@ -129,7 +129,7 @@
 		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Tell, Metrics: ms, Log: env.Logger("blame"),
 	})
 	kernel.Provide(env, &Parts{
-		Blame: ld, NotesNotifier: noted, Limits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
+		Blame: ld, NotesNotifier: noted, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
 		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, StoreCoordinator: &Followers{}, Pool: pl,
 	})
 	return func(ctx context.Context) error {
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -92,7 +92,7 @@
 	}
 	du := newDuty()
 	du.ad, du.rts, du.dr, du.ds, du.fo, du.ld = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.StoreCoordinator, pt.Blame
-	du.limits = pt.Limits
+	du.limits = pt.RateLimits
 	du.lg = env.Logger("peers")
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", env.Settings.Gateway.Peers)
