--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -50,7 +50,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Parts](env)
+	pt, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -34,7 +34,7 @@
 }
 
 // Parts are what the duties of a gateway share. All fields are set.
-type Parts struct {
+type Components struct {
 	Adapter          adapter.Adapter
 	Routes           *routes.Holder
 	Targets          *targets.Directory
@@ -128,7 +128,7 @@
 	ld := blame.New(blame.Options{
 		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Tell, Metrics: ms, Log: env.Logger("blame"),
 	})
-	kernel.Provide(env, &Parts{
+	kernel.Provide(env, &Components{
 		Blame: ld, NotesNotifier: noted, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
 		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, StoreCoordinator: &Followers{}, Pool: pl,
 	})
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -62,7 +62,7 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Parts](env)
+	pt, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 }
 
 // build joins the parts of the gateway.
-func build(env *kernel.Env, pt *forwarding.Parts, rt *budget.Retries) *gateway.Gateway {
+func build(env *kernel.Env, pt *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
 		Protocol: pt.Adapter.Protocol, Routes: pt.Routes, Targets: pt.Targets, Dispatcher: pt.Dispatcher, Pool: pt.Pool,
@@ -160,7 +160,7 @@
 }
 
 // operators serves the metrics, and the judgements on requests that end targets.
-func operators(pt *forwarding.Parts) http.Handler {
+func operators(pt *forwarding.Components) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		pt.Metrics.WritePrometheus(w)
--- a/internal/duty/frontend/metrics_test.go
+++ b/internal/duty/frontend/metrics_test.go
@@ -87,7 +87,7 @@
 	ms := metrics.NewSet()
 	ms.GetOrCreateCounter("silvermount_store_calls_total").Inc()
 	w := httptest.NewRecorder()
-	operators(&forwarding.Parts{Metrics: ms}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	operators(&forwarding.Components{Metrics: ms}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(And(
 		ContainSubstring("silvermount_store_calls_total 1\n"), ContainSubstring("process_resident_memory_bytes"),
--- a/internal/duty/frontend/shares.go
+++ b/internal/duty/frontend/shares.go
@@ -40,7 +40,7 @@
 	mostAt time.Time
 }
 
-func newShares(env *kernel.Env, pt *forwarding.Parts, mesh *gossip.Mesh, rt *budget.Retries) *shares {
+func newShares(env *kernel.Env, pt *forwarding.Components, mesh *gossip.Mesh, rt *budget.Retries) *shares {
 	sh := &shares{mesh: mesh, rts: pt.Routes, pool: pt.Pool, rt: rt, most: sharersLeast, mostAt: time.Now()}
 	sh.st.Store(env.Settings.Gateway)
 	env.OnReload(func(s config.Settings) { sh.st.Store(s.Gateway) })
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -86,7 +86,7 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Parts](env)
+	pt, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
