--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -60,7 +60,7 @@
 }
 
 // Set sets who is told.
-func (ch *Changed) Set(publish func()) { ch.publish.Store(&publish) }
+func (ch *Changed) SetCallback(publish func()) { ch.publish.Store(&publish) }
 
 // Tell tells of a change; before Set it does nothing.
 func (ch *Changed) Tell() {
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -104,8 +104,8 @@
 	du.document = du.ms.Fetch
 	du.permits = newPermits(op.Self.Name, du.ms, du.limits, du.lg)
 	pt.Permits.SetRequestFunc(du.permits.ask)
-	pt.StateNotifier.Set(du.ms.Publish)
-	pt.NotesNotifier.Set(du.ms.PublishNotes)
+	pt.StateNotifier.SetCallback(du.ms.Publish)
+	pt.NotesNotifier.SetCallback(du.ms.PublishNotes)
 	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.Links()) })
 	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.Subscribers()) })
 	pt.Dispatcher.SetLag(du.ms.Lag)
