--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -139,7 +139,7 @@
 		Confirm: func(evidence time.Time, _ position.Position) {
 			rd.reach.answered()
 			rd.rts.Confirm(rd.version, rd.proof(evidence))
-			rd.changed.Tell()
+			rd.changed.Notify()
 		},
 		Rest: func() bool {
 			version, provenAt := rd.inForce()
@@ -211,7 +211,7 @@
 		Confirm: func(evidence time.Time, at position.Position) {
 			rd.reach.answered()
 			rd.tell(rd.take(at, evidence), evidence)
-			rd.changed.Tell()
+			rd.changed.Notify()
 		},
 		Trouble: func(error) {
 			rd.reach.failed()
@@ -230,6 +230,6 @@
 		}).Info("target " + ch.What)
 	}
 	if len(changes) > 0 {
-		rd.changed.Tell()
+		rd.changed.Notify()
 	}
 }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -63,7 +63,7 @@
 func (ch *Changed) SetCallback(publish func()) { ch.publish.Store(&publish) }
 
 // Tell tells of a change; before Set it does nothing.
-func (ch *Changed) Tell() {
+func (ch *Changed) Notify() {
 	if publish := ch.publish.Load(); publish != nil {
 		(*publish)()
 	}
@@ -114,19 +114,19 @@
 	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.Len()) })
 	noted := &Changed{}
 	fb := feedback.New(feedback.Deps{
-		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Tell, LimitsChanged: noted.Tell,
+		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Notify, LimitsChanged: noted.Notify,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
 	kp.OnAnswer = func(pc reservation.Allocation, hd answer.Head) {
 		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(pc.Target), Head: hd, Came: time.Now()})
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
-		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, Changed: ch.Tell,
+		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, Changed: ch.Notify,
 		Permits: permits, TurnedElsewhere: turnedElsewhere(env.Logger("dispatch"), limits),
 		BackOffs: backOffs, Waits: waits(env.Logger("dispatch")),
 	})
 	ld := blame.New(blame.Options{
-		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Tell, Metrics: ms, Log: env.Logger("blame"),
+		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Notify, Metrics: ms, Log: env.Logger("blame"),
 	})
 	kernel.Provide(env, &Components{
 		Blame: ld, NotesNotifier: noted, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
