--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -30,7 +30,7 @@
 	dr  *targets.Directory
 	lg  log.Interface
 	// changed is told of news that peers may lack.
-	changed *forwarding.Changed
+	changed *forwarding.Notifier
 	// followers says whether peers follow the store for this instance.
 	followers *forwarding.Followers
 	// seeds is set when there may be peers, first when the whole fleet starts for the first time.
--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -222,7 +222,7 @@
 			},
 			Target: func(ob objectstore.Object) (targets.Target, error) { return targets.Target{ID: ob.Name}, nil },
 		},
-		rts: &routes.Holder{}, dr: targets.New(time.Now), changed: &forwarding.Changed{}, followers: rl, seeds: true, first: true,
+		rts: &routes.Holder{}, dr: targets.New(time.Now), changed: &forwarding.Notifier{}, followers: rl, seeds: true, first: true,
 		leavingBound: newsBound, configurationBound: newsBound,
 		lg: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 	}
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -41,11 +41,11 @@
 	Dispatcher       *dispatch.Dispatcher
 	Pool             *upstream.Pool
 	Metrics          *metrics.Set
-	StateNotifier    *Changed
+	StateNotifier    *Notifier
 	StoreCoordinator *Followers
 	Blame            *blame.Tracker
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
-	NotesNotifier *Changed
+	NotesNotifier *Notifier
 	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
 	RateLimits *ratelimit.Book
 	Permits    *permit.Client
@@ -55,15 +55,15 @@
 }
 
 // Changed is told when what this instance knows or has in flight changes. It is safe for use by any goroutine.
-type Changed struct {
+type Notifier struct {
 	publish atomic.Pointer[func()]
 }
 
 // Set sets who is told.
-func (ch *Changed) SetCallback(publish func()) { ch.publish.Store(&publish) }
+func (ch *Notifier) SetCallback(publish func()) { ch.publish.Store(&publish) }
 
 // Tell tells of a change; before Set it does nothing.
-func (ch *Changed) Notify() {
+func (ch *Notifier) Notify() {
 	if publish := ch.publish.Load(); publish != nil {
 		(*publish)()
 	}
@@ -101,7 +101,7 @@
 	}
 	pl := upstream.NewPool(time.Now, ms, env.Settings.Gateway.DialTimeout.Std())
 	dr := targets.New(time.Now, targets.WithSuperseded(func(tg targets.Target) { pl.Forget(tg.Address) }))
-	ch := &Changed{}
+	ch := &Notifier{}
 	kp := &reservation.Manager{
 		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, IsCurrent: dr.Present,
 		Timeout: env.Settings.Gateway.OrderTimeout.Std(), LeaseDuration: env.Settings.Gateway.MemoryHold.Std(), Log: env.Logger("memory"),
@@ -112,7 +112,7 @@
 	backOffs := backoff.New(time.Now, rand.Float64)
 	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LenLeaving()) })
 	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.Len()) })
-	noted := &Changed{}
+	noted := &Notifier{}
 	fb := feedback.New(feedback.Deps{
 		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Notify, LimitsChanged: noted.Notify,
 		Log: env.Logger("feedback"), Now: time.Now,
