--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -284,7 +284,7 @@
 	if mine, _ := to.rd.inForce(); to.rd.followers.Newest() <= mine {
 		to.lacks = time.Now()
 	}
-	to.rd.followers.Heard(tb.Version())
+	to.rd.followers.RecordPeerVersion(tb.Version())
 	if time.Since(to.lacks) >= fetched {
 		to.rd.rts.Offer(tb, []byte("{}"), provenAt)
 	}
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -46,7 +46,7 @@
 const maxLacked = 64
 
 // Heard notes a configuration that a peer told of.
-func (fo *Followers) Heard(version int64) {
+func (fo *Followers) RecordPeerVersion(version int64) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	if version > fo.newest {
--- a/internal/duty/forwarding/followers_test.go
+++ b/internal/duty/forwarding/followers_test.go
@@ -42,7 +42,7 @@
 				g := NewWithT(t)
 				var fo Followers
 				for _, version := range tc.heard {
-					fo.Heard(version)
+					fo.RecordPeerVersion(version)
 					time.Sleep(time.Second)
 				}
 				g.Expect(fo.Lacking(tc.inForce)).To(Equal(tc.want))
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -210,7 +210,7 @@
 // links would not carry it to all at once: there it is taken from those that this instance is linked to, once they have it,
 // and from another only when that does not help.
 func (du *duty) wantConfiguration(nw newer) {
-	du.fo.Heard(nw.version)
+	du.fo.RecordPeerVersion(nw.version)
 	if du.fo.Follows() || du.ms.Source(nw.from) {
 		du.want(nw)
 		return
