--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -149,7 +149,7 @@
 			_, provenAt := rd.rts.Current()
 			return pc.retry(provenAt)
 		},
-		Newest: rd.followers.Newest,
+		Newest: rd.followers.NewestPeerVersion,
 		Trouble: func(error) {
 			rd.reach.failed()
 			// A listener seldom asks for targets, and a store that nobody reaches is in trouble for both kinds.
@@ -164,7 +164,7 @@
 // they told of has none for that reason.
 func (rd *reader) unproven(fresh time.Duration) bool {
 	tb, provenAt := rd.rts.Current()
-	return tb != nil && rd.followers.Newest() <= tb.Version() && time.Since(provenAt) >= fresh
+	return tb != nil && rd.followers.NewestPeerVersion() <= tb.Version() && time.Since(provenAt) >= fresh
 }
 
 // inForce returns the version of the configuration in force, zero for none, and the time of its newest proof.
--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -281,7 +281,7 @@
 	if tb == nil || to.rd.rts.Confirm(tb.Version(), provenAt) {
 		return
 	}
-	if mine, _ := to.rd.inForce(); to.rd.followers.Newest() <= mine {
+	if mine, _ := to.rd.inForce(); to.rd.followers.NewestPeerVersion() <= mine {
 		to.lacks = time.Now()
 	}
 	to.rd.followers.RecordPeerVersion(tb.Version())
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -65,7 +65,7 @@
 }
 
 // Newest returns the newest configuration that a peer told of.
-func (fo *Followers) Newest() int64 {
+func (fo *Followers) NewestPeerVersion() int64 {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.newest
