--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -143,7 +143,7 @@
 		},
 		Rest: func() bool {
 			version, provenAt := rd.inForce()
-			return rd.followers.Lacking(version) < newsTime && rd.rests(pc, rd.ad.ConfigurationKind, rd.provable(provenAt))
+			return rd.followers.BehindFor(version) < newsTime && rd.rests(pc, rd.ad.ConfigurationKind, rd.provable(provenAt))
 		},
 		Retry: func() (least, most time.Duration) {
 			_, provenAt := rd.rts.Current()
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -72,7 +72,7 @@
 }
 
 // Lacking returns for how long peers have told of a newer configuration than that in force; zero when none did.
-func (fo *Followers) Lacking(version int64) time.Duration {
+func (fo *Followers) BehindFor(version int64) time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	fo.lacked = slices.DeleteFunc(fo.lacked, func(tv toldVersion) bool { return tv.version <= version })
--- a/internal/duty/forwarding/followers_test.go
+++ b/internal/duty/forwarding/followers_test.go
@@ -45,8 +45,8 @@
 					fo.RecordPeerVersion(version)
 					time.Sleep(time.Second)
 				}
-				g.Expect(fo.Lacking(tc.inForce)).To(Equal(tc.want))
-				g.Expect(fo.Lacking(tc.inForce)).To(Equal(tc.want), "asked again")
+				g.Expect(fo.BehindFor(tc.inForce)).To(Equal(tc.want))
+				g.Expect(fo.BehindFor(tc.inForce)).To(Equal(tc.want), "asked again")
 			})
 		})
 	}
