--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -86,7 +86,7 @@
 func (fo *Followers) Set(part func() Part) { fo.part.Store(&part) }
 
 // SetReach sets who is told whether the store answers this instance.
-func (fo *Followers) SetReach(reach func(answered bool)) { fo.reach.Store(&reach) }
+func (fo *Followers) SetOnStoreResult(reach func(answered bool)) { fo.reach.Store(&reach) }
 
 // Reach tells whether the store answers this instance; before SetReach it does nothing.
 func (fo *Followers) Reach(answered bool) {
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -111,7 +111,7 @@
 	pt.Dispatcher.SetLag(du.ms.Lag)
 	fl := &follower{self: op.Self, lg: du.lg}
 	pt.StoreCoordinator.Set(func() forwarding.Part { return fl.of(du.ms) })
-	pt.StoreCoordinator.SetReach(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreless) })
+	pt.StoreCoordinator.SetOnStoreResult(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreless) })
 	kernel.Provide(env, du.ms)
 	return du.run(l, env), nil
 }
