--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -66,7 +66,7 @@
 		seeds: len(gw.Seeds) > 0, first: gw.FirstStart,
 		leavingBound: gw.LeavingBound.Std(), configurationBound: configurationBound(gw),
 	}
-	rd.reach = newReach(rd.patience(), pt.StoreCoordinator.Reach)
+	rd.reach = newReach(rd.patience(), pt.StoreCoordinator.ReportStoreResult)
 	st := pt.Adapter.Store(gw.Store, rd.patience(), calls.Inc)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -89,7 +89,7 @@
 func (fo *Followers) SetOnStoreResult(reach func(answered bool)) { fo.reach.Store(&reach) }
 
 // Reach tells whether the store answers this instance; before SetReach it does nothing.
-func (fo *Followers) Reach(answered bool) {
+func (fo *Followers) ReportStoreResult(answered bool) {
 	if reach := fo.reach.Load(); reach != nil {
 		(*reach)(answered)
 	}
