--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -207,7 +207,7 @@
 	ma := &machine{name: fmt.Sprintf("instance-%d", i), store: fl.store}
 	rl := &forwarding.Followers{}
 	began := time.Now()
-	rl.Set(func() forwarding.Part {
+	rl.SetRole(func() forwarding.Part {
 		if time.Since(began) < tell {
 			return forwarding.PartUnmet
 		}
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -83,7 +83,7 @@
 }
 
 // Set sets who decides.
-func (fo *Followers) Set(part func() Part) { fo.part.Store(&part) }
+func (fo *Followers) SetRole(part func() Part) { fo.part.Store(&part) }
 
 // SetReach sets who is told whether the store answers this instance.
 func (fo *Followers) SetOnStoreResult(reach func(answered bool)) { fo.reach.Store(&reach) }
