--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -123,7 +123,7 @@
 }
 
 func (rd *reader) configuration(st follow.Store, lg log.Interface) *follow.Follower {
-	pc := newPace(rd.configurationBound, rd.followers.Part, rd.seeds, rd.first)
+	pc := newPace(rd.configurationBound, rd.followers.Role, rd.seeds, rd.first)
 	return &follow.Follower{
 		Store: st, Kind: rd.ad.ConfigurationKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
@@ -197,7 +197,7 @@
 }
 
 func (rd *reader) targets(st follow.Store, lg log.Interface) *follow.Follower {
-	pc := newPace(rd.leavingBound, rd.followers.Part, rd.seeds, rd.first)
+	pc := newPace(rd.leavingBound, rd.followers.Role, rd.seeds, rd.first)
 	return &follow.Follower{
 		Store: st, Kind: rd.ad.TargetKind, Log: lg, Pause: pc.pause, Wait: pc.wait,
 		Replace: func(items []objectstore.Object, evidence time.Time) {
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -96,7 +96,7 @@
 }
 
 // Part returns this instance's part; before Set it has met nobody.
-func (fo *Followers) Part() Part {
+func (fo *Followers) Role() Part {
 	part := fo.part.Load()
 	if part == nil {
 		return PartUnmet
@@ -105,4 +105,4 @@
 }
 
 // Follows reports whether this instance has to follow the store itself.
-func (fo *Followers) Follows() bool { return fo.Part() < PartStandIn }
+func (fo *Followers) Follows() bool { return fo.Role() < PartStandIn }
