--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -153,7 +153,7 @@
 		Trouble: func(error) {
 			rd.reach.failed()
 			// A listener seldom asks for targets, and a store that nobody reaches is in trouble for both kinds.
-			if !rd.followers.Follows() && rd.unproven(pc.rest) {
+			if !rd.followers.FollowsStore() && rd.unproven(pc.rest) {
 				rd.dr.Trouble()
 			}
 		},
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -105,4 +105,4 @@
 }
 
 // Follows reports whether this instance has to follow the store itself.
-func (fo *Followers) Follows() bool { return fo.Role() < PartStandIn }
+func (fo *Followers) FollowsStore() bool { return fo.Role() < PartStandIn }
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -211,7 +211,7 @@
 // and from another only when that does not help.
 func (du *duty) wantConfiguration(nw newer) {
 	du.fo.RecordPeerVersion(nw.version)
-	if du.fo.Follows() || du.ms.Source(nw.from) {
+	if du.fo.FollowsStore() || du.ms.Source(nw.from) {
 		du.want(nw)
 		return
 	}
@@ -232,7 +232,7 @@
 	case st.TargetsPosition.IsZero() || mine.After(st.TargetsPosition):
 	case st.TargetsPosition == mine:
 		du.tellTargets(du.lg.WithField("peer", from.Name), du.dr.Confirm(evidence), evidence)
-	case !du.fo.Follows() && !du.ms.Source(from):
+	case !du.fo.FollowsStore() && !du.ms.Source(from):
 		// The linked relays will have it too.
 		time.AfterFunc(sourceFirst, func() {
 			du.want(newer{document: targetsDocument, from: from, at: st.TargetsPosition, evidence: evidence})
