--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -32,7 +32,7 @@
 	// changed is told of news that peers may lack.
 	changed *forwarding.Notifier
 	// followers says whether peers follow the store for this instance.
-	followers *forwarding.Followers
+	followers *forwarding.StoreCoordinator
 	// seeds is set when there may be peers, first when the whole fleet starts for the first time.
 	seeds, first bool
 	// reach is told of each answer and of each failed call.
--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -205,7 +205,7 @@
 
 func (fl *fleet) machine(i int) *machine {
 	ma := &machine{name: fmt.Sprintf("instance-%d", i), store: fl.store}
-	rl := &forwarding.Followers{}
+	rl := &forwarding.StoreCoordinator{}
 	began := time.Now()
 	rl.SetRole(func() forwarding.Part {
 		if time.Since(began) < tell {
--- a/internal/duty/facts/older_test.go
+++ b/internal/duty/facts/older_test.go
@@ -48,7 +48,7 @@
 			ad: adapter.Adapter{TargetKind: kindTargets, Target: func(ob objectstore.Object) (targets.Target, error) {
 				return targets.Target{ID: ob.Name}, nil
 			}},
-			dr: dr, lg: &log.Logger{Handler: discard.New()}, changed: &forwarding.Notifier{}, followers: &forwarding.Followers{},
+			dr: dr, lg: &log.Logger{Handler: discard.New()}, changed: &forwarding.Notifier{}, followers: &forwarding.StoreCoordinator{},
 			leavingBound: 3 * time.Second, configurationBound: 3 * time.Second,
 		}
 		rd.reach = newReach(rd.patience(), func(bool) {})
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -22,7 +22,7 @@
 )
 
 // Followers says whether this instance follows the store for others. It is safe for use by any goroutine.
-type Followers struct {
+type StoreCoordinator struct {
 	part atomic.Pointer[func() Part]
 	// reach is told whether the store answers this instance.
 	reach atomic.Pointer[func(answered bool)]
@@ -46,7 +46,7 @@
 const maxLacked = 64
 
 // Heard notes a configuration that a peer told of.
-func (fo *Followers) RecordPeerVersion(version int64) {
+func (fo *StoreCoordinator) RecordPeerVersion(version int64) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	if version > fo.newest {
@@ -56,7 +56,7 @@
 }
 
 // lack remembers a version; beyond the bound the last one stands for it, with its earlier time. The lock is held.
-func (fo *Followers) lack(tv toldVersion) {
+func (fo *StoreCoordinator) lack(tv toldVersion) {
 	if len(fo.lacked) < maxLacked {
 		fo.lacked = append(fo.lacked, tv)
 		return
@@ -65,14 +65,14 @@
 }
 
 // Newest returns the newest configuration that a peer told of.
-func (fo *Followers) NewestPeerVersion() int64 {
+func (fo *StoreCoordinator) NewestPeerVersion() int64 {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.newest
 }
 
 // Lacking returns for how long peers have told of a newer configuration than that in force; zero when none did.
-func (fo *Followers) BehindFor(version int64) time.Duration {
+func (fo *StoreCoordinator) BehindFor(version int64) time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	fo.lacked = slices.DeleteFunc(fo.lacked, func(tv toldVersion) bool { return tv.version <= version })
@@ -83,20 +83,20 @@
 }
 
 // Set sets who decides.
-func (fo *Followers) SetRole(part func() Part) { fo.part.Store(&part) }
+func (fo *StoreCoordinator) SetRole(part func() Part) { fo.part.Store(&part) }
 
 // SetReach sets who is told whether the store answers this instance.
-func (fo *Followers) SetOnStoreResult(reach func(answered bool)) { fo.reach.Store(&reach) }
+func (fo *StoreCoordinator) SetOnStoreResult(reach func(answered bool)) { fo.reach.Store(&reach) }
 
 // Reach tells whether the store answers this instance; before SetReach it does nothing.
-func (fo *Followers) ReportStoreResult(answered bool) {
+func (fo *StoreCoordinator) ReportStoreResult(answered bool) {
 	if reach := fo.reach.Load(); reach != nil {
 		(*reach)(answered)
 	}
 }
 
 // Part returns this instance's part; before Set it has met nobody.
-func (fo *Followers) Role() Part {
+func (fo *StoreCoordinator) Role() Part {
 	part := fo.part.Load()
 	if part == nil {
 		return PartUnmet
@@ -105,4 +105,4 @@
 }
 
 // Follows reports whether this instance has to follow the store itself.
-func (fo *Followers) FollowsStore() bool { return fo.Role() < PartStandIn }
+func (fo *StoreCoordinator) FollowsStore() bool { return fo.Role() < PartStandIn }
--- a/internal/duty/forwarding/followers_test.go
+++ b/internal/duty/forwarding/followers_test.go
@@ -40,7 +40,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				var fo Followers
+				var fo StoreCoordinator
 				for _, version := range tc.heard {
 					fo.RecordPeerVersion(version)
 					time.Sleep(time.Second)
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -42,7 +42,7 @@
 	Pool             *upstream.Pool
 	Metrics          *metrics.Set
 	StateNotifier    *Notifier
-	StoreCoordinator *Followers
+	StoreCoordinator *StoreCoordinator
 	Blame            *blame.Tracker
 	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
 	NotesNotifier *Notifier
@@ -130,7 +130,7 @@
 	})
 	kernel.Provide(env, &Components{
 		Blame: ld, NotesNotifier: noted, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
-		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, StoreCoordinator: &Followers{}, Pool: pl,
+		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, StoreCoordinator: &StoreCoordinator{}, Pool: pl,
 	})
 	return func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, releaseMost)
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -66,7 +66,7 @@
 	ds  *dispatch.Dispatcher
 	lg  log.Interface
 	ms  *gossip.Mesh
-	fo  *forwarding.Followers
+	fo  *forwarding.StoreCoordinator
 	ld  *blame.Tracker
 	// limits is what is believed of the rate limits of targets, and permits keeps to them with the others.
 	limits  *ratelimit.Book
