--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -207,7 +207,7 @@
 	ma := &machine{name: fmt.Sprintf("instance-%d", i), store: fl.store}
 	rl := &forwarding.StoreCoordinator{}
 	began := time.Now()
-	rl.SetRole(func() forwarding.Part {
+	rl.SetRole(func() forwarding.Role {
 		if time.Since(began) < tell {
 			return forwarding.PartUnmet
 		}
@@ -232,7 +232,7 @@
 
 // part takes the first live machines that the store answers for followers, and those that would be followers if it answered all; a
 // cut machine sees nobody.
-func (fl *fleet) part(i int) forwarding.Part {
+func (fl *fleet) part(i int) forwarding.Role {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.machines[i].cut.Load() {
--- a/internal/duty/facts/pace.go
+++ b/internal/duty/facts/pace.go
@@ -76,7 +76,7 @@
 // pace says how often one instance asks the store.
 type pace struct {
 	windows
-	part func() forwarding.Part
+	part func() forwarding.Role
 	// spread is this instance's share of the time over which the instances of its part ask, drawn once.
 	spread float64
 	// started is when this instance began to follow.
@@ -87,7 +87,7 @@
 	listed bool
 }
 
-func newPace(bound time.Duration, part func() forwarding.Part, seeds, first bool) *pace {
+func newPace(bound time.Duration, part func() forwarding.Role, seeds, first bool) *pace {
 	return &pace{windows: newWindows(bound), part: part, spread: rand.Float64(), started: time.Now(), seeds: seeds, first: first}
 }
 
--- a/internal/duty/facts/pace_test.go
+++ b/internal/duty/facts/pace_test.go
@@ -18,13 +18,13 @@
 // win are the windows of the paces under test.
 var win = newWindows(newsBound)
 
-func paceOf(part forwarding.Part, seeds bool) *pace {
-	return newPace(newsBound, func() forwarding.Part { return part }, seeds, false)
+func paceOf(part forwarding.Role, seeds bool) *pace {
+	return newPace(newsBound, func() forwarding.Role { return part }, seeds, false)
 }
 
 func TestPause(t *testing.T) {
 	tests := map[string]struct {
-		part        forwarding.Part
+		part        forwarding.Role
 		seeds       bool
 		news        bool
 		first, next span
@@ -52,7 +52,7 @@
 
 func TestRests(t *testing.T) {
 	tests := map[string]struct {
-		part forwarding.Part
+		part forwarding.Role
 		age  time.Duration
 		want bool
 	}{
@@ -77,7 +77,7 @@
 // TestRestsAtTheStart: nothing was heard yet.
 func TestRestsAtTheStart(t *testing.T) {
 	tests := map[string]struct {
-		part         forwarding.Part
+		part         forwarding.Role
 		seeds, first bool
 		after        time.Duration
 		want         bool
@@ -99,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				pc := newPace(newsBound, func() forwarding.Part { return tc.part }, tc.seeds, tc.first)
+				pc := newPace(newsBound, func() forwarding.Role { return tc.part }, tc.seeds, tc.first)
 				pc.rests(time.Time{})
 				time.Sleep(tc.after)
 				g.Expect(pc.rests(time.Time{})).To(Equal(tc.want))
@@ -110,7 +110,7 @@
 
 func TestRetry(t *testing.T) {
 	tests := map[string]struct {
-		part forwarding.Part
+		part forwarding.Role
 		age  time.Duration
 		want span
 	}{
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -8,13 +8,13 @@
 )
 
 // Part is what an instance does for the fleet's knowledge of the store.
-type Part int
+type Role int
 
 // An instance that has met nobody yet, or is one of few, follows the store for itself only. A follower follows it for the whole
 // fleet. The others hear of it from peers: a stand-in asks the store when the followers are silent, a listener when the stand-ins are
 // silent too.
 const (
-	PartUnmet Part = iota
+	PartUnmet Role = iota
 	PartAlone
 	PartFollower
 	PartStandIn
@@ -23,7 +23,7 @@
 
 // Followers says whether this instance follows the store for others. It is safe for use by any goroutine.
 type StoreCoordinator struct {
-	part atomic.Pointer[func() Part]
+	part atomic.Pointer[func() Role]
 	// reach is told whether the store answers this instance.
 	reach atomic.Pointer[func(answered bool)]
 
@@ -83,7 +83,7 @@
 }
 
 // Set sets who decides.
-func (fo *StoreCoordinator) SetRole(part func() Part) { fo.part.Store(&part) }
+func (fo *StoreCoordinator) SetRole(part func() Role) { fo.part.Store(&part) }
 
 // SetReach sets who is told whether the store answers this instance.
 func (fo *StoreCoordinator) SetOnStoreResult(reach func(answered bool)) { fo.reach.Store(&reach) }
@@ -96,7 +96,7 @@
 }
 
 // Part returns this instance's part; before Set it has met nobody.
-func (fo *StoreCoordinator) Role() Part {
+func (fo *StoreCoordinator) Role() Role {
 	part := fo.part.Load()
 	if part == nil {
 		return PartUnmet
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -30,7 +30,7 @@
 // store answers before those that it does not, then those with more of the network, as for the relays of gossip, and then by hash.
 // The followers are the first of the zones, and then the second ones. Two instances that see different ones as live only mean
 // a follower more or less for a while, since what peers tell grows old and is then asked for.
-func part(self gossip.Member, live []gossip.Member) forwarding.Part {
+func part(self gossip.Member, live []gossip.Member) forwarding.Role {
 	switch {
 	case len(live) == 1:
 		return forwarding.PartUnmet
@@ -130,7 +130,7 @@
 
 // reach tells the others whether the store answers this instance, as far as it concerns them: that it does not, only a follower or
 // a stand-in says, since each change is passed on to all.
-func reach(answered bool, pa forwarding.Part, live func() []gossip.Member, setStoreless func(bool)) {
+func reach(answered bool, pa forwarding.Role, live func() []gossip.Member, setStoreless func(bool)) {
 	if answered {
 		setStoreless(false)
 		return
@@ -159,12 +159,12 @@
 
 	mu sync.Mutex
 	// newest was decided for a version of the member list.
-	newest  forwarding.Part
+	newest  forwarding.Role
 	version uint64
 }
 
 // of returns what this instance does for the others by the newest list of members.
-func (fl *follower) of(ms *gossip.Mesh) forwarding.Part {
+func (fl *follower) of(ms *gossip.Mesh) forwarding.Role {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if version := ms.Version(); version != fl.version {
@@ -175,7 +175,7 @@
 }
 
 // part decides from the live members.
-func (fl *follower) part(live []gossip.Member) forwarding.Part {
+func (fl *follower) part(live []gossip.Member) forwarding.Role {
 	pa := part(fl.self, live)
 	rests := pa >= forwarding.PartStandIn
 	if fl.rests.Swap(rests) == rests {
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -58,11 +58,11 @@
 func TestThreeFollowInManyZones(t *testing.T) {
 	g := NewWithT(t)
 	live := fleet(59, "a", "b", "c", "d", "e")
-	counts := map[forwarding.Part]int{}
+	counts := map[forwarding.Role]int{}
 	for _, mb := range live {
 		counts[part(mb, live)]++
 	}
-	g.Expect(counts).To(Equal(map[forwarding.Part]int{
+	g.Expect(counts).To(Equal(map[forwarding.Role]int{
 		forwarding.PartFollower: 3, forwarding.PartStandIn: 7, forwarding.PartListener: 285,
 	}))
 	g.Expect(countFollowers(live)).To(HaveLen(3), "in different zones")
@@ -142,7 +142,7 @@
 func TestOnlyFollowersAndStandInsTellThatTheyAreUnanswered(t *testing.T) {
 	tests := map[string]struct {
 		answered bool
-		part     forwarding.Part
+		part     forwarding.Role
 		// storeless counts those of twenty that say so already.
 		storeless int
 		want      []bool
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -110,7 +110,7 @@
 	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.Subscribers()) })
 	pt.Dispatcher.SetLag(du.ms.Lag)
 	fl := &follower{self: op.Self, lg: du.lg}
-	pt.StoreCoordinator.SetRole(func() forwarding.Part { return fl.of(du.ms) })
+	pt.StoreCoordinator.SetRole(func() forwarding.Role { return fl.of(du.ms) })
 	pt.StoreCoordinator.SetOnStoreResult(func(answered bool) { reach(answered, fl.of(du.ms), du.ms.Live, du.ms.SetStoreless) })
 	kernel.Provide(env, du.ms)
 	return du.run(l, env), nil
