--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -209,7 +209,7 @@
 	began := time.Now()
 	rl.SetRole(func() forwarding.Role {
 		if time.Since(began) < tell {
-			return forwarding.PartUnmet
+			return forwarding.RoleJoining
 		}
 		return fl.part(i)
 	})
--- a/internal/duty/facts/pace_test.go
+++ b/internal/duty/facts/pace_test.go
@@ -31,7 +31,7 @@
 	}{
 		"alone without peers": {forwarding.PartAlone, false, true, span{}, span{}},
 		"alone, peers not met yet": {
-			forwarding.PartUnmet, true, true, span{meetTime / 2, meetTime}, span{},
+			forwarding.RoleJoining, true, true, span{meetTime / 2, meetTime}, span{},
 		},
 		"follower after news":    {forwarding.PartFollower, true, true, span{0, newsPause}, span{0, newsPause}},
 		"follower after silence": {forwarding.PartFollower, true, false, span{}, span{}},
@@ -82,11 +82,11 @@
 		after        time.Duration
 		want         bool
 	}{
-		"restart, nobody met":        {forwarding.PartUnmet, true, false, 0, false},
+		"restart, nobody met":        {forwarding.RoleJoining, true, false, 0, false},
 		"restart of a listener":      {forwarding.PartListener, true, false, 0, false},
-		"peers may be met":           {forwarding.PartUnmet, true, true, firstTime - 1, true},
-		"none was met":               {forwarding.PartUnmet, true, true, firstTime + firstSpread, false},
-		"no peers to be met":         {forwarding.PartUnmet, false, true, 0, false},
+		"peers may be met":           {forwarding.RoleJoining, true, true, firstTime - 1, true},
+		"none was met":               {forwarding.RoleJoining, true, true, firstTime + firstSpread, false},
+		"no peers to be met":         {forwarding.RoleJoining, false, true, 0, false},
 		"alone":                      {forwarding.PartAlone, true, true, firstTime + firstSpread, false},
 		"follower":                   {forwarding.PartFollower, true, true, firstTime + firstSpread, false},
 		"follower, more may be met":  {forwarding.PartFollower, true, true, firstTime - 1, true},
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -14,7 +14,7 @@
 // fleet. The others hear of it from peers: a stand-in asks the store when the followers are silent, a listener when the stand-ins are
 // silent too.
 const (
-	PartUnmet Role = iota
+	RoleJoining Role = iota
 	PartAlone
 	PartFollower
 	PartStandIn
@@ -99,7 +99,7 @@
 func (fo *StoreCoordinator) Role() Role {
 	part := fo.part.Load()
 	if part == nil {
-		return PartUnmet
+		return RoleJoining
 	}
 	return (*part)()
 }
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -33,7 +33,7 @@
 func part(self gossip.Member, live []gossip.Member) forwarding.Role {
 	switch {
 	case len(live) == 1:
-		return forwarding.PartUnmet
+		return forwarding.RoleJoining
 	case len(live) <= followersFrom:
 		return forwarding.PartAlone
 	}
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -85,7 +85,7 @@
 
 func TestInstanceThatKnowsNobody(t *testing.T) {
 	live := fleet(1, "a")
-	NewWithT(t).Expect(part(live[0], live)).To(Equal(forwarding.PartUnmet))
+	NewWithT(t).Expect(part(live[0], live)).To(Equal(forwarding.RoleJoining))
 }
 
 func TestAnotherFollowsForOneThatIsLost(t *testing.T) {
