--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -236,7 +236,7 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.machines[i].cut.Load() {
-		return forwarding.PartAlone
+		return forwarding.RoleStandalone
 	}
 	before, usually := 0, 0
 	for j, ma := range fl.machines {
--- a/internal/duty/facts/pace_test.go
+++ b/internal/duty/facts/pace_test.go
@@ -29,7 +29,7 @@
 		news        bool
 		first, next span
 	}{
-		"alone without peers": {forwarding.PartAlone, false, true, span{}, span{}},
+		"alone without peers": {forwarding.RoleStandalone, false, true, span{}, span{}},
 		"alone, peers not met yet": {
 			forwarding.RoleJoining, true, true, span{meetTime / 2, meetTime}, span{},
 		},
@@ -61,7 +61,7 @@
 		"stand-in, fresh":                {forwarding.PartStandIn, win.rest - 1, true},
 		"stand-in, old":                  {forwarding.PartStandIn, win.rest + win.standInSpread, false},
 		"follower":                       {forwarding.PartFollower, 0, false},
-		"alone":                          {forwarding.PartAlone, 0, false},
+		"alone":                          {forwarding.RoleStandalone, 0, false},
 		"listener that never heard once": {forwarding.PartListener, 24 * time.Hour, false},
 	}
 	for name, tc := range tests {
@@ -87,7 +87,7 @@
 		"peers may be met":           {forwarding.RoleJoining, true, true, firstTime - 1, true},
 		"none was met":               {forwarding.RoleJoining, true, true, firstTime + firstSpread, false},
 		"no peers to be met":         {forwarding.RoleJoining, false, true, 0, false},
-		"alone":                      {forwarding.PartAlone, true, true, firstTime + firstSpread, false},
+		"alone":                      {forwarding.RoleStandalone, true, true, firstTime + firstSpread, false},
 		"follower":                   {forwarding.PartFollower, true, true, firstTime + firstSpread, false},
 		"follower, more may be met":  {forwarding.PartFollower, true, true, firstTime - 1, true},
 		"listener, peers may tell":   {forwarding.PartListener, true, true, toldTime, true},
@@ -114,7 +114,7 @@
 		age  time.Duration
 		want span
 	}{
-		"alone":                        {forwarding.PartAlone, 0, span{aloneRetryLeast, aloneRetryMost}},
+		"alone":                        {forwarding.RoleStandalone, 0, span{aloneRetryLeast, aloneRetryMost}},
 		"listener":                     {forwarding.PartListener, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
 		"stand-in":                     {forwarding.PartStandIn, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
 		"follower, others have proof":  {forwarding.PartFollower, win.rest - 1, span{followerRetryLeast, followerRetryMost}},
@@ -133,7 +133,7 @@
 
 func TestWait(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(paceOf(forwarding.PartAlone, true).wait()).To(Equal(win.alone))
+	g.Expect(paceOf(forwarding.RoleStandalone, true).wait()).To(Equal(win.alone))
 	g.Expect(paceOf(forwarding.PartFollower, true).wait()).To(Equal(win.watch))
 	g.Expect(paceOf(forwarding.PartListener, true).wait()).To(Equal(listenerWait))
 }
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -15,7 +15,7 @@
 // silent too.
 const (
 	RoleJoining Role = iota
-	PartAlone
+	RoleStandalone
 	PartFollower
 	PartStandIn
 	PartListener
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -35,7 +35,7 @@
 	case len(live) == 1:
 		return forwarding.RoleJoining
 	case len(live) <= followersFrom:
-		return forwarding.PartAlone
+		return forwarding.RoleStandalone
 	}
 	place := placeOf(self, live)
 	switch {
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -150,7 +150,7 @@
 		"follower":                     {false, forwarding.PartFollower, 0, []bool{true}},
 		"stand-in":                     {false, forwarding.PartStandIn, 0, []bool{true}},
 		"listener":                     {false, forwarding.PartListener, 0, nil},
-		"alone":                        {false, forwarding.PartAlone, 0, nil},
+		"alone":                        {false, forwarding.RoleStandalone, 0, nil},
 		"answered as listener":         {true, forwarding.PartListener, 0, []bool{false}},
 		"follower, some say so":        {false, forwarding.PartFollower, 4, []bool{true}},
 		"follower, enough say so":      {false, forwarding.PartFollower, 5, nil},
