--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -252,7 +252,7 @@
 	}
 	switch {
 	case before < followers, usually < followers:
-		return forwarding.PartFollower
+		return forwarding.RoleFollower
 	case before < followers+standIns:
 		return forwarding.PartStandIn
 	default:
--- a/internal/duty/facts/pace.go
+++ b/internal/duty/facts/pace.go
@@ -126,7 +126,7 @@
 	first := !pc.listed
 	pc.listed = true
 	switch pc.part() {
-	case forwarding.PartFollower:
+	case forwarding.RoleFollower:
 		if news {
 			return rand.N(newsPause)
 		}
@@ -145,7 +145,7 @@
 // wait returns the bound of a silent watch.
 func (pc *pace) wait() time.Duration {
 	switch pc.part() {
-	case forwarding.PartFollower:
+	case forwarding.RoleFollower:
 		return pc.watch
 	case forwarding.PartStandIn, forwarding.PartListener:
 		return listenerWait
@@ -159,7 +159,7 @@
 	switch part := pc.part(); {
 	case part >= forwarding.PartStandIn:
 		return listenerRetryLeast, listenerRetryMost
-	case part == forwarding.PartFollower && time.Since(heard) < pc.rest:
+	case part == forwarding.RoleFollower && time.Since(heard) < pc.rest:
 		return followerRetryLeast, followerRetryMost
 	default:
 		return aloneRetryLeast, aloneRetryMost
--- a/internal/duty/facts/pace_test.go
+++ b/internal/duty/facts/pace_test.go
@@ -33,8 +33,8 @@
 		"alone, peers not met yet": {
 			forwarding.RoleJoining, true, true, span{meetTime / 2, meetTime}, span{},
 		},
-		"follower after news":    {forwarding.PartFollower, true, true, span{0, newsPause}, span{0, newsPause}},
-		"follower after silence": {forwarding.PartFollower, true, false, span{}, span{}},
+		"follower after news":    {forwarding.RoleFollower, true, true, span{0, newsPause}, span{0, newsPause}},
+		"follower after silence": {forwarding.RoleFollower, true, false, span{}, span{}},
 		"listener after news":    {forwarding.PartListener, true, true, span{listenerPause / 2, listenerPause}, span{listenerPause / 2, listenerPause}},
 		"listener after silence": {forwarding.PartListener, true, false, span{}, span{}},
 	}
@@ -60,7 +60,7 @@
 		"listener, old":                  {forwarding.PartListener, win.rest + win.listenerLater + win.listenerSpread, false},
 		"stand-in, fresh":                {forwarding.PartStandIn, win.rest - 1, true},
 		"stand-in, old":                  {forwarding.PartStandIn, win.rest + win.standInSpread, false},
-		"follower":                       {forwarding.PartFollower, 0, false},
+		"follower":                       {forwarding.RoleFollower, 0, false},
 		"alone":                          {forwarding.RoleStandalone, 0, false},
 		"listener that never heard once": {forwarding.PartListener, 24 * time.Hour, false},
 	}
@@ -88,8 +88,8 @@
 		"none was met":               {forwarding.RoleJoining, true, true, firstTime + firstSpread, false},
 		"no peers to be met":         {forwarding.RoleJoining, false, true, 0, false},
 		"alone":                      {forwarding.RoleStandalone, true, true, firstTime + firstSpread, false},
-		"follower":                   {forwarding.PartFollower, true, true, firstTime + firstSpread, false},
-		"follower, more may be met":  {forwarding.PartFollower, true, true, firstTime - 1, true},
+		"follower":                   {forwarding.RoleFollower, true, true, firstTime + firstSpread, false},
+		"follower, more may be met":  {forwarding.RoleFollower, true, true, firstTime - 1, true},
 		"listener, peers may tell":   {forwarding.PartListener, true, true, toldTime, true},
 		"listener, nobody tells":     {forwarding.PartListener, true, true, toldTime + win.listenerLater + win.listenerSpread, false},
 		"stand-in, peers may tell":   {forwarding.PartStandIn, true, true, toldTime - 1, true},
@@ -117,8 +117,8 @@
 		"alone":                        {forwarding.RoleStandalone, 0, span{aloneRetryLeast, aloneRetryMost}},
 		"listener":                     {forwarding.PartListener, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
 		"stand-in":                     {forwarding.PartStandIn, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
-		"follower, others have proof":  {forwarding.PartFollower, win.rest - 1, span{followerRetryLeast, followerRetryMost}},
-		"follower, nobody has a proof": {forwarding.PartFollower, win.rest, span{aloneRetryLeast, aloneRetryMost}},
+		"follower, others have proof":  {forwarding.RoleFollower, win.rest - 1, span{followerRetryLeast, followerRetryMost}},
+		"follower, nobody has a proof": {forwarding.RoleFollower, win.rest, span{aloneRetryLeast, aloneRetryMost}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 func TestWait(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(paceOf(forwarding.RoleStandalone, true).wait()).To(Equal(win.alone))
-	g.Expect(paceOf(forwarding.PartFollower, true).wait()).To(Equal(win.watch))
+	g.Expect(paceOf(forwarding.RoleFollower, true).wait()).To(Equal(win.watch))
 	g.Expect(paceOf(forwarding.PartListener, true).wait()).To(Equal(listenerWait))
 }
 
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -16,7 +16,7 @@
 const (
 	RoleJoining Role = iota
 	RoleStandalone
-	PartFollower
+	RoleFollower
 	PartStandIn
 	PartListener
 )
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -42,7 +42,7 @@
 	case place < followers, placeOf(self, allAnswered(live)) < followers:
 		// A follower that the store leaves without an answer goes on asking beside the one in its place, so that it is back as soon
 		// as the store answers it.
-		return forwarding.PartFollower
+		return forwarding.RoleFollower
 	case place < nowhere:
 		return forwarding.PartStandIn
 	default:
@@ -135,7 +135,7 @@
 		setStoreless(false)
 		return
 	}
-	if pa != forwarding.PartFollower && pa != forwarding.PartStandIn {
+	if pa != forwarding.RoleFollower && pa != forwarding.PartStandIn {
 		return
 	}
 	all := live()
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -63,7 +63,7 @@
 		counts[part(mb, live)]++
 	}
 	g.Expect(counts).To(Equal(map[forwarding.Role]int{
-		forwarding.PartFollower: 3, forwarding.PartStandIn: 7, forwarding.PartListener: 285,
+		forwarding.RoleFollower: 3, forwarding.PartStandIn: 7, forwarding.PartListener: 285,
 	}))
 	g.Expect(countFollowers(live)).To(HaveLen(3), "in different zones")
 }
@@ -79,7 +79,7 @@
 		live[i].Megabits = 200
 	}
 	for _, i := range large {
-		g.Expect(part(live[i], live)).To(Equal(forwarding.PartFollower))
+		g.Expect(part(live[i], live)).To(Equal(forwarding.RoleFollower))
 	}
 }
 
@@ -147,14 +147,14 @@
 		storeless int
 		want      []bool
 	}{
-		"follower":                     {false, forwarding.PartFollower, 0, []bool{true}},
+		"follower":                     {false, forwarding.RoleFollower, 0, []bool{true}},
 		"stand-in":                     {false, forwarding.PartStandIn, 0, []bool{true}},
 		"listener":                     {false, forwarding.PartListener, 0, nil},
 		"alone":                        {false, forwarding.RoleStandalone, 0, nil},
 		"answered as listener":         {true, forwarding.PartListener, 0, []bool{false}},
-		"follower, some say so":        {false, forwarding.PartFollower, 4, []bool{true}},
-		"follower, enough say so":      {false, forwarding.PartFollower, 5, nil},
-		"answered, although many said": {true, forwarding.PartFollower, 9, []bool{false}},
+		"follower, some say so":        {false, forwarding.RoleFollower, 4, []bool{true}},
+		"follower, enough say so":      {false, forwarding.RoleFollower, 5, nil},
+		"answered, although many said": {true, forwarding.RoleFollower, 9, []bool{false}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -173,7 +173,7 @@
 func followersOf(live []gossip.Member) []string {
 	var names []string
 	for _, mb := range live {
-		if part(mb, live) == forwarding.PartFollower {
+		if part(mb, live) == forwarding.RoleFollower {
 			names = append(names, mb.Name)
 		}
 	}
