--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -112,8 +112,8 @@
 	if pc.rests(heard) {
 		return true
 	}
-	if part := pc.part(); part >= forwarding.PartStandIn {
-		fs := log.Fields{"kind": kind, "stand_in": part == forwarding.PartStandIn}
+	if part := pc.part(); part >= forwarding.RoleStandby {
+		fs := log.Fields{"kind": kind, "stand_in": part == forwarding.RoleStandby}
 		if !heard.IsZero() {
 			fs["age"] = time.Since(heard).Round(time.Millisecond).String()
 		}
--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -254,7 +254,7 @@
 	case before < followers, usually < followers:
 		return forwarding.RoleFollower
 	case before < followers+standIns:
-		return forwarding.PartStandIn
+		return forwarding.RoleStandby
 	default:
 		return forwarding.PartListener
 	}
--- a/internal/duty/facts/pace.go
+++ b/internal/duty/facts/pace.go
@@ -108,7 +108,7 @@
 		}
 	}
 	switch part {
-	case forwarding.PartStandIn:
+	case forwarding.RoleStandby:
 		return age < least+pc.share(pc.standInSpread)
 	case forwarding.PartListener:
 		return age < least+pc.listenerLater+pc.share(pc.listenerSpread)
@@ -130,7 +130,7 @@
 		if news {
 			return rand.N(newsPause)
 		}
-	case forwarding.PartStandIn, forwarding.PartListener:
+	case forwarding.RoleStandby, forwarding.PartListener:
 		if news {
 			return listenerPause/2 + rand.N(listenerPause/2)
 		}
@@ -147,7 +147,7 @@
 	switch pc.part() {
 	case forwarding.RoleFollower:
 		return pc.watch
-	case forwarding.PartStandIn, forwarding.PartListener:
+	case forwarding.RoleStandby, forwarding.PartListener:
 		return listenerWait
 	default:
 		return pc.alone
@@ -157,7 +157,7 @@
 // retry returns the least and the longest pause after failed calls, where the newest evidence was heard, from whomever, at a time.
 func (pc *pace) retry(heard time.Time) (least, most time.Duration) {
 	switch part := pc.part(); {
-	case part >= forwarding.PartStandIn:
+	case part >= forwarding.RoleStandby:
 		return listenerRetryLeast, listenerRetryMost
 	case part == forwarding.RoleFollower && time.Since(heard) < pc.rest:
 		return followerRetryLeast, followerRetryMost
--- a/internal/duty/facts/pace_test.go
+++ b/internal/duty/facts/pace_test.go
@@ -58,8 +58,8 @@
 	}{
 		"listener, fresh":                {forwarding.PartListener, win.rest - 1, true},
 		"listener, old":                  {forwarding.PartListener, win.rest + win.listenerLater + win.listenerSpread, false},
-		"stand-in, fresh":                {forwarding.PartStandIn, win.rest - 1, true},
-		"stand-in, old":                  {forwarding.PartStandIn, win.rest + win.standInSpread, false},
+		"stand-in, fresh":                {forwarding.RoleStandby, win.rest - 1, true},
+		"stand-in, old":                  {forwarding.RoleStandby, win.rest + win.standInSpread, false},
 		"follower":                       {forwarding.RoleFollower, 0, false},
 		"alone":                          {forwarding.RoleStandalone, 0, false},
 		"listener that never heard once": {forwarding.PartListener, 24 * time.Hour, false},
@@ -92,8 +92,8 @@
 		"follower, more may be met":  {forwarding.RoleFollower, true, true, firstTime - 1, true},
 		"listener, peers may tell":   {forwarding.PartListener, true, true, toldTime, true},
 		"listener, nobody tells":     {forwarding.PartListener, true, true, toldTime + win.listenerLater + win.listenerSpread, false},
-		"stand-in, peers may tell":   {forwarding.PartStandIn, true, true, toldTime - 1, true},
-		"stand-in, nobody tells yet": {forwarding.PartStandIn, true, true, toldTime + win.standInSpread, false},
+		"stand-in, peers may tell":   {forwarding.RoleStandby, true, true, toldTime - 1, true},
+		"stand-in, nobody tells yet": {forwarding.RoleStandby, true, true, toldTime + win.standInSpread, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 	}{
 		"alone":                        {forwarding.RoleStandalone, 0, span{aloneRetryLeast, aloneRetryMost}},
 		"listener":                     {forwarding.PartListener, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
-		"stand-in":                     {forwarding.PartStandIn, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
+		"stand-in":                     {forwarding.RoleStandby, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
 		"follower, others have proof":  {forwarding.RoleFollower, win.rest - 1, span{followerRetryLeast, followerRetryMost}},
 		"follower, nobody has a proof": {forwarding.RoleFollower, win.rest, span{aloneRetryLeast, aloneRetryMost}},
 	}
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -17,7 +17,7 @@
 	RoleJoining Role = iota
 	RoleStandalone
 	RoleFollower
-	PartStandIn
+	RoleStandby
 	PartListener
 )
 
@@ -105,4 +105,4 @@
 }
 
 // Follows reports whether this instance has to follow the store itself.
-func (fo *StoreCoordinator) FollowsStore() bool { return fo.Role() < PartStandIn }
+func (fo *StoreCoordinator) FollowsStore() bool { return fo.Role() < RoleStandby }
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -44,7 +44,7 @@
 		// as the store answers it.
 		return forwarding.RoleFollower
 	case place < nowhere:
-		return forwarding.PartStandIn
+		return forwarding.RoleStandby
 	default:
 		return forwarding.PartListener
 	}
@@ -135,7 +135,7 @@
 		setStoreless(false)
 		return
 	}
-	if pa != forwarding.RoleFollower && pa != forwarding.PartStandIn {
+	if pa != forwarding.RoleFollower && pa != forwarding.RoleStandby {
 		return
 	}
 	all := live()
@@ -177,7 +177,7 @@
 // part decides from the live members.
 func (fl *follower) part(live []gossip.Member) forwarding.Role {
 	pa := part(fl.self, live)
-	rests := pa >= forwarding.PartStandIn
+	rests := pa >= forwarding.RoleStandby
 	if fl.rests.Swap(rests) == rests {
 		return pa
 	}
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -34,7 +34,7 @@
 }
 
 func follows(self gossip.Member, live []gossip.Member) bool {
-	return part(self, live) < forwarding.PartStandIn
+	return part(self, live) < forwarding.RoleStandby
 }
 
 func TestFollowers(t *testing.T) {
@@ -63,7 +63,7 @@
 		counts[part(mb, live)]++
 	}
 	g.Expect(counts).To(Equal(map[forwarding.Role]int{
-		forwarding.RoleFollower: 3, forwarding.PartStandIn: 7, forwarding.PartListener: 285,
+		forwarding.RoleFollower: 3, forwarding.RoleStandby: 7, forwarding.PartListener: 285,
 	}))
 	g.Expect(countFollowers(live)).To(HaveLen(3), "in different zones")
 }
@@ -148,7 +148,7 @@
 		want      []bool
 	}{
 		"follower":                     {false, forwarding.RoleFollower, 0, []bool{true}},
-		"stand-in":                     {false, forwarding.PartStandIn, 0, []bool{true}},
+		"stand-in":                     {false, forwarding.RoleStandby, 0, []bool{true}},
 		"listener":                     {false, forwarding.PartListener, 0, nil},
 		"alone":                        {false, forwarding.RoleStandalone, 0, nil},
 		"answered as listener":         {true, forwarding.PartListener, 0, []bool{false}},
