--- a/internal/duty/facts/model_test.go
+++ b/internal/duty/facts/model_test.go
@@ -256,7 +256,7 @@
 	case before < followers+standIns:
 		return forwarding.RoleStandby
 	default:
-		return forwarding.PartListener
+		return forwarding.RoleListener
 	}
 }
 
--- a/internal/duty/facts/pace.go
+++ b/internal/duty/facts/pace.go
@@ -110,7 +110,7 @@
 	switch part {
 	case forwarding.RoleStandby:
 		return age < least+pc.share(pc.standInSpread)
-	case forwarding.PartListener:
+	case forwarding.RoleListener:
 		return age < least+pc.listenerLater+pc.share(pc.listenerSpread)
 	default:
 		return false
@@ -130,7 +130,7 @@
 		if news {
 			return rand.N(newsPause)
 		}
-	case forwarding.RoleStandby, forwarding.PartListener:
+	case forwarding.RoleStandby, forwarding.RoleListener:
 		if news {
 			return listenerPause/2 + rand.N(listenerPause/2)
 		}
@@ -147,7 +147,7 @@
 	switch pc.part() {
 	case forwarding.RoleFollower:
 		return pc.watch
-	case forwarding.RoleStandby, forwarding.PartListener:
+	case forwarding.RoleStandby, forwarding.RoleListener:
 		return listenerWait
 	default:
 		return pc.alone
--- a/internal/duty/facts/pace_test.go
+++ b/internal/duty/facts/pace_test.go
@@ -35,8 +35,8 @@
 		},
 		"follower after news":    {forwarding.RoleFollower, true, true, span{0, newsPause}, span{0, newsPause}},
 		"follower after silence": {forwarding.RoleFollower, true, false, span{}, span{}},
-		"listener after news":    {forwarding.PartListener, true, true, span{listenerPause / 2, listenerPause}, span{listenerPause / 2, listenerPause}},
-		"listener after silence": {forwarding.PartListener, true, false, span{}, span{}},
+		"listener after news":    {forwarding.RoleListener, true, true, span{listenerPause / 2, listenerPause}, span{listenerPause / 2, listenerPause}},
+		"listener after silence": {forwarding.RoleListener, true, false, span{}, span{}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -56,13 +56,13 @@
 		age  time.Duration
 		want bool
 	}{
-		"listener, fresh":                {forwarding.PartListener, win.rest - 1, true},
-		"listener, old":                  {forwarding.PartListener, win.rest + win.listenerLater + win.listenerSpread, false},
+		"listener, fresh":                {forwarding.RoleListener, win.rest - 1, true},
+		"listener, old":                  {forwarding.RoleListener, win.rest + win.listenerLater + win.listenerSpread, false},
 		"stand-in, fresh":                {forwarding.RoleStandby, win.rest - 1, true},
 		"stand-in, old":                  {forwarding.RoleStandby, win.rest + win.standInSpread, false},
 		"follower":                       {forwarding.RoleFollower, 0, false},
 		"alone":                          {forwarding.RoleStandalone, 0, false},
-		"listener that never heard once": {forwarding.PartListener, 24 * time.Hour, false},
+		"listener that never heard once": {forwarding.RoleListener, 24 * time.Hour, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -83,15 +83,15 @@
 		want         bool
 	}{
 		"restart, nobody met":        {forwarding.RoleJoining, true, false, 0, false},
-		"restart of a listener":      {forwarding.PartListener, true, false, 0, false},
+		"restart of a listener":      {forwarding.RoleListener, true, false, 0, false},
 		"peers may be met":           {forwarding.RoleJoining, true, true, firstTime - 1, true},
 		"none was met":               {forwarding.RoleJoining, true, true, firstTime + firstSpread, false},
 		"no peers to be met":         {forwarding.RoleJoining, false, true, 0, false},
 		"alone":                      {forwarding.RoleStandalone, true, true, firstTime + firstSpread, false},
 		"follower":                   {forwarding.RoleFollower, true, true, firstTime + firstSpread, false},
 		"follower, more may be met":  {forwarding.RoleFollower, true, true, firstTime - 1, true},
-		"listener, peers may tell":   {forwarding.PartListener, true, true, toldTime, true},
-		"listener, nobody tells":     {forwarding.PartListener, true, true, toldTime + win.listenerLater + win.listenerSpread, false},
+		"listener, peers may tell":   {forwarding.RoleListener, true, true, toldTime, true},
+		"listener, nobody tells":     {forwarding.RoleListener, true, true, toldTime + win.listenerLater + win.listenerSpread, false},
 		"stand-in, peers may tell":   {forwarding.RoleStandby, true, true, toldTime - 1, true},
 		"stand-in, nobody tells yet": {forwarding.RoleStandby, true, true, toldTime + win.standInSpread, false},
 	}
@@ -115,7 +115,7 @@
 		want span
 	}{
 		"alone":                        {forwarding.RoleStandalone, 0, span{aloneRetryLeast, aloneRetryMost}},
-		"listener":                     {forwarding.PartListener, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
+		"listener":                     {forwarding.RoleListener, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
 		"stand-in":                     {forwarding.RoleStandby, time.Hour, span{listenerRetryLeast, listenerRetryMost}},
 		"follower, others have proof":  {forwarding.RoleFollower, win.rest - 1, span{followerRetryLeast, followerRetryMost}},
 		"follower, nobody has a proof": {forwarding.RoleFollower, win.rest, span{aloneRetryLeast, aloneRetryMost}},
@@ -135,7 +135,7 @@
 	g := NewWithT(t)
 	g.Expect(paceOf(forwarding.RoleStandalone, true).wait()).To(Equal(win.alone))
 	g.Expect(paceOf(forwarding.RoleFollower, true).wait()).To(Equal(win.watch))
-	g.Expect(paceOf(forwarding.PartListener, true).wait()).To(Equal(listenerWait))
+	g.Expect(paceOf(forwarding.RoleListener, true).wait()).To(Equal(listenerWait))
 }
 
 // TestWindows: whatever the bound, listeners do not ask beside followers that are answered, and when no follower is answered the
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -18,7 +18,7 @@
 	RoleStandalone
 	RoleFollower
 	RoleStandby
-	PartListener
+	RoleListener
 )
 
 // Followers says whether this instance follows the store for others. It is safe for use by any goroutine.
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -46,7 +46,7 @@
 	case place < nowhere:
 		return forwarding.RoleStandby
 	default:
-		return forwarding.PartListener
+		return forwarding.RoleListener
 	}
 }
 
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -63,7 +63,7 @@
 		counts[part(mb, live)]++
 	}
 	g.Expect(counts).To(Equal(map[forwarding.Role]int{
-		forwarding.RoleFollower: 3, forwarding.RoleStandby: 7, forwarding.PartListener: 285,
+		forwarding.RoleFollower: 3, forwarding.RoleStandby: 7, forwarding.RoleListener: 285,
 	}))
 	g.Expect(countFollowers(live)).To(HaveLen(3), "in different zones")
 }
@@ -149,9 +149,9 @@
 	}{
 		"follower":                     {false, forwarding.RoleFollower, 0, []bool{true}},
 		"stand-in":                     {false, forwarding.RoleStandby, 0, []bool{true}},
-		"listener":                     {false, forwarding.PartListener, 0, nil},
+		"listener":                     {false, forwarding.RoleListener, 0, nil},
 		"alone":                        {false, forwarding.RoleStandalone, 0, nil},
-		"answered as listener":         {true, forwarding.PartListener, 0, []bool{false}},
+		"answered as listener":         {true, forwarding.RoleListener, 0, []bool{false}},
 		"follower, some say so":        {false, forwarding.RoleFollower, 4, []bool{true}},
 		"follower, enough say so":      {false, forwarding.RoleFollower, 5, nil},
 		"answered, although many said": {true, forwarding.RoleFollower, 9, []bool{false}},
