--- a/internal/duty/announce/announce.go
+++ b/internal/duty/announce/announce.go
@@ -17,12 +17,12 @@
 	kernel.Register(kernel.Duty{Name: "announce", Phase: kernel.PhasePeers, Start: start})
 }
 
-const retryPause = time.Second
+const retryDelay = time.Second
 
 type registrar struct {
-	store *objectstore.Client
-	self  fleet.Instance
-	every time.Duration
+	store    *objectstore.Client
+	self     fleet.Instance
+	interval time.Duration
 	// version is that of this instance's object; zero before it exists.
 	version int64
 }
@@ -36,14 +36,14 @@
 	if err != nil {
 		return nil, err
 	}
-	rg := &registrar{store: store, self: fl.Self(), every: env.Settings.Platform.Registration.Std()}
+	rg := &registrar{store: store, self: fl.Self(), interval: env.Settings.Platform.Registration.Std()}
 	lg := env.Logger("announce")
 	stop := kernel.Go(func(ctx context.Context) {
 		for ctx.Err() == nil {
-			wait := rg.every
+			wait := rg.interval
 			if err := rg.renew(ctx); err != nil && ctx.Err() == nil {
 				lg.WithError(err).Warn("instance not announced")
-				wait = retryPause
+				wait = retryDelay
 			}
 			select {
 			case <-time.After(wait):
--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -20,9 +20,9 @@
 	kernel.Register(kernel.Duty{Name: "bundles", Phase: kernel.PhaseWork, Start: start})
 }
 
-const retryPause = 200 * time.Millisecond
+const retryDelay = 200 * time.Millisecond
 
-type follower struct {
+type syncer struct {
 	store  *bundlestore.Store
 	mesh   *peer.Mesh
 	holder *rollout.Holder
@@ -30,7 +30,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	fo := &follower{log: env.Logger("bundles")}
+	fo := &syncer{log: env.Logger("bundles")}
 	client, err := kernel.Need[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
-		knowledge.ListAndWatch(ctx, client, objectstore.KindPointers, 0, fo.log, fo.hear)
+		knowledge.ListAndWatch(ctx, client, objectstore.KindPointers, 0, fo.log, fo.applyPointers)
 	})
 	fetch := kernel.Go(fo.run)
 	return func(ctx context.Context) error {
@@ -54,7 +54,7 @@
 	}, nil
 }
 
-func (fo *follower) hear(items []objectstore.Object) {
+func (fo *syncer) applyPointers(items []objectstore.Object) {
 	for _, o := range items {
 		var p rollout.Pointer
 		if o.Name == rollout.PointerName && json.Unmarshal(o.Value, &p) == nil {
@@ -64,12 +64,12 @@
 }
 
 // run fetches whatever newer bundle was heard of, from the store or else from a peer.
-func (fo *follower) run(ctx context.Context) {
+func (fo *syncer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := fo.holder.Changed()
 		wait := time.Hour
 		if v := fo.holder.Behind(); v > 0 && !fo.fetch(ctx, v) {
-			wait = retryPause
+			wait = retryDelay
 		}
 		select {
 		case <-changed:
@@ -79,7 +79,7 @@
 	}
 }
 
-func (fo *follower) fetch(ctx context.Context, version int64) bool {
+func (fo *syncer) fetch(ctx context.Context, version int64) bool {
 	b, err := fo.store.Get(ctx, version)
 	if err != nil {
 		b, err = fo.mesh.FetchBundle(ctx, version)
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -38,13 +38,13 @@
 }
 
 const (
-	ticketKeep  = 10 * time.Minute
-	ticketLimit = 100_000
-	maxHeader   = 32 << 10
-	idleLimit   = 60 * time.Second
+	ticketRetention = 10 * time.Minute
+	maxTickets      = 100_000
+	maxHeaderBytes  = 32 << 10
+	idleTimeout     = 60 * time.Second
 	// lastAnswers is the time for the answers to requests that are given up at the end of a stop, and for their records in
 	// the store: several calls to it, at most half of the drain.
-	lastAnswers = time.Second
+	finalAnswersTime = time.Second
 )
 
 func defaults(s *config.Settings) {
@@ -89,7 +89,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	d, err := gather(env)
+	d, err := newDeps(env)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	d.Metrics.NewGauge("silvermount_requests_waiting", func() float64 { return float64(d.Router.Waiting()) })
 	d.Metrics.NewGauge("silvermount_body_bytes", func() float64 { return float64(d.Bodies.Used()) })
 	srv := &http.Server{
-		Handler: sv.Handler(), ReadHeaderTimeout: s.Callers.HeaderTimeout.Std(), MaxHeaderBytes: maxHeader, IdleTimeout: idleLimit,
+		Handler: sv.Handler(), ReadHeaderTimeout: s.Callers.HeaderTimeout.Std(), MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 	}
 	go func() {
 		if err := srv.Serve(ls.Callers); !errors.Is(err, http.ErrServerClosed) {
@@ -124,13 +124,13 @@
 	most := lag + st.Drain.Std()
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
-	answers := most - min(lastAnswers, st.Drain.Std()/2)
+	answers := most - min(finalAnswersTime, st.Drain.Std()/2)
 	err := drain.Plan{Lag: lag, Answers: answers, End: sv.GiveUp, Most: most}.Run(ctx, srv)
 	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
 }
 
 // gather collects what the callers' side works with.
-func gather(env *kernel.Env) (serve.Deps, error) {
+func newDeps(env *kernel.Env) (serve.Deps, error) {
 	d := serve.Deps{Incarnation: env.Incarnation, Log: env.Logger("serve"), Stopping: env.Stopping.Load}
 	var err error
 	if d.Fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
@@ -162,7 +162,7 @@
 			_, ok := d.Fleet.PeerByIncarnation(incarnation)
 			return ok || incarnation == env.Incarnation
 		})
-	d.Tickets = ticket.New(env.Incarnation, ticketKeep, ticketLimit, time.Now)
+	d.Tickets = ticket.New(env.Incarnation, ticketRetention, maxTickets, time.Now)
 	d.Retries = budget.NewRetries(env.Settings.Routing.RetryShare, time.Now)
 	d.Bodies = budget.NewMemory(env.Settings.Callers.BodyBudgetBytes)
 	d.Service = callService
@@ -191,7 +191,7 @@
 	rt := router.New(d.Fleet, router.Options{
 		Policy:     p,
 		Limits:     policy.Limits{LongPerTarget: r.LongPerTarget, LongShare: r.LongShare},
-		MaxWaiting: r.MaxWaiting, Probe: prober(d), Grant: ms.RequestGrant, Borrow: lender.Reserve,
+		MaxWaiting: r.MaxWaiting, Probe: newProbe(d), Grant: ms.RequestGrant, Borrow: lender.Reserve,
 		AskShort: ms.RequestShortOffers, Expected: func() float64 {
 			if cur := d.Bundles.Current(); cur != nil {
 				return cur.Expected(time.Now())
@@ -204,7 +204,7 @@
 }
 
 // prober asks a target that nobody has confirmed whether it is there. A service is confirmed by its next call.
-func prober(d serve.Deps) func(context.Context, fleet.Target) error {
+func newProbe(d serve.Deps) func(context.Context, fleet.Target) error {
 	return func(ctx context.Context, t fleet.Target) error {
 		if t.Kind != fleet.KindEngine {
 			return nil
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -23,81 +23,83 @@
 
 // Followers says whether this instance follows the store for others. It is safe for use by any goroutine.
 type StoreCoordinator struct {
-	part atomic.Pointer[func() Role]
+	role atomic.Pointer[func() Role]
 	// reach is told whether the store answers this instance.
-	reach atomic.Pointer[func(answered bool)]
+	onStoreResult atomic.Pointer[func(answered bool)]
 
 	mu sync.Mutex
 	// newest is the newest configuration that a peer told of.
-	newest int64
+	newestPeerVersion int64
 	// lacked are those told of that were not in force when last asked, the oldest first and at most maxLacked: a storm of
 	// versions does not make the time begin anew for which this instance lacks one.
-	lacked []toldVersion
+	missing []peerVersion
 }
 
 // toldVersion is a configuration that a peer told of, and when one first did.
-type toldVersion struct {
+type peerVersion struct {
 	version int64
 	at      time.Time
 }
 
 // maxLacked bounds the configurations remembered as lacking: beyond it, who gets one of the later ones lacks the next for longer
 // than it says, and asks the store sooner.
-const maxLacked = 64
+const maxMissing = 64
 
 // Heard notes a configuration that a peer told of.
 func (fo *StoreCoordinator) RecordPeerVersion(version int64) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	if version > fo.newest {
-		fo.newest = version
-		fo.lack(toldVersion{version: version, at: time.Now()})
+	if version > fo.newestPeerVersion {
+		fo.newestPeerVersion = version
+		fo.addMissing(peerVersion{version: version, at: time.Now()})
 	}
 }
 
 // lack remembers a version; beyond the bound the last one stands for it, with its earlier time. The lock is held.
-func (fo *StoreCoordinator) lack(tv toldVersion) {
-	if len(fo.lacked) < maxLacked {
-		fo.lacked = append(fo.lacked, tv)
+func (fo *StoreCoordinator) addMissing(tv peerVersion) {
+	if len(fo.missing) < maxMissing {
+		fo.missing = append(fo.missing, tv)
 		return
 	}
-	fo.lacked[maxLacked-1].version = tv.version
+	fo.missing[maxMissing-1].version = tv.version
 }
 
 // Newest returns the newest configuration that a peer told of.
 func (fo *StoreCoordinator) NewestPeerVersion() int64 {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.newest
+	return fo.newestPeerVersion
 }
 
 // Lacking returns for how long peers have told of a newer configuration than that in force; zero when none did.
 func (fo *StoreCoordinator) BehindFor(version int64) time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	fo.lacked = slices.DeleteFunc(fo.lacked, func(tv toldVersion) bool { return tv.version <= version })
-	if len(fo.lacked) == 0 {
+	fo.missing = slices.DeleteFunc(fo.missing, func(tv peerVersion) bool { return tv.version <= version })
+	if len(fo.missing) == 0 {
 		return 0
 	}
-	return time.Since(fo.lacked[0].at)
+	return time.Since(fo.missing[0].at)
 }
 
 // Set sets who decides.
-func (fo *StoreCoordinator) SetRole(part func() Role) { fo.part.Store(&part) }
+func (fo *StoreCoordinator) SetRole(part func() Role) { fo.role.Store(&part) }
 
 // SetReach sets who is told whether the store answers this instance.
-func (fo *StoreCoordinator) SetOnStoreResult(reach func(answered bool)) { fo.reach.Store(&reach) }
+func (fo *StoreCoordinator) SetOnStoreResult(reach func(answered bool)) {
+	fo.onStoreResult.Store(&reach)
+}
 
 // Reach tells whether the store answers this instance; before SetReach it does nothing.
 func (fo *StoreCoordinator) ReportStoreResult(answered bool) {
-	if reach := fo.reach.Load(); reach != nil {
+	if reach := fo.onStoreResult.Load(); reach != nil {
 		(*reach)(answered)
 	}
 }
 
 // Part returns this instance's part; before Set it has met nobody.
 func (fo *StoreCoordinator) Role() Role {
-	part := fo.part.Load()
+	part := fo.role.Load()
 	if part == nil {
 		return RoleJoining
 	}
--- a/internal/duty/forwarding/followers_test.go
+++ b/internal/duty/forwarding/followers_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestLacking hears of versions one second after another, the first now, and asks one second after the last.
-func TestLacking(t *testing.T) {
+func TestBehindFor(t *testing.T) {
 	upTo := func(last int64) []int64 {
 		var versions []int64
 		for v := range last {
@@ -32,9 +32,9 @@
 		"storm":                           {[]int64{5, 6, 7}, 4, 3 * time.Second},
 		"storm, in part in force":         {[]int64{5, 6, 7}, 5, 2 * time.Second},
 		"storm, all in force":             {[]int64{5, 6, 7}, 7, 0},
-		"more than are remembered":        {upTo(3 * maxLacked), 0, 3 * maxLacked * time.Second},
-		"more, of which some in force":    {upTo(3 * maxLacked), maxLacked, (2*maxLacked + 1) * time.Second},
-		"more, of which all are in force": {upTo(3 * maxLacked), 3 * maxLacked, 0},
+		"more than are remembered":        {upTo(3 * maxMissing), 0, 3 * maxMissing * time.Second},
+		"more, of which some in force":    {upTo(3 * maxMissing), maxMissing, (2*maxMissing + 1) * time.Second},
+		"more, of which all are in force": {upTo(3 * maxMissing), 3 * maxMissing, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -56,21 +56,21 @@
 
 // Changed is told when what this instance knows or has in flight changes. It is safe for use by any goroutine.
 type Notifier struct {
-	publish atomic.Pointer[func()]
+	callback atomic.Pointer[func()]
 }
 
 // Set sets who is told.
-func (ch *Notifier) SetCallback(publish func()) { ch.publish.Store(&publish) }
+func (ch *Notifier) SetCallback(publish func()) { ch.callback.Store(&publish) }
 
 // Tell tells of a change; before Set it does nothing.
 func (ch *Notifier) Notify() {
-	if publish := ch.publish.Load(); publish != nil {
+	if publish := ch.callback.Load(); publish != nil {
 		(*publish)()
 	}
 }
 
 // turnedElsewhere returns what logs a request that did not go to a target for want of a permit.
-func turnedElsewhere(lg log.Interface, limits *ratelimit.Book) func(request string, tg targets.Target, again time.Duration) {
+func logNoPermit(lg log.Interface, limits *ratelimit.Book) func(request string, tg targets.Target, again time.Duration) {
 	return func(request string, tg targets.Target, again time.Duration) {
 		lg.WithFields(log.Fields{
 			"request": request, "target": tg.ID, "service": tg.Service, "limit": limits.Of(tg.ID).String(),
@@ -80,7 +80,7 @@
 }
 
 // waits returns what logs a request that waits for the end of a target's back-off.
-func waits(lg log.Interface) func(request string, tg targets.Target, wait time.Duration) {
+func logBackOffWait(lg log.Interface) func(request string, tg targets.Target, wait time.Duration) {
 	return func(request string, tg targets.Target, wait time.Duration) {
 		lg.WithFields(log.Fields{
 			"request": request, "target": tg.ID, "service": tg.Service, "wait": wait.Round(time.Millisecond).String(),
@@ -90,7 +90,7 @@
 
 // releaseMost bounds the wait for the last memory to be given back: a few round trips, and less than what a stop leaves of
 // the grace.
-const releaseMost = 100 * time.Millisecond
+const releaseTimeout = 100 * time.Millisecond
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	ad, _ := adapter.Find(env.Settings.Gateway.Adapter)
@@ -122,8 +122,8 @@
 	}
 	ds := dispatch.New(dr, kp, dispatch.Options{
 		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, Changed: ch.Notify,
-		Permits: permits, TurnedElsewhere: turnedElsewhere(env.Logger("dispatch"), limits),
-		BackOffs: backOffs, Waits: waits(env.Logger("dispatch")),
+		Permits: permits, TurnedElsewhere: logNoPermit(env.Logger("dispatch"), limits),
+		BackOffs: backOffs, Waits: logBackOffWait(env.Logger("dispatch")),
 	})
 	ld := blame.New(blame.Options{
 		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Notify, Metrics: ms, Log: env.Logger("blame"),
@@ -133,7 +133,7 @@
 		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, StoreCoordinator: &StoreCoordinator{}, Pool: pl,
 	})
 	return func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, releaseMost)
+		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
 		if err := kp.WaitReleased(ctx); err != nil {
 			kp.Log.WithError(err).Warn("ended before all memory was given back; it lapses")
--- a/internal/duty/forwarding/forwarding_test.go
+++ b/internal/duty/forwarding/forwarding_test.go
@@ -17,7 +17,7 @@
 func init() { adapter.Register(adapter.Adapter{Name: adapterName}) }
 
 // good returns settings with everything in them that has no default.
-func good() config.Settings {
+func validSettings() config.Settings {
 	return config.Settings{Instance: "a1", AvailabilityZone: "a", Gateway: &config.Gateway{
 		Adapter: adapterName, Callers: "127.0.0.1:1", Readiness: "127.0.0.1:2", Peers: "127.0.0.1:3",
 		Metrics: "127.0.0.1:4", Store: "127.0.0.1:5",
@@ -25,7 +25,7 @@
 }
 
 // bad returns settings in which every field has a fault.
-func bad() config.Gateway {
+func invalidGateway() config.Gateway {
 	return config.Gateway{
 		Seeds: []string{"x"}, RevocationBound: -1, LeavingBound: -1, ConfigurationBound: -1, Grace: -1, RetryShare: -1, RetryFloor: -1, RetryWindow: -1, Megabits: -1,
 		DialTimeout: -1, OrderTimeout: -1, MemoryHold: -1, MaxBodyBytes: -1, BodyBudgetBytes: -1,
@@ -33,9 +33,9 @@
 }
 
 // TestEveryFieldIsChecked fails when a field is added to the settings and not to the check. Both values of a bool are right.
-func TestEveryFieldIsChecked(t *testing.T) {
+func TestCheckCoversEveryField(t *testing.T) {
 	g := NewWithT(t)
-	gw := bad()
+	gw := invalidGateway()
 	checked := map[string]bool{}
 	for _, ft := range check(config.Settings{Gateway: &gw}) {
 		path, _, _ := strings.Cut(ft.Path, "[")
@@ -145,7 +145,7 @@
 		"time of an order":         {func(gw *config.Gateway) { gw.OrderTimeout = -ms }, []string{"gateway.order_timeout"}},
 		"hold of memory":           {func(gw *config.Gateway) { gw.MemoryHold = -ms }, []string{"gateway.memory_hold"}},
 		"all at once": {
-			func(gw *config.Gateway) { *gw = bad() },
+			func(gw *config.Gateway) { *gw = invalidGateway() },
 			[]string{
 				"gateway.adapter", "gateway.callers", "gateway.readiness", "gateway.peers", "gateway.metrics", "gateway.store",
 				"gateway.seeds[0]", "gateway.revocation_bound", "gateway.leaving_bound", "gateway.configuration_bound", "gateway.dial_timeout", "gateway.order_timeout",
@@ -157,7 +157,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := good()
+			s := validSettings()
 			defaults(&s)
 			tc.edit(s.Gateway)
 			var paths []string
--- a/internal/duty/forwarding/settings.go
+++ b/internal/duty/forwarding/settings.go
@@ -14,10 +14,10 @@
 	defaultGrace = 10 * time.Second
 	// defaultNewsBound fits both: a target that leaves serves on for seconds, and a change of the configuration is in force
 	// within a few of them.
-	defaultNewsBound = 3 * time.Second
+	defaultPropagationBound = 3 * time.Second
 	// minNewsBound lets a follower work: it then asks the store four times a second for each kind, and the rest of the bound
 	// still holds a pause after a failed call and several calls across a region.
-	minNewsBound = time.Second
+	minPropagationBound = time.Second
 	// minGrace leaves time for a stop: half of it goes to the balancer's lag, and with less nothing would be left between it and
 	// the 0.45 s that the end of the process takes.
 	minGrace = time.Second
@@ -42,8 +42,8 @@
 func defaults(s *config.Settings) {
 	gw := *s.Gateway
 	setDefault(&gw.Grace, config.Duration(defaultGrace))
-	setDefault(&gw.LeavingBound, config.Duration(defaultNewsBound))
-	setDefault(&gw.ConfigurationBound, config.Duration(defaultNewsBound))
+	setDefault(&gw.LeavingBound, config.Duration(defaultPropagationBound))
+	setDefault(&gw.ConfigurationBound, config.Duration(defaultPropagationBound))
 	setDefault(&gw.MaxBodyBytes, defaultMaxBody)
 	setDefault(&gw.BodyBudgetBytes, defaultBodyBudget)
 	// A window alone is left as it is: it may go with no retries at all.
@@ -68,7 +68,7 @@
 	gw := s.Gateway
 	fs := checkAdapter(gw)
 	fs = append(fs, checkAddresses(gw)...)
-	fs = append(fs, checkTimes(gw)...)
+	fs = append(fs, checkDurations(gw)...)
 	fs = append(fs, checkNumbers(gw)...)
 	return append(fs, checkBodies(gw)...)
 }
@@ -92,15 +92,15 @@
 	return fs
 }
 
-func checkTimes(gw *config.Gateway) config.Faults {
+func checkDurations(gw *config.Gateway) config.Faults {
 	var fs config.Faults
 	if gw.RevocationBound < 0 {
 		fs = append(fs, &config.Fault{
 			Path: "gateway.revocation_bound", Value: gw.RevocationBound.Std().String(), Want: "a positive duration, or zero for none",
 		})
 	}
-	fs = append(fs, atLeast("gateway.leaving_bound", gw.LeavingBound, minNewsBound)...)
-	fs = append(fs, atLeast("gateway.configuration_bound", gw.ConfigurationBound, minNewsBound)...)
+	fs = append(fs, atLeast("gateway.leaving_bound", gw.LeavingBound, minPropagationBound)...)
+	fs = append(fs, atLeast("gateway.configuration_bound", gw.ConfigurationBound, minPropagationBound)...)
 	fs = append(fs, positive("gateway.dial_timeout", gw.DialTimeout)...)
 	fs = append(fs, positive("gateway.order_timeout", gw.OrderTimeout)...)
 	fs = append(fs, positive("gateway.memory_hold", gw.MemoryHold)...)
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -33,32 +33,32 @@
 	// idleTimeout is longer than callers keep an idle connection (the configuration's limit is 15 s).
 	idleTimeout = 75 * time.Second
 	// maxHeader is four times the configuration's limit.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// balancerLag is how long new connections still come after a stop was asked for: the balancer asks every second and
 	// takes an instance out after two refusals.
 	balancerLag = 3200 * time.Millisecond
 	// takeLag is how long requests on kept connections are still taken then. Callers whose request comes later than three
 	// seconds after the stop was asked for are owed its whole answer, which the grace may not leave time for.
-	takeLag = 2800 * time.Millisecond
+	acceptLag = 2800 * time.Millisecond
 	// answerMargin is left of the grace when the last requests are told to end: over ten times what their answers and the
 	// end of the process take (3 ms in the median, 34 ms at the most, 497 stops of small instances). Each 0.1 s less lets one
 	// in fifteen of the streams end that a stop breaks off (363 streams).
 	answerMargin = 450 * time.Millisecond
 	// endMargin is left of the grace for the end of the process, when the wait for the last answers is given up.
-	endMargin = 150 * time.Millisecond
+	exitMargin = 150 * time.Millisecond
 	// proofMargin is taken off the revocation bound for the time between the check of the proof and the first byte sent.
 	proofMargin = 600 * time.Millisecond
 	// sweepEvery is how often idle connections to targets are looked through.
-	sweepEvery = time.Second
+	sweepInterval = time.Second
 )
 
 // servers are the listeners of a gateway.
 type servers struct {
-	gw    *gateway.Gateway
-	mesh  *gossip.Mesh
-	lg    log.Interface
-	list  []*http.Server
-	stops []func()
+	gw          *gateway.Gateway
+	mesh        *gossip.Mesh
+	lg          log.Interface
+	httpServers []*http.Server
+	stops       []func()
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -70,20 +70,20 @@
 	if err != nil {
 		return nil, err
 	}
-	rt := retries(env.Settings.Gateway)
-	sv := &servers{gw: build(env, pt, rt), mesh: mesh, lg: env.Logger("frontend")}
+	rt := newRetryBudget(env.Settings.Gateway)
+	sv := &servers{gw: newGateway(env, pt, rt), mesh: mesh, lg: env.Logger("frontend")}
 	st := env.Settings.Gateway
 	for _, l := range []struct {
 		address string
 		handler http.Handler
-	}{{st.Callers, sv.gw}, {st.Readiness, readiness(sv.gw)}, {st.Metrics, operators(pt)}} {
+	}{{st.Callers, sv.gw}, {st.Readiness, readinessHandler(sv.gw)}, {st.Metrics, operatorHandler(pt)}} {
 		if err := sv.serve(ctx, l.address, l.handler); err != nil {
 			sv.close()
 			return nil, err
 		}
 	}
-	sh := newShares(env, pt, mesh, rt)
-	sv.sweep(func() {
+	sh := newLimitShares(env, pt, mesh, rt)
+	sv.runPeriodically(func() {
 		pt.Pool.Sweep()
 		pt.RateLimits.Forget(pt.Targets.TakesWork)
 		pt.BackOffs.Forget(pt.Targets.TakesWork)
@@ -94,19 +94,19 @@
 }
 
 // build joins the parts of the gateway.
-func build(env *kernel.Env, pt *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
+func newGateway(env *kernel.Env, pt *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
 		Protocol: pt.Adapter.Protocol, Routes: pt.Routes, Targets: pt.Targets, Dispatcher: pt.Dispatcher, Pool: pt.Pool,
 		Retries: rt, Blame: pt.Blame, Feedback: pt.Feedback, Limits: pt.RateLimits, BackOffs: pt.BackOffs,
 		Bodies: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
-	}, limits(st))
-	env.OnReload(func(s config.Settings) { gw.SetLimits(limits(s.Gateway)) })
+	}, gatewayLimits(st))
+	env.OnReload(func(s config.Settings) { gw.SetLimits(gatewayLimits(s.Gateway)) })
 	return gw
 }
 
-func limits(st *config.Gateway) gateway.Limits {
+func gatewayLimits(st *config.Gateway) gateway.Limits {
 	lm := gateway.Limits{MaxBodyBytes: st.MaxBodyBytes}
 	if bound := st.RevocationBound.Std(); bound > 0 {
 		lm.ProofAge = max(bound-proofMargin, bound/2)
@@ -114,8 +114,8 @@
 	return lm
 }
 
-func retries(st *config.Gateway) *budget.Retries {
-	burst, trickle := retryFloor(st, sharersLeast)
+func newRetryBudget(st *config.Gateway) *budget.Retries {
+	burst, trickle := retryFloorShare(st, minSharers)
 	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithTrickle(trickle))
 }
 
@@ -126,10 +126,10 @@
 		return errors.Wrap(err, "bind listener")
 	}
 	hs := &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
-		ErrorLog: stdlog.New(lineWriter{lg: sv.lg}, "", 0),
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: stdlog.New(serverLogWriter{lg: sv.lg}, "", 0),
 	}
-	sv.list = append(sv.list, hs)
+	sv.httpServers = append(sv.httpServers, hs)
 	go func() {
 		if err := hs.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			sv.lg.WithError(err).WithField("address", address).Error("listener ended")
@@ -139,15 +139,15 @@
 }
 
 // lineWriter turns the lines of the HTTP server into log lines.
-type lineWriter struct{ lg log.Interface }
+type serverLogWriter struct{ lg log.Interface }
 
 // Write logs one line.
-func (lw lineWriter) Write(b []byte) (int, error) {
+func (lw serverLogWriter) Write(b []byte) (int, error) {
 	lw.lg.WithField("cause", string(b)).Debug("connection ended with an error")
 	return len(b), nil
 }
 
-func readiness(gw *gateway.Gateway) http.Handler {
+func readinessHandler(gw *gateway.Gateway) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/*", func(w http.ResponseWriter, _ *http.Request) {
 		if !gw.Ready() {
@@ -160,20 +160,20 @@
 }
 
 // operators serves the metrics, and the judgements on requests that end targets.
-func operators(pt *forwarding.Components) http.Handler {
+func operatorHandler(pt *forwarding.Components) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		pt.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	jds := judgements{ledger: pt.Blame}
+	jds := quarantineAPI{tracker: pt.Blame}
 	rt.Get("/judgements", jds.list)
 	rt.Delete("/judgements/{fingerprint}", jds.lift)
 	return rt
 }
 
-func (sv *servers) sweep(work func()) {
-	tick := time.NewTicker(sweepEvery)
+func (sv *servers) runPeriodically(work func()) {
+	tick := time.NewTicker(sweepInterval)
 	done := make(chan struct{})
 	go func() {
 		for {
@@ -194,7 +194,7 @@
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
 	sv.gw.EndsAt(time.Now().Add(grace - answerMargin))
-	err := stopPlan(grace, sv.gw.StopTaking, sv.end).Run(ctx, sv.list[0])
+	err := stopPlan(grace, sv.gw.StopTaking, sv.endRequests).Run(ctx, sv.httpServers[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
 		// What is left are connections that were opened and never used.
@@ -211,12 +211,12 @@
 func stopPlan(grace time.Duration, refuse, end func()) drain.Plan {
 	lag, answers := min(balancerLag, grace/2), grace-answerMargin
 	return drain.Plan{
-		Lag: lag, Taking: min(takeLag, lag, answers/2), Refuse: refuse, Answers: answers, End: end, Most: grace - endMargin,
+		Lag: lag, Taking: min(acceptLag, lag, answers/2), Refuse: refuse, Answers: answers, End: end, Most: grace - exitMargin,
 	}
 }
 
 // end tells the requests that are still running to end.
-func (sv *servers) end() {
+func (sv *servers) endRequests() {
 	if inf := sv.gw.InFlight(); inf != (gateway.InFlight{}) {
 		sv.lg.WithFields(inf.Fields()).Warn("grace is over before the last answer")
 	}
@@ -227,7 +227,7 @@
 	for _, stop := range sv.stops {
 		stop()
 	}
-	for _, hs := range sv.list {
+	for _, hs := range sv.httpServers {
 		// A listener that Shutdown has closed is no failure.
 		if err := hs.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 			sv.lg.WithError(err).Warn("listener not closed")
--- a/internal/duty/frontend/judgements.go
+++ b/internal/duty/frontend/judgements.go
@@ -12,38 +12,38 @@
 )
 
 // judgements shows operators which requests are refused because targets end when they run them, and lifts that.
-type judgements struct{ ledger *blame.Tracker }
+type quarantineAPI struct{ tracker *blame.Tracker }
 
 // judgement is one of them as operators see it.
-type judgement struct {
+type quarantine struct {
 	Fingerprint string `json:"fingerprint"`
 	// Ends is how many targets had ended under the request.
-	Ends int `json:"ends"`
+	Crashes int `json:"ends"`
 	// Level counts the judgements in a row, from 1.
 	Level int `json:"level"`
 	// Age is the time since it was judged, Left how long it is still refused; both are Go durations.
-	Age  string `json:"age"`
-	Left string `json:"left"`
+	Age       string `json:"age"`
+	Remaining string `json:"left"`
 }
 
-func (js judgements) list(w http.ResponseWriter, _ *http.Request) {
-	list := []judgement{}
-	for _, jd := range js.ledger.Quarantines() {
-		list = append(list, judgement{
-			Fingerprint: jd.Request.String(), Ends: jd.Crashes, Level: jd.Level,
-			Age: time.Since(jd.Since).Round(time.Second).String(), Left: time.Until(jd.Until).Round(time.Second).String(),
+func (js quarantineAPI) list(w http.ResponseWriter, _ *http.Request) {
+	list := []quarantine{}
+	for _, jd := range js.tracker.Quarantines() {
+		list = append(list, quarantine{
+			Fingerprint: jd.Request.String(), Crashes: jd.Crashes, Level: jd.Level,
+			Age: time.Since(jd.Since).Round(time.Second).String(), Remaining: time.Until(jd.Until).Round(time.Second).String(),
 		})
 	}
 	jsonreply.Write(w, list)
 }
 
-func (js judgements) lift(w http.ResponseWriter, r *http.Request) {
+func (js quarantineAPI) lift(w http.ResponseWriter, r *http.Request) {
 	fp, err := fingerprint.Parse(chi.URLParam(r, "fingerprint"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !js.ledger.LiftQuarantine(fp) {
+	if !js.tracker.LiftQuarantine(fp) {
 		http.Error(w, "no such judgement", http.StatusNotFound)
 		return
 	}
--- a/internal/duty/frontend/metrics_test.go
+++ b/internal/duty/frontend/metrics_test.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	root       = "../../.."
-	modulePath = "github.com/silvermount/silvermount/"
-	page       = root + "/docs/METRICS.md"
+	root        = "../../.."
+	modulePath  = "github.com/silvermount/silvermount/"
+	metricsPage = root + "/docs/METRICS.md"
 )
 
 // programs are the packages from which everything that a gateway runs is imported.
-var programs = []string{
+var rootPackages = []string{
 	"internal/duty/facts", "internal/duty/forwarding", "internal/duty/frontend", "internal/duty/members", "internal/eventlog",
 	"internal/kernel", "platform",
 }
@@ -41,53 +41,53 @@
 )
 
 // exported is what the page and the source must agree on.
-type exported struct {
+type metricSpec struct {
 	// labels are sorted and joined by commas.
 	labels string
 	// kind is "counter", "gauge" or "histogram".
 	kind string
 }
 
-func TestPageListsTheMetricsOfTheSource(t *testing.T) {
+func TestMetricsPageMatchesSource(t *testing.T) {
 	g := NewWithT(t)
 	source := sourceMetrics(g)
 	g.Expect(source).To(HaveKey("silvermount_requests_total"), "the search finds the source")
 	g.Expect(pageMetrics(g)).To(Equal(source))
 }
 
-func TestSearchOfTheSource(t *testing.T) {
+func TestFileMetrics(t *testing.T) {
 	cases := map[string]struct {
 		text string
-		want map[string]exported
+		want map[string]metricSpec
 	}{
-		"counter":             {`var _ = f("silvermount_a_total")`, map[string]exported{"silvermount_a_total": {kind: "counter"}}},
-		"histogram":           {`var _ = f("silvermount_a_seconds")`, map[string]exported{"silvermount_a_seconds": {kind: "histogram"}}},
-		"gauge":               {`const c = "silvermount_a_bytes"`, map[string]exported{"silvermount_a_bytes": {kind: "gauge"}}},
-		"labels of a literal": {"var _ = f(`silvermount_a_total{b=\"c\"}`)", map[string]exported{"silvermount_a_total": {labels: "b", kind: "counter"}}},
+		"counter":             {`var _ = f("silvermount_a_total")`, map[string]metricSpec{"silvermount_a_total": {kind: "counter"}}},
+		"histogram":           {`var _ = f("silvermount_a_seconds")`, map[string]metricSpec{"silvermount_a_seconds": {kind: "histogram"}}},
+		"gauge":               {`const c = "silvermount_a_bytes"`, map[string]metricSpec{"silvermount_a_bytes": {kind: "gauge"}}},
+		"labels of a literal": {"var _ = f(`silvermount_a_total{b=\"c\"}`)", map[string]metricSpec{"silvermount_a_total": {labels: "b", kind: "counter"}}},
 		"labels put together": {
 			"var _ = f(`silvermount_a_total{c=\"` + x + `\",b=\"` + y + `\"}`)",
-			map[string]exported{"silvermount_a_total": {labels: "b,c", kind: "counter"}},
+			map[string]metricSpec{"silvermount_a_total": {labels: "b,c", kind: "counter"}},
 		},
-		"other text": {`var _ = f("silvermount")`, map[string]exported{}},
+		"other text": {`var _ = f("silvermount")`, map[string]metricSpec{}},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			file, err := parser.ParseFile(token.NewFileSet(), "a.go", "package a\n"+tc.text, 0)
 			g.Expect(err).NotTo(HaveOccurred())
-			found := map[string]exported{}
+			found := map[string]metricSpec{}
 			fileMetrics(file, found)
 			g.Expect(found).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestFiguresHoldTheSetAndTheProcess(t *testing.T) {
+func TestMetricsEndpointServesSetAndProcessMetrics(t *testing.T) {
 	g := NewWithT(t)
 	ms := metrics.NewSet()
 	ms.GetOrCreateCounter("silvermount_store_calls_total").Inc()
 	w := httptest.NewRecorder()
-	operators(&forwarding.Components{Metrics: ms}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	operatorHandler(&forwarding.Components{Metrics: ms}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(And(
 		ContainSubstring("silvermount_store_calls_total 1\n"), ContainSubstring("process_resident_memory_bytes"),
@@ -96,10 +96,10 @@
 }
 
 // sourceMetrics returns the metrics that the source of a gateway names.
-func sourceMetrics(g Gomega) map[string]exported {
-	found := map[string]exported{}
+func sourceMetrics(g Gomega) map[string]metricSpec {
+	found := map[string]metricSpec{}
 	seen := map[string]bool{}
-	left := slices.Clone(programs)
+	left := slices.Clone(rootPackages)
 	for len(left) > 0 {
 		dir := left[0]
 		left = left[1:]
@@ -109,7 +109,7 @@
 		seen[dir] = true
 		for _, file := range packageFiles(g, dir) {
 			fileMetrics(file, found)
-			left = append(left, ownImports(g, file)...)
+			left = append(left, moduleImports(g, file)...)
 		}
 	}
 	return found
@@ -133,7 +133,7 @@
 }
 
 // ownImports returns the packages of this module that a file imports.
-func ownImports(g Gomega, file *ast.File) []string {
+func moduleImports(g Gomega, file *ast.File) []string {
 	var dirs []string
 	for _, im := range file.Imports {
 		path, err := strconv.Unquote(im.Path.Value)
@@ -146,11 +146,11 @@
 }
 
 // fileMetrics adds the metrics that a file names.
-func fileMetrics(file *ast.File, found map[string]exported) {
+func fileMetrics(file *ast.File, found map[string]metricSpec) {
 	ast.Inspect(file, func(nd ast.Node) bool {
 		switch nd.(type) {
 		case *ast.BinaryExpr, *ast.BasicLit:
-			textMetrics(literals(nd), found)
+			textMetrics(joinLiterals(nd), found)
 			// The parts of a sum are not looked at again.
 			return false
 		}
@@ -159,7 +159,7 @@
 }
 
 // literals joins the strings of an expression.
-func literals(nd ast.Node) string {
+func joinLiterals(nd ast.Node) string {
 	var sb strings.Builder
 	ast.Inspect(nd, func(part ast.Node) bool {
 		if lit, ok := part.(*ast.BasicLit); ok && lit.Kind == token.STRING {
@@ -172,19 +172,19 @@
 	return sb.String()
 }
 
-func textMetrics(text string, found map[string]exported) {
+func textMetrics(text string, found map[string]metricSpec) {
 	for _, m := range metricText.FindAllStringSubmatch(text, -1) {
 		var labels []string
 		for _, lb := range labelText.FindAllStringSubmatch(m[2], -1) {
 			labels = append(labels, lb[1])
 		}
 		slices.Sort(labels)
-		found[m[1]] = exported{labels: strings.Join(labels, ","), kind: kindOf(m[1])}
+		found[m[1]] = metricSpec{labels: strings.Join(labels, ","), kind: kindFromName(m[1])}
 	}
 }
 
 // kindOf is the kind that a name promises: counters end in total, histograms in their unit of time.
-func kindOf(name string) string {
+func kindFromName(name string) string {
 	switch {
 	case strings.HasSuffix(name, "_total"):
 		return "counter"
@@ -196,10 +196,10 @@
 }
 
 // pageMetrics returns the metrics that the page lists, each once and with a unit.
-func pageMetrics(g Gomega) map[string]exported {
-	text, err := os.ReadFile(page)
+func pageMetrics(g Gomega) map[string]metricSpec {
+	text, err := os.ReadFile(metricsPage)
 	g.Expect(err).NotTo(HaveOccurred())
-	listed := map[string]exported{}
+	listed := map[string]metricSpec{}
 	for line := range strings.Lines(string(text)) {
 		m := metricRow.FindStringSubmatch(line)
 		if m == nil {
@@ -209,7 +209,7 @@
 		g.Expect(strings.TrimSpace(m[4])).NotTo(BeEmpty(), "unit of "+m[1])
 		labels := strings.Split(m[2], ",")
 		slices.Sort(labels)
-		listed[m[1]] = exported{labels: strings.Join(labels, ","), kind: m[3]}
+		listed[m[1]] = metricSpec{labels: strings.Join(labels, ","), kind: m[3]}
 	}
 	return listed
 }
--- a/internal/duty/frontend/shares_test.go
+++ b/internal/duty/frontend/shares_test.go
@@ -11,12 +11,12 @@
 )
 
 // TestRetryFloorsOfAllInstances adds up what all instances may send again in any window.
-func TestRetryFloorsOfAllInstances(t *testing.T) {
+func TestRetryFloorSharesStayWithinFleetBound(t *testing.T) {
 	for name, instances := range map[string]int{"few": 6, "as many as assumed": 8, "many": 90, "the most": 370} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			st := &config.Gateway{RetryFloor: 100, RetryWindow: config.Duration(10 * time.Second)}
-			burst, perSecond := retryFloor(st, max(instances, sharersLeast))
+			burst, perSecond := retryFloorShare(st, max(instances, minSharers))
 			window := st.RetryWindow.Std().Seconds()
 			g.Expect(float64(instances) * (burst + perSecond*window)).To(BeNumerically("<=", st.RetryFloor))
 		})
@@ -27,13 +27,13 @@
 //
 // Targets reset every connection before 72 instances. The part of each was saved up to 1.4 retries, and requests that needed a second
 // one failed for want of it, while the fleet had used less than half of what it may.
-func TestRetryFloorBearsFailuresThatComeTogether(t *testing.T) {
+func TestRetryFloorShareAllowsBurstOfRetries(t *testing.T) {
 	g := NewWithT(t)
-	burst, _ := retryFloor(&config.Gateway{RetryFloor: 220, RetryWindow: config.Duration(10 * time.Second)}, 72)
+	burst, _ := retryFloorShare(&config.Gateway{RetryFloor: 220, RetryWindow: config.Duration(10 * time.Second)}, 72)
 	g.Expect(burst).To(BeNumerically(">=", 2))
 }
 
-func TestIdleBound(t *testing.T) {
+func TestIdleLimit(t *testing.T) {
 	tests := map[string]struct {
 		bounds    []int
 		instances int
@@ -50,7 +50,7 @@
 			for i, bound := range tc.bounds {
 				svs[string(rune('a'+i))] = routes.Service{MaxConnections: bound}
 			}
-			g.Expect(idleBound(svs, tc.instances)).To(Equal(tc.want))
+			g.Expect(idleLimit(svs, tc.instances)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -17,15 +17,15 @@
 )
 
 // acceptLimit bounds the writing of a job to the store.
-const acceptLimit = 20 * time.Second
+const requestTimeout = 20 * time.Second
 
 // headerPath names the inference path that a job is for.
 const (
-	headerPath  = "Silvermount-Path"
+	pathHeader  = "Silvermount-Path"
 	defaultPath = "/v1/chat/completions"
 )
 
-func asFailure(err error) *failure.Error {
+func toFailure(err error) *failure.Error {
 	var fe *failure.Error
 	if errors.As(err, &fe) {
 		return fe
@@ -42,39 +42,39 @@
 	return failure.New(failure.StoreUnavailable, failure.NotRun, "the store cannot be reached").WithCause(err).WithRetryAfter(time.Second)
 }
 
-func (kp *keeper) handler() http.Handler {
+func (kp *manager) handler() http.Handler {
 	rt := chi.NewRouter()
-	rt.Post("/", kp.each(kp.accept))
-	rt.Get("/", kp.each(kp.list))
-	rt.Get("/{id}", kp.each(kp.show))
-	rt.Get("/{id}/answer", kp.each(kp.answer))
-	rt.Delete("/{id}", kp.each(kp.cancel))
+	rt.Post("/", kp.withCaller(kp.accept))
+	rt.Get("/", kp.withCaller(kp.list))
+	rt.Get("/{id}", kp.withCaller(kp.get))
+	rt.Get("/{id}/answer", kp.withCaller(kp.answer))
+	rt.Delete("/{id}", kp.withCaller(kp.cancel))
 	return rt
 }
 
 // each identifies the caller and answers with the failure, if any.
-func (kp *keeper) each(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (kp *manager) withCaller(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		who, err := kp.server.Identify(r)
 		if err == nil {
-			ctx, cancel := context.WithTimeout(r.Context(), acceptLimit)
+			ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 			defer cancel()
 			err = f(ctx, who, w, r)
 		}
 		if err != nil {
-			serve.Fail(w, asFailure(err))
+			serve.Fail(w, toFailure(err))
 		}
 	}
 }
 
 // accept answers once the store has the job.
-func (kp *keeper) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+func (kp *manager) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
 	body, free, err := kp.server.ReadBody(r)
 	defer free()
 	if err != nil {
 		return err
 	}
-	path := r.Header.Get(headerPath)
+	path := r.Header.Get(pathHeader)
 	if path == "" {
 		path = defaultPath
 	}
@@ -97,7 +97,7 @@
 }
 
 // own reads a job of the caller's organisation.
-func (kp *keeper) own(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
+func (kp *manager) callerJob(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
 	v, err := kp.store.Get(ctx, chi.URLParam(r, "id"))
 	if err == nil && v.Organisation != who.Organisation {
 		return v, failure.New(failure.NotFound, failure.NotRun, "no such job")
@@ -109,7 +109,7 @@
 	Data []job.Record `json:"data"`
 }
 
-func (kp *keeper) list(ctx context.Context, who serve.Caller, w http.ResponseWriter, _ *http.Request) error {
+func (kp *manager) list(ctx context.Context, who serve.Caller, w http.ResponseWriter, _ *http.Request) error {
 	all, err := kp.store.List(ctx)
 	if err != nil {
 		return err
@@ -124,8 +124,8 @@
 	return nil
 }
 
-func (kp *keeper) show(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.own(ctx, who, r)
+func (kp *manager) get(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := kp.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
@@ -133,8 +133,8 @@
 	return nil
 }
 
-func (kp *keeper) answer(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.own(ctx, who, r)
+func (kp *manager) answer(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := kp.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
@@ -153,8 +153,8 @@
 }
 
 // cancel ends a job that is not final yet. A run that is on its way finds its record changed, and is dropped.
-func (kp *keeper) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.own(ctx, who, r)
+func (kp *manager) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := kp.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -25,42 +25,42 @@
 
 const (
 	// pace is the least time between two calls to watch jobs.
-	pace = 500 * time.Millisecond
+	minWatchInterval = 500 * time.Millisecond
 	// lookEvery is how often all jobs are looked at when nothing changes.
-	lookEvery = time.Second
+	scanInterval = time.Second
 	// maxRunning bounds the jobs of one instance.
 	maxRunning = 8
 	// handOver is how long a stop waits for running jobs before it gives them back, and for the last records after that.
-	handOver = 2 * time.Second
+	drainStepTimeout = 2 * time.Second
 	// writeLimit bounds one change of a record.
-	writeLimit = 10 * time.Second
+	writeTimeout = 10 * time.Second
 	// lapsedAfter renewals missed an instance counts as gone.
-	lapsedAfter = 4
+	maxMissedRenewals = 4
 )
 
 // keeper looks after jobs for one instance.
-type keeper struct {
-	store       *job.Store
-	server      *serve.Server
-	fleet       *fleet.Fleet
-	incarnation string
-	log         log.Interface
-	stopping    func() bool
-	lapse       time.Duration
+type manager struct {
+	store        *job.Store
+	server       *serve.Server
+	fleet        *fleet.Fleet
+	incarnation  string
+	log          log.Interface
+	stopping     func() bool
+	ownerTimeout time.Duration
 
 	mu sync.Mutex
 	// known is what the store last told.
-	known map[string]job.Versioned
+	records map[string]job.Versioned
 	// running holds each job run here.
-	running map[string]ownRun
+	running map[string]activeRun
 	wg      sync.WaitGroup
 }
 
 // ownRun is a job that this instance runs.
-type ownRun struct {
+type activeRun struct {
 	cancel context.CancelFunc
 	// never is set when the job may not be run twice.
-	never bool
+	runOnce bool
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -68,10 +68,10 @@
 	if err != nil {
 		return nil, err
 	}
-	kp := &keeper{
+	kp := &manager{
 		store: job.NewStore(client), incarnation: env.Incarnation, log: env.Logger("jobs"), stopping: env.Stopping.Load,
-		lapse: lapsedAfter * env.Settings.Platform.Registration.Std(),
-		known: map[string]job.Versioned{}, running: map[string]ownRun{},
+		ownerTimeout: maxMissedRenewals * env.Settings.Platform.Registration.Std(),
+		records:      map[string]job.Versioned{}, running: map[string]activeRun{},
 	}
 	if kp.server, err = kernel.Need[*serve.Server](env); err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	kp.server.Mount("/v1/jobs", kp.handler())
 	work, cancelWork := context.WithCancel(context.Background())
 	follow := kernel.Go(func(ctx context.Context) {
-		knowledge.ListAndWatch(ctx, client, objectstore.KindJobs, pace, kp.log, kp.learn)
+		knowledge.ListAndWatch(ctx, client, objectstore.KindJobs, minWatchInterval, kp.log, kp.setRecords)
 	})
 	look := kernel.Go(func(ctx context.Context) { kp.run(ctx, work) })
 	return func(ctx context.Context) error {
@@ -99,7 +99,7 @@
 	}, nil
 }
 
-func (kp *keeper) learn(items []objectstore.Object) {
+func (kp *manager) setRecords(items []objectstore.Object) {
 	known := map[string]job.Versioned{}
 	for _, o := range items {
 		if v, err := job.Decode(o); err == nil {
@@ -107,21 +107,21 @@
 		}
 	}
 	kp.mu.Lock()
-	kp.known = known
+	kp.records = known
 	kp.mu.Unlock()
 }
 
 // gone reports whether whoever runs a job is no more. A job that this instance is said to run is looked at only when
 // it does not run here.
-func (kp *keeper) gone(incarnation string) bool {
-	return incarnation == kp.incarnation || kp.fleet.Gone(incarnation, kp.lapse)
+func (kp *manager) ownerGone(incarnation string) bool {
+	return incarnation == kp.incarnation || kp.fleet.Gone(incarnation, kp.ownerTimeout)
 }
 
-func (kp *keeper) run(ctx, work context.Context) {
-	tick := time.NewTicker(lookEvery)
+func (kp *manager) run(ctx, work context.Context) {
+	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
 	for {
-		kp.look(ctx, work)
+		kp.scan(ctx, work)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -131,26 +131,26 @@
 }
 
 // look decides about every job that this instance is responsible for.
-func (kp *keeper) look(ctx, work context.Context) {
+func (kp *manager) scan(ctx, work context.Context) {
 	kp.mu.Lock()
-	all := make([]job.Versioned, 0, len(kp.known))
-	for _, v := range kp.known {
+	all := make([]job.Versioned, 0, len(kp.records))
+	for _, v := range kp.records {
 		if _, mine := kp.running[v.ID]; !mine {
 			all = append(all, v)
 		}
 	}
 	kp.mu.Unlock()
 	for _, v := range all {
-		if ctx.Err() != nil || !kp.responsible(v.ID) {
+		if ctx.Err() != nil || !kp.isResponsible(v.ID) {
 			continue
 		}
-		kp.act(ctx, work, v, job.Next(v.Record, time.Now(), kp.gone))
+		kp.applyStep(ctx, work, v, job.Next(v.Record, time.Now(), kp.ownerGone))
 	}
 }
 
 // responsible reports whether this instance has the highest hash for a job among the live ones. Two that both think so
 // cost a refused write.
-func (kp *keeper) responsible(id string) bool {
+func (kp *manager) isResponsible(id string) bool {
 	mine := xxhash.Sum64String(id + "\x00" + kp.fleet.Self().Name)
 	for _, p := range kp.fleet.Peers() {
 		if p.Live && xxhash.Sum64String(id+"\x00"+p.Name) > mine {
@@ -160,17 +160,17 @@
 	return true
 }
 
-func (kp *keeper) act(ctx, work context.Context, v job.Versioned, step job.Step) {
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+func (kp *manager) applyStep(ctx, work context.Context, v job.Versioned, step job.Step) {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	switch step {
 	case job.Take:
-		kp.take(ctx, work, v)
+		kp.claimAndRun(ctx, work, v)
 	case job.GiveUp:
-		kp.change(ctx, v, v.WithEnd(job.Unknown, ended(failure.New(failure.TargetLost, failure.Unknown,
+		kp.updateRecord(ctx, v, v.WithEnd(job.Unknown, failedResult(failure.New(failure.TargetLost, failure.Unknown,
 			"the instance that ran the job is gone; its result is not known"))))
 	case job.Expire:
-		kp.change(ctx, v, v.WithEnd(job.Failed, ended(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
+		kp.updateRecord(ctx, v, v.WithEnd(job.Failed, failedResult(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
 	case job.Forget:
 		if err := kp.store.Remove(ctx, v); err != nil {
 			kp.log.WithField("job", v.ID).WithError(err).Warn("job not removed")
@@ -179,12 +179,12 @@
 	}
 }
 
-func ended(fe *failure.Error) job.Result {
+func failedResult(fe *failure.Error) job.Result {
 	return job.Result{Ended: time.Now(), Code: fe.Code, Outcome: fe.Outcome, Message: fe.Message}
 }
 
 // change writes a record; a conflict means that another instance or the caller was first.
-func (kp *keeper) change(ctx context.Context, v job.Versioned, next job.Record) (job.Versioned, bool) {
+func (kp *manager) updateRecord(ctx context.Context, v job.Versioned, next job.Record) (job.Versioned, bool) {
 	nv, err := kp.store.Update(ctx, v, next)
 	if err != nil {
 		kp.log.WithField("job", v.ID).WithError(err).Debug("job not changed")
@@ -193,24 +193,24 @@
 	return nv, true
 }
 
-func (kp *keeper) take(ctx, work context.Context, v job.Versioned) {
+func (kp *manager) claimAndRun(ctx, work context.Context, v job.Versioned) {
 	kp.mu.Lock()
 	full := len(kp.running) >= maxRunning
 	kp.mu.Unlock()
 	if full || kp.stopping() {
 		return
 	}
-	mine, ok := kp.change(ctx, v, v.WithOwner(kp.incarnation))
+	mine, ok := kp.updateRecord(ctx, v, v.WithOwner(kp.incarnation))
 	if !ok {
 		return
 	}
 	jobCtx, cancel := context.WithCancel(work)
 	kp.mu.Lock()
-	kp.running[v.ID] = ownRun{cancel: cancel, never: v.Never}
+	kp.running[v.ID] = activeRun{cancel: cancel, runOnce: v.Never}
 	kp.mu.Unlock()
 	kp.wg.Go(func() {
 		defer cancel()
-		kp.perform(jobCtx, mine)
+		kp.execute(jobCtx, mine)
 		kp.mu.Lock()
 		delete(kp.running, v.ID)
 		kp.mu.Unlock()
@@ -218,11 +218,11 @@
 }
 
 // perform runs a job and records its end. A job given back by a stop is queued again.
-func (kp *keeper) perform(ctx context.Context, v job.Versioned) {
-	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(v.Deadline)+writeLimit)
+func (kp *manager) execute(ctx context.Context, v job.Versioned) {
+	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(v.Deadline)+writeTimeout)
 	defer cancel()
 	if v.Never {
-		nv, ok := kp.change(ctx, v, v.WithDispatched())
+		nv, ok := kp.updateRecord(ctx, v, v.WithDispatched())
 		if !ok {
 			return
 		}
@@ -230,57 +230,57 @@
 	}
 	body, err := kp.store.Body(ctx, v.Record)
 	if err != nil {
-		kp.finish(settle, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
+		kp.recordOutcome(settle, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
 		return
 	}
 	ans, err := kp.server.RunJob(ctx, serve.Job{
 		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, Never: v.Never,
 	})
-	kp.finish(settle, v, ans, err, ctx.Err() != nil)
+	kp.recordOutcome(settle, v, ans, err, ctx.Err() != nil)
 }
 
-func (kp *keeper) finish(settle context.Context, v job.Versioned, ans claim.Response, err error, givenBack bool) {
+func (kp *manager) recordOutcome(settle context.Context, v job.Versioned, ans claim.Response, err error, givenBack bool) {
 	if err == nil {
 		parts, perr := kp.store.PutAnswer(settle, v.Record, ans.Body)
 		if perr != nil {
 			kp.log.WithField("job", v.ID).WithError(perr).Error("answer not stored")
 			return
 		}
-		kp.change(settle, v, v.WithEnd(job.Done, job.Result{
+		kp.updateRecord(settle, v, v.WithEnd(job.Done, job.Result{
 			Ended: time.Now(), Status: ans.Status, ContentType: ans.ContentType, Parts: parts,
 		}))
 		return
 	}
-	fe := asFailure(err)
+	fe := toFailure(err)
 	again := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.Never)
 	switch {
 	case again && !givenBack && fe.Code == failure.TargetLost:
 		// The job itself may be what ends its targets: it comes again ever more seldom.
 		next := v.WithLost(time.Now())
 		kp.log.WithField("job", v.ID).WithField("lost", next.Lost).WithError(fe).Warn("job given back, its target was lost")
-		kp.change(settle, v, next)
+		kp.updateRecord(settle, v, next)
 	case again && (givenBack || fe.RetryAfter > 0):
-		kp.change(settle, v, v.WithQueued())
+		kp.updateRecord(settle, v, v.WithQueued())
 	case fe.Outcome == failure.Unknown && v.Never:
-		kp.change(settle, v, v.WithEnd(job.Unknown, ended(fe)))
+		kp.updateRecord(settle, v, v.WithEnd(job.Unknown, failedResult(fe)))
 	default:
-		kp.change(settle, v, v.WithEnd(job.Failed, ended(fe)))
+		kp.updateRecord(settle, v, v.WithEnd(job.Failed, failedResult(fe)))
 	}
 }
 
 // drain waits a moment for running jobs, then gives back those that may be repeated; the others are waited for. Those that
 // still run when ctx ends are given up, and get a moment to record it.
-func (kp *keeper) drain(ctx context.Context, giveUp func()) {
+func (kp *manager) drain(ctx context.Context, giveUp func()) {
 	done := make(chan struct{})
 	go func() { kp.wg.Wait(); close(done) }()
 	select {
 	case <-done:
 		return
-	case <-time.After(handOver):
+	case <-time.After(drainStepTimeout):
 	}
 	kp.mu.Lock()
 	for _, run := range kp.running {
-		if !run.never {
+		if !run.runOnce {
 			run.cancel()
 		}
 	}
@@ -293,6 +293,6 @@
 	giveUp()
 	select {
 	case <-done:
-	case <-time.After(handOver):
+	case <-time.After(drainStepTimeout):
 	}
 }
--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/knowledge/knowledge.go
@@ -23,13 +23,13 @@
 }
 
 const (
-	watchWait = 20 * time.Second
-	minPause  = 200 * time.Millisecond
-	maxPause  = 5 * time.Second
+	watchTimeout = 20 * time.Second
+	minBackOff   = 200 * time.Millisecond
+	maxBackOff   = 5 * time.Second
 	// targetPace and instancePace are the least times between two calls to watch: in a large fleet the objects of
 	// instances change many times a second, and each call of each instance counts.
-	targetPace   = 500 * time.Millisecond
-	instancePace = 5 * time.Second
+	targetWatchInterval   = 500 * time.Millisecond
+	instanceWatchInterval = 5 * time.Second
 )
 
 func defaults(s *config.Settings) {
@@ -58,11 +58,11 @@
 	kernel.Provide(env, burn.New(time.Now))
 	lg := env.Logger("knowledge")
 	targets := kernel.Go(func(ctx context.Context) {
-		ListAndWatch(ctx, cl, objectstore.KindTargets, targetPace, lg, func(items []objectstore.Object) { fl.SetTargets(decode[fleet.Target](items, lg)) })
+		ListAndWatch(ctx, cl, objectstore.KindTargets, targetWatchInterval, lg, func(items []objectstore.Object) { fl.SetTargets(decodeObjects[fleet.Target](items, lg)) })
 	})
 	instances := kernel.Go(func(ctx context.Context) {
-		ListAndWatch(ctx, cl, objectstore.KindInstances, instancePace, lg, func(items []objectstore.Object) {
-			fl.SetInstances(decode[fleet.Listed](items, lg))
+		ListAndWatch(ctx, cl, objectstore.KindInstances, instanceWatchInterval, lg, func(items []objectstore.Object) {
+			fl.SetInstances(decodeObjects[fleet.Listed](items, lg))
 		})
 	})
 	return func(ctx context.Context) error {
@@ -73,7 +73,7 @@
 	}, nil
 }
 
-func decode[T any](items []objectstore.Object, lg log.Interface) []T {
+func decodeObjects[T any](items []objectstore.Object, lg log.Interface) []T {
 	var all []T
 	for _, o := range items {
 		var v T
@@ -93,9 +93,9 @@
 // Follow lists a kind, then watches it with at least pace between two calls, and calls apply with all objects after each
 // change. It goes on through outages with what it heard last.
 func ListAndWatch(ctx context.Context, cl *objectstore.Client, kind string, pace time.Duration, lg log.Interface, apply func([]objectstore.Object)) {
-	pause := minPause
+	pause := minBackOff
 	for ctx.Err() == nil {
-		err := follow(ctx, cl, kind, pace, apply, func() { pause = minPause })
+		err := listAndWatchOnce(ctx, cl, kind, pace, apply, func() { pause = minBackOff })
 		if ctx.Err() != nil {
 			return
 		}
@@ -104,11 +104,11 @@
 		case <-time.After(pause/2 + rand.N(pause)):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, maxPause)
+		pause = min(2*pause, maxBackOff)
 	}
 }
 
-func follow(ctx context.Context, cl *objectstore.Client, kind string, pace time.Duration, apply func([]objectstore.Object), heard func()) error {
+func listAndWatchOnce(ctx context.Context, cl *objectstore.Client, kind string, pace time.Duration, apply func([]objectstore.Object), heard func()) error {
 	l, err := cl.List(ctx, kind)
 	if err != nil {
 		return err
@@ -135,7 +135,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		next, err := cl.Watch(ctx, kind, l.Version, watchWait)
+		next, err := cl.Watch(ctx, kind, l.Version, watchTimeout)
 		if err != nil {
 			return err
 		}
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -31,15 +31,15 @@
 }
 
 const (
-	minKey      = 8
-	headerLimit = 5 * time.Second
+	minKeyLength  = 8
+	headerTimeout = 5 * time.Second
 	// lastAnswer bounds the wait for the last answer in a stop: an operator who does not read it would keep the instance
 	// from ending until it is killed.
-	lastAnswer = 2 * time.Second
+	shutdownTimeout = 2 * time.Second
 )
 
 func check(s config.Settings) config.Faults {
-	if len(s.Operators.Key) < minKey {
+	if len(s.Operators.Key) < minKeyLength {
 		return config.Faults{{Path: "operators.key", Value: "(hidden)", Want: "at least 8 characters"}}
 	}
 	return nil
@@ -121,8 +121,8 @@
 	if err != nil {
 		return nil, err
 	}
-	a.gauges()
-	srv := &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerLimit}
+	a.registerGauges()
+	srv := &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout}
 	go func() {
 		if err := srv.Serve(ls.Operators); !errors.Is(err, http.ErrServerClosed) {
 			env.Logger("operators").WithError(err).Error("listener ended")
@@ -133,7 +133,7 @@
 
 // stop waits for the last answer, then breaks off those that nobody reads.
 func stop(ctx context.Context, srv *http.Server) error {
-	ctx, cancel := context.WithTimeout(ctx, lastAnswer)
+	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	err := srv.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -142,7 +142,7 @@
 	return errors.Wrap(err, "stop operators")
 }
 
-func (ap *api) gauges() {
+func (ap *api) registerGauges() {
 	ap.metrics.NewGauge("silvermount_peer_bytes_out", func() float64 { return float64(ap.mesh.BytesOut.Load()) })
 	ap.metrics.NewGauge("silvermount_peer_bytes_in", func() float64 { return float64(ap.mesh.BytesIn.Load()) })
 	ap.metrics.NewGauge("silvermount_peer_messages", func() float64 { return float64(ap.mesh.FramesSent.Load()) })
@@ -151,7 +151,7 @@
 
 func (ap *api) handler() http.Handler {
 	rt := chi.NewRouter()
-	rt.Use(ap.keyed)
+	rt.Use(ap.requireKey)
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) { ap.metrics.WritePrometheus(w) })
 	rt.Get("/status", func(w http.ResponseWriter, _ *http.Request) { jsonreply.Write(w, ap.status()) })
 	rt.Get("/burn", func(w http.ResponseWriter, _ *http.Request) { jsonreply.Write(w, ap.burn.Windows()) })
@@ -189,7 +189,7 @@
 	jsonreply.Write(w, answer)
 }
 
-func (ap *api) keyed(next http.Handler) http.Handler {
+func (ap *api) requireKey(next http.Handler) http.Handler {
 	want := []byte(ap.env.Settings.Operators.Key)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -24,18 +24,18 @@
 }
 
 const (
-	ttl   = 9 * time.Second
-	every = 3 * time.Second
+	leaseTTL          = 9 * time.Second
+	reconcileInterval = 3 * time.Second
 	// callTimeout bounds one order, margin is for clocks that run unlike each other.
 	callTimeout = time.Second
-	margin      = 2 * time.Second
+	clockMargin = 2 * time.Second
 	// maxLoading keeps to the weight store's rate.
-	maxLoading = 2
-	leaseName  = "orders-"
+	maxLoading  = 2
+	leasePrefix = "orders-"
 )
 
 // giver gives the orders of one availability zone while it holds the lease.
-type giver struct {
+type coordinator struct {
 	lease   *lease.Lease
 	fleet   *fleet.Fleet
 	bundles *rollout.Holder
@@ -45,7 +45,7 @@
 	// epoch, sequence and wanted belong to the present hold; a new one starts from the engines' reports.
 	epoch    int64
 	sequence int64
-	wanted   map[string][]string
+	desired  map[string][]string
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, err
 	}
-	gv := &giver{log: env.Logger("orders")}
+	gv := &coordinator{log: env.Logger("orders")}
 	if gv.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
@@ -63,12 +63,12 @@
 	if gv.clients, err = kernel.Need[reports.Clients](env); err != nil {
 		return nil, err
 	}
-	gv.lease = lease.New(store, leaseName+env.Settings.AvailabilityZone, env.Incarnation, ttl, boottime.Now)
+	gv.lease = lease.New(store, leasePrefix+env.Settings.AvailabilityZone, env.Incarnation, leaseTTL, boottime.Now)
 	return kernel.Go(func(ctx context.Context) {
-		tick := time.NewTicker(every)
+		tick := time.NewTicker(reconcileInterval)
 		defer tick.Stop()
 		for {
-			gv.round(ctx)
+			gv.reconcile(ctx)
 			select {
 			case <-tick.C:
 			case <-ctx.Done():
@@ -79,7 +79,7 @@
 }
 
 // copies returns the wanted copies of each model in one availability zone; models without a number are left alone.
-func (gv *giver) copies() map[string]int {
+func (gv *coordinator) wantedCopies() map[string]int {
 	copies := map[string]int{}
 	if cur := gv.bundles.Current(); cur != nil {
 		for _, m := range cur.Models {
@@ -92,30 +92,30 @@
 }
 
 // round renews the lease and gives the orders that are due. Without wanted copies nobody needs the lease.
-func (gv *giver) round(ctx context.Context) {
-	copies := gv.copies()
+func (gv *coordinator) reconcile(ctx context.Context) {
+	copies := gv.wantedCopies()
 	if len(copies) == 0 {
 		return
 	}
 	if err := gv.lease.TryAcquireOrRenew(ctx); err != nil {
 		gv.log.WithError(err).Warn("lease not renewed")
 	}
-	epoch, held := gv.lease.Held(callTimeout + margin)
+	epoch, held := gv.lease.Held(callTimeout + clockMargin)
 	if !held {
 		return
 	}
 	if epoch != gv.epoch {
-		gv.epoch, gv.sequence, gv.wanted = epoch, 0, map[string][]string{}
+		gv.epoch, gv.sequence, gv.desired = epoch, 0, map[string][]string{}
 		gv.log.WithField("epoch", epoch).Info("gives orders")
 	}
-	targets, engines := gv.look(ctx)
+	targets, engines := gv.collectReports(ctx)
 	for _, ch := range order.Plan(engines, copies, maxLoading) {
-		gv.give(ctx, targets[ch.Engine], ch)
+		gv.sendOrder(ctx, targets[ch.Engine], ch)
 	}
 }
 
 // look asks every engine of the availability zone for its report; those that do not answer are left alone.
-func (gv *giver) look(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
+func (gv *coordinator) collectReports(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	targets := map[string]fleet.Target{}
@@ -134,7 +134,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			targets[t.Name] = t
-			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: gv.wanted[t.Name]})
+			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: gv.desired[t.Name]})
 		})
 	}
 	wg.Wait()
@@ -143,12 +143,12 @@
 
 // give sends one order. The lease is checked at the last step: a target that checks no fence must get no order from a
 // holder whose time may be over before the order arrives.
-func (gv *giver) give(ctx context.Context, t fleet.Target, ch order.Assignment) {
+func (gv *coordinator) sendOrder(ctx context.Context, t fleet.Target, ch order.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	gv.sequence++
 	o := engine.Order{Epoch: gv.epoch, Sequence: gv.sequence, Models: ch.Models}
-	if epoch, held := gv.lease.Held(callTimeout + margin); !held || epoch != gv.epoch {
+	if epoch, held := gv.lease.Held(callTimeout + clockMargin); !held || epoch != gv.epoch {
 		return
 	}
 	lg := gv.log.WithField("target", t.Name).WithField("models", ch.Models)
@@ -156,6 +156,6 @@
 		lg.WithError(err).Warn("order not taken")
 		return
 	}
-	gv.wanted[t.Name] = ch.Models
+	gv.desired[t.Name] = ch.Models
 	lg.Info("order given")
 }
--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -24,7 +24,7 @@
 	kernel.Register(kernel.Duty{Name: "peers", Phase: kernel.PhasePeers, Defaults: defaults, Check: check, Start: start})
 }
 
-const minSecret = 8
+const minSecretLength = 8
 
 func defaults(s *config.Settings) {
 	if s.Peers.Heartbeat == 0 {
@@ -53,7 +53,7 @@
 	if files != 0 && files != 3 {
 		fs = append(fs, &config.Fault{Path: "peers.certificate", Value: p.Certificate, Want: "certificate, key and authority together"})
 	}
-	if files == 0 && len(p.Secret) < minSecret {
+	if files == 0 && len(p.Secret) < minSecretLength {
 		fs = append(fs, &config.Fault{Path: "peers.secret", Value: strconv.Itoa(len(p.Secret)) + " characters", Want: "at least 8, or certificates"})
 	}
 	if span := p.Heartbeat.Std() * time.Duration(max(1, p.RemoteEvery)); 2*span > p.Lost.Std() {
--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -19,10 +19,10 @@
 }
 
 const (
-	every       = 2 * time.Second
+	interval    = 2 * time.Second
 	callTimeout = 2 * time.Second
 	// grace is the time past its deadline after which an attempt is surely over.
-	grace = 2 * time.Second
+	deadlineGrace = 2 * time.Second
 )
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -40,7 +40,7 @@
 	}
 	freed := mset.NewCounter("silvermount_swept_attempts_total")
 	return kernel.Go(func(ctx context.Context) {
-		tick := time.NewTicker(every)
+		tick := time.NewTicker(interval)
 		defer tick.Stop()
 		for {
 			select {
@@ -60,13 +60,13 @@
 	freed := 0
 	for _, t := range fl.Owned() {
 		if t.Kind == fleet.KindEngine {
-			freed += sweepOne(ctx, clients(t), gone)
+			freed += sweepEngine(ctx, clients(t), gone)
 		}
 	}
 	return freed
 }
 
-func sweepOne(ctx context.Context, cl *engine.Client, gone set.Set[string]) int {
+func sweepEngine(ctx context.Context, cl *engine.Client, gone set.Set[string]) int {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	held, err := cl.Held(ctx)
@@ -85,5 +85,5 @@
 // Over reports whether nobody can be waiting for what an engine holds.
 func Orphaned(h engine.Held, gone set.Set[string]) bool {
 	left := time.Duration(h.LeftMillis) * time.Millisecond
-	return left < -grace || gone.Has(h.Holder)
+	return left < -deadlineGrace || gone.Has(h.Holder)
 }
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -11,14 +11,14 @@
 	"github.com/silvermount/silvermount/internal/set"
 )
 
-func TestOver(t *testing.T) {
+func TestOrphaned(t *testing.T) {
 	tests := map[string]struct {
 		held engine.Held
 		want bool
 	}{
 		"running":                 {held: engine.Held{Holder: "live", LeftMillis: 1}},
 		"just past its deadline":  {held: engine.Held{Holder: "live", LeftMillis: -1}},
-		"past deadline and grace": {held: engine.Held{Holder: "live", LeftMillis: -(grace.Milliseconds() + 1)}, want: true},
+		"past deadline and grace": {held: engine.Held{Holder: "live", LeftMillis: -(deadlineGrace.Milliseconds() + 1)}, want: true},
 		"holder has ended":        {held: engine.Held{Holder: "ended", LeftMillis: 1e6}, want: true},
 	}
 	for name, tc := range tests {
@@ -29,7 +29,7 @@
 }
 
 // TestSilenceIsNoEnd shows that the work of an instance that is merely cut off is not swept away.
-func TestSilenceIsNoEnd(t *testing.T) {
+func TestSilentInstanceIsNotTreatedAsEnded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithNow(func() time.Time { return now }))
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -11,7 +11,7 @@
 // beatFor makes a heartbeat for one peer: this instance's work at the targets that the peer owns, and what this
 // instance knows of the targets that it owns itself. So each pair exchanges a few lines only, whatever the size of
 // the fleet. Answers carry summaries, first beats carry usage.
-func (ms *Mesh) beatFor(peer string, seq uint64, answer bool) *peerpb.Beat {
+func (ms *Mesh) newBeat(peer string, seq uint64, answer bool) *peerpb.Beat {
 	b := &peerpb.Beat{
 		Seq: seq, BundleVersion: ms.bundles.Version(), Stopping: ms.stopping(), Answer: answer,
 	}
@@ -20,14 +20,14 @@
 	}
 	if !answer {
 		for target, wk := range ms.fl.UsageFor(peer) {
-			b.Usage = append(b.Usage, usage(target, wk))
+			b.Usage = append(b.Usage, encodeUsage(target, wk))
 		}
 		return b
 	}
 	for _, sm := range ms.fl.SummariesFor(peer) {
 		b.Summaries = append(b.Summaries, &peerpb.Summary{
-			Total: usage(sm.Target, sm.Total), Incarnation: sm.Incarnation, MemoryTotal: uint64(sm.MemoryTotal),
-			ReportedPrefill: uint64(sm.ReportedPrefill), Rate: sm.Rate, AgeMillis: millis(sm.Age), Models: sm.Models,
+			Total: encodeUsage(sm.Target, sm.Total), Incarnation: sm.Incarnation, MemoryTotal: uint64(sm.MemoryTotal),
+			ReportedPrefill: uint64(sm.ReportedPrefill), Rate: sm.Rate, AgeMillis: clampMillis(sm.Age), Models: sm.Models,
 		})
 	}
 	return b
@@ -35,9 +35,9 @@
 
 const maxAge = time.Hour
 
-func millis(d time.Duration) uint32 { return uint32(max(0, min(d, maxAge)).Milliseconds()) }
+func clampMillis(d time.Duration) uint32 { return uint32(max(0, min(d, maxAge)).Milliseconds()) }
 
-func usage(target string, wk fleet.Work) *peerpb.Usage {
+func encodeUsage(target string, wk fleet.Work) *peerpb.Usage {
 	u := &peerpb.Usage{
 		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.Memory)), Long: uint32(max(0, wk.Long)),
 	}
@@ -49,7 +49,7 @@
 	return u
 }
 
-func work(u *peerpb.Usage) fleet.Work {
+func decodeUsage(u *peerpb.Usage) fleet.Work {
 	wk := fleet.Work{Requests: int(u.GetRequests()), Memory: int(u.GetMemory()), Long: int(u.GetLong())}
 	for i, p := range u.GetPrefill() {
 		if i < policy.Bands {
@@ -60,7 +60,7 @@
 }
 
 // sender returns who a hello says it is from.
-func sender(h *peerpb.Hello) fleet.Instance {
+func instanceFromHello(h *peerpb.Hello) fleet.Instance {
 	return fleet.Instance{
 		Name: h.GetInstance(), Incarnation: h.GetIncarnation(), AvailabilityZone: h.GetAvailabilityZone(),
 		PeerAddress: h.GetPeerAddress(), CallersAddress: h.GetCallersAddress(),
@@ -76,11 +76,11 @@
 		b.Usage = map[string]fleet.Work{}
 	}
 	for _, u := range pb.GetUsage() {
-		b.Usage[u.GetTarget()] = work(u)
+		b.Usage[u.GetTarget()] = decodeUsage(u)
 	}
 	for _, s := range pb.GetSummaries() {
 		b.Summaries = append(b.Summaries, fleet.Summary{
-			Target: s.GetTotal().GetTarget(), Total: work(s.GetTotal()), Incarnation: s.GetIncarnation(),
+			Target: s.GetTotal().GetTarget(), Total: decodeUsage(s.GetTotal()), Incarnation: s.GetIncarnation(),
 			MemoryTotal: int(s.GetMemoryTotal()), ReportedPrefill: int(s.GetReportedPrefill()), Rate: s.GetRate(),
 			Age: time.Duration(s.GetAgeMillis()) * time.Millisecond, Models: s.GetModels(),
 		})
@@ -89,12 +89,12 @@
 		b.Leaving[l.GetTarget()] = l.GetIncarnation()
 	}
 	ms.fl.ApplyBeat(b)
-	ms.renew(from.Incarnation, b.Usage)
+	ms.renewGrants(from.Incarnation, b.Usage)
 	ms.bundles.Hear(pb.GetBundleVersion())
 }
 
 // renew extends the grants that a heartbeat tells are in use.
-func (ms *Mesh) renew(holder string, usage map[string]fleet.Work) {
+func (ms *Mesh) renewGrants(holder string, usage map[string]fleet.Work) {
 	for target, wk := range usage {
 		if wk.Long > 0 {
 			ms.grants.Renew(holder, target, wk.Long)
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -22,14 +22,14 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	redialPause = 500 * time.Millisecond
+	redialDelay = 500 * time.Millisecond
 	// askTimeout bounds the wait for a grant; the request then waits and asks again.
-	askTimeout = 300 * time.Millisecond
-	outSize    = 1024
+	grantTimeout  = 300 * time.Millisecond
+	sendQueueSize = 1024
 	// fullRatePeers is the number of peers nearby from which heartbeats are stretched.
-	fullRatePeers = 24
+	maxFullRatePeers = 24
 	// maxStretch keeps two heartbeats within the silence after which a peer counts as gone.
-	maxStretch = 3
+	maxHeartbeatStretch = 3
 )
 
 // link is the stream that this instance opened to one peer.
@@ -39,13 +39,13 @@
 	cancel  context.CancelFunc
 	up      atomic.Bool
 	// peer is known from the first answer on.
-	peer atomic.Pointer[fleet.Instance]
-	out  *ring.Ring[*peerpb.Frame]
+	peer      atomic.Pointer[fleet.Instance]
+	sendQueue *ring.Ring[*peerpb.Frame]
 
-	mu      sync.Mutex
-	answers map[uint64]chan bool
-	shorts  map[uint64]chan *peerpb.ShortAnswer
-	bodies  []chan *peerpb.BundleBody
+	mu             sync.Mutex
+	pendingGrants  map[uint64]chan bool
+	pendingOffers  map[uint64]chan *peerpb.ShortAnswer
+	pendingBundles []chan *peerpb.BundleBody
 }
 
 // Run keeps a link to every known peer until ctx ends.
@@ -53,11 +53,11 @@
 	tick := time.NewTicker(ms.opts.Heartbeat)
 	defer tick.Stop()
 	for {
-		ms.connect(ctx)
+		ms.updateLinks(ctx)
 		for incarnation := range ms.fl.DropLost().All() {
 			ms.grants.DropHolder(incarnation)
 		}
-		ms.renew(ms.fl.Self().Incarnation, ms.fl.UsageFor(ms.fl.Self().Name))
+		ms.renewGrants(ms.fl.Self().Incarnation, ms.fl.UsageFor(ms.fl.Self().Name))
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -68,7 +68,7 @@
 
 // wanted returns the addresses of peers, and whether a link to each is to be kept: all of a small fleet; of a large one
 // those of this availability zone and the few of each other that have the highest hash with this instance.
-func (ms *Mesh) wanted() map[string]bool {
+func (ms *Mesh) planLinks() map[string]bool {
 	peers := ms.fl.Peers()
 	self := ms.fl.Self()
 	rank := func(p fleet.PeerStatus) uint64 { return xxhash.Sum64String(self.Name + "\x00" + p.Name) }
@@ -77,7 +77,7 @@
 	remote := map[string]int{}
 	near := 0
 	for _, p := range peers {
-		keep := p.Listed || p.Heard < forgetAfter
+		keep := p.Listed || p.Heard < maxDialSilence
 		if p.Live && p.AvailabilityZone == self.AvailabilityZone {
 			near++
 		}
@@ -87,13 +87,13 @@
 		}
 		wanted[p.PeerAddress] = wanted[p.PeerAddress] || keep
 	}
-	ms.stretch.Store(int64(min(maxStretch, 1+near/fullRatePeers)))
+	ms.heartbeatStretch.Store(int64(min(maxHeartbeatStretch, 1+near/maxFullRatePeers)))
 	return wanted
 }
 
 // connect opens links to peers that have none and closes those to peers long gone.
-func (ms *Mesh) connect(ctx context.Context) {
-	wanted := ms.wanted()
+func (ms *Mesh) updateLinks(ctx context.Context) {
+	wanted := ms.planLinks()
 	for _, s := range ms.opts.Seeds {
 		wanted[s] = true
 	}
@@ -105,9 +105,9 @@
 		lk := ms.links[address]
 		if keep && lk == nil {
 			ctx, cancel := context.WithCancel(ctx)
-			lk = &link{ms: ms, address: address, cancel: cancel, out: ring.New[*peerpb.Frame](outSize), answers: map[uint64]chan bool{}, shorts: map[uint64]chan *peerpb.ShortAnswer{}}
+			lk = &link{ms: ms, address: address, cancel: cancel, sendQueue: ring.New[*peerpb.Frame](sendQueueSize), pendingGrants: map[uint64]chan bool{}, pendingOffers: map[uint64]chan *peerpb.ShortAnswer{}}
 			ms.links[address] = lk
-			go lk.keep(ctx)
+			go lk.maintain(ctx)
 		}
 		if !keep && lk != nil {
 			lk.cancel()
@@ -117,17 +117,17 @@
 }
 
 // forgetAfter is the silence after which a peer is no longer dialled.
-const forgetAfter = time.Minute
+const maxDialSilence = time.Minute
 
-func (lk *link) keep(ctx context.Context) {
+func (lk *link) maintain(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := lk.exchange(ctx)
+		err := lk.runStream(ctx)
 		lk.up.Store(false)
 		if err != nil && ctx.Err() == nil {
 			lk.ms.opts.Log.WithField("address", lk.address).WithError(err).Debug("link down")
 		}
 		select {
-		case <-time.After(redialPause):
+		case <-time.After(redialDelay):
 		case <-ctx.Done():
 		}
 	}
@@ -156,7 +156,7 @@
 }
 
 // exchange runs the stream: one goroutine sends, one receives.
-func (lk *link) exchange(ctx context.Context) error {
+func (lk *link) runStream(ctx context.Context) error {
 	nc, err := lk.dial(ctx)
 	if err != nil {
 		return err
@@ -170,44 +170,44 @@
 		return errors.Wrap(err, "open stream")
 	}
 	defer stream.Close()
-	if err := stream.Send(&peerpb.Frame{Kind: &peerpb.Frame_Hello{Hello: lk.ms.hello()}}); err != nil {
+	if err := stream.Send(&peerpb.Frame{Kind: &peerpb.Frame_Hello{Hello: lk.ms.newHello()}}); err != nil {
 		return errors.Wrap(err, "send hello")
 	}
 	go func() {
 		defer cancel()
-		lk.send(ctx, stream)
+		lk.sendLoop(ctx, stream)
 	}()
 	for {
 		f, err := stream.Recv()
 		if err != nil {
 			return errors.Wrap(err, "receive")
 		}
-		lk.take(f)
+		lk.handleFrame(f)
 	}
 }
 
 // send sends heartbeats and what waits in the ring.
-func (lk *link) send(ctx context.Context, stream peerpb.DRPCPeer_ExchangeClient) {
+func (lk *link) sendLoop(ctx context.Context, stream peerpb.DRPCPeer_ExchangeClient) {
 	tick := time.NewTicker(lk.ms.opts.Heartbeat)
 	defer tick.Stop()
 	for n := uint64(0); ; {
 		select {
-		case f := <-lk.out.Items():
-			if lk.sendOne(stream, f) != nil {
+		case f := <-lk.sendQueue.Items():
+			if lk.sendFrame(stream, f) != nil {
 				return
 			}
 			continue
 		default:
 		}
-		if lk.due(n) {
-			f := &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: lk.ms.beatFor(lk.name(), n, false)}}
-			if lk.sendOne(stream, f) != nil {
+		if lk.heartbeatDue(n) {
+			f := &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: lk.ms.newBeat(lk.peerName(), n, false)}}
+			if lk.sendFrame(stream, f) != nil {
 				return
 			}
 		}
 		select {
-		case f := <-lk.out.Items():
-			if lk.sendOne(stream, f) != nil {
+		case f := <-lk.sendQueue.Items():
+			if lk.sendFrame(stream, f) != nil {
 				return
 			}
 		case <-tick.C:
@@ -218,9 +218,9 @@
 	}
 }
 
-func (lk *link) sendOne(stream peerpb.DRPCPeer_ExchangeClient, f *peerpb.Frame) error {
+func (lk *link) sendFrame(stream peerpb.DRPCPeer_ExchangeClient, f *peerpb.Frame) error {
 	if p := lk.peer.Load(); p != nil && lk.ms.opts.ZoneBlocked(p.AvailabilityZone) {
-		return &UnreachableError{Instance: lk.name()}
+		return &UnreachableError{Instance: lk.peerName()}
 	}
 	lk.ms.FramesSent.Add(1)
 	return errors.Wrap(stream.Send(f), "send")
@@ -228,15 +228,15 @@
 
 // due reports whether a heartbeat is sent at this tick. Peers elsewhere get fewer, and so do all where there are many:
 // the cost of heartbeats then grows no further with the size of an availability zone.
-func (lk *link) due(n uint64) bool {
-	every := uint64(lk.ms.stretch.Load())
+func (lk *link) heartbeatDue(n uint64) bool {
+	every := uint64(lk.ms.heartbeatStretch.Load())
 	if p := lk.peer.Load(); p != nil && p.AvailabilityZone != lk.ms.fl.Self().AvailabilityZone {
 		every *= uint64(lk.ms.opts.RemoteHeartbeatDivisor)
 	}
 	return n%max(1, every) == 0
 }
 
-func (lk *link) name() string {
+func (lk *link) peerName() string {
 	if p := lk.peer.Load(); p != nil {
 		return p.Name
 	}
@@ -244,9 +244,9 @@
 }
 
 // takeBeat takes an answer. The first one of a stream tells who answers.
-func (lk *link) takeBeat(b *peerpb.Beat) {
+func (lk *link) handleBeat(b *peerpb.Beat) {
 	if h := b.GetSender(); h != nil {
-		in := sender(h)
+		in := instanceFromHello(h)
 		in.PeerAddress = lk.address
 		lk.peer.Store(&in)
 	}
@@ -256,28 +256,28 @@
 	}
 }
 
-func (lk *link) take(f *peerpb.Frame) {
+func (lk *link) handleFrame(f *peerpb.Frame) {
 	switch k := f.GetKind().(type) {
 	case *peerpb.Frame_Beat:
-		lk.takeBeat(k.Beat)
+		lk.handleBeat(k.Beat)
 	case *peerpb.Frame_Answer:
 		lk.mu.Lock()
-		ch := lk.answers[k.Answer.GetId()]
-		delete(lk.answers, k.Answer.GetId())
+		ch := lk.pendingGrants[k.Answer.GetId()]
+		delete(lk.pendingGrants, k.Answer.GetId())
 		if ch != nil {
 			// The channel has room for its one answer; forget looks there under the same lock.
 			ch <- k.Answer.GetGranted()
 		}
 		lk.mu.Unlock()
 		if ch == nil && k.Answer.GetGranted() {
-			lk.release(k.Answer.GetId(), "")
+			lk.releaseGrant(k.Answer.GetId(), "")
 		}
 	case *peerpb.Frame_ShortAnswer:
-		lk.takeShort(k.ShortAnswer)
+		lk.handleShortAnswer(k.ShortAnswer)
 	case *peerpb.Frame_BundleBody:
 		lk.mu.Lock()
-		waiting := lk.bodies
-		lk.bodies = nil
+		waiting := lk.pendingBundles
+		lk.pendingBundles = nil
 		lk.mu.Unlock()
 		for _, ch := range waiting {
 			ch <- k.BundleBody
@@ -285,59 +285,59 @@
 	}
 }
 
-func (lk *link) ask(ctx context.Context, id uint64, target string, memory int, hold time.Duration) (func(), bool) {
+func (lk *link) requestGrant(ctx context.Context, id uint64, target string, memory int, hold time.Duration) (func(), bool) {
 	ch := make(chan bool, 1)
 	lk.mu.Lock()
-	lk.answers[id] = ch
+	lk.pendingGrants[id] = ch
 	lk.mu.Unlock()
 	f := &peerpb.Frame{Kind: &peerpb.Frame_Ask{Ask: &peerpb.Ask{
 		Id: id, Target: target, Memory: uint64(memory), HoldMillis: uint32(hold.Milliseconds()),
 	}}}
-	if !lk.out.Offer(f) {
+	if !lk.sendQueue.Offer(f) {
 		return func() {}, false
 	}
-	timer := time.NewTimer(askTimeout)
+	timer := time.NewTimer(grantTimeout)
 	defer timer.Stop()
 	select {
 	case granted := <-ch:
-		return func() { lk.release(id, target) }, granted
+		return func() { lk.releaseGrant(id, target) }, granted
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	lk.forget(id, target, ch)
+	lk.abandonGrant(id, target, ch)
 	return func() {}, false
 }
 
 // forget stops waiting for an answer. One that came just now is given back here, a later one by take.
-func (lk *link) forget(id uint64, target string, ch <-chan bool) {
+func (lk *link) abandonGrant(id uint64, target string, ch <-chan bool) {
 	lk.mu.Lock()
-	delete(lk.answers, id)
+	delete(lk.pendingGrants, id)
 	lk.mu.Unlock()
 	select {
 	case granted := <-ch:
 		if granted {
-			lk.release(id, target)
+			lk.releaseGrant(id, target)
 		}
 	default:
 	}
 }
 
-func (lk *link) release(id uint64, target string) {
+func (lk *link) releaseGrant(id uint64, target string) {
 	// A release that is shed runs out with its time.
-	lk.out.Offer(&peerpb.Frame{Kind: &peerpb.Frame_Release{Release: &peerpb.Release{Id: id, Target: target}}})
+	lk.sendQueue.Offer(&peerpb.Frame{Kind: &peerpb.Frame_Release{Release: &peerpb.Release{Id: id, Target: target}}})
 }
 
-func (lk *link) fetch(ctx context.Context, version int64) (bundle.Bundle, error) {
+func (lk *link) fetchBundle(ctx context.Context, version int64) (bundle.Bundle, error) {
 	ch := make(chan *peerpb.BundleBody, 1)
 	lk.mu.Lock()
-	lk.bodies = append(lk.bodies, ch)
+	lk.pendingBundles = append(lk.pendingBundles, ch)
 	lk.mu.Unlock()
-	lk.out.Offer(&peerpb.Frame{Kind: &peerpb.Frame_BundleAsk{BundleAsk: &peerpb.BundleAsk{Version: version}}})
+	lk.sendQueue.Offer(&peerpb.Frame{Kind: &peerpb.Frame_BundleAsk{BundleAsk: &peerpb.BundleAsk{Version: version}}})
 	select {
 	case body := <-ch:
 		return bundle.Parse(body.GetBody())
-	case <-time.After(2 * askTimeout):
-		return bundle.Bundle{}, &UnreachableError{Instance: lk.name()}
+	case <-time.After(2 * grantTimeout):
+		return bundle.Bundle{}, &UnreachableError{Instance: lk.peerName()}
 	case <-ctx.Done():
 		return bundle.Bundle{}, ctx.Err()
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -68,7 +68,7 @@
 	opts     Options
 	stopping func() bool
 
-	chooseShort atomic.Pointer[ShortPromptChooser]
+	chooseShortTarget atomic.Pointer[ShortPromptChooser]
 
 	mu sync.Mutex
 	// links are by the peer's address.
@@ -78,7 +78,7 @@
 	BytesOut, BytesIn, FramesSent atomic.Int64
 	nextID                        atomic.Uint64
 	// stretch is how many ticks pass between two heartbeats to a peer nearby.
-	stretch atomic.Int64
+	heartbeatStretch atomic.Int64
 }
 
 // New returns a mesh; Serve and Run do its work.
@@ -109,11 +109,11 @@
 		return errors.Wrap(err, "receive hello")
 	}
 	h := f.GetHello()
-	if h == nil || !hmac.Equal(h.GetProof(), proof(ms.opts.Secret, h)) {
+	if h == nil || !hmac.Equal(h.GetProof(), helloMAC(ms.opts.Secret, h)) {
 		ms.opts.Log.WithField("peer", h.GetInstance()).Warn("peer turned away")
 		return &AuthenticationError{Instance: h.GetInstance()}
 	}
-	from := sender(h)
+	from := instanceFromHello(h)
 	for told := false; ; {
 		f, err := stream.Recv()
 		if err != nil {
@@ -122,9 +122,9 @@
 		if ms.opts.ZoneBlocked(from.AvailabilityZone) {
 			return &UnreachableError{Instance: from.Name}
 		}
-		if out := ms.answer(from, f); out != nil {
+		if out := ms.respond(from, f); out != nil {
 			if b := out.GetBeat(); b != nil && !told {
-				b.Sender, told = ms.hello(), true
+				b.Sender, told = ms.newHello(), true
 			}
 			if err := stream.Send(out); err != nil {
 				return errors.Wrap(err, "send")
@@ -134,29 +134,29 @@
 	}
 }
 
-func (ms *Mesh) answer(from fleet.Instance, f *peerpb.Frame) *peerpb.Frame {
+func (ms *Mesh) respond(from fleet.Instance, f *peerpb.Frame) *peerpb.Frame {
 	switch k := f.GetKind().(type) {
 	case *peerpb.Frame_Beat:
 		ms.applyBeat(from, k.Beat)
-		return &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: ms.beatFor(from.Name, k.Beat.GetSeq(), true)}}
+		return &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: ms.newBeat(from.Name, k.Beat.GetSeq(), true)}}
 	case *peerpb.Frame_Ask:
 		key := grant.Key{Holder: from.Incarnation, ID: k.Ask.GetId()}
 		hold := time.Duration(k.Ask.GetHoldMillis()) * time.Millisecond
 		ok := ms.grants.Ask(key, k.Ask.GetTarget(), int(k.Ask.GetMemory()), hold)
 		return &peerpb.Frame{Kind: &peerpb.Frame_Answer{Answer: &peerpb.Answer{Id: k.Ask.GetId(), Granted: ok}}}
 	case *peerpb.Frame_ShortAsk:
-		return ms.answerShort(from, k.ShortAsk)
+		return ms.respondShort(from, k.ShortAsk)
 	case *peerpb.Frame_Release:
 		key := grant.Key{Holder: from.Incarnation, ID: k.Release.GetId()}
 		ms.grants.Release(key)
 		ms.fl.DropAsked(k.Release.GetTarget(), key)
 	case *peerpb.Frame_BundleAsk:
-		return ms.bundleBody(k.BundleAsk.GetVersion())
+		return ms.bundleResponse(k.BundleAsk.GetVersion())
 	}
 	return nil
 }
 
-func (ms *Mesh) bundleBody(version int64) *peerpb.Frame {
+func (ms *Mesh) bundleResponse(version int64) *peerpb.Frame {
 	body := &peerpb.BundleBody{Version: version}
 	if cur := ms.bundles.Current(); cur != nil && cur.Version >= version {
 		b, err := json.Marshal(cur.Bundle)
@@ -168,7 +168,7 @@
 }
 
 // proof is the keyed digest of who a hello says it is from.
-func proof(secret string, h *peerpb.Hello) []byte {
+func helloMAC(secret string, h *peerpb.Hello) []byte {
 	m := hmac.New(sha256.New, []byte(secret))
 	for _, part := range []string{
 		h.GetInstance(), h.GetIncarnation(), h.GetAvailabilityZone(), h.GetPeerAddress(), h.GetCallersAddress(), string(h.GetNonce()),
@@ -180,7 +180,7 @@
 	return m.Sum(nil)
 }
 
-func (ms *Mesh) hello() *peerpb.Hello {
+func (ms *Mesh) newHello() *peerpb.Hello {
 	self := ms.fl.Self()
 	nonce := make([]byte, nonceBytes)
 	_, _ = rand.Read(nonce) // crypto/rand.Read never fails
@@ -188,7 +188,7 @@
 		Instance: self.Name, Incarnation: self.Incarnation, AvailabilityZone: self.AvailabilityZone,
 		PeerAddress: self.PeerAddress, CallersAddress: self.CallersAddress, Nonce: nonce,
 	}
-	h.Proof = proof(ms.opts.Secret, h)
+	h.Proof = helloMAC(ms.opts.Secret, h)
 	return h
 }
 
@@ -205,7 +205,7 @@
 	if lk == nil {
 		return func() {}, true
 	}
-	return lk.ask(ctx, key.ID, t.Name, memory, hold)
+	return lk.requestGrant(ctx, key.ID, t.Name, memory, hold)
 }
 
 // FetchBundle asks live peers for a bundle of at least the given version.
@@ -215,7 +215,7 @@
 		if lk == nil || p.BundleVersion < version {
 			continue
 		}
-		b, err := lk.fetch(ctx, version)
+		b, err := lk.fetchBundle(ctx, version)
 		if err == nil {
 			return b, nil
 		}
@@ -227,7 +227,7 @@
 	ms.mu.Lock()
 	defer ms.mu.Unlock()
 	for _, lk := range ms.links {
-		if lk.up.Load() && lk.name() == instance {
+		if lk.up.Load() && lk.peerName() == instance {
 			return lk
 		}
 	}
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -15,21 +15,21 @@
 
 const (
 	// shortAsks is how many owners are asked for one short prompt.
-	shortAsks = 2
+	maxOfferPeers = 2
 	// shortTimeout bounds the wait for their answers.
-	shortTimeout = 20 * time.Millisecond
+	offerTimeout = 20 * time.Millisecond
 )
 
 // ChooseShort chooses the best owned target for a peer's short prompt.
 type ShortPromptChooser func(model string, rq policy.Request) (target string, wait time.Duration, ok bool)
 
 // SetChooseShort sets the choice that answers to peers are made by.
-func (ms *Mesh) SetShortPromptChooser(f ShortPromptChooser) { ms.chooseShort.Store(&f) }
+func (ms *Mesh) SetShortPromptChooser(f ShortPromptChooser) { ms.chooseShortTarget.Store(&f) }
 
-func (ms *Mesh) answerShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
+func (ms *Mesh) respondShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
 	ans := &peerpb.ShortAnswer{Id: ask.GetId()}
 	rq := policy.Request{Tokens: int(ask.GetTokens()), Output: int(ask.GetOutput())}
-	if choose := ms.chooseShort.Load(); choose != nil && !ms.stopping() {
+	if choose := ms.chooseShortTarget.Load(); choose != nil && !ms.stopping() {
 		if target, wait, ok := (*choose)(ask.GetModel(), rq); ok {
 			ans.Target, ans.WaitMicros = target, uint32(min(wait, maxAge).Microseconds())
 			ms.fl.NoteAsked(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, rq.Tokens, wait)
@@ -40,13 +40,13 @@
 
 // AskShort asks some other owners, of this availability zone where there are any, and returns what they offer in time.
 func (ms *Mesh) RequestShortOffers(ctx context.Context, model string, rq policy.Request) []offer.Offer {
-	ctx, cancel := context.WithTimeout(ctx, shortTimeout)
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
-	links := ms.someOwners(model)
+	links := ms.pickOwnerLinks(model)
 	offers := make([]offer.Offer, len(links))
 	var wg sync.WaitGroup
 	for i, lk := range links {
-		wg.Go(func() { offers[i] = lk.askShort(ctx, ms.nextID.Add(1), model, rq) })
+		wg.Go(func() { offers[i] = lk.requestOffer(ctx, ms.nextID.Add(1), model, rq) })
 	}
 	wg.Wait()
 	var made []offer.Offer
@@ -58,7 +58,7 @@
 	return made
 }
 
-func (ms *Mesh) someOwners(model string) []*link {
+func (ms *Mesh) pickOwnerLinks(model string) []*link {
 	near, far := ms.fl.OtherOwners(model)
 	shuffle := func(names []string) {
 		rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -67,58 +67,58 @@
 	shuffle(far)
 	var links []*link
 	for _, name := range append(near, far...) {
-		if lk := ms.linkTo(name); lk != nil && len(links) < shortAsks {
+		if lk := ms.linkTo(name); lk != nil && len(links) < maxOfferPeers {
 			links = append(links, lk)
 		}
 	}
 	return links
 }
 
-func (lk *link) askShort(ctx context.Context, id uint64, model string, rq policy.Request) offer.Offer {
+func (lk *link) requestOffer(ctx context.Context, id uint64, model string, rq policy.Request) offer.Offer {
 	ch := make(chan *peerpb.ShortAnswer, 1)
 	lk.mu.Lock()
-	lk.shorts[id] = ch
+	lk.pendingOffers[id] = ch
 	lk.mu.Unlock()
 	ask := &peerpb.ShortAsk{Id: id, Model: model, Tokens: uint32(rq.Tokens), Output: uint32(rq.Output)}
-	if lk.out.Offer(&peerpb.Frame{Kind: &peerpb.Frame_ShortAsk{ShortAsk: ask}}) {
+	if lk.sendQueue.Offer(&peerpb.Frame{Kind: &peerpb.Frame_ShortAsk{ShortAsk: ask}}) {
 		select {
 		case ans := <-ch:
-			return lk.made(ans)
+			return lk.toOffer(ans)
 		case <-ctx.Done():
 		}
 	}
 	lk.mu.Lock()
-	delete(lk.shorts, id)
+	delete(lk.pendingOffers, id)
 	lk.mu.Unlock()
 	select {
 	case ans := <-ch:
-		return lk.made(ans)
+		return lk.toOffer(ans)
 	default:
 		return offer.Offer{}
 	}
 }
 
-func (lk *link) made(ans *peerpb.ShortAnswer) offer.Offer {
+func (lk *link) toOffer(ans *peerpb.ShortAnswer) offer.Offer {
 	if ans.GetTarget() == "" {
 		return offer.Offer{}
 	}
 	var once sync.Once
 	return offer.Offer{
 		Target: ans.GetTarget(), Wait: time.Duration(ans.GetWaitMicros()) * time.Microsecond,
-		Release: func() { once.Do(func() { lk.release(ans.GetId(), ans.GetTarget()) }) },
+		Release: func() { once.Do(func() { lk.releaseGrant(ans.GetId(), ans.GetTarget()) }) },
 	}
 }
 
 // takeShort hands an answer to who waits for it; one that nobody waits for any more is given back.
-func (lk *link) takeShort(ans *peerpb.ShortAnswer) {
+func (lk *link) handleShortAnswer(ans *peerpb.ShortAnswer) {
 	lk.mu.Lock()
-	ch := lk.shorts[ans.GetId()]
-	delete(lk.shorts, ans.GetId())
+	ch := lk.pendingOffers[ans.GetId()]
+	delete(lk.pendingOffers, ans.GetId())
 	if ch != nil {
 		ch <- ans
 	}
 	lk.mu.Unlock()
 	if ch == nil && ans.GetTarget() != "" {
-		lk.release(ans.GetId(), ans.GetTarget())
+		lk.releaseGrant(ans.GetId(), ans.GetTarget())
 	}
 }
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -17,7 +17,7 @@
 type Reader struct {
 	rest []byte
 	// failed is the first failure.
-	failed error
+	err error
 }
 
 // NewReader returns a reader of bytes, which must not change while it is used.
@@ -25,25 +25,25 @@
 
 // Fail notes a failure, unless there was one.
 func (rd *Reader) Fail(reason string) {
-	if rd.failed == nil {
-		rd.failed = &MalformedError{Reason: reason}
+	if rd.err == nil {
+		rd.err = &MalformedError{Reason: reason}
 	}
 }
 
 // Failed reports whether anything could not be read.
-func (rd *Reader) Failed() bool { return rd.failed != nil }
+func (rd *Reader) Failed() bool { return rd.err != nil }
 
 // End returns the first failure, a MalformedError; bytes that are left are one.
 func (rd *Reader) Finish() error {
 	if len(rd.rest) > 0 {
 		rd.Fail("bytes after the end")
 	}
-	return rd.failed
+	return rd.err
 }
 
 // Number reads a number that is at most a bound.
 func (rd *Reader) ReadUvarint(most uint64) uint64 {
-	if rd.failed != nil {
+	if rd.err != nil {
 		return 0
 	}
 	n, size := binary.Uvarint(rd.rest)
@@ -60,7 +60,7 @@
 	if n > len(rd.rest) {
 		rd.Fail("cut off")
 	}
-	if rd.failed != nil {
+	if rd.err != nil {
 		return nil
 	}
 	b := rd.rest[:n]
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -10,7 +10,7 @@
 	"github.com/silvermount/silvermount/internal/peerbytes"
 )
 
-func TestReader(t *testing.T) {
+func TestReaderReadsAppendedValues(t *testing.T) {
 	g := NewWithT(t)
 	b := peerbytes.AppendString(nil, "a name")
 	b = peerbytes.AppendDuration(b, 1500*time.Millisecond, time.Minute)
@@ -26,7 +26,7 @@
 	g.Expect(rd.Finish()).To(Succeed())
 }
 
-func TestReaderFails(t *testing.T) {
+func TestReaderKeepsFirstError(t *testing.T) {
 	cases := map[string]func(rd *peerbytes.Reader){
 		"a number out of range": func(rd *peerbytes.Reader) { rd.ReadUvarint(5) },
 		"a name out of range":   func(rd *peerbytes.Reader) { rd.ReadString(5) },
--- a/internal/peerstate/decode.go
+++ b/internal/peerstate/decode.go
@@ -24,7 +24,7 @@
 	if len(b) == 0 {
 		return State{}, &MalformedError{Reason: "no bytes"}
 	}
-	if b[0] != version {
+	if b[0] != formatVersion {
 		return State{}, &VersionError{Version: b[0]}
 	}
 	rd := reader{rest: b[1:]}
@@ -67,7 +67,7 @@
 
 func (rd *reader) age() time.Duration {
 	ms := rd.uvarint()
-	if ms > uint64(maxProofAge.Milliseconds()) {
+	if ms > uint64(maxAge.Milliseconds()) {
 		rd.fail("an age that is too large")
 		return 0
 	}
@@ -83,16 +83,16 @@
 	last := ""
 	for no := uint64(0); no < count && rd.err == nil; no++ {
 		ta := rd.target()
-		if no > 0 && place(ta.incarnation) <= last {
+		if no > 0 && sortKey(ta.incarnation) <= last {
 			rd.fail("targets out of order")
 		}
-		last = place(ta.incarnation)
+		last = sortKey(ta.incarnation)
 		ta.addTo(st)
 	}
 }
 
 // addTo adds a target to a state that is being read.
-func (ta target) addTo(st *State) {
+func (ta targetState) addTo(st *State) {
 	if ta.leaving {
 		st.Leaving = append(st.Leaving, ta.incarnation)
 	}
@@ -105,11 +105,11 @@
 	st.Loads[ta.incarnation] = ta.load
 }
 
-func (rd *reader) target() target {
+func (rd *reader) target() targetState {
 	head := rd.uvarint()
-	id := rd.take(head >> headBits)
-	ta := target{incarnation: unpack(id, head), leaving: head&flagLeaving != 0}
-	if head&flagLoad != 0 {
+	id := rd.bytes(head >> flagBits)
+	ta := targetState{incarnation: unpack(id, head), leaving: head&flagLeaving != 0}
+	if head&flagLoaded != 0 {
 		ta.load = rd.load()
 	}
 	if !ta.leaving && ta.load == (placement.Load{}) {
@@ -119,7 +119,7 @@
 }
 
 // take returns the next bytes; it is part of what is read, not a copy.
-func (rd *reader) take(count uint64) []byte {
+func (rd *reader) bytes(count uint64) []byte {
 	if count > uint64(len(rd.rest)) {
 		rd.fail("an incarnation that is cut off")
 	}
--- a/internal/peerstate/pack.go
+++ b/internal/peerstate/pack.go
@@ -10,38 +10,38 @@
 
 // packedPrefix begins the incarnations that can be packed: those of it and an even number of lower-case hex digits, and of these and a
 // time of birth.
-const packedPrefix = "i-"
+const packablePrefix = "i-"
 
 const (
 	// bornMark stands between an id and the time of birth, which is written to bornBase.
-	bornMark = "@"
-	bornBase = 36
+	birthSeparator = "@"
+	birthBase      = 36
 	// packedBorn begins an incarnation with a time of birth that is written as packBorn does; no other begins with it. An instance of
 	// the build before takes it for an incarnation that it does not know.
-	packedBorn = 0
+	birthMarker = 0
 )
 
 // packBorn returns an incarnation with a time of birth in some 13 bytes in place of 21: the mark, the number of the bytes that its hex
 // digits stand for, these, and the time.
-func packBorn(id string) (string, bool) {
-	name, birth, ok := strings.Cut(id, bornMark)
+func packWithBirth(id string) (string, bool) {
+	name, birth, ok := strings.Cut(id, birthSeparator)
 	if !ok {
 		return "", false
 	}
 	digits, flags := pack(name)
-	born, err := strconv.ParseUint(birth, bornBase, 64)
-	if flags != flagPacked || err != nil || strconv.FormatUint(born, bornBase) != birth || len(digits) > math.MaxUint8 {
+	born, err := strconv.ParseUint(birth, birthBase, 64)
+	if flags != flagPacked || err != nil || strconv.FormatUint(born, birthBase) != birth || len(digits) > math.MaxUint8 {
 		// It is of another form, which need not be packed.
 		return "", false
 	}
-	b := append([]byte{packedBorn, byte(len(digits))}, digits...)
+	b := append([]byte{birthMarker, byte(len(digits))}, digits...)
 	return string(binary.AppendUvarint(b, born)), true
 }
 
 // unpackBorn returns the incarnation that packBorn wrote; false when it is none.
-func unpackBorn(written []byte) (string, bool) {
+func unpackWithBirth(written []byte) (string, bool) {
 	const head = 2
-	if len(written) < head || written[0] != packedBorn || len(written) < head+int(written[1]) {
+	if len(written) < head || written[0] != birthMarker || len(written) < head+int(written[1]) {
 		return "", false
 	}
 	digits, rest := written[head:head+int(written[1])], written[head+int(written[1]):]
@@ -49,13 +49,13 @@
 	if n != len(rest) {
 		return "", false
 	}
-	return packedPrefix + hex.EncodeToString(digits) + bornMark + strconv.FormatUint(born, bornBase), true
+	return packablePrefix + hex.EncodeToString(digits) + birthSeparator + strconv.FormatUint(born, birthBase), true
 }
 
 // place returns what targets are in the order of: the incarnation as an instance of the build before reads it, which refuses any other
 // order.
-func place(id string) string {
-	if b, ok := packBorn(id); ok {
+func sortKey(id string) string {
+	if b, ok := packWithBirth(id); ok {
 		return b
 	}
 	return id
@@ -64,10 +64,10 @@
 // pack returns an incarnation as it is written, and flagPacked when that is the bytes that its hex digits stand for.
 // Other incarnations are written as they are.
 func pack(id string) (string, uint64) {
-	if b, ok := packBorn(id); ok {
+	if b, ok := packWithBirth(id); ok {
 		return b, 0
 	}
-	digits, ok := strings.CutPrefix(id, packedPrefix)
+	digits, ok := strings.CutPrefix(id, packablePrefix)
 	if !ok {
 		return id, 0
 	}
@@ -82,10 +82,10 @@
 // unpack returns the incarnation that was written with a head.
 func unpack(written []byte, head uint64) string {
 	if head&flagPacked == 0 {
-		if id, ok := unpackBorn(written); ok {
+		if id, ok := unpackWithBirth(written); ok {
 			return id
 		}
 		return string(written)
 	}
-	return packedPrefix + hex.EncodeToString(written)
+	return packablePrefix + hex.EncodeToString(written)
 }
--- a/internal/peerstate/pack_test.go
+++ b/internal/peerstate/pack_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestPack(t *testing.T) {
+func TestPackedSizeAndRoundTrip(t *testing.T) {
 	tests := map[string]struct {
 		id string
 		// most is the aim for its bytes.
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestEachIncarnationIsReadAsWritten(t *testing.T) {
+func TestPackRoundTripsAnyIncarnation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		id := rapid.StringMatching(`(i-)?[0-9a-f]{0,12}(@[0-9a-z]{0,13})?`).Draw(rt, "id")
 		written, flags := pack(id)
@@ -43,7 +43,7 @@
 
 // TestOrderForInstancesOfTheBuildBefore: they read an incarnation with a time of birth as it is written, and refuse a state whose targets
 // are not in that order.
-func TestOrderForInstancesOfTheBuildBefore(t *testing.T) {
+func TestEncodedTargetOrderIsAcceptedByPreviousBuild(t *testing.T) {
 	g := NewWithT(t)
 	st := State{Leaving: []string{"i-aa", "i-aa@zz", "i-ab@1", "i-abcd@1", "inst", "i-ab@m47mmf0b", "i-ab@m47mmf0c", "i-ff"}}
 	b, err := st.Encode()
@@ -51,11 +51,11 @@
 	again, err := Decode(b)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again.Leaving).To(ConsistOf(st.Leaving))
-	g.Expect(slices.IsSortedFunc(again.Leaving, func(a, b string) int { return cmp.Compare(readBefore(a), readBefore(b)) })).To(BeTrue())
+	g.Expect(slices.IsSortedFunc(again.Leaving, func(a, b string) int { return cmp.Compare(readByPreviousBuild(a), readByPreviousBuild(b)) })).To(BeTrue())
 }
 
 // readBefore returns an incarnation as an instance of the build before reads it.
-func readBefore(id string) string {
+func readByPreviousBuild(id string) string {
 	written, flags := pack(id)
 	if flags&flagPacked != 0 {
 		return id
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -18,7 +18,7 @@
 )
 
 // genID draws incarnations of the usual form and any others.
-func genID() *rapid.Generator[string] {
+func genIncarnation() *rapid.Generator[string] {
 	return rapid.OneOf(
 		rapid.StringMatching(`i-[0-9a-f]{8}`),
 		rapid.StringMatching(`i-[0-9a-f]{10}`),
@@ -52,15 +52,15 @@
 			ProofAge:        time.Duration(rapid.Int64().Draw(t, "proof age")),
 			TargetsPosition: position.Unpack(rapid.Int64().Draw(t, "targets")),
 			TargetsAge:      time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "targets age")).Truncate(time.Millisecond),
-			Leaving:         rapid.SliceOfN(genID(), 0, 6).Draw(t, "leaving"),
-			Loads:           rapid.MapOfN(genID(), genLoad(), 0, 6).Draw(t, "loads"),
+			Leaving:         rapid.SliceOfN(genIncarnation(), 0, 6).Draw(t, "leaving"),
+			Loads:           rapid.MapOfN(genIncarnation(), genLoad(), 0, 6).Draw(t, "loads"),
 		}
 	})
 }
 
 // told returns the state as peers get it.
-func told(st State) State {
-	age := max(0, min(st.ProofAge, maxProofAge))
+func wantDecoded(st State) State {
+	age := max(0, min(st.ProofAge, maxAge))
 	if rest := age % time.Millisecond; rest > 0 {
 		age += time.Millisecond - rest
 	}
@@ -78,7 +78,7 @@
 	return to
 }
 
-func TestStateIsReadAsTold(t *testing.T) {
+func TestStateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		st := genState().Draw(t, "state")
@@ -86,29 +86,29 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		read, err := Decode(b)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(read).To(Equal(told(st)))
+		g.Expect(read).To(Equal(wantDecoded(st)))
 		again, err := read.Encode()
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(again).To(Equal(b))
 	})
 }
 
-func TestEveryCutOffStateIsRefused(t *testing.T) {
+func TestDecodeRejectsEveryTruncatedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		b, err := genState().Draw(t, "state").Encode()
 		g.Expect(err).NotTo(HaveOccurred())
 		for size := range b {
 			_, err := Decode(b[:size])
-			g.Expect(refused(err)).To(BeTrue(), "%d of %d bytes: %v", size, len(b), err)
+			g.Expect(isDecodeError(err)).To(BeTrue(), "%d of %d bytes: %v", size, len(b), err)
 		}
 		_, err = Decode(append(b, 0))
-		g.Expect(refused(err)).To(BeTrue())
+		g.Expect(isDecodeError(err)).To(BeTrue())
 	})
 }
 
 // refused reports whether an error is one of those that Decode tells of.
-func refused(err error) bool {
+func isDecodeError(err error) bool {
 	var ve *VersionError
 	var me *MalformedError
 	var te *TooManyTargetsError
@@ -117,7 +117,7 @@
 }
 
 // TestWrittenFormIsKept fails when the form changes: the version has to change with it.
-func TestWrittenFormIsKept(t *testing.T) {
+func TestWireFormatIsUnchanged(t *testing.T) {
 	writer := placement.Load{Decoding: 3}
 	cases := map[string]struct {
 		state State
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestHostileBytesAreRefused(t *testing.T) {
+func TestDecodeRejectsMalformedInput(t *testing.T) {
 	huge := hex.EncodeToString(binary.AppendUvarint(nil, 1<<62))
 	cases := map[string]struct {
 		in   string
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestTooManyTargetsAreNotTold(t *testing.T) {
+func TestEncodeRejectsTooManyTargets(t *testing.T) {
 	g := NewWithT(t)
 	var st State
 	for no := range maxTargets + 1 {
@@ -204,7 +204,7 @@
 }
 
 // TestDecodeAllocatesLittle takes the input that makes decoding allocate the most: as many small loads as it may hold.
-func TestDecodeAllocatesLittle(t *testing.T) {
+func TestDecodeBoundsAllocation(t *testing.T) {
 	// mostAllocated is more than twice the bytes of maxTargets loads and their incarnations in a map.
 	const mostAllocated = 16 << 20
 	g := NewWithT(t)
@@ -225,19 +225,19 @@
 	g.Expect(allocated).To(BeNumerically("<", uint64(mostAllocated)))
 }
 
-func TestLongestAgeCanBeTakenFromATime(t *testing.T) {
+func TestMaxAgeCanBeSubtractedFromTime(t *testing.T) {
 	g := NewWithT(t)
 	b, err := State{Configuration: 1, ProofAge: time.Since(time.Time{})}.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
 	st, err := Decode(b)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(st.ProofAge).To(Equal(maxProofAge))
+	g.Expect(st.ProofAge).To(Equal(maxAge))
 	now := time.Now()
 	g.Expect(now.Add(-time.Hour - st.ProofAge)).To(BeTemporally("<", now))
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, st := range []State{{}, {Configuration: 7, ProofAge: time.Second}, usualState(1), usualState(2)} {
+	for _, st := range []State{{}, {Configuration: 7, ProofAge: time.Second}, typicalState(1), typicalState(2)} {
 		b, err := st.Encode()
 		if err != nil {
 			f.Fatal(err)
@@ -246,12 +246,12 @@
 		f.Add(b[:len(b)/2])
 	}
 	f.Add([]byte(`{"c":1}`))
-	f.Add([]byte{version, 0, 0, 0xff, 0xff, 0xff, 0xff, 0x0f})
+	f.Add([]byte{formatVersion, 0, 0, 0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		g := NewWithT(t)
 		st, err := Decode(b)
 		if err != nil {
-			g.Expect(refused(err)).To(BeTrue(), "%v", err)
+			g.Expect(isDecodeError(err)).To(BeTrue(), "%v", err)
 			return
 		}
 		again, err := st.Encode()
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -14,27 +14,27 @@
 
 const (
 	// usualTargets, usualLoaded and usualLeaving are a fleet in a busy hour, as one of six instances sees it.
-	usualTargets = 18
-	usualLoaded  = 12
-	usualLeaving = 5
+	typicalTargets = 18
+	typicalLoaded  = 12
+	typicalLeaving = 5
 	// mostPerTarget is the aim for the bytes of one target with load.
-	mostPerTarget = 45
+	maxBytesPerTarget = 45
 )
 
 // usualState returns a state drawn from a seed: the first 12 of 18 targets have load, and the last 5 are leaving.
-func usualState(seed uint64) State {
+func typicalState(seed uint64) State {
 	rd := rand.New(rand.NewPCG(seed, 0))
 	st := State{Configuration: 40 + int64(rd.IntN(20)), ProofAge: time.Duration(rd.IntN(3_000_000)) * time.Microsecond}
 	st.Loads = map[string]placement.Load{}
-	for no := range usualTargets {
+	for no := range typicalTargets {
 		id := fmt.Sprintf("i-%08x", rd.Uint32())
 		if no%2 == 1 {
 			id = fmt.Sprintf("i-%010x", rd.Uint64N(1<<40))
 		}
-		if no < usualLoaded {
-			st.Loads[id] = usualLoad(rd)
+		if no < typicalLoaded {
+			st.Loads[id] = typicalLoad(rd)
 		}
-		if no >= usualTargets-usualLeaving {
+		if no >= typicalTargets-typicalLeaving {
 			st.Leaving = append(st.Leaving, id)
 		}
 	}
@@ -42,21 +42,21 @@
 }
 
 // usualLoad returns the sum of a few requests that are read, whole or in parts, and some that are written.
-func usualLoad(rd *rand.Rand) placement.Load {
+func typicalLoad(rd *rand.Rand) placement.Load {
 	var lo placement.Load
 	for range rd.IntN(3) {
-		lo = lo.Plus(usualPrompt(rd).PrefillLoad(1))
+		lo = lo.Plus(typicalPrompt(rd).PrefillLoad(1))
 	}
 	if rd.IntN(3) == 0 {
-		lo = lo.Plus(usualPrompt(rd).HelperLoad(4))
+		lo = lo.Plus(typicalPrompt(rd).HelperLoad(4))
 	}
 	for range 1 + rd.IntN(8) {
-		lo = lo.Plus(usualPrompt(rd).DecodeLoad())
+		lo = lo.Plus(typicalPrompt(rd).DecodeLoad())
 	}
 	return lo
 }
 
-func usualPrompt(rd *rand.Rand) placement.Prompt {
+func typicalPrompt(rd *rand.Rand) placement.Prompt {
 	objectives := []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond}
 	pauses := []time.Duration{250 * time.Millisecond, 600 * time.Millisecond, time.Second}
 	tokens := 200 + rd.Int64N(12_000)
@@ -69,15 +69,15 @@
 }
 
 // seeds is the number of states that are measured.
-const seeds = 200
+const sampleStates = 200
 
-func TestTargetsWithLoadAreSmall(t *testing.T) {
+func TestEncodedLoadedTargetSize(t *testing.T) {
 	g := NewWithT(t)
 	empty, err := State{}.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
 	sum, most := 0, 0
-	for seed := range uint64(seeds) {
-		for id, lo := range usualState(seed).Loads {
+	for seed := range uint64(sampleStates) {
+		for id, lo := range typicalState(seed).Loads {
 			b, err := State{Loads: map[string]placement.Load{id: lo}}.Encode()
 			g.Expect(err).NotTo(HaveOccurred())
 			size := len(b) - len(empty)
@@ -85,34 +85,34 @@
 			most = max(most, size)
 		}
 	}
-	t.Logf("a target with load: mean %.1f bytes, most %d", float64(sum)/(seeds*usualLoaded), most)
-	g.Expect(most).To(BeNumerically("<", mostPerTarget))
+	t.Logf("a target with load: mean %.1f bytes, most %d", float64(sum)/(sampleStates*typicalLoaded), most)
+	g.Expect(most).To(BeNumerically("<", maxBytesPerTarget))
 }
 
-func TestStatesAreSmallerThanAsJSON(t *testing.T) {
+func TestEncodedStateIsSmallerThanJSON(t *testing.T) {
 	g := NewWithT(t)
 	binary, text := 0, 0
-	for seed := range uint64(seeds) {
-		st := usualState(seed)
+	for seed := range uint64(sampleStates) {
+		st := typicalState(seed)
 		b, err := st.Encode()
 		g.Expect(err).NotTo(HaveOccurred())
-		js, err := earlierForm(st)
+		js, err := encodeAsJSON(st)
 		g.Expect(err).NotTo(HaveOccurred())
 		binary += len(b)
 		text += len(js)
 	}
-	t.Logf("a state: mean %.1f bytes, as JSON %.1f", float64(binary)/seeds, float64(text)/seeds)
+	t.Logf("a state: mean %.1f bytes, as JSON %.1f", float64(binary)/sampleStates, float64(text)/sampleStates)
 	g.Expect(binary).To(BeNumerically("<", text/6))
 }
 
 // BenchmarkState reports the size of a usual state, and of what it was as JSON.
 func BenchmarkState(b *testing.B) {
-	st := usualState(1)
+	st := typicalState(1)
 	bin, err := st.Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
-	js, err := earlierForm(st)
+	js, err := encodeAsJSON(st)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -137,13 +137,13 @@
 }
 
 // earlier is the state as it was written in JSON before.
-type earlier struct {
+type jsonState struct {
 	C int64                     `json:"c,omitempty"`
 	P time.Duration             `json:"p,omitempty"`
 	L []string                  `json:"l,omitempty"`
 	F map[string]placement.Load `json:"f,omitempty"`
 }
 
-func earlierForm(st State) ([]byte, error) {
-	return json.Marshal(earlier{C: st.Configuration, P: st.ProofAge, L: st.Leaving, F: st.Loads})
+func encodeAsJSON(st State) ([]byte, error) {
+	return json.Marshal(jsonState{C: st.Configuration, P: st.ProofAge, L: st.Leaving, F: st.Loads})
 }
