--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -54,21 +54,21 @@
 	}, nil
 }
 
-func (fo *syncer) applyPointers(items []objectstore.Object) {
+func (sy *syncer) applyPointers(items []objectstore.Object) {
 	for _, o := range items {
 		var p rollout.Pointer
 		if o.Name == rollout.PointerName && json.Unmarshal(o.Value, &p) == nil {
-			fo.holder.Hear(p.Version)
+			sy.holder.Hear(p.Version)
 		}
 	}
 }
 
 // run fetches whatever newer bundle was heard of, from the store or else from a peer.
-func (fo *syncer) run(ctx context.Context) {
+func (sy *syncer) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := fo.holder.Changed()
+		changed := sy.holder.Changed()
 		wait := time.Hour
-		if v := fo.holder.Behind(); v > 0 && !fo.fetch(ctx, v) {
+		if v := sy.holder.Behind(); v > 0 && !sy.fetch(ctx, v) {
 			wait = retryDelay
 		}
 		select {
@@ -79,17 +79,17 @@
 	}
 }
 
-func (fo *syncer) fetch(ctx context.Context, version int64) bool {
-	b, err := fo.store.Get(ctx, version)
+func (sy *syncer) fetch(ctx context.Context, version int64) bool {
+	b, err := sy.store.Get(ctx, version)
 	if err != nil {
-		b, err = fo.mesh.FetchBundle(ctx, version)
+		b, err = sy.mesh.FetchBundle(ctx, version)
 	}
 	if err != nil {
-		fo.log.WithField("version", version).WithError(err).Warn("bundle not fetched")
+		sy.log.WithField("version", version).WithError(err).Warn("bundle not fetched")
 		return false
 	}
-	if fo.holder.Apply(b) {
-		fo.log.WithField("version", b.Version).Info("bundle in force")
+	if sy.holder.Apply(b) {
+		sy.log.WithField("version", b.Version).Info("bundle in force")
 	}
-	return fo.holder.Behind() == 0
+	return sy.holder.Behind() == 0
 }
--- a/internal/duty/forwarding/followers.go
+++ b/internal/duty/forwarding/followers.go
@@ -46,60 +46,60 @@
 const maxMissing = 64
 
 // Heard notes a configuration that a peer told of.
-func (fo *StoreCoordinator) RecordPeerVersion(version int64) {
-	fo.mu.Lock()
-	defer fo.mu.Unlock()
-	if version > fo.newestPeerVersion {
-		fo.newestPeerVersion = version
-		fo.addMissing(peerVersion{version: version, at: time.Now()})
+func (sc *StoreCoordinator) RecordPeerVersion(version int64) {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	if version > sc.newestPeerVersion {
+		sc.newestPeerVersion = version
+		sc.addMissing(peerVersion{version: version, at: time.Now()})
 	}
 }
 
 // lack remembers a version; beyond the bound the last one stands for it, with its earlier time. The lock is held.
-func (fo *StoreCoordinator) addMissing(tv peerVersion) {
-	if len(fo.missing) < maxMissing {
-		fo.missing = append(fo.missing, tv)
+func (sc *StoreCoordinator) addMissing(tv peerVersion) {
+	if len(sc.missing) < maxMissing {
+		sc.missing = append(sc.missing, tv)
 		return
 	}
-	fo.missing[maxMissing-1].version = tv.version
+	sc.missing[maxMissing-1].version = tv.version
 }
 
 // Newest returns the newest configuration that a peer told of.
-func (fo *StoreCoordinator) NewestPeerVersion() int64 {
-	fo.mu.Lock()
-	defer fo.mu.Unlock()
-	return fo.newestPeerVersion
+func (sc *StoreCoordinator) NewestPeerVersion() int64 {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	return sc.newestPeerVersion
 }
 
 // Lacking returns for how long peers have told of a newer configuration than that in force; zero when none did.
-func (fo *StoreCoordinator) BehindFor(version int64) time.Duration {
-	fo.mu.Lock()
-	defer fo.mu.Unlock()
-	fo.missing = slices.DeleteFunc(fo.missing, func(tv peerVersion) bool { return tv.version <= version })
-	if len(fo.missing) == 0 {
+func (sc *StoreCoordinator) BehindFor(version int64) time.Duration {
+	sc.mu.Lock()
+	defer sc.mu.Unlock()
+	sc.missing = slices.DeleteFunc(sc.missing, func(tv peerVersion) bool { return tv.version <= version })
+	if len(sc.missing) == 0 {
 		return 0
 	}
-	return time.Since(fo.missing[0].at)
+	return time.Since(sc.missing[0].at)
 }
 
 // Set sets who decides.
-func (fo *StoreCoordinator) SetRole(part func() Role) { fo.role.Store(&part) }
+func (sc *StoreCoordinator) SetRole(part func() Role) { sc.role.Store(&part) }
 
 // SetReach sets who is told whether the store answers this instance.
-func (fo *StoreCoordinator) SetOnStoreResult(reach func(answered bool)) {
-	fo.onStoreResult.Store(&reach)
+func (sc *StoreCoordinator) SetOnStoreResult(reach func(answered bool)) {
+	sc.onStoreResult.Store(&reach)
 }
 
 // Reach tells whether the store answers this instance; before SetReach it does nothing.
-func (fo *StoreCoordinator) ReportStoreResult(answered bool) {
-	if reach := fo.onStoreResult.Load(); reach != nil {
+func (sc *StoreCoordinator) ReportStoreResult(answered bool) {
+	if reach := sc.onStoreResult.Load(); reach != nil {
 		(*reach)(answered)
 	}
 }
 
 // Part returns this instance's part; before Set it has met nobody.
-func (fo *StoreCoordinator) Role() Role {
-	part := fo.role.Load()
+func (sc *StoreCoordinator) Role() Role {
+	part := sc.role.Load()
 	if part == nil {
 		return RoleJoining
 	}
@@ -107,4 +107,4 @@
 }
 
 // Follows reports whether this instance has to follow the store itself.
-func (fo *StoreCoordinator) FollowsStore() bool { return fo.Role() < RoleStandby }
+func (sc *StoreCoordinator) FollowsStore() bool { return sc.Role() < RoleStandby }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -60,11 +60,11 @@
 }
 
 // Set sets who is told.
-func (ch *Notifier) SetCallback(publish func()) { ch.callback.Store(&publish) }
+func (nt *Notifier) SetCallback(publish func()) { nt.callback.Store(&publish) }
 
 // Tell tells of a change; before Set it does nothing.
-func (ch *Notifier) Notify() {
-	if publish := ch.callback.Load(); publish != nil {
+func (nt *Notifier) Notify() {
+	if publish := nt.callback.Load(); publish != nil {
 		(*publish)()
 	}
 }
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -142,8 +142,8 @@
 type serverLogWriter struct{ lg log.Interface }
 
 // Write logs one line.
-func (lw serverLogWriter) Write(b []byte) (int, error) {
-	lw.lg.WithField("cause", string(b)).Debug("connection ended with an error")
+func (slw serverLogWriter) Write(b []byte) (int, error) {
+	slw.lg.WithField("cause", string(b)).Debug("connection ended with an error")
 	return len(b), nil
 }
 
--- a/internal/duty/frontend/judgements.go
+++ b/internal/duty/frontend/judgements.go
@@ -26,9 +26,9 @@
 	Remaining string `json:"left"`
 }
 
-func (js quarantineAPI) list(w http.ResponseWriter, _ *http.Request) {
+func (qa quarantineAPI) list(w http.ResponseWriter, _ *http.Request) {
 	list := []quarantine{}
-	for _, jd := range js.tracker.Quarantines() {
+	for _, jd := range qa.tracker.Quarantines() {
 		list = append(list, quarantine{
 			Fingerprint: jd.Request.String(), Crashes: jd.Crashes, Level: jd.Level,
 			Age: time.Since(jd.Since).Round(time.Second).String(), Remaining: time.Until(jd.Until).Round(time.Second).String(),
@@ -37,13 +37,13 @@
 	jsonreply.Write(w, list)
 }
 
-func (js quarantineAPI) lift(w http.ResponseWriter, r *http.Request) {
+func (qa quarantineAPI) lift(w http.ResponseWriter, r *http.Request) {
 	fp, err := fingerprint.Parse(chi.URLParam(r, "fingerprint"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !js.tracker.LiftQuarantine(fp) {
+	if !qa.tracker.LiftQuarantine(fp) {
 		http.Error(w, "no such judgement", http.StatusNotFound)
 		return
 	}
--- a/internal/duty/frontend/shares.go
+++ b/internal/duty/frontend/shares.go
@@ -48,18 +48,18 @@
 }
 
 // update follows the number of instances and the configuration.
-func (sh *limitShares) update() {
-	live := len(sh.mesh.Live())
-	if live >= sh.maxLive || time.Since(sh.maxLiveAt) > sharerCountRetention {
-		sh.maxLive = max(minSharers, live)
-		sh.maxLiveAt = time.Now()
+func (ls *limitShares) update() {
+	live := len(ls.mesh.Live())
+	if live >= ls.maxLive || time.Since(ls.maxLiveAt) > sharerCountRetention {
+		ls.maxLive = max(minSharers, live)
+		ls.maxLiveAt = time.Now()
 	}
-	sh.retries.SetFloor(retryFloorShare(sh.settings.Load(), sh.maxLive))
-	tb, _ := sh.routes.Current()
+	ls.retries.SetFloor(retryFloorShare(ls.settings.Load(), ls.maxLive))
+	tb, _ := ls.routes.Current()
 	if tb == nil {
 		return
 	}
-	sh.pool.SetIdle(idleLimit(tb.Services(), sh.maxLive))
+	ls.pool.SetIdle(idleLimit(tb.Services(), ls.maxLive))
 }
 
 // idleMost is how many idle connections to one target are of use to an instance, whatever the target takes.
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -42,20 +42,20 @@
 	return failure.New(failure.StoreUnavailable, failure.NotRun, "the store cannot be reached").WithCause(err).WithRetryAfter(time.Second)
 }
 
-func (kp *manager) handler() http.Handler {
+func (mg *manager) handler() http.Handler {
 	rt := chi.NewRouter()
-	rt.Post("/", kp.withCaller(kp.accept))
-	rt.Get("/", kp.withCaller(kp.list))
-	rt.Get("/{id}", kp.withCaller(kp.get))
-	rt.Get("/{id}/answer", kp.withCaller(kp.answer))
-	rt.Delete("/{id}", kp.withCaller(kp.cancel))
+	rt.Post("/", mg.withCaller(mg.accept))
+	rt.Get("/", mg.withCaller(mg.list))
+	rt.Get("/{id}", mg.withCaller(mg.get))
+	rt.Get("/{id}/answer", mg.withCaller(mg.answer))
+	rt.Delete("/{id}", mg.withCaller(mg.cancel))
 	return rt
 }
 
 // each identifies the caller and answers with the failure, if any.
-func (kp *manager) withCaller(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (mg *manager) withCaller(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		who, err := kp.server.Identify(r)
+		who, err := mg.server.Identify(r)
 		if err == nil {
 			ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 			defer cancel()
@@ -68,8 +68,8 @@
 }
 
 // accept answers once the store has the job.
-func (kp *manager) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	body, free, err := kp.server.ReadBody(r)
+func (mg *manager) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	body, free, err := mg.server.ReadBody(r)
 	defer free()
 	if err != nil {
 		return err
@@ -80,10 +80,10 @@
 	}
 	now := time.Now()
 	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.Limit)}
-	if err := kp.server.CheckJob(j); err != nil {
+	if err := mg.server.CheckJob(j); err != nil {
 		return err
 	}
-	v, err := kp.store.Add(ctx, job.Record{
+	v, err := mg.store.Add(ctx, job.Record{
 		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, Never: who.Never,
 		Created: now, Deadline: now.Add(who.Limit), State: job.Queued,
 	}, body)
@@ -97,8 +97,8 @@
 }
 
 // own reads a job of the caller's organisation.
-func (kp *manager) callerJob(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
-	v, err := kp.store.Get(ctx, chi.URLParam(r, "id"))
+func (mg *manager) callerJob(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
+	v, err := mg.store.Get(ctx, chi.URLParam(r, "id"))
 	if err == nil && v.Organisation != who.Organisation {
 		return v, failure.New(failure.NotFound, failure.NotRun, "no such job")
 	}
@@ -109,8 +109,8 @@
 	Data []job.Record `json:"data"`
 }
 
-func (kp *manager) list(ctx context.Context, who serve.Caller, w http.ResponseWriter, _ *http.Request) error {
-	all, err := kp.store.List(ctx)
+func (mg *manager) list(ctx context.Context, who serve.Caller, w http.ResponseWriter, _ *http.Request) error {
+	all, err := mg.store.List(ctx)
 	if err != nil {
 		return err
 	}
@@ -124,8 +124,8 @@
 	return nil
 }
 
-func (kp *manager) get(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.callerJob(ctx, who, r)
+func (mg *manager) get(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
@@ -133,15 +133,15 @@
 	return nil
 }
 
-func (kp *manager) answer(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.callerJob(ctx, who, r)
+func (mg *manager) answer(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
 	if v.State != job.Done {
 		return failure.New(failure.Conflict, failure.NotRun, "the job is %s", strings.ToLower(string(v.State))).WithRetryAfter(time.Second)
 	}
-	b, err := kp.store.Answer(ctx, v.Record)
+	b, err := mg.store.Answer(ctx, v.Record)
 	if err != nil {
 		return err
 	}
@@ -153,15 +153,15 @@
 }
 
 // cancel ends a job that is not final yet. A run that is on its way finds its record changed, and is dropped.
-func (kp *manager) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.callerJob(ctx, who, r)
+func (mg *manager) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
 	if v.State.Final() {
 		return failure.New(failure.Conflict, failure.NotRun, "the job is %s already", v.State)
 	}
-	nv, err := kp.store.Update(ctx, v, v.WithEnd(job.Cancelled, job.Result{Ended: time.Now()}))
+	nv, err := mg.store.Update(ctx, v, v.WithEnd(job.Cancelled, job.Result{Ended: time.Now()}))
 	if err != nil {
 		var conflict *objectstore.ConflictError
 		if errors.As(err, &conflict) {
@@ -169,11 +169,11 @@
 		}
 		return err
 	}
-	kp.mu.Lock()
-	if run, ok := kp.running[v.ID]; ok {
+	mg.mu.Lock()
+	if run, ok := mg.running[v.ID]; ok {
 		run.cancel()
 	}
-	kp.mu.Unlock()
+	mg.mu.Unlock()
 	serve.JSON(w, nv.Record)
 	return nil
 }
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -99,29 +99,29 @@
 	}, nil
 }
 
-func (kp *manager) setRecords(items []objectstore.Object) {
+func (mg *manager) setRecords(items []objectstore.Object) {
 	known := map[string]job.Versioned{}
 	for _, o := range items {
 		if v, err := job.Decode(o); err == nil {
 			known[v.ID] = v
 		}
 	}
-	kp.mu.Lock()
-	kp.records = known
-	kp.mu.Unlock()
+	mg.mu.Lock()
+	mg.records = known
+	mg.mu.Unlock()
 }
 
 // gone reports whether whoever runs a job is no more. A job that this instance is said to run is looked at only when
 // it does not run here.
-func (kp *manager) ownerGone(incarnation string) bool {
-	return incarnation == kp.incarnation || kp.fleet.Gone(incarnation, kp.ownerTimeout)
+func (mg *manager) ownerGone(incarnation string) bool {
+	return incarnation == mg.incarnation || mg.fleet.Gone(incarnation, mg.ownerTimeout)
 }
 
-func (kp *manager) run(ctx, work context.Context) {
+func (mg *manager) run(ctx, work context.Context) {
 	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
 	for {
-		kp.scan(ctx, work)
+		mg.scan(ctx, work)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -131,28 +131,28 @@
 }
 
 // look decides about every job that this instance is responsible for.
-func (kp *manager) scan(ctx, work context.Context) {
-	kp.mu.Lock()
-	all := make([]job.Versioned, 0, len(kp.records))
-	for _, v := range kp.records {
-		if _, mine := kp.running[v.ID]; !mine {
+func (mg *manager) scan(ctx, work context.Context) {
+	mg.mu.Lock()
+	all := make([]job.Versioned, 0, len(mg.records))
+	for _, v := range mg.records {
+		if _, mine := mg.running[v.ID]; !mine {
 			all = append(all, v)
 		}
 	}
-	kp.mu.Unlock()
+	mg.mu.Unlock()
 	for _, v := range all {
-		if ctx.Err() != nil || !kp.isResponsible(v.ID) {
+		if ctx.Err() != nil || !mg.isResponsible(v.ID) {
 			continue
 		}
-		kp.applyStep(ctx, work, v, job.Next(v.Record, time.Now(), kp.ownerGone))
+		mg.applyStep(ctx, work, v, job.Next(v.Record, time.Now(), mg.ownerGone))
 	}
 }
 
 // responsible reports whether this instance has the highest hash for a job among the live ones. Two that both think so
 // cost a refused write.
-func (kp *manager) isResponsible(id string) bool {
-	mine := xxhash.Sum64String(id + "\x00" + kp.fleet.Self().Name)
-	for _, p := range kp.fleet.Peers() {
+func (mg *manager) isResponsible(id string) bool {
+	mine := xxhash.Sum64String(id + "\x00" + mg.fleet.Self().Name)
+	for _, p := range mg.fleet.Peers() {
 		if p.Live && xxhash.Sum64String(id+"\x00"+p.Name) > mine {
 			return false
 		}
@@ -160,20 +160,20 @@
 	return true
 }
 
-func (kp *manager) applyStep(ctx, work context.Context, v job.Versioned, step job.Step) {
+func (mg *manager) applyStep(ctx, work context.Context, v job.Versioned, step job.Step) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	switch step {
 	case job.Take:
-		kp.claimAndRun(ctx, work, v)
+		mg.claimAndRun(ctx, work, v)
 	case job.GiveUp:
-		kp.updateRecord(ctx, v, v.WithEnd(job.Unknown, failedResult(failure.New(failure.TargetLost, failure.Unknown,
+		mg.updateRecord(ctx, v, v.WithEnd(job.Unknown, failedResult(failure.New(failure.TargetLost, failure.Unknown,
 			"the instance that ran the job is gone; its result is not known"))))
 	case job.Expire:
-		kp.updateRecord(ctx, v, v.WithEnd(job.Failed, failedResult(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
+		mg.updateRecord(ctx, v, v.WithEnd(job.Failed, failedResult(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
 	case job.Forget:
-		if err := kp.store.Remove(ctx, v); err != nil {
-			kp.log.WithField("job", v.ID).WithError(err).Warn("job not removed")
+		if err := mg.store.Remove(ctx, v); err != nil {
+			mg.log.WithField("job", v.ID).WithError(err).Warn("job not removed")
 		}
 	case job.Leave:
 	}
@@ -184,69 +184,69 @@
 }
 
 // change writes a record; a conflict means that another instance or the caller was first.
-func (kp *manager) updateRecord(ctx context.Context, v job.Versioned, next job.Record) (job.Versioned, bool) {
-	nv, err := kp.store.Update(ctx, v, next)
+func (mg *manager) updateRecord(ctx context.Context, v job.Versioned, next job.Record) (job.Versioned, bool) {
+	nv, err := mg.store.Update(ctx, v, next)
 	if err != nil {
-		kp.log.WithField("job", v.ID).WithError(err).Debug("job not changed")
+		mg.log.WithField("job", v.ID).WithError(err).Debug("job not changed")
 		return v, false
 	}
 	return nv, true
 }
 
-func (kp *manager) claimAndRun(ctx, work context.Context, v job.Versioned) {
-	kp.mu.Lock()
-	full := len(kp.running) >= maxRunning
-	kp.mu.Unlock()
-	if full || kp.stopping() {
+func (mg *manager) claimAndRun(ctx, work context.Context, v job.Versioned) {
+	mg.mu.Lock()
+	full := len(mg.running) >= maxRunning
+	mg.mu.Unlock()
+	if full || mg.stopping() {
 		return
 	}
-	mine, ok := kp.updateRecord(ctx, v, v.WithOwner(kp.incarnation))
+	mine, ok := mg.updateRecord(ctx, v, v.WithOwner(mg.incarnation))
 	if !ok {
 		return
 	}
 	jobCtx, cancel := context.WithCancel(work)
-	kp.mu.Lock()
-	kp.running[v.ID] = activeRun{cancel: cancel, runOnce: v.Never}
-	kp.mu.Unlock()
-	kp.wg.Go(func() {
+	mg.mu.Lock()
+	mg.running[v.ID] = activeRun{cancel: cancel, runOnce: v.Never}
+	mg.mu.Unlock()
+	mg.wg.Go(func() {
 		defer cancel()
-		kp.execute(jobCtx, mine)
-		kp.mu.Lock()
-		delete(kp.running, v.ID)
-		kp.mu.Unlock()
+		mg.execute(jobCtx, mine)
+		mg.mu.Lock()
+		delete(mg.running, v.ID)
+		mg.mu.Unlock()
 	})
 }
 
 // perform runs a job and records its end. A job given back by a stop is queued again.
-func (kp *manager) execute(ctx context.Context, v job.Versioned) {
+func (mg *manager) execute(ctx context.Context, v job.Versioned) {
 	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(v.Deadline)+writeTimeout)
 	defer cancel()
 	if v.Never {
-		nv, ok := kp.updateRecord(ctx, v, v.WithDispatched())
+		nv, ok := mg.updateRecord(ctx, v, v.WithDispatched())
 		if !ok {
 			return
 		}
 		v = nv
 	}
-	body, err := kp.store.Body(ctx, v.Record)
+	body, err := mg.store.Body(ctx, v.Record)
 	if err != nil {
-		kp.recordOutcome(settle, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
+		mg.recordOutcome(settle, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
 		return
 	}
-	ans, err := kp.server.RunJob(ctx, serve.Job{
+	ans, err := mg.server.RunJob(ctx, serve.Job{
 		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, Never: v.Never,
 	})
-	kp.recordOutcome(settle, v, ans, err, ctx.Err() != nil)
+	mg.recordOutcome(settle, v, ans, err, ctx.Err() != nil)
 }
 
-func (kp *manager) recordOutcome(settle context.Context, v job.Versioned, ans claim.Response, err error, givenBack bool) {
+func (mg *manager) recordOutcome(settle context.Context, v job.Versioned, ans claim.Response, err error, givenBack bool) {
 	if err == nil {
-		parts, perr := kp.store.PutAnswer(settle, v.Record, ans.Body)
+		parts, perr := mg.store.PutAnswer(settle, v.Record, ans.Body)
 		if perr != nil {
-			kp.log.WithField("job", v.ID).WithError(perr).Error("answer not stored")
+			mg.log.WithField("job", v.ID).WithError(perr).Error("answer not stored")
 			return
 		}
-		kp.updateRecord(settle, v, v.WithEnd(job.Done, job.Result{
+		mg.updateRecord(settle, v, v.WithEnd(job.Done, job.Result{
 			Ended: time.Now(), Status: ans.Status, ContentType: ans.ContentType, Parts: parts,
 		}))
 		return
@@ -257,34 +257,34 @@
 	case again && !givenBack && fe.Code == failure.TargetLost:
 		// The job itself may be what ends its targets: it comes again ever more seldom.
 		next := v.WithLost(time.Now())
-		kp.log.WithField("job", v.ID).WithField("lost", next.Lost).WithError(fe).Warn("job given back, its target was lost")
-		kp.updateRecord(settle, v, next)
+		mg.log.WithField("job", v.ID).WithField("lost", next.Lost).WithError(fe).Warn("job given back, its target was lost")
+		mg.updateRecord(settle, v, next)
 	case again && (givenBack || fe.RetryAfter > 0):
-		kp.updateRecord(settle, v, v.WithQueued())
+		mg.updateRecord(settle, v, v.WithQueued())
 	case fe.Outcome == failure.Unknown && v.Never:
-		kp.updateRecord(settle, v, v.WithEnd(job.Unknown, failedResult(fe)))
+		mg.updateRecord(settle, v, v.WithEnd(job.Unknown, failedResult(fe)))
 	default:
-		kp.updateRecord(settle, v, v.WithEnd(job.Failed, failedResult(fe)))
+		mg.updateRecord(settle, v, v.WithEnd(job.Failed, failedResult(fe)))
 	}
 }
 
 // drain waits a moment for running jobs, then gives back those that may be repeated; the others are waited for. Those that
 // still run when ctx ends are given up, and get a moment to record it.
-func (kp *manager) drain(ctx context.Context, giveUp func()) {
+func (mg *manager) drain(ctx context.Context, giveUp func()) {
 	done := make(chan struct{})
-	go func() { kp.wg.Wait(); close(done) }()
+	go func() { mg.wg.Wait(); close(done) }()
 	select {
 	case <-done:
 		return
 	case <-time.After(drainStepTimeout):
 	}
-	kp.mu.Lock()
-	for _, run := range kp.running {
+	mg.mu.Lock()
+	for _, run := range mg.running {
 		if !run.runOnce {
 			run.cancel()
 		}
 	}
-	kp.mu.Unlock()
+	mg.mu.Unlock()
 	select {
 	case <-done:
 		return
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -79,9 +79,9 @@
 }
 
 // copies returns the wanted copies of each model in one availability zone; models without a number are left alone.
-func (gv *coordinator) wantedCopies() map[string]int {
+func (co *coordinator) wantedCopies() map[string]int {
 	copies := map[string]int{}
-	if cur := gv.bundles.Current(); cur != nil {
+	if cur := co.bundles.Current(); cur != nil {
 		for _, m := range cur.Models {
 			if m.Copies > 0 {
 				copies[m.Name] = m.Copies
@@ -92,49 +92,49 @@
 }
 
 // round renews the lease and gives the orders that are due. Without wanted copies nobody needs the lease.
-func (gv *coordinator) reconcile(ctx context.Context) {
-	copies := gv.wantedCopies()
+func (co *coordinator) reconcile(ctx context.Context) {
+	copies := co.wantedCopies()
 	if len(copies) == 0 {
 		return
 	}
-	if err := gv.lease.TryAcquireOrRenew(ctx); err != nil {
-		gv.log.WithError(err).Warn("lease not renewed")
+	if err := co.lease.TryAcquireOrRenew(ctx); err != nil {
+		co.log.WithError(err).Warn("lease not renewed")
 	}
-	epoch, held := gv.lease.Held(callTimeout + clockMargin)
+	epoch, held := co.lease.Held(callTimeout + clockMargin)
 	if !held {
 		return
 	}
-	if epoch != gv.epoch {
-		gv.epoch, gv.sequence, gv.desired = epoch, 0, map[string][]string{}
-		gv.log.WithField("epoch", epoch).Info("gives orders")
+	if epoch != co.epoch {
+		co.epoch, co.sequence, co.desired = epoch, 0, map[string][]string{}
+		co.log.WithField("epoch", epoch).Info("gives orders")
 	}
-	targets, engines := gv.collectReports(ctx)
+	targets, engines := co.collectReports(ctx)
 	for _, ch := range order.Plan(engines, copies, maxLoading) {
-		gv.sendOrder(ctx, targets[ch.Engine], ch)
+		co.sendOrder(ctx, targets[ch.Engine], ch)
 	}
 }
 
 // look asks every engine of the availability zone for its report; those that do not answer are left alone.
-func (gv *coordinator) collectReports(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
+func (co *coordinator) collectReports(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	targets := map[string]fleet.Target{}
 	var engines []order.Engine
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, t := range gv.fleet.Targets() {
-		if t.Kind != fleet.KindEngine || t.AvailabilityZone != gv.fleet.Self().AvailabilityZone {
+	for _, t := range co.fleet.Targets() {
+		if t.Kind != fleet.KindEngine || t.AvailabilityZone != co.fleet.Self().AvailabilityZone {
 			continue
 		}
 		wg.Go(func() {
-			r, err := gv.clients(t).Report(ctx)
+			r, err := co.clients(t).Report(ctx)
 			if err != nil || r.Leaving {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			targets[t.Name] = t
-			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: gv.desired[t.Name]})
+			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: co.desired[t.Name]})
 		})
 	}
 	wg.Wait()
@@ -143,19 +143,19 @@
 
 // give sends one order. The lease is checked at the last step: a target that checks no fence must get no order from a
 // holder whose time may be over before the order arrives.
-func (gv *coordinator) sendOrder(ctx context.Context, t fleet.Target, ch order.Assignment) {
+func (co *coordinator) sendOrder(ctx context.Context, t fleet.Target, ch order.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	gv.sequence++
-	o := engine.Order{Epoch: gv.epoch, Sequence: gv.sequence, Models: ch.Models}
-	if epoch, held := gv.lease.Held(callTimeout + clockMargin); !held || epoch != gv.epoch {
+	co.sequence++
+	o := engine.Order{Epoch: co.epoch, Sequence: co.sequence, Models: ch.Models}
+	if epoch, held := co.lease.Held(callTimeout + clockMargin); !held || epoch != co.epoch {
 		return
 	}
-	lg := gv.log.WithField("target", t.Name).WithField("models", ch.Models)
-	if err := gv.clients(t).Order(ctx, o); err != nil {
+	lg := co.log.WithField("target", t.Name).WithField("models", ch.Models)
+	if err := co.clients(t).Order(ctx, o); err != nil {
 		lg.WithError(err).Warn("order not taken")
 		return
 	}
-	gv.desired[t.Name] = ch.Models
+	co.desired[t.Name] = ch.Models
 	lg.Info("order given")
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -31,7 +31,7 @@
 type AuthenticationError struct{ Instance string }
 
 // Error names the peer.
-func (se *AuthenticationError) Error() string { return "peer " + se.Instance + " is not one of ours" }
+func (ae *AuthenticationError) Error() string { return "peer " + ae.Instance + " is not one of ours" }
 
 // UnreachableError says that no live link leads to an instance.
 type UnreachableError struct{ Instance string }
--- a/internal/peerstate/decode.go
+++ b/internal/peerstate/decode.go
@@ -92,17 +92,17 @@
 }
 
 // addTo adds a target to a state that is being read.
-func (ta targetState) addTo(st *State) {
-	if ta.leaving {
-		st.Leaving = append(st.Leaving, ta.incarnation)
+func (ts targetState) addTo(st *State) {
+	if ts.leaving {
+		st.Leaving = append(st.Leaving, ts.incarnation)
 	}
-	if ta.load == (placement.Load{}) {
+	if ts.load == (placement.Load{}) {
 		return
 	}
 	if st.Loads == nil {
 		st.Loads = map[string]placement.Load{}
 	}
-	st.Loads[ta.incarnation] = ta.load
+	st.Loads[ts.incarnation] = ts.load
 }
 
 func (rd *reader) target() targetState {
--- a/internal/peerstate/encode.go
+++ b/internal/peerstate/encode.go
@@ -82,19 +82,19 @@
 }
 
 // append appends the target.
-func (ta targetState) appendTo(b []byte) []byte {
-	id, flags := pack(ta.incarnation)
-	if ta.leaving {
+func (ts targetState) appendTo(b []byte) []byte {
+	id, flags := pack(ts.incarnation)
+	if ts.leaving {
 		flags |= flagLeaving
 	}
-	loaded := ta.load != (placement.Load{})
+	loaded := ts.load != (placement.Load{})
 	if loaded {
 		flags |= flagLoaded
 	}
 	b = binary.AppendUvarint(b, uint64(len(id))<<flagBits|flags)
 	b = append(b, id...)
 	if loaded {
-		b = ta.load.Append(b)
+		b = ts.load.Append(b)
 	}
 	return b
 }
--- a/internal/peerstate/wire_test.go
+++ b/internal/peerstate/wire_test.go
@@ -94,7 +94,7 @@
 }
 
 // TestBytesOfAPublish measures what one publish costs for each peer above TCP.
-func TestPublishWireOverhead(t *testing.T) {
+func TestBytesOfAPublish(t *testing.T) {
 	g := NewWithT(t)
 	there := startNode(t, "b")
 	here := startNode(t, "a", there.lis.Addr().String())
