--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -8,9 +8,9 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-// beatFor makes a heartbeat for one peer: this instance's work at the targets that the peer owns, and what this
-// instance knows of the targets that it owns itself. So each pair exchanges a few lines only, whatever the size of
-// the fleet. Answers carry summaries, first beats carry usage.
+// newBeat returns a heartbeat for one peer. A request carries this instance's usage of the targets that the peer owns; an
+// answer carries summaries of the targets that this instance owns. Each pair of instances therefore exchanges only a few
+// entries, whatever the size of the fleet.
 func (ms *Mesh) newBeat(peer string, seq uint64, answer bool) *peerpb.Beat {
 	b := &peerpb.Beat{
 		Seq: seq, BundleVersion: ms.bundles.Version(), Stopping: ms.stopping(), Answer: answer,
@@ -33,6 +33,7 @@
 	return b
 }
 
+// maxAge is the longest duration that a message carries; longer ones are clamped to it.
 const maxAge = time.Hour
 
 func clampMillis(d time.Duration) uint32 { return uint32(max(0, min(d, maxAge)).Milliseconds()) }
@@ -59,7 +60,7 @@
 	return wk
 }
 
-// sender returns who a hello says it is from.
+// instanceFromHello returns the sender of a hello.
 func instanceFromHello(h *peerpb.Hello) fleet.Instance {
 	return fleet.Instance{
 		Name: h.GetInstance(), Incarnation: h.GetIncarnation(), AvailabilityZone: h.GetAvailabilityZone(),
@@ -67,7 +68,7 @@
 	}
 }
 
-// applyBeat takes a heartbeat from either side of a stream. Only first beats tell usage.
+// applyBeat applies a heartbeat from either side of a stream. Only requests carry usage, not answers.
 func (ms *Mesh) applyBeat(from fleet.Instance, pb *peerpb.Beat) {
 	b := fleet.Beat{
 		From: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
@@ -93,7 +94,7 @@
 	ms.bundles.Hear(pb.GetBundleVersion())
 }
 
-// renew extends the grants that a heartbeat tells are in use.
+// renewGrants extends the grants that the holder's usage shows to be in use.
 func (ms *Mesh) renewGrants(holder string, usage map[string]fleet.Work) {
 	for target, wk := range usage {
 		if wk.Long > 0 {
--- a/internal/peer/count.go
+++ b/internal/peer/count.go
@@ -2,20 +2,20 @@
 
 import "net"
 
-// countingConn counts the bytes of a connection.
+// countingConn counts the bytes of a connection in its mesh.
 type countingConn struct {
 	net.Conn
 	ms *Mesh
 }
 
-// Read counts bytes in.
+// Read reads from the connection and counts the received bytes.
 func (cc *countingConn) Read(b []byte) (int, error) {
 	n, err := cc.Conn.Read(b)
 	cc.ms.BytesIn.Add(int64(n))
 	return n, err
 }
 
-// Write counts bytes out.
+// Write writes to the connection and counts the sent bytes.
 func (cc *countingConn) Write(b []byte) (int, error) {
 	n, err := cc.Conn.Write(b)
 	cc.ms.BytesOut.Add(int64(n))
@@ -27,7 +27,7 @@
 	ms *Mesh
 }
 
-// Accept returns a counted connection.
+// Accept returns the next connection, wrapped to count its bytes.
 func (cl *countingListener) Accept() (net.Conn, error) {
 	c, err := cl.Listener.Accept()
 	if err != nil {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -23,26 +23,27 @@
 const (
 	dialTimeout = 500 * time.Millisecond
 	redialDelay = 500 * time.Millisecond
-	// askTimeout bounds the wait for a grant; the request then waits and asks again.
+	// grantTimeout bounds the wait for a grant. After it the request stays queued and asks again.
 	grantTimeout  = 300 * time.Millisecond
 	sendQueueSize = 1024
-	// fullRatePeers is the number of peers nearby from which heartbeats are stretched.
-	maxFullRatePeers = 24
-	// maxStretch keeps two heartbeats within the silence after which a peer counts as gone.
+	// peersPerStretch is the number of live peers in the same zone for which the heartbeat interval grows by one more interval.
+	peersPerStretch = 24
+	// maxHeartbeatStretch keeps two heartbeats within the time without heartbeats after which a peer counts as lost.
 	maxHeartbeatStretch = 3
 )
 
-// link is the stream that this instance opened to one peer.
+// link is the stream that this instance opens to one peer.
 type link struct {
 	ms      *Mesh
 	address string
 	cancel  context.CancelFunc
 	up      atomic.Bool
-	// peer is known from the first answer on.
+	// peer is set by the peer's first answer.
 	peer      atomic.Pointer[fleet.Instance]
 	sendQueue *ring.Ring[*peerpb.Frame]
 
-	mu             sync.Mutex
+	mu sync.Mutex
+	// The pending channels wait for answers of the peer; grants and offers are keyed by the id of the request.
 	pendingGrants  map[uint64]chan bool
 	pendingOffers  map[uint64]chan *peerpb.ShortAnswer
 	pendingBundles []chan *peerpb.BundleBody
@@ -66,32 +67,32 @@
 	}
 }
 
-// wanted returns the addresses of peers, and whether a link to each is to be kept: all of a small fleet; of a large one
-// those of this availability zone and the few of each other that have the highest hash with this instance.
+// planLinks returns, for each peer address, whether to keep a link to it. A small fleet forms a full mesh. In a large one the
+// instance keeps links to its own availability zone, and in each other zone to the few peers with the highest rendezvous hash.
 func (ms *Mesh) planLinks() map[string]bool {
 	peers := ms.fl.Peers()
 	self := ms.fl.Self()
 	rank := func(p fleet.PeerStatus) uint64 { return xxhash.Sum64String(self.Name + "\x00" + p.Name) }
 	slices.SortFunc(peers, func(a, b fleet.PeerStatus) int { return cmp.Compare(rank(b), rank(a)) })
 	wanted := map[string]bool{}
-	remote := map[string]int{}
-	near := 0
+	remoteLinks := map[string]int{}
+	sameZone := 0
 	for _, p := range peers {
 		keep := p.Listed || p.Heard < maxDialSilence
 		if p.Live && p.AvailabilityZone == self.AvailabilityZone {
-			near++
+			sameZone++
 		}
-		if far := p.AvailabilityZone != self.AvailabilityZone; far && keep && len(peers) > ms.opts.MaxFullMeshPeers {
-			keep = remote[p.AvailabilityZone] < ms.opts.RemoteLinksPerZone
-			remote[p.AvailabilityZone]++
+		if otherZone := p.AvailabilityZone != self.AvailabilityZone; otherZone && keep && len(peers) > ms.opts.MaxFullMeshPeers {
+			keep = remoteLinks[p.AvailabilityZone] < ms.opts.RemoteLinksPerZone
+			remoteLinks[p.AvailabilityZone]++
 		}
 		wanted[p.PeerAddress] = wanted[p.PeerAddress] || keep
 	}
-	ms.heartbeatStretch.Store(int64(min(maxHeartbeatStretch, 1+near/maxFullRatePeers)))
+	ms.heartbeatStretch.Store(int64(min(maxHeartbeatStretch, 1+sameZone/peersPerStretch)))
 	return wanted
 }
 
-// connect opens links to peers that have none and closes those to peers long gone.
+// updateLinks opens the planned links that are missing and closes those that are no longer planned.
 func (ms *Mesh) updateLinks(ctx context.Context) {
 	wanted := ms.planLinks()
 	for _, s := range ms.opts.Seeds {
@@ -116,7 +117,7 @@
 	}
 }
 
-// forgetAfter is the silence after which a peer is no longer dialled.
+// maxDialSilence is the time without heartbeats after which a peer that is not listed in the store is no longer dialled.
 const maxDialSilence = time.Minute
 
 func (lk *link) maintain(ctx context.Context) {
@@ -124,7 +125,7 @@
 		err := lk.runStream(ctx)
 		lk.up.Store(false)
 		if err != nil && ctx.Err() == nil {
-			lk.ms.opts.Log.WithField("address", lk.address).WithError(err).Debug("link down")
+			lk.ms.opts.Log.WithField("address", lk.address).WithError(err).Debug("peer link down")
 		}
 		select {
 		case <-time.After(redialDelay):
@@ -147,15 +148,15 @@
 	}
 	host, _, err := net.SplitHostPort(lk.address)
 	if err != nil {
-		return nil, errors.Wrap(err, "read peer address")
+		return nil, errors.Wrap(err, "parse peer address")
 	}
 	tlsConfig := lk.ms.opts.TLS.Clone()
 	tlsConfig.ServerName = host
 	tc := tls.Client(conn, tlsConfig)
-	return tc, errors.Wrap(tc.HandshakeContext(ctx), "prove peer")
+	return tc, errors.Wrap(tc.HandshakeContext(ctx), "TLS handshake with peer")
 }
 
-// exchange runs the stream: one goroutine sends, one receives.
+// runStream opens the stream and runs it until it fails: one goroutine sends, this one receives.
 func (lk *link) runStream(ctx context.Context) error {
 	nc, err := lk.dial(ctx)
 	if err != nil {
@@ -186,7 +187,7 @@
 	}
 }
 
-// send sends heartbeats and what waits in the ring.
+// sendLoop sends heartbeats and the queued frames.
 func (lk *link) sendLoop(ctx context.Context, stream peerpb.DRPCPeer_ExchangeClient) {
 	tick := time.NewTicker(lk.ms.opts.Heartbeat)
 	defer tick.Stop()
@@ -226,8 +227,8 @@
 	return errors.Wrap(stream.Send(f), "send")
 }
 
-// due reports whether a heartbeat is sent at this tick. Peers elsewhere get fewer, and so do all where there are many:
-// the cost of heartbeats then grows no further with the size of an availability zone.
+// heartbeatDue reports whether to send a heartbeat at tick n. Peers in other zones get fewer, and so does every peer in a zone
+// with many peers, so that the cost of heartbeats stops growing with the size of an availability zone.
 func (lk *link) heartbeatDue(n uint64) bool {
 	every := uint64(lk.ms.heartbeatStretch.Load())
 	if p := lk.peer.Load(); p != nil && p.AvailabilityZone != lk.ms.fl.Self().AvailabilityZone {
@@ -243,7 +244,7 @@
 	return ""
 }
 
-// takeBeat takes an answer. The first one of a stream tells who answers.
+// handleBeat applies an answer to a heartbeat. The first one of a stream carries the identity of the peer.
 func (lk *link) handleBeat(b *peerpb.Beat) {
 	if h := b.GetSender(); h != nil {
 		in := instanceFromHello(h)
@@ -265,7 +266,7 @@
 		ch := lk.pendingGrants[k.Answer.GetId()]
 		delete(lk.pendingGrants, k.Answer.GetId())
 		if ch != nil {
-			// The channel has room for its one answer; forget looks there under the same lock.
+			// The channel is buffered for its single answer. abandonGrant deletes the entry under the same lock and then drains it.
 			ch <- k.Answer.GetGranted()
 		}
 		lk.mu.Unlock()
@@ -276,10 +277,10 @@
 		lk.handleShortAnswer(k.ShortAnswer)
 	case *peerpb.Frame_BundleBody:
 		lk.mu.Lock()
-		waiting := lk.pendingBundles
+		pending := lk.pendingBundles
 		lk.pendingBundles = nil
 		lk.mu.Unlock()
-		for _, ch := range waiting {
+		for _, ch := range pending {
 			ch <- k.BundleBody
 		}
 	}
@@ -308,7 +309,7 @@
 	return func() {}, false
 }
 
-// forget stops waiting for an answer. One that came just now is given back here, a later one by take.
+// abandonGrant stops waiting for an answer. A grant that has just arrived is released here, a later one by handleFrame.
 func (lk *link) abandonGrant(id uint64, target string, ch <-chan bool) {
 	lk.mu.Lock()
 	delete(lk.pendingGrants, id)
@@ -323,7 +324,7 @@
 }
 
 func (lk *link) releaseGrant(id uint64, target string) {
-	// A release that is shed runs out with its time.
+	// If the queue is full and drops the release, the grant expires with its lease.
 	lk.sendQueue.Offer(&peerpb.Frame{Kind: &peerpb.Frame_Release{Release: &peerpb.Release{Id: id, Target: target}}})
 }
 
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,4 +1,4 @@
-// Package peer exchanges heartbeats, grants and bundles with other instances.
+// Package peer exchanges heartbeats, grants of target capacity and configuration bundles with other instances.
 package peer
 
 import (
@@ -27,40 +27,40 @@
 
 const nonceBytes = 16
 
-// StrangerError says that a peer did not prove that it knows the secret.
+// AuthenticationError reports a peer whose hello does not prove knowledge of the shared secret.
 type AuthenticationError struct{ Instance string }
 
-// Error names the peer.
-func (ae *AuthenticationError) Error() string { return "peer " + ae.Instance + " is not one of ours" }
+func (ae *AuthenticationError) Error() string {
+	return "peer " + ae.Instance + " failed authentication"
+}
 
-// UnreachableError says that no live link leads to an instance.
+// UnreachableError reports that there is no live link to an instance.
 type UnreachableError struct{ Instance string }
 
-// Error names the instance.
 func (ue *UnreachableError) Error() string { return "no link to instance " + ue.Instance }
 
-// Options are the settings and seams of a Mesh.
+// Options configures a Mesh.
 type Options struct {
-	// Secret proves peers.
+	// Secret is the key with which the instances authenticate each other.
 	Secret string
-	// TLS is used when set; it must ask for certificates on both sides.
+	// TLS is used when set. It must require certificates from both sides.
 	TLS *tls.Config
-	// Heartbeat is the time between two beats to a peer in the same availability zone.
+	// Heartbeat is the interval between two heartbeats to a peer in the same availability zone.
 	Heartbeat time.Duration
-	// RemoteEvery is how many beats pass between two to a peer elsewhere.
+	// RemoteHeartbeatDivisor is the factor by which heartbeats to peers in other availability zones are less frequent.
 	RemoteHeartbeatDivisor int
-	// FullMesh is the number of peers up to which all are linked; beyond it only those in the same availability zone
-	// and RemoteLinks in each other.
+	// MaxFullMeshPeers is the number of peers up to which the instance links to all of them. With more, it links to
+	// those in its own availability zone and to RemoteLinksPerZone in each other zone.
 	MaxFullMeshPeers, RemoteLinksPerZone int
-	// Seeds are tried when they are not yet known as peers.
+	// Seeds are addresses that the mesh dials although no peer is known there yet.
 	Seeds []string
-	// Blocked cuts the link to a peer; for tests and experiments.
+	// ZoneBlocked reports whether links to an availability zone are cut, for tests and experiments.
 	ZoneBlocked func(zone string) bool
-	// Log is the part's logger.
+	// Log receives the log lines of the mesh.
 	Log log.Interface
 }
 
-// Mesh is this instance's links to all others.
+// Mesh holds the links of this instance to its peers.
 type Mesh struct {
 	fl       *fleet.Fleet
 	bundles  *rollout.Holder
@@ -71,17 +71,17 @@
 	chooseShortTarget atomic.Pointer[ShortPromptChooser]
 
 	mu sync.Mutex
-	// links are by the peer's address.
+	// links is keyed by the peer's address.
 	links map[string]*link
 
-	// BytesOut and BytesIn count what went over peer connections; Messages counts frames sent.
+	// BytesOut and BytesIn count the bytes on peer connections; FramesSent counts the frames sent.
 	BytesOut, BytesIn, FramesSent atomic.Int64
 	nextID                        atomic.Uint64
-	// stretch is how many ticks pass between two heartbeats to a peer nearby.
+	// heartbeatStretch is the number of heartbeat intervals between two heartbeats to a peer in the same zone.
 	heartbeatStretch atomic.Int64
 }
 
-// New returns a mesh; Serve and Run do its work.
+// New returns a mesh. Serve accepts streams of peers, and Run opens the links to them.
 func New(fl *fleet.Fleet, bundles *rollout.Holder, grants *grant.Ledger, stopping func() bool, o Options) *Mesh {
 	if o.ZoneBlocked == nil {
 		o.ZoneBlocked = func(string) bool { return false }
@@ -89,7 +89,7 @@
 	return &Mesh{fl: fl, bundles: bundles, grants: grants, stopping: stopping, opts: o, links: map[string]*link{}}
 }
 
-// Serve answers peers until ctx ends.
+// Serve accepts streams of peers on lis until ctx ends.
 func (ms *Mesh) Serve(ctx context.Context, lis net.Listener) error {
 	mux := drpcmux.New()
 	if err := peerpb.DRPCRegisterPeer(mux, ms); err != nil {
@@ -102,7 +102,7 @@
 	return errors.Wrap(drpcserver.New(mux).Serve(ctx, lis), "serve peers")
 }
 
-// Exchange serves one peer.
+// Exchange serves the stream of one peer. It requires an authenticated hello as the first frame.
 func (ms *Mesh) Exchange(stream peerpb.DRPCPeer_ExchangeStream) error {
 	f, err := stream.Recv()
 	if err != nil {
@@ -110,11 +110,11 @@
 	}
 	h := f.GetHello()
 	if h == nil || !hmac.Equal(h.GetProof(), helloMAC(ms.opts.Secret, h)) {
-		ms.opts.Log.WithField("peer", h.GetInstance()).Warn("peer turned away")
+		ms.opts.Log.WithField("peer", h.GetInstance()).Warn("peer rejected: authentication failed")
 		return &AuthenticationError{Instance: h.GetInstance()}
 	}
 	from := instanceFromHello(h)
-	for told := false; ; {
+	for introduced := false; ; {
 		f, err := stream.Recv()
 		if err != nil {
 			return errors.Wrap(err, "receive")
@@ -123,8 +123,8 @@
 			return &UnreachableError{Instance: from.Name}
 		}
 		if out := ms.respond(from, f); out != nil {
-			if b := out.GetBeat(); b != nil && !told {
-				b.Sender, told = ms.newHello(), true
+			if b := out.GetBeat(); b != nil && !introduced {
+				b.Sender, introduced = ms.newHello(), true
 			}
 			if err := stream.Send(out); err != nil {
 				return errors.Wrap(err, "send")
@@ -167,13 +167,13 @@
 	return &peerpb.Frame{Kind: &peerpb.Frame_BundleBody{BundleBody: body}}
 }
 
-// proof is the keyed digest of who a hello says it is from.
+// helloMAC returns the keyed digest of the sender's identity and nonce in a hello.
 func helloMAC(secret string, h *peerpb.Hello) []byte {
 	m := hmac.New(sha256.New, []byte(secret))
 	for _, part := range []string{
 		h.GetInstance(), h.GetIncarnation(), h.GetAvailabilityZone(), h.GetPeerAddress(), h.GetCallersAddress(), string(h.GetNonce()),
 	} {
-		// A hash takes every write.
+		// A hash never returns a write error.
 		_, _ = m.Write([]byte(part))
 		_, _ = m.Write([]byte{0})
 	}
@@ -192,8 +192,8 @@
 	return h
 }
 
-// Grant asks the owner of a target for room; this instance's own ledger is asked directly. When the owner cannot
-// be reached the grant is given, since grants are for speed only.
+// RequestGrant asks the owner of a target for capacity. If this instance is the owner, it asks its own ledger directly.
+// Without a link to the owner the request is granted, because grants only improve latency and are not needed for correctness.
 func (ms *Mesh) RequestGrant(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool) {
 	key := grant.Key{Holder: ms.fl.Self().Incarnation, ID: ms.nextID.Add(1)}
 	owner := ms.fl.Owner(t)
@@ -208,7 +208,7 @@
 	return lk.requestGrant(ctx, key.ID, t.Name, memory, hold)
 }
 
-// FetchBundle asks live peers for a bundle of at least the given version.
+// FetchBundle asks live peers in turn for a bundle of at least the given version.
 func (ms *Mesh) FetchBundle(ctx context.Context, version int64) (bundle.Bundle, error) {
 	for _, p := range ms.fl.Peers() {
 		lk := ms.linkTo(p.Name)
@@ -220,7 +220,7 @@
 			return b, nil
 		}
 	}
-	return bundle.Bundle{}, &UnreachableError{Instance: "any with the bundle"}
+	return bundle.Bundle{}, &UnreachableError{Instance: "any that has the bundle"}
 }
 
 func (ms *Mesh) linkTo(instance string) *link {
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// shortAsks is how many owners are asked for one short prompt.
+	// maxOfferPeers is the number of owners that are asked for offers for one short prompt.
 	maxOfferPeers = 2
-	// shortTimeout bounds the wait for their answers.
+	// offerTimeout bounds the wait for offers.
 	offerTimeout = 20 * time.Millisecond
 )
 
-// ChooseShort chooses the best owned target for a peer's short prompt.
+// ShortPromptChooser selects the best target that this instance owns for a peer's short prompt. It returns false if there is none.
 type ShortPromptChooser func(model string, rq policy.Request) (target string, wait time.Duration, ok bool)
 
-// SetChooseShort sets the choice that answers to peers are made by.
+// SetShortPromptChooser sets the function that answers peers' requests for offers. Before it is set, no offers are made.
 func (ms *Mesh) SetShortPromptChooser(f ShortPromptChooser) { ms.chooseShortTarget.Store(&f) }
 
 func (ms *Mesh) respondShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
@@ -38,7 +38,8 @@
 	return &peerpb.Frame{Kind: &peerpb.Frame_ShortAnswer{ShortAnswer: ans}}
 }
 
-// AskShort asks some other owners, of this availability zone where there are any, and returns what they offer in time.
+// RequestShortOffers asks a few other owners, preferably in this availability zone, and returns the offers that arrive within
+// offerTimeout.
 func (ms *Mesh) RequestShortOffers(ctx context.Context, model string, rq policy.Request) []offer.Offer {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
@@ -49,24 +50,25 @@
 		wg.Go(func() { offers[i] = lk.requestOffer(ctx, ms.nextID.Add(1), model, rq) })
 	}
 	wg.Wait()
-	var made []offer.Offer
+	var valid []offer.Offer
 	for _, of := range offers {
 		if of.Target != "" {
-			made = append(made, of)
+			valid = append(valid, of)
 		}
 	}
-	return made
+	return valid
 }
 
+// pickOwnerLinks returns links to random owners of targets with the model, those in this availability zone first.
 func (ms *Mesh) pickOwnerLinks(model string) []*link {
-	near, far := ms.fl.OtherOwners(model)
+	sameZone, otherZones := ms.fl.OtherOwners(model)
 	shuffle := func(names []string) {
 		rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	}
-	shuffle(near)
-	shuffle(far)
+	shuffle(sameZone)
+	shuffle(otherZones)
 	var links []*link
-	for _, name := range append(near, far...) {
+	for _, name := range append(sameZone, otherZones...) {
 		if lk := ms.linkTo(name); lk != nil && len(links) < maxOfferPeers {
 			links = append(links, lk)
 		}
@@ -109,7 +111,7 @@
 	}
 }
 
-// takeShort hands an answer to who waits for it; one that nobody waits for any more is given back.
+// handleShortAnswer delivers an offer to its waiting request. An offer that no request waits for any more is released.
 func (lk *link) handleShortAnswer(ans *peerpb.ShortAnswer) {
 	lk.mu.Lock()
 	ch := lk.pendingOffers[ans.GetId()]
