--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peerbytes/peerbytes.go
@@ -1,5 +1,5 @@
-// Package peerbytes reads what a peer has encoded: numbers of variable length, names and times, each within a bound, so that hostile or
-// broken bytes cost no more than what was read so far calls for.
+// Package peerbytes decodes messages of peers: varints, strings and durations, each within a bound, so that hostile or malformed input
+// makes the reader allocate memory only in proportion to the bytes that it has read.
 package peerbytes
 
 import (
@@ -7,58 +7,57 @@
 	"time"
 )
 
-// MalformedError says that bytes cannot be read.
+// MalformedError reports input that cannot be decoded.
 type MalformedError struct{ Reason string }
 
-// Error gives the reason.
-func (me *MalformedError) Error() string { return "malformed bytes: " + me.Reason }
+func (me *MalformedError) Error() string { return "malformed peer message: " + me.Reason }
 
-// Reader reads bytes from their start. After a failure it reads zeros.
+// Reader decodes bytes from start to end. After the first error every read returns a zero value.
 type Reader struct {
 	rest []byte
-	// failed is the first failure.
+	// err is the first error.
 	err error
 }
 
-// NewReader returns a reader of bytes, which must not change while it is used.
+// NewReader returns a reader of b. The caller must not modify b while the reader is in use.
 func NewReader(b []byte) *Reader { return &Reader{rest: b} }
 
-// Fail notes a failure, unless there was one.
+// Fail records a MalformedError with the reason, unless an error is already recorded.
 func (rd *Reader) Fail(reason string) {
 	if rd.err == nil {
 		rd.err = &MalformedError{Reason: reason}
 	}
 }
 
-// Failed reports whether anything could not be read.
+// Failed reports whether an error is recorded.
 func (rd *Reader) Failed() bool { return rd.err != nil }
 
-// End returns the first failure, a MalformedError; bytes that are left are one.
+// Finish returns the first error, which is a MalformedError. Unread bytes count as an error.
 func (rd *Reader) Finish() error {
 	if len(rd.rest) > 0 {
-		rd.Fail("bytes after the end")
+		rd.Fail("trailing bytes")
 	}
 	return rd.err
 }
 
-// Number reads a number that is at most a bound.
-func (rd *Reader) ReadUvarint(most uint64) uint64 {
+// ReadUvarint reads an unsigned varint of at most limit.
+func (rd *Reader) ReadUvarint(limit uint64) uint64 {
 	if rd.err != nil {
 		return 0
 	}
 	n, size := binary.Uvarint(rd.rest)
-	if size <= 0 || n > most {
-		rd.Fail("a number that is cut off or too large")
+	if size <= 0 || n > limit {
+		rd.Fail("truncated or oversized integer")
 		return 0
 	}
 	rd.rest = rd.rest[size:]
 	return n
 }
 
-// Bytes reads so many bytes. They are part of what is read, not a copy.
+// ReadBytes reads n bytes. The result is a slice of the input, not a copy.
 func (rd *Reader) ReadBytes(n int) []byte {
 	if n > len(rd.rest) {
-		rd.Fail("cut off")
+		rd.Fail("truncated")
 	}
 	if rd.err != nil {
 		return nil
@@ -68,23 +67,23 @@
 	return b
 }
 
-// Name reads a text of at most so many bytes, behind its length.
-func (rd *Reader) ReadString(most int) string {
-	return string(rd.ReadBytes(int(rd.ReadUvarint(uint64(most)))))
+// ReadString reads a length-prefixed string of at most limit bytes.
+func (rd *Reader) ReadString(limit int) string {
+	return string(rd.ReadBytes(int(rd.ReadUvarint(uint64(limit)))))
 }
 
-// Span reads a time in whole milliseconds that is at most a bound.
-func (rd *Reader) ReadDuration(most time.Duration) time.Duration {
-	return time.Duration(rd.ReadUvarint(uint64(most.Milliseconds()))) * time.Millisecond
+// ReadDuration reads a duration in whole milliseconds of at most limit.
+func (rd *Reader) ReadDuration(limit time.Duration) time.Duration {
+	return time.Duration(rd.ReadUvarint(uint64(limit.Milliseconds()))) * time.Millisecond
 }
 
-// AppendName appends a text as Name reads it.
-func AppendString(b []byte, name string) []byte {
-	b = binary.AppendUvarint(b, uint64(len(name)))
-	return append(b, name...)
+// AppendString appends s in the encoding of ReadString.
+func AppendString(b []byte, s string) []byte {
+	b = binary.AppendUvarint(b, uint64(len(s)))
+	return append(b, s...)
 }
 
-// AppendSpan appends a time as Span reads it with the same bound; one out of range is told as the nearest that is not.
-func AppendDuration(b []byte, span, most time.Duration) []byte {
-	return binary.AppendUvarint(b, uint64(max(0, min(span, most)).Milliseconds()))
+// AppendDuration appends d in the encoding of ReadDuration with the same limit. A value outside the range from 0 to limit is clamped.
+func AppendDuration(b []byte, d, limit time.Duration) []byte {
+	return binary.AppendUvarint(b, uint64(max(0, min(d, limit)).Milliseconds()))
 }
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peerbytes/peerbytes_test.go
@@ -28,12 +28,12 @@
 
 func TestReaderKeepsFirstError(t *testing.T) {
 	cases := map[string]func(rd *peerbytes.Reader){
-		"a number out of range": func(rd *peerbytes.Reader) { rd.ReadUvarint(5) },
-		"a name out of range":   func(rd *peerbytes.Reader) { rd.ReadString(5) },
-		"a name that is cut":    func(rd *peerbytes.Reader) { rd.ReadString(10) },
-		"bytes that are cut":    func(rd *peerbytes.Reader) { rd.ReadBytes(10) },
-		"bytes that are left":   func(rd *peerbytes.Reader) { rd.ReadUvarint(10) },
-		"a reason of one's own": func(rd *peerbytes.Reader) { rd.Fail("out of order"); rd.Fail("another") },
+		"integer above the limit":    func(rd *peerbytes.Reader) { rd.ReadUvarint(5) },
+		"string above the limit":     func(rd *peerbytes.Reader) { rd.ReadString(5) },
+		"truncated string":           func(rd *peerbytes.Reader) { rd.ReadString(10) },
+		"truncated bytes":            func(rd *peerbytes.Reader) { rd.ReadBytes(10) },
+		"trailing bytes":             func(rd *peerbytes.Reader) { rd.ReadUvarint(10) },
+		"reason given by the caller": func(rd *peerbytes.Reader) { rd.Fail("out of order"); rd.Fail("another") },
 	}
 	for name, read := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/peerstate/decode.go
+++ b/internal/peerstate/decode.go
@@ -10,8 +10,8 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-// Decode reads a peer's state. It fails with a VersionError, a MalformedError, a TooManyError or a
-// placement.EncodingError, and allocates no more than what it has read so far calls for.
+// Decode decodes the state of a peer. It fails with a VersionError, a MalformedError, a TooManyTargetsError or a
+// placement.EncodingError. It allocates memory only in proportion to the bytes that it has read.
 func Decode(b []byte) (State, error) {
 	st, err := decode(b)
 	if err != nil {
@@ -22,7 +22,7 @@
 
 func decode(b []byte) (State, error) {
 	if len(b) == 0 {
-		return State{}, &MalformedError{Reason: "no bytes"}
+		return State{}, &MalformedError{Reason: "empty input"}
 	}
 	if b[0] != formatVersion {
 		return State{}, &VersionError{Version: b[0]}
@@ -34,15 +34,15 @@
 	st.TargetsAge = rd.age()
 	rd.targets(&st)
 	if rd.err == nil && len(rd.rest) > 0 {
-		rd.fail("bytes after the end")
+		rd.fail("trailing bytes")
 	}
 	return st, rd.err
 }
 
-// reader reads a state from its start. After a failure it reads zeros.
+// reader decodes a state from start to end. After the first error every read returns a zero value.
 type reader struct {
 	rest []byte
-	// err is the first failure.
+	// err is the first error.
 	err error
 }
 
@@ -58,7 +58,7 @@
 	}
 	val, n := binary.Uvarint(rd.rest)
 	if n <= 0 {
-		rd.fail("a number that is cut off or too large")
+		rd.fail("truncated or oversized integer")
 		return 0
 	}
 	rd.rest = rd.rest[n:]
@@ -68,13 +68,13 @@
 func (rd *reader) age() time.Duration {
 	ms := rd.uvarint()
 	if ms > uint64(maxAge.Milliseconds()) {
-		rd.fail("an age that is too large")
+		rd.fail("age above the maximum")
 		return 0
 	}
 	return time.Duration(ms) * time.Millisecond
 }
 
-// targets reads the targets in the order that Encode writes them in, so that none comes twice.
+// targets decodes the targets. It requires the strictly ascending order of Encode, so that no target occurs twice.
 func (rd *reader) targets(st *State) {
 	count := rd.uvarint()
 	if rd.err == nil && count > maxTargets {
@@ -91,7 +91,7 @@
 	}
 }
 
-// addTo adds a target to a state that is being read.
+// addTo adds the target to a state that is being decoded.
 func (ts targetState) addTo(st *State) {
 	if ts.leaving {
 		st.Leaving = append(st.Leaving, ts.incarnation)
@@ -106,22 +106,22 @@
 }
 
 func (rd *reader) target() targetState {
-	head := rd.uvarint()
-	id := rd.bytes(head >> flagBits)
-	ta := targetState{incarnation: unpack(id, head), leaving: head&flagLeaving != 0}
-	if head&flagLoaded != 0 {
+	header := rd.uvarint()
+	encoded := rd.bytes(header >> flagBits)
+	ta := targetState{incarnation: unpack(encoded, header), leaving: header&flagLeaving != 0}
+	if header&flagLoaded != 0 {
 		ta.load = rd.load()
 	}
 	if !ta.leaving && ta.load == (placement.Load{}) {
-		rd.fail("a target of which nothing is told")
+		rd.fail("target is neither leaving nor loaded")
 	}
 	return ta
 }
 
-// take returns the next bytes; it is part of what is read, not a copy.
+// bytes returns the next count bytes. The result is a slice of the input, not a copy.
 func (rd *reader) bytes(count uint64) []byte {
 	if count > uint64(len(rd.rest)) {
-		rd.fail("an incarnation that is cut off")
+		rd.fail("truncated incarnation")
 	}
 	if rd.err != nil {
 		return nil
@@ -137,7 +137,7 @@
 	}
 	lo, rest, err := placement.ParseLoad(rd.rest)
 	if err != nil {
-		rd.err = errors.Wrap(err, "read load")
+		rd.err = errors.Wrap(err, "decode load")
 		return placement.Load{}
 	}
 	rd.rest = rest
--- a/internal/peerstate/encode.go
+++ b/internal/peerstate/encode.go
@@ -13,38 +13,38 @@
 )
 
 const (
-	// version is the first byte of a state. It changes with the form, that of Load.Append included. The first byte of
-	// the earlier JSON form, an opening brace, is never used as a version.
+	// formatVersion is the first byte of an encoded state. It changes with every change of the format, including that of
+	// Load.Append. An opening brace is never used as a version, because the earlier JSON format starts with it.
 	formatVersion = 3
-	// maxTargets bounds the targets that one state tells of, and so what decoding allocates, to a few megabytes. It is
-	// some 900 times a usual fleet.
+	// maxTargets bounds the targets in one state, and so the memory that decoding allocates to a few megabytes. It is about
+	// 900 times the size of a typical fleet.
 	maxTargets = 1 << 14
-	// maxProofAge is the longest age that is told. It is far beyond every use of a proof, and can be taken from a time
-	// with any other age and not overflow, unlike the age of the zero time.
+	// maxAge is the longest age that is encoded. It is far longer than a confirmation is of use. Subtracting it and any other
+	// age from a time does not overflow, unlike with the age of the zero time.
 	maxAge = 365 * 24 * time.Hour
 )
 
-// The head of each target is the number of bytes of its written incarnation, shifted by headBits, and these flags.
+// The header of each target is the length in bytes of its encoded incarnation, shifted left by flagBits, and these flags.
 const (
-	// flagPacked says that the incarnation is written as pack does.
+	// flagPacked marks an incarnation that is encoded as the bytes of its hex digits; see pack.
 	flagPacked = 1 << iota
-	// flagLeaving says that the target is leaving.
+	// flagLeaving marks a target that is leaving.
 	flagLeaving
-	// flagLoad says that a load follows the incarnation.
+	// flagLoaded marks a target whose load follows the incarnation.
 	flagLoaded
 )
 
-// headBits is the number of flags; with three of them the head of a usual incarnation is one byte.
+// flagBits is the number of flags. With three, the header of a typical incarnation takes one byte.
 const flagBits = 3
 
-// target is what a state says of one target.
+// targetState is the part of a state about one target.
 type targetState struct {
 	incarnation string
 	leaving     bool
 	load        placement.Load
 }
 
-// Encode returns the bytes that peers get. Equal states have equal bytes.
+// Encode returns the wire format of the state. Equal states have equal encodings.
 func (st State) Encode() ([]byte, error) {
 	ts := st.targetStates()
 	if len(ts) > maxTargets {
@@ -62,8 +62,8 @@
 	return b, nil
 }
 
-// targets returns the targets that the state tells of, by incarnation. A load that is not empty stays so when it is
-// rounded.
+// targetStates returns the targets that are leaving or loaded, ordered by sortKey. A load that is not empty does not become
+// empty when it is rounded.
 func (st State) targetStates() []targetState {
 	leaving := set.Of(st.Leaving...)
 	ids := slices.Clone(st.Leaving)
@@ -81,7 +81,7 @@
 	return ts
 }
 
-// append appends the target.
+// appendTo appends the encoded target to b.
 func (ts targetState) appendTo(b []byte) []byte {
 	id, flags := pack(ts.incarnation)
 	if ts.leaving {
@@ -99,7 +99,7 @@
 	return b
 }
 
-// millis returns an age in milliseconds, rounded up.
+// ceilMillis returns an age in whole milliseconds, rounded up and limited to the range from 0 to maxAge.
 func ceilMillis(age time.Duration) uint64 {
 	age = max(0, min(age, maxAge))
 	return uint64((age + time.Millisecond - 1) / time.Millisecond)
--- a/internal/peerstate/failure.go
+++ b/internal/peerstate/failure.go
@@ -2,30 +2,27 @@
 
 import "strconv"
 
-// VersionError says that a state was written in a form that is not known here.
+// VersionError reports a state in a version of the format that this build does not support.
 type VersionError struct {
 	// Version is the first byte of the state.
 	Version byte
 }
 
-// Error names the version.
 func (ve *VersionError) Error() string {
-	return "unknown version " + strconv.Itoa(int(ve.Version)) + " of a state"
+	return "peer state version " + strconv.Itoa(int(ve.Version)) + " is not supported"
 }
 
-// MalformedError says that bytes hold no state.
+// MalformedError reports bytes that do not encode a state.
 type MalformedError struct{ Reason string }
 
-// Error names the reason.
-func (me *MalformedError) Error() string { return "malformed state: " + me.Reason }
+func (me *MalformedError) Error() string { return "malformed peer state: " + me.Reason }
 
-// TooManyError says that a state tells of more targets than maxTargets.
+// TooManyTargetsError reports a state with more than maxTargets targets.
 type TooManyTargetsError struct {
-	// Targets is the number of targets that it tells of.
+	// Targets is the number of targets in the state.
 	Targets uint64
 }
 
-// Error names the number.
 func (te *TooManyTargetsError) Error() string {
-	return "a state of " + strconv.FormatUint(te.Targets, 10) + " targets"
+	return "peer state of " + strconv.FormatUint(te.Targets, 10) + " targets exceeds the maximum"
 }
--- a/internal/peerstate/pack.go
+++ b/internal/peerstate/pack.go
@@ -8,52 +8,52 @@
 	"strings"
 )
 
-// packedPrefix begins the incarnations that can be packed: those of it and an even number of lower-case hex digits, and of these and a
+// packablePrefix starts the incarnations that can be packed. An even number of lower-case hex digits follows it, and optionally a
 // time of birth.
 const packablePrefix = "i-"
 
 const (
-	// bornMark stands between an id and the time of birth, which is written to bornBase.
+	// birthSeparator separates the hex digits from the time of birth, which is a number in base birthBase.
 	birthSeparator = "@"
 	birthBase      = 36
-	// packedBorn begins an incarnation with a time of birth that is written as packBorn does; no other begins with it. An instance of
-	// the build before takes it for an incarnation that it does not know.
+	// birthMarker is the first byte of every incarnation that packWithBirth encodes, and of no other. An instance of the previous
+	// build takes the encoded bytes for an incarnation that it does not know.
 	birthMarker = 0
 )
 
-// packBorn returns an incarnation with a time of birth in some 13 bytes in place of 21: the mark, the number of the bytes that its hex
-// digits stand for, these, and the time.
+// packWithBirth encodes an incarnation with a time of birth in about 13 bytes instead of 21: birthMarker, the number of bytes of its
+// decoded hex digits, those bytes, and the time. It returns false for incarnations of any other form.
 func packWithBirth(id string) (string, bool) {
-	name, birth, ok := strings.Cut(id, birthSeparator)
+	name, birthText, ok := strings.Cut(id, birthSeparator)
 	if !ok {
 		return "", false
 	}
 	digits, flags := pack(name)
-	born, err := strconv.ParseUint(birth, birthBase, 64)
-	if flags != flagPacked || err != nil || strconv.FormatUint(born, birthBase) != birth || len(digits) > math.MaxUint8 {
-		// It is of another form, which need not be packed.
+	birthTime, err := strconv.ParseUint(birthText, birthBase, 64)
+	if flags != flagPacked || err != nil || strconv.FormatUint(birthTime, birthBase) != birthText || len(digits) > math.MaxUint8 {
+		// The incarnation has another form, which is not packed.
 		return "", false
 	}
 	b := append([]byte{birthMarker, byte(len(digits))}, digits...)
-	return string(binary.AppendUvarint(b, born)), true
+	return string(binary.AppendUvarint(b, birthTime)), true
 }
 
-// unpackBorn returns the incarnation that packBorn wrote; false when it is none.
-func unpackWithBirth(written []byte) (string, bool) {
-	const head = 2
-	if len(written) < head || written[0] != birthMarker || len(written) < head+int(written[1]) {
+// unpackWithBirth decodes an incarnation that packWithBirth encoded. It returns false for any other bytes.
+func unpackWithBirth(encoded []byte) (string, bool) {
+	const headerLen = 2
+	if len(encoded) < headerLen || encoded[0] != birthMarker || len(encoded) < headerLen+int(encoded[1]) {
 		return "", false
 	}
-	digits, rest := written[head:head+int(written[1])], written[head+int(written[1]):]
-	born, n := binary.Uvarint(rest)
+	digits, rest := encoded[headerLen:headerLen+int(encoded[1])], encoded[headerLen+int(encoded[1]):]
+	birth, n := binary.Uvarint(rest)
 	if n != len(rest) {
 		return "", false
 	}
-	return packablePrefix + hex.EncodeToString(digits) + birthSeparator + strconv.FormatUint(born, birthBase), true
+	return packablePrefix + hex.EncodeToString(digits) + birthSeparator + strconv.FormatUint(birth, birthBase), true
 }
 
-// place returns what targets are in the order of: the incarnation as an instance of the build before reads it, which refuses any other
-// order.
+// sortKey returns the key by which targets are ordered: the incarnation as an instance of the previous build decodes it. Such an
+// instance rejects a state in any other order.
 func sortKey(id string) string {
 	if b, ok := packWithBirth(id); ok {
 		return b
@@ -61,8 +61,8 @@
 	return id
 }
 
-// pack returns an incarnation as it is written, and flagPacked when that is the bytes that its hex digits stand for.
-// Other incarnations are written as they are.
+// pack encodes an incarnation. If it consists only of packablePrefix and hex digits, it is encoded as the bytes of these digits,
+// and pack returns flagPacked. An incarnation that also has a time of birth is encoded by packWithBirth, any other as it is.
 func pack(id string) (string, uint64) {
 	if b, ok := packWithBirth(id); ok {
 		return b, 0
@@ -73,19 +73,19 @@
 	}
 	b, err := hex.DecodeString(digits)
 	if err != nil || hex.EncodeToString(b) != digits {
-		// It is of another form, which need not be packed.
+		// The incarnation has another form, which is not packed.
 		return id, 0
 	}
 	return string(b), flagPacked
 }
 
-// unpack returns the incarnation that was written with a head.
-func unpack(written []byte, head uint64) string {
-	if head&flagPacked == 0 {
-		if id, ok := unpackWithBirth(written); ok {
+// unpack decodes an incarnation from its bytes and the header of its target.
+func unpack(encoded []byte, header uint64) string {
+	if header&flagPacked == 0 {
+		if id, ok := unpackWithBirth(encoded); ok {
 			return id
 		}
-		return string(written)
+		return string(encoded)
 	}
-	return packablePrefix + hex.EncodeToString(written)
+	return packablePrefix + hex.EncodeToString(encoded)
 }
--- a/internal/peerstate/pack_test.go
+++ b/internal/peerstate/pack_test.go
@@ -12,23 +12,23 @@
 func TestPackedSizeAndRoundTrip(t *testing.T) {
 	tests := map[string]struct {
 		id string
-		// most is the aim for its bytes.
-		most int
+		// maxBytes is the largest acceptable encoding.
+		maxBytes int
 	}{
-		"hex digits":                 {"i-72679801ad", 5},
-		"with a time of birth":       {"i-72679801ad@m47mmf0b", 13},
-		"an odd number of digits":    {"i-726@m47mmf0b", 14},
-		"another form":               {"inst-1", 6},
-		"no time after the mark":     {"i-72@", 5},
-		"a time of another spelling": {"i-72@00m4", 9},
-		"no digits":                  {"i-@1", 4},
+		"hex digits":                  {"i-72679801ad", 5},
+		"with a time of birth":        {"i-72679801ad@m47mmf0b", 13},
+		"an odd number of digits":     {"i-726@m47mmf0b", 14},
+		"another form":                {"inst-1", 6},
+		"no time after the separator": {"i-72@", 5},
+		"a time with leading zeros":   {"i-72@00m4", 9},
+		"no digits":                   {"i-@1", 4},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			written, flags := pack(tc.id)
-			g.Expect(len(written)).To(BeNumerically("<=", tc.most))
-			g.Expect(unpack([]byte(written), flags)).To(Equal(tc.id))
+			encoded, flags := pack(tc.id)
+			g.Expect(len(encoded)).To(BeNumerically("<=", tc.maxBytes))
+			g.Expect(unpack([]byte(encoded), flags)).To(Equal(tc.id))
 		})
 	}
 }
@@ -36,29 +36,29 @@
 func TestPackRoundTripsAnyIncarnation(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		id := rapid.StringMatching(`(i-)?[0-9a-f]{0,12}(@[0-9a-z]{0,13})?`).Draw(rt, "id")
-		written, flags := pack(id)
-		NewWithT(rt).Expect(unpack([]byte(written), flags)).To(Equal(id))
+		encoded, flags := pack(id)
+		NewWithT(rt).Expect(unpack([]byte(encoded), flags)).To(Equal(id))
 	})
 }
 
-// TestOrderForInstancesOfTheBuildBefore: they read an incarnation with a time of birth as it is written, and refuse a state whose targets
-// are not in that order.
+// TestEncodedTargetOrderIsAcceptedByPreviousBuild guards against states that instances of the previous build reject. They do not unpack
+// incarnations with a time of birth, and require the targets in the order of the packed bytes.
 func TestEncodedTargetOrderIsAcceptedByPreviousBuild(t *testing.T) {
 	g := NewWithT(t)
 	st := State{Leaving: []string{"i-aa", "i-aa@zz", "i-ab@1", "i-abcd@1", "inst", "i-ab@m47mmf0b", "i-ab@m47mmf0c", "i-ff"}}
 	b, err := st.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
-	again, err := Decode(b)
+	decoded, err := Decode(b)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(again.Leaving).To(ConsistOf(st.Leaving))
-	g.Expect(slices.IsSortedFunc(again.Leaving, func(a, b string) int { return cmp.Compare(readByPreviousBuild(a), readByPreviousBuild(b)) })).To(BeTrue())
+	g.Expect(decoded.Leaving).To(ConsistOf(st.Leaving))
+	g.Expect(slices.IsSortedFunc(decoded.Leaving, func(a, b string) int { return cmp.Compare(readByPreviousBuild(a), readByPreviousBuild(b)) })).To(BeTrue())
 }
 
-// readBefore returns an incarnation as an instance of the build before reads it.
+// readByPreviousBuild returns an incarnation as an instance of the previous build decodes it.
 func readByPreviousBuild(id string) string {
-	written, flags := pack(id)
+	encoded, flags := pack(id)
 	if flags&flagPacked != 0 {
 		return id
 	}
-	return written
+	return encoded
 }
--- a/internal/peerstate/peerstate.go
+++ b/internal/peerstate/peerstate.go
@@ -1,4 +1,4 @@
-// Package peerstate is what an instance of a gateway tells the others about itself.
+// Package peerstate defines the state that each gateway instance publishes to its peers, and its wire format.
 package peerstate
 
 import (
@@ -8,20 +8,20 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-// State is one instance's state. It does not change.
+// State is a snapshot of one instance. It is not modified after it is made.
 type State struct {
-	// Configuration is the version in force; zero for none.
+	// Configuration is the version of the configuration in force; zero if there is none.
 	Configuration int64
-	// ProofAge is the age of the newest proof that this version is the newest, when the state was made. Peers get it
-	// rounded up to a millisecond, so that a proof never seems newer than it is, and at most maxProofAge.
+	// ProofAge is the age, when the state was made, of the latest confirmation that Configuration is the newest version.
+	// It is encoded rounded up to a millisecond, so that the confirmation never seems fresher than it is, and as at most maxAge.
 	ProofAge time.Duration
-	// Leaving are incarnations of targets that take no new work. Peers get them sorted and each once.
+	// Leaving holds the incarnations of targets that accept no new work. They are encoded sorted and without duplicates.
 	Leaving []string
-	// Targets is where in its history the store was when the list of targets last changed; zero for none.
+	// TargetsPosition is the store's position at the last change of the list of targets; zero if there is none.
 	TargetsPosition position.Position
-	// TargetsAge is the age of the newest evidence of that list; peers get it as ProofAge.
+	// TargetsAge is the age of the latest confirmation of that list. It is encoded like ProofAge.
 	TargetsAge time.Duration
-	// Loads is what the instance has in flight, by incarnation of the target; empty loads are left out. Peers get them
-	// as Load.Rounded returns them.
+	// Loads is the in-flight load of the instance by incarnation of the target. Empty loads are not encoded; others are
+	// encoded as rounded by Load.Rounded.
 	Loads map[string]placement.Load
 }
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -17,7 +17,7 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-// genID draws incarnations of the usual form and any others.
+// genIncarnation draws incarnations of the typical form and arbitrary strings.
 func genIncarnation() *rapid.Generator[string] {
 	return rapid.OneOf(
 		rapid.StringMatching(`i-[0-9a-f]{8}`),
@@ -33,13 +33,13 @@
 		draw := func(label string) int64 { return num.Draw(t, label) }
 		lo := placement.Load{
 			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
-			SplitPrefill: placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
+			SplitPrefill: placement.Backlog{Tokens: draw("split tokens"), Pairs: draw("split pairs")},
+			Prefilling:   int(draw("prefilling")), Decoding: int(draw("decoding")),
 			ContextTokens: draw("context"), MemoryTokens: draw("memory"),
 		}
 		for cl := range lo.PauseRisk {
-			lo.PauseRisk[cl] = placement.Worth(draw("at risk"))
-			lo.FirstTokenRisk[cl] = placement.Worth(draw("waiting"))
+			lo.PauseRisk[cl] = placement.Worth(draw("pause risk"))
+			lo.FirstTokenRisk[cl] = placement.Worth(draw("first token risk"))
 		}
 		return lo
 	})
@@ -58,24 +58,24 @@
 	})
 }
 
-// told returns the state as peers get it.
+// wantDecoded returns the state that a peer decodes from the encoding of st.
 func wantDecoded(st State) State {
 	age := max(0, min(st.ProofAge, maxAge))
 	if rest := age % time.Millisecond; rest > 0 {
 		age += time.Millisecond - rest
 	}
-	to := State{Configuration: st.Configuration, ProofAge: age, TargetsPosition: st.TargetsPosition, TargetsAge: st.TargetsAge}
-	to.Leaving = slices.Compact(slices.Sorted(slices.Values(st.Leaving)))
+	want := State{Configuration: st.Configuration, ProofAge: age, TargetsPosition: st.TargetsPosition, TargetsAge: st.TargetsAge}
+	want.Leaving = slices.Compact(slices.Sorted(slices.Values(st.Leaving)))
 	for id, lo := range st.Loads {
 		if lo == (placement.Load{}) {
 			continue
 		}
-		if to.Loads == nil {
-			to.Loads = map[string]placement.Load{}
+		if want.Loads == nil {
+			want.Loads = map[string]placement.Load{}
 		}
-		to.Loads[id] = lo.Rounded()
+		want.Loads[id] = lo.Rounded()
 	}
-	return to
+	return want
 }
 
 func TestStateRoundTrip(t *testing.T) {
@@ -107,7 +107,7 @@
 	})
 }
 
-// refused reports whether an error is one of those that Decode tells of.
+// isDecodeError reports whether err has one of the types that Decode documents.
 func isDecodeError(err error) bool {
 	var ve *VersionError
 	var me *MalformedError
@@ -116,9 +116,9 @@
 	return errors.As(err, &ve) || errors.As(err, &me) || errors.As(err, &te) || errors.As(err, &ee)
 }
 
-// TestWrittenFormIsKept fails when the form changes: the version has to change with it.
+// TestWireFormatIsUnchanged guards against a change of the wire format without a change of formatVersion.
 func TestWireFormatIsUnchanged(t *testing.T) {
-	writer := placement.Load{Decoding: 3}
+	decoding := placement.Load{Decoding: 3}
 	cases := map[string]struct {
 		state State
 		want  string
@@ -128,11 +128,11 @@
 		"targets":       {State{TargetsPosition: position.Position{Revision: 5}, TargetsAge: 3 * time.Millisecond}, "030000" + "0503" + "00"},
 		"empty load":    {State{Loads: map[string]placement.Load{"i-01": {}}}, "030000000000"},
 		"leaving":       {State{Leaving: []string{"i-7f3a91c2"}}, "0300000000" + "01" + "237f3a91c2"},
-		"longer":        {State{Leaving: []string{"i-2f8030e4a8"}}, "0300000000" + "01" + "2b2f8030e4a8"},
+		"longer hex":    {State{Leaving: []string{"i-2f8030e4a8"}}, "0300000000" + "01" + "2b2f8030e4a8"},
 		"not packed":    {State{Leaving: []string{"i-A", "t"}}, "0300000000" + "02" + "1a692d41" + "0a74"},
-		"loaded":        {State{Loads: map[string]placement.Load{"i-01": writer}}, "0300000000" + "01" + "0d01" + "0103"},
+		"loaded":        {State{Loads: map[string]placement.Load{"i-01": decoding}}, "0300000000" + "01" + "0d01" + "0103"},
 		"loaded and leaving": {
-			State{Loads: map[string]placement.Load{"i-01": writer}, Leaving: []string{"i-01"}},
+			State{Loads: map[string]placement.Load{"i-01": decoding}, Leaving: []string{"i-01"}},
 			"0300000000" + "01" + "0f01" + "0103",
 		},
 	}
@@ -152,25 +152,25 @@
 		in   string
 		want any
 	}{
-		"no bytes":             {"", new(*MalformedError)},
-		"json":                 {hex.EncodeToString([]byte(`{"c":1}`)), new(*VersionError)},
-		"next version":         {"040000000000", new(*VersionError)},
-		"earlier version":      {"02000000", new(*VersionError)},
-		"targets' age":         {"03000000" + huge + "00", new(*MalformedError)},
-		"no configuration":     {"03", new(*MalformedError)},
-		"long number":          {"03ffffffffffffffffffffff", new(*MalformedError)},
-		"age too large":        {"0300" + huge + "00", new(*MalformedError)},
-		"too many targets":     {"0300000000" + "818001", new(*TooManyTargetsError)},
-		"far too many targets": {"0300000000" + huge, new(*TooManyTargetsError)},
-		"long incarnation":     {"0300000000" + "01" + huge, new(*MalformedError)},
-		"target missing":       {"0300000000" + "02" + "1a692d41", new(*MalformedError)},
-		"target twice":         {"0300000000" + "02" + "0b01" + "0b01", new(*MalformedError)},
-		"twice in two forms":   {"0300000000" + "02" + "0b01" + "22692d3031", new(*MalformedError)},
-		"out of order":         {"0300000000" + "02" + "0b02" + "0b01", new(*MalformedError)},
-		"nothing told":         {"0300000000" + "01" + "0901", new(*MalformedError)},
-		"empty load":           {"0300000000" + "01" + "0d01" + "00", new(*MalformedError)},
-		"malformed load":       {"0300000000" + "01" + "0d01" + "ffffffff7f", new(*placement.EncodingError)},
-		"bytes after the end":  {"030000000000" + "00", new(*MalformedError)},
+		"no bytes":                     {"", new(*MalformedError)},
+		"json":                         {hex.EncodeToString([]byte(`{"c":1}`)), new(*VersionError)},
+		"next version":                 {"040000000000", new(*VersionError)},
+		"earlier version":              {"02000000", new(*VersionError)},
+		"targets' age":                 {"03000000" + huge + "00", new(*MalformedError)},
+		"no configuration":             {"03", new(*MalformedError)},
+		"integer of 11 bytes":          {"03ffffffffffffffffffffff", new(*MalformedError)},
+		"age too large":                {"0300" + huge + "00", new(*MalformedError)},
+		"too many targets":             {"0300000000" + "818001", new(*TooManyTargetsError)},
+		"far too many targets":         {"0300000000" + huge, new(*TooManyTargetsError)},
+		"long incarnation":             {"0300000000" + "01" + huge, new(*MalformedError)},
+		"target missing":               {"0300000000" + "02" + "1a692d41", new(*MalformedError)},
+		"target twice":                 {"0300000000" + "02" + "0b01" + "0b01", new(*MalformedError)},
+		"target twice, packed and not": {"0300000000" + "02" + "0b01" + "22692d3031", new(*MalformedError)},
+		"out of order":                 {"0300000000" + "02" + "0b02" + "0b01", new(*MalformedError)},
+		"neither leaving nor loaded":   {"0300000000" + "01" + "0901", new(*MalformedError)},
+		"empty load":                   {"0300000000" + "01" + "0d01" + "00", new(*MalformedError)},
+		"malformed load":               {"0300000000" + "01" + "0d01" + "ffffffff7f", new(*placement.EncodingError)},
+		"bytes after the end":          {"030000000000" + "00", new(*MalformedError)},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -192,9 +192,9 @@
 		st.Leaving = append(st.Leaving, fmt.Sprintf("i-%08x", no))
 	}
 	_, err := st.Encode()
-	var many *TooManyTargetsError
-	g.Expect(errors.As(err, &many)).To(BeTrue())
-	g.Expect(many.Targets).To(BeEquivalentTo(maxTargets + 1))
+	var te *TooManyTargetsError
+	g.Expect(errors.As(err, &te)).To(BeTrue())
+	g.Expect(te.Targets).To(BeEquivalentTo(maxTargets + 1))
 	st.Leaving = st.Leaving[1:]
 	b, err := st.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -203,10 +203,11 @@
 	g.Expect(read).To(Equal(st))
 }
 
-// TestDecodeAllocatesLittle takes the input that makes decoding allocate the most: as many small loads as it may hold.
+// TestDecodeBoundsAllocation guards against a state that makes decoding allocate without bound. It decodes the worst case: the maximum
+// number of targets, each with a small load.
 func TestDecodeBoundsAllocation(t *testing.T) {
-	// mostAllocated is more than twice the bytes of maxTargets loads and their incarnations in a map.
-	const mostAllocated = 16 << 20
+	// maxAllocated is more than twice the size of a map of maxTargets incarnations and their loads.
+	const maxAllocated = 16 << 20
 	g := NewWithT(t)
 	st := State{Loads: map[string]placement.Load{}}
 	for no := range maxTargets {
@@ -222,7 +223,7 @@
 	g.Expect(read.Loads).To(HaveLen(maxTargets))
 	allocated := after.TotalAlloc - before.TotalAlloc
 	t.Logf("%d bytes read, %d allocated", len(b), allocated)
-	g.Expect(allocated).To(BeNumerically("<", uint64(mostAllocated)))
+	g.Expect(allocated).To(BeNumerically("<", uint64(maxAllocated)))
 }
 
 func TestMaxAgeCanBeSubtractedFromTime(t *testing.T) {
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// usualTargets, usualLoaded and usualLeaving are a fleet in a busy hour, as one of six instances sees it.
+	// typicalTargets, typicalLoaded and typicalLeaving describe a fleet in a busy hour, as seen by one of six instances.
 	typicalTargets = 18
 	typicalLoaded  = 12
 	typicalLeaving = 5
-	// mostPerTarget is the aim for the bytes of one target with load.
+	// maxBytesPerTarget bounds the encoding of one loaded target.
 	maxBytesPerTarget = 45
 )
 
-// usualState returns a state drawn from a seed: the first 12 of 18 targets have load, and the last 5 are leaving.
+// typicalState returns a random state for a seed: the first 12 of 18 targets are loaded, and the last 5 are leaving.
 func typicalState(seed uint64) State {
 	rd := rand.New(rand.NewPCG(seed, 0))
 	st := State{Configuration: 40 + int64(rd.IntN(20)), ProofAge: time.Duration(rd.IntN(3_000_000)) * time.Microsecond}
@@ -41,7 +41,7 @@
 	return st
 }
 
-// usualLoad returns the sum of a few requests that are read, whole or in parts, and some that are written.
+// typicalLoad returns the load of a few requests in prefill, whole or split with helpers, and of some in decode.
 func typicalLoad(rd *rand.Rand) placement.Load {
 	var lo placement.Load
 	for range rd.IntN(3) {
@@ -68,25 +68,25 @@
 	}
 }
 
-// seeds is the number of states that are measured.
+// sampleStates is the number of states whose size is measured.
 const sampleStates = 200
 
 func TestEncodedLoadedTargetSize(t *testing.T) {
 	g := NewWithT(t)
 	empty, err := State{}.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
-	sum, most := 0, 0
+	sum, largest := 0, 0
 	for seed := range uint64(sampleStates) {
 		for id, lo := range typicalState(seed).Loads {
 			b, err := State{Loads: map[string]placement.Load{id: lo}}.Encode()
 			g.Expect(err).NotTo(HaveOccurred())
 			size := len(b) - len(empty)
 			sum += size
-			most = max(most, size)
+			largest = max(largest, size)
 		}
 	}
-	t.Logf("a target with load: mean %.1f bytes, most %d", float64(sum)/(sampleStates*typicalLoaded), most)
-	g.Expect(most).To(BeNumerically("<", maxBytesPerTarget))
+	t.Logf("loaded target: mean %.1f bytes, maximum %d", float64(sum)/(sampleStates*typicalLoaded), largest)
+	g.Expect(largest).To(BeNumerically("<", maxBytesPerTarget))
 }
 
 func TestEncodedStateIsSmallerThanJSON(t *testing.T) {
@@ -101,11 +101,11 @@
 		binary += len(b)
 		text += len(js)
 	}
-	t.Logf("a state: mean %.1f bytes, as JSON %.1f", float64(binary)/sampleStates, float64(text)/sampleStates)
+	t.Logf("state: mean %.1f bytes, %.1f as JSON", float64(binary)/sampleStates, float64(text)/sampleStates)
 	g.Expect(binary).To(BeNumerically("<", text/6))
 }
 
-// BenchmarkState reports the size of a usual state, and of what it was as JSON.
+// BenchmarkState also reports the size of a typical state, and of the same state in the earlier JSON format.
 func BenchmarkState(b *testing.B) {
 	st := typicalState(1)
 	bin, err := st.Encode()
@@ -136,7 +136,7 @@
 	})
 }
 
-// earlier is the state as it was written in JSON before.
+// jsonState is the earlier JSON format of a state.
 type jsonState struct {
 	C int64                     `json:"c,omitempty"`
 	P time.Duration             `json:"p,omitempty"`
--- a/internal/peerstate/wire_test.go
+++ b/internal/peerstate/wire_test.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// quiet is an interval without heartbeats while a test runs.
+	// heartbeatInterval is so long that no heartbeat is sent while a test runs.
 	heartbeatInterval = time.Hour
-	// arrives is the time after which a state counts as lost: far longer than any takes.
+	// deliveryTimeout is the time after which a state counts as lost. It is far longer than any delivery takes.
 	deliveryTimeout = 30 * time.Second
-	// mostFraming is the most that gossip and drpc may add to a state: numbers of a few bytes and their tags.
+	// maxFraming bounds the bytes that gossip and drpc add to a state: a few short integers and their tags.
 	maxFraming = 40
 )
 
@@ -46,7 +46,7 @@
 	return n, err
 }
 
-// node is a mesh of which a test sets the state.
+// node is a gossip mesh whose published state the test sets.
 type node struct {
 	ms        *gossip.Mesh
 	lis       net.Listener
@@ -55,7 +55,7 @@
 	delivered chan int
 }
 
-// startNode starts a mesh that lasts as long as the test.
+// startNode starts a mesh that runs until the end of the test.
 func startNode(t *testing.T, name string, seeds ...string) *node {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// publish tells a state, and returns the bytes on the wire once the peer has heard it.
+// publish publishes a state and returns the bytes that the peer has received on the wire when the state arrives.
 func (nd *node) publish(g Gomega, peer *node, body []byte) int64 {
 	before := peer.received.Load()
 	nd.payload.Store(&body)
@@ -93,26 +93,26 @@
 	return peer.received.Load() - before
 }
 
-// TestBytesOfAPublish measures what one publish costs for each peer above TCP.
+// TestBytesOfAPublish bounds the bytes above TCP that one publish costs for each peer.
 func TestBytesOfAPublish(t *testing.T) {
 	g := NewWithT(t)
-	there := startNode(t, "b")
-	here := startNode(t, "a", there.lis.Addr().String())
+	receiver := startNode(t, "b")
+	sender := startNode(t, "a", receiver.lis.Addr().String())
 	first, err := State{}.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
-	// The first exchange also holds the cards of both and what drpc says once.
-	here.payload.Store(&first)
+	// The first exchange also carries the member records of both nodes and the preamble of drpc.
+	sender.payload.Store(&first)
 	g.Eventually(func() <-chan int {
-		// Each signal also dials again, should the first attempt have failed.
-		here.ms.Publish()
-		return there.delivered
+		// Each Publish also dials again, in case the first attempt failed.
+		sender.ms.Publish()
+		return receiver.delivered
 	}, deliveryTimeout).Should(Receive(Equal(len(first))))
-	t.Logf("link and first state: %d bytes", there.received.Load())
+	t.Logf("link and first state: %d bytes", receiver.received.Load())
 	for seed := range uint64(5) {
 		body, err := typicalState(seed).Encode()
 		g.Expect(err).NotTo(HaveOccurred())
-		wire := here.publish(g, there, body)
-		t.Logf("state %d bytes, on the wire %d, framing %d", len(body), wire, wire-int64(len(body)))
+		wire := sender.publish(g, receiver, body)
+		t.Logf("state %d bytes, %d on the wire, framing %d", len(body), wire, wire-int64(len(body)))
 		g.Expect(wire).To(And(BeNumerically(">", len(body)), BeNumerically("<", len(body)+maxFraming)))
 	}
 }
