--- a/internal/duty/announce/announce.go
+++ b/internal/duty/announce/announce.go
@@ -1,5 +1,5 @@
-// Package announce is the duty that makes the instance known through the platform. It starts before the callers' side,
-// and so stops after it: the entry is taken back once the last request is served.
+// Package announce is the duty that registers the instance in the platform's store. It starts before the duty that serves callers
+// and therefore stops after it: the registration is deleted only after the last request is served.
 package announce
 
 import (
@@ -17,13 +17,15 @@
 	kernel.Register(kernel.Duty{Name: "announce", Phase: kernel.PhasePeers, Start: start})
 }
 
+// retryDelay is the pause after a failed registration.
 const retryDelay = time.Second
 
+// registrar writes and renews the registration of this instance.
 type registrar struct {
 	store    *objectstore.Client
 	self     fleet.Instance
 	interval time.Duration
-	// version is that of this instance's object; zero before it exists.
+	// version is the version of the registration in the store; zero before it exists.
 	version int64
 }
 
@@ -42,7 +44,7 @@
 		for ctx.Err() == nil {
 			wait := rg.interval
 			if err := rg.renew(ctx); err != nil && ctx.Err() == nil {
-				lg.WithError(err).Warn("instance not announced")
+				lg.WithError(err).Warn("could not register instance in the store")
 				wait = retryDelay
 			}
 			select {
@@ -52,18 +54,18 @@
 		}
 	})
 	return func(ctx context.Context) error {
-		// A renewal that still runs would race with the removal.
+		// Wait for a renewal in progress, which would race with the removal.
 		if err := stop(ctx); err != nil {
 			return err
 		}
 		if err := rg.remove(ctx); err != nil {
-			lg.WithError(err).Warn("entry not taken back; the next start replaces it")
+			lg.WithError(err).Warn("could not delete registration; the next start of the instance replaces it")
 		}
 		return nil
 	}, nil
 }
 
-// renew writes this instance's object. The name belongs to this instance, so that an older one is replaced.
+// renew writes the registration. The name belongs to this instance, so after a conflict it overwrites the older registration.
 func (rg *registrar) renew(ctx context.Context) error {
 	version, err := rg.write(ctx)
 	var conflict *objectstore.ConflictError
@@ -89,10 +91,10 @@
 	return rg.store.Update(ctx, objectstore.KindInstances, rg.self.Name, rg.version, rg.self)
 }
 
-// remove takes the object back, if there is one.
+// remove deletes the registration, if there is one.
 func (rg *registrar) remove(ctx context.Context) error {
 	if rg.version == 0 {
 		return nil
 	}
-	return errors.Wrap(rg.store.Delete(ctx, objectstore.KindInstances, rg.self.Name, rg.version), "delete entry")
+	return errors.Wrap(rg.store.Delete(ctx, objectstore.KindInstances, rg.self.Name, rg.version), "delete registration")
 }
--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -1,4 +1,4 @@
-// Package bundles is the duty that keeps the newest accepted bundle in force.
+// Package bundles is the duty that fetches the newest accepted configuration bundle and puts it in force.
 package bundles
 
 import (
@@ -20,8 +20,10 @@
 	kernel.Register(kernel.Duty{Name: "bundles", Phase: kernel.PhaseWork, Start: start})
 }
 
+// retryDelay is the pause after a failed fetch.
 const retryDelay = 200 * time.Millisecond
 
+// syncer keeps the bundle in force up to date with the store's pointer to the newest one.
 type syncer struct {
 	store  *bundlestore.Store
 	mesh   *peer.Mesh
@@ -30,22 +32,22 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	fo := &syncer{log: env.Logger("bundles")}
+	sy := &syncer{log: env.Logger("bundles")}
 	client, err := kernel.Need[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
-	fo.store = bundlestore.New(client)
-	if fo.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
+	sy.store = bundlestore.New(client)
+	if sy.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if fo.holder, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if sy.holder, err = kernel.Need[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
-		knowledge.ListAndWatch(ctx, client, objectstore.KindPointers, 0, fo.log, fo.applyPointers)
+		knowledge.ListAndWatch(ctx, client, objectstore.KindPointers, 0, sy.log, sy.applyPointers)
 	})
-	fetch := kernel.Go(fo.run)
+	fetch := kernel.Go(sy.run)
 	return func(ctx context.Context) error {
 		if err := watch(ctx); err != nil {
 			return err
@@ -54,8 +56,8 @@
 	}, nil
 }
 
-func (sy *syncer) applyPointers(items []objectstore.Object) {
-	for _, o := range items {
+func (sy *syncer) applyPointers(objects []objectstore.Object) {
+	for _, o := range objects {
 		var p rollout.Pointer
 		if o.Name == rollout.PointerName && json.Unmarshal(o.Value, &p) == nil {
 			sy.holder.Hear(p.Version)
@@ -63,7 +65,7 @@
 	}
 }
 
-// run fetches whatever newer bundle was heard of, from the store or else from a peer.
+// run fetches every newer bundle whose version becomes known, from the store or, if that fails, from a peer.
 func (sy *syncer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		changed := sy.holder.Changed()
@@ -85,7 +87,7 @@
 		b, err = sy.mesh.FetchBundle(ctx, version)
 	}
 	if err != nil {
-		sy.log.WithField("version", version).WithError(err).Warn("bundle not fetched")
+		sy.log.WithField("version", version).WithError(err).Warn("could not fetch bundle from store or peers")
 		return false
 	}
 	if sy.holder.Apply(b) {
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -1,4 +1,4 @@
-// Package callers is the duty that serves callers.
+// Package callers is the duty that serves the callers' requests.
 package callers
 
 import (
@@ -42,8 +42,8 @@
 	maxTickets      = 100_000
 	maxHeaderBytes  = 32 << 10
 	idleTimeout     = 60 * time.Second
-	// lastAnswers is the time for the answers to requests that are given up at the end of a stop, and for their records in
-	// the store: several calls to it, at most half of the drain.
+	// finalAnswersTime is reserved at the end of a stop for the answers to requests that it aborts and for their records in the
+	// store, which take several calls to it. It is at most half of the drain time.
 	finalAnswersTime = time.Second
 )
 
@@ -116,20 +116,21 @@
 	return func(ctx context.Context) error { return stop(ctx, env, sv, srv) }, nil
 }
 
-// stop goes on accepting for the balancer's lag, then waits for attached requests and for the records of their results.
+// stop keeps accepting requests for the balancer's lag, then waits for requests with a connected caller and for the records of their
+// results.
 func stop(ctx context.Context, env *kernel.Env, sv *serve.Server, srv *http.Server) error {
 	env.Logger("callers").Info("draining")
 	st := env.Settings.Stop
 	lag := st.BalancerLag.Std()
-	most := lag + st.Drain.Std()
-	ctx, cancel := context.WithTimeout(ctx, most)
+	total := lag + st.Drain.Std()
+	ctx, cancel := context.WithTimeout(ctx, total)
 	defer cancel()
-	answers := most - min(finalAnswersTime, st.Drain.Std()/2)
-	err := drain.Plan{Lag: lag, Answers: answers, End: sv.GiveUp, Most: most}.Run(ctx, srv)
+	answers := total - min(finalAnswersTime, st.Drain.Std()/2)
+	err := drain.Plan{Lag: lag, Answers: answers, End: sv.GiveUp, Most: total}.Run(ctx, srv)
 	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
 }
 
-// gather collects what the callers' side works with.
+// newDeps collects the dependencies of the callers' server.
 func newDeps(env *kernel.Env) (serve.Deps, error) {
 	d := serve.Deps{Incarnation: env.Incarnation, Log: env.Logger("serve"), Stopping: env.Stopping.Load}
 	var err error
@@ -170,7 +171,7 @@
 	return d, err
 }
 
-// serviceClient opens a connection for each call: the transport then has no broken idle one to try again on.
+// serviceClient opens a connection for each call, because the transport silently retries a call whose idle connection is broken.
 var serviceClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func callService(_ fleet.Target, r *http.Request) (*http.Response, error) { return serviceClient.Do(r) }
@@ -185,13 +186,13 @@
 	if err != nil {
 		return nil, err
 	}
-	lender := room.New(d.Fleet, d.Engine, func(attempt string, cl *engine.Client) {
+	reserver := room.New(d.Fleet, d.Engine, func(attempt string, cl *engine.Client) {
 		d.Canceller.Cancel(cancel.Order{Attempt: attempt, Client: cl})
 	})
 	rt := router.New(d.Fleet, router.Options{
 		Policy:     p,
 		Limits:     policy.Limits{LongPerTarget: r.LongPerTarget, LongShare: r.LongShare},
-		MaxWaiting: r.MaxWaiting, Probe: newProbe(d), Grant: ms.RequestGrant, Borrow: lender.Reserve,
+		MaxWaiting: r.MaxWaiting, Probe: newProbe(d), Grant: ms.RequestGrant, Borrow: reserver.Reserve,
 		AskShort: ms.RequestShortOffers, Expected: func() float64 {
 			if cur := d.Bundles.Current(); cur != nil {
 				return cur.Expected(time.Now())
@@ -203,7 +204,7 @@
 	return rt, nil
 }
 
-// prober asks a target that nobody has confirmed whether it is there. A service is confirmed by its next call.
+// newProbe returns a function that probes a target whose presence is not confirmed. A service needs no probe: its next call confirms it.
 func newProbe(d serve.Deps) func(context.Context, fleet.Target) error {
 	return func(ctx context.Context, t fleet.Target) error {
 		if t.Kind != fleet.KindEngine {
--- a/internal/duty/cancels/cancels.go
+++ b/internal/duty/cancels/cancels.go
@@ -1,4 +1,4 @@
-// Package cancels is the duty that sends cancels to engines.
+// Package cancels is the duty that sends cancellations of attempts to engines.
 package cancels
 
 import (
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -16,15 +16,16 @@
 	"github.com/silvermount/silvermount/internal/serve"
 )
 
-// acceptLimit bounds the writing of a job to the store.
+// requestTimeout bounds the handling of one request, including the write of a new job to the store.
 const requestTimeout = 20 * time.Second
 
-// headerPath names the inference path that a job is for.
+// pathHeader carries the inference path that a job is for; defaultPath applies without it.
 const (
 	pathHeader  = "Silvermount-Path"
 	defaultPath = "/v1/chat/completions"
 )
 
+// toFailure returns the answer to the caller for an error: a failure as it is, others by the kind of the store's error.
 func toFailure(err error) *failure.Error {
 	var fe *failure.Error
 	if errors.As(err, &fe) {
@@ -52,7 +53,7 @@
 	return rt
 }
 
-// each identifies the caller and answers with the failure, if any.
+// withCaller identifies the caller, bounds the time of the handler, and answers with the failure if there is one.
 func (mg *manager) withCaller(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		who, err := mg.server.Identify(r)
@@ -67,7 +68,7 @@
 	}
 }
 
-// accept answers once the store has the job.
+// accept stores a new job, and answers only after the store has acknowledged it.
 func (mg *manager) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
 	body, free, err := mg.server.ReadBody(r)
 	defer free()
@@ -88,7 +89,7 @@
 		Created: now, Deadline: now.Add(who.Limit), State: job.Queued,
 	}, body)
 	if err != nil {
-		// The record may have been stored without an answer; then the job runs, and the list shows it.
+		// The store may have the record although its answer was lost. Then the job runs, and the list shows it.
 		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store has the job").
 			WithCause(err).WithRetryAfter(time.Second)
 	}
@@ -96,7 +97,7 @@
 	return nil
 }
 
-// own reads a job of the caller's organisation.
+// callerJob reads the job that the request names, and hides jobs of other organisations.
 func (mg *manager) callerJob(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
 	v, err := mg.store.Get(ctx, chi.URLParam(r, "id"))
 	if err == nil && v.Organisation != who.Organisation {
@@ -147,12 +148,12 @@
 	}
 	w.Header().Set("Content-Type", v.Result.ContentType)
 	w.WriteHeader(v.Result.Status)
-	// The caller may be gone; the answer is kept.
+	// A failed write is ignored: the caller may be gone, and can get the stored answer later.
 	_, _ = w.Write(b)
 	return nil
 }
 
-// cancel ends a job that is not final yet. A run that is on its way finds its record changed, and is dropped.
+// cancel ends a job that is not in a final state. A run of it on another instance finds its record changed and is discarded.
 func (mg *manager) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
 	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -1,4 +1,4 @@
-// Package jobs is the duty that accepts, runs, takes over and sweeps jobs.
+// Package jobs is the duty that accepts and runs jobs, takes over those of ended instances, and removes old ones.
 package jobs
 
 import (
@@ -24,42 +24,43 @@
 }
 
 const (
-	// pace is the least time between two calls to watch jobs.
+	// minWatchInterval is the minimum time between two calls that watch the store's jobs.
 	minWatchInterval = 500 * time.Millisecond
-	// lookEvery is how often all jobs are looked at when nothing changes.
+	// scanInterval is the time between two scans of all jobs. Scans also run when nothing changes.
 	scanInterval = time.Second
-	// maxRunning bounds the jobs of one instance.
+	// maxRunning is the maximum number of jobs that one instance runs at a time.
 	maxRunning = 8
-	// handOver is how long a stop waits for running jobs before it gives them back, and for the last records after that.
+	// drainStepTimeout is how long a stop waits for running jobs before it interrupts them, and at the end for their last records.
 	drainStepTimeout = 2 * time.Second
-	// writeLimit bounds one change of a record.
+	// writeTimeout bounds the changes to the store for one step of a job.
 	writeTimeout = 10 * time.Second
-	// lapsedAfter renewals missed an instance counts as gone.
+	// maxMissedRenewals is the number of registration intervals without a renewal after which an instance counts as gone.
 	maxMissedRenewals = 4
 )
 
-// keeper looks after jobs for one instance.
+// manager accepts and runs jobs for one instance.
 type manager struct {
-	store        *job.Store
-	server       *serve.Server
-	fleet        *fleet.Fleet
-	incarnation  string
-	log          log.Interface
-	stopping     func() bool
+	store       *job.Store
+	server      *serve.Server
+	fleet       *fleet.Fleet
+	incarnation string
+	log         log.Interface
+	stopping    func() bool
+	// ownerTimeout is the time without a renewed registration after which the owner of a job counts as gone.
 	ownerTimeout time.Duration
 
 	mu sync.Mutex
-	// known is what the store last told.
+	// records holds the jobs by id, as last read from the store.
 	records map[string]job.Versioned
-	// running holds each job run here.
+	// running holds the jobs that this instance runs, by id.
 	running map[string]activeRun
 	wg      sync.WaitGroup
 }
 
-// ownRun is a job that this instance runs.
+// activeRun is a run of a job on this instance.
 type activeRun struct {
 	cancel context.CancelFunc
-	// never is set when the job may not be run twice.
+	// runOnce is set if the job must not run twice.
 	runOnce bool
 }
 
@@ -68,60 +69,60 @@
 	if err != nil {
 		return nil, err
 	}
-	kp := &manager{
+	mg := &manager{
 		store: job.NewStore(client), incarnation: env.Incarnation, log: env.Logger("jobs"), stopping: env.Stopping.Load,
 		ownerTimeout: maxMissedRenewals * env.Settings.Platform.Registration.Std(),
 		records:      map[string]job.Versioned{}, running: map[string]activeRun{},
 	}
-	if kp.server, err = kernel.Need[*serve.Server](env); err != nil {
+	if mg.server, err = kernel.Need[*serve.Server](env); err != nil {
 		return nil, err
 	}
-	if kp.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	if mg.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	kp.server.Mount("/v1/jobs", kp.handler())
-	work, cancelWork := context.WithCancel(context.Background())
-	follow := kernel.Go(func(ctx context.Context) {
-		knowledge.ListAndWatch(ctx, client, objectstore.KindJobs, minWatchInterval, kp.log, kp.setRecords)
+	mg.server.Mount("/v1/jobs", mg.handler())
+	baseCtx, cancelRuns := context.WithCancel(context.Background())
+	watch := kernel.Go(func(ctx context.Context) {
+		knowledge.ListAndWatch(ctx, client, objectstore.KindJobs, minWatchInterval, mg.log, mg.setRecords)
 	})
-	look := kernel.Go(func(ctx context.Context) { kp.run(ctx, work) })
+	scanner := kernel.Go(func(ctx context.Context) { mg.run(ctx, baseCtx) })
 	return func(ctx context.Context) error {
-		defer cancelWork()
-		for _, stop := range []kernel.Stop{look, follow} {
+		defer cancelRuns()
+		for _, stop := range []kernel.Stop{scanner, watch} {
 			if err := stop(ctx); err != nil {
 				return err
 			}
 		}
 		ctx, cancel := context.WithTimeout(ctx, env.Settings.Stop.Drain.Std())
 		defer cancel()
-		kp.drain(ctx, cancelWork)
+		mg.drain(ctx, cancelRuns)
 		return nil
 	}, nil
 }
 
-func (mg *manager) setRecords(items []objectstore.Object) {
-	known := map[string]job.Versioned{}
-	for _, o := range items {
+func (mg *manager) setRecords(objects []objectstore.Object) {
+	records := map[string]job.Versioned{}
+	for _, o := range objects {
 		if v, err := job.Decode(o); err == nil {
-			known[v.ID] = v
+			records[v.ID] = v
 		}
 	}
 	mg.mu.Lock()
-	mg.records = known
+	mg.records = records
 	mg.mu.Unlock()
 }
 
-// gone reports whether whoever runs a job is no more. A job that this instance is said to run is looked at only when
-// it does not run here.
+// ownerGone reports whether the owner of a job has ended. scan asks this only about jobs that do not run here, so a job that names this
+// instance as its owner has lost its run.
 func (mg *manager) ownerGone(incarnation string) bool {
 	return incarnation == mg.incarnation || mg.fleet.Gone(incarnation, mg.ownerTimeout)
 }
 
-func (mg *manager) run(ctx, work context.Context) {
+func (mg *manager) run(ctx, baseCtx context.Context) {
 	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
 	for {
-		mg.scan(ctx, work)
+		mg.scan(ctx, baseCtx)
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
@@ -130,12 +131,12 @@
 	}
 }
 
-// look decides about every job that this instance is responsible for.
-func (mg *manager) scan(ctx, work context.Context) {
+// scan applies the next step to every job that this instance is responsible for and does not run.
+func (mg *manager) scan(ctx, baseCtx context.Context) {
 	mg.mu.Lock()
 	all := make([]job.Versioned, 0, len(mg.records))
 	for _, v := range mg.records {
-		if _, mine := mg.running[v.ID]; !mine {
+		if _, running := mg.running[v.ID]; !running {
 			all = append(all, v)
 		}
 	}
@@ -144,28 +145,28 @@
 		if ctx.Err() != nil || !mg.isResponsible(v.ID) {
 			continue
 		}
-		mg.applyStep(ctx, work, v, job.Next(v.Record, time.Now(), mg.ownerGone))
+		mg.applyStep(ctx, baseCtx, v, job.Next(v.Record, time.Now(), mg.ownerGone))
 	}
 }
 
-// responsible reports whether this instance has the highest hash for a job among the live ones. Two that both think so
-// cost a refused write.
+// isResponsible reports whether this instance has the highest rendezvous hash for a job among the live instances. If two instances
+// see different live peers and both claim a job, one of their writes fails with a conflict.
 func (mg *manager) isResponsible(id string) bool {
-	mine := xxhash.Sum64String(id + "\x00" + mg.fleet.Self().Name)
+	own := xxhash.Sum64String(id + "\x00" + mg.fleet.Self().Name)
 	for _, p := range mg.fleet.Peers() {
-		if p.Live && xxhash.Sum64String(id+"\x00"+p.Name) > mine {
+		if p.Live && xxhash.Sum64String(id+"\x00"+p.Name) > own {
 			return false
 		}
 	}
 	return true
 }
 
-func (mg *manager) applyStep(ctx, work context.Context, v job.Versioned, step job.Step) {
+func (mg *manager) applyStep(ctx, baseCtx context.Context, v job.Versioned, step job.Step) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	switch step {
 	case job.Take:
-		mg.claimAndRun(ctx, work, v)
+		mg.claimAndRun(ctx, baseCtx, v)
 	case job.GiveUp:
 		mg.updateRecord(ctx, v, v.WithEnd(job.Unknown, failedResult(failure.New(failure.TargetLost, failure.Unknown,
 			"the instance that ran the job is gone; its result is not known"))))
@@ -173,7 +174,7 @@
 		mg.updateRecord(ctx, v, v.WithEnd(job.Failed, failedResult(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
 	case job.Forget:
 		if err := mg.store.Remove(ctx, v); err != nil {
-			mg.log.WithField("job", v.ID).WithError(err).Warn("job not removed")
+			mg.log.WithField("job", v.ID).WithError(err).Warn("could not remove job from the store")
 		}
 	case job.Leave:
 	}
@@ -183,43 +184,43 @@
 	return job.Result{Ended: time.Now(), Code: fe.Code, Outcome: fe.Outcome, Message: fe.Message}
 }
 
-// change writes a record; a conflict means that another instance or the caller was first.
+// updateRecord writes a record and reports whether that succeeded. After a conflict, another instance or the caller has changed it first.
 func (mg *manager) updateRecord(ctx context.Context, v job.Versioned, next job.Record) (job.Versioned, bool) {
 	nv, err := mg.store.Update(ctx, v, next)
 	if err != nil {
-		mg.log.WithField("job", v.ID).WithError(err).Debug("job not changed")
+		mg.log.WithField("job", v.ID).WithError(err).Debug("could not update job record")
 		return v, false
 	}
 	return nv, true
 }
 
-func (mg *manager) claimAndRun(ctx, work context.Context, v job.Versioned) {
+func (mg *manager) claimAndRun(ctx, baseCtx context.Context, v job.Versioned) {
 	mg.mu.Lock()
 	full := len(mg.running) >= maxRunning
 	mg.mu.Unlock()
 	if full || mg.stopping() {
 		return
 	}
-	mine, ok := mg.updateRecord(ctx, v, v.WithOwner(mg.incarnation))
+	claimed, ok := mg.updateRecord(ctx, v, v.WithOwner(mg.incarnation))
 	if !ok {
 		return
 	}
-	jobCtx, cancel := context.WithCancel(work)
+	jobCtx, cancel := context.WithCancel(baseCtx)
 	mg.mu.Lock()
 	mg.running[v.ID] = activeRun{cancel: cancel, runOnce: v.Never}
 	mg.mu.Unlock()
 	mg.wg.Go(func() {
 		defer cancel()
-		mg.execute(jobCtx, mine)
+		mg.execute(jobCtx, claimed)
 		mg.mu.Lock()
 		delete(mg.running, v.ID)
 		mg.mu.Unlock()
 	})
 }
 
-// perform runs a job and records its end. A job given back by a stop is queued again.
+// execute runs a job and records its outcome. A job that a stop interrupts is queued again if it may be repeated.
 func (mg *manager) execute(ctx context.Context, v job.Versioned) {
-	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(v.Deadline)+writeTimeout)
+	recordCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(v.Deadline)+writeTimeout)
 	defer cancel()
 	if v.Never {
 		nv, ok := mg.updateRecord(ctx, v, v.WithDispatched())
@@ -230,47 +231,48 @@
 	}
 	body, err := mg.store.Body(ctx, v.Record)
 	if err != nil {
-		mg.recordOutcome(settle, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
+		mg.recordOutcome(recordCtx, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
 		return
 	}
 	ans, err := mg.server.RunJob(ctx, serve.Job{
 		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, Never: v.Never,
 	})
-	mg.recordOutcome(settle, v, ans, err, ctx.Err() != nil)
+	mg.recordOutcome(recordCtx, v, ans, err, ctx.Err() != nil)
 }
 
-func (mg *manager) recordOutcome(settle context.Context, v job.Versioned, ans claim.Response, err error, givenBack bool) {
+func (mg *manager) recordOutcome(recordCtx context.Context, v job.Versioned, ans claim.Response, err error, interrupted bool) {
 	if err == nil {
-		parts, perr := mg.store.PutAnswer(settle, v.Record, ans.Body)
-		if perr != nil {
-			mg.log.WithField("job", v.ID).WithError(perr).Error("answer not stored")
+		parts, putErr := mg.store.PutAnswer(recordCtx, v.Record, ans.Body)
+		if putErr != nil {
+			mg.log.WithField("job", v.ID).WithError(putErr).Error("could not store answer of job")
 			return
 		}
-		mg.updateRecord(settle, v, v.WithEnd(job.Done, job.Result{
+		mg.updateRecord(recordCtx, v, v.WithEnd(job.Done, job.Result{
 			Ended: time.Now(), Status: ans.Status, ContentType: ans.ContentType, Parts: parts,
 		}))
 		return
 	}
 	fe := toFailure(err)
-	again := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.Never)
+	repeatable := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.Never)
 	switch {
-	case again && !givenBack && fe.Code == failure.TargetLost:
-		// The job itself may be what ends its targets: it comes again ever more seldom.
+	case repeatable && !interrupted && fe.Code == failure.TargetLost:
+		// The job itself may crash its targets, so WithLost delays each further retry for longer.
 		next := v.WithLost(time.Now())
-		mg.log.WithField("job", v.ID).WithField("lost", next.Lost).WithError(fe).Warn("job given back, its target was lost")
-		mg.updateRecord(settle, v, next)
-	case again && (givenBack || fe.RetryAfter > 0):
-		mg.updateRecord(settle, v, v.WithQueued())
+		mg.log.WithField("job", v.ID).WithField("lost", next.Lost).WithError(fe).Warn("target lost while running job; job queued again")
+		mg.updateRecord(recordCtx, v, next)
+	case repeatable && (interrupted || fe.RetryAfter > 0):
+		mg.updateRecord(recordCtx, v, v.WithQueued())
 	case fe.Outcome == failure.Unknown && v.Never:
-		mg.updateRecord(settle, v, v.WithEnd(job.Unknown, failedResult(fe)))
+		mg.updateRecord(recordCtx, v, v.WithEnd(job.Unknown, failedResult(fe)))
 	default:
-		mg.updateRecord(settle, v, v.WithEnd(job.Failed, failedResult(fe)))
+		mg.updateRecord(recordCtx, v, v.WithEnd(job.Failed, failedResult(fe)))
 	}
 }
 
-// drain waits a moment for running jobs, then gives back those that may be repeated; the others are waited for. Those that
-// still run when ctx ends are given up, and get a moment to record it.
-func (mg *manager) drain(ctx context.Context, giveUp func()) {
+// drain first waits drainStepTimeout for running jobs. It then interrupts those that may be repeated, which queues them again, and
+// waits for the others until ctx ends. It calls abort to cancel those that still run then, and waits up to drainStepTimeout for their
+// records.
+func (mg *manager) drain(ctx context.Context, abort func()) {
 	done := make(chan struct{})
 	go func() { mg.wg.Wait(); close(done) }()
 	select {
@@ -290,7 +292,7 @@
 		return
 	case <-ctx.Done():
 	}
-	giveUp()
+	abort()
 	select {
 	case <-done:
 	case <-time.After(drainStepTimeout):
--- a/internal/duty/listen/listen.go
+++ b/internal/duty/listen/listen.go
@@ -1,4 +1,4 @@
-// Package listen is the duty that binds the listeners, so that their addresses are known before they are told.
+// Package listen is the duty that binds the listeners, so that their addresses are known before the instance announces them.
 package listen
 
 import (
@@ -18,7 +18,7 @@
 // Listeners are the bound listeners of an instance.
 type Listeners struct {
 	Callers, Operators, Peers net.Listener
-	// CallersAddress is what peers pass requests on to.
+	// CallersAddress is the address to which peers forward requests.
 	CallersAddress string
 }
 
@@ -34,14 +34,14 @@
 	var lc net.ListenConfig
 	for _, b := range []struct {
 		address string
-		to      *net.Listener
+		dst     *net.Listener
 	}{{s.Callers.Listen, &ls.Callers}, {s.Operators.Listen, &ls.Operators}, {s.Peers.Listen, &ls.Peers}} {
 		l, err := lc.Listen(ctx, "tcp", b.address)
 		if err != nil {
 			ls.close()
 			return nil, errors.Wrap(err, "bind listener")
 		}
-		*b.to = l
+		*b.dst = l
 	}
 	ls.CallersAddress = s.Callers.Advertise
 	if ls.CallersAddress == "" {
