--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/knowledge/knowledge.go
@@ -1,4 +1,4 @@
-// Package knowledge is the duty that follows the platform's lists of targets and instances.
+// Package knowledge is the duty that keeps the lists of targets and instances up to date with the platform's store.
 package knowledge
 
 import (
@@ -26,8 +26,8 @@
 	watchTimeout = 20 * time.Second
 	minBackOff   = 200 * time.Millisecond
 	maxBackOff   = 5 * time.Second
-	// targetPace and instancePace are the least times between two calls to watch: in a large fleet the objects of
-	// instances change many times a second, and each call of each instance counts.
+	// targetWatchInterval and instanceWatchInterval are the minimum times between two watch calls. In a large fleet the objects of
+	// instances change many times a second, so that a watch returns at once, and the calls of all instances add up.
 	targetWatchInterval   = 500 * time.Millisecond
 	instanceWatchInterval = 5 * time.Second
 )
@@ -58,11 +58,11 @@
 	kernel.Provide(env, burn.New(time.Now))
 	lg := env.Logger("knowledge")
 	targets := kernel.Go(func(ctx context.Context) {
-		ListAndWatch(ctx, cl, objectstore.KindTargets, targetWatchInterval, lg, func(items []objectstore.Object) { fl.SetTargets(decodeObjects[fleet.Target](items, lg)) })
+		ListAndWatch(ctx, cl, objectstore.KindTargets, targetWatchInterval, lg, func(objects []objectstore.Object) { fl.SetTargets(decodeObjects[fleet.Target](objects, lg)) })
 	})
 	instances := kernel.Go(func(ctx context.Context) {
-		ListAndWatch(ctx, cl, objectstore.KindInstances, instanceWatchInterval, lg, func(items []objectstore.Object) {
-			fl.SetInstances(decodeObjects[fleet.Listed](items, lg))
+		ListAndWatch(ctx, cl, objectstore.KindInstances, instanceWatchInterval, lg, func(objects []objectstore.Object) {
+			fl.SetInstances(decodeObjects[fleet.Listed](objects, lg))
 		})
 	})
 	return func(ctx context.Context) error {
@@ -73,72 +73,72 @@
 	}, nil
 }
 
-func decodeObjects[T any](items []objectstore.Object, lg log.Interface) []T {
-	var all []T
-	for _, o := range items {
+func decodeObjects[T any](objects []objectstore.Object, lg log.Interface) []T {
+	var decoded []T
+	for _, o := range objects {
 		var v T
 		err := json.Unmarshal(o.Value, &v)
 		if err != nil {
-			lg.WithField("object", o.Name).WithError(err).Warn("object skipped")
+			lg.WithField("object", o.Name).WithError(err).Warn("could not decode object of the store; object skipped")
 			continue
 		}
 		if l, ok := any(&v).(*fleet.Listed); ok {
 			l.Version = o.Version
 		}
-		all = append(all, v)
+		decoded = append(decoded, v)
 	}
-	return all
+	return decoded
 }
 
-// Follow lists a kind, then watches it with at least pace between two calls, and calls apply with all objects after each
-// change. It goes on through outages with what it heard last.
-func ListAndWatch(ctx context.Context, cl *objectstore.Client, kind string, pace time.Duration, lg log.Interface, apply func([]objectstore.Object)) {
-	pause := minBackOff
+// ListAndWatch lists a kind of object and then watches it, with at least minInterval between two calls. It calls apply with all objects
+// after each change. If the store fails, it retries with jittered exponential back-off; the last applied objects stay valid meanwhile.
+func ListAndWatch(ctx context.Context, cl *objectstore.Client, kind string, minInterval time.Duration, lg log.Interface, apply func([]objectstore.Object)) {
+	backOff := minBackOff
 	for ctx.Err() == nil {
-		err := listAndWatchOnce(ctx, cl, kind, pace, apply, func() { pause = minBackOff })
+		err := listAndWatchUntilError(ctx, cl, kind, minInterval, apply, func() { backOff = minBackOff })
 		if ctx.Err() != nil {
 			return
 		}
-		lg.WithField("kind", kind).WithError(err).Warn("store not reached")
+		lg.WithField("kind", kind).WithError(err).Warn("could not read objects from the store")
 		select {
-		case <-time.After(pause/2 + rand.N(pause)):
+		case <-time.After(backOff/2 + rand.N(backOff)):
 		case <-ctx.Done():
 		}
-		pause = min(2*pause, maxBackOff)
+		backOff = min(2*backOff, maxBackOff)
 	}
 }
 
-func listAndWatchOnce(ctx context.Context, cl *objectstore.Client, kind string, pace time.Duration, apply func([]objectstore.Object), heard func()) error {
-	l, err := cl.List(ctx, kind)
+func listAndWatchUntilError(ctx context.Context, cl *objectstore.Client, kind string, minInterval time.Duration, apply func([]objectstore.Object), onSuccess func()) error {
+	list, err := cl.List(ctx, kind)
 	if err != nil {
 		return err
 	}
-	all := map[string]objectstore.Object{}
+	current := map[string]objectstore.Object{}
 	for {
-		heard()
-		for _, o := range l.Items {
+		onSuccess()
+		for _, o := range list.Items {
 			if len(o.Value) == 0 {
-				delete(all, o.Name)
+				delete(current, o.Name)
 				continue
 			}
-			all[o.Name] = o
+			current[o.Name] = o
 		}
-		if len(l.Items) > 0 {
-			items := make([]objectstore.Object, 0, len(all))
-			for _, o := range all {
-				items = append(items, o)
+		if len(list.Items) > 0 {
+			objects := make([]objectstore.Object, 0, len(current))
+			for _, o := range current {
+				objects = append(objects, o)
 			}
-			apply(items)
+			apply(objects)
 		}
 		select {
-		case <-time.After(pace):
+		case <-time.After(minInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		next, err := cl.Watch(ctx, kind, l.Version, watchTimeout)
+		next, err := cl.Watch(ctx, kind, list.Version, watchTimeout)
 		if err != nil {
 			return err
 		}
-		l = next
+		list = next
 	}
 }
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -1,4 +1,4 @@
-// Package operators is the duty that serves operators on a listener of their own.
+// Package operators is the duty that serves the operators' API on its own listener.
 package operators
 
 import (
@@ -33,8 +33,8 @@
 const (
 	minKeyLength  = 8
 	headerTimeout = 5 * time.Second
-	// lastAnswer bounds the wait for the last answer in a stop: an operator who does not read it would keep the instance
-	// from ending until it is killed.
+	// shutdownTimeout bounds the wait for answers in progress during a stop. Without it, an operator who does not read an answer
+	// keeps the instance running until it is killed.
 	shutdownTimeout = 2 * time.Second
 )
 
@@ -45,6 +45,7 @@
 	return nil
 }
 
+// api serves the operators' API.
 type api struct {
 	env     *kernel.Env
 	fleet   *fleet.Fleet
@@ -56,7 +57,7 @@
 	store   *bundlestore.Store
 }
 
-// Status is what an instance says of itself.
+// Status is the answer of an instance to a status request.
 type Status struct {
 	Instance         string          `json:"instance"`
 	Incarnation      string          `json:"incarnation"`
@@ -71,58 +72,59 @@
 	Leaving          []LeavingStatus `json:"leaving"`
 }
 
-// TargetStatus is one target as this instance knows it.
+// TargetStatus describes one target as the instance knows it.
 type TargetStatus struct {
 	Name  string `json:"name"`
 	Owner string `json:"owner"`
 }
 
-// PeerStatus is one peer as this instance knows it.
+// PeerStatus describes one peer as the instance knows it.
 type PeerStatus struct {
-	Name          string          `json:"name"`
-	Live          bool            `json:"live"`
+	Name string `json:"name"`
+	Live bool   `json:"live"`
+	// SinceHeard is the time since the peer's last heartbeat.
 	SinceHeard    config.Duration `json:"heard"`
 	BundleVersion int64           `json:"bundle_version"`
 }
 
-// LeavingStatus is one run of a target that is leaving.
+// LeavingStatus is one incarnation of a target that is leaving.
 type LeavingStatus struct {
 	Target      string `json:"target"`
 	Incarnation string `json:"incarnation"`
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	a := &api{env: env}
+	ap := &api{env: env}
 	var err error
-	if a.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	if ap.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if a.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if ap.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
-	if a.burn, err = kernel.Need[*burn.Recorder](env); err != nil {
+	if ap.burn, err = kernel.Need[*burn.Recorder](env); err != nil {
 		return nil, err
 	}
-	if a.metrics, err = kernel.Need[*metrics.Set](env); err != nil {
+	if ap.metrics, err = kernel.Need[*metrics.Set](env); err != nil {
 		return nil, err
 	}
-	if a.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
+	if ap.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if a.server, err = kernel.Need[*serve.Server](env); err != nil {
+	if ap.server, err = kernel.Need[*serve.Server](env); err != nil {
 		return nil, err
 	}
 	client, err := kernel.Need[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
-	a.store = bundlestore.New(client)
+	ap.store = bundlestore.New(client)
 	ls, err := kernel.Need[*listen.Listeners](env)
 	if err != nil {
 		return nil, err
 	}
-	a.registerGauges()
-	srv := &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout}
+	ap.registerGauges()
+	srv := &http.Server{Handler: ap.handler(), ReadHeaderTimeout: headerTimeout}
 	go func() {
 		if err := srv.Serve(ls.Operators); !errors.Is(err, http.ErrServerClosed) {
 			env.Logger("operators").WithError(err).Error("listener ended")
@@ -131,7 +133,7 @@
 	return func(ctx context.Context) error { return stop(ctx, srv) }, nil
 }
 
-// stop waits for the last answer, then breaks off those that nobody reads.
+// stop waits up to shutdownTimeout for answers in progress, then closes the remaining connections.
 func stop(ctx context.Context, srv *http.Server) error {
 	ctx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
@@ -139,7 +141,7 @@
 	if errors.Is(err, context.DeadlineExceeded) {
 		err = srv.Close()
 	}
-	return errors.Wrap(err, "stop operators")
+	return errors.Wrap(err, "shut down operators API")
 }
 
 func (ap *api) registerGauges() {
@@ -164,14 +166,14 @@
 	return rt
 }
 
-// Prepared is the answer to a prepare.
+// PrepareResult is the answer to a prepare request.
 type PrepareResult struct {
 	Version int64 `json:"version"`
-	// Fault is empty when the instance can put the bundle in force.
+	// Fault is empty if the instance can put the bundle in force.
 	Fault string `json:"fault,omitempty"`
 }
 
-// prepare fetches and checks a pushed bundle, without putting it in force.
+// prepare fetches and validates a pushed bundle without putting it in force.
 func (ap *api) prepare(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseInt(chi.URLParam(r, "version"), 10, 64)
 	if err != nil {
@@ -189,6 +191,7 @@
 	jsonreply.Write(w, answer)
 }
 
+// requireKey rejects requests without the operators' key. The comparison takes constant time.
 func (ap *api) requireKey(next http.Handler) http.Handler {
 	want := []byte(ap.env.Settings.Operators.Key)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -1,4 +1,5 @@
-// Package orders is the duty by which one instance of an availability zone orders engines to load models.
+// Package orders is the duty that keeps the wanted number of copies of each model loaded. One instance of each availability zone, elected
+// by a lease, orders the zone's engines to load models.
 package orders
 
 import (
@@ -26,15 +27,15 @@
 const (
 	leaseTTL          = 9 * time.Second
 	reconcileInterval = 3 * time.Second
-	// callTimeout bounds one order, margin is for clocks that run unlike each other.
+	// callTimeout bounds one call to an engine. clockMargin allows for clocks that run at different rates.
 	callTimeout = time.Second
 	clockMargin = 2 * time.Second
-	// maxLoading keeps to the weight store's rate.
+	// maxLoading is the maximum number of engines that load at a time. It keeps within the rate of the store of model weights.
 	maxLoading  = 2
 	leasePrefix = "orders-"
 )
 
-// giver gives the orders of one availability zone while it holds the lease.
+// coordinator sends the orders of one availability zone while it holds the lease.
 type coordinator struct {
 	lease   *lease.Lease
 	fleet   *fleet.Fleet
@@ -42,7 +43,7 @@
 	clients reports.Clients
 	log     log.Interface
 
-	// epoch, sequence and wanted belong to the present hold; a new one starts from the engines' reports.
+	// epoch, sequence and desired belong to the current term of the lease. A new term starts again from the engines' reports.
 	epoch    int64
 	sequence int64
 	desired  map[string][]string
@@ -53,22 +54,22 @@
 	if err != nil {
 		return nil, err
 	}
-	gv := &coordinator{log: env.Logger("orders")}
-	if gv.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	co := &coordinator{log: env.Logger("orders")}
+	if co.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if gv.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if co.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
-	if gv.clients, err = kernel.Need[reports.Clients](env); err != nil {
+	if co.clients, err = kernel.Need[reports.Clients](env); err != nil {
 		return nil, err
 	}
-	gv.lease = lease.New(store, leasePrefix+env.Settings.AvailabilityZone, env.Incarnation, leaseTTL, boottime.Now)
+	co.lease = lease.New(store, leasePrefix+env.Settings.AvailabilityZone, env.Incarnation, leaseTTL, boottime.Now)
 	return kernel.Go(func(ctx context.Context) {
 		tick := time.NewTicker(reconcileInterval)
 		defer tick.Stop()
 		for {
-			gv.reconcile(ctx)
+			co.reconcile(ctx)
 			select {
 			case <-tick.C:
 			case <-ctx.Done():
@@ -78,7 +79,7 @@
 	}), nil
 }
 
-// copies returns the wanted copies of each model in one availability zone; models without a number are left alone.
+// wantedCopies returns the wanted number of copies of each model in one availability zone. Models without a number are not managed.
 func (co *coordinator) wantedCopies() map[string]int {
 	copies := map[string]int{}
 	if cur := co.bundles.Current(); cur != nil {
@@ -91,14 +92,15 @@
 	return copies
 }
 
-// round renews the lease and gives the orders that are due. Without wanted copies nobody needs the lease.
+// reconcile renews the lease and, while this instance holds it, sends the orders that are due. If no copies are wanted, no instance
+// needs the lease.
 func (co *coordinator) reconcile(ctx context.Context) {
 	copies := co.wantedCopies()
 	if len(copies) == 0 {
 		return
 	}
 	if err := co.lease.TryAcquireOrRenew(ctx); err != nil {
-		co.log.WithError(err).Warn("lease not renewed")
+		co.log.WithError(err).Warn("could not acquire or renew lease")
 	}
 	epoch, held := co.lease.Held(callTimeout + clockMargin)
 	if !held {
@@ -106,15 +108,15 @@
 	}
 	if epoch != co.epoch {
 		co.epoch, co.sequence, co.desired = epoch, 0, map[string][]string{}
-		co.log.WithField("epoch", epoch).Info("gives orders")
+		co.log.WithField("epoch", epoch).Info("acquired lease; sending orders to engines")
 	}
 	targets, engines := co.collectReports(ctx)
-	for _, ch := range order.Plan(engines, copies, maxLoading) {
-		co.sendOrder(ctx, targets[ch.Engine], ch)
+	for _, as := range order.Plan(engines, copies, maxLoading) {
+		co.sendOrder(ctx, targets[as.Engine], as)
 	}
 }
 
-// look asks every engine of the availability zone for its report; those that do not answer are left alone.
+// collectReports asks every engine of the availability zone for its report. Engines that do not answer or are leaving get no orders.
 func (co *coordinator) collectReports(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -141,21 +143,21 @@
 	return targets, engines
 }
 
-// give sends one order. The lease is checked at the last step: a target that checks no fence must get no order from a
-// holder whose time may be over before the order arrives.
-func (co *coordinator) sendOrder(ctx context.Context, t fleet.Target, ch order.Assignment) {
+// sendOrder sends one order. It checks the lease last, because a target that does not check the epoch must get no order from a holder
+// whose lease may expire before the order arrives.
+func (co *coordinator) sendOrder(ctx context.Context, t fleet.Target, as order.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	co.sequence++
-	o := engine.Order{Epoch: co.epoch, Sequence: co.sequence, Models: ch.Models}
+	o := engine.Order{Epoch: co.epoch, Sequence: co.sequence, Models: as.Models}
 	if epoch, held := co.lease.Held(callTimeout + clockMargin); !held || epoch != co.epoch {
 		return
 	}
-	lg := co.log.WithField("target", t.Name).WithField("models", ch.Models)
+	lg := co.log.WithField("target", t.Name).WithField("models", as.Models)
 	if err := co.clients(t).Order(ctx, o); err != nil {
-		lg.WithError(err).Warn("order not taken")
+		lg.WithError(err).Warn("engine did not accept order")
 		return
 	}
-	co.desired[t.Name] = ch.Models
-	lg.Info("order given")
+	co.desired[t.Name] = as.Models
+	lg.Info("engine accepted order")
 }
--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers is the duty that keeps the links to other instances.
+// Package peers is the duty that runs the peer mesh, which links the instance to the others.
 package peers
 
 import (
@@ -65,7 +65,7 @@
 	return fs
 }
 
-// Blocked is a part that tests and experiments may provide to cut availability zones off.
+// ZoneBlocked reports whether an availability zone is cut off. Tests and experiments may provide one to partition the mesh.
 type ZoneBlocked func(zone string) bool
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -97,17 +97,17 @@
 		ZoneBlocked: blocked, Log: env.Logger("peers"),
 	})
 	kernel.Provide(env, ms)
-	serve := kernel.Go(func(ctx context.Context) {
+	server := kernel.Go(func(ctx context.Context) {
 		if err := ms.Serve(ctx, ls.Peers); err != nil && ctx.Err() == nil {
 			env.Logger("peers").WithError(err).Error("listener ended")
 		}
 	})
-	run := kernel.Go(ms.Run)
+	links := kernel.Go(ms.Run)
 	return func(ctx context.Context) error {
-		if err := run(ctx); err != nil {
+		if err := links(ctx); err != nil {
 			return err
 		}
-		return serve(ctx)
+		return server(ctx)
 	}, nil
 }
 
--- a/internal/duty/reports/reports.go
+++ b/internal/duty/reports/reports.go
@@ -1,4 +1,4 @@
-// Package reports is the duty that asks the targets that this instance owns for their load.
+// Package reports is the duty that polls the load of the targets that this instance owns.
 package reports
 
 import (
@@ -25,7 +25,7 @@
 	}
 }
 
-// Clients returns the client of each engine.
+// Clients returns the client of an engine.
 type Clients func(t fleet.Target) *engine.Client
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -38,7 +38,7 @@
 	return kernel.Go(func(ctx context.Context) {
 		tick := time.NewTicker(env.Settings.Routing.ReportEvery.Std())
 		defer tick.Stop()
-		// An instance that has just started knows no peers and would ask every target: the first tick waits for them.
+		// Poll only after the first tick: an instance that has just started knows no peers yet, and would poll every target as its owner.
 		for {
 			select {
 			case <-tick.C:
@@ -50,14 +50,14 @@
 	}), nil
 }
 
-// NewClients returns clients that share connections; those for attempts that may not be repeated open their own.
+// NewClients returns clients that share a pool of connections. Attempts that must not be repeated each open their own connection.
 func NewClients() Clients {
 	shared := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}
 	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	return func(t fleet.Target) *engine.Client { return engine.New(t.URL, shared, fresh) }
 }
 
-// Ask asks every owned target once and waits for the answers.
+// Poll requests a report from every owned engine once and waits for the answers. An engine that cannot be connected to counts as down.
 func Poll(ctx context.Context, fl *fleet.Fleet, clients Clients) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/duty/store/store.go
+++ b/internal/duty/store/store.go
@@ -1,4 +1,4 @@
-// Package store is the duty that holds the client of the platform's object API.
+// Package store is the duty that provides the client of the platform's object API.
 package store
 
 import (
--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -1,4 +1,4 @@
-// Package sweep is the duty that frees what engines hold for requests that are over.
+// Package sweep is the duty that cancels orphaned attempts at engines, so that they free the memory that they hold.
 package sweep
 
 import (
@@ -21,7 +21,7 @@
 const (
 	interval    = 2 * time.Second
 	callTimeout = 2 * time.Second
-	// grace is the time past its deadline after which an attempt is surely over.
+	// deadlineGrace is the time past its deadline after which an attempt is certainly over.
 	deadlineGrace = 2 * time.Second
 )
 
@@ -38,14 +38,14 @@
 	if err != nil {
 		return nil, err
 	}
-	freed := mset.NewCounter("silvermount_swept_attempts_total")
+	cancelled := mset.NewCounter("silvermount_swept_attempts_total")
 	return kernel.Go(func(ctx context.Context) {
 		tick := time.NewTicker(interval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-				freed.Add(Sweep(ctx, fl, clients))
+				cancelled.Add(Sweep(ctx, fl, clients))
 			case <-ctx.Done():
 				return
 			}
@@ -53,37 +53,37 @@
 	}), nil
 }
 
-// Sweep frees, at the targets that this instance owns, what is past its deadline or held for an incarnation that has
-// ended. It returns how many it freed.
+// Sweep cancels the attempts that are past their deadline or held for an ended incarnation, at the targets that this instance owns. It
+// returns the number of cancelled attempts.
 func Sweep(ctx context.Context, fl *fleet.Fleet, clients reports.Clients) int {
-	gone := fl.Ended()
-	freed := 0
+	ended := fl.Ended()
+	cancelled := 0
 	for _, t := range fl.Owned() {
 		if t.Kind == fleet.KindEngine {
-			freed += sweepEngine(ctx, clients(t), gone)
+			cancelled += sweepEngine(ctx, clients(t), ended)
 		}
 	}
-	return freed
+	return cancelled
 }
 
-func sweepEngine(ctx context.Context, cl *engine.Client, gone set.Set[string]) int {
+func sweepEngine(ctx context.Context, cl *engine.Client, ended set.Set[string]) int {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	held, err := cl.Held(ctx)
 	if err != nil {
 		return 0
 	}
-	freed := 0
+	cancelled := 0
 	for _, h := range held {
-		if Orphaned(h, gone) && cl.Cancel(ctx, h.Attempt) == nil {
-			freed++
+		if Orphaned(h, ended) && cl.Cancel(ctx, h.Attempt) == nil {
+			cancelled++
 		}
 	}
-	return freed
+	return cancelled
 }
 
-// Over reports whether nobody can be waiting for what an engine holds.
-func Orphaned(h engine.Held, gone set.Set[string]) bool {
+// Orphaned reports whether no request can be waiting for an attempt that an engine holds.
+func Orphaned(h engine.Held, ended set.Set[string]) bool {
 	left := time.Duration(h.LeftMillis) * time.Millisecond
-	return left < -deadlineGrace || gone.Has(h.Holder)
+	return left < -deadlineGrace || ended.Has(h.Holder)
 }
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestSilenceIsNoEnd shows that the work of an instance that is merely cut off is not swept away.
+// TestSilentInstanceIsNotTreatedAsEnded guards against cancelling the attempts of an instance that is only cut off from its peers.
 func TestSilentInstanceIsNotTreatedAsEnded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
