--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -1,4 +1,4 @@
-// Package forwarding is the duty that builds the parts which the other duties of a gateway share.
+// Package forwarding is the duty that builds the components that the other duties of a gateway share.
 package forwarding
 
 import (
@@ -33,43 +33,44 @@
 	})
 }
 
-// Parts are what the duties of a gateway share. All fields are set.
+// Components are shared by the duties of a gateway. All fields are set.
 type Components struct {
-	Adapter          adapter.Adapter
-	Routes           *routes.Holder
-	Targets          *targets.Directory
-	Dispatcher       *dispatch.Dispatcher
-	Pool             *upstream.Pool
-	Metrics          *metrics.Set
+	Adapter    adapter.Adapter
+	Routes     *routes.Holder
+	Targets    *targets.Directory
+	Dispatcher *dispatch.Dispatcher
+	Pool       *upstream.Pool
+	Metrics    *metrics.Set
+	// StateNotifier is notified when the state that this instance publishes to its peers changes.
 	StateNotifier    *Notifier
 	StoreCoordinator *StoreCoordinator
 	Blame            *blame.Tracker
-	// Noted is told when peers have to hear something new of requests that end targets, or of rate limits.
+	// NotesNotifier is notified when peers need to learn of a change in the requests that crash targets, or in rate limits.
 	NotesNotifier *Notifier
-	// Limits is what is believed of the rate limits of targets, and Permits what requests need to go to these.
+	// RateLimits holds the estimated rate limits of targets, and Permits obtains the permits that requests to such targets need.
 	RateLimits *ratelimit.Book
 	Permits    *permit.Client
-	// BackOffs is which targets want no requests from this instance, and Feedback takes what answers say of all this.
+	// BackOffs holds the targets that asked this instance to back off. Feedback updates all of these from the targets' answers.
 	BackOffs *backoff.Book
 	Feedback *feedback.Recorder
 }
 
-// Changed is told when what this instance knows or has in flight changes. It is safe for use by any goroutine.
+// Notifier passes notifications of changes to a callback that is set later. It is safe for concurrent use.
 type Notifier struct {
 	callback atomic.Pointer[func()]
 }
 
-// Set sets who is told.
-func (nt *Notifier) SetCallback(publish func()) { nt.callback.Store(&publish) }
+// SetCallback sets the function that Notify calls.
+func (nt *Notifier) SetCallback(callback func()) { nt.callback.Store(&callback) }
 
-// Tell tells of a change; before Set it does nothing.
+// Notify calls the callback. Before SetCallback it does nothing.
 func (nt *Notifier) Notify() {
-	if publish := nt.callback.Load(); publish != nil {
-		(*publish)()
+	if callback := nt.callback.Load(); callback != nil {
+		(*callback)()
 	}
 }
 
-// turnedElsewhere returns what logs a request that did not go to a target for want of a permit.
+// logNoPermit returns a function that logs a request that is not sent to a target because it got no permit.
 func logNoPermit(lg log.Interface, limits *ratelimit.Book) func(request string, tg targets.Target, again time.Duration) {
 	return func(request string, tg targets.Target, again time.Duration) {
 		lg.WithFields(log.Fields{
@@ -79,30 +80,30 @@
 	}
 }
 
-// waits returns what logs a request that waits for the end of a target's back-off.
+// logBackOffWait returns a function that logs a request that waits for the end of a target's back-off.
 func logBackOffWait(lg log.Interface) func(request string, tg targets.Target, wait time.Duration) {
 	return func(request string, tg targets.Target, wait time.Duration) {
 		lg.WithFields(log.Fields{
 			"request": request, "target": tg.ID, "service": tg.Service, "wait": wait.Round(time.Millisecond).String(),
-		}).Info("all targets are backed off from")
+		}).Info("all targets in back-off; request waits")
 	}
 }
 
-// releaseMost bounds the wait for the last memory to be given back: a few round trips, and less than what a stop leaves of
-// the grace.
+// releaseTimeout bounds the wait for the last reserved memory to be released. It covers a few round trips and is shorter than the
+// part of the grace that a stop leaves.
 const releaseTimeout = 100 * time.Millisecond
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	ad, _ := adapter.Find(env.Settings.Gateway.Adapter)
 	ms, err := kernel.Need[*metrics.Set](env)
 	if err != nil {
-		// Whoever started the instance keeps no metrics of its own.
+		// The program that started the instance provides no set of metrics.
 		ms = metrics.NewSet()
 	}
 	pl := upstream.NewPool(time.Now, ms, env.Settings.Gateway.DialTimeout.Std())
 	dr := targets.New(time.Now, targets.WithSuperseded(func(tg targets.Target) { pl.Forget(tg.Address) }))
-	ch := &Notifier{}
-	kp := &reservation.Manager{
+	stateNotifier := &Notifier{}
+	mg := &reservation.Manager{
 		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, IsCurrent: dr.Present,
 		Timeout: env.Settings.Gateway.OrderTimeout.Std(), LeaseDuration: env.Settings.Gateway.MemoryHold.Std(), Log: env.Logger("memory"),
 	}
@@ -112,31 +113,31 @@
 	backOffs := backoff.New(time.Now, rand.Float64)
 	ms.NewGauge("silvermount_targets_leaving", func() float64 { return float64(dr.LenLeaving()) })
 	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.Len()) })
-	noted := &Notifier{}
+	notesNotifier := &Notifier{}
 	fb := feedback.New(feedback.Deps{
-		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: ch.Notify, LimitsChanged: noted.Notify,
+		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: stateNotifier.Notify, LimitsChanged: notesNotifier.Notify,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
-	kp.OnAnswer = func(pc reservation.Allocation, hd answer.Head) {
-		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(pc.Target), Head: hd, Came: time.Now()})
+	mg.OnAnswer = func(al reservation.Allocation, hd answer.Head) {
+		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.Incarnation(al.Target), Head: hd, Came: time.Now()})
 	}
-	ds := dispatch.New(dr, kp, dispatch.Options{
-		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, Changed: ch.Notify,
+	ds := dispatch.New(dr, mg, dispatch.Options{
+		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, Changed: stateNotifier.Notify,
 		Permits: permits, TurnedElsewhere: logNoPermit(env.Logger("dispatch"), limits),
 		BackOffs: backOffs, Waits: logBackOffWait(env.Logger("dispatch")),
 	})
-	ld := blame.New(blame.Options{
-		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: noted.Notify, Metrics: ms, Log: env.Logger("blame"),
+	tracker := blame.New(blame.Options{
+		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: notesNotifier.Notify, Metrics: ms, Log: env.Logger("blame"),
 	})
 	kernel.Provide(env, &Components{
-		Blame: ld, NotesNotifier: noted, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
-		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: ch, StoreCoordinator: &StoreCoordinator{}, Pool: pl,
+		Blame: tracker, NotesNotifier: notesNotifier, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
+		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: stateNotifier, StoreCoordinator: &StoreCoordinator{}, Pool: pl,
 	})
 	return func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 		defer cancel()
-		if err := kp.WaitReleased(ctx); err != nil {
-			kp.Log.WithError(err).Warn("ended before all memory was given back; it lapses")
+		if err := mg.WaitReleased(ctx); err != nil {
+			mg.Log.WithError(err).Warn("stopped before all reserved memory was released; it expires")
 		}
 		return nil
 	}, nil
--- a/internal/duty/forwarding/forwarding_test.go
+++ b/internal/duty/forwarding/forwarding_test.go
@@ -16,7 +16,7 @@
 
 func init() { adapter.Register(adapter.Adapter{Name: adapterName}) }
 
-// good returns settings with everything in them that has no default.
+// validSettings returns settings with a valid value for every field that has no default.
 func validSettings() config.Settings {
 	return config.Settings{Instance: "a1", AvailabilityZone: "a", Gateway: &config.Gateway{
 		Adapter: adapterName, Callers: "127.0.0.1:1", Readiness: "127.0.0.1:2", Peers: "127.0.0.1:3",
@@ -24,7 +24,7 @@
 	}}
 }
 
-// bad returns settings in which every field has a fault.
+// invalidGateway returns settings in which every field that is checked is invalid.
 func invalidGateway() config.Gateway {
 	return config.Gateway{
 		Seeds: []string{"x"}, RevocationBound: -1, LeavingBound: -1, ConfigurationBound: -1, Grace: -1, RetryShare: -1, RetryFloor: -1, RetryWindow: -1, Megabits: -1,
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestEveryFieldIsChecked fails when a field is added to the settings and not to the check. Both values of a bool are right.
+// TestCheckCoversEveryField guards against a field that is added to the settings but not to check. Booleans are exempt, since both
+// of their values are valid.
 func TestCheckCoversEveryField(t *testing.T) {
 	g := NewWithT(t)
 	gw := invalidGateway()
@@ -67,7 +68,7 @@
 			config.Gateway{Grace: config.Duration(time.Second)},
 			func(gw *config.Gateway) { gw.Grace = config.Duration(time.Second) },
 		},
-		"bounds on news given": {
+		"propagation bounds given": {
 			config.Gateway{LeavingBound: 1, ConfigurationBound: 2},
 			func(gw *config.Gateway) { gw.LeavingBound, gw.ConfigurationBound = 1, 2 },
 		},
@@ -85,11 +86,11 @@
 				gw.RetryShare, gw.RetryFloor, gw.RetryWindow = 0, 0, config.Duration(time.Second)
 			},
 		},
-		"times at targets given": {
+		"target timeouts given": {
 			config.Gateway{DialTimeout: 1, OrderTimeout: 2, MemoryHold: 3},
 			func(gw *config.Gateway) { gw.DialTimeout, gw.OrderTimeout, gw.MemoryHold = 1, 2, 3 },
 		},
-		"bodies given": {
+		"body limits given": {
 			config.Gateway{MaxBodyBytes: 1, BodyBudgetBytes: 2},
 			func(gw *config.Gateway) { gw.MaxBodyBytes, gw.BodyBudgetBytes = 1, 2 },
 		},
@@ -102,7 +103,7 @@
 			s := config.Settings{Gateway: &given}
 			defaults(&s)
 			g.Expect(*s.Gateway).To(Equal(want))
-			g.Expect(given).To(Equal(tc.given), "the settings given are not changed")
+			g.Expect(given).To(Equal(tc.given), "the given settings are not modified")
 		})
 	}
 }
@@ -113,38 +114,38 @@
 		edit func(gw *config.Gateway)
 		want []string
 	}{
-		"good":                     {func(*config.Gateway) {}, nil},
-		"adapter":                  {func(gw *config.Gateway) { gw.Adapter = "none" }, []string{"gateway.adapter"}},
-		"callers":                  {func(gw *config.Gateway) { gw.Callers = "localhost" }, []string{"gateway.callers"}},
-		"readiness":                {func(gw *config.Gateway) { gw.Readiness = "" }, []string{"gateway.readiness"}},
-		"peers":                    {func(gw *config.Gateway) { gw.Peers = "127.0.0.1" }, []string{"gateway.peers"}},
-		"metrics":                  {func(gw *config.Gateway) { gw.Metrics = ":9" }, []string{"gateway.metrics"}},
-		"store":                    {func(gw *config.Gateway) { gw.Store = "http://127.0.0.1:5" }, []string{"gateway.store"}},
-		"seeds that are good":      {func(gw *config.Gateway) { gw.Seeds = []string{"10.0.0.1:1", "[::1]:2"} }, nil},
-		"seeds":                    {func(gw *config.Gateway) { gw.Seeds = []string{"", "10.0.0.1:1", "b:1"} }, []string{"gateway.seeds[0]", "gateway.seeds[2]"}},
-		"bound on revocation":      {func(gw *config.Gateway) { gw.RevocationBound = ms }, nil},
-		"bound below zero":         {func(gw *config.Gateway) { gw.RevocationBound = -ms }, []string{"gateway.revocation_bound"}},
-		"shortest bounds on news":  {func(gw *config.Gateway) { gw.LeavingBound, gw.ConfigurationBound = 1000*ms, 1000*ms }, nil},
-		"bound on leaving":         {func(gw *config.Gateway) { gw.LeavingBound = 999 * ms }, []string{"gateway.leaving_bound"}},
-		"bound on configurations":  {func(gw *config.Gateway) { gw.ConfigurationBound = 0 }, []string{"gateway.configuration_bound"}},
-		"shortest grace":           {func(gw *config.Gateway) { gw.Grace = 1000 * ms }, nil},
-		"grace too short":          {func(gw *config.Gateway) { gw.Grace = 999 * ms }, []string{"gateway.grace"}},
-		"grace below zero":         {func(gw *config.Gateway) { gw.Grace = -ms }, []string{"gateway.grace"}},
-		"all retried":              {func(gw *config.Gateway) { gw.RetryShare = 1 }, nil},
-		"none retried":             {func(gw *config.Gateway) { gw.RetryShare, gw.RetryFloor = 0, 0 }, nil},
-		"retry share above one":    {func(gw *config.Gateway) { gw.RetryShare = 1.01 }, []string{"gateway.retry_share"}},
-		"retry share below zero":   {func(gw *config.Gateway) { gw.RetryShare = -0.01 }, []string{"gateway.retry_share"}},
-		"share of the network":     {func(gw *config.Gateway) { gw.Megabits = -1 }, []string{"gateway.megabits"}},
-		"retry floor":              {func(gw *config.Gateway) { gw.RetryFloor = -1 }, []string{"gateway.retry_floor"}},
-		"retry window":             {func(gw *config.Gateway) { gw.RetryWindow = -ms }, []string{"gateway.retry_window"}},
-		"room for one body":        {func(gw *config.Gateway) { gw.BodyBudgetBytes = gw.MaxBodyBytes }, nil},
-		"no room for one body":     {func(gw *config.Gateway) { gw.BodyBudgetBytes = gw.MaxBodyBytes - 1 }, []string{"gateway.body_budget_bytes"}},
-		"body below zero":          {func(gw *config.Gateway) { gw.MaxBodyBytes = -1 }, []string{"gateway.max_body_bytes"}},
-		"budget of bodies below 0": {func(gw *config.Gateway) { gw.BodyBudgetBytes = -1 }, []string{"gateway.body_budget_bytes"}},
-		"time to connect":          {func(gw *config.Gateway) { gw.DialTimeout = -ms }, []string{"gateway.dial_timeout"}},
-		"time of an order":         {func(gw *config.Gateway) { gw.OrderTimeout = -ms }, []string{"gateway.order_timeout"}},
-		"hold of memory":           {func(gw *config.Gateway) { gw.MemoryHold = -ms }, []string{"gateway.memory_hold"}},
-		"all at once": {
+		"valid":                         {func(*config.Gateway) {}, nil},
+		"adapter":                       {func(gw *config.Gateway) { gw.Adapter = "none" }, []string{"gateway.adapter"}},
+		"callers":                       {func(gw *config.Gateway) { gw.Callers = "localhost" }, []string{"gateway.callers"}},
+		"readiness":                     {func(gw *config.Gateway) { gw.Readiness = "" }, []string{"gateway.readiness"}},
+		"peers":                         {func(gw *config.Gateway) { gw.Peers = "127.0.0.1" }, []string{"gateway.peers"}},
+		"metrics":                       {func(gw *config.Gateway) { gw.Metrics = ":9" }, []string{"gateway.metrics"}},
+		"store":                         {func(gw *config.Gateway) { gw.Store = "http://127.0.0.1:5" }, []string{"gateway.store"}},
+		"valid seeds":                   {func(gw *config.Gateway) { gw.Seeds = []string{"10.0.0.1:1", "[::1]:2"} }, nil},
+		"invalid seeds":                 {func(gw *config.Gateway) { gw.Seeds = []string{"", "10.0.0.1:1", "b:1"} }, []string{"gateway.seeds[0]", "gateway.seeds[2]"}},
+		"revocation bound":              {func(gw *config.Gateway) { gw.RevocationBound = ms }, nil},
+		"revocation bound below zero":   {func(gw *config.Gateway) { gw.RevocationBound = -ms }, []string{"gateway.revocation_bound"}},
+		"shortest propagation bounds":   {func(gw *config.Gateway) { gw.LeavingBound, gw.ConfigurationBound = 1000*ms, 1000*ms }, nil},
+		"leaving bound too short":       {func(gw *config.Gateway) { gw.LeavingBound = 999 * ms }, []string{"gateway.leaving_bound"}},
+		"configuration bound too short": {func(gw *config.Gateway) { gw.ConfigurationBound = 0 }, []string{"gateway.configuration_bound"}},
+		"shortest grace":                {func(gw *config.Gateway) { gw.Grace = 1000 * ms }, nil},
+		"grace too short":               {func(gw *config.Gateway) { gw.Grace = 999 * ms }, []string{"gateway.grace"}},
+		"grace below zero":              {func(gw *config.Gateway) { gw.Grace = -ms }, []string{"gateway.grace"}},
+		"retry share of one":            {func(gw *config.Gateway) { gw.RetryShare = 1 }, nil},
+		"no retries":                    {func(gw *config.Gateway) { gw.RetryShare, gw.RetryFloor = 0, 0 }, nil},
+		"retry share above one":         {func(gw *config.Gateway) { gw.RetryShare = 1.01 }, []string{"gateway.retry_share"}},
+		"retry share below zero":        {func(gw *config.Gateway) { gw.RetryShare = -0.01 }, []string{"gateway.retry_share"}},
+		"megabits below zero":           {func(gw *config.Gateway) { gw.Megabits = -1 }, []string{"gateway.megabits"}},
+		"retry floor below zero":        {func(gw *config.Gateway) { gw.RetryFloor = -1 }, []string{"gateway.retry_floor"}},
+		"retry window below zero":       {func(gw *config.Gateway) { gw.RetryWindow = -ms }, []string{"gateway.retry_window"}},
+		"budget for one body":           {func(gw *config.Gateway) { gw.BodyBudgetBytes = gw.MaxBodyBytes }, nil},
+		"budget below one body":         {func(gw *config.Gateway) { gw.BodyBudgetBytes = gw.MaxBodyBytes - 1 }, []string{"gateway.body_budget_bytes"}},
+		"maximum body below zero":       {func(gw *config.Gateway) { gw.MaxBodyBytes = -1 }, []string{"gateway.max_body_bytes"}},
+		"body budget below zero":        {func(gw *config.Gateway) { gw.BodyBudgetBytes = -1 }, []string{"gateway.body_budget_bytes"}},
+		"dial timeout below zero":       {func(gw *config.Gateway) { gw.DialTimeout = -ms }, []string{"gateway.dial_timeout"}},
+		"order timeout below zero":      {func(gw *config.Gateway) { gw.OrderTimeout = -ms }, []string{"gateway.order_timeout"}},
+		"memory hold below zero":        {func(gw *config.Gateway) { gw.MemoryHold = -ms }, []string{"gateway.memory_hold"}},
+		"all fields invalid": {
 			func(gw *config.Gateway) { *gw = invalidGateway() },
 			[]string{
 				"gateway.adapter", "gateway.callers", "gateway.readiness", "gateway.peers", "gateway.metrics", "gateway.store",
--- a/internal/duty/forwarding/settings.go
+++ b/internal/duty/forwarding/settings.go
@@ -12,30 +12,30 @@
 const (
 	// defaultGrace is about three times the balancer's lag of 3.2 s.
 	defaultGrace = 10 * time.Second
-	// defaultNewsBound fits both: a target that leaves serves on for seconds, and a change of the configuration is in force
-	// within a few of them.
+	// defaultPropagationBound suits both bounds: a leaving target keeps serving for seconds, and a change of the configuration is
+	// expected to be in force within a few seconds.
 	defaultPropagationBound = 3 * time.Second
-	// minNewsBound lets a follower work: it then asks the store four times a second for each kind, and the rest of the bound
-	// still holds a pause after a failed call and several calls across a region.
+	// minPropagationBound is the shortest bound that a follower can keep. It then asks the store four times a second for each kind
+	// of object, and the rest of the bound leaves time for a pause after a failed call and several calls across a region.
 	minPropagationBound = time.Second
-	// minGrace leaves time for a stop: half of it goes to the balancer's lag, and with less nothing would be left between it and
-	// the 0.45 s that the end of the process takes.
+	// minGrace is the shortest grace in which a stop can finish requests. Half of the grace goes to the balancer's lag; with less,
+	// no time would be left before the 0.45 s that are reserved for the end of the process.
 	minGrace = time.Second
-	// defaultMaxBody, in bytes, is a million tokens of four bytes.
+	// defaultMaxBody, in bytes, fits a million tokens of four bytes each.
 	defaultMaxBody = 4 << 20
-	// defaultBodyBudget, in bytes, holds a burst of large bodies in a process of a few hundred MB.
+	// defaultBodyBudget, in bytes, allows a burst of large bodies in a process of a few hundred MB.
 	defaultBodyBudget = 64 << 20
-	// defaultRetryShare is a share of requests, defaultRetryFloor a number of attempts in each defaultRetryWindow.
+	// defaultRetryShare is a fraction of the requests, and defaultRetryFloor a number of attempts in each defaultRetryWindow.
 	defaultRetryShare  = 0.1
 	defaultRetryFloor  = 20
 	defaultRetryWindow = 10 * time.Second
-	// defaultDialTimeout is many round trips inside a region (at most a few milliseconds) and well under a short
-	// request's objective, so that another target can still be tried.
+	// defaultDialTimeout covers many round trips inside a region (each at most a few milliseconds). It is well below the objective
+	// of a short request, so that there is time to try another target.
 	defaultDialTimeout = 250 * time.Millisecond
-	// defaultMemoryHold is short enough that memory of a killed instance is free again before the users count it as lost
-	// (four seconds on their sheets).
+	// defaultMemoryHold is short enough that memory reserved by a killed instance is free again before the users' requirements
+	// count it as lost, which is after four seconds.
 	defaultMemoryHold = 3 * time.Second
-	// defaultOrderTimeout is many round trips inside a region too, and leaves time for another plan.
+	// defaultOrderTimeout also covers many round trips inside a region, and leaves time to place the request elsewhere.
 	defaultOrderTimeout = 400 * time.Millisecond
 )
 
@@ -46,7 +46,7 @@
 	setDefault(&gw.ConfigurationBound, config.Duration(defaultPropagationBound))
 	setDefault(&gw.MaxBodyBytes, defaultMaxBody)
 	setDefault(&gw.BodyBudgetBytes, defaultBodyBudget)
-	// A window alone is left as it is: it may go with no retries at all.
+	// A window that is set alone gets no defaults for the others: it is valid without any retries.
 	if gw.RetryShare == 0 && gw.RetryFloor == 0 && gw.RetryWindow == 0 {
 		gw.RetryShare, gw.RetryFloor = defaultRetryShare, defaultRetryFloor
 	}
@@ -143,14 +143,14 @@
 }
 
 func checkBodies(gw *config.Gateway) config.Faults {
-	one, all := gw.MaxBodyBytes, gw.BodyBudgetBytes
+	maxBody, budget := gw.MaxBodyBytes, gw.BodyBudgetBytes
 	var fs config.Faults
-	if one <= 0 {
-		value := strconv.FormatInt(one, 10)
+	if maxBody <= 0 {
+		value := strconv.FormatInt(maxBody, 10)
 		fs = append(fs, &config.Fault{Path: "gateway.max_body_bytes", Value: value, Want: "a positive number"})
 	}
-	if all < max(1, one) {
-		value := strconv.FormatInt(all, 10)
+	if budget < max(1, maxBody) {
+		value := strconv.FormatInt(budget, 10)
 		fs = append(fs, &config.Fault{Path: "gateway.body_budget_bytes", Value: value, Want: "at least max_body_bytes, and positive"})
 	}
 	return fs
