--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -110,7 +110,7 @@
 	}
 	go func() {
 		if err := srv.Serve(ls.Callers); !errors.Is(err, http.ErrServerClosed) {
-			env.Logger("callers").WithError(err).Error("listener ended")
+			env.Logger("callers").WithError(err).Error("listener failed")
 		}
 	}()
 	return func(ctx context.Context) error { return stop(ctx, env, sv, srv) }, nil
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -1,4 +1,4 @@
-// Package frontend is the duty that serves callers, readiness and metrics on a gateway.
+// Package frontend is the duty that serves callers, readiness checks and metrics on a gateway.
 package frontend
 
 import (
@@ -28,31 +28,31 @@
 }
 
 const (
-	// headerTimeout bounds the reading of headers; callers stay within a few seconds.
+	// headerTimeout bounds the reading of headers, which callers send within a few seconds.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than callers keep an idle connection (the configuration's limit is 15 s).
+	// idleTimeout is longer than callers keep an idle connection, for which the configuration's limit is 15 s.
 	idleTimeout = 75 * time.Second
-	// maxHeader is four times the configuration's limit.
+	// maxHeaderBytes is four times the configuration's limit.
 	maxHeaderBytes = 64 << 10
-	// balancerLag is how long new connections still come after a stop was asked for: the balancer asks every second and
-	// takes an instance out after two refusals.
+	// balancerLag is how long new connections arrive after the start of a stop: the balancer checks readiness every second, and
+	// removes an instance after two failed checks.
 	balancerLag = 3200 * time.Millisecond
-	// takeLag is how long requests on kept connections are still taken then. Callers whose request comes later than three
-	// seconds after the stop was asked for are owed its whole answer, which the grace may not leave time for.
+	// acceptLag is how long requests on kept-alive connections are accepted after the start of a stop. A request accepted more than
+	// three seconds after the start must get its whole answer, for which the grace may not leave enough time.
 	acceptLag = 2800 * time.Millisecond
-	// answerMargin is left of the grace when the last requests are told to end: over ten times what their answers and the
-	// end of the process take (3 ms in the median, 34 ms at the most, 497 stops of small instances). Each 0.1 s less lets one
-	// in fifteen of the streams end that a stop breaks off (363 streams).
+	// answerMargin is the part of the grace that is left when the remaining requests are ended. It is over ten times the time that
+	// their answers and the exit of the process take (median 3 ms, maximum 34 ms, in 497 stops of small instances). Every 0.1 s
+	// less would let one in fifteen of the streams finish that a stop otherwise breaks off (of 363 streams).
 	answerMargin = 450 * time.Millisecond
-	// endMargin is left of the grace for the end of the process, when the wait for the last answers is given up.
+	// exitMargin is the part of the grace that is left for the exit of the process when the wait for the last answers ends.
 	exitMargin = 150 * time.Millisecond
-	// proofMargin is taken off the revocation bound for the time between the check of the proof and the first byte sent.
+	// proofMargin is subtracted from the revocation bound to cover the time from the check of the proof to the first byte sent.
 	proofMargin = 600 * time.Millisecond
-	// sweepEvery is how often idle connections to targets are looked through.
+	// sweepInterval is the time between two sweeps of idle connections to targets and of other outdated state.
 	sweepInterval = time.Second
 )
 
-// servers are the listeners of a gateway.
+// servers holds the HTTP servers of a gateway.
 type servers struct {
 	gw          *gateway.Gateway
 	mesh        *gossip.Mesh
@@ -82,18 +82,18 @@
 			return nil, err
 		}
 	}
-	sh := newLimitShares(env, pt, mesh, rt)
+	ls := newLimitShares(env, pt, mesh, rt)
 	sv.runPeriodically(func() {
 		pt.Pool.Sweep()
 		pt.RateLimits.Forget(pt.Targets.TakesWork)
 		pt.BackOffs.Forget(pt.Targets.TakesWork)
-		sh.update()
+		ls.update()
 	})
 	grace := st.Grace.Std()
 	return func(ctx context.Context) error { return sv.stop(ctx, grace) }, nil
 }
 
-// build joins the parts of the gateway.
+// newGateway builds the gateway from the shared components and keeps its limits up to date with the settings.
 func newGateway(env *kernel.Env, pt *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
@@ -132,21 +132,22 @@
 	sv.httpServers = append(sv.httpServers, hs)
 	go func() {
 		if err := hs.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			sv.lg.WithError(err).WithField("address", address).Error("listener ended")
+			sv.lg.WithError(err).WithField("address", address).Error("listener failed")
 		}
 	}()
 	return nil
 }
 
-// lineWriter turns the lines of the HTTP server into log lines.
+// serverLogWriter writes the error log of the HTTP servers to the instance's log.
 type serverLogWriter struct{ lg log.Interface }
 
-// Write logs one line.
+// Write logs one line at debug level.
 func (slw serverLogWriter) Write(b []byte) (int, error) {
-	slw.lg.WithField("cause", string(b)).Debug("connection ended with an error")
+	slw.lg.WithField("cause", string(b)).Debug("HTTP server reported a connection error")
 	return len(b), nil
 }
 
+// readinessHandler answers 200 while the gateway accepts new callers, and 503 otherwise.
 func readinessHandler(gw *gateway.Gateway) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/*", func(w http.ResponseWriter, _ *http.Request) {
@@ -159,19 +160,20 @@
 	return rt
 }
 
-// operators serves the metrics, and the judgements on requests that end targets.
+// operatorHandler serves the metrics and the API for quarantined requests.
 func operatorHandler(pt *forwarding.Components) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		pt.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	jds := quarantineAPI{tracker: pt.Blame}
-	rt.Get("/judgements", jds.list)
-	rt.Delete("/judgements/{fingerprint}", jds.lift)
+	qa := quarantineAPI{tracker: pt.Blame}
+	rt.Get("/judgements", qa.list)
+	rt.Delete("/judgements/{fingerprint}", qa.lift)
 	return rt
 }
 
+// runPeriodically runs work every sweepInterval until the servers are closed.
 func (sv *servers) runPeriodically(work func()) {
 	tick := time.NewTicker(sweepInterval)
 	done := make(chan struct{})
@@ -188,8 +190,8 @@
 	sv.stops = append(sv.stops, func() { tick.Stop(); close(done) })
 }
 
-// stop serves on until the balancer sends nothing new, then ends when the last answer has. Requests that are still running
-// shortly before the grace is over are told to end.
+// stop keeps serving until the balancer sends no new connections, then returns after the last answer. Requests that are still running
+// answerMargin before the end of the grace are ended.
 func (sv *servers) stop(ctx context.Context, grace time.Duration) error {
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
@@ -197,7 +199,7 @@
 	err := stopPlan(grace, sv.gw.StopTaking, sv.endRequests).Run(ctx, sv.httpServers[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
-		// What is left are connections that were opened and never used.
+		// No request is in flight: the remaining connections were opened and never used, which is no failure.
 		err = nil
 	}
 	if err != nil {
@@ -207,7 +209,7 @@
 	return err
 }
 
-// stopPlan is how a stop goes within the grace. However short that is, a request that is taken has some time for its answer.
+// stopPlan returns the plan of a stop within the grace. Even if the grace is short, every accepted request has some time for its answer.
 func stopPlan(grace time.Duration, refuse, end func()) drain.Plan {
 	lag, answers := min(balancerLag, grace/2), grace-answerMargin
 	return drain.Plan{
@@ -215,10 +217,10 @@
 	}
 }
 
-// end tells the requests that are still running to end.
+// endRequests ends the requests that are still running.
 func (sv *servers) endRequests() {
 	if inf := sv.gw.InFlight(); inf != (gateway.InFlight{}) {
-		sv.lg.WithFields(inf.Fields()).Warn("grace is over before the last answer")
+		sv.lg.WithFields(inf.Fields()).Warn("grace nearly over before the last answer; ending requests")
 	}
 	sv.gw.End()
 }
@@ -228,9 +230,9 @@
 		stop()
 	}
 	for _, hs := range sv.httpServers {
-		// A listener that Shutdown has closed is no failure.
+		// Ignore the error for a listener that Shutdown has already closed.
 		if err := hs.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			sv.lg.WithError(err).Warn("listener not closed")
+			sv.lg.WithError(err).Warn("could not close listener")
 		}
 	}
 }
--- a/internal/duty/frontend/metrics_test.go
+++ b/internal/duty/frontend/metrics_test.go
@@ -26,21 +26,21 @@
 	metricsPage = root + "/docs/METRICS.md"
 )
 
-// programs are the packages from which everything that a gateway runs is imported.
+// rootPackages are the packages that import, directly or indirectly, all code that a gateway runs.
 var rootPackages = []string{
 	"internal/duty/facts", "internal/duty/forwarding", "internal/duty/frontend", "internal/duty/members", "internal/eventlog",
 	"internal/kernel", "platform",
 }
 
 var (
-	// metricText finds a metric in the text of a string expression; its labels follow in braces.
+	// metricText matches a metric in the text of a string expression. Its labels follow in braces.
 	metricText = regexp.MustCompile(`(silvermount_[a-z_]+)(\{[^}]*\}?)?`)
 	labelText  = regexp.MustCompile(`([a-z_]+)=`)
-	// metricRow finds a metric in the first cells of a table: name with labels, type, unit.
+	// metricRow matches the first cells of a metric's table row: name with labels, type, unit.
 	metricRow = regexp.MustCompile("^\\| `(silvermount_[a-z_]+)(?:\\{([a-z_,]+)\\})?` \\| ([a-z]+) \\| ([^|]+) \\|")
 )
 
-// exported is what the page and the source must agree on.
+// metricSpec holds the properties of a metric that must be the same in the page and the source.
 type metricSpec struct {
 	// labels are sorted and joined by commas.
 	labels string
@@ -51,7 +51,7 @@
 func TestMetricsPageMatchesSource(t *testing.T) {
 	g := NewWithT(t)
 	source := sourceMetrics(g)
-	g.Expect(source).To(HaveKey("silvermount_requests_total"), "the search finds the source")
+	g.Expect(source).To(HaveKey("silvermount_requests_total"), "metrics of the source are found")
 	g.Expect(pageMetrics(g)).To(Equal(source))
 }
 
@@ -64,7 +64,7 @@
 		"histogram":           {`var _ = f("silvermount_a_seconds")`, map[string]metricSpec{"silvermount_a_seconds": {kind: "histogram"}}},
 		"gauge":               {`const c = "silvermount_a_bytes"`, map[string]metricSpec{"silvermount_a_bytes": {kind: "gauge"}}},
 		"labels of a literal": {"var _ = f(`silvermount_a_total{b=\"c\"}`)", map[string]metricSpec{"silvermount_a_total": {labels: "b", kind: "counter"}}},
-		"labels put together": {
+		"labels of a concatenation": {
 			"var _ = f(`silvermount_a_total{c=\"` + x + `\",b=\"` + y + `\"}`)",
 			map[string]metricSpec{"silvermount_a_total": {labels: "b,c", kind: "counter"}},
 		},
@@ -95,27 +95,27 @@
 	))
 }
 
-// sourceMetrics returns the metrics that the source of a gateway names.
+// sourceMetrics returns the metrics that are named in the source of a gateway.
 func sourceMetrics(g Gomega) map[string]metricSpec {
 	found := map[string]metricSpec{}
 	seen := map[string]bool{}
-	left := slices.Clone(rootPackages)
-	for len(left) > 0 {
-		dir := left[0]
-		left = left[1:]
+	queue := slices.Clone(rootPackages)
+	for len(queue) > 0 {
+		dir := queue[0]
+		queue = queue[1:]
 		if seen[dir] {
 			continue
 		}
 		seen[dir] = true
 		for _, file := range packageFiles(g, dir) {
 			fileMetrics(file, found)
-			left = append(left, moduleImports(g, file)...)
+			queue = append(queue, moduleImports(g, file)...)
 		}
 	}
 	return found
 }
 
-// packageFiles parses the files of a package without its tests.
+// packageFiles parses the files of a package, except its tests.
 func packageFiles(g Gomega, dir string) []*ast.File {
 	names, err := filepath.Glob(filepath.Join(root, dir, "*.go"))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -132,7 +132,7 @@
 	return files
 }
 
-// ownImports returns the packages of this module that a file imports.
+// moduleImports returns the packages of this module that a file imports.
 func moduleImports(g Gomega, file *ast.File) []string {
 	var dirs []string
 	for _, im := range file.Imports {
@@ -145,20 +145,20 @@
 	return dirs
 }
 
-// fileMetrics adds the metrics that a file names.
+// fileMetrics adds the metrics that are named in a file to found.
 func fileMetrics(file *ast.File, found map[string]metricSpec) {
 	ast.Inspect(file, func(nd ast.Node) bool {
 		switch nd.(type) {
 		case *ast.BinaryExpr, *ast.BasicLit:
 			textMetrics(joinLiterals(nd), found)
-			// The parts of a sum are not looked at again.
+			// The operands of a concatenation are already included; do not visit them.
 			return false
 		}
 		return true
 	})
 }
 
-// literals joins the strings of an expression.
+// joinLiterals concatenates the string literals of an expression.
 func joinLiterals(nd ast.Node) string {
 	var sb strings.Builder
 	ast.Inspect(nd, func(part ast.Node) bool {
@@ -183,7 +183,7 @@
 	}
 }
 
-// kindOf is the kind that a name promises: counters end in total, histograms in their unit of time.
+// kindFromName returns the kind of a metric by the naming convention: counters end in total, histograms in their unit of time.
 func kindFromName(name string) string {
 	switch {
 	case strings.HasSuffix(name, "_total"):
@@ -195,7 +195,7 @@
 	}
 }
 
-// pageMetrics returns the metrics that the page lists, each once and with a unit.
+// pageMetrics returns the metrics that the page lists. It requires that each is listed once and with a unit.
 func pageMetrics(g Gomega) map[string]metricSpec {
 	text, err := os.ReadFile(metricsPage)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/duty/frontend/judgements.go
+++ b/internal/duty/frontend/quarantines.go
@@ -11,27 +11,28 @@
 	"github.com/silvermount/silvermount/internal/jsonreply"
 )
 
-// judgements shows operators which requests are refused because targets end when they run them, and lifts that.
+// quarantineAPI lets operators list and lift quarantines, under which requests are refused because targets crash when they run them.
 type quarantineAPI struct{ tracker *blame.Tracker }
 
-// judgement is one of them as operators see it.
+// quarantine is a quarantine in the operators' list.
 type quarantine struct {
 	Fingerprint string `json:"fingerprint"`
-	// Ends is how many targets had ended under the request.
+	// Crashes is the number of targets that had crashed under the request when it was quarantined.
 	Crashes int `json:"ends"`
-	// Level counts the judgements in a row, from 1.
+	// Level is the number of consecutive quarantines of the request, from 1.
 	Level int `json:"level"`
-	// Age is the time since it was judged, Left how long it is still refused; both are Go durations.
+	// Age is the time since the start of the quarantine, and Remaining the time for which the request is still refused. Both are
+	// formatted as Go durations.
 	Age       string `json:"age"`
 	Remaining string `json:"left"`
 }
 
 func (qa quarantineAPI) list(w http.ResponseWriter, _ *http.Request) {
 	list := []quarantine{}
-	for _, jd := range qa.tracker.Quarantines() {
+	for _, qu := range qa.tracker.Quarantines() {
 		list = append(list, quarantine{
-			Fingerprint: jd.Request.String(), Crashes: jd.Crashes, Level: jd.Level,
-			Age: time.Since(jd.Since).Round(time.Second).String(), Remaining: time.Until(jd.Until).Round(time.Second).String(),
+			Fingerprint: qu.Request.String(), Crashes: qu.Crashes, Level: qu.Level,
+			Age: time.Since(qu.Since).Round(time.Second).String(), Remaining: time.Until(qu.Until).Round(time.Second).String(),
 		})
 	}
 	jsonreply.Write(w, list)
--- a/internal/duty/frontend/shares.go
+++ b/internal/duty/frontend/shares.go
@@ -14,40 +14,41 @@
 )
 
 const (
-	// sharersLeast is the number of instances that share limits until more are known.
+	// minSharers is the number of instances that are assumed to share a limit, until more are known.
 	minSharers = 8
-	// sharersMemory is how long a larger number of instances counts: those cut off still use their shares.
+	// sharerCountRetention is how long a larger number of instances still counts, because instances that are cut off keep using
+	// their shares.
 	sharerCountRetention = 60 * time.Second
-	// floorUse is the share of the retry floor that is used.
+	// floorUtilisation is the part of the retry floor that the instances share out.
 	floorUtilisation = 0.9
-	// floorBurst is the share of that which may be saved up, as failures come together; the rest comes back over the window. The
-	// fleet's bound is the same for any share.
+	// burstShare is the part of an instance's share that it may save up, because failures come in bursts. The rest is refilled over
+	// the window. The bound of the fleet does not depend on this value.
 	burstShare = 0.8
-	// idleShare is the share of a target's connections that may rest.
+	// idleShare is the part of a target's connections that may be idle.
 	idleShare = 0.5
 )
 
-// shares keeps this instance's part of limits that all instances share. It is used by one goroutine.
+// limitShares updates this instance's share of the limits that apply to all instances together. It is used by one goroutine.
 type limitShares struct {
-	// st changes with the settings.
+	// settings is replaced when the settings are reloaded.
 	settings atomic.Pointer[config.Gateway]
 	mesh     *gossip.Mesh
 	routes   *routes.Holder
 	pool     *upstream.Pool
 	retries  *budget.Retries
-	// most is the largest number of live instances seen lately, at the time mostAt.
+	// maxLive is the largest number of live instances seen recently, and maxLiveAt is when it was last seen.
 	maxLive   int
 	maxLiveAt time.Time
 }
 
 func newLimitShares(env *kernel.Env, pt *forwarding.Components, mesh *gossip.Mesh, rt *budget.Retries) *limitShares {
-	sh := &limitShares{mesh: mesh, routes: pt.Routes, pool: pt.Pool, retries: rt, maxLive: minSharers, maxLiveAt: time.Now()}
-	sh.settings.Store(env.Settings.Gateway)
-	env.OnReload(func(s config.Settings) { sh.settings.Store(s.Gateway) })
-	return sh
+	ls := &limitShares{mesh: mesh, routes: pt.Routes, pool: pt.Pool, retries: rt, maxLive: minSharers, maxLiveAt: time.Now()}
+	ls.settings.Store(env.Settings.Gateway)
+	env.OnReload(func(s config.Settings) { ls.settings.Store(s.Gateway) })
+	return ls
 }
 
-// update follows the number of instances and the configuration.
+// update adapts the shares to the number of live instances and the configuration.
 func (ls *limitShares) update() {
 	live := len(ls.mesh.Live())
 	if live >= ls.maxLive || time.Since(ls.maxLiveAt) > sharerCountRetention {
@@ -62,23 +63,25 @@
 	ls.pool.SetIdle(idleLimit(tb.Services(), ls.maxLive))
 }
 
-// idleMost is how many idle connections to one target are of use to an instance, whatever the target takes.
+// maxIdlePerTarget is the number of idle connections to one target beyond which an instance has no use for more, even if the target
+// accepts them.
 const maxIdlePerTarget = 8
 
-// idleBound is how many idle connections to one target an instance may keep, for the services' smallest bound.
+// idleLimit returns how many idle connections to one target each of the instances may keep, by the services' smallest maximum of
+// connections.
 func idleLimit(svs map[string]routes.Service, instances int) int {
-	bound := maxIdlePerTarget
+	limit := maxIdlePerTarget
 	for _, sv := range svs {
 		if sv.MaxConnections > 0 {
-			bound = min(bound, int(idleShare*float64(sv.MaxConnections)/float64(instances)))
+			limit = min(limit, int(idleShare*float64(sv.MaxConnections)/float64(instances)))
 		}
 	}
-	return bound
+	return limit
 }
 
-// retryFloor is one instance's part of the retries that are allowed without traffic: what it may save up, and what it
-// gets back each second. Together they stay below the part in every window.
+// retryFloorShare returns one instance's share of the retries that are allowed without traffic: the burst that it may save up, and the
+// refill per second. Together they stay within the share in every window.
 func retryFloorShare(st *config.Gateway, instances int) (burst, perSecond float64) {
-	part := floorUtilisation * st.RetryFloor / float64(instances)
-	return burstShare * part, (1 - burstShare) * part / st.RetryWindow.Std().Seconds()
+	share := floorUtilisation * st.RetryFloor / float64(instances)
+	return burstShare * share, (1 - burstShare) * share / st.RetryWindow.Std().Seconds()
 }
--- a/internal/duty/frontend/shares_test.go
+++ b/internal/duty/frontend/shares_test.go
@@ -10,9 +10,9 @@
 	"github.com/silvermount/silvermount/internal/routes"
 )
 
-// TestRetryFloorsOfAllInstances adds up what all instances may send again in any window.
+// TestRetryFloorSharesStayWithinFleetBound guards against shares that together exceed the fleet's retry floor in a window.
 func TestRetryFloorSharesStayWithinFleetBound(t *testing.T) {
-	for name, instances := range map[string]int{"few": 6, "as many as assumed": 8, "many": 90, "the most": 370} {
+	for name, instances := range map[string]int{"few": 6, "as many as assumed": 8, "many": 90, "maximum": 370} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			st := &config.Gateway{RetryFloor: 100, RetryWindow: config.Duration(10 * time.Second)}
@@ -23,10 +23,9 @@
 	}
 }
 
-// TestRetryFloorBearsFailuresThatComeTogether.
-//
-// Targets reset every connection before 72 instances. The part of each was saved up to 1.4 retries, and requests that needed a second
-// one failed for want of it, while the fleet had used less than half of what it may.
+// TestRetryFloorShareAllowsBurstOfRetries guards against shares too small for a burst of failures. When targets reset every connection
+// of 72 instances, each instance could save up only 1.4 retries. Requests that needed a second retry failed, although the fleet had used
+// less than half of its retry floor.
 func TestRetryFloorShareAllowsBurstOfRetries(t *testing.T) {
 	g := NewWithT(t)
 	burst, _ := retryFloorShare(&config.Gateway{RetryFloor: 220, RetryWindow: config.Duration(10 * time.Second)}, 72)
@@ -35,20 +34,20 @@
 
 func TestIdleLimit(t *testing.T) {
 	tests := map[string]struct {
-		bounds    []int
-		instances int
-		want      int
+		maxConnections []int
+		instances      int
+		want           int
 	}{
-		"few instances keep what is of use":   {[]int{264, 96}, 6, 8},
-		"many share the smallest bound":       {[]int{264, 96}, 24, 2},
-		"a service without a bound sets none": {[]int{0}, 90, 8},
+		"few instances keep the useful maximum":     {[]int{264, 96}, 6, 8},
+		"many instances share the smallest maximum": {[]int{264, 96}, 24, 2},
+		"service without a maximum":                 {[]int{0}, 90, 8},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			svs := map[string]routes.Service{}
-			for i, bound := range tc.bounds {
-				svs[string(rune('a'+i))] = routes.Service{MaxConnections: bound}
+			for i, mc := range tc.maxConnections {
+				svs[string(rune('a'+i))] = routes.Service{MaxConnections: mc}
 			}
 			g.Expect(idleLimit(svs, tc.instances)).To(Equal(tc.want))
 		})
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -127,7 +127,7 @@
 	srv := &http.Server{Handler: ap.handler(), ReadHeaderTimeout: headerTimeout}
 	go func() {
 		if err := srv.Serve(ls.Operators); !errors.Is(err, http.ErrServerClosed) {
-			env.Logger("operators").WithError(err).Error("listener ended")
+			env.Logger("operators").WithError(err).Error("listener failed")
 		}
 	}()
 	return func(ctx context.Context) error { return stop(ctx, srv) }, nil
--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -99,7 +99,7 @@
 	kernel.Provide(env, ms)
 	server := kernel.Go(func(ctx context.Context) {
 		if err := ms.Serve(ctx, ls.Peers); err != nil && ctx.Err() == nil {
-			env.Logger("peers").WithError(err).Error("listener ended")
+			env.Logger("peers").WithError(err).Error("listener failed")
 		}
 	})
 	links := kernel.Go(ms.Run)
