--- a/internal/duty/forwarding/coordinator.go
+++ b/internal/duty/forwarding/coordinator.go
@@ -89,14 +89,14 @@
 func (sc *StoreCoordinator) SetRole(role func() Role) { sc.role.Store(&role) }
 
 // SetOnStoreResult sets the function that ReportStoreResult calls.
-func (sc *StoreCoordinator) SetOnStoreResult(onResult func(answered bool)) {
-	sc.onStoreResult.Store(&onResult)
+func (sc *StoreCoordinator) SetOnStoreResult(onStoreResult func(answered bool)) {
+	sc.onStoreResult.Store(&onStoreResult)
 }
 
 // ReportStoreResult reports whether the store answers this instance. Before SetOnStoreResult it does nothing.
 func (sc *StoreCoordinator) ReportStoreResult(answered bool) {
-	if onResult := sc.onStoreResult.Load(); onResult != nil {
-		(*onResult)(answered)
+	if onStoreResult := sc.onStoreResult.Load(); onStoreResult != nil {
+		(*onStoreResult)(answered)
 	}
 }
 
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -120,6 +120,7 @@
 // maxDialSilence is the time without heartbeats after which a peer that is not listed in the store is no longer dialled.
 const maxDialSilence = time.Minute
 
+// maintain keeps the stream open until ctx ends, and dials again redialDelay after it fails.
 func (lk *link) maintain(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := lk.runStream(ctx)
@@ -227,14 +228,14 @@
 	return errors.Wrap(stream.Send(f), "send")
 }
 
-// heartbeatDue reports whether to send a heartbeat at tick n. Peers in other zones get fewer, and so does every peer in a zone
+// heartbeatDue reports whether to send a heartbeat at tick n. Peers in other availability zones get fewer, and so does every peer in a zone
 // with many peers, so that the cost of heartbeats stops growing with the size of an availability zone.
 func (lk *link) heartbeatDue(n uint64) bool {
-	every := uint64(lk.ms.heartbeatStretch.Load())
+	interval := uint64(lk.ms.heartbeatStretch.Load())
 	if p := lk.peer.Load(); p != nil && p.AvailabilityZone != lk.ms.fl.Self().AvailabilityZone {
-		every *= uint64(lk.ms.opts.RemoteHeartbeatDivisor)
+		interval *= uint64(lk.ms.opts.RemoteHeartbeatDivisor)
 	}
-	return n%max(1, every) == 0
+	return n%max(1, interval) == 0
 }
 
 func (lk *link) peerName() string {
@@ -247,9 +248,9 @@
 // handleBeat applies an answer to a heartbeat. The first one of a stream carries the identity of the peer.
 func (lk *link) handleBeat(b *peerpb.Beat) {
 	if h := b.GetSender(); h != nil {
-		in := instanceFromHello(h)
-		in.PeerAddress = lk.address
-		lk.peer.Store(&in)
+		sender := instanceFromHello(h)
+		sender.PeerAddress = lk.address
+		lk.peer.Store(&sender)
 	}
 	if p := lk.peer.Load(); p != nil {
 		lk.up.Store(true)
