--- a/internal/blame/wire.go
+++ b/internal/blame/wire.go
@@ -37,7 +37,7 @@
 	b = binary.AppendUvarint(b, uint64(len(evidence)))
 	for _, rn := range evidence {
 		b = append(b, rn.Request[:]...)
-		b = peerbytes.AppendName(b, rn.Incarnation)
+		b = peerbytes.AppendString(b, rn.Incarnation)
 		b = appendDuration(b, rn.Elapsed)
 		b = appendDuration(b, takenAt.Sub(rn.At))
 	}
@@ -77,7 +77,9 @@
 	return max(time.Millisecond, ts.Until.Sub(takenAt))
 }
 
-func appendDuration(b []byte, d time.Duration) []byte { return peerbytes.AppendSpan(b, d, maxDuration) }
+func appendDuration(b []byte, d time.Duration) []byte {
+	return peerbytes.AppendDuration(b, d, maxDuration)
+}
 
 // Decode reads the snapshot of a peer. takenAt is when it was taken, on the local clock. It fails with a VersionError or a
 // peerbytes.MalformedError.
@@ -112,7 +114,7 @@
 	for range rd.count() {
 		sn.ActiveRuns = append(sn.ActiveRuns, ActiveRunSummary{Request: rd.fingerprint(), Since: takenAt.Add(-rd.duration())})
 	}
-	if err := rd.End(); err != nil {
+	if err := rd.Finish(); err != nil {
 		return Snapshot{}, errors.Wrap(err, "decode snapshot")
 	}
 	return sn, nil
@@ -121,17 +123,17 @@
 // reader reads the parts of a snapshot. After a failure it returns zero values.
 type reader struct{ *peerbytes.Reader }
 
-func (rd *reader) count() int { return int(rd.Number(maxListLength)) }
+func (rd *reader) count() int { return int(rd.ReadUvarint(maxListLength)) }
 
 // boundedInt reads a number of crashes or a quarantine level.
-func (rd *reader) boundedInt() int { return int(rd.Number(1 << 16)) }
+func (rd *reader) boundedInt() int { return int(rd.ReadUvarint(1 << 16)) }
 
-func (rd *reader) duration() time.Duration { return rd.Span(maxDuration) }
+func (rd *reader) duration() time.Duration { return rd.ReadDuration(maxDuration) }
 
 func (rd *reader) fingerprint() fingerprint.Fingerprint {
 	var fp fingerprint.Fingerprint
-	copy(fp[:], rd.Bytes(len(fp)))
+	copy(fp[:], rd.ReadBytes(len(fp)))
 	return fp
 }
 
-func (rd *reader) incarnation() string { return rd.Name(maxIncarnationLength) }
+func (rd *reader) incarnation() string { return rd.ReadString(maxIncarnationLength) }
--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -1,4 +1,4 @@
-// Package bundles is the duty that keeps the newest accepted bundle in force.
+// Package bundles is the duty that fetches the newest accepted configuration bundle and puts it in force.
 package bundles
 
 import (
@@ -20,9 +20,11 @@
 	kernel.Register(kernel.Duty{Name: "bundles", Phase: kernel.PhaseWork, Start: start})
 }
 
-const retryPause = 200 * time.Millisecond
+// retryDelay is the pause after a failed fetch.
+const retryDelay = 200 * time.Millisecond
 
-type follower struct {
+// syncer keeps the bundle in force up to date with the store's pointer to the newest one.
+type syncer struct {
 	store  *bundlestore.Store
 	mesh   *peer.Mesh
 	holder *rollout.Holder
@@ -30,22 +32,22 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	fo := &follower{log: env.Logger("bundles")}
+	sy := &syncer{log: env.Logger("bundles")}
 	client, err := kernel.Need[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
-	fo.store = bundlestore.New(client)
-	if fo.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
+	sy.store = bundlestore.New(client)
+	if sy.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if fo.holder, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if sy.holder, err = kernel.Need[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
-		knowledge.Follow(ctx, client, objectstore.KindPointers, 0, fo.log, fo.hear)
+		knowledge.ListAndWatch(ctx, client, objectstore.KindPointers, 0, sy.log, sy.applyPointers)
 	})
-	fetch := kernel.Go(fo.run)
+	fetch := kernel.Go(sy.run)
 	return func(ctx context.Context) error {
 		if err := watch(ctx); err != nil {
 			return err
@@ -54,22 +56,22 @@
 	}, nil
 }
 
-func (fo *follower) hear(items []objectstore.Object) {
-	for _, o := range items {
+func (sy *syncer) applyPointers(objects []objectstore.Object) {
+	for _, o := range objects {
 		var p rollout.Pointer
 		if o.Name == rollout.PointerName && json.Unmarshal(o.Value, &p) == nil {
-			fo.holder.Hear(p.Version)
+			sy.holder.Hear(p.Version)
 		}
 	}
 }
 
-// run fetches whatever newer bundle was heard of, from the store or else from a peer.
-func (fo *follower) run(ctx context.Context) {
+// run fetches every newer bundle whose version becomes known, from the store or, if that fails, from a peer.
+func (sy *syncer) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		changed := fo.holder.Changed()
+		changed := sy.holder.Changed()
 		wait := time.Hour
-		if v := fo.holder.Behind(); v > 0 && !fo.fetch(ctx, v) {
-			wait = retryPause
+		if v := sy.holder.Behind(); v > 0 && !sy.fetch(ctx, v) {
+			wait = retryDelay
 		}
 		select {
 		case <-changed:
@@ -79,17 +81,17 @@
 	}
 }
 
-func (fo *follower) fetch(ctx context.Context, version int64) bool {
-	b, err := fo.store.Get(ctx, version)
+func (sy *syncer) fetch(ctx context.Context, version int64) bool {
+	b, err := sy.store.Get(ctx, version)
 	if err != nil {
-		b, err = fo.mesh.FetchBundle(ctx, version)
+		b, err = sy.mesh.FetchBundle(ctx, version)
 	}
 	if err != nil {
-		fo.log.WithField("version", version).WithError(err).Warn("bundle not fetched")
+		sy.log.WithField("version", version).WithError(err).Warn("could not fetch bundle from store or peers")
 		return false
 	}
-	if fo.holder.Apply(b) {
-		fo.log.WithField("version", b.Version).Info("bundle in force")
+	if sy.holder.Apply(b) {
+		sy.log.WithField("version", b.Version).Info("bundle in force")
 	}
-	return fo.holder.Behind() == 0
+	return sy.holder.Behind() == 0
 }
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -1,4 +1,4 @@
-// Package callers is the duty that serves callers.
+// Package callers is the duty that serves the callers' requests.
 package callers
 
 import (
@@ -38,13 +38,13 @@
 }
 
 const (
-	ticketKeep  = 10 * time.Minute
-	ticketLimit = 100_000
-	maxHeader   = 32 << 10
-	idleLimit   = 60 * time.Second
-	// lastAnswers is the time for the answers to requests that are given up at the end of a stop, and for their records in
-	// the store: several calls to it, at most half of the drain.
-	lastAnswers = time.Second
+	ticketRetention = 10 * time.Minute
+	maxTickets      = 100_000
+	maxHeaderBytes  = 32 << 10
+	idleTimeout     = 60 * time.Second
+	// finalAnswersTime is reserved at the end of a stop for the answers to requests that it aborts and for their records in the
+	// store, which take several calls to it. It is at most half of the drain time.
+	finalAnswersTime = time.Second
 )
 
 func defaults(s *config.Settings) {
@@ -89,7 +89,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	d, err := gather(env)
+	d, err := newDeps(env)
 	if err != nil {
 		return nil, err
 	}
@@ -106,31 +106,32 @@
 	d.Metrics.NewGauge("silvermount_requests_waiting", func() float64 { return float64(d.Router.Waiting()) })
 	d.Metrics.NewGauge("silvermount_body_bytes", func() float64 { return float64(d.Bodies.Used()) })
 	srv := &http.Server{
-		Handler: sv.Handler(), ReadHeaderTimeout: s.Callers.HeaderTimeout.Std(), MaxHeaderBytes: maxHeader, IdleTimeout: idleLimit,
+		Handler: sv.Handler(), ReadHeaderTimeout: s.Callers.HeaderTimeout.Std(), MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 	}
 	go func() {
 		if err := srv.Serve(ls.Callers); !errors.Is(err, http.ErrServerClosed) {
-			env.Logger("callers").WithError(err).Error("listener ended")
+			env.Logger("callers").WithError(err).Error("listener failed")
 		}
 	}()
 	return func(ctx context.Context) error { return stop(ctx, env, sv, srv) }, nil
 }
 
-// stop goes on accepting for the balancer's lag, then waits for attached requests and for the records of their results.
+// stop keeps accepting requests for the balancer's lag, then waits for requests with a connected caller and for the records of their
+// results.
 func stop(ctx context.Context, env *kernel.Env, sv *serve.Server, srv *http.Server) error {
 	env.Logger("callers").Info("draining")
 	st := env.Settings.Stop
 	lag := st.BalancerLag.Std()
-	most := lag + st.Drain.Std()
-	ctx, cancel := context.WithTimeout(ctx, most)
+	total := lag + st.Drain.Std()
+	ctx, cancel := context.WithTimeout(ctx, total)
 	defer cancel()
-	answers := most - min(lastAnswers, st.Drain.Std()/2)
-	err := drain.Plan{Lag: lag, Answers: answers, End: sv.GiveUp, Most: most}.Run(ctx, srv)
+	answers := total - min(finalAnswersTime, st.Drain.Std()/2)
+	err := drain.Plan{Lag: lag, Answers: answers, End: sv.GiveUp, Most: total}.Run(ctx, srv)
 	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
 }
 
-// gather collects what the callers' side works with.
-func gather(env *kernel.Env) (serve.Deps, error) {
+// newDeps collects the dependencies of the callers' server.
+func newDeps(env *kernel.Env) (serve.Deps, error) {
 	d := serve.Deps{Incarnation: env.Incarnation, Log: env.Logger("serve"), Stopping: env.Stopping.Load}
 	var err error
 	if d.Fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
@@ -162,7 +163,7 @@
 			_, ok := d.Fleet.PeerByIncarnation(incarnation)
 			return ok || incarnation == env.Incarnation
 		})
-	d.Tickets = ticket.New(env.Incarnation, ticketKeep, ticketLimit, time.Now)
+	d.Tickets = ticket.New(env.Incarnation, ticketRetention, maxTickets, time.Now)
 	d.Retries = budget.NewRetries(env.Settings.Routing.RetryShare, time.Now)
 	d.Bodies = budget.NewMemory(env.Settings.Callers.BodyBudgetBytes)
 	d.Service = callService
@@ -170,7 +171,7 @@
 	return d, err
 }
 
-// serviceClient opens a connection for each call: the transport then has no broken idle one to try again on.
+// serviceClient opens a connection for each call, because the transport silently retries a call whose idle connection is broken.
 var serviceClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func callService(_ fleet.Target, r *http.Request) (*http.Response, error) { return serviceClient.Do(r) }
@@ -185,26 +186,26 @@
 	if err != nil {
 		return nil, err
 	}
-	lender := room.New(d.Fleet, d.Engine, func(attempt string, cl *engine.Client) {
+	reserver := room.New(d.Fleet, d.Engine, func(attempt string, cl *engine.Client) {
 		d.Canceller.Cancel(cancel.Order{Attempt: attempt, Client: cl})
 	})
 	rt := router.New(d.Fleet, router.Options{
 		Policy:     p,
 		Limits:     policy.Limits{LongPerTarget: r.LongPerTarget, LongShare: r.LongShare},
-		MaxWaiting: r.MaxWaiting, Probe: prober(d), Grant: ms.Grant, Borrow: lender.Reserve,
-		AskShort: ms.AskShort, Expected: func() float64 {
+		MaxWaiting: r.MaxWaiting, Probe: newProbe(d), Grant: ms.RequestGrant, Borrow: reserver.Reserve,
+		AskShort: ms.RequestShortOffers, Expected: func() float64 {
 			if cur := d.Bundles.Current(); cur != nil {
 				return cur.Expected(time.Now())
 			}
 			return 0
 		},
 	})
-	ms.SetChooseShort(rt.Offer)
+	ms.SetShortPromptChooser(rt.Offer)
 	return rt, nil
 }
 
-// prober asks a target that nobody has confirmed whether it is there. A service is confirmed by its next call.
-func prober(d serve.Deps) func(context.Context, fleet.Target) error {
+// newProbe returns a function that probes a target whose presence is not confirmed. A service needs no probe: its next call confirms it.
+func newProbe(d serve.Deps) func(context.Context, fleet.Target) error {
 	return func(ctx context.Context, t fleet.Target) error {
 		if t.Kind != fleet.KindEngine {
 			return nil
--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -30,9 +30,9 @@
 	dr  *targets.Directory
 	lg  log.Interface
 	// changed is notified of changes that peers may not know yet.
-	changed *forwarding.Changed
+	changed *forwarding.Notifier
 	// followers knows whether peers watch the store on behalf of this instance.
-	followers *forwarding.Followers
+	followers *forwarding.StoreCoordinator
 	// hasSeeds is set if there may be peers, firstStart if the whole fleet is starting for the first time.
 	hasSeeds, firstStart bool
 	// detector is notified of each successful and each failed call.
@@ -51,7 +51,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Parts](env)
+	pt, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -63,11 +63,11 @@
 		return ageMillis(provenAt)
 	})
 	sy := &syncer{
-		ad: pt.Adapter, rts: pt.Routes, dr: pt.Targets, lg: env.Logger("facts"), changed: pt.Changed, followers: pt.Followers,
+		ad: pt.Adapter, rts: pt.Routes, dr: pt.Targets, lg: env.Logger("facts"), changed: pt.StateNotifier, followers: pt.StoreCoordinator,
 		hasSeeds: len(gw.Seeds) > 0, firstStart: gw.FirstStart,
 		leavingBound: gw.LeavingBound.Std(), configurationBound: configurationBound(gw),
 	}
-	sy.detector = newFailureDetector(sy.silenceTimeout(), pt.Followers.Reach)
+	sy.detector = newFailureDetector(sy.silenceTimeout(), pt.StoreCoordinator.ReportStoreResult)
 	st := pt.Adapter.Store(gw.Store, sy.silenceTimeout(), calls.Inc)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -114,8 +114,8 @@
 	if pp.suspended(lastUpdate) {
 		return true
 	}
-	if part := pp.part(); part >= forwarding.PartStandIn {
-		fs := log.Fields{"kind": kind, "stand_in": part == forwarding.PartStandIn}
+	if part := pp.part(); part >= forwarding.RoleStandby {
+		fs := log.Fields{"kind": kind, "stand_in": part == forwarding.RoleStandby}
 		if !lastUpdate.IsZero() {
 			fs["age"] = time.Since(lastUpdate).Round(time.Millisecond).String()
 		}
@@ -125,7 +125,7 @@
 }
 
 func (sy *syncer) configurationWatcher(st follow.Store, lg log.Interface) *follow.ListWatcher {
-	pp := newPollPolicy(sy.configurationBound, sy.followers.Part, sy.hasSeeds, sy.firstStart)
+	pp := newPollPolicy(sy.configurationBound, sy.followers.Role, sy.hasSeeds, sy.firstStart)
 	return &follow.ListWatcher{
 		Store: st, Kind: sy.ad.ConfigurationKind, Log: lg, Pause: pp.pause, WatchTimeout: pp.watchTimeout,
 		Replace: func(items []objectstore.Object, asOf time.Time) {
@@ -141,21 +141,21 @@
 		Confirm: func(asOf time.Time, _ position.Position) {
 			sy.detector.recordSuccess()
 			sy.rts.Confirm(sy.version, sy.proofTime(asOf))
-			sy.changed.Tell()
+			sy.changed.Notify()
 		},
 		Suspended: func() bool {
 			version, provenAt := sy.inForce()
-			return sy.followers.Lacking(version) < peerFetchTimeout && sy.suspended(pp, sy.ad.ConfigurationKind, sy.proofAgeStart(provenAt))
+			return sy.followers.BehindFor(version) < peerFetchTimeout && sy.suspended(pp, sy.ad.ConfigurationKind, sy.proofAgeStart(provenAt))
 		},
 		Backoff: func() (minDelay, maxDelay time.Duration) {
 			_, provenAt := sy.rts.Current()
 			return pp.backoffBounds(provenAt)
 		},
-		NewestReported: sy.followers.Newest,
+		NewestReported: sy.followers.NewestPeerVersion,
 		OnFailure: func(error) {
 			sy.detector.recordFailure()
 			// A listener seldom requests targets, and a store that no instance reaches is unavailable for both kinds.
-			if !sy.followers.Follows() && sy.peersLackProof(pp.maxPeerAge) {
+			if !sy.followers.FollowsStore() && sy.peersLackProof(pp.maxPeerAge) {
 				sy.dr.RecordStoreFailure()
 			}
 		},
@@ -167,7 +167,7 @@
 // theirs.
 func (sy *syncer) peersLackProof(maxAge time.Duration) bool {
 	tb, provenAt := sy.rts.Current()
-	return tb != nil && sy.followers.Newest() <= tb.Version() && time.Since(provenAt) >= maxAge
+	return tb != nil && sy.followers.NewestPeerVersion() <= tb.Version() && time.Since(provenAt) >= maxAge
 }
 
 // inForce returns the version of the configuration in force, zero for none, and when it was last proven to be the newest.
@@ -200,7 +200,7 @@
 }
 
 func (sy *syncer) targetWatcher(st follow.Store, lg log.Interface) *follow.ListWatcher {
-	pp := newPollPolicy(sy.leavingBound, sy.followers.Part, sy.hasSeeds, sy.firstStart)
+	pp := newPollPolicy(sy.leavingBound, sy.followers.Role, sy.hasSeeds, sy.firstStart)
 	return &follow.ListWatcher{
 		Store: st, Kind: sy.ad.TargetKind, Log: lg, Pause: pp.pause, WatchTimeout: pp.watchTimeout,
 		Replace: func(items []objectstore.Object, asOf time.Time) {
@@ -216,7 +216,7 @@
 		Confirm: func(asOf time.Time, at position.Position) {
 			sy.detector.recordSuccess()
 			sy.reportChanges(sy.applyTargets(at, asOf), asOf)
-			sy.changed.Tell()
+			sy.changed.Notify()
 		},
 		OnFailure: func(error) {
 			sy.detector.recordFailure()
@@ -236,6 +236,6 @@
 		}).Info("target " + ch.Kind)
 	}
 	if len(changes) > 0 {
-		sy.changed.Tell()
+		sy.changed.Notify()
 	}
 }
--- a/internal/duty/facts/pollpolicy.go
+++ b/internal/duty/facts/pollpolicy.go
@@ -77,7 +77,7 @@
 // pollPolicy determines when and how often this instance calls the store for one kind of object.
 type pollPolicy struct {
 	timings
-	part func() forwarding.Part
+	part func() forwarding.Role
 	// jitterFraction is the random fraction of each jitter that this instance uses. It is chosen once, in [0, 1).
 	jitterFraction float64
 	// startedAt is when this instance started to watch the store.
@@ -88,7 +88,7 @@
 	listed bool
 }
 
-func newPollPolicy(bound time.Duration, part func() forwarding.Part, hasSeeds, firstStart bool) *pollPolicy {
+func newPollPolicy(bound time.Duration, part func() forwarding.Role, hasSeeds, firstStart bool) *pollPolicy {
 	return &pollPolicy{timings: newTimings(bound), part: part, jitterFraction: rand.Float64(), startedAt: time.Now(), hasSeeds: hasSeeds, firstStart: firstStart}
 }
 
@@ -110,9 +110,9 @@
 		}
 	}
 	switch part {
-	case forwarding.PartStandIn:
+	case forwarding.RoleStandby:
 		return age < maxAge+pp.jitter(pp.standInJitter)
-	case forwarding.PartListener:
+	case forwarding.RoleListener:
 		return age < maxAge+pp.listenerDelay+pp.jitter(pp.listenerJitter)
 	default:
 		return false
@@ -129,11 +129,11 @@
 	first := !pp.listed
 	pp.listed = true
 	switch pp.part() {
-	case forwarding.PartFollower:
+	case forwarding.RoleFollower:
 		if changed {
 			return rand.N(maxFollowerPause)
 		}
-	case forwarding.PartStandIn, forwarding.PartListener:
+	case forwarding.RoleStandby, forwarding.RoleListener:
 		if changed {
 			return maxListenerPause/2 + rand.N(maxListenerPause/2)
 		}
@@ -148,9 +148,9 @@
 // watchTimeout returns how long a watch may wait for changes.
 func (pp *pollPolicy) watchTimeout() time.Duration {
 	switch pp.part() {
-	case forwarding.PartFollower:
+	case forwarding.RoleFollower:
 		return pp.followerWatchTimeout
-	case forwarding.PartStandIn, forwarding.PartListener:
+	case forwarding.RoleStandby, forwarding.RoleListener:
 		return listenerWatchTimeout
 	default:
 		return pp.aloneWatchTimeout
@@ -161,9 +161,9 @@
 // peers.
 func (pp *pollPolicy) backoffBounds(lastUpdate time.Time) (minDelay, maxDelay time.Duration) {
 	switch part := pp.part(); {
-	case part >= forwarding.PartStandIn:
+	case part >= forwarding.RoleStandby:
 		return minListenerBackoff, maxListenerBackoff
-	case part == forwarding.PartFollower && time.Since(lastUpdate) < pp.maxPeerAge:
+	case part == forwarding.RoleFollower && time.Since(lastUpdate) < pp.maxPeerAge:
 		return minFollowerBackoff, maxFollowerBackoff
 	default:
 		return minAloneBackoff, maxAloneBackoff
--- a/internal/duty/facts/pollpolicy_test.go
+++ b/internal/duty/facts/pollpolicy_test.go
@@ -18,25 +18,25 @@
 // testTimings are the timings of the policies under test.
 var testTimings = newTimings(changeBound)
 
-func policyFor(part forwarding.Part, seeds bool) *pollPolicy {
-	return newPollPolicy(changeBound, func() forwarding.Part { return part }, seeds, false)
+func policyFor(part forwarding.Role, seeds bool) *pollPolicy {
+	return newPollPolicy(changeBound, func() forwarding.Role { return part }, seeds, false)
 }
 
 func TestPause(t *testing.T) {
 	tests := map[string]struct {
-		part        forwarding.Part
+		part        forwarding.Role
 		seeds       bool
 		changed     bool
 		first, next timeRange
 	}{
-		"alone without seeds": {forwarding.PartAlone, false, true, timeRange{}, timeRange{}},
+		"alone without seeds": {forwarding.RoleStandalone, false, true, timeRange{}, timeRange{}},
 		"no peers discovered yet": {
-			forwarding.PartUnmet, true, true, timeRange{maxDiscoveryPause / 2, maxDiscoveryPause}, timeRange{},
+			forwarding.RoleJoining, true, true, timeRange{maxDiscoveryPause / 2, maxDiscoveryPause}, timeRange{},
 		},
-		"follower after changes":   {forwarding.PartFollower, true, true, timeRange{0, maxFollowerPause}, timeRange{0, maxFollowerPause}},
-		"follower without changes": {forwarding.PartFollower, true, false, timeRange{}, timeRange{}},
-		"listener after changes":   {forwarding.PartListener, true, true, timeRange{maxListenerPause / 2, maxListenerPause}, timeRange{maxListenerPause / 2, maxListenerPause}},
-		"listener without changes": {forwarding.PartListener, true, false, timeRange{}, timeRange{}},
+		"follower after changes":   {forwarding.RoleFollower, true, true, timeRange{0, maxFollowerPause}, timeRange{0, maxFollowerPause}},
+		"follower without changes": {forwarding.RoleFollower, true, false, timeRange{}, timeRange{}},
+		"listener after changes":   {forwarding.RoleListener, true, true, timeRange{maxListenerPause / 2, maxListenerPause}, timeRange{maxListenerPause / 2, maxListenerPause}},
+		"listener without changes": {forwarding.RoleListener, true, false, timeRange{}, timeRange{}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,17 +52,17 @@
 
 func TestSuspended(t *testing.T) {
 	tests := map[string]struct {
-		part forwarding.Part
+		part forwarding.Role
 		age  time.Duration
 		want bool
 	}{
-		"listener, fresh state":           {forwarding.PartListener, testTimings.maxPeerAge - 1, true},
-		"listener, stale state":           {forwarding.PartListener, testTimings.maxPeerAge + testTimings.listenerDelay + testTimings.listenerJitter, false},
-		"stand-in, fresh state":           {forwarding.PartStandIn, testTimings.maxPeerAge - 1, true},
-		"stand-in, stale state":           {forwarding.PartStandIn, testTimings.maxPeerAge + testTimings.standInJitter, false},
-		"follower":                        {forwarding.PartFollower, 0, false},
-		"alone":                           {forwarding.PartAlone, 0, false},
-		"listener, last update a day ago": {forwarding.PartListener, 24 * time.Hour, false},
+		"listener, fresh state":           {forwarding.RoleListener, testTimings.maxPeerAge - 1, true},
+		"listener, stale state":           {forwarding.RoleListener, testTimings.maxPeerAge + testTimings.listenerDelay + testTimings.listenerJitter, false},
+		"stand-in, fresh state":           {forwarding.RoleStandby, testTimings.maxPeerAge - 1, true},
+		"stand-in, stale state":           {forwarding.RoleStandby, testTimings.maxPeerAge + testTimings.standInJitter, false},
+		"follower":                        {forwarding.RoleFollower, 0, false},
+		"alone":                           {forwarding.RoleStandalone, 0, false},
+		"listener, last update a day ago": {forwarding.RoleListener, 24 * time.Hour, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -77,29 +77,29 @@
 // TestSuspendedBeforeFirstUpdate covers instances that have received no state from the store or peers yet.
 func TestSuspendedBeforeFirstUpdate(t *testing.T) {
 	tests := map[string]struct {
-		part         forwarding.Part
+		part         forwarding.Role
 		seeds, first bool
 		after        time.Duration
 		want         bool
 	}{
-		"restart, no peers discovered":    {forwarding.PartUnmet, true, false, 0, false},
-		"restart, listener":               {forwarding.PartListener, true, false, 0, false},
-		"discovery in progress":           {forwarding.PartUnmet, true, true, firstStartDelay - 1, true},
-		"no peers discovered":             {forwarding.PartUnmet, true, true, firstStartDelay + firstStartJitter, false},
-		"no seeds":                        {forwarding.PartUnmet, false, true, 0, false},
-		"alone":                           {forwarding.PartAlone, true, true, firstStartDelay + firstStartJitter, false},
-		"follower":                        {forwarding.PartFollower, true, true, firstStartDelay + firstStartJitter, false},
-		"follower, discovery in progress": {forwarding.PartFollower, true, true, firstStartDelay - 1, true},
-		"listener, before timeout":        {forwarding.PartListener, true, true, firstListTimeout, true},
-		"listener, after timeout":         {forwarding.PartListener, true, true, firstListTimeout + testTimings.listenerDelay + testTimings.listenerJitter, false},
-		"stand-in, before timeout":        {forwarding.PartStandIn, true, true, firstListTimeout - 1, true},
-		"stand-in, after timeout":         {forwarding.PartStandIn, true, true, firstListTimeout + testTimings.standInJitter, false},
+		"restart, no peers discovered":    {forwarding.RoleJoining, true, false, 0, false},
+		"restart, listener":               {forwarding.RoleListener, true, false, 0, false},
+		"discovery in progress":           {forwarding.RoleJoining, true, true, firstStartDelay - 1, true},
+		"no peers discovered":             {forwarding.RoleJoining, true, true, firstStartDelay + firstStartJitter, false},
+		"no seeds":                        {forwarding.RoleJoining, false, true, 0, false},
+		"alone":                           {forwarding.RoleStandalone, true, true, firstStartDelay + firstStartJitter, false},
+		"follower":                        {forwarding.RoleFollower, true, true, firstStartDelay + firstStartJitter, false},
+		"follower, discovery in progress": {forwarding.RoleFollower, true, true, firstStartDelay - 1, true},
+		"listener, before timeout":        {forwarding.RoleListener, true, true, firstListTimeout, true},
+		"listener, after timeout":         {forwarding.RoleListener, true, true, firstListTimeout + testTimings.listenerDelay + testTimings.listenerJitter, false},
+		"stand-in, before timeout":        {forwarding.RoleStandby, true, true, firstListTimeout - 1, true},
+		"stand-in, after timeout":         {forwarding.RoleStandby, true, true, firstListTimeout + testTimings.standInJitter, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				pp := newPollPolicy(changeBound, func() forwarding.Part { return tc.part }, tc.seeds, tc.first)
+				pp := newPollPolicy(changeBound, func() forwarding.Role { return tc.part }, tc.seeds, tc.first)
 				pp.suspended(time.Time{})
 				time.Sleep(tc.after)
 				g.Expect(pp.suspended(time.Time{})).To(Equal(tc.want))
@@ -110,15 +110,15 @@
 
 func TestBackoffBounds(t *testing.T) {
 	tests := map[string]struct {
-		part forwarding.Part
+		part forwarding.Role
 		age  time.Duration
 		want timeRange
 	}{
-		"alone":                 {forwarding.PartAlone, 0, timeRange{minAloneBackoff, maxAloneBackoff}},
-		"listener":              {forwarding.PartListener, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
-		"stand-in":              {forwarding.PartStandIn, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
-		"follower, fresh proof": {forwarding.PartFollower, testTimings.maxPeerAge - 1, timeRange{minFollowerBackoff, maxFollowerBackoff}},
-		"follower, stale proof": {forwarding.PartFollower, testTimings.maxPeerAge, timeRange{minAloneBackoff, maxAloneBackoff}},
+		"alone":                 {forwarding.RoleStandalone, 0, timeRange{minAloneBackoff, maxAloneBackoff}},
+		"listener":              {forwarding.RoleListener, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
+		"stand-in":              {forwarding.RoleStandby, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
+		"follower, fresh proof": {forwarding.RoleFollower, testTimings.maxPeerAge - 1, timeRange{minFollowerBackoff, maxFollowerBackoff}},
+		"follower, stale proof": {forwarding.RoleFollower, testTimings.maxPeerAge, timeRange{minAloneBackoff, maxAloneBackoff}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -133,9 +133,9 @@
 
 func TestWatchTimeout(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(policyFor(forwarding.PartAlone, true).watchTimeout()).To(Equal(testTimings.aloneWatchTimeout))
-	g.Expect(policyFor(forwarding.PartFollower, true).watchTimeout()).To(Equal(testTimings.followerWatchTimeout))
-	g.Expect(policyFor(forwarding.PartListener, true).watchTimeout()).To(Equal(listenerWatchTimeout))
+	g.Expect(policyFor(forwarding.RoleStandalone, true).watchTimeout()).To(Equal(testTimings.aloneWatchTimeout))
+	g.Expect(policyFor(forwarding.RoleFollower, true).watchTimeout()).To(Equal(testTimings.followerWatchTimeout))
+	g.Expect(policyFor(forwarding.RoleListener, true).watchTimeout()).To(Equal(listenerWatchTimeout))
 }
 
 // TestTimingsFitBound checks for various bounds that listeners do not call the store while it responds to followers, and that if it
--- a/internal/duty/facts/simfleet_test.go
+++ b/internal/duty/facts/simfleet_test.go
@@ -206,11 +206,11 @@
 
 func (fl *fleet) newInstance(i int) *simInstance {
 	si := &simInstance{name: fmt.Sprintf("instance-%d", i), store: fl.store}
-	fo := &forwarding.Followers{}
+	fo := &forwarding.StoreCoordinator{}
 	start := time.Now()
-	fo.Set(func() forwarding.Part {
+	fo.SetRole(func() forwarding.Role {
 		if time.Since(start) < gossipInterval {
-			return forwarding.PartUnmet
+			return forwarding.RoleJoining
 		}
 		return fl.assignPart(i)
 	})
@@ -223,7 +223,7 @@
 			},
 			Target: func(ob objectstore.Object) (targets.Target, error) { return targets.Target{ID: ob.Name}, nil },
 		},
-		rts: &routes.Holder{}, dr: targets.New(time.Now), changed: &forwarding.Changed{}, followers: fo, hasSeeds: true, firstStart: true,
+		rts: &routes.Holder{}, dr: targets.New(time.Now), changed: &forwarding.Notifier{}, followers: fo, hasSeeds: true, firstStart: true,
 		leavingBound: changeBound, configurationBound: changeBound,
 		lg: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 	}
@@ -233,11 +233,11 @@
 
 // assignPart returns the part of an instance. Followers are the first live instances that the store responds to, and those that
 // would be followers if it responded to all. An isolated instance is alone.
-func (fl *fleet) assignPart(i int) forwarding.Part {
+func (fl *fleet) assignPart(i int) forwarding.Role {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.instances[i].isolated.Load() {
-		return forwarding.PartAlone
+		return forwarding.RoleStandalone
 	}
 	rank, rankIfAnswered := 0, 0
 	for j, si := range fl.instances {
@@ -253,11 +253,11 @@
 	}
 	switch {
 	case rank < followerCount, rankIfAnswered < followerCount:
-		return forwarding.PartFollower
+		return forwarding.RoleFollower
 	case rank < followerCount+standInCount:
-		return forwarding.PartStandIn
+		return forwarding.RoleStandby
 	default:
-		return forwarding.PartListener
+		return forwarding.RoleListener
 	}
 }
 
@@ -282,10 +282,10 @@
 	if tb == nil || to.sy.rts.Confirm(tb.Version(), provenAt) {
 		return
 	}
-	if own, _ := to.sy.inForce(); to.sy.followers.Newest() <= own {
+	if own, _ := to.sy.inForce(); to.sy.followers.NewestPeerVersion() <= own {
 		to.outdatedSince = time.Now()
 	}
-	to.sy.followers.Heard(tb.Version())
+	to.sy.followers.RecordPeerVersion(tb.Version())
 	if time.Since(to.outdatedSince) >= fetchLatency {
 		to.sy.rts.Offer(tb, []byte("{}"), provenAt)
 	}
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -1,4 +1,4 @@
-// Package frontend is the duty that serves callers, readiness and metrics on a gateway.
+// Package frontend is the duty that serves callers, readiness checks and metrics on a gateway.
 package frontend
 
 import (
@@ -28,41 +28,41 @@
 }
 
 const (
-	// headerTimeout bounds the reading of headers; callers stay within a few seconds.
+	// headerTimeout bounds the reading of headers, which callers send within a few seconds.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is longer than callers keep an idle connection (the configuration's limit is 15 s).
+	// idleTimeout is longer than callers keep an idle connection, for which the configuration's limit is 15 s.
 	idleTimeout = 75 * time.Second
-	// maxHeader is four times the configuration's limit.
-	maxHeader = 64 << 10
-	// balancerLag is how long new connections still come after a stop was asked for: the balancer asks every second and
-	// takes an instance out after two refusals.
+	// maxHeaderBytes is four times the configuration's limit.
+	maxHeaderBytes = 64 << 10
+	// balancerLag is how long new connections arrive after the start of a stop: the balancer checks readiness every second, and
+	// removes an instance after two failed checks.
 	balancerLag = 3200 * time.Millisecond
-	// takeLag is how long requests on kept connections are still taken then. Callers whose request comes later than three
-	// seconds after the stop was asked for are owed its whole answer, which the grace may not leave time for.
-	takeLag = 2800 * time.Millisecond
-	// answerMargin is left of the grace when the last requests are told to end: over ten times what their answers and the
-	// end of the process take (3 ms in the median, 34 ms at the most, 497 stops of small instances). Each 0.1 s less lets one
-	// in fifteen of the streams end that a stop breaks off (363 streams).
+	// acceptLag is how long requests on kept-alive connections are accepted after the start of a stop. A request accepted more than
+	// three seconds after the start must get its whole answer, for which the grace may not leave enough time.
+	acceptLag = 2800 * time.Millisecond
+	// answerMargin is the part of the grace that is left when the remaining requests are ended. It is over ten times the time that
+	// their answers and the exit of the process take (median 3 ms, maximum 34 ms, in 497 stops of small instances). Every 0.1 s
+	// less would let one in fifteen of the streams finish that a stop otherwise breaks off (of 363 streams).
 	answerMargin = 450 * time.Millisecond
-	// endMargin is left of the grace for the end of the process, when the wait for the last answers is given up.
-	endMargin = 150 * time.Millisecond
-	// proofMargin is taken off the revocation bound for the time between the check of the proof and the first byte sent.
+	// exitMargin is the part of the grace that is left for the exit of the process when the wait for the last answers ends.
+	exitMargin = 150 * time.Millisecond
+	// proofMargin is subtracted from the revocation bound to cover the time from the check of the proof to the first byte sent.
 	proofMargin = 600 * time.Millisecond
-	// sweepEvery is how often idle connections to targets are looked through.
-	sweepEvery = time.Second
+	// sweepInterval is the time between two sweeps of idle connections to targets and of other outdated state.
+	sweepInterval = time.Second
 )
 
-// servers are the listeners of a gateway.
+// servers holds the HTTP servers of a gateway.
 type servers struct {
-	gw    *gateway.Gateway
-	mesh  *gossip.Mesh
-	lg    log.Interface
-	list  []*http.Server
-	stops []func()
+	gw          *gateway.Gateway
+	mesh        *gossip.Mesh
+	lg          log.Interface
+	httpServers []*http.Server
+	stops       []func()
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Parts](env)
+	pt, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -70,43 +70,43 @@
 	if err != nil {
 		return nil, err
 	}
-	rt := retries(env.Settings.Gateway)
-	sv := &servers{gw: build(env, pt, rt), mesh: mesh, lg: env.Logger("frontend")}
+	rt := newRetryBudget(env.Settings.Gateway)
+	sv := &servers{gw: newGateway(env, pt, rt), mesh: mesh, lg: env.Logger("frontend")}
 	st := env.Settings.Gateway
 	for _, l := range []struct {
 		address string
 		handler http.Handler
-	}{{st.Callers, sv.gw}, {st.Readiness, readiness(sv.gw)}, {st.Metrics, operators(pt)}} {
+	}{{st.Callers, sv.gw}, {st.Readiness, readinessHandler(sv.gw)}, {st.Metrics, operatorHandler(pt)}} {
 		if err := sv.serve(ctx, l.address, l.handler); err != nil {
 			sv.close()
 			return nil, err
 		}
 	}
-	sh := newShares(env, pt, mesh, rt)
-	sv.sweep(func() {
+	ls := newLimitShares(env, pt, mesh, rt)
+	sv.runPeriodically(func() {
 		pt.Pool.Sweep()
-		pt.Limits.Prune(pt.Targets.TakesWork)
+		pt.RateLimits.Prune(pt.Targets.TakesWork)
 		pt.BackOffs.Prune(pt.Targets.TakesWork)
-		sh.update()
+		ls.update()
 	})
 	grace := st.Grace.Std()
 	return func(ctx context.Context) error { return sv.stop(ctx, grace) }, nil
 }
 
-// build joins the parts of the gateway.
-func build(env *kernel.Env, pt *forwarding.Parts, rt *budget.Retries) *gateway.Gateway {
+// newGateway builds the gateway from the shared components and keeps its limits up to date with the settings.
+func newGateway(env *kernel.Env, pt *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
 		Protocol: pt.Adapter.Protocol, Routes: pt.Routes, Targets: pt.Targets, Dispatcher: pt.Dispatcher, Pool: pt.Pool,
-		Retries: rt, Blame: pt.Blame, Feedback: pt.Feedback, Limits: pt.Limits, BackOffs: pt.BackOffs,
+		Retries: rt, Blame: pt.Blame, Feedback: pt.Feedback, Limits: pt.RateLimits, BackOffs: pt.BackOffs,
 		Bodies: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
-	}, limits(st))
-	env.OnReload(func(s config.Settings) { gw.SetLimits(limits(s.Gateway)) })
+	}, gatewayLimits(st))
+	env.OnReload(func(s config.Settings) { gw.SetLimits(gatewayLimits(s.Gateway)) })
 	return gw
 }
 
-func limits(st *config.Gateway) gateway.Limits {
+func gatewayLimits(st *config.Gateway) gateway.Limits {
 	lm := gateway.Limits{MaxBodyBytes: st.MaxBodyBytes}
 	if bound := st.RevocationBound.Std(); bound > 0 {
 		lm.ProofAge = max(bound-proofMargin, bound/2)
@@ -114,8 +114,8 @@
 	return lm
 }
 
-func retries(st *config.Gateway) *budget.Retries {
-	burst, trickle := retryFloor(st, sharersLeast)
+func newRetryBudget(st *config.Gateway) *budget.Retries {
+	burst, trickle := retryFloorShare(st, minSharers)
 	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithMinRate(trickle))
 }
 
@@ -126,28 +126,29 @@
 		return errors.Wrap(err, "bind listener")
 	}
 	hs := &http.Server{
-		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
-		ErrorLog: stdlog.New(lineWriter{lg: sv.lg}, "", 0),
+		Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: stdlog.New(serverLogWriter{lg: sv.lg}, "", 0),
 	}
-	sv.list = append(sv.list, hs)
+	sv.httpServers = append(sv.httpServers, hs)
 	go func() {
 		if err := hs.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			sv.lg.WithError(err).WithField("address", address).Error("listener ended")
+			sv.lg.WithError(err).WithField("address", address).Error("listener failed")
 		}
 	}()
 	return nil
 }
 
-// lineWriter turns the lines of the HTTP server into log lines.
-type lineWriter struct{ lg log.Interface }
+// serverLogWriter writes the error log of the HTTP servers to the instance's log.
+type serverLogWriter struct{ lg log.Interface }
 
-// Write logs one line.
-func (lw lineWriter) Write(b []byte) (int, error) {
-	lw.lg.WithField("cause", string(b)).Debug("connection ended with an error")
+// Write logs one line at debug level.
+func (slw serverLogWriter) Write(b []byte) (int, error) {
+	slw.lg.WithField("cause", string(b)).Debug("HTTP server reported a connection error")
 	return len(b), nil
 }
 
-func readiness(gw *gateway.Gateway) http.Handler {
+// readinessHandler answers 200 while the gateway accepts new callers, and 503 otherwise.
+func readinessHandler(gw *gateway.Gateway) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/*", func(w http.ResponseWriter, _ *http.Request) {
 		if !gw.Ready() {
@@ -159,21 +160,22 @@
 	return rt
 }
 
-// operators serves the metrics, and the judgements on requests that end targets.
-func operators(pt *forwarding.Parts) http.Handler {
+// operatorHandler serves the metrics and the API for quarantined requests.
+func operatorHandler(pt *forwarding.Components) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		pt.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	jds := judgements{ledger: pt.Blame}
-	rt.Get("/judgements", jds.list)
-	rt.Delete("/judgements/{fingerprint}", jds.lift)
+	qa := quarantineAPI{tracker: pt.Blame}
+	rt.Get("/judgements", qa.list)
+	rt.Delete("/judgements/{fingerprint}", qa.lift)
 	return rt
 }
 
-func (sv *servers) sweep(work func()) {
-	tick := time.NewTicker(sweepEvery)
+// runPeriodically runs work every sweepInterval until the servers are closed.
+func (sv *servers) runPeriodically(work func()) {
+	tick := time.NewTicker(sweepInterval)
 	done := make(chan struct{})
 	go func() {
 		for {
@@ -188,16 +190,16 @@
 	sv.stops = append(sv.stops, func() { tick.Stop(); close(done) })
 }
 
-// stop serves on until the balancer sends nothing new, then ends when the last answer has. Requests that are still running
-// shortly before the grace is over are told to end.
+// stop keeps serving until the balancer sends no new connections, then returns after the last answer. Requests that are still running
+// answerMargin before the end of the grace are ended.
 func (sv *servers) stop(ctx context.Context, grace time.Duration) error {
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
 	sv.gw.EndsAt(time.Now().Add(grace - answerMargin))
-	err := stopPlan(grace, sv.gw.StopTaking, sv.end).Run(ctx, sv.list[0])
+	err := stopPlan(grace, sv.gw.StopTaking, sv.endRequests).Run(ctx, sv.httpServers[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
-		// What is left are connections that were opened and never used.
+		// No request is in flight: the remaining connections were opened and never used, which is no failure.
 		err = nil
 	}
 	if err != nil {
@@ -207,18 +209,18 @@
 	return err
 }
 
-// stopPlan is how a stop goes within the grace. However short that is, a request that is taken has some time for its answer.
+// stopPlan returns the plan of a stop within the grace. Even if the grace is short, every accepted request has some time for its answer.
 func stopPlan(grace time.Duration, refuse, end func()) drain.Plan {
 	lag, answers := min(balancerLag, grace/2), grace-answerMargin
 	return drain.Plan{
-		Lag: lag, Taking: min(takeLag, lag, answers/2), Refuse: refuse, Answers: answers, End: end, Most: grace - endMargin,
+		Lag: lag, Taking: min(acceptLag, lag, answers/2), Refuse: refuse, Answers: answers, End: end, Most: grace - exitMargin,
 	}
 }
 
-// end tells the requests that are still running to end.
-func (sv *servers) end() {
+// endRequests ends the requests that are still running.
+func (sv *servers) endRequests() {
 	if inf := sv.gw.InFlight(); inf != (gateway.InFlight{}) {
-		sv.lg.WithFields(inf.Fields()).Warn("grace is over before the last answer")
+		sv.lg.WithFields(inf.Fields()).Warn("grace nearly over before the last answer; ending requests")
 	}
 	sv.gw.End()
 }
@@ -227,10 +229,10 @@
 	for _, stop := range sv.stops {
 		stop()
 	}
-	for _, hs := range sv.list {
-		// A listener that Shutdown has closed is no failure.
+	for _, hs := range sv.httpServers {
+		// Ignore the error for a listener that Shutdown has already closed.
 		if err := hs.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			sv.lg.WithError(err).Warn("listener not closed")
+			sv.lg.WithError(err).Warn("could not close listener")
 		}
 	}
 }
--- /dev/null
+++ b/internal/duty/frontend/quarantines.go
@@ -0,0 +1,52 @@
+package frontend
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/go-chi/chi/v5"
+
+	"github.com/silvermount/silvermount/internal/blame"
+	"github.com/silvermount/silvermount/internal/fingerprint"
+	"github.com/silvermount/silvermount/internal/jsonreply"
+)
+
+// quarantineAPI lets operators list and lift quarantines, under which requests are refused because targets crash when they run them.
+type quarantineAPI struct{ tracker *blame.Tracker }
+
+// quarantine is a quarantine in the operators' list.
+type quarantine struct {
+	Fingerprint string `json:"fingerprint"`
+	// Crashes is the number of targets that had crashed under the request when it was quarantined.
+	Crashes int `json:"ends"`
+	// Level is the number of consecutive quarantines of the request, from 1.
+	Level int `json:"level"`
+	// Age is the time since the start of the quarantine, and Remaining the time for which the request is still refused. Both are
+	// formatted as Go durations.
+	Age       string `json:"age"`
+	Remaining string `json:"left"`
+}
+
+func (qa quarantineAPI) list(w http.ResponseWriter, _ *http.Request) {
+	list := []quarantine{}
+	for _, qu := range qa.tracker.Quarantines() {
+		list = append(list, quarantine{
+			Fingerprint: qu.Request.String(), Crashes: qu.Crashes, Level: qu.Level,
+			Age: time.Since(qu.Since).Round(time.Second).String(), Remaining: time.Until(qu.Until).Round(time.Second).String(),
+		})
+	}
+	jsonreply.Write(w, list)
+}
+
+func (qa quarantineAPI) lift(w http.ResponseWriter, r *http.Request) {
+	fp, err := fingerprint.Parse(chi.URLParam(r, "fingerprint"))
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if !qa.tracker.LiftQuarantine(fp) {
+		http.Error(w, "no such judgement", http.StatusNotFound)
+		return
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -16,16 +16,17 @@
 	"github.com/silvermount/silvermount/internal/serve"
 )
 
-// acceptLimit bounds the writing of a job to the store.
-const acceptLimit = 20 * time.Second
+// requestTimeout bounds the handling of one request, including the write of a new job to the store.
+const requestTimeout = 20 * time.Second
 
-// headerPath names the inference path that a job is for.
+// pathHeader carries the inference path that a job is for; defaultPath applies without it.
 const (
-	headerPath  = "Silvermount-Path"
+	pathHeader  = "Silvermount-Path"
 	defaultPath = "/v1/chat/completions"
 )
 
-func asFailure(err error) *failure.Error {
+// toFailure returns the answer to the caller for an error: a failure as it is, others by the kind of the store's error.
+func toFailure(err error) *failure.Error {
 	var fe *failure.Error
 	if errors.As(err, &fe) {
 		return fe
@@ -42,53 +43,53 @@
 	return failure.New(failure.StoreUnavailable, failure.NotRun, "the store cannot be reached").WithCause(err).WithRetryAfter(time.Second)
 }
 
-func (kp *keeper) handler() http.Handler {
+func (mg *manager) handler() http.Handler {
 	rt := chi.NewRouter()
-	rt.Post("/", kp.each(kp.accept))
-	rt.Get("/", kp.each(kp.list))
-	rt.Get("/{id}", kp.each(kp.show))
-	rt.Get("/{id}/answer", kp.each(kp.answer))
-	rt.Delete("/{id}", kp.each(kp.cancel))
+	rt.Post("/", mg.withCaller(mg.accept))
+	rt.Get("/", mg.withCaller(mg.list))
+	rt.Get("/{id}", mg.withCaller(mg.get))
+	rt.Get("/{id}/answer", mg.withCaller(mg.answer))
+	rt.Delete("/{id}", mg.withCaller(mg.cancel))
 	return rt
 }
 
-// each identifies the caller and answers with the failure, if any.
-func (kp *keeper) each(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+// withCaller identifies the caller, bounds the time of the handler, and answers with the failure if there is one.
+func (mg *manager) withCaller(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		who, err := kp.server.Identify(r)
+		who, err := mg.server.Identify(r)
 		if err == nil {
-			ctx, cancel := context.WithTimeout(r.Context(), acceptLimit)
+			ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 			defer cancel()
 			err = f(ctx, who, w, r)
 		}
 		if err != nil {
-			serve.Fail(w, asFailure(err))
+			serve.Fail(w, toFailure(err))
 		}
 	}
 }
 
-// accept answers once the store has the job.
-func (kp *keeper) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	body, free, err := kp.server.ReadBody(r)
+// accept stores a new job, and answers only after the store has acknowledged it.
+func (mg *manager) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	body, free, err := mg.server.ReadBody(r)
 	defer free()
 	if err != nil {
 		return err
 	}
-	path := r.Header.Get(headerPath)
+	path := r.Header.Get(pathHeader)
 	if path == "" {
 		path = defaultPath
 	}
 	now := time.Now()
 	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.Limit)}
-	if err := kp.server.CheckJob(j); err != nil {
+	if err := mg.server.CheckJob(j); err != nil {
 		return err
 	}
-	v, err := kp.store.Add(ctx, job.Record{
+	v, err := mg.store.Add(ctx, job.Record{
 		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, Never: who.Never,
 		Created: now, Deadline: now.Add(who.Limit), State: job.Queued,
 	}, body)
 	if err != nil {
-		// The record may have been stored without an answer; then the job runs, and the list shows it.
+		// The store may have the record although its answer was lost. Then the job runs, and the list shows it.
 		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store has the job").
 			WithCause(err).WithRetryAfter(time.Second)
 	}
@@ -96,9 +97,9 @@
 	return nil
 }
 
-// own reads a job of the caller's organisation.
-func (kp *keeper) own(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
-	v, err := kp.store.Get(ctx, chi.URLParam(r, "id"))
+// callerJob reads the job that the request names, and hides jobs of other organisations.
+func (mg *manager) callerJob(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
+	v, err := mg.store.Get(ctx, chi.URLParam(r, "id"))
 	if err == nil && v.Organisation != who.Organisation {
 		return v, failure.New(failure.NotFound, failure.NotRun, "no such job")
 	}
@@ -109,8 +110,8 @@
 	Data []job.Record `json:"data"`
 }
 
-func (kp *keeper) list(ctx context.Context, who serve.Caller, w http.ResponseWriter, _ *http.Request) error {
-	all, err := kp.store.List(ctx)
+func (mg *manager) list(ctx context.Context, who serve.Caller, w http.ResponseWriter, _ *http.Request) error {
+	all, err := mg.store.List(ctx)
 	if err != nil {
 		return err
 	}
@@ -124,8 +125,8 @@
 	return nil
 }
 
-func (kp *keeper) show(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.own(ctx, who, r)
+func (mg *manager) get(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
@@ -133,35 +134,35 @@
 	return nil
 }
 
-func (kp *keeper) answer(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.own(ctx, who, r)
+func (mg *manager) answer(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
 	if v.State != job.Done {
 		return failure.New(failure.Conflict, failure.NotRun, "the job is %s", strings.ToLower(string(v.State))).WithRetryAfter(time.Second)
 	}
-	b, err := kp.store.Answer(ctx, v.Record)
+	b, err := mg.store.Answer(ctx, v.Record)
 	if err != nil {
 		return err
 	}
 	w.Header().Set("Content-Type", v.Result.ContentType)
 	w.WriteHeader(v.Result.Status)
-	// The caller may be gone; the answer is kept.
+	// A failed write is ignored: the caller may be gone, and can get the stored answer later.
 	_, _ = w.Write(b)
 	return nil
 }
 
-// cancel ends a job that is not final yet. A run that is on its way finds its record changed, and is dropped.
-func (kp *keeper) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
-	v, err := kp.own(ctx, who, r)
+// cancel ends a job that is not in a final state. A run of it on another instance finds its record changed and is discarded.
+func (mg *manager) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
 	if v.State.Final() {
 		return failure.New(failure.Conflict, failure.NotRun, "the job is %s already", v.State)
 	}
-	nv, err := kp.store.Update(ctx, v, v.WithEnd(job.Cancelled, job.Result{Ended: time.Now()}))
+	nv, err := mg.store.Update(ctx, v, v.WithEnd(job.Cancelled, job.Result{Ended: time.Now()}))
 	if err != nil {
 		var conflict *objectstore.ConflictError
 		if errors.As(err, &conflict) {
@@ -169,11 +170,11 @@
 		}
 		return err
 	}
-	kp.mu.Lock()
-	if run, ok := kp.running[v.ID]; ok {
+	mg.mu.Lock()
+	if run, ok := mg.running[v.ID]; ok {
 		run.cancel()
 	}
-	kp.mu.Unlock()
+	mg.mu.Unlock()
 	serve.JSON(w, nv.Record)
 	return nil
 }
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -30,23 +30,23 @@
 // those that reach the store first, then those with more bandwidth, as for gossip relays, and then by hash. The followers are the
 // first instances of the zones, and then the second ones. If two instances see different live instances, there is only one follower
 // more or less for a while: state from peers becomes stale, and is then requested from the store.
-func assignPart(self gossip.Member, live []gossip.Member) forwarding.Part {
+func assignPart(self gossip.Member, live []gossip.Member) forwarding.Role {
 	switch {
 	case len(live) == 1:
-		return forwarding.PartUnmet
+		return forwarding.RoleJoining
 	case len(live) <= maxFleetWithoutFollowers:
-		return forwarding.PartAlone
+		return forwarding.RoleStandalone
 	}
 	rank := rankOf(self, live)
 	switch {
 	case rank < followerCount, rankOf(self, ignoreStoreless(live)) < followerCount:
 		// A follower that does not reach the store keeps calling it besides its replacement, so that it takes over again as soon as
 		// the store responds.
-		return forwarding.PartFollower
+		return forwarding.RoleFollower
 	case rank < unranked:
-		return forwarding.PartStandIn
+		return forwarding.RoleStandby
 	default:
-		return forwarding.PartListener
+		return forwarding.RoleListener
 	}
 }
 
@@ -130,12 +130,12 @@
 
 // reportStoreReachability reports to the other instances whether this instance reaches the store. Only followers and stand-ins
 // report that they do not, because each change is gossiped to all instances.
-func reportStoreReachability(answered bool, part forwarding.Part, live func() []gossip.Member, setStoreless func(bool)) {
+func reportStoreReachability(answered bool, part forwarding.Role, live func() []gossip.Member, setStoreless func(bool)) {
 	if answered {
 		setStoreless(false)
 		return
 	}
-	if part != forwarding.PartFollower && part != forwarding.PartStandIn {
+	if part != forwarding.RoleFollower && part != forwarding.RoleStandby {
 		return
 	}
 	all := live()
@@ -159,12 +159,12 @@
 
 	mu sync.Mutex
 	// current is the part at membersVersion of the member list.
-	current        forwarding.Part
+	current        forwarding.Role
 	membersVersion uint64
 }
 
 // currentPart returns the part of this instance at the newest version of the member list.
-func (tk *partTracker) currentPart(ms *gossip.Mesh) forwarding.Part {
+func (tk *partTracker) currentPart(ms *gossip.Mesh) forwarding.Role {
 	tk.mu.Lock()
 	defer tk.mu.Unlock()
 	if version := ms.MembershipVersion(); version != tk.membersVersion {
@@ -175,9 +175,9 @@
 }
 
 // update returns the part among the given live members, and logs a change of passive.
-func (tk *partTracker) update(live []gossip.Member) forwarding.Part {
+func (tk *partTracker) update(live []gossip.Member) forwarding.Role {
 	part := assignPart(tk.self, live)
-	passive := part >= forwarding.PartStandIn
+	passive := part >= forwarding.RoleStandby
 	if tk.passive.Swap(passive) == passive {
 		return part
 	}
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -36,7 +36,7 @@
 }
 
 func watchesStore(self gossip.Member, live []gossip.Member) bool {
-	return assignPart(self, live) < forwarding.PartStandIn
+	return assignPart(self, live) < forwarding.RoleStandby
 }
 
 func TestStoreWatchersPerZone(t *testing.T) {
@@ -60,12 +60,12 @@
 func TestThreeFollowersInDifferentZones(t *testing.T) {
 	g := NewWithT(t)
 	live := newFleet(59, "a", "b", "c", "d", "e")
-	counts := map[forwarding.Part]int{}
+	counts := map[forwarding.Role]int{}
 	for _, mb := range live {
 		counts[assignPart(mb, live)]++
 	}
-	g.Expect(counts).To(Equal(map[forwarding.Part]int{
-		forwarding.PartFollower: 3, forwarding.PartStandIn: 7, forwarding.PartListener: 285,
+	g.Expect(counts).To(Equal(map[forwarding.Role]int{
+		forwarding.RoleFollower: 3, forwarding.RoleStandby: 7, forwarding.RoleListener: 285,
 	}))
 	g.Expect(watchersPerZone(live)).To(HaveLen(3), "in different zones")
 }
@@ -81,13 +81,13 @@
 		live[i].BandwidthMbps = 200
 	}
 	for _, i := range fast {
-		g.Expect(assignPart(live[i], live)).To(Equal(forwarding.PartFollower))
+		g.Expect(assignPart(live[i], live)).To(Equal(forwarding.RoleFollower))
 	}
 }
 
 func TestInstanceWithoutPeersIsUnmet(t *testing.T) {
 	live := newFleet(1, "a")
-	NewWithT(t).Expect(assignPart(live[0], live)).To(Equal(forwarding.PartUnmet))
+	NewWithT(t).Expect(assignPart(live[0], live)).To(Equal(forwarding.RoleJoining))
 }
 
 func TestLostFollowerIsReplaced(t *testing.T) {
@@ -144,19 +144,19 @@
 func TestOnlyFollowersAndStandInsReportStoreless(t *testing.T) {
 	tests := map[string]struct {
 		answered bool
-		part     forwarding.Part
+		part     forwarding.Role
 		// storeless is the number of twenty live instances that already report that they do not reach the store.
 		storeless int
 		want      []bool
 	}{
-		"follower":                           {false, forwarding.PartFollower, 0, []bool{true}},
-		"stand-in":                           {false, forwarding.PartStandIn, 0, []bool{true}},
-		"listener":                           {false, forwarding.PartListener, 0, nil},
-		"alone":                              {false, forwarding.PartAlone, 0, nil},
-		"listener, answered":                 {true, forwarding.PartListener, 0, []bool{false}},
-		"follower, few storeless":            {false, forwarding.PartFollower, 4, []bool{true}},
-		"follower, enough storeless":         {false, forwarding.PartFollower, 5, nil},
-		"follower, answered, many storeless": {true, forwarding.PartFollower, 9, []bool{false}},
+		"follower":                           {false, forwarding.RoleFollower, 0, []bool{true}},
+		"stand-in":                           {false, forwarding.RoleStandby, 0, []bool{true}},
+		"listener":                           {false, forwarding.RoleListener, 0, nil},
+		"alone":                              {false, forwarding.RoleStandalone, 0, nil},
+		"listener, answered":                 {true, forwarding.RoleListener, 0, []bool{false}},
+		"follower, few storeless":            {false, forwarding.RoleFollower, 4, []bool{true}},
+		"follower, enough storeless":         {false, forwarding.RoleFollower, 5, nil},
+		"follower, answered, many storeless": {true, forwarding.RoleFollower, 9, []bool{false}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +175,7 @@
 func followerNames(live []gossip.Member) []string {
 	var names []string
 	for _, mb := range live {
-		if assignPart(mb, live) == forwarding.PartFollower {
+		if assignPart(mb, live) == forwarding.RoleFollower {
 			names = append(names, mb.Name)
 		}
 	}
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -66,7 +66,7 @@
 	ds  *dispatch.Dispatcher
 	lg  log.Interface
 	ms  *gossip.Mesh
-	fo  *forwarding.Followers
+	fo  *forwarding.StoreCoordinator
 	tr  *blame.Tracker
 	// limits holds the known rate limits of targets, and permits enforces them together with the other instances.
 	limits  *ratelimit.Tracker
@@ -87,13 +87,13 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Parts](env)
+	pt, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
 	du := newDuty()
-	du.ad, du.rts, du.dr, du.ds, du.fo, du.tr = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.Followers, pt.Blame
-	du.limits = pt.Limits
+	du.ad, du.rts, du.dr, du.ds, du.fo, du.tr = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.StoreCoordinator, pt.Blame
+	du.limits = pt.RateLimits
 	du.lg = env.Logger("peers")
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", env.Settings.Gateway.Peers)
@@ -105,14 +105,14 @@
 	du.fetchDocument = du.ms.Fetch
 	du.permits = newPermitService(op.Self.Name, du.ms, du.limits, du.lg)
 	pt.Permits.SetRequestFunc(du.permits.requestPermit)
-	pt.Changed.Set(du.ms.PublishState)
-	pt.Noted.Set(du.ms.PublishNotes)
+	pt.StateNotifier.SetCallback(du.ms.PublishState)
+	pt.NotesNotifier.SetCallback(du.ms.PublishNotes)
 	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.LinkCount()) })
 	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.SubscriberCount()) })
 	pt.Dispatcher.SetPropagationDelay(du.ms.PropagationDelay)
 	tk := &partTracker{self: op.Self, lg: du.lg}
-	pt.Followers.Set(func() forwarding.Part { return tk.currentPart(du.ms) })
-	pt.Followers.SetReach(func(answered bool) {
+	pt.StoreCoordinator.SetRole(func() forwarding.Role { return tk.currentPart(du.ms) })
+	pt.StoreCoordinator.SetOnStoreResult(func(answered bool) {
 		reportStoreReachability(answered, tk.currentPart(du.ms), du.ms.Live, du.ms.SetStoreUnreachable)
 	})
 	kernel.Provide(env, du.ms)
@@ -164,7 +164,7 @@
 		st.Loads = du.ds.OwnLoads()
 	}
 	at, asOf := du.dr.ListPosition()
-	st.Targets = at
+	st.TargetsPosition = at
 	st.TargetsAge = time.Since(asOf)
 	if tb, provenAt := du.rts.Current(); tb != nil {
 		st.Configuration = tb.Version()
@@ -213,8 +213,8 @@
 // links could not carry it to all of them at once. It is therefore fetched from the linked relays once they have it, and from
 // another peer only if that does not succeed.
 func (du *duty) requestConfiguration(fr fetchRequest) {
-	du.fo.Heard(fr.version)
-	if du.fo.Follows() || du.ms.IsUpstream(fr.from) {
+	du.fo.RecordPeerVersion(fr.version)
+	if du.fo.FollowsStore() || du.ms.IsUpstream(fr.from) {
 		du.enqueueFetch(fr)
 		return
 	}
@@ -232,16 +232,16 @@
 func (du *duty) receiveTargets(from gossip.Member, st peerstate.State, asOf time.Time) {
 	own, _ := du.dr.ListPosition()
 	switch {
-	case st.Targets.IsZero() || own.After(st.Targets):
-	case st.Targets == own:
+	case st.TargetsPosition.IsZero() || own.After(st.TargetsPosition):
+	case st.TargetsPosition == own:
 		du.logTargetChanges(du.lg.WithField("peer", from.Name), du.dr.Confirm(asOf), asOf)
-	case !du.fo.Follows() && !du.ms.IsUpstream(from):
+	case !du.fo.FollowsStore() && !du.ms.IsUpstream(from):
 		// The linked relays get the list too.
 		time.AfterFunc(relayHeadStart, func() {
-			du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.Targets, asOf: asOf})
+			du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.TargetsPosition, asOf: asOf})
 		})
 	default:
-		du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.Targets, asOf: asOf})
+		du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.TargetsPosition, asOf: asOf})
 	}
 }
 
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -1,4 +1,5 @@
-// Package orders is the duty by which one instance of an availability zone orders engines to load models.
+// Package orders is the duty that keeps the wanted number of copies of each model loaded. One instance of each availability zone, elected
+// by a lease, orders the zone's engines to load models.
 package orders
 
 import (
@@ -24,28 +25,28 @@
 }
 
 const (
-	ttl   = 9 * time.Second
-	every = 3 * time.Second
-	// callTimeout bounds one order, margin is for clocks that run unlike each other.
+	leaseTTL          = 9 * time.Second
+	reconcileInterval = 3 * time.Second
+	// callTimeout bounds one call to an engine. clockMargin allows for clocks that run at different rates.
 	callTimeout = time.Second
-	margin      = 2 * time.Second
-	// maxLoading keeps to the weight store's rate.
-	maxLoading = 2
-	leaseName  = "orders-"
+	clockMargin = 2 * time.Second
+	// maxLoading is the maximum number of engines that load at a time. It keeps within the rate of the store of model weights.
+	maxLoading  = 2
+	leasePrefix = "orders-"
 )
 
-// giver gives the orders of one availability zone while it holds the lease.
-type giver struct {
+// coordinator sends the orders of one availability zone while it holds the lease.
+type coordinator struct {
 	lease   *lease.Lease
 	fleet   *fleet.Fleet
 	bundles *rollout.Holder
 	clients reports.Clients
 	log     log.Interface
 
-	// epoch, sequence and wanted belong to the present hold; a new one starts from the engines' reports.
+	// epoch, sequence and desired belong to the current term of the lease. A new term starts again from the engines' reports.
 	epoch    int64
 	sequence int64
-	wanted   map[string][]string
+	desired  map[string][]string
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
@@ -53,22 +54,22 @@
 	if err != nil {
 		return nil, err
 	}
-	gv := &giver{log: env.Logger("orders")}
-	if gv.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	co := &coordinator{log: env.Logger("orders")}
+	if co.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if gv.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if co.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
-	if gv.clients, err = kernel.Need[reports.Clients](env); err != nil {
+	if co.clients, err = kernel.Need[reports.Clients](env); err != nil {
 		return nil, err
 	}
-	gv.lease = lease.New(store, leaseName+env.Settings.AvailabilityZone, env.Incarnation, ttl, boottime.Now)
+	co.lease = lease.New(store, leasePrefix+env.Settings.AvailabilityZone, env.Incarnation, leaseTTL, boottime.Now)
 	return kernel.Go(func(ctx context.Context) {
-		tick := time.NewTicker(every)
+		tick := time.NewTicker(reconcileInterval)
 		defer tick.Stop()
 		for {
-			gv.round(ctx)
+			co.reconcile(ctx)
 			select {
 			case <-tick.C:
 			case <-ctx.Done():
@@ -78,10 +79,10 @@
 	}), nil
 }
 
-// copies returns the wanted copies of each model in one availability zone; models without a number are left alone.
-func (gv *giver) copies() map[string]int {
+// wantedCopies returns the wanted number of copies of each model in one availability zone. Models without a number are not managed.
+func (co *coordinator) wantedCopies() map[string]int {
 	copies := map[string]int{}
-	if cur := gv.bundles.Current(); cur != nil {
+	if cur := co.bundles.Current(); cur != nil {
 		for _, m := range cur.Models {
 			if m.Copies > 0 {
 				copies[m.Name] = m.Copies
@@ -91,71 +92,72 @@
 	return copies
 }
 
-// round renews the lease and gives the orders that are due. Without wanted copies nobody needs the lease.
-func (gv *giver) round(ctx context.Context) {
-	copies := gv.copies()
+// reconcile renews the lease and, while this instance holds it, sends the orders that are due. If no copies are wanted, no instance
+// needs the lease.
+func (co *coordinator) reconcile(ctx context.Context) {
+	copies := co.wantedCopies()
 	if len(copies) == 0 {
 		return
 	}
-	if err := gv.lease.TryAcquireOrRenew(ctx); err != nil {
-		gv.log.WithError(err).Warn("lease not renewed")
+	if err := co.lease.TryAcquireOrRenew(ctx); err != nil {
+		co.log.WithError(err).Warn("could not acquire or renew lease")
 	}
-	epoch, held := gv.lease.Held(callTimeout + margin)
+	epoch, held := co.lease.Held(callTimeout + clockMargin)
 	if !held {
 		return
 	}
-	if epoch != gv.epoch {
-		gv.epoch, gv.sequence, gv.wanted = epoch, 0, map[string][]string{}
-		gv.log.WithField("epoch", epoch).Info("gives orders")
+	if epoch != co.epoch {
+		co.epoch, co.sequence, co.desired = epoch, 0, map[string][]string{}
+		co.log.WithField("epoch", epoch).Info("acquired lease; sending orders to engines")
 	}
-	targets, engines := gv.look(ctx)
-	for _, ch := range order.Plan(engines, copies, maxLoading) {
-		gv.give(ctx, targets[ch.Engine], ch)
+	targets, engines := co.collectReports(ctx)
+	for _, as := range order.Plan(engines, copies, maxLoading) {
+		co.sendOrder(ctx, targets[as.Engine], as)
 	}
 }
 
-// look asks every engine of the availability zone for its report; those that do not answer are left alone.
-func (gv *giver) look(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
+// collectReports asks every engine of the availability zone for its report. Engines that do not answer or are leaving get no orders.
+func (co *coordinator) collectReports(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	targets := map[string]fleet.Target{}
 	var engines []order.Engine
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for _, t := range gv.fleet.Targets() {
-		if t.Kind != fleet.KindEngine || t.AvailabilityZone != gv.fleet.Self().AvailabilityZone {
+	for _, t := range co.fleet.Targets() {
+		if t.Kind != fleet.KindEngine || t.AvailabilityZone != co.fleet.Self().AvailabilityZone {
 			continue
 		}
 		wg.Go(func() {
-			r, err := gv.clients(t).Report(ctx)
+			r, err := co.clients(t).Report(ctx)
 			if err != nil || r.Leaving {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			targets[t.Name] = t
-			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: gv.wanted[t.Name]})
+			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: co.desired[t.Name]})
 		})
 	}
 	wg.Wait()
 	return targets, engines
 }
 
-// give sends one order. The lease is checked at the last step: a target that checks no fence must get no order from a
-// holder whose time may be over before the order arrives.
-func (gv *giver) give(ctx context.Context, t fleet.Target, ch order.Assignment) {
+// sendOrder sends one order. It checks the lease last, because a target that does not check the epoch must get no order from a holder
+// whose lease may expire before the order arrives.
+func (co *coordinator) sendOrder(ctx context.Context, t fleet.Target, as order.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	gv.sequence++
-	o := engine.Order{Epoch: gv.epoch, Sequence: gv.sequence, Models: ch.Models}
-	if epoch, held := gv.lease.Held(callTimeout + margin); !held || epoch != gv.epoch {
+	co.sequence++
+	o := engine.Order{Epoch: co.epoch, Sequence: co.sequence, Models: as.Models}
+	if epoch, held := co.lease.Held(callTimeout + clockMargin); !held || epoch != co.epoch {
 		return
 	}
-	lg := gv.log.WithField("target", t.Name).WithField("models", ch.Models)
-	if err := gv.clients(t).Order(ctx, o); err != nil {
-		lg.WithError(err).Warn("order not taken")
+	lg := co.log.WithField("target", t.Name).WithField("models", as.Models)
+	if err := co.clients(t).Order(ctx, o); err != nil {
+		lg.WithError(err).Warn("engine did not accept order")
 		return
 	}
-	gv.wanted[t.Name] = ch.Models
-	lg.Info("order given")
+	co.desired[t.Name] = as.Models
+	lg.Info("engine accepted order")
 }
--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -1,4 +1,4 @@
-// Package peers is the duty that keeps the links to other instances.
+// Package peers is the duty that runs the peer mesh, which links the instance to the others.
 package peers
 
 import (
@@ -24,7 +24,7 @@
 	kernel.Register(kernel.Duty{Name: "peers", Phase: kernel.PhasePeers, Defaults: defaults, Check: check, Start: start})
 }
 
-const minSecret = 8
+const minSecretLength = 8
 
 func defaults(s *config.Settings) {
 	if s.Peers.Heartbeat == 0 {
@@ -53,7 +53,7 @@
 	if files != 0 && files != 3 {
 		fs = append(fs, &config.Fault{Path: "peers.certificate", Value: p.Certificate, Want: "certificate, key and authority together"})
 	}
-	if files == 0 && len(p.Secret) < minSecret {
+	if files == 0 && len(p.Secret) < minSecretLength {
 		fs = append(fs, &config.Fault{Path: "peers.secret", Value: strconv.Itoa(len(p.Secret)) + " characters", Want: "at least 8, or certificates"})
 	}
 	if span := p.Heartbeat.Std() * time.Duration(max(1, p.RemoteEvery)); 2*span > p.Lost.Std() {
@@ -65,8 +65,8 @@
 	return fs
 }
 
-// Blocked is a part that tests and experiments may provide to cut availability zones off.
-type Blocked func(zone string) bool
+// ZoneBlocked reports whether an availability zone is cut off. Tests and experiments may provide one to partition the mesh.
+type ZoneBlocked func(zone string) bool
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	fl, err := kernel.Need[*fleet.Fleet](env)
@@ -86,28 +86,28 @@
 	if err != nil {
 		return nil, err
 	}
-	blocked, err := kernel.Need[Blocked](env)
+	blocked, err := kernel.Need[ZoneBlocked](env)
 	if err != nil {
 		blocked = func(string) bool { return false }
 	}
 	ledger := grant.New(env.Settings.Routing.LongPerTarget, fl.Busy, time.Now)
 	ms := peer.New(fl, holder, ledger, env.Stopping.Load, peer.Options{
-		Secret: p.Secret, TLS: tc, Heartbeat: p.Heartbeat.Std(), RemoteEvery: p.RemoteEvery, Seeds: p.Seeds,
-		FullMesh: p.FullMesh, RemoteLinks: p.RemoteLinks,
-		Blocked: blocked, Log: env.Logger("peers"),
+		Secret: p.Secret, TLS: tc, Heartbeat: p.Heartbeat.Std(), RemoteHeartbeatDivisor: p.RemoteEvery, Seeds: p.Seeds,
+		MaxFullMeshPeers: p.FullMesh, RemoteLinksPerZone: p.RemoteLinks,
+		ZoneBlocked: blocked, Log: env.Logger("peers"),
 	})
 	kernel.Provide(env, ms)
-	serve := kernel.Go(func(ctx context.Context) {
+	server := kernel.Go(func(ctx context.Context) {
 		if err := ms.Serve(ctx, ls.Peers); err != nil && ctx.Err() == nil {
-			env.Logger("peers").WithError(err).Error("listener ended")
+			env.Logger("peers").WithError(err).Error("listener failed")
 		}
 	})
-	run := kernel.Go(ms.Run)
+	links := kernel.Go(ms.Run)
 	return func(ctx context.Context) error {
-		if err := run(ctx); err != nil {
+		if err := links(ctx); err != nil {
 			return err
 		}
-		return serve(ctx)
+		return server(ctx)
 	}, nil
 }
 
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -11,25 +11,25 @@
 	"github.com/silvermount/silvermount/internal/set"
 )
 
-func TestOver(t *testing.T) {
+func TestOrphaned(t *testing.T) {
 	tests := map[string]struct {
 		held engine.Held
 		want bool
 	}{
 		"running":                 {held: engine.Held{Holder: "live", LeftMillis: 1}},
 		"just past its deadline":  {held: engine.Held{Holder: "live", LeftMillis: -1}},
-		"past deadline and grace": {held: engine.Held{Holder: "live", LeftMillis: -(grace.Milliseconds() + 1)}, want: true},
+		"past deadline and grace": {held: engine.Held{Holder: "live", LeftMillis: -(deadlineGrace.Milliseconds() + 1)}, want: true},
 		"holder has ended":        {held: engine.Held{Holder: "ended", LeftMillis: 1e6}, want: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(Over(tc.held, set.Of("ended"))).To(Equal(tc.want))
+			NewWithT(t).Expect(Orphaned(tc.held, set.Of("ended"))).To(Equal(tc.want))
 		})
 	}
 }
 
-// TestSilenceIsNoEnd shows that the work of an instance that is merely cut off is not swept away.
-func TestSilenceIsNoEnd(t *testing.T) {
+// TestSilentInstanceIsNotTreatedAsEnded guards against cancelling the attempts of an instance that is only cut off from its peers.
+func TestSilentInstanceIsNotTreatedAsEnded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithNow(func() time.Time { return now }))
--- a/internal/peerstate/peerstate_test.go
+++ b/internal/peerstate/peerstate_test.go
@@ -17,8 +17,8 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-// genID draws incarnations of the usual form and any others.
-func genID() *rapid.Generator[string] {
+// genIncarnation draws incarnations of the typical form and arbitrary strings.
+func genIncarnation() *rapid.Generator[string] {
 	return rapid.OneOf(
 		rapid.StringMatching(`i-[0-9a-f]{8}`),
 		rapid.StringMatching(`i-[0-9a-f]{10}`),
@@ -33,13 +33,13 @@
 		draw := func(label string) int64 { return num.Draw(t, label) }
 		lo := placement.Load{
 			WholePrefill: placement.Backlog{Tokens: draw("tokens"), Pairs: draw("pairs")},
-			SplitPrefill: placement.Backlog{Tokens: draw("part tokens"), Pairs: draw("part pairs")},
-			Prefilling:   int(draw("readers")), Decoding: int(draw("writers")),
+			SplitPrefill: placement.Backlog{Tokens: draw("split tokens"), Pairs: draw("split pairs")},
+			Prefilling:   int(draw("prefilling")), Decoding: int(draw("decoding")),
 			ContextTokens: draw("context"), MemoryTokens: draw("memory"),
 		}
 		for cl := range lo.PauseRisk {
-			lo.PauseRisk[cl] = placement.Worth(draw("at risk"))
-			lo.FirstTokenRisk[cl] = placement.Worth(draw("waiting"))
+			lo.PauseRisk[cl] = placement.Worth(draw("pause risk"))
+			lo.FirstTokenRisk[cl] = placement.Worth(draw("first token risk"))
 		}
 		return lo
 	})
@@ -48,37 +48,37 @@
 func genState() *rapid.Generator[State] {
 	return rapid.Custom(func(t *rapid.T) State {
 		return State{
-			Configuration: rapid.Int64().Draw(t, "configuration"),
-			ProofAge:      time.Duration(rapid.Int64().Draw(t, "proof age")),
-			Targets:       position.Unpack(rapid.Int64().Draw(t, "targets")),
-			TargetsAge:    time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "targets age")).Truncate(time.Millisecond),
-			Leaving:       rapid.SliceOfN(genID(), 0, 6).Draw(t, "leaving"),
-			Loads:         rapid.MapOfN(genID(), genLoad(), 0, 6).Draw(t, "loads"),
+			Configuration:   rapid.Int64().Draw(t, "configuration"),
+			ProofAge:        time.Duration(rapid.Int64().Draw(t, "proof age")),
+			TargetsPosition: position.Unpack(rapid.Int64().Draw(t, "targets")),
+			TargetsAge:      time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "targets age")).Truncate(time.Millisecond),
+			Leaving:         rapid.SliceOfN(genIncarnation(), 0, 6).Draw(t, "leaving"),
+			Loads:           rapid.MapOfN(genIncarnation(), genLoad(), 0, 6).Draw(t, "loads"),
 		}
 	})
 }
 
-// told returns the state as peers get it.
-func told(st State) State {
-	age := max(0, min(st.ProofAge, maxProofAge))
+// wantDecoded returns the state that a peer decodes from the encoding of st.
+func wantDecoded(st State) State {
+	age := max(0, min(st.ProofAge, maxAge))
 	if rest := age % time.Millisecond; rest > 0 {
 		age += time.Millisecond - rest
 	}
-	to := State{Configuration: st.Configuration, ProofAge: age, Targets: st.Targets, TargetsAge: st.TargetsAge}
-	to.Leaving = slices.Compact(slices.Sorted(slices.Values(st.Leaving)))
+	want := State{Configuration: st.Configuration, ProofAge: age, TargetsPosition: st.TargetsPosition, TargetsAge: st.TargetsAge}
+	want.Leaving = slices.Compact(slices.Sorted(slices.Values(st.Leaving)))
 	for id, lo := range st.Loads {
 		if lo == (placement.Load{}) {
 			continue
 		}
-		if to.Loads == nil {
-			to.Loads = map[string]placement.Load{}
+		if want.Loads == nil {
+			want.Loads = map[string]placement.Load{}
 		}
-		to.Loads[id] = lo.Rounded()
+		want.Loads[id] = lo.Rounded()
 	}
-	return to
+	return want
 }
 
-func TestStateIsReadAsTold(t *testing.T) {
+func TestStateRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		st := genState().Draw(t, "state")
@@ -86,53 +86,53 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		read, err := Decode(b)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(read).To(Equal(told(st)))
+		g.Expect(read).To(Equal(wantDecoded(st)))
 		again, err := read.Encode()
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(again).To(Equal(b))
 	})
 }
 
-func TestEveryCutOffStateIsRefused(t *testing.T) {
+func TestDecodeRejectsEveryTruncatedState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		b, err := genState().Draw(t, "state").Encode()
 		g.Expect(err).NotTo(HaveOccurred())
 		for size := range b {
 			_, err := Decode(b[:size])
-			g.Expect(refused(err)).To(BeTrue(), "%d of %d bytes: %v", size, len(b), err)
+			g.Expect(isDecodeError(err)).To(BeTrue(), "%d of %d bytes: %v", size, len(b), err)
 		}
 		_, err = Decode(append(b, 0))
-		g.Expect(refused(err)).To(BeTrue())
+		g.Expect(isDecodeError(err)).To(BeTrue())
 	})
 }
 
-// refused reports whether an error is one of those that Decode tells of.
-func refused(err error) bool {
+// isDecodeError reports whether err has one of the types that Decode documents.
+func isDecodeError(err error) bool {
 	var ve *VersionError
 	var me *MalformedError
-	var te *TooManyError
+	var te *TooManyTargetsError
 	var ee *placement.EncodingError
 	return errors.As(err, &ve) || errors.As(err, &me) || errors.As(err, &te) || errors.As(err, &ee)
 }
 
-// TestWrittenFormIsKept fails when the form changes: the version has to change with it.
-func TestWrittenFormIsKept(t *testing.T) {
-	writer := placement.Load{Decoding: 3}
+// TestWireFormatIsUnchanged guards against a change of the wire format without a change of formatVersion.
+func TestWireFormatIsUnchanged(t *testing.T) {
+	decoding := placement.Load{Decoding: 3}
 	cases := map[string]struct {
 		state State
 		want  string
 	}{
 		"empty":         {State{}, "030000000000"},
 		"configuration": {State{Configuration: 300, ProofAge: time.Millisecond + 1}, "03ac0202000000"},
-		"targets":       {State{Targets: position.Position{Revision: 5}, TargetsAge: 3 * time.Millisecond}, "030000" + "0503" + "00"},
+		"targets":       {State{TargetsPosition: position.Position{Revision: 5}, TargetsAge: 3 * time.Millisecond}, "030000" + "0503" + "00"},
 		"empty load":    {State{Loads: map[string]placement.Load{"i-01": {}}}, "030000000000"},
 		"leaving":       {State{Leaving: []string{"i-7f3a91c2"}}, "0300000000" + "01" + "237f3a91c2"},
-		"longer":        {State{Leaving: []string{"i-2f8030e4a8"}}, "0300000000" + "01" + "2b2f8030e4a8"},
+		"longer hex":    {State{Leaving: []string{"i-2f8030e4a8"}}, "0300000000" + "01" + "2b2f8030e4a8"},
 		"not packed":    {State{Leaving: []string{"i-A", "t"}}, "0300000000" + "02" + "1a692d41" + "0a74"},
-		"loaded":        {State{Loads: map[string]placement.Load{"i-01": writer}}, "0300000000" + "01" + "0d01" + "0103"},
+		"loaded":        {State{Loads: map[string]placement.Load{"i-01": decoding}}, "0300000000" + "01" + "0d01" + "0103"},
 		"loaded and leaving": {
-			State{Loads: map[string]placement.Load{"i-01": writer}, Leaving: []string{"i-01"}},
+			State{Loads: map[string]placement.Load{"i-01": decoding}, Leaving: []string{"i-01"}},
 			"0300000000" + "01" + "0f01" + "0103",
 		},
 	}
@@ -146,31 +146,31 @@
 	}
 }
 
-func TestHostileBytesAreRefused(t *testing.T) {
+func TestDecodeRejectsMalformedInput(t *testing.T) {
 	huge := hex.EncodeToString(binary.AppendUvarint(nil, 1<<62))
 	cases := map[string]struct {
 		in   string
 		want any
 	}{
-		"no bytes":             {"", new(*MalformedError)},
-		"json":                 {hex.EncodeToString([]byte(`{"c":1}`)), new(*VersionError)},
-		"next version":         {"040000000000", new(*VersionError)},
-		"earlier version":      {"02000000", new(*VersionError)},
-		"targets' age":         {"03000000" + huge + "00", new(*MalformedError)},
-		"no configuration":     {"03", new(*MalformedError)},
-		"long number":          {"03ffffffffffffffffffffff", new(*MalformedError)},
-		"age too large":        {"0300" + huge + "00", new(*MalformedError)},
-		"too many targets":     {"0300000000" + "818001", new(*TooManyError)},
-		"far too many targets": {"0300000000" + huge, new(*TooManyError)},
-		"long incarnation":     {"0300000000" + "01" + huge, new(*MalformedError)},
-		"target missing":       {"0300000000" + "02" + "1a692d41", new(*MalformedError)},
-		"target twice":         {"0300000000" + "02" + "0b01" + "0b01", new(*MalformedError)},
-		"twice in two forms":   {"0300000000" + "02" + "0b01" + "22692d3031", new(*MalformedError)},
-		"out of order":         {"0300000000" + "02" + "0b02" + "0b01", new(*MalformedError)},
-		"nothing told":         {"0300000000" + "01" + "0901", new(*MalformedError)},
-		"empty load":           {"0300000000" + "01" + "0d01" + "00", new(*MalformedError)},
-		"malformed load":       {"0300000000" + "01" + "0d01" + "ffffffff7f", new(*placement.EncodingError)},
-		"bytes after the end":  {"030000000000" + "00", new(*MalformedError)},
+		"no bytes":                     {"", new(*MalformedError)},
+		"json":                         {hex.EncodeToString([]byte(`{"c":1}`)), new(*VersionError)},
+		"next version":                 {"040000000000", new(*VersionError)},
+		"earlier version":              {"02000000", new(*VersionError)},
+		"targets' age":                 {"03000000" + huge + "00", new(*MalformedError)},
+		"no configuration":             {"03", new(*MalformedError)},
+		"integer of 11 bytes":          {"03ffffffffffffffffffffff", new(*MalformedError)},
+		"age too large":                {"0300" + huge + "00", new(*MalformedError)},
+		"too many targets":             {"0300000000" + "818001", new(*TooManyTargetsError)},
+		"far too many targets":         {"0300000000" + huge, new(*TooManyTargetsError)},
+		"long incarnation":             {"0300000000" + "01" + huge, new(*MalformedError)},
+		"target missing":               {"0300000000" + "02" + "1a692d41", new(*MalformedError)},
+		"target twice":                 {"0300000000" + "02" + "0b01" + "0b01", new(*MalformedError)},
+		"target twice, packed and not": {"0300000000" + "02" + "0b01" + "22692d3031", new(*MalformedError)},
+		"out of order":                 {"0300000000" + "02" + "0b02" + "0b01", new(*MalformedError)},
+		"neither leaving nor loaded":   {"0300000000" + "01" + "0901", new(*MalformedError)},
+		"empty load":                   {"0300000000" + "01" + "0d01" + "00", new(*MalformedError)},
+		"malformed load":               {"0300000000" + "01" + "0d01" + "ffffffff7f", new(*placement.EncodingError)},
+		"bytes after the end":          {"030000000000" + "00", new(*MalformedError)},
 	}
 	for name, ca := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -185,16 +185,16 @@
 	}
 }
 
-func TestTooManyTargetsAreNotTold(t *testing.T) {
+func TestEncodeRejectsTooManyTargets(t *testing.T) {
 	g := NewWithT(t)
 	var st State
 	for no := range maxTargets + 1 {
 		st.Leaving = append(st.Leaving, fmt.Sprintf("i-%08x", no))
 	}
 	_, err := st.Encode()
-	var many *TooManyError
-	g.Expect(errors.As(err, &many)).To(BeTrue())
-	g.Expect(many.Targets).To(BeEquivalentTo(maxTargets + 1))
+	var te *TooManyTargetsError
+	g.Expect(errors.As(err, &te)).To(BeTrue())
+	g.Expect(te.Targets).To(BeEquivalentTo(maxTargets + 1))
 	st.Leaving = st.Leaving[1:]
 	b, err := st.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -203,10 +203,11 @@
 	g.Expect(read).To(Equal(st))
 }
 
-// TestDecodeAllocatesLittle takes the input that makes decoding allocate the most: as many small loads as it may hold.
-func TestDecodeAllocatesLittle(t *testing.T) {
-	// mostAllocated is more than twice the bytes of maxTargets loads and their incarnations in a map.
-	const mostAllocated = 16 << 20
+// TestDecodeBoundsAllocation guards against a state that makes decoding allocate without bound. It decodes the worst case: the maximum
+// number of targets, each with a small load.
+func TestDecodeBoundsAllocation(t *testing.T) {
+	// maxAllocated is more than twice the size of a map of maxTargets incarnations and their loads.
+	const maxAllocated = 16 << 20
 	g := NewWithT(t)
 	st := State{Loads: map[string]placement.Load{}}
 	for no := range maxTargets {
@@ -222,22 +223,22 @@
 	g.Expect(read.Loads).To(HaveLen(maxTargets))
 	allocated := after.TotalAlloc - before.TotalAlloc
 	t.Logf("%d bytes read, %d allocated", len(b), allocated)
-	g.Expect(allocated).To(BeNumerically("<", uint64(mostAllocated)))
+	g.Expect(allocated).To(BeNumerically("<", uint64(maxAllocated)))
 }
 
-func TestLongestAgeCanBeTakenFromATime(t *testing.T) {
+func TestMaxAgeCanBeSubtractedFromTime(t *testing.T) {
 	g := NewWithT(t)
 	b, err := State{Configuration: 1, ProofAge: time.Since(time.Time{})}.Encode()
 	g.Expect(err).NotTo(HaveOccurred())
 	st, err := Decode(b)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(st.ProofAge).To(Equal(maxProofAge))
+	g.Expect(st.ProofAge).To(Equal(maxAge))
 	now := time.Now()
 	g.Expect(now.Add(-time.Hour - st.ProofAge)).To(BeTemporally("<", now))
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, st := range []State{{}, {Configuration: 7, ProofAge: time.Second}, usualState(1), usualState(2)} {
+	for _, st := range []State{{}, {Configuration: 7, ProofAge: time.Second}, typicalState(1), typicalState(2)} {
 		b, err := st.Encode()
 		if err != nil {
 			f.Fatal(err)
@@ -246,12 +247,12 @@
 		f.Add(b[:len(b)/2])
 	}
 	f.Add([]byte(`{"c":1}`))
-	f.Add([]byte{version, 0, 0, 0xff, 0xff, 0xff, 0xff, 0x0f})
+	f.Add([]byte{formatVersion, 0, 0, 0xff, 0xff, 0xff, 0xff, 0x0f})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		g := NewWithT(t)
 		st, err := Decode(b)
 		if err != nil {
-			g.Expect(refused(err)).To(BeTrue(), "%v", err)
+			g.Expect(isDecodeError(err)).To(BeTrue(), "%v", err)
 			return
 		}
 		again, err := st.Encode()
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -25,8 +25,8 @@
 	obs = obs[:min(len(obs), maxObservations)]
 	b := binary.AppendUvarint(nil, uint64(len(obs)))
 	for _, ob := range obs {
-		b = peerbytes.AppendName(b, ob.Target)
-		b = peerbytes.AppendSpan(b, now.Sub(ob.At), maxAge)
+		b = peerbytes.AppendString(b, ob.Target)
+		b = peerbytes.AppendDuration(b, now.Sub(ob.At), maxAge)
 		b = binary.AppendUvarint(b, limitBits(ob.Limit))
 	}
 	return b
@@ -44,22 +44,22 @@
 func Decode(b []byte, sentAt time.Time) ([]Observation, error) {
 	rd := peerbytes.NewReader(b)
 	var obs []Observation
-	for n := rd.Number(maxObservations); n > 0 && !rd.Failed(); n-- {
+	for n := rd.ReadUvarint(maxObservations); n > 0 && !rd.Failed(); n-- {
 		obs = append(obs, readObservation(rd, sentAt))
 	}
-	if err := rd.End(); err != nil {
+	if err := rd.Finish(); err != nil {
 		return nil, errors.Wrap(err, "decode rate limit observations")
 	}
 	return obs, nil
 }
 
 func readObservation(rd *peerbytes.Reader, sentAt time.Time) Observation {
-	ob := Observation{Target: rd.Name(maxTargetLen)}
+	ob := Observation{Target: rd.ReadString(maxTargetLen)}
 	if ob.Target == "" {
 		rd.Fail("observation has no target")
 	}
-	ob.At = sentAt.Add(-rd.Span(maxAge))
-	bits := rd.Number(math.MaxUint64)
+	ob.At = sentAt.Add(-rd.ReadDuration(maxAge))
+	bits := rd.ReadUvarint(math.MaxUint64)
 	if bits == 0 {
 		return ob
 	}
