--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,12 +34,12 @@
 	Retries    *budget.Retries
 	Blame      *blame.Tracker
 	// Feedback takes the head of each answer, and Limits and BackOffs are what follows from them.
-	Feedback *feedback.Recorder
-	Limits   *ratelimit.Book
-	BackOffs *backoff.Book
-	Bodies   *budget.Memory
-	Metrics  *metrics.Set
-	Log      log.Interface
+	Feedback   *feedback.Recorder
+	RateLimits *ratelimit.Book
+	BackOffs   *backoff.Book
+	Bodies     *budget.Memory
+	Metrics    *metrics.Set
+	Log        log.Interface
 	// Random is uniform in [0, 1).
 	Random func() float64
 	// Now is the steady clock.
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -38,7 +38,7 @@
 	fs["helpers"] = helperNames(sl)
 	fs["prompt_tokens"] = rq.PromptTokens
 	fs["candidates"] = sl.CandidateCount
-	if li := gw.Limits.Of(sl.Target.ID); li.Named {
+	if li := gw.RateLimits.Of(sl.Target.ID); li.Named {
 		fs["limit"] = li.String()
 	}
 	if n := gw.BackOffs.Len(); n > 0 {
