--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -26,13 +26,13 @@
 
 // Deps are the parts that a gateway works with. All are set.
 type Deps struct {
-	Protocol   Protocol
-	Routes     *routes.Holder
-	Targets    *targets.Directory
-	Dispatcher *dispatch.Dispatcher
-	Pool       *upstream.Pool
-	Retries    *budget.Retries
-	Blame      *blame.Tracker
+	Protocol    Protocol
+	Routes      *routes.Holder
+	Targets     *targets.Directory
+	Dispatcher  *dispatch.Dispatcher
+	Pool        *upstream.Pool
+	RetryBudget *budget.Retries
+	Blame       *blame.Tracker
 	// Feedback takes the head of each answer, and Limits and BackOffs are what follows from them.
 	Feedback   *feedback.Recorder
 	RateLimits *ratelimit.Book
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -92,7 +92,7 @@
 	gw.SetLimits(gateway.Limits{MaxBodyBytes: 100})
 	gw.Dispatcher = dispatch.New(targets.New(time.Now), &reservation.Manager{}, dispatch.Options{Now: time.Now})
 	gw.Blame = blame.New(blame.Options{Now: time.Now, Metrics: metrics.NewSet()})
-	gw.Retries = budget.NewRetries(1, time.Now)
+	gw.RetryBudget = budget.NewRetries(1, time.Now)
 	gw.Random = func() float64 { return 0 }
 	return gw
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -31,7 +31,7 @@
 	if err := gw.fire(ctx, rq, life.Admit); err != nil {
 		return err
 	}
-	gw.Retries.First()
+	gw.RetryBudget.First()
 	rq.service = rq.route.Pick(gw.Random())
 	var last *failure.Error
 	for dials := 0; ; {
@@ -112,7 +112,7 @@
 		Objective: rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
 		Caution: rq.caution(), Authorise: func() error { return gw.stillAllowed(rq) },
-		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Left(), Retried: len(rq.tried) > 0,
+		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.RetryBudget.Left(), Retried: len(rq.tried) > 0,
 	}
 }
 
@@ -299,7 +299,7 @@
 		Code: fe.Code, Over: ctx.Err() != nil, Once: rq.route.Exclusive(), MayHaveRun: rq.known.MayHaveRun(),
 		Attempts: gw.stillThere(rq.tried), Most: rq.route.MaxAttempts, Begun: sk.Started(),
 		Continues: func() bool { return rq.route.Resumable }, Paid: claimed,
-	}.Decide(gw.Retries)
+	}.Decide(gw.RetryBudget)
 	rq.noRetry = why
 	return again
 }
