--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -99,7 +99,7 @@
 	gw := gateway.New(gateway.Deps{
 		Protocol: pt.Adapter.Protocol, Routes: pt.Routes, Targets: pt.Targets, Dispatcher: pt.Dispatcher, Pool: pt.Pool,
 		RetryBudget: rt, Blame: pt.Blame, Feedback: pt.Feedback, RateLimits: pt.Limits, BackOffs: pt.BackOffs,
-		Bodies: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
+		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
 	}, limits(st))
 	env.OnReload(func(s config.Settings) { gw.SetLimits(limits(s.Gateway)) })
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -37,7 +37,7 @@
 	Feedback   *feedback.Recorder
 	RateLimits *ratelimit.Book
 	BackOffs   *backoff.Book
-	Bodies     *budget.Memory
+	BodyMemory *budget.Memory
 	Metrics    *metrics.Set
 	Log        log.Interface
 	// Random is uniform in [0, 1).
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -28,7 +28,7 @@
 	}
 	return gateway.New(gateway.Deps{
 		Protocol: gateway.Protocol{Read: read},
-		Routes:   hd, Bodies: budget.NewMemory(bodyMemory), Metrics: metrics.NewSet(),
+		Routes:   hd, BodyMemory: budget.NewMemory(bodyMemory), Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: h}, Now: time.Now, Stopping: func() bool { return false },
 	}, gateway.Limits{})
 }
