--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -109,7 +109,7 @@
 func limits(st *config.Gateway) gateway.Limits {
 	lm := gateway.Limits{MaxBodyBytes: st.MaxBodyBytes}
 	if bound := st.RevocationBound.Std(); bound > 0 {
-		lm.ProofAge = max(bound-proofMargin, bound/2)
+		lm.MaxConfigStaleness = max(bound-proofMargin, bound/2)
 	}
 	return lm
 }
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -175,7 +175,7 @@
 
 // proven refuses a request with a key when the configuration was not confirmed for too long.
 func (gw *Gateway) proven(tb *routes.Table, provenAt time.Time) error {
-	most := gw.limits.Load().ProofAge
+	most := gw.limits.Load().MaxConfigStaleness
 	age := gw.Now().Sub(provenAt)
 	tooOld := most > 0 && age > most
 	gw.logProof(tooOld, tb.Version(), age)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,7 +54,7 @@
 	MaxBodyBytes int64
 	// ProofAge is the age of the newest proof of the configuration from which requests with a key are refused; zero
 	// for no bound.
-	ProofAge time.Duration
+	MaxConfigStaleness time.Duration
 }
 
 // Gateway serves callers. It is safe for use by any goroutine.
--- a/internal/gateway/key_test.go
+++ b/internal/gateway/key_test.go
@@ -49,7 +49,7 @@
 			hd.Confirm(tc.told, at)
 			gw := newGateway(hd, memory.New())
 			gw.Now = func() time.Time { return at.Add(tc.age) }
-			gw.SetLimits(gateway.Limits{ProofAge: tc.bound})
+			gw.SetLimits(gateway.Limits{MaxConfigStaleness: tc.bound})
 			rec := ask(gw, "1", tc.key)
 			g.Expect(rec.Code).To(Equal(tc.want))
 			g.Expect(rec.Header().Get("Retry-After") != "").To(Equal(tc.want == http.StatusServiceUnavailable))
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -140,7 +140,7 @@
 	hd.Offer(keys(4, "kept"), nil, at)
 	gw := newGateway(hd, mh)
 	gw.Now = func() time.Time { return at }
-	gw.SetLimits(gateway.Limits{ProofAge: time.Second})
+	gw.SetLimits(gateway.Limits{MaxConfigStaleness: time.Second})
 	at = at.Add(2 * time.Second)
 	g.Expect(get(gw, "1", "kept")).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(get(gw, "2", "kept")).To(Equal(http.StatusServiceUnavailable))
