--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -193,7 +193,7 @@
 func (sv *servers) stop(ctx context.Context, grace time.Duration) error {
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
-	sv.gw.EndsAt(time.Now().Add(grace - answerMargin))
+	sv.gw.SetShutdownTime(time.Now().Add(grace - answerMargin))
 	err := stopPlan(grace, sv.gw.StopTaking, sv.end).Run(ctx, sv.list[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -9,7 +9,7 @@
 )
 
 // EndsAt tells when this instance ends: from now on a request is sent to a target only if its answer can be whole by then.
-func (gw *Gateway) EndsAt(at time.Time) { gw.Dispatcher.SetShutdownTime(at) }
+func (gw *Gateway) SetShutdownTime(at time.Time) { gw.Dispatcher.SetShutdownTime(at) }
 
 // StopTaking makes the gateway refuse new requests from now on: one that comes late in a stop might not end in time.
 func (gw *Gateway) StopTaking() { gw.closed.Store(true) }
