--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -194,7 +194,7 @@
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
 	sv.gw.SetShutdownTime(time.Now().Add(grace - answerMargin))
-	err := stopPlan(grace, sv.gw.StopTaking, sv.end).Run(ctx, sv.list[0])
+	err := stopPlan(grace, sv.gw.RefuseNewRequests, sv.end).Run(ctx, sv.list[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
 		// What is left are connections that were opened and never used.
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -12,7 +12,7 @@
 func (gw *Gateway) SetShutdownTime(at time.Time) { gw.Dispatcher.SetShutdownTime(at) }
 
 // StopTaking makes the gateway refuse new requests from now on: one that comes late in a stop might not end in time.
-func (gw *Gateway) StopTaking() { gw.closed.Store(true) }
+func (gw *Gateway) RefuseNewRequests() { gw.closed.Store(true) }
 
 // End ends every request that is still being served, and those that come. Each is answered while its connection is still
 // open, but for answers that have begun: closed without one, a caller would know neither that its request has not run nor
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -33,7 +33,7 @@
 		return rec
 	}
 	g.Expect(send().Body.String()).To(HavePrefix("not_ready"))
-	gw.StopTaking()
+	gw.RefuseNewRequests()
 	rec := send()
 	g.Expect(rec.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(rec.Body.String()).To(HavePrefix("stopping"))
