--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -220,7 +220,7 @@
 	if inf := sv.gw.InFlight(); inf != (gateway.InFlight{}) {
 		sv.lg.WithFields(inf.Fields()).Warn("grace is over before the last answer")
 	}
-	sv.gw.End()
+	sv.gw.AbortRequests()
 }
 
 func (sv *servers) close() {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -17,7 +17,7 @@
 // End ends every request that is still being served, and those that come. Each is answered while its connection is still
 // open, but for answers that have begun: closed without one, a caller would know neither that its request has not run nor
 // when to come back.
-func (gw *Gateway) End() {
+func (gw *Gateway) AbortRequests() {
 	gw.closed.Store(true)
 	gw.end()
 }
--- a/internal/gateway/stop_body_test.go
+++ b/internal/gateway/stop_body_test.go
@@ -47,7 +47,7 @@
 	const unscheduled = 50 * time.Millisecond
 	sv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = &hookedBody{ReadCloser: r.Body, left: len(text), last: func() {
-			gw.End()
+			gw.AbortRequests()
 			time.Sleep(unscheduled)
 		}}
 		gw.ServeHTTP(w, r)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -62,7 +62,7 @@
 	_, err = io.WriteString(cn, "POST /a/ HTTP/1.1\r\nHost: example.com\r\nContent-Length: 10\r\n\r\nhalf")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(gw.InFlight, generous).Should(Equal(gateway.InFlight{Waiting: 1}))
-	gw.End()
+	gw.AbortRequests()
 	resp, err := http.ReadResponse(bufio.NewReader(cn), nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
