--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -30,7 +30,7 @@
 
 // request is one caller's request on its way. It is used by one goroutine.
 type request struct {
-	Facts
+	RequestInfo
 	method  string
 	target  string
 	host    string
@@ -104,7 +104,7 @@
 	if err != nil {
 		return rq, failure.New(failure.BadRequest, failure.NotRun, "the request cannot be read").WithCause(err)
 	}
-	rq.Facts = fa
+	rq.RequestInfo = fa
 	rq.lastEvent = fa.ResumeAfter
 	if gw.closed.Load() {
 		return rq, refused(failure.Stopping, dispatch.RetryElsewhereAfter, "the instance ends soon; another takes the request")
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -23,8 +23,8 @@
 
 // newGateway returns a gateway whose callers give request and key in headers.
 func newGateway(hd *routes.Holder, h log.Handler) *gateway.Gateway {
-	read := func(r *http.Request) (gateway.Facts, error) {
-		return gateway.Facts{RequestID: r.Header.Get("Request"), Key: r.Header.Get("Key")}, nil
+	read := func(r *http.Request) (gateway.RequestInfo, error) {
+		return gateway.RequestInfo{RequestID: r.Header.Get("Request"), Key: r.Header.Get("Key")}, nil
 	}
 	return gateway.New(gateway.Deps{
 		Protocol: gateway.Protocol{Read: read},
