--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -14,7 +14,7 @@
 	// Key is the secret that names the organisation; empty when none was sent.
 	Key string
 	// Wait is how long the caller waits; zero when it does not say.
-	Wait time.Duration
+	Timeout time.Duration
 	// PromptTokens is zero for requests to plain services.
 	PromptTokens int
 	// MostAnswerTokens bounds the answer; zero when unknown.
