--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -18,7 +18,7 @@
 	// PromptTokens is zero for requests to plain services.
 	PromptTokens int
 	// MostAnswerTokens bounds the answer; zero when unknown.
-	MostAnswerTokens int
+	MaxAnswerTokens int
 	// AnswerHint is the caller's guess of the answer's tokens; zero when it has none.
 	AnswerHint int
 	// ResumeAfter is the last event that the caller already has; negative when it starts anew.
