--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -20,7 +20,7 @@
 	// MostAnswerTokens bounds the answer; zero when unknown.
 	MaxAnswerTokens int
 	// AnswerHint is the caller's guess of the answer's tokens; zero when it has none.
-	AnswerHint int
+	AnswerTokensHint int
 	// ResumeAfter is the last event that the caller already has; negative when it starts anew.
 	ResumeAfter int64
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -108,7 +108,7 @@
 	sv.Name = rq.service
 	return dispatch.Request{
 		ID: rq.RequestID, Service: sv, Exclude: rq.avoid,
-		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MaxAnswerTokens, AnswerTokensHint: rq.AnswerHint, EventsForwarded: rq.events,
+		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MaxAnswerTokens, AnswerTokensHint: rq.AnswerTokensHint, EventsForwarded: rq.events,
 		Objective: rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
 		Caution: rq.caution(), Authorise: func() error { return gw.stillAllowed(rq) },
