--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -105,7 +105,7 @@
 		return rq, failure.New(failure.BadRequest, failure.NotRun, "the request cannot be read").WithCause(err)
 	}
 	rq.RequestInfo = fa
-	rq.lastEvent = fa.ResumeAfter
+	rq.lastEvent = fa.LastEventID
 	if gw.closed.Load() {
 		return rq, refused(failure.Stopping, dispatch.RetryElsewhereAfter, "the instance ends soon; another takes the request")
 	}
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -22,7 +22,7 @@
 	// AnswerHint is the caller's guess of the answer's tokens; zero when it has none.
 	AnswerTokensHint int
 	// ResumeAfter is the last event that the caller already has; negative when it starts anew.
-	ResumeAfter int64
+	LastEventID int64
 }
 
 // Attempt is what a target is told beyond the caller's own request.
