--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -28,7 +28,7 @@
 // Attempt is what a target is told beyond the caller's own request.
 type Attempt struct {
 	// Target is what the target that is meant calls itself; any other must not run the request.
-	Target string
+	TargetName string
 	// Organisation is empty on routes without keys.
 	Organisation string
 	// Left is how long the target may work.
