--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -32,7 +32,7 @@
 	// Organisation is empty on routes without keys.
 	Organisation string
 	// Left is how long the target may work.
-	Left time.Duration
+	Timeout time.Duration
 	// Priority is the rank at the target, zero first; negative leaves it out.
 	Priority int
 	// Helpers are the targets that read a share of the prompt.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -171,7 +171,7 @@
 	h := rq.header.Clone()
 	left := rq.due.At.Sub(gw.Now())
 	at := Attempt{
-		TargetName: sl.Target.OwnName(), Organisation: rq.org.Name, Left: left, Priority: sl.Priority,
+		TargetName: sl.Target.OwnName(), Organisation: rq.org.Name, Timeout: left, Priority: sl.Priority,
 		ResumeAfter: rq.lastEvent,
 	}
 	for _, hp := range sl.Helpers {
