--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -38,7 +38,7 @@
 	// Helpers are the targets that read a share of the prompt.
 	Helpers []Helper
 	// ResumeAfter is the last event that was passed on; negative when the answer starts anew.
-	ResumeAfter int64
+	LastEventID int64
 }
 
 // Helper is another target that reads a part of a prompt.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -172,7 +172,7 @@
 	left := rq.due.At.Sub(gw.Now())
 	at := Attempt{
 		TargetName: sl.Target.OwnName(), Organisation: rq.org.Name, Timeout: left, Priority: sl.Priority,
-		ResumeAfter: rq.lastEvent,
+		LastEventID: rq.lastEvent,
 	}
 	for _, hp := range sl.Helpers {
 		at.Helpers = append(at.Helpers, Helper{Address: hp.Address, Reservation: hp.Reservation})
