--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -100,7 +100,7 @@
 		arrived: began, free: func() {},
 	}
 	rq.print = sync.OnceValue(func() fingerprint.Fingerprint { return fingerprint.Of(rq.identity()) })
-	fa, err := gw.Protocol.Read(r)
+	fa, err := gw.Protocol.ReadRequest(r)
 	if err != nil {
 		return rq, failure.New(failure.BadRequest, failure.NotRun, "the request cannot be read").WithCause(err)
 	}
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -27,7 +27,7 @@
 		return gateway.RequestInfo{RequestID: r.Header.Get("Request"), Key: r.Header.Get("Key")}, nil
 	}
 	return gateway.New(gateway.Deps{
-		Protocol: gateway.Protocol{Read: read},
+		Protocol: gateway.Protocol{ReadRequest: read},
 		Routes:   hd, BodyMemory: budget.NewMemory(bodyMemory), Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: h}, Now: time.Now, Stopping: func() bool { return false },
 	}, gateway.Limits{})
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -52,7 +52,7 @@
 // Protocol translates between the callers' and targets' protocol and this package. All fields are set.
 type Protocol struct {
 	// Read returns the facts of a caller's request.
-	Read func(*http.Request) (RequestInfo, error)
+	ReadRequest func(*http.Request) (RequestInfo, error)
 	// Write completes the headers of a request to a target; h starts as a copy of the caller's.
 	Write func(h http.Header, at Attempt)
 	// Head reads what the head of an answer says.
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -23,7 +23,7 @@
 func TestRequestLateInAStopIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	gw := gateway.New(gateway.Deps{
-		Protocol: gateway.Protocol{Read: func(*http.Request) (gateway.RequestInfo, error) { return gateway.RequestInfo{RequestID: "1"}, nil }},
+		Protocol: gateway.Protocol{ReadRequest: func(*http.Request) (gateway.RequestInfo, error) { return gateway.RequestInfo{RequestID: "1"}, nil }},
 		Routes:   &routes.Holder{}, BodyMemory: budget.NewMemory(0), Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New()}, Now: time.Now, Stopping: func() bool { return true },
 	}, gateway.Limits{})
