--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -54,7 +54,7 @@
 	// Read returns the facts of a caller's request.
 	ReadRequest func(*http.Request) (RequestInfo, error)
 	// Write completes the headers of a request to a target; h starts as a copy of the caller's.
-	Write func(h http.Header, at Attempt)
+	WriteAttempt func(h http.Header, at Attempt)
 	// Head reads what the head of an answer says.
 	Head func(*http.Response) answer.Head
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -177,7 +177,7 @@
 	for _, hp := range sl.Helpers {
 		at.Helpers = append(at.Helpers, Helper{Address: hp.Address, Reservation: hp.Reservation})
 	}
-	gw.Protocol.Write(h, at)
+	gw.Protocol.WriteAttempt(h, at)
 	ca := upstream.Call{
 		Address: sl.Target.Address, Method: rq.method, Target: rq.target, Host: rq.host, Header: h, Body: rq.body,
 		Exclusive: rq.route.Exclusive(),
