--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -56,5 +56,5 @@
 	// Write completes the headers of a request to a target; h starts as a copy of the caller's.
 	WriteAttempt func(h http.Header, at Attempt)
 	// Head reads what the head of an answer says.
-	Head func(*http.Response) answer.Head
+	ReadHead func(*http.Response) answer.Head
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -203,7 +203,7 @@
 // to an earlier one speaks for the target too.
 func (gw *Gateway) heard(rq *request, tg targets.Target, resp *http.Response) bool {
 	rp := feedback.Report{
-		Source: feedback.Request, Request: rq.RequestID, Target: tg, Head: gw.Protocol.Head(resp), Came: gw.Now(),
+		Source: feedback.Request, Request: rq.RequestID, Target: tg, Head: gw.Protocol.ReadHead(resp), Came: gw.Now(),
 	}
 	mine := rp.Head.Request == rq.RequestID
 	if mine {
