--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -36,7 +36,7 @@
 		return failure.New(failure.TargetUnreachable, gw.outcome(rq), "another target has the address").WithRetryAfter(comeBackFull)
 	case answer.Unproven:
 		rq.known.Add(failure.Unknown)
-		err := &UnprovenAnswerError{Status: an.StatusCode}
+		err := &UnverifiedResponseError{Status: an.StatusCode}
 		if rq.head.BackOff > 0 {
 			// A target that says when to come back is no sick one.
 			gw.logAttemptFailed(rq, sl.Target, err, true)
@@ -59,10 +59,10 @@
 }
 
 // UnprovenAnswerError says that an answer lacks what shows that it is whole and the target's own.
-type UnprovenAnswerError struct{ Status int }
+type UnverifiedResponseError struct{ Status int }
 
 // Error gives the status.
-func (ue *UnprovenAnswerError) Error() string {
+func (ue *UnverifiedResponseError) Error() string {
 	return "answer with status " + strconv.Itoa(ue.Status) + " is not provably the target's own"
 }
 
