--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -121,7 +121,7 @@
 	}{
 		"no helper": {gateway.ShedError{Status: 503}, "the target turned the request away with status 503"},
 		"a helper": {
-			gateway.ShedError{Status: 503, AtFault: "10.0.0.1:80"},
+			gateway.ShedError{Status: 503, CauseAddress: "10.0.0.1:80"},
 			"the target turned the request away with status 503 for its helper 10.0.0.1:80",
 		},
 	}
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -73,7 +73,7 @@
 	}
 	atFault := rq.head.AtFault
 	sl.RecordShed(atFault)
-	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, AtFault: atFault}, true)
+	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, CauseAddress: atFault}, true)
 	return failure.New(failure.TargetShed, gw.outcome(rq), "the target has no room").
 		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
@@ -82,14 +82,14 @@
 type ShedError struct {
 	Status int
 	// AtFault is the address of the helper that the target names as the cause; empty when it names none.
-	AtFault string
+	CauseAddress string
 }
 
 // Error gives the status and the cause.
 func (se *ShedError) Error() string {
 	text := "the target turned the request away with status " + strconv.Itoa(se.Status)
-	if se.AtFault != "" {
-		text += " for its helper " + se.AtFault
+	if se.CauseAddress != "" {
+		text += " for its helper " + se.CauseAddress
 	}
 	return text
 }
