--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -72,7 +72,7 @@
 		return gw.noTarget(ctx, rq, err)
 	}
 	defer sl.Release()
-	var ce *ClosedTargetError
+	var ce *UnavailableTargetError
 	if errors.As(gw.mayLeave(sl), &ce) {
 		return gw.passOver(rq, sl, ce)
 	}
@@ -216,7 +216,7 @@
 
 // sendFailed tells what is known after an attempt without an answer.
 func (gw *Gateway) sendFailed(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
-	var ce *ClosedTargetError
+	var ce *UnavailableTargetError
 	if errors.As(err, &ce) && ctx.Err() == nil {
 		return gw.passOver(rq, sl, ce)
 	}
@@ -248,30 +248,30 @@
 }
 
 // ClosedTargetError says that a target that was chosen may not be sent the request any more.
-type ClosedTargetError struct {
+type UnavailableTargetError struct {
 	// Target is the incarnation, the main one or a helper, and Cause a few words.
 	Target, Cause string
 }
 
 // Error names the target and the cause.
-func (ce *ClosedTargetError) Error() string { return "target " + ce.Target + " " + ce.Cause }
+func (ce *UnavailableTargetError) Error() string { return "target " + ce.Target + " " + ce.Cause }
 
 // mayLeave returns a ClosedTargetError when one of the targets of a slot takes no work any more: what was known when it was chosen may have
 // changed during the waits since.
 func (gw *Gateway) mayLeave(sl *dispatch.Slot) error {
 	for _, id := range sl.TargetIDs() {
 		if !gw.Targets.TakesWork(id) {
-			return &ClosedTargetError{Target: id, Cause: "began to leave"}
+			return &UnavailableTargetError{Target: id, Cause: "began to leave"}
 		}
 		if _, backedOff := gw.BackOffs.Until(id); backedOff {
-			return &ClosedTargetError{Target: id, Cause: "wants no requests now"}
+			return &UnavailableTargetError{Target: id, Cause: "wants no requests now"}
 		}
 	}
 	return nil
 }
 
 // passOver ends an attempt that was not sent, as one of its targets takes no requests now. Any may be chosen again, as far as it does.
-func (gw *Gateway) passOver(rq *request, sl *dispatch.Slot, ce *ClosedTargetError) error {
+func (gw *Gateway) passOver(rq *request, sl *dispatch.Slot, ce *UnavailableTargetError) error {
 	rq.avoid = slices.DeleteFunc(rq.avoid, func(id string) bool { return id == sl.Target.ID })
 	gw.logPassedOver(rq, sl.Target, ce.Error())
 	return failure.New(failure.TargetUnreachable, gw.outcome(rq), "the target takes no requests now").
