--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -39,10 +39,10 @@
 }
 
 // CutEventError says that a stream ended inside an event.
-type CutEventError struct{}
+type TruncatedEventError struct{}
 
 // Error says what happened.
-func (*CutEventError) Error() string { return "the stream ended inside an event" }
+func (*TruncatedEventError) Error() string { return "the stream ended inside an event" }
 
 // EventTooLargeError says that an event is larger than the bound.
 type EventTooLargeError struct{}
@@ -57,7 +57,7 @@
 		line, err := br.ReadBytes('\n')
 		ev.raw = append(ev.raw, line...)
 		if errors.Is(err, io.EOF) && len(bytes.TrimSpace(ev.raw)) > 0 {
-			return event{}, &CutEventError{}
+			return event{}, &TruncatedEventError{}
 		}
 		if err != nil {
 			return event{}, err
