--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -20,7 +20,7 @@
 type Reader struct {
 	Memory *budget.Memory
 	// Most bounds one body, in bytes.
-	Most int64
+	MaxBytes int64
 	// ComeBack is when a caller should come back for whom there is no memory, or whose body did not come in time.
 	ComeBack time.Duration
 	// Broken is the kind of failure of a body that does not come whole.
@@ -32,7 +32,7 @@
 // Read reads a body. free gives its memory back, also after a failure, and is never nil.
 func (rd Reader) Read(r *http.Request) (b []byte, free func(), err error) {
 	size := r.ContentLength
-	if size > rd.Most {
+	if size > rd.MaxBytes {
 		return nil, func() {}, rd.tooLarge()
 	}
 	if size >= 0 {
@@ -69,7 +69,7 @@
 		switch {
 		case err != nil:
 			return nil, free, rd.broken(err)
-		case int64(len(b)) > rd.Most:
+		case int64(len(b)) > rd.MaxBytes:
 			return nil, free, rd.tooLarge()
 		case len(part) < chunkStep:
 			return b, free, nil
@@ -78,7 +78,7 @@
 }
 
 func (rd Reader) tooLarge() error {
-	return failure.New(failure.TooLarge, failure.NotRun, "the body is larger than %d bytes", rd.Most)
+	return failure.New(failure.TooLarge, failure.NotRun, "the body is larger than %d bytes", rd.MaxBytes)
 }
 
 func (rd Reader) noMemory() error {
