--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -22,7 +22,7 @@
 	// Most bounds one body, in bytes.
 	MaxBytes int64
 	// ComeBack is when a caller should come back for whom there is no memory, or whose body did not come in time.
-	ComeBack time.Duration
+	RetryAfter time.Duration
 	// Broken is the kind of failure of a body that does not come whole.
 	Broken failure.Code
 	// Late is the kind of failure of a body that does not come whole in its time, whose caller may still be there; empty for Broken.
@@ -82,13 +82,13 @@
 }
 
 func (rd Reader) noMemory() error {
-	return failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(rd.ComeBack)
+	return failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(rd.RetryAfter)
 }
 
 func (rd Reader) broken(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) && rd.Late != "" {
 		return failure.New(rd.Late, failure.NotRun, "the body did not come in time").
-			WithCause(errors.Wrap(err, "read body")).WithRetryAfter(rd.ComeBack)
+			WithCause(errors.Wrap(err, "read body")).WithRetryAfter(rd.RetryAfter)
 	}
 	return failure.New(rd.Broken, failure.NotRun, "the body could not be read").WithCause(errors.Wrap(err, "read body"))
 }
