--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -24,7 +24,7 @@
 	// ComeBack is when a caller should come back for whom there is no memory, or whose body did not come in time.
 	RetryAfter time.Duration
 	// Broken is the kind of failure of a body that does not come whole.
-	Broken failure.Code
+	IncompleteCode failure.Code
 	// Late is the kind of failure of a body that does not come whole in its time, whose caller may still be there; empty for Broken.
 	Late failure.Code
 }
@@ -90,5 +90,5 @@
 		return failure.New(rd.Late, failure.NotRun, "the body did not come in time").
 			WithCause(errors.Wrap(err, "read body")).WithRetryAfter(rd.RetryAfter)
 	}
-	return failure.New(rd.Broken, failure.NotRun, "the body could not be read").WithCause(errors.Wrap(err, "read body"))
+	return failure.New(rd.IncompleteCode, failure.NotRun, "the body could not be read").WithCause(errors.Wrap(err, "read body"))
 }
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -157,7 +157,7 @@
 
 // readBody reads a body under the shared budget. free is never nil.
 func (sv *Server) readBody(r *http.Request) (b []byte, free func(), err error) {
-	rd := body.Reader{Memory: sv.Bodies, MaxBytes: sv.limits.MaxBodyBytes, RetryAfter: time.Second, Broken: failure.BadRequest}
+	rd := body.Reader{Memory: sv.Bodies, MaxBytes: sv.limits.MaxBodyBytes, RetryAfter: time.Second, IncompleteCode: failure.BadRequest}
 	return rd.Read(r)
 }
 
