--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -26,7 +26,7 @@
 	// Broken is the kind of failure of a body that does not come whole.
 	IncompleteCode failure.Code
 	// Late is the kind of failure of a body that does not come whole in its time, whose caller may still be there; empty for Broken.
-	Late failure.Code
+	TimeoutCode failure.Code
 }
 
 // Read reads a body. free gives its memory back, also after a failure, and is never nil.
@@ -86,8 +86,8 @@
 }
 
 func (rd Reader) broken(err error) error {
-	if errors.Is(err, os.ErrDeadlineExceeded) && rd.Late != "" {
-		return failure.New(rd.Late, failure.NotRun, "the body did not come in time").
+	if errors.Is(err, os.ErrDeadlineExceeded) && rd.TimeoutCode != "" {
+		return failure.New(rd.TimeoutCode, failure.NotRun, "the body did not come in time").
 			WithCause(errors.Wrap(err, "read body")).WithRetryAfter(rd.RetryAfter)
 	}
 	return failure.New(rd.IncompleteCode, failure.NotRun, "the body could not be read").WithCause(errors.Wrap(err, "read body"))
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -58,7 +58,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			mm := budget.NewMemory(tc.memory)
-			rd := body.Reader{Memory: mm, MaxBytes: tc.most, RetryAfter: time.Second, IncompleteCode: failure.CallerGone, Late: failure.DeadlineExceeded}
+			rd := body.Reader{Memory: mm, MaxBytes: tc.most, RetryAfter: time.Second, IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded}
 			r := httptest.NewRequest(http.MethodPost, "/", tc.from)
 			r.ContentLength = tc.length
 			b, free, err := rd.Read(r)
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -192,7 +192,7 @@
 		most = min(most, lm)
 	}
 	rd := body.Reader{
-		Memory: gw.BodyMemory, MaxBytes: most, RetryAfter: comeBackFull, IncompleteCode: failure.CallerGone, Late: failure.DeadlineExceeded,
+		Memory: gw.BodyMemory, MaxBytes: most, RetryAfter: comeBackFull, IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded,
 	}
 	// A body that is still coming at the end of the instance is waited for no longer.
 	detach := context.AfterFunc(gw.ended, func() { gw.logDeadline(rq, sk.Control().SetReadDeadline(gw.Now())) })
