--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -14,7 +14,7 @@
 	// Verdict is what the answer means for its request.
 	Verdict Verdict
 	// Request is the id of the request that is answered; empty when the head names none.
-	Request string
+	RequestID string
 	// Target is what the target that answers calls itself; empty when it does not say.
 	Target string
 	// AtFault is the address of the target that is the cause of a refusal; empty when the head names none.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -205,7 +205,7 @@
 	rp := feedback.Report{
 		Source: feedback.Request, Request: rq.RequestID, Target: tg, Head: gw.Protocol.ReadHead(resp), Came: gw.Now(),
 	}
-	mine := rp.Head.Request == rq.RequestID
+	mine := rp.Head.RequestID == rq.RequestID
 	if mine {
 		rq.head, rq.headAt = rp.Head, rp.Came
 		rp.Sent = rq.sentAt
