--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -16,7 +16,7 @@
 	// Request is the id of the request that is answered; empty when the head names none.
 	RequestID string
 	// Target is what the target that answers calls itself; empty when it does not say.
-	Target string
+	TargetName string
 	// AtFault is the address of the target that is the cause of a refusal; empty when the head names none.
 	AtFault string
 	// Leaving is set when the target that answers takes no new work from now on.
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -87,10 +87,10 @@
 // speaker returns the incarnation that gave an answer: the one that was meant, unless the answer names another. It reports false when that
 // one is not known.
 func (rc *Recorder) speaker(rp Report) (targets.Target, bool) {
-	if rp.Head.Target == "" || rp.Head.Target == rp.Target.OwnName() {
+	if rp.Head.TargetName == "" || rp.Head.TargetName == rp.Target.OwnName() {
 		return rp.Target, rp.Head.Verdict != answer.Misdirected
 	}
-	return rc.Targets.Named(rp.Head.Target)
+	return rc.Targets.Named(rp.Head.TargetName)
 }
 
 func (rc *Recorder) logMalformed(tg targets.Target, hd answer.Head) {
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -82,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			be := newBench(t)
 			hd := facts
-			hd.Verdict, hd.Target = tc.verdict, tc.target
+			hd.Verdict, hd.TargetName = tc.verdict, tc.target
 			be.record(hd)
 			for _, tg := range []targets.Target{meant, other} {
 				is := tc.of != nil && tc.of.ID == tg.ID
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -341,7 +341,7 @@
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
 	if tg.ID != meant.ID {
-		return tg, tg.add(simExchange{from: ca.from, sent: ca.sent}), answer.Head{Verdict: answer.Misdirected, Target: tg.OwnName()}
+		return tg, tg.add(simExchange{from: ca.from, sent: ca.sent}), answer.Head{Verdict: answer.Misdirected, TargetName: tg.OwnName()}
 	}
 	hd := answer.Head{Leaving: tg.leaving, BackOff: tg.backOff}
 	if tg.backOff > 0 {
