--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -18,7 +18,7 @@
 	// Target is what the target that answers calls itself; empty when it does not say.
 	TargetName string
 	// AtFault is the address of the target that is the cause of a refusal; empty when the head names none.
-	AtFault string
+	CauseAddress string
 	// Leaving is set when the target that answers takes no new work from now on.
 	Leaving bool
 	// Limit is how many requests a second the target takes from all instances together.
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -71,7 +71,7 @@
 	if _, err := io.CopyN(io.Discard, an.Body, bufferMost); errors.Is(err, io.EOF) {
 		an.Whole()
 	}
-	atFault := rq.head.AtFault
+	atFault := rq.head.CauseAddress
 	sl.RecordShed(atFault)
 	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, CauseAddress: atFault}, true)
 	return failure.New(failure.TargetShed, gw.outcome(rq), "the target has no room").
