--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -22,7 +22,7 @@
 	// Leaving is set when the target that answers takes no new work from now on.
 	Leaving bool
 	// Limit is how many requests a second the target takes from all instances together.
-	Limit ratelimit.Limit
+	RateLimit ratelimit.Limit
 	// BackOff is how long the target wants no further request from this instance, counted from the answer; zero when it does not say.
 	// It is never negative.
 	BackOff time.Duration
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestAnswerSpeaksForTheIncarnationThatGaveIt(t *testing.T) {
-	facts := answer.Head{BackOff: time.Second, Limit: ratelimit.Of(2)}
+	facts := answer.Head{BackOff: time.Second, RateLimit: ratelimit.Of(2)}
 	tests := map[string]struct {
 		verdict answer.Verdict
 		target  string
@@ -117,7 +117,7 @@
 
 func TestMalformedLimitNeitherSetsNorLiftsOne(t *testing.T) {
 	be := newBench(t)
-	be.record(answer.Head{Limit: ratelimit.Of(2)})
+	be.record(answer.Head{RateLimit: ratelimit.Of(2)})
 	be.now = be.now.Add(time.Second)
 	be.record(answer.Head{Malformed: []answer.MalformedError{{Fact: answer.RateLimit, Value: "many"}}})
 	be.Expect(be.Limits.Of(meant.ID)).To(Equal(ratelimit.Of(2)))
@@ -139,7 +139,7 @@
 
 func TestOrdersLiftNothing(t *testing.T) {
 	be := newBench(t)
-	be.record(answer.Head{Limit: ratelimit.Of(2)})
+	be.record(answer.Head{RateLimit: ratelimit.Of(2)})
 	be.now = be.now.Add(time.Second)
 	be.Record(feedback.Report{Source: feedback.Order, Target: meant, Came: be.now})
 	be.Expect(be.Limits.Of(meant.ID).Named).To(BeTrue())
