--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -31,7 +31,7 @@
 }
 
 // Unread reports whether a value of a fact cannot be read.
-func (hd Head) Unread(fa Fact) bool {
+func (hd Head) IsMalformed(fa Fact) bool {
 	for _, me := range hd.Malformed {
 		if me.Fact == fa {
 			return true
