--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -31,7 +31,7 @@
 }
 
 // Unread reports whether a value of a fact cannot be read.
-func (hd Head) IsMalformed(fa Fact) bool {
+func (hd Head) IsMalformed(fa Field) bool {
 	for _, me := range hd.Malformed {
 		if me.Fact == fa {
 			return true
@@ -41,18 +41,18 @@
 }
 
 // Fact names what a target says of itself.
-type Fact string
+type Field string
 
 // The facts that may be malformed.
 const (
-	Leaving   Fact = "leaving"
-	RateLimit Fact = "rate limit"
-	BackOff   Fact = "back-off"
+	Leaving   Field = "leaving"
+	RateLimit Field = "rate limit"
+	BackOff   Field = "back-off"
 )
 
 // MalformedError says that a target gives a value that cannot be read.
 type MalformedError struct {
-	Fact  Fact
+	Fact  Field
 	Value string
 }
 
