--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -33,7 +33,7 @@
 // Unread reports whether a value of a fact cannot be read.
 func (hd Head) IsMalformed(fa Field) bool {
 	for _, me := range hd.Malformed {
-		if me.Fact == fa {
+		if me.Field == fa {
 			return true
 		}
 	}
@@ -52,14 +52,14 @@
 
 // MalformedError says that a target gives a value that cannot be read.
 type MalformedError struct {
-	Fact  Field
+	Field Field
 	Value string
 }
 
 // Error gives the fact, and the value as far as it is worth showing.
 func (me *MalformedError) Error() string {
 	const shown = 40
-	return "malformed " + string(me.Fact) + " " + strconv.Quote(me.Value[:min(len(me.Value), shown)])
+	return "malformed " + string(me.Field) + " " + strconv.Quote(me.Value[:min(len(me.Value), shown)])
 }
 
 // Verdict says what an answer means for its request.
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -119,14 +119,14 @@
 	be := newBench(t)
 	be.record(answer.Head{RateLimit: ratelimit.Of(2)})
 	be.now = be.now.Add(time.Second)
-	be.record(answer.Head{Malformed: []answer.MalformedError{{Fact: answer.RateLimit, Value: "many"}}})
+	be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.RateLimit, Value: "many"}}})
 	be.Expect(be.Limits.Of(meant.ID)).To(Equal(ratelimit.Of(2)))
 }
 
 func TestMalformedValuesAreLoggedOnceAndBounded(t *testing.T) {
 	be := newBench(t)
 	say := func(value string) {
-		be.record(answer.Head{Malformed: []answer.MalformedError{{Fact: answer.BackOff, Value: value}}})
+		be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.BackOff, Value: value}}})
 	}
 	say("many")
 	say("many")
