--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -45,9 +45,9 @@
 
 // The facts that may be malformed.
 const (
-	FieldLeaving Field = "leaving"
-	RateLimit    Field = "rate limit"
-	BackOff      Field = "back-off"
+	FieldLeaving   Field = "leaving"
+	FieldRateLimit Field = "rate limit"
+	BackOff        Field = "back-off"
 )
 
 // MalformedError says that a target gives a value that cannot be read.
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -135,7 +135,7 @@
 // noteLimit takes what an answer says of the rate limit of its target. One whose limits cannot be read neither sets nor lifts one.
 func (rc *Recorder) noteLimit(tg targets.Target, rp Report) {
 	li := rp.Head.RateLimit
-	if rp.Head.IsMalformed(answer.RateLimit) && !li.Named {
+	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Named {
 		return
 	}
 	ch, changed := rc.Limits.Observe(tg.ID, li, rp.Sent, rp.Came)
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -119,7 +119,7 @@
 	be := newBench(t)
 	be.record(answer.Head{RateLimit: ratelimit.Of(2)})
 	be.now = be.now.Add(time.Second)
-	be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.RateLimit, Value: "many"}}})
+	be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldRateLimit, Value: "many"}}})
 	be.Expect(be.Limits.Of(meant.ID)).To(Equal(ratelimit.Of(2)))
 }
 
