--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -47,7 +47,7 @@
 const (
 	FieldLeaving   Field = "leaving"
 	FieldRateLimit Field = "rate limit"
-	BackOff        Field = "back-off"
+	FieldBackOff   Field = "back-off"
 )
 
 // MalformedError says that a target gives a value that cannot be read.
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -126,7 +126,7 @@
 func TestMalformedValuesAreLoggedOnceAndBounded(t *testing.T) {
 	be := newBench(t)
 	say := func(value string) {
-		be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.BackOff, Value: value}}})
+		be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldBackOff, Value: value}}})
 	}
 	say("many")
 	say("many")
