--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -76,5 +76,5 @@
 	// Misdirected means that another incarnation has the address; it has not run the request.
 	Misdirected
 	// Unproven is an answer that cannot be passed on: it lacks what shows that it is whole and the target's own.
-	Unproven
+	Unverified
 )
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -73,7 +73,7 @@
 		"the one that was meant":    {target: "a", of: &meant},
 		"turned away":               {verdict: answer.Shed, of: &meant},
 		"failed":                    {verdict: answer.Failed, of: &meant},
-		"not provably its own":      {verdict: answer.Unproven, of: &meant},
+		"not provably its own":      {verdict: answer.Unverified, of: &meant},
 		"another one":               {verdict: answer.Misdirected, target: "b", of: &other},
 		"one that nobody knows":     {verdict: answer.Misdirected, target: "c"},
 		"another one without a 421": {target: "b", of: &other},
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -34,7 +34,7 @@
 		gw.logBelief(sl.Target, "gone", "another incarnation has the address")
 		gw.logPassedOver(rq, sl.Target, "another incarnation has the address")
 		return failure.New(failure.TargetUnreachable, gw.outcome(rq), "another target has the address").WithRetryAfter(comeBackFull)
-	case answer.Unproven:
+	case answer.Unverified:
 		rq.known.Add(failure.Unknown)
 		err := &UnverifiedResponseError{Status: an.StatusCode}
 		if rq.head.BackOff > 0 {
