--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -113,7 +113,7 @@
 		return rq, err
 	}
 	rq.due = deadline.Of(began, rq.route.Timeout, fa.Timeout)
-	sk.Due(rq.due)
+	sk.SetDeadline(rq.due)
 	gw.logDeadline(rq, rq.due.Bind(sk.Control(), began.Add(bodyTimeout)))
 	if err := gw.readBody(r, sk, rq); err != nil {
 		return rq, err
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -31,7 +31,7 @@
 func (wr *Writer) Control() *http.ResponseController { return wr.rc }
 
 // Due sets when the answer is due, before it begins: what is written later is bound anew.
-func (wr *Writer) Due(dl deadline.Deadline) { wr.due = dl }
+func (wr *Writer) SetDeadline(dl deadline.Deadline) { wr.due = dl }
 
 // Started reports whether a status line was written.
 func (wr *Writer) Started() bool { return wr.status != 0 }
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -105,7 +105,7 @@
 				if err := due.Bind(wr.Control(), time.Now().Add(time.Minute)); err != nil {
 					t.Error(err)
 				}
-				wr.Due(due)
+				wr.SetDeadline(due)
 				wr.Start(http.StatusGatewayTimeout)
 				if err := wr.Pass([]byte("first,"), true); err != nil {
 					t.Error(err)
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -122,7 +122,7 @@
 			rq.org.Name, rq.org.MaxConcurrent).WithRetryAfter(time.Second)
 	}
 	sv.logDeadline(rq, rq.due.Bind(sk.Control(), rq.due.At))
-	sk.Due(rq.due)
+	sk.SetDeadline(rq.due)
 	ctx, giveUp := context.WithCancelCause(r.Context())
 	stop := context.AfterFunc(sv.over, func() { giveUp(context.Cause(sv.over)) })
 	ctx, cancel := rq.due.Context(ctx)
