--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -114,11 +114,11 @@
 	}
 	rq.due = deadline.Of(began, rq.route.Timeout, fa.Timeout)
 	sk.SetDeadline(rq.due)
-	gw.logDeadline(rq, rq.due.Bind(sk.Control(), began.Add(bodyTimeout)))
+	gw.logDeadline(rq, rq.due.Bind(sk.Controller(), began.Add(bodyTimeout)))
 	if err := gw.readBody(r, sk, rq); err != nil {
 		return rq, err
 	}
-	gw.logDeadline(rq, rq.due.BodyRead(sk.Control()))
+	gw.logDeadline(rq, rq.due.BodyRead(sk.Controller()))
 	return rq, nil
 }
 
@@ -195,7 +195,7 @@
 		Memory: gw.BodyMemory, MaxBytes: most, RetryAfter: comeBackFull, IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded,
 	}
 	// A body that is still coming at the end of the instance is waited for no longer.
-	detach := context.AfterFunc(gw.ended, func() { gw.logDeadline(rq, sk.Control().SetReadDeadline(gw.Now())) })
+	detach := context.AfterFunc(gw.ended, func() { gw.logDeadline(rq, sk.Controller().SetReadDeadline(gw.Now())) })
 	defer detach()
 	var err error
 	rq.body, rq.free, err = rd.Read(r)
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -28,7 +28,7 @@
 func (wr *Writer) Header() http.Header { return wr.w.Header() }
 
 // Control returns the controls of the caller's connection.
-func (wr *Writer) Control() *http.ResponseController { return wr.rc }
+func (wr *Writer) Controller() *http.ResponseController { return wr.rc }
 
 // Due sets when the answer is due, before it begins: what is written later is bound anew.
 func (wr *Writer) SetDeadline(dl deadline.Deadline) { wr.due = dl }
