--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -134,7 +134,7 @@
 	}
 	sk.start(an.StatusCode)
 	// The end of the exchange with the target must not hold the answer back.
-	if err := sk.Pass(body, true); err != nil {
+	if err := sk.Forward(body, true); err != nil {
 		return err
 	}
 	if _, err := io.Copy(sk.w, rest); err != nil {
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -96,7 +96,7 @@
 	sk.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	sk.start(finalStatus(fe))
 	// Sent at once, so that a caller that has gone shows here: else a refusal that nobody got looks like one in the log.
-	return sk.Pass([]byte(body), true)
+	return sk.Forward([]byte(body), true)
 }
 
 // finalStatus is the status of a failure. The statuses that promise that a request has not run and will not are
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -146,7 +146,7 @@
 		sk.w.Header().Del("Content-Length")
 		sk.start(an.StatusCode)
 	}
-	if err := sk.Pass(ev.raw, true); err != nil {
+	if err := sk.Forward(ev.raw, true); err != nil {
 		return err
 	}
 	rq.lastEvent = max(rq.lastEvent, ev.id)
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -50,7 +50,7 @@
 }
 
 // Pass writes a part of the answer, and sends it at once with flush. It fails when the caller has gone.
-func (wr *Writer) Pass(part []byte, flush bool) error {
+func (wr *Writer) Forward(part []byte, flush bool) error {
 	wr.bindLate()
 	if _, err := wr.w.Write(part); err != nil {
 		return gone(errors.Wrap(err, "write to caller"))
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -58,7 +58,7 @@
 			cn := &connection{ResponseRecorder: httptest.NewRecorder(), write: tc.write, flush: tc.flush}
 			wr := reply.New(cn)
 			wr.Start(http.StatusOK)
-			err := wr.Pass([]byte("part"), tc.asksFlush)
+			err := wr.Forward([]byte("part"), tc.asksFlush)
 			g.Expect(cn.Flushed).To(Equal(tc.wantFlushed))
 			if !tc.wantErr {
 				g.Expect(err).NotTo(HaveOccurred())
@@ -107,11 +107,11 @@
 				}
 				wr.SetDeadline(due)
 				wr.Start(http.StatusGatewayTimeout)
-				if err := wr.Pass([]byte("first,"), true); err != nil {
+				if err := wr.Forward([]byte("first,"), true); err != nil {
 					t.Error(err)
 				}
 				time.Sleep(tc.held)
-				if err := wr.Pass([]byte("last"), true); err != nil {
+				if err := wr.Forward([]byte("last"), true); err != nil {
 					t.Error(err)
 				}
 			}))
--- a/internal/serve/answer.go
+++ b/internal/serve/answer.go
@@ -58,7 +58,7 @@
 	if sk.record != nil {
 		sk.record.Body = append(sk.record.Body, b...)
 	}
-	return sk.Pass(b, flush)
+	return sk.Forward(b, flush)
 }
 
 // fail ends an answer with an error: as a response when nothing was sent, else as an event without a [DONE].
@@ -72,7 +72,7 @@
 	}
 	if sk.Started() {
 		// The caller may be gone; nothing more can be done for it.
-		_ = sk.Pass(fmt.Appendf(nil, "event: error\ndata: %s\n\n", b), true)
+		_ = sk.Forward(fmt.Appendf(nil, "event: error\ndata: %s\n\n", b), true)
 		return
 	}
 	if fe.RetryAfter > 0 {
@@ -80,7 +80,7 @@
 	}
 	sk.Header().Set("Content-Type", "application/json")
 	sk.Start(fe.Status())
-	_ = sk.Pass(b, false)
+	_ = sk.Forward(b, false)
 }
 
 // replay sends a recorded answer.
