--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -12,7 +12,7 @@
 // Plan says how long each part of a stop may take, from the time when it was asked for.
 type Plan struct {
 	// Lag is how long the balancer still sends new connections. They are accepted.
-	Lag time.Duration
+	BalancerLag time.Duration
 	// Taking is how long new requests are still taken, at most Lag; zero takes them until the listener is closed.
 	Taking time.Duration
 	// Refuse makes the instance turn new requests away; it is called after Taking, and is nil when Taking is zero.
@@ -36,7 +36,7 @@
 		wait(ctx, pl.Taking)
 		pl.Refuse()
 	}
-	wait(ctx, pl.Lag-pl.Taking)
+	wait(ctx, pl.BalancerLag-pl.Taking)
 	if pl.End != nil {
 		if finished(ctx, srv, began.Add(pl.Answers)) {
 			return nil
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -61,7 +61,7 @@
 	ended := make(chan error, 1)
 	refused := make(chan struct{})
 	go func() {
-		ended <- drain.Plan{Taking: time.Millisecond, Lag: 2 * time.Millisecond, Refuse: func() { close(refused) }, Most: generous}.
+		ended <- drain.Plan{Taking: time.Millisecond, BalancerLag: 2 * time.Millisecond, Refuse: func() { close(refused) }, Most: generous}.
 			Run(context.Background(), sv.hs)
 	}()
 	<-refused
@@ -73,9 +73,9 @@
 
 func TestRunGivesUpAtTheEnd(t *testing.T) {
 	tests := map[string]drain.Plan{
-		"without refusing":   {Lag: time.Millisecond, Most: 20 * time.Millisecond},
-		"refusing":           {Lag: time.Millisecond, Taking: time.Millisecond, Refuse: func() {}, Most: 20 * time.Millisecond},
-		"lag over the bound": {Lag: generous, Most: 20 * time.Millisecond},
+		"without refusing":   {BalancerLag: time.Millisecond, Most: 20 * time.Millisecond},
+		"refusing":           {BalancerLag: time.Millisecond, Taking: time.Millisecond, Refuse: func() {}, Most: 20 * time.Millisecond},
+		"lag over the bound": {BalancerLag: generous, Most: 20 * time.Millisecond},
 	}
 	for name, pl := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 				g.Expect(<-answered).NotTo(HaveOccurred())
 			}
 			told := false
-			pl := drain.Plan{Lag: time.Millisecond, Answers: 20 * time.Millisecond, Most: generous, End: func() {
+			pl := drain.Plan{BalancerLag: time.Millisecond, Answers: 20 * time.Millisecond, Most: generous, End: func() {
 				told = true
 				close(sv.release)
 			}}
