--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -14,7 +14,7 @@
 	// Lag is how long the balancer still sends new connections. They are accepted.
 	BalancerLag time.Duration
 	// Taking is how long new requests are still taken, at most Lag; zero takes them until the listener is closed.
-	Taking time.Duration
+	RefuseAfter time.Duration
 	// Refuse makes the instance turn new requests away; it is called after Taking, and is nil when Taking is zero.
 	Refuse func()
 	// Answers is how long requests that are still running may go on, from Lag to Most. Without End it has no effect.
@@ -33,10 +33,10 @@
 	ctx, cancel := context.WithDeadline(ctx, began.Add(pl.Most))
 	defer cancel()
 	if pl.Refuse != nil {
-		wait(ctx, pl.Taking)
+		wait(ctx, pl.RefuseAfter)
 		pl.Refuse()
 	}
-	wait(ctx, pl.BalancerLag-pl.Taking)
+	wait(ctx, pl.BalancerLag-pl.RefuseAfter)
 	if pl.End != nil {
 		if finished(ctx, srv, began.Add(pl.Answers)) {
 			return nil
