--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -16,7 +16,7 @@
 	// Taking is how long new requests are still taken, at most Lag; zero takes them until the listener is closed.
 	RefuseAfter time.Duration
 	// Refuse makes the instance turn new requests away; it is called after Taking, and is nil when Taking is zero.
-	Refuse func()
+	RefuseNew func()
 	// Answers is how long requests that are still running may go on, from Lag to Most. Without End it has no effect.
 	Answers time.Duration
 	// End makes each request that is still running answer and end. It is called after Answers if there may be one, and is
@@ -32,9 +32,9 @@
 	began := time.Now()
 	ctx, cancel := context.WithDeadline(ctx, began.Add(pl.Most))
 	defer cancel()
-	if pl.Refuse != nil {
+	if pl.RefuseNew != nil {
 		wait(ctx, pl.RefuseAfter)
-		pl.Refuse()
+		pl.RefuseNew()
 	}
 	wait(ctx, pl.BalancerLag-pl.RefuseAfter)
 	if pl.End != nil {
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -61,7 +61,7 @@
 	ended := make(chan error, 1)
 	refused := make(chan struct{})
 	go func() {
-		ended <- drain.Plan{RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, Refuse: func() { close(refused) }, Most: generous}.
+		ended <- drain.Plan{RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, RefuseNew: func() { close(refused) }, Most: generous}.
 			Run(context.Background(), sv.hs)
 	}()
 	<-refused
@@ -74,7 +74,7 @@
 func TestRunGivesUpAtTheEnd(t *testing.T) {
 	tests := map[string]drain.Plan{
 		"without refusing":   {BalancerLag: time.Millisecond, Most: 20 * time.Millisecond},
-		"refusing":           {BalancerLag: time.Millisecond, RefuseAfter: time.Millisecond, Refuse: func() {}, Most: 20 * time.Millisecond},
+		"refusing":           {BalancerLag: time.Millisecond, RefuseAfter: time.Millisecond, RefuseNew: func() {}, Most: 20 * time.Millisecond},
 		"lag over the bound": {BalancerLag: generous, Most: 20 * time.Millisecond},
 	}
 	for name, pl := range tests {
