--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -18,7 +18,7 @@
 	// Refuse makes the instance turn new requests away; it is called after Taking, and is nil when Taking is zero.
 	RefuseNew func()
 	// Answers is how long requests that are still running may go on, from Lag to Most. Without End it has no effect.
-	Answers time.Duration
+	AbortAfter time.Duration
 	// End makes each request that is still running answer and end. It is called after Answers if there may be one, and is
 	// nil where all requests end by themselves before Most.
 	End func()
@@ -38,7 +38,7 @@
 	}
 	wait(ctx, pl.BalancerLag-pl.RefuseAfter)
 	if pl.End != nil {
-		if finished(ctx, srv, began.Add(pl.Answers)) {
+		if finished(ctx, srv, began.Add(pl.AbortAfter)) {
 			return nil
 		}
 		pl.End()
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -108,12 +108,12 @@
 				g.Expect(<-answered).NotTo(HaveOccurred())
 			}
 			told := false
-			pl := drain.Plan{BalancerLag: time.Millisecond, Answers: 20 * time.Millisecond, Most: generous, End: func() {
+			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Most: generous, End: func() {
 				told = true
 				close(sv.release)
 			}}
 			if tc.answersItself {
-				pl.Answers = generous
+				pl.AbortAfter = generous
 			}
 			g.Expect(pl.Run(context.Background(), sv.hs)).To(Succeed())
 			g.Expect(told).To(Equal(!tc.answersItself))
