--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -21,7 +21,7 @@
 	AbortAfter time.Duration
 	// End makes each request that is still running answer and end. It is called after Answers if there may be one, and is
 	// nil where all requests end by themselves before Most.
-	End func()
+	Abort func()
 	// Most is when the wait for the last connection is given up. Between Answers and Most the last answers go out.
 	Most time.Duration
 }
@@ -37,11 +37,11 @@
 		pl.RefuseNew()
 	}
 	wait(ctx, pl.BalancerLag-pl.RefuseAfter)
-	if pl.End != nil {
+	if pl.Abort != nil {
 		if finished(ctx, srv, began.Add(pl.AbortAfter)) {
 			return nil
 		}
-		pl.End()
+		pl.Abort()
 	}
 	// The server looks for the last connection in steps that grow up to half a second: asked anew after End, it sees the last
 	// answers go out within milliseconds.
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -108,7 +108,7 @@
 				g.Expect(<-answered).NotTo(HaveOccurred())
 			}
 			told := false
-			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Most: generous, End: func() {
+			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Most: generous, Abort: func() {
 				told = true
 				close(sv.release)
 			}}
