--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -23,14 +23,14 @@
 	// nil where all requests end by themselves before Most.
 	Abort func()
 	// Most is when the wait for the last connection is given up. Between Answers and Most the last answers go out.
-	Most time.Duration
+	Timeout time.Duration
 }
 
 // Run serves on for the balancer's lag, then closes the listener and waits for the last answer. The end of ctx cuts both
 // short.
 func (pl Plan) Run(ctx context.Context, srv *http.Server) error {
 	began := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, began.Add(pl.Most))
+	ctx, cancel := context.WithDeadline(ctx, began.Add(pl.Timeout))
 	defer cancel()
 	if pl.RefuseNew != nil {
 		wait(ctx, pl.RefuseAfter)
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -61,7 +61,7 @@
 	ended := make(chan error, 1)
 	refused := make(chan struct{})
 	go func() {
-		ended <- drain.Plan{RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, RefuseNew: func() { close(refused) }, Most: generous}.
+		ended <- drain.Plan{RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, RefuseNew: func() { close(refused) }, Timeout: generous}.
 			Run(context.Background(), sv.hs)
 	}()
 	<-refused
@@ -73,9 +73,9 @@
 
 func TestRunGivesUpAtTheEnd(t *testing.T) {
 	tests := map[string]drain.Plan{
-		"without refusing":   {BalancerLag: time.Millisecond, Most: 20 * time.Millisecond},
-		"refusing":           {BalancerLag: time.Millisecond, RefuseAfter: time.Millisecond, RefuseNew: func() {}, Most: 20 * time.Millisecond},
-		"lag over the bound": {BalancerLag: generous, Most: 20 * time.Millisecond},
+		"without refusing":   {BalancerLag: time.Millisecond, Timeout: 20 * time.Millisecond},
+		"refusing":           {BalancerLag: time.Millisecond, RefuseAfter: time.Millisecond, RefuseNew: func() {}, Timeout: 20 * time.Millisecond},
+		"lag over the bound": {BalancerLag: generous, Timeout: 20 * time.Millisecond},
 	}
 	for name, pl := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +108,7 @@
 				g.Expect(<-answered).NotTo(HaveOccurred())
 			}
 			told := false
-			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Most: generous, Abort: func() {
+			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Timeout: generous, Abort: func() {
 				told = true
 				close(sv.release)
 			}}
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	answers := most - min(lastAnswers, st.Drain.Std()/2)
-	err := drain.Plan{BalancerLag: lag, AbortAfter: answers, Abort: sv.GiveUp, Most: most}.Run(ctx, srv)
+	err := drain.Plan{BalancerLag: lag, AbortAfter: answers, Abort: sv.GiveUp, Timeout: most}.Run(ctx, srv)
 	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
 }
 
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -211,7 +211,7 @@
 func stopPlan(grace time.Duration, refuse, end func()) drain.Plan {
 	lag, answers := min(balancerLag, grace/2), grace-answerMargin
 	return drain.Plan{
-		BalancerLag: lag, RefuseAfter: min(takeLag, lag, answers/2), RefuseNew: refuse, AbortAfter: answers, Abort: end, Most: grace - endMargin,
+		BalancerLag: lag, RefuseAfter: min(takeLag, lag, answers/2), RefuseNew: refuse, AbortAfter: answers, Abort: end, Timeout: grace - endMargin,
 	}
 }
 
