--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -20,7 +20,7 @@
 
 // Of returns the deadline of a request that arrived at a time and may take so long at the most. A caller may ask for less;
 // zero asks for nothing.
-func Of(arrived time.Time, most, asked time.Duration) Deadline {
+func ForRequest(arrived time.Time, most, asked time.Duration) Deadline {
 	if asked > 0 {
 		most = min(most, asked)
 	}
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -21,7 +21,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			arrived := time.Unix(100, 0)
-			dl := deadline.Of(arrived, tc.most, tc.asked)
+			dl := deadline.ForRequest(arrived, tc.most, tc.asked)
 			g.Expect(dl.At).To(Equal(arrived.Add(tc.want)))
 			ctx, cancel := dl.Context(t.Context())
 			defer cancel()
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -112,7 +112,7 @@
 	if err := gw.allow(rq); err != nil {
 		return rq, err
 	}
-	rq.due = deadline.Of(began, rq.route.Timeout, fa.Timeout)
+	rq.due = deadline.ForRequest(began, rq.route.Timeout, fa.Timeout)
 	sk.SetDeadline(rq.due)
 	gw.logDeadline(rq, rq.due.Bind(sk.Controller(), began.Add(bodyTimeout)))
 	if err := gw.readBody(r, sk, rq); err != nil {
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -90,7 +90,7 @@
 	now := time.Now()
 	return &request{
 		id: ident.New("req"), path: r.URL.Path, org: org, class: class, inForce: inf, arrived: now,
-		due: deadline.Of(now, class.Deadline.Std(), asked), never: r.Header.Get(HeaderRepeat) == repeatNever,
+		due: deadline.ForRequest(now, class.Deadline.Std(), asked), never: r.Header.Get(HeaderRepeat) == repeatNever,
 	}, nil
 }
 
