--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -34,7 +34,7 @@
 
 // Bind bounds the reading of the body and the writing of the answer. bodyBy bounds the body further. It fails where the
 // connection has ended, and where the writer is none, as in tests.
-func (dl Deadline) Bind(rc *http.ResponseController, bodyBy time.Time) error {
+func (dl Deadline) Apply(rc *http.ResponseController, bodyBy time.Time) error {
 	if dl.At.Before(bodyBy) {
 		bodyBy = dl.At
 	}
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -56,7 +56,7 @@
 			g := NewWithT(t)
 			cn := &connection{ResponseWriter: httptest.NewRecorder()}
 			rc := http.NewResponseController(cn)
-			g.Expect(dl.Bind(rc, tc.bodyBy)).To(Succeed())
+			g.Expect(dl.Apply(rc, tc.bodyBy)).To(Succeed())
 			g.Expect(cn.read).To(Equal(tc.want))
 			g.Expect(cn.write).To(BeTemporally(">", dl.At), "the final error is written after the deadline")
 			g.Expect(dl.BodyRead(rc)).To(Succeed())
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -114,7 +114,7 @@
 	}
 	rq.due = deadline.ForRequest(began, rq.route.Timeout, fa.Timeout)
 	sk.SetDeadline(rq.due)
-	gw.logDeadline(rq, rq.due.Bind(sk.Controller(), began.Add(bodyTimeout)))
+	gw.logDeadline(rq, rq.due.Apply(sk.Controller(), began.Add(bodyTimeout)))
 	if err := gw.readBody(r, sk, rq); err != nil {
 		return rq, err
 	}
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -102,7 +102,7 @@
 			sv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				due := deadline.Deadline{At: time.Now().Add(tc.due)}
 				wr := reply.New(w)
-				if err := due.Bind(wr.Controller(), time.Now().Add(time.Minute)); err != nil {
+				if err := due.Apply(wr.Controller(), time.Now().Add(time.Minute)); err != nil {
 					t.Error(err)
 				}
 				wr.SetDeadline(due)
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -121,7 +121,7 @@
 		return nil, nil, failure.New(failure.LimitReached, failure.NotRun, "%s has %d requests in flight",
 			rq.org.Name, rq.org.MaxConcurrent).WithRetryAfter(time.Second)
 	}
-	sv.logDeadline(rq, rq.due.Bind(sk.Controller(), rq.due.At))
+	sv.logDeadline(rq, rq.due.Apply(sk.Controller(), rq.due.At))
 	sk.SetDeadline(rq.due)
 	ctx, giveUp := context.WithCancelCause(r.Context())
 	stop := context.AfterFunc(sv.over, func() { giveUp(context.Cause(sv.over)) })
