--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -46,7 +46,7 @@
 
 // BindAnswer bounds the writing of what is written now. What is late, as the process was held up, gets as long as what is in time: its
 // caller still learns what became of the request.
-func (dl Deadline) BindAnswer(rc *http.ResponseController, now time.Time) error {
+func (dl Deadline) ExtendWriteDeadline(rc *http.ResponseController, now time.Time) error {
 	by := dl.At
 	if now.After(by) {
 		by = now
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -70,9 +70,9 @@
 	dl := deadline.Deadline{At: time.Unix(100, 0)}
 	inTime := &connection{ResponseWriter: httptest.NewRecorder()}
 	g := NewWithT(t)
-	g.Expect(dl.BindAnswer(http.NewResponseController(inTime), dl.At.Add(-time.Second))).To(Succeed())
+	g.Expect(dl.ExtendWriteDeadline(http.NewResponseController(inTime), dl.At.Add(-time.Second))).To(Succeed())
 	g.Expect(inTime.write).To(BeTemporally(">", dl.At))
 	late := &connection{ResponseWriter: httptest.NewRecorder()}
-	g.Expect(dl.BindAnswer(http.NewResponseController(late), dl.At.Add(time.Minute))).To(Succeed())
+	g.Expect(dl.ExtendWriteDeadline(http.NewResponseController(late), dl.At.Add(time.Minute))).To(Succeed())
 	g.Expect(late.write).To(BeTemporally("~", inTime.write.Add(time.Minute)), "as long as one that begins in time")
 }
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -71,7 +71,7 @@
 		return
 	}
 	// It fails on a connection that has ended, which the write tells, and on a writer that is none.
-	_ = wr.due.BindAnswer(wr.rc, now)
+	_ = wr.due.ExtendWriteDeadline(wr.rc, now)
 }
 
 func gone(err error) error {
