--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -56,6 +56,6 @@
 
 // BodyRead ends the bound for the body, which is read to its end: left in place it would look like a caller that goes
 // away. After a body that did not come it stays, else the server would wait for the rest before it ends the connection.
-func (dl Deadline) BodyRead(rc *http.ResponseController) error {
+func (dl Deadline) ClearReadDeadline(rc *http.ResponseController) error {
 	return errors.Wrap(rc.SetReadDeadline(time.Time{}), "lift the bound of the body")
 }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -59,7 +59,7 @@
 			g.Expect(dl.Apply(rc, tc.bodyBy)).To(Succeed())
 			g.Expect(cn.read).To(Equal(tc.want))
 			g.Expect(cn.write).To(BeTemporally(">", dl.At), "the final error is written after the deadline")
-			g.Expect(dl.BodyRead(rc)).To(Succeed())
+			g.Expect(dl.ClearReadDeadline(rc)).To(Succeed())
 			g.Expect(cn.read.IsZero()).To(BeTrue())
 			g.Expect(cn.write).To(BeTemporally(">", dl.At))
 		})
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -118,7 +118,7 @@
 	if err := gw.readBody(r, sk, rq); err != nil {
 		return rq, err
 	}
-	gw.logDeadline(rq, rq.due.BodyRead(sk.Controller()))
+	gw.logDeadline(rq, rq.due.ClearReadDeadline(sk.Controller()))
 	return rq, nil
 }
 
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -54,7 +54,7 @@
 	body, free, err := sv.readBody(r)
 	defer free()
 	if err == nil {
-		sv.logDeadline(rq, rq.due.BodyRead(sk.Controller()))
+		sv.logDeadline(rq, rq.due.ClearReadDeadline(sk.Controller()))
 		rq.body = body
 		err = sv.once(ctx, r, rq, sk, run)
 	}
