--- a/cmd/root.go
+++ b/cmd/root.go
@@ -71,7 +71,7 @@
 		return nil
 	}
 	if _, ok := cm.(*entryCommand); !ok {
-		hangup.Release()
+		hangup.RestoreDefault()
 	}
 	return cm.Execute(args)
 }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -16,4 +16,4 @@
 func init() { signal.Notify(early, syscall.SIGHUP) }
 
 // Release lets a hang-up end the process again, for commands that end with their terminal.
-func Release() { signal.Stop(early) }
+func RestoreDefault() { signal.Stop(early) }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -20,5 +20,5 @@
 	defer signal.Stop(seen)
 	g.Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
 	g.Eventually(seen).Should(Receive())
-	hangup.Release()
+	hangup.RestoreDefault()
 }
