--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -14,7 +14,7 @@
 )
 
 // chunkStep is how much of a body of unknown length is accounted for at a time, in bytes.
-const chunkStep = 64 << 10
+const chunkSize = 64 << 10
 
 // Reader reads bodies within a bound and within the memory that all requests share.
 type Reader struct {
@@ -36,12 +36,12 @@
 		return nil, func() {}, rd.tooLarge()
 	}
 	if size >= 0 {
-		return rd.sized(r.Body, size)
+		return rd.readSized(r.Body, size)
 	}
-	return rd.chunked(r.Body)
+	return rd.readChunked(r.Body)
 }
 
-func (rd Reader) sized(from io.Reader, size int64) (b []byte, free func(), err error) {
+func (rd Reader) readSized(from io.Reader, size int64) (b []byte, free func(), err error) {
 	if size == 0 {
 		return nil, func() {}, nil
 	}
@@ -51,27 +51,27 @@
 	free = func() { rd.Memory.Give(size) }
 	b = make([]byte, size)
 	if _, err := io.ReadFull(from, b); err != nil {
-		return nil, free, rd.broken(err)
+		return nil, free, rd.readError(err)
 	}
 	return b, free, nil
 }
 
-func (rd Reader) chunked(from io.Reader) (b []byte, free func(), err error) {
+func (rd Reader) readChunked(from io.Reader) (b []byte, free func(), err error) {
 	var taken int64
 	free = func() { rd.Memory.Give(taken) }
 	for {
-		if !rd.Memory.Take(chunkStep) {
+		if !rd.Memory.Take(chunkSize) {
 			return nil, free, rd.noMemory()
 		}
-		taken += chunkStep
-		part, err := io.ReadAll(io.LimitReader(from, chunkStep))
+		taken += chunkSize
+		part, err := io.ReadAll(io.LimitReader(from, chunkSize))
 		b = append(b, part...)
 		switch {
 		case err != nil:
-			return nil, free, rd.broken(err)
+			return nil, free, rd.readError(err)
 		case int64(len(b)) > rd.MaxBytes:
 			return nil, free, rd.tooLarge()
-		case len(part) < chunkStep:
+		case len(part) < chunkSize:
 			return b, free, nil
 		}
 	}
@@ -85,7 +85,7 @@
 	return failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(rd.RetryAfter)
 }
 
-func (rd Reader) broken(err error) error {
+func (rd Reader) readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) && rd.TimeoutCode != "" {
 		return failure.New(rd.TimeoutCode, failure.NotRun, "the body did not come in time").
 			WithCause(errors.Wrap(err, "read body")).WithRetryAfter(rd.RetryAfter)
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -10,7 +10,7 @@
 )
 
 // answerGrace is the time that an answer has to reach its caller which begins when the answer is due, or later.
-const answerGrace = 250 * time.Millisecond
+const writeGrace = 250 * time.Millisecond
 
 // Deadline is when a caller's answer is due.
 type Deadline struct {
@@ -41,7 +41,7 @@
 	if err := rc.SetReadDeadline(bodyBy); err != nil {
 		return errors.Wrap(err, "bound the body")
 	}
-	return errors.Wrap(rc.SetWriteDeadline(dl.At.Add(answerGrace)), "bound the answer")
+	return errors.Wrap(rc.SetWriteDeadline(dl.At.Add(writeGrace)), "bound the answer")
 }
 
 // BindAnswer bounds the writing of what is written now. What is late, as the process was held up, gets as long as what is in time: its
@@ -51,7 +51,7 @@
 	if now.After(by) {
 		by = now
 	}
-	return errors.Wrap(rc.SetWriteDeadline(by.Add(answerGrace)), "bound the answer")
+	return errors.Wrap(rc.SetWriteDeadline(by.Add(writeGrace)), "bound the answer")
 }
 
 // BodyRead ends the bound for the body, which is read to its end: left in place it would look like a caller that goes
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -33,12 +33,12 @@
 	ctx, cancel := context.WithDeadline(ctx, began.Add(pl.Timeout))
 	defer cancel()
 	if pl.RefuseNew != nil {
-		wait(ctx, pl.RefuseAfter)
+		sleep(ctx, pl.RefuseAfter)
 		pl.RefuseNew()
 	}
-	wait(ctx, pl.BalancerLag-pl.RefuseAfter)
+	sleep(ctx, pl.BalancerLag-pl.RefuseAfter)
 	if pl.Abort != nil {
-		if finished(ctx, srv, began.Add(pl.AbortAfter)) {
+		if shutdownBefore(ctx, srv, began.Add(pl.AbortAfter)) {
 			return nil
 		}
 		pl.Abort()
@@ -49,13 +49,13 @@
 }
 
 // finished closes the listener and reports whether the last answer came before a time.
-func finished(ctx context.Context, srv *http.Server, until time.Time) bool {
+func shutdownBefore(ctx context.Context, srv *http.Server, until time.Time) bool {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	return srv.Shutdown(ctx) == nil
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-ctx.Done():
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -9,55 +9,55 @@
 
 // heldLookMost is the longest time after which a request that is held back is looked at again: a copy may be answered meanwhile, which
 // clears it.
-const heldLookMost = 500 * time.Millisecond
+const maxRecheckInterval = 500 * time.Millisecond
 
 // notBlamed refuses a request that ends the targets which run it: nothing else tells a copy under a new id from a new request.
 // One that may be judged waits until others that stood under the same ends are known, or until its next trial.
-func (gw *Gateway) notBlamed(ctx context.Context, rq *request) error {
-	for held := false; gw.Blame.HasEvidence(rq.origin()); held = true {
+func (gw *Gateway) checkQuarantine(ctx context.Context, rq *request) error {
+	for held := false; gw.Blame.HasEvidence(rq.headHash()); held = true {
 		vd := gw.Blame.Check(rq.fingerprint())
 		switch {
 		case vd.Quarantined:
-			return gw.endsTargets(rq, vd.Crashes)
+			return gw.quarantinedError(rq, vd.Crashes)
 		case vd.Delay <= 0:
 			return nil
-		case gw.Now().Add(vd.Delay).After(rq.due.At):
-			return refused(failure.Overloaded, vd.Delay, "%d targets ended while they ran this request; it is run seldom", vd.Crashes).
+		case gw.Now().Add(vd.Delay).After(rq.deadline.At):
+			return refusal(failure.Overloaded, vd.Delay, "%d targets ended while they ran this request; it is run seldom", vd.Crashes).
 				WithOutcome(gw.outcome(rq))
 		}
 		if !held {
-			gw.logHeld(rq, vd)
+			gw.logDelayed(rq, vd)
 		}
-		if !sleep(ctx, min(vd.Delay, heldLookMost)) {
-			return gw.timeUp(ctx, rq)
+		if !sleep(ctx, min(vd.Delay, maxRecheckInterval)) {
+			return gw.cancellationError(ctx, rq)
 		}
 	}
 	return nil
 }
 
 // endsTargets is the failure of a request that was judged.
-func (gw *Gateway) endsTargets(rq *request, ends int) error {
+func (gw *Gateway) quarantinedError(rq *request, ends int) error {
 	return failure.New(failure.EndsTargets, gw.outcome(rq),
 		"%d targets ended while they ran this request; it is not sent to another, and should not be sent again", ends)
 }
 
 // stillAllowed returns why a request that waits for room may not be sent any more.
-func (gw *Gateway) stillAllowed(rq *request) error {
-	if err := gw.keyHolds(rq); err != nil {
+func (gw *Gateway) reauthorise(rq *request) error {
+	if err := gw.recheckKey(rq); err != nil {
 		return err
 	}
-	if !gw.Blame.HasEvidence(rq.origin()) {
+	if !gw.Blame.HasEvidence(rq.headHash()) {
 		return nil
 	}
 	if ends, judged := gw.Blame.Quarantined(rq.fingerprint()); judged {
-		return gw.endsTargets(rq, ends)
+		return gw.quarantinedError(rq, ends)
 	}
 	return nil
 }
 
 // clear notes that a request was answered whole, by a target that therefore did not end under it.
-func (gw *Gateway) clear(rq *request) {
-	if gw.Blame.HasEvidence(rq.origin()) {
+func (gw *Gateway) clearEvidence(rq *request) {
+	if gw.Blame.HasEvidence(rq.headHash()) {
 		gw.Blame.RecordAnswered(rq.fingerprint())
 	}
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -15,35 +15,35 @@
 
 // probeAt are the times after a run was broken off at which its target is asked for a connection. A process that ends may reset
 // its connections some time before it stops listening; later its address may be another's.
-var probeAt = []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond}
+var crashProbeDelays = []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond}
 
 // probes are the targets that are being asked whether they have ended. Its methods may be called by any goroutine.
-type probes struct {
+type probeSet struct {
 	mu sync.Mutex
 	// asked holds incarnations.
-	asked []string
+	running []string
 }
 
 // begin reports whether nobody asks the target yet.
-func (pr *probes) begin(id string) bool {
-	pr.mu.Lock()
-	defer pr.mu.Unlock()
-	if slices.Contains(pr.asked, id) {
+func (ps *probeSet) start(id string) bool {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	if slices.Contains(ps.running, id) {
 		return false
 	}
-	pr.asked = append(pr.asked, id)
+	ps.running = append(ps.running, id)
 	return true
 }
 
-func (pr *probes) end(id string) {
-	pr.mu.Lock()
-	defer pr.mu.Unlock()
-	pr.asked = slices.DeleteFunc(pr.asked, func(asked string) bool { return asked == id })
+func (ps *probeSet) end(id string) {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	ps.running = slices.DeleteFunc(ps.running, func(asked string) bool { return asked == id })
 }
 
 // broke notes that a target broke off a request. It is held against the request if the target has ended, but for one that had begun
 // to leave, which ends as planned.
-func (gw *Gateway) broke(rq *request, tg targets.Target, cause error) {
+func (gw *Gateway) recordInterrupted(rq *request, tg targets.Target, cause error) {
 	if !gw.Targets.TakesWork(tg.ID) {
 		return
 	}
@@ -55,23 +55,23 @@
 	gw.Blame.RecordInterrupted(blame.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(began), At: now})
 	var silent *SilentTargetError
 	if !errors.As(cause, &silent) {
-		gw.probeEnd(tg)
+		gw.probeForCrash(tg)
 	}
 }
 
 // probeEnd finds out, in the background, whether a target that broke off a run has ended: a connection that is refused tells it
 // seconds before the entry of the target goes.
-func (gw *Gateway) probeEnd(tg targets.Target) {
-	if !gw.probes.begin(tg.ID) {
+func (gw *Gateway) probeForCrash(tg targets.Target) {
+	if !gw.crashProbes.start(tg.ID) {
 		return
 	}
 	go func() {
-		defer gw.probes.end(tg.ID)
+		defer gw.crashProbes.end(tg.ID)
 		began := gw.Now()
-		for _, at := range probeAt {
+		for _, at := range crashProbeDelays {
 			time.Sleep(at - gw.Now().Sub(began))
-			if gw.refuses(tg) {
-				gw.logEnded(tg, "connection refused", gw.Now().Sub(began))
+			if gw.refusesConnections(tg) {
+				gw.logCrashed(tg, "connection refused", gw.Now().Sub(began))
 				gw.Blame.RecordCrash(tg.ID)
 				return
 			}
@@ -80,32 +80,32 @@
 }
 
 // refuses reports whether nothing listens at a target's address.
-func (gw *Gateway) refuses(tg targets.Target) bool {
-	return connectionRefused(gw.Pool.Probe(context.Background(), tg.Address))
+func (gw *Gateway) refusesConnections(tg targets.Target) bool {
+	return isConnectionRefused(gw.Pool.Probe(context.Background(), tg.Address))
 }
 
 // noticeEnd notes the end of a target that refused a connection and had not begun to leave.
-func (gw *Gateway) noticeEnd(tg targets.Target, err error) {
-	if connectionRefused(err) && gw.Targets.TakesWork(tg.ID) {
+func (gw *Gateway) recordCrashIfRefused(tg targets.Target, err error) {
+	if isConnectionRefused(err) && gw.Targets.TakesWork(tg.ID) {
 		gw.Blame.RecordCrash(tg.ID)
 	}
 }
 
 // notReached notes that a target took no connection, unless this process stood still meanwhile.
-func (gw *Gateway) notReached(tg targets.Target, err error) {
+func (gw *Gateway) recordUnreachable(tg targets.Target, err error) {
 	var de *upstream.DialError
 	if errors.As(err, &de) && de.HeldUp {
 		return
 	}
 	if gw.Targets.Unreachable(tg.ID) {
-		gw.logZoneOut(tg, "connections not taken")
+		gw.logZoneLeftOut(tg, "connections not taken")
 	}
 	gw.logLeftOut(tg)
-	gw.noticeEnd(tg, err)
+	gw.recordCrashIfRefused(tg, err)
 }
 
 // connectionRefused reports whether a failure says that nothing listens at the address.
-func connectionRefused(err error) bool {
+func isConnectionRefused(err error) bool {
 	var de *upstream.DialError
 	return errors.As(err, &de) && de.Refused()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -60,25 +60,25 @@
 // Gateway serves callers. It is safe for use by any goroutine.
 type Gateway struct {
 	Deps
-	limits  atomic.Pointer[Limits]
-	machine *life.Machine
-	states  tally
-	probes  probes
+	limits      atomic.Pointer[Limits]
+	lifecycle   *life.Machine
+	stateCounts stateCounts
+	crashProbes probeSet
 	// proofOld is set while requests with a key are refused for the age of the proof.
-	proofOld atomic.Bool
+	configStale atomic.Bool
 	// closed is set once new requests are refused.
-	closed atomic.Bool
+	refusing atomic.Bool
 	// ended is done once every request has to end; end makes it so.
-	ended context.Context
-	end   context.CancelFunc
+	aborted context.Context
+	abort   context.CancelFunc
 }
 
 // New returns a gateway.
 func New(dp Deps, lm Limits) *Gateway {
-	gw := &Gateway{Deps: dp, machine: life.New()}
-	gw.ended, gw.end = context.WithCancel(context.Background())
+	gw := &Gateway{Deps: dp, lifecycle: life.New()}
+	gw.aborted, gw.abort = context.WithCancel(context.Background())
 	gw.SetLimits(lm)
-	gw.showInFlight()
+	gw.registerInFlightGauges()
 	return gw
 }
 
@@ -94,19 +94,19 @@
 // ServeHTTP serves one request.
 func (gw *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := gw.Now()
-	sk := &sink{Writer: reply.New(w), w: w, stopping: gw.Stopping}
-	gw.states.enter(life.Received)
+	sk := &responseWriter{Writer: reply.New(w), w: w, stopping: gw.Stopping}
+	gw.stateCounts.enter(life.Received)
 	rq, err := gw.admit(r, sk, began)
 	defer func() {
 		// A body that was not read to its end has taken memory too.
-		rq.free()
-		gw.states.leave(rq.life.State)
+		rq.freeBody()
+		gw.stateCounts.leave(rq.lifecycle.State)
 	}()
 	if err == nil {
 		err = gw.run(r.Context(), rq, sk)
 	}
 	if err == nil {
-		gw.clear(rq)
+		gw.clearEvidence(rq)
 	}
 	gw.finish(rq, sk, err)
 }
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -25,28 +25,28 @@
 }
 
 // tally counts the requests in each state of their life.
-type tally [life.Failed + 1]atomic.Int64
+type stateCounts [life.Failed + 1]atomic.Int64
 
-func (ta *tally) enter(st life.State) { ta[st].Add(1) }
+func (sc *stateCounts) enter(st life.State) { sc[st].Add(1) }
 
-func (ta *tally) leave(st life.State) { ta[st].Add(-1) }
+func (sc *stateCounts) leave(st life.State) { sc[st].Add(-1) }
 
-func (ta *tally) move(from, to life.State) {
-	ta.leave(from)
-	ta.enter(to)
+func (sc *stateCounts) move(from, to life.State) {
+	sc.leave(from)
+	sc.enter(to)
 }
 
 // InFlight returns the requests that are being served. Those that end at this moment may count twice or not at all.
 func (gw *Gateway) InFlight() InFlight {
 	return InFlight{
-		Waiting:   gw.states[life.Received].Load() + gw.states[life.Waiting].Load(),
-		Sent:      gw.states[life.Dispatched].Load(),
-		Answering: gw.states[life.Streaming].Load(),
+		Waiting:   gw.stateCounts[life.Received].Load() + gw.stateCounts[life.Waiting].Load(),
+		Sent:      gw.stateCounts[life.Dispatched].Load(),
+		Answering: gw.stateCounts[life.Streaming].Load(),
 	}
 }
 
 // showInFlight puts the counts on the metrics page.
-func (gw *Gateway) showInFlight() {
+func (gw *Gateway) registerInFlightGauges() {
 	gauge := func(name string, count func(InFlight) int64) {
 		gw.Metrics.GetOrCreateGauge(name, func() float64 { return float64(count(gw.InFlight())) })
 	}
@@ -55,10 +55,10 @@
 	gauge(`silvermount_requests_in_flight{state="answering"}`, func(inf InFlight) int64 { return inf.Answering })
 }
 
-func (gw *Gateway) fire(ctx context.Context, rq *request, tr life.Trigger) error {
-	from := rq.life.State
+func (gw *Gateway) transition(ctx context.Context, rq *request, tr life.Trigger) error {
+	from := rq.lifecycle.State
 	// The life goes on to its end also for a caller that has gone.
-	err := gw.machine.Fire(context.WithoutCancel(ctx), &rq.life, tr)
-	gw.states.move(from, rq.life.State)
+	err := gw.lifecycle.Fire(context.WithoutCancel(ctx), &rq.lifecycle, tr)
+	gw.stateCounts.move(from, rq.lifecycle.State)
 	return err
 }
--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -15,9 +15,9 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-func (gw *Gateway) fields(rq *request) log.Fields {
+func (gw *Gateway) logFields(rq *request) log.Fields {
 	fs := log.Fields{
-		"request": rq.RequestID, "route": rq.route.Name, "elapsed": since(rq.arrived, gw.Now()).String(),
+		"request": rq.RequestID, "route": rq.route.Name, "elapsed": roundedSince(rq.arrived, gw.Now()).String(),
 	}
 	if rq.org.Name != "" {
 		fs["organisation"] = rq.org.Name
@@ -25,14 +25,14 @@
 	if rq.table != nil {
 		_, provenAt := gw.Routes.Current()
 		fs["config"] = rq.table.Version()
-		fs["proof_age"] = since(provenAt, gw.Now()).String()
+		fs["proof_age"] = roundedSince(provenAt, gw.Now()).String()
 	}
 	return fs
 }
 
 // logAttempt says where a request is sent and which inputs decided it.
-func (gw *Gateway) logAttempt(rq *request, sl *dispatch.Slot) {
-	fs := gw.fields(rq)
+func (gw *Gateway) logSent(rq *request, sl *dispatch.Slot) {
+	fs := gw.logFields(rq)
 	fs["service"] = rq.service
 	fs["target"] = sl.Target.ID
 	fs["helpers"] = helperNames(sl)
@@ -46,14 +46,14 @@
 	}
 	fs["predicted_first"] = sl.PredictedFirstToken.Round(time.Millisecond).String()
 	fs["predicted_pause"] = sl.PredictedPause.Round(time.Millisecond).String()
-	fs["list_age"] = since(gw.Targets.HeardAt(), gw.Now()).String()
+	fs["list_age"] = roundedSince(gw.Targets.HeardAt(), gw.Now()).String()
 	fs["attempt"] = len(rq.tried) + 1
 	gw.Log.WithFields(fs).Info("request sent")
 }
 
 // logHeld says that a request waits, since targets ended under it.
-func (gw *Gateway) logHeld(rq *request, vd blame.Decision) {
-	fs := gw.fields(rq)
+func (gw *Gateway) logDelayed(rq *request, vd blame.Decision) {
+	fs := gw.logFields(rq)
 	fs["fingerprint"] = rq.fingerprint().String()
 	fs["ends"] = vd.Crashes
 	fs["for"] = vd.Delay.Round(time.Millisecond).String()
@@ -70,11 +70,11 @@
 }
 
 func (gw *Gateway) logAttemptFailed(rq *request, tg targets.Target, err error, sent bool) {
-	fs := gw.fields(rq)
+	fs := gw.logFields(rq)
 	fs["target"] = tg.ID
 	fs["cause"] = err.Error()
 	fs["sent"] = sent
-	fs["events"] = rq.events
+	fs["events"] = rq.eventsForwarded
 	if sent {
 		fs["fingerprint"] = rq.fingerprint().String()
 	}
@@ -83,25 +83,25 @@
 }
 
 // logEnded says that a target ended under what it ran, which its entry does not tell before seconds have gone by.
-func (gw *Gateway) logEnded(tg targets.Target, cause string, after time.Duration) {
+func (gw *Gateway) logCrashed(tg targets.Target, cause string, after time.Duration) {
 	gw.Log.WithFields(log.Fields{
 		"target": tg.ID, "service": tg.Service, "cause": cause, "after": after.Round(100 * time.Microsecond).String(),
 	}).Warn("target ended")
 	gw.Metrics.GetOrCreateCounter(`silvermount_targets_ended_total`).Inc()
 }
 
-func (gw *Gateway) logBelief(tg targets.Target, what, why string) {
+func (gw *Gateway) logTargetState(tg targets.Target, what, why string) {
 	gw.Log.WithFields(log.Fields{"target": tg.ID, "service": tg.Service, "cause": why}).Info("target " + what)
 }
 
-func (gw *Gateway) logServed(rq *request, sk *sink) {
-	fs := gw.fields(rq)
+func (gw *Gateway) logServed(rq *request, sk *responseWriter) {
+	fs := gw.logFields(rq)
 	fs["status"] = sk.Status()
 	fs["outcome"] = "served"
-	fs["events"] = rq.events
+	fs["events"] = rq.eventsForwarded
 	fs["prompt_tokens"] = rq.PromptTokens
-	fs["first"] = rq.first.Round(time.Millisecond).String()
-	fs["longest_pause"] = rq.pause.Round(time.Millisecond).String()
+	fs["first"] = rq.timeToFirst.Round(time.Millisecond).String()
+	fs["longest_pause"] = rq.longestPause.Round(time.Millisecond).String()
 	fs["in_time"] = rq.inTime()
 	if by := rq.lateBy(); by != "" {
 		fs["late_by"] = by
@@ -112,17 +112,17 @@
 		fs["target"] = rq.tried[len(rq.tried)-1]
 	}
 	gw.Log.WithFields(fs).Info("request served")
-	gw.count("served", "")
+	gw.countRequest("served", "")
 	gw.observe("silvermount_request_seconds", gw.Now().Sub(rq.arrived))
 }
 
-func (gw *Gateway) logFailed(rq *request, sk *sink, fe *failure.Error) {
-	fs := gw.fields(rq)
+func (gw *Gateway) logFailed(rq *request, sk *responseWriter, fe *failure.Error) {
+	fs := gw.logFields(rq)
 	fs["reason"] = string(fe.Code)
 	fs["prompt_tokens"] = rq.PromptTokens
 	fs["outcome"] = string(fe.Outcome)
-	fs["events"] = rq.events
-	fs["state"] = rq.endedIn.String()
+	fs["events"] = rq.eventsForwarded
+	fs["state"] = rq.stateBeforeEnd.String()
 	if sk.Started() {
 		fs["outcome"] = "broken_off"
 	}
@@ -133,21 +133,21 @@
 	if fe.Outcome == failure.NotRun {
 		message = "request refused"
 	}
-	if rq.noRetry != "" {
-		fs["no_retry"] = string(rq.noRetry)
+	if rq.noRetryReason != "" {
+		fs["no_retry"] = string(rq.noRetryReason)
 	}
 	if fe.Code == failure.EndsTargets {
 		fs["fingerprint"] = rq.fingerprint().String()
 	}
 	if fe.Code == failure.Unauthorized {
-		gw.keyFields(fs, rq.Key)
+		gw.addKeyFields(fs, rq.Key)
 	}
 	gw.Log.WithFields(fs).Warn(message)
-	gw.count(string(fe.Outcome), string(fe.Code))
+	gw.countRequest(string(fe.Outcome), string(fe.Code))
 }
 
 // keyFields says of a key that is not in force what is known of it, without telling it.
-func (gw *Gateway) keyFields(fs log.Fields, key string) {
+func (gw *Gateway) addKeyFields(fs log.Fields, key string) {
 	if key == "" {
 		fs["key"] = "none"
 		return
@@ -162,8 +162,8 @@
 }
 
 // logPassedOver says that a chosen target was sent nothing after all.
-func (gw *Gateway) logPassedOver(rq *request, tg targets.Target, cause string) {
-	fs := gw.fields(rq)
+func (gw *Gateway) logSkipped(rq *request, tg targets.Target, cause string) {
+	fs := gw.logFields(rq)
 	fs["target"] = tg.ID
 	fs["cause"] = cause
 	gw.Log.WithFields(fs).Info("target passed over")
@@ -179,11 +179,11 @@
 }
 
 // logGivenUp says that an attempt ended because its time was over or its caller had left.
-func (gw *Gateway) logGivenUp(rq *request, tg targets.Target, fe *failure.Error) {
-	fs := gw.fields(rq)
+func (gw *Gateway) logCancelled(rq *request, tg targets.Target, fe *failure.Error) {
+	fs := gw.logFields(rq)
 	fs["target"] = tg.ID
 	fs["cause"] = string(fe.Code)
-	fs["events"] = rq.events
+	fs["events"] = rq.eventsForwarded
 	lg := gw.Log.WithFields(fs)
 	if fe.Code == failure.DeadlineExceeded {
 		lg.Warn("attempt given up")
@@ -193,8 +193,8 @@
 }
 
 // logProof says when requests with a key begin to be refused for the age of the proof, and when they are taken again.
-func (gw *Gateway) logProof(tooOld bool, version int64, age time.Duration) {
-	if gw.proofOld.Swap(tooOld) == tooOld {
+func (gw *Gateway) logStaleness(tooOld bool, version int64, age time.Duration) {
+	if gw.configStale.Swap(tooOld) == tooOld {
 		return
 	}
 	lg := gw.Log.WithFields(log.Fields{"version": version, "proof_age": age.Round(time.Millisecond).String()})
@@ -207,7 +207,7 @@
 
 // logDeadline says that a caller's connection took no deadline: it has ended already. A writer that is no connection, as
 // in tests, has none.
-func (gw *Gateway) logDeadline(rq *request, err error) {
+func (gw *Gateway) logDeadlineError(rq *request, err error) {
 	if err == nil || errors.Is(err, http.ErrNotSupported) {
 		return
 	}
@@ -215,11 +215,11 @@
 }
 
 // logNotPassedOn says that a failure did not reach its caller, who may be gone.
-func (gw *Gateway) logNotPassedOn(rq *request, err error) {
+func (gw *Gateway) logNotDelivered(rq *request, err error) {
 	gw.Log.WithFields(log.Fields{"request": rq.RequestID, "cause": err.Error()}).Info("answer not passed on")
 }
 
-func (gw *Gateway) count(outcome, reason string) {
+func (gw *Gateway) countRequest(outcome, reason string) {
 	gw.Metrics.GetOrCreateCounter(`silvermount_requests_total{outcome="` + outcome + `",reason="` + reason + `"}`).Inc()
 }
 
@@ -233,9 +233,9 @@
 // lateBy says what made a stream late first: "first" or "pause"; empty when it is in time.
 func (rq *request) lateBy() string {
 	switch {
-	case rq.first > rq.route.Objective:
+	case rq.timeToFirst > rq.route.Objective:
 		return "first"
-	case rq.route.LongestPause > 0 && rq.pause > rq.route.LongestPause:
+	case rq.route.LongestPause > 0 && rq.longestPause > rq.route.LongestPause:
 		return "pause"
 	default:
 		return ""
@@ -243,13 +243,13 @@
 }
 
 // observeFirst notes the time to the first event and how far the prediction was off.
-func (gw *Gateway) observeFirst(rq *request, sl *dispatch.Slot) {
+func (gw *Gateway) observeFirstEvent(rq *request, sl *dispatch.Slot) {
 	took := gw.Now().Sub(sl.ChosenAt)
 	gw.observe("silvermount_first_event_seconds", gw.Now().Sub(rq.arrived))
 	gw.observe("silvermount_first_event_prediction_error_seconds", (took - sl.PredictedFirstToken).Abs())
 }
 
 // logZoneOut tells that the availability zone of a target is left out until a probe is answered there.
-func (gw *Gateway) logZoneOut(tg targets.Target, cause string) {
+func (gw *Gateway) logZoneLeftOut(tg targets.Target, cause string) {
 	gw.Log.WithFields(log.Fields{"zone": tg.AvailabilityZone, "target": tg.ID, "cause": cause}).Warn("availability zone left out")
 }
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -17,7 +17,7 @@
 )
 
 // receive passes a target's answer on.
-func (gw *Gateway) receive(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) handleResponse(ctx context.Context, rq *request, sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
 	verdict := rq.head.Verdict
 	if verdict != answer.Misdirected {
 		rq.tried = append(rq.tried, sl.Target.ID)
@@ -27,35 +27,35 @@
 	}
 	switch verdict {
 	case answer.Shed:
-		return gw.shed(rq, sl, an)
+		return gw.handleShed(rq, sl, an)
 	case answer.Misdirected:
 		gw.Blame.RecordCrash(sl.Target.ID)
 		gw.Targets.MarkLeaving(sl.Target.ID)
-		gw.logBelief(sl.Target, "gone", "another incarnation has the address")
-		gw.logPassedOver(rq, sl.Target, "another incarnation has the address")
-		return failure.New(failure.TargetUnreachable, gw.outcome(rq), "another target has the address").WithRetryAfter(comeBackFull)
+		gw.logTargetState(sl.Target, "gone", "another incarnation has the address")
+		gw.logSkipped(rq, sl.Target, "another incarnation has the address")
+		return failure.New(failure.TargetUnreachable, gw.outcome(rq), "another target has the address").WithRetryAfter(overloadRetryAfter)
 	case answer.Unverified:
-		rq.known.Add(failure.Unknown)
+		rq.outcomes.Add(failure.Unknown)
 		err := &UnverifiedResponseError{Status: an.StatusCode}
 		if rq.head.BackOff > 0 {
 			// A target that says when to come back is no sick one.
 			gw.logAttemptFailed(rq, sl.Target, err, true)
 		} else {
-			gw.failed(rq, sl.Target, err)
+			gw.recordFailedAttempt(rq, sl.Target, err)
 		}
 		return failure.New(failure.TargetLost, failure.Unknown, "the answer cannot be passed on").WithCause(err)
 	}
-	rq.known.Add(failure.Unknown)
+	rq.outcomes.Add(failure.Unknown)
 	if verdict == answer.Answered && rq.route.Streaming && an.StatusCode == http.StatusOK {
-		return gw.stream(ctx, rq, sk, sl, an)
+		return gw.forwardStream(ctx, rq, sk, sl, an)
 	}
 	if sk.Started() {
 		// The caller has the beginning of a stream: nothing but its next events may follow.
 		err := &TargetFailureError{Status: an.StatusCode}
-		gw.failed(rq, sl.Target, err)
+		gw.recordFailedAttempt(rq, sl.Target, err)
 		return failure.New(failure.TargetLost, failure.Unknown, "the stream does not go on there").WithCause(err)
 	}
-	return gw.plain(ctx, rq, sk, sl, an, verdict)
+	return gw.handlePlain(ctx, rq, sk, sl, an, verdict)
 }
 
 // UnprovenAnswerError says that an answer lacks what shows that it is whole and the target's own.
@@ -66,9 +66,9 @@
 	return "answer with status " + strconv.Itoa(ue.Status) + " is not provably the target's own"
 }
 
-func (gw *Gateway) shed(rq *request, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) handleShed(rq *request, sl *dispatch.Slot, an *upstream.Answer) error {
 	// The body is short; reading it lets the connection be used again.
-	if _, err := io.CopyN(io.Discard, an.Body, bufferMost); errors.Is(err, io.EOF) {
+	if _, err := io.CopyN(io.Discard, an.Body, maxBufferedBytes); errors.Is(err, io.EOF) {
 		an.Whole()
 	}
 	atFault := rq.head.CauseAddress
@@ -95,41 +95,41 @@
 }
 
 // bufferMost is how much of an answer is held back until it is whole; larger ones are passed on as they come.
-const bufferMost = 256 << 10
+const maxBufferedBytes = 256 << 10
 
 // plain passes on an answer that is no stream. Short ones are passed on when they are whole, so that a broken one can
 // still be asked for elsewhere.
-func (gw *Gateway) plain(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Answer, v answer.Verdict) error {
-	body, err := io.ReadAll(io.LimitReader(an.Body, bufferMost))
+func (gw *Gateway) handlePlain(ctx context.Context, rq *request, sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer, v answer.Verdict) error {
+	body, err := io.ReadAll(io.LimitReader(an.Body, maxBufferedBytes))
 	if err != nil {
-		return gw.brokenOff(ctx, rq, sl, err)
+		return gw.handleInterrupted(ctx, rq, sl, err)
 	}
-	if len(body) < bufferMost {
+	if len(body) < maxBufferedBytes {
 		an.Whole()
 	}
-	if v == answer.Failed && gw.retryFailed(ctx, rq, sk) {
-		gw.failed(rq, sl.Target, &TargetFailureError{Status: an.StatusCode})
+	if v == answer.Failed && gw.shouldRetryFailure(ctx, rq, sk) {
+		gw.recordFailedAttempt(rq, sl.Target, &TargetFailureError{Status: an.StatusCode})
 		return failure.New(failure.TargetRefused, failure.Failed, "the target answered %d", an.StatusCode)
 	}
 	if v == answer.Answered {
 		gw.Targets.Success(sl.Target.ID)
 	} else {
-		gw.held(sl.Target)
+		gw.recordTargetFailure(sl.Target)
 	}
 	sl.RecordFirstToken()
-	if err := gw.fire(ctx, rq, life.FirstToken); err != nil {
+	if err := gw.transition(ctx, rq, life.FirstToken); err != nil {
 		return err
 	}
 	rest := io.Reader(bytes.NewReader(nil))
-	if len(body) == bufferMost {
+	if len(body) == maxBufferedBytes {
 		rest = an.Body
 	}
-	return gw.passPlain(ctx, rq, sk, an, body, rest)
+	return gw.forwardPlain(ctx, rq, sk, an, body, rest)
 }
 
-func (gw *Gateway) passPlain(ctx context.Context, rq *request, sk *sink, an *upstream.Answer, body []byte, rest io.Reader) error {
-	copyHeader(sk.w.Header(), an.Header)
-	if len(body) < bufferMost {
+func (gw *Gateway) forwardPlain(ctx context.Context, rq *request, sk *responseWriter, an *upstream.Answer, body []byte, rest io.Reader) error {
+	copyEndToEndHeaders(sk.w.Header(), an.Header)
+	if len(body) < maxBufferedBytes {
 		sk.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
 	sk.start(an.StatusCode)
@@ -138,9 +138,9 @@
 		return err
 	}
 	if _, err := io.Copy(sk.w, rest); err != nil {
-		return gw.timeUp(ctx, rq).WithCause(err)
+		return gw.cancellationError(ctx, rq).WithCause(err)
 	}
-	if len(body) == bufferMost {
+	if len(body) == maxBufferedBytes {
 		an.Whole()
 	}
 	return nil
@@ -153,18 +153,18 @@
 func (te *TargetFailureError) Error() string { return "the target answered " + strconv.Itoa(te.Status) }
 
 // retryFailed reports whether a failure that a target answered is to be tried elsewhere in place of being passed on.
-func (gw *Gateway) retryFailed(ctx context.Context, rq *request, sk *sink) bool {
+func (gw *Gateway) shouldRetryFailure(ctx context.Context, rq *request, sk *responseWriter) bool {
 	return ctx.Err() == nil && !rq.route.Exclusive() && !sk.Started() &&
-		gw.another(rq.route, rq.service, rq.tried) && gw.RetryBudget.Left()
+		gw.hasUntriedTarget(rq.route, rq.service, rq.tried) && gw.RetryBudget.Left()
 }
 
-func (gw *Gateway) brokenOff(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
+func (gw *Gateway) handleInterrupted(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
 	if ctx.Err() != nil {
-		fe := gw.timeUp(ctx, rq).WithCause(err)
-		gw.logGivenUp(rq, sl.Target, fe)
+		fe := gw.cancellationError(ctx, rq).WithCause(err)
+		gw.logCancelled(rq, sl.Target, fe)
 		return fe
 	}
-	gw.failed(rq, sl.Target, err)
-	gw.broke(rq, sl.Target, err)
+	gw.recordFailedAttempt(rq, sl.Target, err)
+	gw.recordInterrupted(rq, sl.Target, err)
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off").WithCause(err)
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -21,12 +21,12 @@
 
 const (
 	// eventMost bounds one event.
-	eventMost = 1 << 20
+	maxEventBytes = 1 << 20
 	// stallFloor is the least silence inside a stream after which it is taken up elsewhere: a target that depends on a
 	// lost one stands still for 1.5 s before it says so, and callers give up after two seconds.
-	stallFloor = 1700 * time.Millisecond
+	minStallTimeout = 1700 * time.Millisecond
 	// stallPauses is the same in longest pauses of the route.
-	stallPauses = 3
+	stallPauseFactor = 3
 )
 
 var idField = []byte("id:")
@@ -62,7 +62,7 @@
 		if err != nil {
 			return event{}, err
 		}
-		if len(ev.raw) > eventMost {
+		if len(ev.raw) > maxEventBytes {
 			return event{}, &EventTooLargeError{}
 		}
 		text := bytes.TrimRight(line, "\r\n")
@@ -81,48 +81,48 @@
 }
 
 // stream passes on the events of an answer as they come.
-func (gw *Gateway) stream(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Answer) error {
-	ru := gw.Blame.BeginRun(rq.origin(), rq.fingerprint)
+func (gw *Gateway) forwardStream(ctx context.Context, rq *request, sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
+	ru := gw.Blame.BeginRun(rq.headHash(), rq.fingerprint)
 	defer ru.End()
 	br := bufio.NewReader(an.Body)
-	stall := max(stallFloor, stallPauses*rq.route.LongestPause)
+	stall := max(minStallTimeout, stallPauseFactor*rq.route.LongestPause)
 	// A copy: the timer may look at it while the next attempt begins.
 	tried := slices.Clone(rq.tried)
-	wd := newWatchdog(an, stall, func(silence time.Duration) bool {
+	wd := startStallWatchdog(an, stall, func(silence time.Duration) bool {
 		if silence <= sl.MaxSilence() {
 			return false
 		}
-		gw.silent(sl.Target)
-		return gw.claimMove(rq.route, rq.service, tried)
+		gw.recordSilence(sl.Target)
+		return gw.takeFailoverRetry(rq.route, rq.service, tried)
 	})
 	defer wd.stop()
 	fresh := true
 	for {
 		ev, err := readEvent(br)
 		if errors.Is(err, io.EOF) {
-			gw.streamEnded(sk, sl, an)
+			gw.finishStream(sk, sl, an)
 			return nil
 		}
 		if err != nil {
-			rq.claimed = wd.hasFired()
-			return gw.brokenOff(ctx, rq, sl, wd.cause(err))
+			rq.retryTaken = wd.hasFired()
+			return gw.handleInterrupted(ctx, rq, sl, wd.cause(err))
 		}
 		if fresh {
 			fresh = false
 			sl.RecordFirstToken()
-			gw.observeFirst(rq, sl)
-			if err := gw.fire(ctx, rq, life.FirstToken); err != nil {
+			gw.observeFirstEvent(rq, sl)
+			if err := gw.transition(ctx, rq, life.FirstToken); err != nil {
 				return err
 			}
 		}
 		wd.reset(stall)
 		gw.Targets.Reached(sl.Target.ID)
 		sl.RecordEvent()
-		if ev.id >= 0 && ev.id <= rq.lastEvent {
+		if ev.id >= 0 && ev.id <= rq.forwardedEventID {
 			// The event was passed on before the stream moved here.
 			continue
 		}
-		if err := gw.passEvent(rq, sk, an, ev); err != nil {
+		if err := gw.forwardEvent(rq, sk, an, ev); err != nil {
 			return err
 		}
 	}
@@ -130,94 +130,94 @@
 
 // claimMove reports whether a request can go on at another target now, and takes the retry for it: the streams of
 // one silent target all ask at once, and there may be a retry for some of them only.
-func (gw *Gateway) claimMove(rt routes.Route, service string, tried []string) bool {
-	return !rt.Exclusive() && gw.another(rt, service, tried) && gw.RetryBudget.Take()
+func (gw *Gateway) takeFailoverRetry(rt routes.Route, service string, tried []string) bool {
+	return !rt.Exclusive() && gw.hasUntriedTarget(rt, service, tried) && gw.RetryBudget.Take()
 }
 
 // another reports whether the route allows a further target and one is there.
-func (gw *Gateway) another(rt routes.Route, service string, tried []string) bool {
+func (gw *Gateway) hasUntriedTarget(rt routes.Route, service string, tried []string) bool {
 	untried := func(tg targets.Target) bool { return !slices.Contains(tried, tg.ID) }
-	return gw.stillThere(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.Proven), untried)
+	return gw.countAvailable(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.Proven), untried)
 }
 
-func (gw *Gateway) passEvent(rq *request, sk *sink, an *upstream.Answer, ev event) error {
+func (gw *Gateway) forwardEvent(rq *request, sk *responseWriter, an *upstream.Answer, ev event) error {
 	if !sk.Started() {
-		copyHeader(sk.w.Header(), an.Header)
+		copyEndToEndHeaders(sk.w.Header(), an.Header)
 		sk.w.Header().Del("Content-Length")
 		sk.start(an.StatusCode)
 	}
 	if err := sk.Forward(ev.raw, true); err != nil {
 		return err
 	}
-	rq.lastEvent = max(rq.lastEvent, ev.id)
-	rq.events++
-	rq.timed(gw.Now())
+	rq.forwardedEventID = max(rq.forwardedEventID, ev.id)
+	rq.eventsForwarded++
+	rq.recordEventTime(gw.Now())
 	return nil
 }
 
 // timed notes that an event was passed on.
-func (rq *request) timed(now time.Time) {
-	if rq.eventAt.IsZero() {
-		rq.first = now.Sub(rq.arrived)
+func (rq *request) recordEventTime(now time.Time) {
+	if rq.lastEventAt.IsZero() {
+		rq.timeToFirst = now.Sub(rq.arrived)
 	} else {
-		rq.pause = max(rq.pause, now.Sub(rq.eventAt))
+		rq.longestPause = max(rq.longestPause, now.Sub(rq.lastEventAt))
 	}
-	rq.eventAt = now
+	rq.lastEventAt = now
 }
 
 // streamEnded notes that a stream is whole. That holds also when its time is over just now.
-func (gw *Gateway) streamEnded(sk *sink, sl *dispatch.Slot, an *upstream.Answer) {
+func (gw *Gateway) finishStream(sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer) {
 	an.Whole()
 	gw.Targets.Success(sl.Target.ID)
 	if !sk.Started() {
-		copyHeader(sk.w.Header(), an.Header)
+		copyEndToEndHeaders(sk.w.Header(), an.Header)
 		sk.start(an.StatusCode)
 	}
 }
 
 // watchdog closes an answer that stays silent for too long, but only while the stream can go on elsewhere: silence
 // alone is no reason to end an answer before its time.
-type watchdog struct {
-	an    *upstream.Answer
-	limit time.Duration
+type stallWatchdog struct {
+	an      *upstream.Answer
+	timeout time.Duration
 	// claim reports whether the stream may be ended, as its continuation elsewhere is paid for.
-	claim func(silence time.Duration) bool
+	takeRetry func(silence time.Duration) bool
 	// heard is when the last event came.
-	heard time.Time
+	lastEventAt time.Time
 
 	mu    sync.Mutex
 	timer *time.Timer
 	// ended is set when the stream is over: its connection may then serve another request.
-	ended bool
+	stopped bool
 	// fired is set when silence ended the stream.
 	fired bool
 }
 
-func newWatchdog(an *upstream.Answer, limit time.Duration, claim func(silence time.Duration) bool) *watchdog {
-	wd := &watchdog{an: an, limit: limit, claim: claim, heard: time.Now()}
+func startStallWatchdog(an *upstream.Answer, limit time.Duration, claim func(silence time.Duration) bool) *stallWatchdog {
+	wd := &stallWatchdog{an: an, timeout: limit, takeRetry: claim, lastEventAt: time.Now()}
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
-	wd.timer = time.AfterFunc(firstEventMost, wd.fire)
+	wd.timer = time.AfterFunc(maxFirstEventDelay, wd.fire)
 	return wd
 }
 
 // firstEventMost bounds the silence between the head of a stream and its first event. The head comes with the first
 // token.
-const firstEventMost = 3 * time.Second
+const maxFirstEventDelay = 3 * time.Second
 
-func (wd *watchdog) fire() {
+func (wd *stallWatchdog) fire() {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
-	if wd.ended {
+	if wd.stopped {
 		return
 	}
 	if wd.an.Waits() {
 		// It is not the target that was silent: this process, or the caller, takes no more at present.
-		wd.timer.Reset(askAgain)
+		wd.timer.Reset(stallRecheckInterval)
 		return
 	}
-	if !wd.claim(time.Since(wd.heard)) {
-		wd.timer.Reset(askAgain)
+	if !wd.takeRetry(time.Since(wd.lastEventAt)) {
+		wd.timer.Reset(stallRecheckInterval)
 		return
 	}
 	wd.fired = true
@@ -225,32 +225,32 @@
 }
 
 // askAgain is how soon a silent stream that could not move is looked at again: a few passes of an engine.
-const askAgain = 250 * time.Millisecond
+const stallRecheckInterval = 250 * time.Millisecond
 
-func (wd *watchdog) reset(d time.Duration) {
+func (wd *stallWatchdog) reset(d time.Duration) {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
-	wd.heard = time.Now()
+	wd.lastEventAt = time.Now()
 	wd.timer.Reset(d)
 }
 
-func (wd *watchdog) stop() {
+func (wd *stallWatchdog) stop() {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
-	wd.ended = true
+	wd.stopped = true
 	wd.timer.Stop()
 }
 
-func (wd *watchdog) hasFired() bool {
+func (wd *stallWatchdog) hasFired() bool {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
 	return wd.fired
 }
 
 // cause returns the silence as the cause of a broken stream, if it was.
-func (wd *watchdog) cause(err error) error {
+func (wd *stallWatchdog) cause(err error) error {
 	if wd.hasFired() {
-		return &SilentTargetError{After: wd.limit}
+		return &SilentTargetError{After: wd.timeout}
 	}
 	return err
 }
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -11,9 +11,9 @@
 )
 
 // early takes hang-ups from the beginning of the process. Nobody reads it: the settings are read later anyway.
-var early = make(chan os.Signal, 1)
+var earlySignals = make(chan os.Signal, 1)
 
-func init() { signal.Notify(early, syscall.SIGHUP) }
+func init() { signal.Notify(earlySignals, syscall.SIGHUP) }
 
 // Release lets a hang-up end the process again, for commands that end with their terminal.
-func RestoreDefault() { signal.Stop(early) }
+func RestoreDefault() { signal.Stop(earlySignals) }
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -16,7 +16,7 @@
 	w  http.ResponseWriter
 	rc *http.ResponseController
 	// due is when the answer is due; its zero value bounds nothing.
-	due deadline.Deadline
+	deadline deadline.Deadline
 	// status is what was written; zero before.
 	status int
 }
@@ -31,7 +31,7 @@
 func (wr *Writer) Controller() *http.ResponseController { return wr.rc }
 
 // Due sets when the answer is due, before it begins: what is written later is bound anew.
-func (wr *Writer) SetDeadline(dl deadline.Deadline) { wr.due = dl }
+func (wr *Writer) SetDeadline(dl deadline.Deadline) { wr.deadline = dl }
 
 // Started reports whether a status line was written.
 func (wr *Writer) Started() bool { return wr.status != 0 }
@@ -45,35 +45,35 @@
 		return
 	}
 	wr.status = status
-	wr.bindLate()
+	wr.extendDeadline()
 	wr.w.WriteHeader(status)
 }
 
 // Pass writes a part of the answer, and sends it at once with flush. It fails when the caller has gone.
 func (wr *Writer) Forward(part []byte, flush bool) error {
-	wr.bindLate()
+	wr.extendDeadline()
 	if _, err := wr.w.Write(part); err != nil {
-		return gone(errors.Wrap(err, "write to caller"))
+		return callerGone(errors.Wrap(err, "write to caller"))
 	}
 	if !flush {
 		return nil
 	}
 	if err := wr.rc.Flush(); err != nil {
-		return gone(errors.Wrap(err, "flush to caller"))
+		return callerGone(errors.Wrap(err, "flush to caller"))
 	}
 	return nil
 }
 
 // bindLate bounds anew what is written after the answer was due: the process may have been held up, and the bound passed meanwhile.
-func (wr *Writer) bindLate() {
+func (wr *Writer) extendDeadline() {
 	now := time.Now()
-	if wr.due.At.IsZero() || !now.After(wr.due.At) {
+	if wr.deadline.At.IsZero() || !now.After(wr.deadline.At) {
 		return
 	}
 	// It fails on a connection that has ended, which the write tells, and on a writer that is none.
-	_ = wr.due.ExtendWriteDeadline(wr.rc, now)
+	_ = wr.deadline.ExtendWriteDeadline(wr.rc, now)
 }
 
-func gone(err error) error {
+func callerGone(err error) error {
 	return failure.New(failure.CallerGone, failure.Failed, "the caller went away").WithCause(err)
 }
