--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	// comeBackUnready is when a caller of an instance without configuration or fresh proof should come back: about
-	// what one question to the store takes while it recovers.
+	// notReadyRetryAfter is the Retry-After of an instance that has no configuration or a stale one: about the time that
+	// one query takes while the store recovers.
 	notReadyRetryAfter = 500 * time.Millisecond
-	// comeBackFull is when a caller should come back after a refusal for lack of room.
+	// overloadRetryAfter is the Retry-After of requests that are refused for lack of capacity.
 	overloadRetryAfter = 300 * time.Millisecond
-	// bodyTimeout bounds the reading of a body.
+	// bodyTimeout is the maximum time from the arrival of a request to the end of its body.
 	bodyTimeout = 10 * time.Second
 )
 
-// request is one caller's request on its way. It is used by one goroutine.
+// request is the state of a caller's request while it is served. Except for fingerprint, it is not safe for concurrent use.
 type request struct {
 	RequestInfo
 	method     string
@@ -43,44 +43,47 @@
 	org        routes.Organisation
 	needsKey   bool
 	arrived    time.Time
-	// due is the earlier of the caller's deadline and the route's.
+	// deadline is the earlier of the caller's deadline and the route's.
 	deadline deadline.Deadline
-	// free gives the body's memory back; never nil.
+	// freeBody returns the memory of the body to the budget; never nil.
 	freeBody  func()
 	lifecycle life.Record
-	// endedIn is the last state before the end.
+	// stateBeforeEnd is the lifecycle state in which a failed request ended.
 	stateBeforeEnd life.State
-	// known is unknown once a target was sent the request and did not say that it left it alone.
+	// outcomes aggregates the outcomes of all attempts. It is failure.Unknown once the request was sent to a target that did
+	// not state that it left the request unprocessed.
 	outcomes outcome.Aggregate
-	// tried holds the incarnations that were sent the request.
+	// tried holds the incarnations to which the request was sent.
 	tried []string
-	// avoid holds the incarnations that are not asked again: tried, or not reachable.
+	// excluded holds the incarnations that are not chosen again: those already tried, and those that were unreachable.
 	excluded []string
-	// claimed is set when the next retry was taken from the budget already.
+	// retryTaken is set if the next retry has already been taken from the retry budget.
 	retryTaken bool
-	// noRetry is why the last failed attempt was not followed by another; empty before.
+	// noRetryReason is why the last failed attempt was not retried; empty before.
 	noRetryReason retry.Reason
-	// lastEvent is the last event passed on; negative before the first.
+	// forwardedEventID is the id of the last event that the caller has; negative before the first.
 	forwardedEventID int64
-	// events counts the events passed on.
+	// eventsForwarded is the number of events forwarded to the caller.
 	eventsForwarded int
-	// first is the time from arrival to the first event or answer, pause the longest between two events; zero before.
+	// timeToFirst is the time from arrival to the first forwarded event, longestPause the longest time between two forwarded
+	// events. Both are zero before, and for responses that are not streams.
 	timeToFirst, longestPause time.Duration
-	// eventAt is when the last event was passed on.
+	// lastEventAt is when the last event was forwarded.
 	lastEventAt time.Time
-	// sentAt is when the newest attempt was sent, headAt when the head of its answer came; zero before.
+	// sentAt is when the latest attempt was sent, headAt when the head of its response was received; both are zero before.
 	sentAt, headAt time.Time
-	// head is that of the newest answer; it is valid while headAt is set.
+	// head is the head of the latest response. It is valid only while headAt is set.
 	head answer.Head
-	// print makes the fingerprint once: the digest of a long body is made only when it is needed.
+	// computeFingerprint computes the fingerprint on its first call only. The digest of a long body is expensive, and most
+	// requests do not need it.
 	computeFingerprint func() fingerprint.Fingerprint
 }
 
-// fingerprint returns what names the request again when it comes under another id. It may be asked by any goroutine once the body is
-// read.
+// fingerprint returns the fingerprint that identifies the request when it is sent again under another id. It is safe for
+// concurrent use once the body has been read.
 func (rq *request) fingerprint() fingerprint.Fingerprint { return rq.computeFingerprint() }
 
-// origin returns what a fingerprint begins with; it costs the same for short and long bodies.
+// headHash returns the first part of the fingerprint. Its cost does not depend on the length of the body.
 func (rq *request) headHash() fingerprint.HeadHash {
 	return fingerprint.HeadHashOf(rq.fingerprintInput())
 }
@@ -91,42 +94,43 @@
 	}
 }
 
-func refusal(code failure.Code, comeBack time.Duration, format string, args ...any) *failure.Error {
-	return failure.New(code, failure.NotRun, format, args...).WithRetryAfter(comeBack)
+// refusal returns the failure of a request that was not run and that the caller may retry.
+func refusal(code failure.Code, retryAfter time.Duration, format string, args ...any) *failure.Error {
+	return failure.New(code, failure.NotRun, format, args...).WithRetryAfter(retryAfter)
 }
 
-// admit reads a request and checks that the configuration in force allows it.
-func (gw *Gateway) admit(r *http.Request, sk *responseWriter, began time.Time) (*request, error) {
+// admit reads a request with its body and checks that the configuration in force allows it. The request is never nil.
+func (gw *Gateway) admit(r *http.Request, rw *responseWriter, arrived time.Time) (*request, error) {
 	rq := &request{
 		method: r.Method, requestURI: r.RequestURI, host: r.Host, path: r.URL.EscapedPath(), header: r.Header,
-		arrived: began, freeBody: func() {},
+		arrived: arrived, freeBody: func() {},
 	}
 	rq.computeFingerprint = sync.OnceValue(func() fingerprint.Fingerprint { return fingerprint.Of(rq.fingerprintInput()) })
-	fa, err := gw.Protocol.ReadRequest(r)
+	ri, err := gw.Protocol.ReadRequest(r)
 	if err != nil {
 		return rq, failure.New(failure.BadRequest, failure.NotRun, "the request cannot be read").WithCause(err)
 	}
-	rq.RequestInfo = fa
-	rq.forwardedEventID = fa.LastEventID
+	rq.RequestInfo = ri
+	rq.forwardedEventID = ri.LastEventID
 	if gw.refusing.Load() {
 		return rq, refusal(failure.Stopping, dispatch.RetryElsewhereAfter, "the instance ends soon; another takes the request")
 	}
 	if err := gw.authorise(rq); err != nil {
 		return rq, err
 	}
-	rq.deadline = deadline.ForRequest(began, rq.route.Timeout, fa.Timeout)
-	sk.SetDeadline(rq.deadline)
-	gw.logDeadlineError(rq, rq.deadline.Apply(sk.Controller(), began.Add(bodyTimeout)))
-	if err := gw.readBody(r, sk, rq); err != nil {
+	rq.deadline = deadline.ForRequest(arrived, rq.route.Timeout, ri.Timeout)
+	rw.SetDeadline(rq.deadline)
+	gw.logDeadlineError(rq, rq.deadline.Apply(rw.Controller(), arrived.Add(bodyTimeout)))
+	if err := gw.readBody(r, rw, rq); err != nil {
 		return rq, err
 	}
-	gw.logDeadlineError(rq, rq.deadline.ClearReadDeadline(sk.Controller()))
+	gw.logDeadlineError(rq, rq.deadline.ClearReadDeadline(rw.Controller()))
 	return rq, nil
 }
 
-// allow looks a request up in the configuration in force now.
+// authorise looks up the route of a request in the configuration in force now, and checks its key.
 func (gw *Gateway) authorise(rq *request) error {
-	tb, provenAt := gw.Routes.Current()
+	tb, confirmedAt := gw.Routes.Current()
 	if tb == nil {
 		return refusal(failure.NotReady, notReadyRetryAfter, "no configuration is in force yet")
 	}
@@ -137,23 +141,23 @@
 	rq.table = tb
 	rq.route = rt
 	rq.needsKey = tb.NeedsKey(rt)
-	return gw.checkKey(rq, tb, provenAt)
+	return gw.checkKey(rq, tb, confirmedAt)
 }
 
-// keyHolds checks the key of a request that was sent nowhere yet against the configuration in force now: it may be taken
-// away while the request waits for room. The route that the request came by stays its own.
+// recheckKey checks the key of a request that has not been sent to any target against the configuration in force now, since
+// the key may be revoked while the request waits for capacity. The request keeps the route that it was admitted with.
 func (gw *Gateway) recheckKey(rq *request) error {
-	tb, provenAt := gw.Routes.Current()
+	tb, confirmedAt := gw.Routes.Current()
 	if len(rq.tried) > 0 {
 		return nil
 	}
-	return gw.checkKey(rq, tb, provenAt)
+	return gw.checkKey(rq, tb, confirmedAt)
 }
 
-// allowKey checks the key of a request, and how long ago the configuration was proven to be the newest. A key that is not in
-// force is called unknown only by an instance that can know it: a caller who is told so does not come back. A request without
-// a key is refused by any configuration.
-func (gw *Gateway) checkKey(rq *request, tb *routes.Table, provenAt time.Time) error {
+// checkKey checks the key of a request and the staleness of the configuration. It reports a key as unknown only if this
+// instance has the newest configuration, because callers do not retry after that. A request without a required key is
+// refused whatever the configuration.
+func (gw *Gateway) checkKey(rq *request, tb *routes.Table, confirmedAt time.Time) error {
 	if !rq.needsKey {
 		return nil
 	}
@@ -162,7 +166,7 @@
 		return failure.New(failure.Unauthorized, failure.NotRun, "the request has no key")
 	}
 	rq.org = og
-	if err := gw.checkStaleness(tb, provenAt); err != nil {
+	if err := gw.checkStaleness(tb, confirmedAt); err != nil {
 		return err
 	}
 	switch {
@@ -175,33 +179,34 @@
 	}
 }
 
-// proven refuses a request with a key when the configuration was not confirmed for too long.
-func (gw *Gateway) checkStaleness(tb *routes.Table, provenAt time.Time) error {
-	most := gw.limits.Load().MaxConfigStaleness
-	age := gw.Now().Sub(provenAt)
-	tooOld := most > 0 && age > most
-	gw.logStaleness(tooOld, tb.Version(), age)
-	if tooOld {
-		return refusal(failure.ProofTooOld, notReadyRetryAfter, "the configuration was last confirmed %s ago", age.Round(time.Millisecond))
+// checkStaleness refuses a request that needs a key if the configuration was last confirmed too long ago: the key may have
+// been revoked since.
+func (gw *Gateway) checkStaleness(tb *routes.Table, confirmedAt time.Time) error {
+	maxStaleness := gw.limits.Load().MaxConfigStaleness
+	staleness := gw.Now().Sub(confirmedAt)
+	stale := maxStaleness > 0 && staleness > maxStaleness
+	gw.logStaleness(stale, tb.Version(), staleness)
+	if stale {
+		return refusal(failure.ProofTooOld, notReadyRetryAfter, "the configuration was last confirmed %s ago", staleness.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// readBody reads a body under the shared budget.
-func (gw *Gateway) readBody(r *http.Request, sk *responseWriter, rq *request) error {
-	most := gw.limits.Load().MaxBodyBytes
+// readBody reads the body of a request within the memory budget that all requests share.
+func (gw *Gateway) readBody(r *http.Request, rw *responseWriter, rq *request) error {
+	maxBytes := gw.limits.Load().MaxBodyBytes
 	if lm := rq.table.Limits().MaxBodyBytes; lm > 0 {
-		most = min(most, lm)
+		maxBytes = min(maxBytes, lm)
 	}
-	rd := body.Reader{
-		Memory: gw.BodyMemory, MaxBytes: most, RetryAfter: overloadRetryAfter, IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded,
+	br := body.Reader{
+		Memory: gw.BodyMemory, MaxBytes: maxBytes, RetryAfter: overloadRetryAfter, IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded,
 	}
-	// A body that is still coming at the end of the instance is waited for no longer.
-	detach := context.AfterFunc(gw.aborted, func() { gw.logDeadlineError(rq, sk.Controller().SetReadDeadline(gw.Now())) })
-	defer detach()
+	// When requests are aborted, a body that is still being received is no longer waited for.
+	stopWatch := context.AfterFunc(gw.aborted, func() { gw.logDeadlineError(rq, rw.Controller().SetReadDeadline(gw.Now())) })
+	defer stopWatch()
 	var err error
-	rq.body, rq.freeBody, err = rd.Read(r)
-	// Whether or not the body is whole: nothing of it may be sent any more.
+	rq.body, rq.freeBody, err = br.Read(r)
+	// Even a complete body must not be sent any more.
 	if gw.aborted.Err() != nil {
 		return gw.abortedError(rq)
 	}
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -7,41 +7,43 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// heldLookMost is the longest time after which a request that is held back is looked at again: a copy may be answered meanwhile, which
-// clears it.
+// maxRecheckInterval is the maximum time between two checks of a delayed request. Another request with the same fingerprint
+// may be answered meanwhile, which clears this one too.
 const maxRecheckInterval = 500 * time.Millisecond
 
-// notBlamed refuses a request that ends the targets which run it: nothing else tells a copy under a new id from a new request.
-// One that may be judged waits until others that stood under the same ends are known, or until its next trial.
+// checkQuarantine refuses a quarantined request. The check uses the fingerprint, since the caller may send the request again
+// under a new id. A request under evidence is delayed until it is known which other requests the same crashes interrupted,
+// or until its next probe.
 func (gw *Gateway) checkQuarantine(ctx context.Context, rq *request) error {
-	for held := false; gw.Blame.HasEvidence(rq.headHash()); held = true {
-		vd := gw.Blame.Check(rq.fingerprint())
+	for logged := false; gw.Blame.HasEvidence(rq.headHash()); logged = true {
+		dc := gw.Blame.Check(rq.fingerprint())
 		switch {
-		case vd.Quarantined:
-			return gw.quarantinedError(rq, vd.Crashes)
-		case vd.Delay <= 0:
+		case dc.Quarantined:
+			return gw.quarantinedError(rq, dc.Crashes)
+		case dc.Delay <= 0:
 			return nil
-		case gw.Now().Add(vd.Delay).After(rq.deadline.At):
-			return refusal(failure.Overloaded, vd.Delay, "%d targets ended while they ran this request; it is run seldom", vd.Crashes).
+		case gw.Now().Add(dc.Delay).After(rq.deadline.At):
+			return refusal(failure.Overloaded, dc.Delay, "%d targets ended while they ran this request; it is run seldom", dc.Crashes).
 				WithOutcome(gw.outcome(rq))
 		}
-		if !held {
-			gw.logDelayed(rq, vd)
+		if !logged {
+			gw.logDelayed(rq, dc)
 		}
-		if !sleep(ctx, min(vd.Delay, maxRecheckInterval)) {
+		if !sleep(ctx, min(dc.Delay, maxRecheckInterval)) {
 			return gw.cancellationError(ctx, rq)
 		}
 	}
 	return nil
 }
 
-// endsTargets is the failure of a request that was judged.
-func (gw *Gateway) quarantinedError(rq *request, ends int) error {
+// quarantinedError returns the failure of a quarantined request.
+func (gw *Gateway) quarantinedError(rq *request, crashes int) error {
 	return failure.New(failure.EndsTargets, gw.outcome(rq),
-		"%d targets ended while they ran this request; it is not sent to another, and should not be sent again", ends)
+		"%d targets ended while they ran this request; it is not sent to another, and should not be sent again", crashes)
 }
 
-// stillAllowed returns why a request that waits for room may not be sent any more.
+// reauthorise returns an error if a request that waits for capacity may no longer be sent: its key was revoked, or it was
+// quarantined.
 func (gw *Gateway) reauthorise(rq *request) error {
 	if err := gw.recheckKey(rq); err != nil {
 		return err
@@ -49,25 +51,25 @@
 	if !gw.Blame.HasEvidence(rq.headHash()) {
 		return nil
 	}
-	if ends, judged := gw.Blame.Quarantined(rq.fingerprint()); judged {
-		return gw.quarantinedError(rq, ends)
+	if crashes, quarantined := gw.Blame.Quarantined(rq.fingerprint()); quarantined {
+		return gw.quarantinedError(rq, crashes)
 	}
 	return nil
 }
 
-// clear notes that a request was answered whole, by a target that therefore did not end under it.
+// clearEvidence records that a request was answered completely, which shows that it does not crash its targets.
 func (gw *Gateway) clearEvidence(rq *request) {
 	if gw.Blame.HasEvidence(rq.headHash()) {
 		gw.Blame.RecordAnswered(rq.fingerprint())
 	}
 }
 
-// sleep waits, and reports whether ctx goes on.
+// sleep waits for d. It reports false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
+	tm := time.NewTimer(d)
+	defer tm.Stop()
 	select {
-	case <-timer.C:
+	case <-tm.C:
 		return true
 	case <-ctx.Done():
 		return false
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -16,59 +16,62 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-// TestRequestOnTrialWaitsOrIsRefused sends a request that may end its targets, with and without the time to wait for its next trial.
-func TestRequestOnTrialWaitsOrIsRefused(t *testing.T) {
+// TestRequestOnProbationIsDelayedOrRefused sends a request under evidence whose deadline allows or does not allow it to wait for
+// its next probe.
+func TestRequestOnProbationIsDelayedOrRefused(t *testing.T) {
 	tests := map[string]struct {
-		most     time.Duration
-		doubtful bool
-		// want are the lines about the request; waits is the least time until it is refused for want of a target.
-		want  []string
-		waits time.Duration
+		timeout  time.Duration
+		evidence bool
+		// want holds the log messages about the request. minWait is the minimum time until it is refused because there is no
+		// target.
+		want    []string
+		minWait time.Duration
 	}{
-		"time enough":  {5 * time.Second, true, []string{"request held back", "request refused"}, 900 * time.Millisecond},
-		"too late":     {500 * time.Millisecond, true, []string{"request refused"}, 0},
-		"nothing held": {5 * time.Second, false, []string{"request refused"}, 0},
+		"deadline after the next probe":  {5 * time.Second, true, []string{"request delayed after crashes of its targets", "request refused"}, 900 * time.Millisecond},
+		"deadline before the next probe": {500 * time.Millisecond, true, []string{"request refused"}, 0},
+		"no evidence":                    {5 * time.Second, false, []string{"request refused"}, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			h := memory.New()
-			gw := newWaiting(tc.most)
+			gw := newGatewayWithoutTargets(tc.timeout)
 			gw.Log = &log.Logger{Handler: h}
 			gw.Blame = blame.New(blame.Options{
 				Now: time.Now, TargetCount: func() int { return 12 }, Crashed: func(string) bool { return false }, NotifyPeers: func() {},
 				Metrics: metrics.NewSet(), Log: gw.Log,
 			})
 			fp := fingerprint.Of(fingerprint.Request{Method: http.MethodGet, Host: "example.com", RequestURI: "/a/"})
-			if tc.doubtful {
-				doubt(gw.Blame, fp)
+			if tc.evidence {
+				addEvidence(gw.Blame, fp)
 			}
-			began := time.Now()
+			startedAt := time.Now()
 			rec := httptest.NewRecorder()
 			gw.ServeHTTP(rec, httptest.NewRequest(http.MethodGet, "/a/", http.NoBody))
 			g.Expect(rec.Code).To(Equal(http.StatusServiceUnavailable), rec.Body.String())
 			g.Expect(rec.Header().Get("Retry-After")).NotTo(BeEmpty())
-			var said []string
+			var messages []string
 			for _, e := range h.Entries {
 				if e.Fields["request"] != nil {
-					said = append(said, e.Message)
+					messages = append(messages, e.Message)
 				}
 			}
-			g.Expect(said).To(Equal(tc.want))
-			g.Expect(time.Since(began)).To(BeNumerically(">=", tc.waits))
+			g.Expect(messages).To(Equal(tc.want))
+			g.Expect(time.Since(startedAt)).To(BeNumerically(">=", tc.minWait))
 		})
 	}
 }
 
-// doubt lets three targets end under a request, and as many others by themselves as leave its part in that open.
-func doubt(ld *blame.Tracker, fp fingerprint.Fingerprint) {
-	for no := range 12 {
-		ld.RecordCrash(fmt.Sprint("other-", no))
+// addEvidence records that three targets crashed while running a request, and that twelve others crashed without running it. So
+// many crashes leave open whether the request caused the three.
+func addEvidence(tr *blame.Tracker, fp fingerprint.Fingerprint) {
+	for i := range 12 {
+		tr.RecordCrash(fmt.Sprint("other-", i))
 	}
-	for no := range 3 {
-		target := fmt.Sprint("target-", no)
-		ld.RecordInterrupted(blame.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
-		ld.RecordCrash(target)
+	for i := range 3 {
+		target := fmt.Sprint("target-", i)
+		tr.RecordInterrupted(blame.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
+		tr.RecordCrash(target)
 	}
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -13,18 +13,19 @@
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
-// probeAt are the times after a run was broken off at which its target is asked for a connection. A process that ends may reset
-// its connections some time before it stops listening; later its address may be another's.
+// crashProbeDelays are the times after the interruption of a run at which a connection to its target is probed. A process
+// that crashes may reset its connections some time before it stops listening. After the last probe its address may already
+// belong to another process.
 var crashProbeDelays = []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond}
 
-// probes are the targets that are being asked whether they have ended. Its methods may be called by any goroutine.
+// probeSet is the set of targets that are being probed for a crash. It is safe for concurrent use.
 type probeSet struct {
 	mu sync.Mutex
-	// asked holds incarnations.
+	// running holds the incarnations of these targets.
 	running []string
 }
 
-// begin reports whether nobody asks the target yet.
+// start adds a target. It reports false if the target is being probed already.
 func (ps *probeSet) start(id string) bool {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
@@ -35,43 +36,45 @@
 	return true
 }
 
+// end removes a target.
 func (ps *probeSet) end(id string) {
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	ps.running = slices.DeleteFunc(ps.running, func(asked string) bool { return asked == id })
+	ps.running = slices.DeleteFunc(ps.running, func(other string) bool { return other == id })
 }
 
-// broke notes that a target broke off a request. It is held against the request if the target has ended, but for one that had begun
-// to leave, which ends as planned.
+// recordInterrupted records that a target interrupted a request, which counts against the request if the target proves to
+// have crashed. A target that was leaving is ignored, since its process ends as planned. A target that was only silent is
+// not probed.
 func (gw *Gateway) recordInterrupted(rq *request, tg targets.Target, cause error) {
 	if !gw.Targets.TakesWork(tg.ID) {
 		return
 	}
 	now := gw.Now()
-	began := rq.sentAt
+	startedAt := rq.sentAt
 	if !rq.headAt.IsZero() {
-		began = rq.headAt
+		startedAt = rq.headAt
 	}
-	gw.Blame.RecordInterrupted(blame.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(began), At: now})
-	var silent *SilentTargetError
-	if !errors.As(cause, &silent) {
+	gw.Blame.RecordInterrupted(blame.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(startedAt), At: now})
+	var se *SilentTargetError
+	if !errors.As(cause, &se) {
 		gw.probeForCrash(tg)
 	}
 }
 
-// probeEnd finds out, in the background, whether a target that broke off a run has ended: a connection that is refused tells it
-// seconds before the entry of the target goes.
+// probeForCrash checks in the background whether a target that interrupted a run has crashed. A refused connection shows this
+// seconds before the target's entry disappears from the store.
 func (gw *Gateway) probeForCrash(tg targets.Target) {
 	if !gw.crashProbes.start(tg.ID) {
 		return
 	}
 	go func() {
 		defer gw.crashProbes.end(tg.ID)
-		began := gw.Now()
-		for _, at := range crashProbeDelays {
-			time.Sleep(at - gw.Now().Sub(began))
+		startedAt := gw.Now()
+		for _, delay := range crashProbeDelays {
+			time.Sleep(delay - gw.Now().Sub(startedAt))
 			if gw.refusesConnections(tg) {
-				gw.logCrashed(tg, "connection refused", gw.Now().Sub(began))
+				gw.logCrashed(tg, "connection refused", gw.Now().Sub(startedAt))
 				gw.Blame.RecordCrash(tg.ID)
 				return
 			}
@@ -79,32 +82,32 @@
 	}()
 }
 
-// refuses reports whether nothing listens at a target's address.
+// refusesConnections reports whether no process listens on a target's address.
 func (gw *Gateway) refusesConnections(tg targets.Target) bool {
 	return isConnectionRefused(gw.Pool.Probe(context.Background(), tg.Address))
 }
 
-// noticeEnd notes the end of a target that refused a connection and had not begun to leave.
+// recordCrashIfRefused records the crash of a target that refused a connection and was not leaving.
 func (gw *Gateway) recordCrashIfRefused(tg targets.Target, err error) {
 	if isConnectionRefused(err) && gw.Targets.TakesWork(tg.ID) {
 		gw.Blame.RecordCrash(tg.ID)
 	}
 }
 
-// notReached notes that a target took no connection, unless this process stood still meanwhile.
+// recordUnreachable records that no connection to a target could be opened, unless this process was stalled meanwhile.
 func (gw *Gateway) recordUnreachable(tg targets.Target, err error) {
 	var de *upstream.DialError
 	if errors.As(err, &de) && de.HeldUp {
 		return
 	}
 	if gw.Targets.Unreachable(tg.ID) {
-		gw.logZoneLeftOut(tg, "connections not taken")
+		gw.logZoneLeftOut(tg, "connections failed")
 	}
 	gw.logLeftOut(tg)
 	gw.recordCrashIfRefused(tg, err)
 }
 
-// connectionRefused reports whether a failure says that nothing listens at the address.
+// isConnectionRefused reports whether an error shows that no process listens on the address.
 func isConnectionRefused(err error) bool {
 	var de *upstream.DialError
 	return errors.As(err, &de) && de.Refused()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,5 +1,6 @@
-// Package gateway takes callers' requests through their life: admission, attempts at targets, and the answer. It knows
-// no header or field of the protocol that callers and targets speak; a Protocol translates.
+// Package gateway implements the request lifecycle: it admits the requests of callers, sends them to targets, retries
+// failed attempts and forwards the responses. It is independent of the headers and fields that callers and targets use;
+// a Protocol translates them.
 package gateway
 
 import (
@@ -24,7 +25,7 @@
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
-// Deps are the parts that a gateway works with. All are set.
+// Deps are the dependencies of a Gateway. All fields are required.
 type Deps struct {
 	Protocol    Protocol
 	Routes      *routes.Holder
@@ -33,47 +34,47 @@
 	Pool        *upstream.Pool
 	RetryBudget *budget.Retries
 	Blame       *blame.Tracker
-	// Feedback takes the head of each answer, and Limits and BackOffs are what follows from them.
+	// Feedback processes the head of each response from a target. RateLimits and BackOffs hold the state that it derives.
 	Feedback   *feedback.Recorder
 	RateLimits *ratelimit.Book
 	BackOffs   *backoff.Book
 	BodyMemory *budget.Memory
 	Metrics    *metrics.Set
 	Log        log.Interface
-	// Random is uniform in [0, 1).
+	// Random returns a uniformly distributed number in [0, 1).
 	Random func() float64
-	// Now is the steady clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Time
-	// Stopping reports whether a stop was asked for.
+	// Stopping reports whether shutdown of the instance has been requested.
 	Stopping func() bool
 }
 
-// Limits are the bounds of a gateway.
+// Limits holds the limits that apply to all requests of a Gateway.
 type Limits struct {
-	// MaxBodyBytes bounds one body where the configuration does not.
+	// MaxBodyBytes is the maximum size of a request body. A lower limit in the configuration takes precedence.
 	MaxBodyBytes int64
-	// ProofAge is the age of the newest proof of the configuration from which requests with a key are refused; zero
-	// for no bound.
+	// MaxConfigStaleness is the maximum time since the configuration was last confirmed to be the newest. Beyond it,
+	// requests that need a key are refused. Zero means no limit.
 	MaxConfigStaleness time.Duration
 }
 
-// Gateway serves callers. It is safe for use by any goroutine.
+// Gateway is the HTTP handler for requests of callers. It is safe for concurrent use.
 type Gateway struct {
 	Deps
 	limits      atomic.Pointer[Limits]
 	lifecycle   *life.Machine
 	stateCounts stateCounts
 	crashProbes probeSet
-	// proofOld is set while requests with a key are refused for the age of the proof.
+	// configStale is set while requests that need a key are refused because the configuration is stale.
 	configStale atomic.Bool
-	// closed is set once new requests are refused.
+	// refusing is set once new requests are refused.
 	refusing atomic.Bool
-	// ended is done once every request has to end; end makes it so.
+	// aborted is cancelled by abort when all requests have to end.
 	aborted context.Context
 	abort   context.CancelFunc
 }
 
-// New returns a gateway.
+// New returns a Gateway and registers its gauges.
 func New(dp Deps, lm Limits) *Gateway {
 	gw := &Gateway{Deps: dp, lifecycle: life.New()}
 	gw.aborted, gw.abort = context.WithCancel(context.Background())
@@ -82,31 +83,32 @@
 	return gw
 }
 
-// SetLimits changes the bounds for requests from now on.
+// SetLimits replaces the limits. Checks that have already been made are not repeated.
 func (gw *Gateway) SetLimits(lm Limits) { gw.limits.Store(&lm) }
 
-// Ready reports whether the instance can take new callers.
+// Ready reports whether the instance can accept new callers: a configuration is in force and the instance is not stopping.
 func (gw *Gateway) Ready() bool {
 	tb, _ := gw.Routes.Current()
 	return tb != nil && !gw.Stopping()
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP serves one request. It panics with http.ErrAbortHandler to close the connection if the response cannot be
+// completed or the caller has disconnected.
 func (gw *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	began := gw.Now()
-	sk := &responseWriter{Writer: reply.New(w), w: w, stopping: gw.Stopping}
+	arrived := gw.Now()
+	rw := &responseWriter{Writer: reply.New(w), w: w, stopping: gw.Stopping}
 	gw.stateCounts.enter(life.Received)
-	rq, err := gw.admit(r, sk, began)
+	rq, err := gw.admit(r, rw, arrived)
 	defer func() {
-		// A body that was not read to its end has taken memory too.
+		// A body that was read only in part also holds memory.
 		rq.freeBody()
 		gw.stateCounts.leave(rq.lifecycle.State)
 	}()
 	if err == nil {
-		err = gw.run(r.Context(), rq, sk)
+		err = gw.run(r.Context(), rq, rw)
 	}
 	if err == nil {
 		gw.clearEvidence(rq)
 	}
-	gw.finish(rq, sk, err)
+	gw.finish(rq, rw, err)
 }
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -9,22 +9,23 @@
 	"github.com/silvermount/silvermount/internal/life"
 )
 
-// InFlight counts the requests that are being served by what they wait for.
+// InFlight holds the number of requests in flight, by lifecycle state.
 type InFlight struct {
-	// Waiting have been sent to no target yet, or look for the next one; those whose body still comes are among them.
+	// Waiting counts requests that wait for a target, whether for the first attempt or a retry, and those whose body is still
+	// being received.
 	Waiting int64
-	// Sent are at a target that has not answered.
+	// Sent counts requests that were sent to a target which has not begun to respond.
 	Sent int64
-	// Answering have the beginning of their answer.
+	// Answering counts requests whose response has begun.
 	Answering int64
 }
 
-// Fields returns the counts as fields of a log line.
-func (inf InFlight) Fields() log.Fields {
-	return log.Fields{"waiting": inf.Waiting, "sent": inf.Sent, "answering": inf.Answering}
+// Fields returns the counts as log fields.
+func (fl InFlight) Fields() log.Fields {
+	return log.Fields{"waiting": fl.Waiting, "sent": fl.Sent, "answering": fl.Answering}
 }
 
-// tally counts the requests in each state of their life.
+// stateCounts counts the requests in each lifecycle state.
 type stateCounts [life.Failed + 1]atomic.Int64
 
 func (sc *stateCounts) enter(st life.State) { sc[st].Add(1) }
@@ -36,7 +37,7 @@
 	sc.enter(to)
 }
 
-// InFlight returns the requests that are being served. Those that end at this moment may count twice or not at all.
+// InFlight returns the number of requests in flight. A request that ends at the same moment may count twice or not at all.
 func (gw *Gateway) InFlight() InFlight {
 	return InFlight{
 		Waiting:   gw.stateCounts[life.Received].Load() + gw.stateCounts[life.Waiting].Load(),
@@ -45,19 +46,20 @@
 	}
 }
 
-// showInFlight puts the counts on the metrics page.
+// registerInFlightGauges registers gauges for the counts.
 func (gw *Gateway) registerInFlightGauges() {
-	gauge := func(name string, count func(InFlight) int64) {
-		gw.Metrics.GetOrCreateGauge(name, func() float64 { return float64(count(gw.InFlight())) })
+	gauge := func(name string, value func(InFlight) int64) {
+		gw.Metrics.GetOrCreateGauge(name, func() float64 { return float64(value(gw.InFlight())) })
 	}
-	gauge(`silvermount_requests_in_flight{state="waiting"}`, func(inf InFlight) int64 { return inf.Waiting })
-	gauge(`silvermount_requests_in_flight{state="sent"}`, func(inf InFlight) int64 { return inf.Sent })
-	gauge(`silvermount_requests_in_flight{state="answering"}`, func(inf InFlight) int64 { return inf.Answering })
+	gauge(`silvermount_requests_in_flight{state="waiting"}`, func(fl InFlight) int64 { return fl.Waiting })
+	gauge(`silvermount_requests_in_flight{state="sent"}`, func(fl InFlight) int64 { return fl.Sent })
+	gauge(`silvermount_requests_in_flight{state="answering"}`, func(fl InFlight) int64 { return fl.Answering })
 }
 
+// transition applies a trigger to the lifecycle of a request.
 func (gw *Gateway) transition(ctx context.Context, rq *request, tr life.Trigger) error {
 	from := rq.lifecycle.State
-	// The life goes on to its end also for a caller that has gone.
+	// The lifecycle of a request continues to its end even if the caller disconnects.
 	err := gw.lifecycle.Fire(context.WithoutCancel(ctx), &rq.lifecycle, tr)
 	gw.stateCounts.move(from, rq.lifecycle.State)
 	return err
--- a/internal/gateway/inflight_test.go
+++ b/internal/gateway/inflight_test.go
@@ -15,23 +15,23 @@
 
 var errClosed = errors.New("connection closed")
 
-// closed is a caller's connection that has ended: what is written is held back, and sending it fails.
-type closed struct{ *httptest.ResponseRecorder }
+// closedConn is a caller's connection that has been closed: writes are buffered, and flushing them fails.
+type closedConn struct{ *httptest.ResponseRecorder }
 
-// FlushError fails.
-func (closed) FlushError() error { return errClosed }
+// FlushError returns errClosed.
+func (closedConn) FlushError() error { return errClosed }
 
-// TestRefusalThatNobodyGotIsTold closes the connection of a caller before it is refused.
-func TestRefusalThatNobodyGotIsTold(t *testing.T) {
+// TestUndeliveredRefusalIsLogged closes the connection of a caller before its request is refused.
+func TestUndeliveredRefusalIsLogged(t *testing.T) {
 	g := NewWithT(t)
 	h := memory.New()
 	gw := newGateway(&routes.Holder{}, h)
-	gw.ServeHTTP(closed{httptest.NewRecorder()}, httptest.NewRequest(http.MethodGet, "/a/", http.NoBody))
-	var said []string
+	gw.ServeHTTP(closedConn{httptest.NewRecorder()}, httptest.NewRequest(http.MethodGet, "/a/", http.NoBody))
+	var messages []string
 	for _, e := range h.Entries {
-		said = append(said, e.Message)
+		messages = append(messages, e.Message)
 	}
-	g.Expect(said).To(Equal([]string{"request refused", "answer not passed on"}))
+	g.Expect(messages).To(Equal([]string{"request refused", "response not delivered"}))
 	g.Expect(h.Entries[0].Fields).To(HaveKeyWithValue("state", "received"))
 	g.Expect(gw.InFlight()).To(Equal(gateway.InFlight{}))
 }
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -15,6 +15,7 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
+// logFields returns the log fields that all messages about a request share.
 func (gw *Gateway) logFields(rq *request) log.Fields {
 	fs := log.Fields{
 		"request": rq.RequestID, "route": rq.route.Name, "elapsed": roundedSince(rq.arrived, gw.Now()).String(),
@@ -23,14 +24,14 @@
 		fs["organisation"] = rq.org.Name
 	}
 	if rq.table != nil {
-		_, provenAt := gw.Routes.Current()
+		_, confirmedAt := gw.Routes.Current()
 		fs["config"] = rq.table.Version()
-		fs["proof_age"] = roundedSince(provenAt, gw.Now()).String()
+		fs["proof_age"] = roundedSince(confirmedAt, gw.Now()).String()
 	}
 	return fs
 }
 
-// logAttempt says where a request is sent and which inputs decided it.
+// logSent logs the target of an attempt and the inputs of that choice.
 func (gw *Gateway) logSent(rq *request, sl *dispatch.Slot) {
 	fs := gw.logFields(rq)
 	fs["service"] = rq.service
@@ -51,16 +52,16 @@
 	gw.Log.WithFields(fs).Info("request sent")
 }
 
-// logHeld says that a request waits, since targets ended under it.
-func (gw *Gateway) logDelayed(rq *request, vd blame.Decision) {
+// logDelayed logs that a request has to wait because targets crashed while running it.
+func (gw *Gateway) logDelayed(rq *request, dc blame.Decision) {
 	fs := gw.logFields(rq)
 	fs["fingerprint"] = rq.fingerprint().String()
-	fs["ends"] = vd.Crashes
-	fs["for"] = vd.Delay.Round(time.Millisecond).String()
-	gw.Log.WithFields(fs).Info("request held back")
+	fs["ends"] = dc.Crashes
+	fs["for"] = dc.Delay.Round(time.Millisecond).String()
+	gw.Log.WithFields(fs).Info("request delayed after crashes of its targets")
 }
 
-// helperNames lists the helping targets, separated by commas.
+// helperNames returns the incarnations of the helpers, separated by commas.
 func helperNames(sl *dispatch.Slot) string {
 	names := make([]string, len(sl.Helpers))
 	for i, hp := range sl.Helpers {
@@ -82,33 +83,33 @@
 	gw.Metrics.GetOrCreateCounter(`silvermount_attempts_failed_total`).Inc()
 }
 
-// logEnded says that a target ended under what it ran, which its entry does not tell before seconds have gone by.
+// logCrashed logs that a target crashed while running requests. The target's entry in the store shows it only seconds later.
 func (gw *Gateway) logCrashed(tg targets.Target, cause string, after time.Duration) {
 	gw.Log.WithFields(log.Fields{
 		"target": tg.ID, "service": tg.Service, "cause": cause, "after": after.Round(100 * time.Microsecond).String(),
-	}).Warn("target ended")
+	}).Warn("target crashed")
 	gw.Metrics.GetOrCreateCounter(`silvermount_targets_ended_total`).Inc()
 }
 
-func (gw *Gateway) logTargetState(tg targets.Target, what, why string) {
-	gw.Log.WithFields(log.Fields{"target": tg.ID, "service": tg.Service, "cause": why}).Info("target " + what)
+func (gw *Gateway) logTargetState(tg targets.Target, state, cause string) {
+	gw.Log.WithFields(log.Fields{"target": tg.ID, "service": tg.Service, "cause": cause}).Info("target " + state)
 }
 
-func (gw *Gateway) logServed(rq *request, sk *responseWriter) {
+func (gw *Gateway) logServed(rq *request, rw *responseWriter) {
 	fs := gw.logFields(rq)
-	fs["status"] = sk.Status()
+	fs["status"] = rw.Status()
 	fs["outcome"] = "served"
 	fs["events"] = rq.eventsForwarded
 	fs["prompt_tokens"] = rq.PromptTokens
 	fs["first"] = rq.timeToFirst.Round(time.Millisecond).String()
 	fs["longest_pause"] = rq.longestPause.Round(time.Millisecond).String()
 	fs["in_time"] = rq.inTime()
-	if by := rq.lateBy(); by != "" {
-		fs["late_by"] = by
+	if reason := rq.lateBy(); reason != "" {
+		fs["late_by"] = reason
 	}
 	fs["attempts"] = len(rq.tried)
 	if len(rq.tried) > 0 {
-		// The line that the request was sent may be left out in a busy second.
+		// Under load, the log may leave out the message that the request was sent.
 		fs["target"] = rq.tried[len(rq.tried)-1]
 	}
 	gw.Log.WithFields(fs).Info("request served")
@@ -116,14 +117,14 @@
 	gw.observe("silvermount_request_seconds", gw.Now().Sub(rq.arrived))
 }
 
-func (gw *Gateway) logFailed(rq *request, sk *responseWriter, fe *failure.Error) {
+func (gw *Gateway) logFailed(rq *request, rw *responseWriter, fe *failure.Error) {
 	fs := gw.logFields(rq)
 	fs["reason"] = string(fe.Code)
 	fs["prompt_tokens"] = rq.PromptTokens
 	fs["outcome"] = string(fe.Outcome)
 	fs["events"] = rq.eventsForwarded
 	fs["state"] = rq.stateBeforeEnd.String()
-	if sk.Started() {
+	if rw.Started() {
 		fs["outcome"] = "broken_off"
 	}
 	if fe.Cause != nil {
@@ -146,7 +147,7 @@
 	gw.countRequest(string(fe.Outcome), string(fe.Code))
 }
 
-// keyFields says of a key that is not in force what is known of it, without telling it.
+// addKeyFields adds what is known of a key that is not in force, without revealing the key itself.
 func (gw *Gateway) addKeyFields(fs log.Fields, key string) {
 	if key == "" {
 		fs["key"] = "none"
@@ -161,24 +162,25 @@
 	}
 }
 
-// logPassedOver says that a chosen target was sent nothing after all.
+// logSkipped logs that nothing was sent to a target after it had been chosen.
 func (gw *Gateway) logSkipped(rq *request, tg targets.Target, cause string) {
 	fs := gw.logFields(rq)
 	fs["target"] = tg.ID
 	fs["cause"] = cause
-	gw.Log.WithFields(fs).Info("target passed over")
+	gw.Log.WithFields(fs).Info("target skipped")
 }
 
-// logLeftOut says that a target takes no connection, and whether its whole availability zone is left out with it.
+// logLeftOut logs that a target is excluded because no connection could be opened, and whether its whole availability zone is
+// excluded with it.
 func (gw *Gateway) logLeftOut(tg targets.Target) {
 	ct := gw.Targets.Cut(tg.ID)
 	gw.Log.WithFields(log.Fields{
 		"target": tg.ID, "service": tg.Service, "zone": tg.AvailabilityZone, "refusals": ct.Refusals,
 		"out_for": ct.For.Round(time.Millisecond).String(), "zone_out": ct.Zone,
-	}).Warn("target left out for taking no connection")
+	}).Warn("target left out after connection failure")
 }
 
-// logGivenUp says that an attempt ended because its time was over or its caller had left.
+// logCancelled logs that an attempt ended because its deadline passed, its caller disconnected or the instance stopped.
 func (gw *Gateway) logCancelled(rq *request, tg targets.Target, fe *failure.Error) {
 	fs := gw.logFields(rq)
 	fs["target"] = tg.ID
@@ -186,37 +188,38 @@
 	fs["events"] = rq.eventsForwarded
 	lg := gw.Log.WithFields(fs)
 	if fe.Code == failure.DeadlineExceeded {
-		lg.Warn("attempt given up")
+		lg.Warn("attempt cancelled")
 		return
 	}
-	lg.Info("attempt given up")
+	lg.Info("attempt cancelled")
 }
 
-// logProof says when requests with a key begin to be refused for the age of the proof, and when they are taken again.
-func (gw *Gateway) logStaleness(tooOld bool, version int64, age time.Duration) {
-	if gw.configStale.Swap(tooOld) == tooOld {
+// logStaleness logs when requests that need a key begin to be refused because the configuration is stale, and when they are
+// accepted again.
+func (gw *Gateway) logStaleness(stale bool, version int64, staleness time.Duration) {
+	if gw.configStale.Swap(stale) == stale {
 		return
 	}
-	lg := gw.Log.WithFields(log.Fields{"version": version, "proof_age": age.Round(time.Millisecond).String()})
-	if tooOld {
-		lg.Warn("proof of the configuration too old, keys are refused")
+	lg := gw.Log.WithFields(log.Fields{"version": version, "proof_age": staleness.Round(time.Millisecond).String()})
+	if stale {
+		lg.Warn("configuration not confirmed for too long; refusing requests with keys")
 		return
 	}
-	lg.Info("proof of the configuration renewed, keys are taken")
+	lg.Info("configuration confirmed again; accepting requests with keys")
 }
 
-// logDeadline says that a caller's connection took no deadline: it has ended already. A writer that is no connection, as
-// in tests, has none.
+// logDeadlineError logs that no deadline could be set on a caller's connection, because it has already been closed. A response
+// writer without a connection, as in tests, supports no deadlines and is ignored.
 func (gw *Gateway) logDeadlineError(rq *request, err error) {
 	if err == nil || errors.Is(err, http.ErrNotSupported) {
 		return
 	}
-	gw.Log.WithFields(log.Fields{"request": rq.RequestID, "cause": err.Error()}).Info("connection takes no deadline")
+	gw.Log.WithFields(log.Fields{"request": rq.RequestID, "cause": err.Error()}).Info("cannot set deadline on caller connection")
 }
 
-// logNotPassedOn says that a failure did not reach its caller, who may be gone.
+// logNotDelivered logs that an error response did not reach its caller, who may have disconnected.
 func (gw *Gateway) logNotDelivered(rq *request, err error) {
-	gw.Log.WithFields(log.Fields{"request": rq.RequestID, "cause": err.Error()}).Info("answer not passed on")
+	gw.Log.WithFields(log.Fields{"request": rq.RequestID, "cause": err.Error()}).Info("response not delivered")
 }
 
 func (gw *Gateway) countRequest(outcome, reason string) {
@@ -227,10 +230,11 @@
 	gw.Metrics.GetOrCreateHistogram(name).Update(d.Seconds())
 }
 
-// inTime reports whether a stream was passed on within the route's objective and longest pause.
+// inTime reports whether a stream was forwarded within the route's objective and longest pause.
 func (rq *request) inTime() bool { return rq.lateBy() == "" }
 
-// lateBy says what made a stream late first: "first" or "pause"; empty when it is in time.
+// lateBy returns why a stream was late: "first" if its first event missed the objective, else "pause" if it paused for too
+// long, and an empty string if it was in time.
 func (rq *request) lateBy() string {
 	switch {
 	case rq.timeToFirst > rq.route.Objective:
@@ -242,14 +246,14 @@
 	}
 }
 
-// observeFirst notes the time to the first event and how far the prediction was off.
+// observeFirstEvent updates the metrics of the time to the first event and of the error of its prediction.
 func (gw *Gateway) observeFirstEvent(rq *request, sl *dispatch.Slot) {
 	took := gw.Now().Sub(sl.ChosenAt)
 	gw.observe("silvermount_first_event_seconds", gw.Now().Sub(rq.arrived))
 	gw.observe("silvermount_first_event_prediction_error_seconds", (took - sl.PredictedFirstToken).Abs())
 }
 
-// logZoneOut tells that the availability zone of a target is left out until a probe is answered there.
+// logZoneLeftOut logs that a target's availability zone is excluded until a target there answers a probe.
 func (gw *Gateway) logZoneLeftOut(tg targets.Target, cause string) {
 	gw.Log.WithFields(log.Fields{"zone": tg.AvailabilityZone, "target": tg.ID, "cause": cause}).Warn("availability zone left out")
 }
--- a/internal/gateway/logging_test.go
+++ b/internal/gateway/logging_test.go
@@ -18,10 +18,10 @@
 	"github.com/silvermount/silvermount/internal/routes"
 )
 
-// bodyMemory is room for a few small bodies.
+// bodyMemory is enough for a few small bodies.
 const bodyMemory = 1000
 
-// newGateway returns a gateway whose callers give request and key in headers.
+// newGateway returns a gateway whose callers send the request id and the key in the headers Request and Key.
 func newGateway(hd *routes.Holder, h log.Handler) *gateway.Gateway {
 	read := func(r *http.Request) (gateway.RequestInfo, error) {
 		return gateway.RequestInfo{RequestID: r.Header.Get("Request"), Key: r.Header.Get("Key")}, nil
@@ -44,7 +44,7 @@
 	return rec
 }
 
-func keys(version int64, keys ...string) *routes.Table {
+func tableWithKeys(version int64, keys ...string) *routes.Table {
 	ct := routes.Content{Version: version, Keys: map[string]routes.Organisation{}}
 	ct.Routes = []routes.Route{{Name: "r", Host: "example.com", PathPrefix: "/", Shares: []routes.Share{{Service: "s", Weight: 1}}}}
 	for _, key := range keys {
@@ -53,22 +53,22 @@
 	return routes.New(ct)
 }
 
-// TestUnknownKeyIsToldWithoutTheKey checks the line of a request whose key is not in force.
-func TestUnknownKeyIsToldWithoutTheKey(t *testing.T) {
+// TestUnknownKeyIsLoggedAsDigest checks that the log message of a request whose key is not in force does not contain the key.
+func TestUnknownKeyIsLoggedAsDigest(t *testing.T) {
 	tests := map[string]struct {
 		key  string
 		want log.Fields
 	}{
-		"no key":    {"", log.Fields{"key": "none"}},
-		"never was": {"never", log.Fields{"key": routes.DigestOf("never").String(), "key_known": false}},
-		"was taken": {"taken", log.Fields{"key": routes.DigestOf("taken").String(), "key_known": true, "key_gone": int64(5)}},
+		"no key":         {"", log.Fields{"key": "none"}},
+		"never in force": {"never", log.Fields{"key": routes.DigestOf("never").String(), "key_known": false}},
+		"revoked":        {"taken", log.Fields{"key": routes.DigestOf("taken").String(), "key_known": true, "key_gone": int64(5)}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			hd, mh := &routes.Holder{}, memory.New()
-			hd.Offer(keys(4, "taken", "kept"), nil, time.Now())
-			hd.Offer(keys(5, "kept"), nil, time.Now())
+			hd.Offer(tableWithKeys(4, "taken", "kept"), nil, time.Now())
+			hd.Offer(tableWithKeys(5, "kept"), nil, time.Now())
 			g.Expect(get(newGateway(hd, mh), "1", tc.key)).To(Equal(http.StatusUnauthorized))
 			g.Expect(mh.Entries).To(HaveLen(1))
 			for name, value := range tc.want {
@@ -83,46 +83,46 @@
 	}
 }
 
-// stuck is a standard output that takes nothing until it is let go.
-type stuck struct{ released chan struct{} }
+// blockedOutput is a standard output that blocks all writes until it is unblocked.
+type blockedOutput struct{ unblocked chan struct{} }
 
-// Write waits.
-func (st stuck) Write(b []byte) (int, error) {
-	<-st.released
+// Write blocks until unblocked is closed.
+func (bo blockedOutput) Write(b []byte) (int, error) {
+	<-bo.unblocked
 	return len(b), nil
 }
 
-// TestStuckOutputHoldsNoRequestUp sends far more requests than lines may wait while nothing is written.
-func TestStuckOutputHoldsNoRequestUp(t *testing.T) {
+// TestBlockedLogOutputDelaysNoRequest sends far more requests than the log can buffer while its output is blocked.
+func TestBlockedLogOutputDelaysNoRequest(t *testing.T) {
 	g := NewWithT(t)
-	const callers, each = 8, 2000
-	out := stuck{released: make(chan struct{})}
-	sk := eventlog.New(out, eventlog.WithCapacity(16), eventlog.WithUrgentLimit(callers*each))
+	const callers, requestsPerCaller = 8, 2000
+	out := blockedOutput{unblocked: make(chan struct{})}
+	sk := eventlog.New(out, eventlog.WithCapacity(16), eventlog.WithUrgentLimit(callers*requestsPerCaller))
 	gw := newGateway(&routes.Holder{}, sk)
 	var wg sync.WaitGroup
 	for range callers {
 		wg.Go(func() {
-			for range each {
+			for range requestsPerCaller {
 				if get(gw, "1", "") != http.StatusServiceUnavailable {
-					t.Error("not answered")
+					t.Error("unexpected status")
 				}
 			}
 		})
 	}
 	wg.Wait()
-	close(out.released)
+	close(out.unblocked)
 	g.Expect(sk.Close(t.Context())).To(Succeed())
 }
 
-func TestShedErrorNamesTheHelper(t *testing.T) {
+func TestShedErrorNamesHelper(t *testing.T) {
 	tests := map[string]struct {
 		err  gateway.ShedError
 		want string
 	}{
-		"no helper": {gateway.ShedError{Status: 503}, "the target turned the request away with status 503"},
-		"a helper": {
+		"no helper": {gateway.ShedError{Status: 503}, "target rejected the request with status 503"},
+		"helper": {
 			gateway.ShedError{Status: 503, CauseAddress: "10.0.0.1:80"},
-			"the target turned the request away with status 503 for its helper 10.0.0.1:80",
+			"target rejected the request with status 503 because of helper 10.0.0.1:80",
 		},
 	}
 	for name, tc := range tests {
@@ -132,23 +132,23 @@
 	}
 }
 
-// TestProofIsToldOnceWhenItTurnsOld sends two requests with a proof that is too old.
-func TestProofIsToldOnceWhenItTurnsOld(t *testing.T) {
+// TestStalenessIsLoggedOnce sends two requests while the configuration is stale.
+func TestStalenessIsLoggedOnce(t *testing.T) {
 	g := NewWithT(t)
 	hd, mh := &routes.Holder{}, memory.New()
 	at := time.Unix(1000, 0)
-	hd.Offer(keys(4, "kept"), nil, at)
+	hd.Offer(tableWithKeys(4, "kept"), nil, at)
 	gw := newGateway(hd, mh)
 	gw.Now = func() time.Time { return at }
 	gw.SetLimits(gateway.Limits{MaxConfigStaleness: time.Second})
 	at = at.Add(2 * time.Second)
 	g.Expect(get(gw, "1", "kept")).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(get(gw, "2", "kept")).To(Equal(http.StatusServiceUnavailable))
-	var told []string
+	var messages []string
 	for _, e := range mh.Entries {
 		if e.Fields["request"] == nil {
-			told = append(told, e.Message)
+			messages = append(messages, e.Message)
 		}
 	}
-	g.Expect(told).To(Equal([]string{"proof of the configuration too old, keys are refused"}))
+	g.Expect(messages).To(Equal([]string{"configuration not confirmed for too long; refusing requests with keys"}))
 }
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -7,54 +7,55 @@
 	"github.com/silvermount/silvermount/internal/answer"
 )
 
-// Facts are what a caller's request says of itself.
+// RequestInfo holds what the headers of a caller's request state about it.
 type RequestInfo struct {
-	// RequestID is unique to one try of a caller.
+	// RequestID is unique to one attempt of a caller.
 	RequestID string
-	// Key is the secret that names the organisation; empty when none was sent.
+	// Key is the secret that identifies the organisation; empty if none was sent.
 	Key string
-	// Wait is how long the caller waits; zero when it does not say.
+	// Timeout is how long the caller waits for the complete response; zero if it is not stated.
 	Timeout time.Duration
 	// PromptTokens is zero for requests to plain services.
 	PromptTokens int
-	// MostAnswerTokens bounds the answer; zero when unknown.
+	// MaxAnswerTokens is the maximum length of the answer; zero if unknown.
 	MaxAnswerTokens int
-	// AnswerHint is the caller's guess of the answer's tokens; zero when it has none.
+	// AnswerTokensHint is the caller's estimate of the length of the answer; zero if it gives none.
 	AnswerTokensHint int
-	// ResumeAfter is the last event that the caller already has; negative when it starts anew.
+	// LastEventID is the id of the last event that the caller has received of the stream that it resumes; negative for a new
+	// request.
 	LastEventID int64
 }
 
-// Attempt is what a target is told beyond the caller's own request.
+// Attempt holds what a target is told in addition to the caller's request.
 type Attempt struct {
-	// Target is what the target that is meant calls itself; any other must not run the request.
+	// TargetName is the name that the intended target uses for itself. Any other target must not run the request.
 	TargetName string
-	// Organisation is empty on routes without keys.
+	// Organisation is empty on routes that need no key.
 	Organisation string
-	// Left is how long the target may work.
+	// Timeout is the time that remains until the deadline of the request.
 	Timeout time.Duration
-	// Priority is the rank at the target, zero first; negative leaves it out.
+	// Priority is the priority at the target, 0 being the most urgent. A negative priority is not sent.
 	Priority int
-	// Helpers are the targets that read a share of the prompt.
+	// Helpers are the targets that each read part of the prompt for the main target.
 	Helpers []Helper
-	// ResumeAfter is the last event that was passed on; negative when the answer starts anew.
+	// LastEventID is the id of the last event that the caller has; negative if the response starts from the beginning.
 	LastEventID int64
 }
 
-// Helper is another target that reads a part of a prompt.
+// Helper is a target that reads part of a prompt for the main target.
 type Helper struct {
 	// Address is an IP address and port.
 	Address string
-	// Reservation names memory set aside there; empty when none is.
+	// Reservation identifies memory reserved at the helper; empty if none is.
 	Reservation string
 }
 
-// Protocol translates between the callers' and targets' protocol and this package. All fields are set.
+// Protocol translates between the HTTP headers of callers and targets and the types of this package. All fields are required.
 type Protocol struct {
-	// Read returns the facts of a caller's request.
+	// ReadRequest reads the headers of a caller's request.
 	ReadRequest func(*http.Request) (RequestInfo, error)
-	// Write completes the headers of a request to a target; h starts as a copy of the caller's.
+	// WriteAttempt sets the headers of a request to a target. h is initially a copy of the caller's headers.
 	WriteAttempt func(h http.Header, at Attempt)
-	// Head reads what the head of an answer says.
+	// ReadHead reads the status and the headers of a target's response.
 	ReadHead func(*http.Response) answer.Head
 }
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -16,29 +16,29 @@
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
-// receive passes a target's answer on.
-func (gw *Gateway) handleResponse(ctx context.Context, rq *request, sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
-	verdict := rq.head.Verdict
-	if verdict != answer.Misdirected {
+// handleResponse forwards a target's response to the caller, or returns why it cannot be forwarded.
+func (gw *Gateway) handleResponse(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
+	vd := rq.head.Verdict
+	if vd != answer.Misdirected {
 		rq.tried = append(rq.tried, sl.Target.ID)
 	}
 	if rq.head.BackOff > 0 {
 		sl.RecordBackOff(rq.head.BackOff)
 	}
-	switch verdict {
+	switch vd {
 	case answer.Shed:
 		return gw.handleShed(rq, sl, an)
 	case answer.Misdirected:
 		gw.Blame.RecordCrash(sl.Target.ID)
 		gw.Targets.MarkLeaving(sl.Target.ID)
-		gw.logTargetState(sl.Target, "gone", "another incarnation has the address")
-		gw.logSkipped(rq, sl.Target, "another incarnation has the address")
+		gw.logTargetState(sl.Target, "gone", "its address now belongs to another incarnation")
+		gw.logSkipped(rq, sl.Target, "its address now belongs to another incarnation")
 		return failure.New(failure.TargetUnreachable, gw.outcome(rq), "another target has the address").WithRetryAfter(overloadRetryAfter)
 	case answer.Unverified:
 		rq.outcomes.Add(failure.Unknown)
 		err := &UnverifiedResponseError{Status: an.StatusCode}
 		if rq.head.BackOff > 0 {
-			// A target that says when to come back is no sick one.
+			// A target that states when to retry is overloaded, not failing.
 			gw.logAttemptFailed(rq, sl.Target, err, true)
 		} else {
 			gw.recordFailedAttempt(rq, sl.Target, err)
@@ -46,60 +46,62 @@
 		return failure.New(failure.TargetLost, failure.Unknown, "the answer cannot be passed on").WithCause(err)
 	}
 	rq.outcomes.Add(failure.Unknown)
-	if verdict == answer.Answered && rq.route.Streaming && an.StatusCode == http.StatusOK {
-		return gw.forwardStream(ctx, rq, sk, sl, an)
+	if vd == answer.Answered && rq.route.Streaming && an.StatusCode == http.StatusOK {
+		return gw.forwardStream(ctx, rq, rw, sl, an)
 	}
-	if sk.Started() {
-		// The caller has the beginning of a stream: nothing but its next events may follow.
+	if rw.Started() {
+		// The caller already has part of a stream, so that only further events of it may follow.
 		err := &TargetFailureError{Status: an.StatusCode}
 		gw.recordFailedAttempt(rq, sl.Target, err)
 		return failure.New(failure.TargetLost, failure.Unknown, "the stream does not go on there").WithCause(err)
 	}
-	return gw.handlePlain(ctx, rq, sk, sl, an, verdict)
+	return gw.handlePlain(ctx, rq, rw, sl, an, vd)
 }
 
-// UnprovenAnswerError says that an answer lacks what shows that it is whole and the target's own.
+// UnverifiedResponseError means that a response carries no evidence that it is complete and comes from the target itself.
 type UnverifiedResponseError struct{ Status int }
 
-// Error gives the status.
+// Error names the status.
 func (ue *UnverifiedResponseError) Error() string {
-	return "answer with status " + strconv.Itoa(ue.Status) + " is not provably the target's own"
+	return "response with status " + strconv.Itoa(ue.Status) + " cannot be verified as complete and from the target"
 }
 
+// handleShed handles the rejection of a request by a target that did not run it.
 func (gw *Gateway) handleShed(rq *request, sl *dispatch.Slot, an *upstream.Answer) error {
-	// The body is short; reading it lets the connection be used again.
+	// The body is short. Reading it to the end allows the connection to be reused.
 	if _, err := io.CopyN(io.Discard, an.Body, maxBufferedBytes); errors.Is(err, io.EOF) {
 		an.Whole()
 	}
-	atFault := rq.head.CauseAddress
-	sl.RecordShed(atFault)
-	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, CauseAddress: atFault}, true)
+	causeAddress := rq.head.CauseAddress
+	sl.RecordShed(causeAddress)
+	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, CauseAddress: causeAddress}, true)
 	return failure.New(failure.TargetShed, gw.outcome(rq), "the target has no room").
 		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
 
-// ShedError says that a target turned a request away without running it.
+// ShedError means that a target rejected a request without running it.
 type ShedError struct {
 	Status int
-	// AtFault is the address of the helper that the target names as the cause; empty when it names none.
+	// CauseAddress is the address of the helper that the target names as the cause; empty if it names none.
 	CauseAddress string
 }
 
-// Error gives the status and the cause.
+// Error names the status and the helper that caused the rejection.
 func (se *ShedError) Error() string {
-	text := "the target turned the request away with status " + strconv.Itoa(se.Status)
+	text := "target rejected the request with status " + strconv.Itoa(se.Status)
 	if se.CauseAddress != "" {
-		text += " for its helper " + se.CauseAddress
+		text += " because of helper " + se.CauseAddress
 	}
 	return text
 }
 
-// bufferMost is how much of an answer is held back until it is whole; larger ones are passed on as they come.
+// maxBufferedBytes is the maximum size of a response that is buffered until it is complete. Larger ones are forwarded as they
+// are received.
 const maxBufferedBytes = 256 << 10
 
-// plain passes on an answer that is no stream. Short ones are passed on when they are whole, so that a broken one can
-// still be asked for elsewhere.
-func (gw *Gateway) handlePlain(ctx context.Context, rq *request, sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer, v answer.Verdict) error {
+// handlePlain forwards a response that is not a stream. A short response is forwarded only when it is complete, so that the
+// request can still be retried on another target if the response breaks off.
+func (gw *Gateway) handlePlain(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer, vd answer.Verdict) error {
 	body, err := io.ReadAll(io.LimitReader(an.Body, maxBufferedBytes))
 	if err != nil {
 		return gw.handleInterrupted(ctx, rq, sl, err)
@@ -107,11 +109,11 @@
 	if len(body) < maxBufferedBytes {
 		an.Whole()
 	}
-	if v == answer.Failed && gw.shouldRetryFailure(ctx, rq, sk) {
+	if vd == answer.Failed && gw.shouldRetryFailure(ctx, rq, rw) {
 		gw.recordFailedAttempt(rq, sl.Target, &TargetFailureError{Status: an.StatusCode})
 		return failure.New(failure.TargetRefused, failure.Failed, "the target answered %d", an.StatusCode)
 	}
-	if v == answer.Answered {
+	if vd == answer.Answered {
 		gw.Targets.Success(sl.Target.ID)
 	} else {
 		gw.recordTargetFailure(sl.Target)
@@ -124,20 +126,21 @@
 	if len(body) == maxBufferedBytes {
 		rest = an.Body
 	}
-	return gw.forwardPlain(ctx, rq, sk, an, body, rest)
+	return gw.forwardPlain(ctx, rq, rw, an, body, rest)
 }
 
-func (gw *Gateway) forwardPlain(ctx context.Context, rq *request, sk *responseWriter, an *upstream.Answer, body []byte, rest io.Reader) error {
-	copyEndToEndHeaders(sk.w.Header(), an.Header)
+// forwardPlain forwards the buffered beginning of a response, and then the rest as it is received.
+func (gw *Gateway) forwardPlain(ctx context.Context, rq *request, rw *responseWriter, an *upstream.Answer, body []byte, rest io.Reader) error {
+	copyEndToEndHeaders(rw.w.Header(), an.Header)
 	if len(body) < maxBufferedBytes {
-		sk.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+		rw.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	sk.start(an.StatusCode)
-	// The end of the exchange with the target must not hold the answer back.
-	if err := sk.Forward(body, true); err != nil {
+	rw.start(an.StatusCode)
+	// Flush now, so that the response is not delayed until the exchange with the target has ended.
+	if err := rw.Forward(body, true); err != nil {
 		return err
 	}
-	if _, err := io.Copy(sk.w, rest); err != nil {
+	if _, err := io.Copy(rw.w, rest); err != nil {
 		return gw.cancellationError(ctx, rq).WithCause(err)
 	}
 	if len(body) == maxBufferedBytes {
@@ -146,18 +149,21 @@
 	return nil
 }
 
-// TargetFailureError is a failure that a target answered with.
+// TargetFailureError means that a target responded with a failure.
 type TargetFailureError struct{ Status int }
 
-// Error gives the status.
-func (te *TargetFailureError) Error() string { return "the target answered " + strconv.Itoa(te.Status) }
+// Error names the status.
+func (te *TargetFailureError) Error() string {
+	return "target responded with status " + strconv.Itoa(te.Status)
+}
 
-// retryFailed reports whether a failure that a target answered is to be tried elsewhere in place of being passed on.
-func (gw *Gateway) shouldRetryFailure(ctx context.Context, rq *request, sk *responseWriter) bool {
-	return ctx.Err() == nil && !rq.route.Exclusive() && !sk.Started() &&
+// shouldRetryFailure reports whether a request is to be retried on another target instead of forwarding the target's failure.
+func (gw *Gateway) shouldRetryFailure(ctx context.Context, rq *request, rw *responseWriter) bool {
+	return ctx.Err() == nil && !rq.route.Exclusive() && !rw.Started() &&
 		gw.hasUntriedTarget(rq.route, rq.service, rq.tried) && gw.RetryBudget.Left()
 }
 
+// handleInterrupted handles a response that broke off.
 func (gw *Gateway) handleInterrupted(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
 	if ctx.Err() != nil {
 		fe := gw.cancellationError(ctx, rq).WithCause(err)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -18,12 +18,12 @@
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
-// dialTries bounds the targets that are tried in a row because they take no connection: nothing is sent there, so no
-// retry is spent.
+// maxDialRetries is the maximum number of times that a request moves to another target because nothing could be sent to the
+// chosen one. These do not count as retries, since no target has received the request.
 const maxDialRetries = 6
 
-// run takes an admitted request through its attempts.
-func (gw *Gateway) run(ctx context.Context, rq *request, sk *responseWriter) error {
+// run makes attempts for an admitted request until one succeeds or no further one is allowed.
+func (gw *Gateway) run(ctx context.Context, rq *request, rw *responseWriter) error {
 	ctx, cancel := rq.deadline.Context(ctx)
 	defer cancel()
 	ctx, cancelEnd := gw.withAbort(ctx)
@@ -34,17 +34,17 @@
 	gw.RetryBudget.First()
 	rq.service = rq.route.Pick(gw.Random())
 	var last *failure.Error
-	for dials := 0; ; {
-		err := gw.attempt(ctx, rq, sk)
+	for dialRetries := 0; ; {
+		err := gw.attempt(ctx, rq, rw)
 		if err == nil {
 			return gw.transition(ctx, rq, life.Finish)
 		}
 		last = failure.FromError(err)
-		if isUnsent(last) && dials < maxDialRetries && ctx.Err() == nil {
-			dials++
+		if isUnsent(last) && dialRetries < maxDialRetries && ctx.Err() == nil {
+			dialRetries++
 			continue
 		}
-		if !gw.shouldRetry(ctx, rq, sk, last) {
+		if !gw.shouldRetry(ctx, rq, rw, last) {
 			return last
 		}
 		if err := gw.transition(ctx, rq, life.Retry); err != nil {
@@ -53,13 +53,13 @@
 	}
 }
 
-// unsent reports whether an attempt ended before anything was sent to the target it was meant for.
+// isUnsent reports whether an attempt ended before anything was sent to the chosen target.
 func isUnsent(fe *failure.Error) bool { return fe.Code == failure.TargetUnreachable }
 
-// attempt finds a target, sends the request there and passes the answer on.
-func (gw *Gateway) attempt(ctx context.Context, rq *request, sk *responseWriter) error {
+// attempt chooses a target, sends the request to it and forwards the response.
+func (gw *Gateway) attempt(ctx context.Context, rq *request, rw *responseWriter) error {
 	if len(rq.tried) == 0 {
-		// The configuration may have changed while earlier targets were not reached, or the process may have been frozen.
+		// The configuration may have changed while earlier targets could not be reached or the process was frozen.
 		if err := gw.authorise(rq); err != nil {
 			return err
 		}
@@ -72,37 +72,38 @@
 		return gw.acquireError(ctx, rq, err)
 	}
 	defer sl.Release()
-	var ce *UnavailableTargetError
-	if errors.As(gw.checkAvailable(sl), &ce) {
-		return gw.skipTarget(rq, sl, ce)
+	var ue *UnavailableTargetError
+	if errors.As(gw.checkAvailable(sl), &ue) {
+		return gw.skipTarget(rq, sl, ue)
 	}
 	if rq.lifecycle.State == life.Waiting {
 		if err := gw.transition(ctx, rq, life.Dispatch); err != nil {
 			return err
 		}
 	}
-	err = gw.sendAndForward(ctx, rq, sk, sl)
+	err = gw.sendAndForward(ctx, rq, rw, sl)
 	if err != nil && isTargetFault(failure.FromError(err)) {
 		sl.RecordFailure()
 	}
 	return err
 }
 
-// ofTarget reports whether an attempt failed by its target's doing.
+// isTargetFault reports whether the target is to blame for the failure of an attempt.
 func isTargetFault(fe *failure.Error) bool {
 	return fe.Code == failure.TargetLost || fe.Code == failure.TargetRefused
 }
 
-// exchangeWith sends a request to the target that was found, and passes its answer on.
-func (gw *Gateway) sendAndForward(ctx context.Context, rq *request, sk *responseWriter, sl *dispatch.Slot) error {
+// sendAndForward sends a request to the chosen target and forwards the response.
+func (gw *Gateway) sendAndForward(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot) error {
 	an, err := gw.send(ctx, rq, sl)
 	if err != nil {
 		return err
 	}
 	defer an.Close()
-	return gw.handleResponse(ctx, rq, sk, sl, an)
+	return gw.handleResponse(ctx, rq, rw, sl, an)
 }
 
+// dispatchRequest returns the request for a target to the dispatcher.
 func (gw *Gateway) dispatchRequest(rq *request) dispatch.Request {
 	sv, _ := rq.table.Service(rq.service)
 	sv.Name = rq.service
@@ -116,8 +117,8 @@
 	}
 }
 
-// caution is how sure the request must be of its target: one that may run only once shuns all that failed lately, and
-// one that lost an attempt already is no probe.
+// caution returns how certain the request must be that its target works. A request that may run only once avoids all targets
+// that failed recently, and a request that has already lost an attempt is not used as a probe.
 func (rq *request) caution() targets.Caution {
 	switch {
 	case rq.route.Exclusive():
@@ -129,7 +130,7 @@
 	}
 }
 
-// priority is the organisation's rank where it has one, else the route's.
+// priority returns the organisation's priority if it has one of its own, else the route's.
 func (rq *request) priority() int {
 	if rq.org.RanksItself {
 		return rq.org.Priority
@@ -137,6 +138,7 @@
 	return rq.route.Priority
 }
 
+// acquireError returns the failure of a request for which the dispatcher returned an error.
 func (gw *Gateway) acquireError(ctx context.Context, rq *request, err error) error {
 	if ctx.Err() != nil {
 		return gw.cancellationError(ctx, rq)
@@ -148,16 +150,17 @@
 	return failure.New(failure.NoTarget, gw.outcome(rq), "no target can take the request").WithCause(err).WithRetryAfter(overloadRetryAfter)
 }
 
-// outcome is what is known so far about whether the request ran.
+// outcome returns what is known so far about whether the request ran.
 func (gw *Gateway) outcome(rq *request) failure.Outcome {
 	return rq.outcomes.Outcome()
 }
 
-// timeUp is the failure of a request whose time is over, whose caller has gone, or whose instance has ended.
+// cancellationError returns the failure of a request whose deadline passed, whose caller disconnected, or that was aborted
+// because the instance stops.
 func (gw *Gateway) cancellationError(ctx context.Context, rq *request) *failure.Error {
 	switch {
 	case gw.aborted.Err() != nil:
-		// The end of the instance also looks like a caller that has gone: it breaks off the reading of connections.
+		// Aborting requests sets a read deadline on the connections, which also looks as if the caller had disconnected.
 		return gw.abortedError(rq)
 	case ctx.Err() != nil && gw.Now().Before(rq.deadline.At):
 		return failure.New(failure.CallerGone, gw.outcome(rq), "the caller went away")
@@ -166,12 +169,12 @@
 	}
 }
 
-// send sends a request to the target that was found.
+// send sends a request to the chosen target and returns the head of its response.
 func (gw *Gateway) send(ctx context.Context, rq *request, sl *dispatch.Slot) (*upstream.Answer, error) {
 	h := rq.header.Clone()
-	left := rq.deadline.At.Sub(gw.Now())
+	remaining := rq.deadline.At.Sub(gw.Now())
 	at := Attempt{
-		TargetName: sl.Target.OwnName(), Organisation: rq.org.Name, Timeout: left, Priority: sl.Priority,
+		TargetName: sl.Target.OwnName(), Organisation: rq.org.Name, Timeout: remaining, Priority: sl.Priority,
 		LastEventID: rq.forwardedEventID,
 	}
 	for _, hp := range sl.Helpers {
@@ -199,26 +202,26 @@
 	return an, nil
 }
 
-// heard takes the head of an answer that came over the connection to a target, and reports whether it answers the request: a surplus answer
-// to an earlier one speaks for the target too.
+// recordHead records the head of a response that was received on the connection to a target, and reports whether it belongs to
+// the request. A surplus response to an earlier request also holds valid information about the target.
 func (gw *Gateway) recordHead(rq *request, tg targets.Target, resp *http.Response) bool {
 	rp := feedback.Report{
 		Source: feedback.Request, Request: rq.RequestID, Target: tg, Head: gw.Protocol.ReadHead(resp), Came: gw.Now(),
 	}
-	mine := rp.Head.RequestID == rq.RequestID
-	if mine {
+	matches := rp.Head.RequestID == rq.RequestID
+	if matches {
 		rq.head, rq.headAt = rp.Head, rp.Came
 		rp.Sent = rq.sentAt
 	}
 	gw.Feedback.Record(rp)
-	return mine
+	return matches
 }
 
-// sendFailed tells what is known after an attempt without an answer.
+// handleSendError records an attempt that received no response, and returns its failure.
 func (gw *Gateway) handleSendError(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
-	var ce *UnavailableTargetError
-	if errors.As(err, &ce) && ctx.Err() == nil {
-		return gw.skipTarget(rq, sl, ce)
+	var ue *UnavailableTargetError
+	if errors.As(err, &ue) && ctx.Err() == nil {
+		return gw.skipTarget(rq, sl, ue)
 	}
 	var se *upstream.SendError
 	if errors.As(err, &se) && !se.Sent {
@@ -238,7 +241,8 @@
 		return fe
 	}
 	if se != nil && se.Forgotten {
-		// That tells nothing of the target's health; a target that has ended takes no new connection.
+		// The loss of an idle connection says nothing about the health of the target. If the target has crashed, it accepts no
+		// new connection.
 		gw.logAttemptFailed(rq, sl.Target, err, true)
 	} else {
 		gw.recordFailedAttempt(rq, sl.Target, err)
@@ -247,65 +251,67 @@
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off before it answered").WithCause(err)
 }
 
-// ClosedTargetError says that a target that was chosen may not be sent the request any more.
+// UnavailableTargetError means that a request may not be sent to the target that was chosen for it, because that target or one
+// of its helpers takes no requests now.
 type UnavailableTargetError struct {
-	// Target is the incarnation, the main one or a helper, and Cause a few words.
+	// Target is the incarnation of the main target or of a helper. Cause completes the error message.
 	Target, Cause string
 }
 
 // Error names the target and the cause.
-func (ce *UnavailableTargetError) Error() string { return "target " + ce.Target + " " + ce.Cause }
+func (ue *UnavailableTargetError) Error() string { return "target " + ue.Target + " " + ue.Cause }
 
-// mayLeave returns a ClosedTargetError when one of the targets of a slot takes no work any more: what was known when it was chosen may have
-// changed during the waits since.
+// checkAvailable returns an UnavailableTargetError if a target of the slot takes no requests now. The state of a target may
+// have changed since it was chosen, because the request had to wait.
 func (gw *Gateway) checkAvailable(sl *dispatch.Slot) error {
 	for _, id := range sl.TargetIDs() {
 		if !gw.Targets.TakesWork(id) {
-			return &UnavailableTargetError{Target: id, Cause: "began to leave"}
+			return &UnavailableTargetError{Target: id, Cause: "is leaving or gone"}
 		}
 		if _, backedOff := gw.BackOffs.Until(id); backedOff {
-			return &UnavailableTargetError{Target: id, Cause: "wants no requests now"}
+			return &UnavailableTargetError{Target: id, Cause: "is backed off"}
 		}
 	}
 	return nil
 }
 
-// passOver ends an attempt that was not sent, as one of its targets takes no requests now. Any may be chosen again, as far as it does.
-func (gw *Gateway) skipTarget(rq *request, sl *dispatch.Slot, ce *UnavailableTargetError) error {
+// skipTarget ends an attempt that was not sent because one of its targets takes no requests now. The target may be chosen
+// again once it takes requests.
+func (gw *Gateway) skipTarget(rq *request, sl *dispatch.Slot, ue *UnavailableTargetError) error {
 	rq.excluded = slices.DeleteFunc(rq.excluded, func(id string) bool { return id == sl.Target.ID })
-	gw.logSkipped(rq, sl.Target, ce.Error())
+	gw.logSkipped(rq, sl.Target, ue.Error())
 	return failure.New(failure.TargetUnreachable, gw.outcome(rq), "the target takes no requests now").
 		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
 
-// failed notes a failed attempt at a target.
+// recordFailedAttempt logs a failed attempt and records it against the target.
 func (gw *Gateway) recordFailedAttempt(rq *request, tg targets.Target, err error) {
 	gw.logAttemptFailed(rq, tg, err, true)
 	gw.recordTargetFailure(tg)
 }
 
-// held holds a failure against a target.
+// recordTargetFailure records a failure against a target, which may eject it.
 func (gw *Gateway) recordTargetFailure(tg targets.Target) {
 	if gw.Targets.Failure(tg.ID) {
-		gw.Log.WithField("target", tg.ID).WithField("service", tg.Service).Warn("target left out for failing")
+		gw.Log.WithField("target", tg.ID).WithField("service", tg.Service).Warn("target left out after failed attempts")
 	}
 }
 
-// mayRetry decides whether a failed attempt is followed by another, and spends from the retry budget.
-func (gw *Gateway) shouldRetry(ctx context.Context, rq *request, sk *responseWriter, fe *failure.Error) bool {
-	claimed := rq.retryTaken
+// shouldRetry decides whether a failed attempt is retried, and if so takes the retry from the budget.
+func (gw *Gateway) shouldRetry(ctx context.Context, rq *request, rw *responseWriter, fe *failure.Error) bool {
+	retryTaken := rq.retryTaken
 	rq.retryTaken = false
-	again, why := retry.Case{
+	retried, reason := retry.Case{
 		Code: fe.Code, Over: ctx.Err() != nil, Once: rq.route.Exclusive(), MayHaveRun: rq.outcomes.MayHaveRun(),
-		Attempts: gw.countAvailable(rq.tried), Most: rq.route.MaxAttempts, Begun: sk.Started(),
-		Continues: func() bool { return rq.route.Resumable }, Paid: claimed,
+		Attempts: gw.countAvailable(rq.tried), Most: rq.route.MaxAttempts, Begun: rw.Started(),
+		Continues: func() bool { return rq.route.Resumable }, Paid: retryTaken,
 	}.Decide(gw.RetryBudget)
-	rq.noRetryReason = why
-	return again
+	rq.noRetryReason = reason
+	return retried
 }
 
-// stillThere counts the targets that were sent the request and still take work: one that has ended does not use up an
-// attempt.
+// countAvailable counts the tried targets that still take work. An attempt does not count towards the route's maximum if its
+// target has since gone or is leaving.
 func (gw *Gateway) countAvailable(tried []string) int {
 	n := 0
 	for _, id := range tried {
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -13,67 +13,70 @@
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
-// exchange sends the call, and gives a silent target up where another one may still answer.
+// sendWithSilenceTimeout sends the call. It cancels the call if the target stays silent while another target could still
+// respond in time.
 func (gw *Gateway) sendWithSilenceTimeout(ctx context.Context, rq *request, sl *dispatch.Slot, ca upstream.Call) (*upstream.Answer, error) {
-	most := gw.silenceTimeout(rq, sl)
-	if most <= 0 {
+	timeout := gw.silenceTimeout(rq, sl)
+	if timeout <= 0 {
 		return gw.Pool.Do(ctx, ca)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	tried := append(slices.Clone(rq.tried), sl.Target.ID)
-	sw := startSilenceWatch(most, func() bool {
+	triedTargets := append(slices.Clone(rq.tried), sl.Target.ID)
+	sw := startSilenceWatch(timeout, func() bool {
 		gw.recordSilence(sl.Target)
-		if !gw.takeFailoverRetry(rq.route, rq.service, tried) {
+		if !gw.takeFailoverRetry(rq.route, rq.service, triedTargets) {
 			return false
 		}
-		cancel(&SilentTargetError{After: most})
+		cancel(&SilentTargetError{After: timeout})
 		return true
 	})
 	ca.Sending = sw.setReceived
 	an, err := gw.Pool.Do(ctx, ca)
 	rq.retryTaken = sw.stop()
 	if err != nil {
-		return nil, errors.Wrap(withSilenceCause(ctx, err), "wait for answer")
+		return nil, errors.Wrap(withSilenceCause(ctx, err), "wait for response")
 	}
 	return an, nil
 }
 
-// silenceWatch gives a target up that sends nothing for some time before its answer.
+// silenceWatch calls giveUp if nothing is received from a target for the timeout before the head of its response. It is safe
+// for concurrent use.
 type silenceWatch struct {
 	timeout time.Duration
-	// giveUp reports whether it gave the target up.
+	// giveUp cancels the call if the request can move to another target. It reports whether it did.
 	giveUp func() bool
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// came reports whether something has come since it was last asked; nil until the request is sent.
+	// received reports whether data was received since its last call; nil until the request is sent.
 	received func() bool
-	// ended is set when the answer is there, or will not come; gaveUp when the target was given up before.
+	// stopped is set once the head was received or the call failed, gaveUp if giveUp succeeded before.
 	stopped, gaveUp bool
 }
 
-func startSilenceWatch(most time.Duration, giveUp func() bool) *silenceWatch {
-	sw := &silenceWatch{timeout: most, giveUp: giveUp}
+func startSilenceWatch(timeout time.Duration, giveUp func() bool) *silenceWatch {
+	sw := &silenceWatch{timeout: timeout, giveUp: giveUp}
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
-	sw.timer = time.AfterFunc(most, sw.fire)
+	sw.timer = time.AfterFunc(timeout, sw.fire)
 	return sw
 }
 
-// sending takes how to learn whether something came.
-func (sw *silenceWatch) setReceived(came func() bool) {
+// setReceived sets the function that reports whether data was received since its last call.
+func (sw *silenceWatch) setReceived(received func() bool) {
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
-	sw.received = came
+	sw.received = received
 }
 
+// fire is called by the timer.
 func (sw *silenceWatch) fire() {
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
 	if sw.stopped {
 		return
 	}
-	// What has come already shows that it was this process which was held up, not the target.
+	// Data that was received but not read shows that this process was stalled, not the target.
 	if sw.received != nil && sw.received() || !sw.giveUp() {
 		sw.timer.Reset(sw.timeout)
 		return
@@ -81,7 +84,7 @@
 	sw.gaveUp = true
 }
 
-// stop ends the watch, and reports whether the target was given up.
+// stop ends the watch. It reports whether the call was cancelled.
 func (sw *silenceWatch) stop() (gaveUp bool) {
 	sw.mu.Lock()
 	defer sw.mu.Unlock()
@@ -90,6 +93,7 @@
 	return sw.gaveUp
 }
 
+// withSilenceCause returns a SendError with the SilentTargetError that cancelled ctx, or err if there is none.
 func withSilenceCause(ctx context.Context, err error) error {
 	var se *SilentTargetError
 	if errors.As(context.Cause(ctx), &se) {
@@ -98,34 +102,35 @@
 	return err
 }
 
-// SilentTargetError says that a target gave no answer while another could still give one.
+// SilentTargetError means that an attempt was ended because its target was silent while another target could still respond.
 type SilentTargetError struct{ After time.Duration }
 
-// Error says how long it was silent.
-func (se *SilentTargetError) Error() string { return "no answer within " + se.After.String() }
+// Error includes the timeout.
+func (se *SilentTargetError) Error() string { return "no data from target within " + se.After.String() }
 
 const (
-	// silenceShare is how many objectives a repeatable request waits for one target: by then the answer is late and
-	// another target can still give it.
+	// silenceObjectives is how many times the route's objective a repeatable request waits for one target. By then the response
+	// is late, but another target can still give one.
 	silenceObjectives = 2
-	// silencePredictions is how many times the predicted wait a stream's head may take.
+	// silencePredictionFactor is how many times the predicted time to the first token the head of a stream may take.
 	silencePredictionFactor = 3
 )
 
-// silenceMost is how long a target may be silent before its answer; zero for no bound.
+// silenceTimeout returns how long a target may be silent before the head of its response; zero means no limit.
 func (gw *Gateway) silenceTimeout(rq *request, sl *dispatch.Slot) time.Duration {
-	most := silenceObjectives * rq.route.Objective
+	timeout := silenceObjectives * rq.route.Objective
 	switch {
 	case rq.route.Exclusive() || len(rq.tried) > 0 || rq.route.MaxAttempts < 2:
 		return 0
 	case rq.route.Streaming:
-		return max(minStallTimeout, most, silencePredictionFactor*sl.PredictedFirstToken)
+		return max(minStallTimeout, timeout, silencePredictionFactor*sl.PredictedFirstToken)
 	default:
-		return most
+		return timeout
 	}
 }
 
-// unanswered notes that nothing came until the end of a request's time, or until its caller went away.
+// recordUnanswered records a failure against a target that sent nothing until the request was cancelled, unless the wait was
+// too short to tell.
 func (gw *Gateway) recordUnanswered(rq *request, sl *dispatch.Slot, waited time.Duration) {
 	if waited < max(minStallTimeout, silenceObjectives*rq.route.Objective, silencePredictionFactor*sl.PredictedFirstToken) {
 		return
@@ -134,7 +139,7 @@
 	gw.recordTargetFailure(sl.Target)
 }
 
-// silent notes that a target said nothing for longer than it should.
+// recordSilence records that a target was silent for longer than a healthy one.
 func (gw *Gateway) recordSilence(tg targets.Target) {
 	if gw.Targets.Silent(tg.ID) {
 		gw.logZoneLeftOut(tg, "silence")
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -11,22 +11,22 @@
 	"github.com/silvermount/silvermount/internal/reply"
 )
 
-// hopHeaders concern one connection only.
+// hopByHopHeaders apply to a single connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyHeader copies all headers that do not concern one connection only.
+// copyEndToEndHeaders copies all headers that are not hop-by-hop, including those that the Connection header lists.
 func copyEndToEndHeaders(to, from http.Header) {
-	dropped := from.Values("Connection")
+	connection := from.Values("Connection")
 	for k, vs := range from {
-		if !slices.Contains(hopByHopHeaders, k) && !listsHeader(dropped, k) {
+		if !slices.Contains(hopByHopHeaders, k) && !listsHeader(connection, k) {
 			to[k] = vs
 		}
 	}
 }
 
-// listed reports whether a Connection header names a header.
+// listsHeader reports whether the values of a Connection header list a header.
 func listsHeader(values []string, name string) bool {
 	for _, v := range values {
 		for _, part := range strings.Split(v, ",") {
@@ -38,14 +38,15 @@
 	return false
 }
 
-// sink passes an answer on to the caller.
+// responseWriter writes the response to the caller.
 type responseWriter struct {
 	*reply.Writer
 	w http.ResponseWriter
-	// stopping reports whether a stop was asked for.
+	// stopping reports whether shutdown of the instance has been requested.
 	stopping func() bool
 }
 
+// start writes the status line and the headers. During a shutdown it asks the caller to close the connection.
 func (rw *responseWriter) start(status int) {
 	if rw.stopping() {
 		rw.w.Header().Set("Connection", "close")
@@ -53,39 +54,40 @@
 	rw.Start(status)
 }
 
-// finish ends a request: it answers a failure, closes the request's life and writes its last log line.
-func (gw *Gateway) finish(rq *request, sk *responseWriter, err error) {
+// finish ends a request: it ends its lifecycle, logs the result and sends an error response to the caller if it failed.
+func (gw *Gateway) finish(rq *request, rw *responseWriter, err error) {
 	if err == nil {
-		gw.logServed(rq, sk)
+		gw.logServed(rq, rw)
 		return
 	}
 	fe := failure.FromError(err)
-	// The state that the request ended in tells what it was waiting for.
+	// The last state shows what the request was waiting for when it failed.
 	rq.stateBeforeEnd = rq.lifecycle.State
-	gw.endLifecycle(rq, sk, fe)
-	gw.logFailed(rq, sk, fe)
-	if sk.Started() {
-		// Half an answer must not look whole: the connection is broken off.
+	gw.endLifecycle(rq, rw, fe)
+	gw.logFailed(rq, rw, fe)
+	if rw.Started() {
+		// Abort the connection, so that the caller cannot mistake the incomplete response for a complete one.
 		panic(http.ErrAbortHandler)
 	}
-	if err := sk.writeError(fe); err != nil {
+	if err := rw.writeError(fe); err != nil {
 		gw.logNotDelivered(rq, err)
 	}
 }
 
-func (gw *Gateway) endLifecycle(rq *request, sk *responseWriter, fe *failure.Error) {
+// endLifecycle moves a failed request to its final state.
+func (gw *Gateway) endLifecycle(rq *request, rw *responseWriter, fe *failure.Error) {
 	from := rq.lifecycle.State
-	err := gw.lifecycle.Abort(&rq.lifecycle, fe.Outcome == failure.NotRun && !sk.Started())
+	err := gw.lifecycle.Abort(&rq.lifecycle, fe.Outcome == failure.NotRun && !rw.Started())
 	gw.stateCounts.move(from, rq.lifecycle.State)
 	if err != nil {
-		gw.Log.WithError(err).WithField("request", rq.RequestID).Error("life of the request broken")
+		gw.Log.WithError(err).WithField("request", rq.RequestID).Error("invalid transition of request lifecycle")
 	}
 }
 
-// fail answers a failure in place of an answer.
+// writeError writes an error response. It panics with http.ErrAbortHandler if the caller has disconnected.
 func (rw *responseWriter) writeError(fe *failure.Error) error {
 	if fe.Code == failure.CallerGone {
-		// Nobody reads an answer; the connection is closed so that it looks like none.
+		// Nobody reads a response. Abort the connection, so that none appears to have been sent.
 		panic(http.ErrAbortHandler)
 	}
 	if fe.Outcome == failure.NotRun && fe.RetryAfter > 0 {
@@ -95,16 +97,16 @@
 	rw.w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	rw.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	rw.start(statusCode(fe))
-	// Sent at once, so that a caller that has gone shows here: else a refusal that nobody got looks like one in the log.
+	// Flush, so that a closed connection is detected here. Otherwise the log would show a delivered refusal that nobody received.
 	return rw.Forward([]byte(body), true)
 }
 
-// finalStatus is the status of a failure. The statuses that promise that a request has not run and will not are
-// answered only where that is known.
+// statusCode returns the HTTP status of a failure. A status that promises that the request has not run and will not run is used
+// only if that is known.
 func statusCode(fe *failure.Error) int {
 	status := fe.Status()
 	if fe.Code == failure.EndsTargets {
-		// It promises nothing of earlier attempts, and callers do not come again after it.
+		// This status promises nothing about earlier attempts, and callers do not retry after it.
 		return status
 	}
 	if fe.Outcome == failure.NotRun {
@@ -119,7 +121,7 @@
 	return http.StatusBadGateway
 }
 
-// since rounds a time for a log line.
+// roundedSince returns the time between two instants, rounded for log messages.
 func roundedSince(from, to time.Time) time.Duration {
 	return to.Sub(from).Round(100 * time.Microsecond)
 }
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -22,46 +22,47 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// heldBody calls a function before it is read.
-type heldBody struct {
+// stallingBody is a body that calls a function before each read.
+type stallingBody struct {
 	io.ReadCloser
-	hold func()
+	stall func()
 }
 
-// Read calls the function, then reads.
-func (hb *heldBody) Read(b []byte) (int, error) {
-	hb.hold()
-	return hb.ReadCloser.Read(b)
+// Read calls the function and then reads.
+func (sb *stallingBody) Read(b []byte) (int, error) {
+	sb.stall()
+	return sb.ReadCloser.Read(b)
 }
 
-// TestInstanceHeldUpPastADeadlineStillAnswers has a process stand still until long after a request's answer was due.
-func TestInstanceHeldUpPastADeadlineStillAnswers(t *testing.T) {
+// TestInstanceStalledPastDeadlineStillResponds stalls the process while it reads a body, until long after the deadline of the
+// request.
+func TestInstanceStalledPastDeadlineStillResponds(t *testing.T) {
 	const (
-		head = "POST /a/ HTTP/1.1\r\nHost: example.com\r\nContent-Length: 10\r\n\r\n"
-		text = "whole body"
-		wait = 20 * time.Millisecond
-		held = 500 * time.Millisecond
+		head          = "POST /a/ HTTP/1.1\r\nHost: example.com\r\nContent-Length: 10\r\n\r\n"
+		body          = "whole body"
+		timeout       = 20 * time.Millisecond
+		stallDuration = 500 * time.Millisecond
 	)
-	tests := map[string]struct{ first, later string }{
-		"body came whole":             {head + text, ""},
-		"body came while it stood":    {head, text},
-		"body came in part":           {head + text[:3], ""},
-		"rest came while it stood":    {head + text[:3], text[3:]},
-		"body of which nothing comes": {head, ""},
+	tests := map[string]struct{ before, during string }{
+		"complete body before the stall":                    {head + body, ""},
+		"body during the stall":                             {head, body},
+		"part of the body before the stall, no rest":        {head + body[:3], ""},
+		"part of the body before the stall, rest during it": {head + body[:3], body[3:]},
+		"no part of the body":                               {head, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			gw := newWaiting(wait)
+			gw := newGatewayWithoutTargets(timeout)
 			reading := make(chan struct{}, 1)
 			sv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				r.Body = &heldBody{ReadCloser: r.Body, hold: func() {
+				r.Body = &stallingBody{ReadCloser: r.Body, stall: func() {
 					select {
 					case reading <- struct{}{}:
 					default:
 					}
-					time.Sleep(held)
+					time.Sleep(stallDuration)
 				}}
 				gw.ServeHTTP(w, r)
 			}))
@@ -69,24 +70,24 @@
 			cn, err := net.Dial("tcp", sv.Listener.Addr().String())
 			g.Expect(err).NotTo(HaveOccurred())
 			defer cn.Close()
-			_, err = io.WriteString(cn, tc.first)
+			_, err = io.WriteString(cn, tc.before)
 			g.Expect(err).NotTo(HaveOccurred())
 			<-reading
-			_, err = io.WriteString(cn, tc.later)
+			_, err = io.WriteString(cn, tc.during)
 			g.Expect(err).NotTo(HaveOccurred())
 			resp, err := http.ReadResponse(bufio.NewReader(cn), nil)
-			g.Expect(err).NotTo(HaveOccurred(), "the connection ended without an answer")
+			g.Expect(err).NotTo(HaveOccurred(), "the connection was closed without a response")
 			defer resp.Body.Close()
-			g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable), "a request that was sent nowhere has not run")
+			g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable), "a request that was sent to no target has not run")
 		})
 	}
 }
 
-// newWaiting returns a gateway without targets whose requests may take a time.
-func newWaiting(most time.Duration) *gateway.Gateway {
+// newGatewayWithoutTargets returns a gateway without targets whose route has the given timeout.
+func newGatewayWithoutTargets(timeout time.Duration) *gateway.Gateway {
 	hd := &routes.Holder{}
 	hd.Offer(routes.New(routes.Content{Version: 1, Routes: []routes.Route{{
-		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: most, Shares: []routes.Share{{Service: "s", Weight: 1}},
+		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: timeout, Shares: []routes.Share{{Service: "s", Weight: 1}},
 	}}}), nil, time.Now())
 	gw := newGateway(hd, discard.New())
 	gw.SetLimits(gateway.Limits{MaxBodyBytes: 100})
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,35 +8,36 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// EndsAt tells when this instance ends: from now on a request is sent to a target only if its answer can be whole by then.
+// SetShutdownTime sets when this instance stops. From now on, a request is sent to a target only if its response can be
+// complete by then.
 func (gw *Gateway) SetShutdownTime(at time.Time) { gw.Dispatcher.SetShutdownTime(at) }
 
-// StopTaking makes the gateway refuse new requests from now on: one that comes late in a stop might not end in time.
+// RefuseNewRequests makes the gateway refuse new requests. A request that arrives late in a shutdown might not end in time.
 func (gw *Gateway) RefuseNewRequests() { gw.refusing.Store(true) }
 
-// End ends every request that is still being served, and those that come. Each is answered while its connection is still
-// open, but for answers that have begun: closed without one, a caller would know neither that its request has not run nor
-// when to come back.
+// AbortRequests ends all requests in flight and refuses new ones. Each gets an error response while its connection is still
+// open, unless its response has begun. If the connection were closed without a response, the caller would know neither that
+// its request has not run nor when to retry.
 func (gw *Gateway) AbortRequests() {
 	gw.refusing.Store(true)
 	gw.abort()
 }
 
-// untilEnd returns a context that also ends with the instance. cancel frees it.
+// withAbort returns a context that is also cancelled by AbortRequests. cancel releases its resources.
 func (gw *Gateway) withAbort(ctx context.Context) (bound context.Context, cancel func()) {
-	ctx, end := context.WithCancel(ctx)
+	ctx, cancelCtx := context.WithCancel(ctx)
 	if gw.aborted.Err() != nil {
-		// At once: what is done in the background comes too late for a request that is just being sent.
-		end()
+		// AfterFunc runs in another goroutine, which may be too late to keep a request from being sent.
+		cancelCtx()
 	}
-	detach := context.AfterFunc(gw.aborted, end)
+	stop := context.AfterFunc(gw.aborted, cancelCtx)
 	return ctx, func() {
-		detach()
-		end()
+		stop()
+		cancelCtx()
 	}
 }
 
-// cutShort is the failure of a request that the end of the instance ended.
+// abortedError returns the failure of a request that AbortRequests ended.
 func (gw *Gateway) abortedError(rq *request) *failure.Error {
 	return failure.New(failure.Stopping, gw.outcome(rq), "the instance has ended; another takes the request").
 		WithRetryAfter(dispatch.RetryElsewhereAfter)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -19,8 +19,8 @@
 	"github.com/silvermount/silvermount/internal/routes"
 )
 
-// TestRequestLateInAStopIsRefused takes requests until the gateway is told not to.
-func TestRequestLateInAStopIsRefused(t *testing.T) {
+// TestNewRequestIsRefusedLateInShutdown sends requests before and after the gateway starts to refuse new ones.
+func TestNewRequestIsRefusedLateInShutdown(t *testing.T) {
 	g := NewWithT(t)
 	gw := gateway.New(gateway.Deps{
 		Protocol: gateway.Protocol{ReadRequest: func(*http.Request) (gateway.RequestInfo, error) { return gateway.RequestInfo{RequestID: "1"}, nil }},
@@ -41,11 +41,11 @@
 	g.Expect(rec.Header().Get("Connection")).To(Equal("close"))
 }
 
-// generous bounds each wait; it is long so that a busy machine passes.
+// generous is the maximum duration of each wait. It is long, so that the tests pass on a busy machine.
 const generous = 30 * time.Second
 
-// TestBodyThatStillComesAtTheEndIsRefused ends the gateway while half of a body has come.
-func TestBodyThatStillComesAtTheEndIsRefused(t *testing.T) {
+// TestRequestWithIncompleteBodyIsRefusedOnAbort aborts requests after half of a body was received.
+func TestRequestWithIncompleteBodyIsRefusedOnAbort(t *testing.T) {
 	g := NewWithT(t)
 	hd := &routes.Holder{}
 	ct := routes.Content{Version: 1, Routes: []routes.Route{{
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -20,37 +20,37 @@
 )
 
 const (
-	// eventMost bounds one event.
+	// maxEventBytes is the maximum size of one event.
 	maxEventBytes = 1 << 20
-	// stallFloor is the least silence inside a stream after which it is taken up elsewhere: a target that depends on a
-	// lost one stands still for 1.5 s before it says so, and callers give up after two seconds.
+	// minStallTimeout is the minimum silence within a stream after which it moves to another target. A target that depends on
+	// a lost target stalls for 1.5 s before it reports this, and callers give up after 2 s.
 	minStallTimeout = 1700 * time.Millisecond
-	// stallPauses is the same in longest pauses of the route.
+	// stallPauseFactor is the same silence as a multiple of the route's longest pause. The greater of the two applies.
 	stallPauseFactor = 3
 )
 
 var idField = []byte("id:")
 
-// event is one whole event of a stream.
+// event is one complete server-sent event of a stream.
 type event struct {
 	raw []byte
-	// id is negative when the event has none.
+	// id is negative if the event has none.
 	id int64
 }
 
-// CutEventError says that a stream ended inside an event.
+// TruncatedEventError means that a stream ended in the middle of an event.
 type TruncatedEventError struct{}
 
-// Error says what happened.
-func (*TruncatedEventError) Error() string { return "the stream ended inside an event" }
+// Error implements the error interface.
+func (*TruncatedEventError) Error() string { return "stream ended in the middle of an event" }
 
-// EventTooLargeError says that an event is larger than the bound.
+// EventTooLargeError means that an event exceeds the maximum size.
 type EventTooLargeError struct{}
 
-// Error says what happened.
-func (*EventTooLargeError) Error() string { return "an event is too large" }
+// Error implements the error interface.
+func (*EventTooLargeError) Error() string { return "event is larger than the maximum of 1 MiB" }
 
-// readEvent returns the next whole event, or io.EOF at the proper end of a stream.
+// readEvent returns the next complete event, or io.EOF if the stream ended after a complete event.
 func readEvent(br *bufio.Reader) (event, error) {
 	ev := event{id: -1}
 	for {
@@ -65,30 +65,30 @@
 		if len(ev.raw) > maxEventBytes {
 			return event{}, &EventTooLargeError{}
 		}
-		text := bytes.TrimRight(line, "\r\n")
-		if v, ok := bytes.CutPrefix(text, idField); ok {
-			if n, perr := strconv.ParseInt(string(bytes.TrimSpace(v)), 10, 64); perr == nil {
+		trimmed := bytes.TrimRight(line, "\r\n")
+		if v, ok := bytes.CutPrefix(trimmed, idField); ok {
+			if n, parseErr := strconv.ParseInt(string(bytes.TrimSpace(v)), 10, 64); parseErr == nil {
 				ev.id = n
 			}
 		}
-		if len(text) == 0 && len(ev.raw) > len(line) {
+		if len(trimmed) == 0 && len(ev.raw) > len(line) {
 			return ev, nil
 		}
-		if len(text) == 0 {
+		if len(trimmed) == 0 {
 			ev.raw = ev.raw[:0]
 		}
 	}
 }
 
-// stream passes on the events of an answer as they come.
-func (gw *Gateway) forwardStream(ctx context.Context, rq *request, sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
-	ru := gw.Blame.BeginRun(rq.headHash(), rq.fingerprint)
-	defer ru.End()
+// forwardStream forwards the events of a response as they are received.
+func (gw *Gateway) forwardStream(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
+	ar := gw.Blame.BeginRun(rq.headHash(), rq.fingerprint)
+	defer ar.End()
 	br := bufio.NewReader(an.Body)
-	stall := max(minStallTimeout, stallPauseFactor*rq.route.LongestPause)
-	// A copy: the timer may look at it while the next attempt begins.
+	stallTimeout := max(minStallTimeout, stallPauseFactor*rq.route.LongestPause)
+	// Cloned, because the watchdog may read it while the next attempt appends to rq.tried.
 	tried := slices.Clone(rq.tried)
-	wd := startStallWatchdog(an, stall, func(silence time.Duration) bool {
+	wd := startStallWatchdog(an, stallTimeout, func(silence time.Duration) bool {
 		if silence <= sl.MaxSilence() {
 			return false
 		}
@@ -96,57 +96,58 @@
 		return gw.takeFailoverRetry(rq.route, rq.service, tried)
 	})
 	defer wd.stop()
-	fresh := true
+	firstEvent := true
 	for {
 		ev, err := readEvent(br)
 		if errors.Is(err, io.EOF) {
-			gw.finishStream(sk, sl, an)
+			gw.finishStream(rw, sl, an)
 			return nil
 		}
 		if err != nil {
 			rq.retryTaken = wd.hasFired()
 			return gw.handleInterrupted(ctx, rq, sl, wd.cause(err))
 		}
-		if fresh {
-			fresh = false
+		if firstEvent {
+			firstEvent = false
 			sl.RecordFirstToken()
 			gw.observeFirstEvent(rq, sl)
 			if err := gw.transition(ctx, rq, life.FirstToken); err != nil {
 				return err
 			}
 		}
-		wd.reset(stall)
+		wd.reset(stallTimeout)
 		gw.Targets.Reached(sl.Target.ID)
 		sl.RecordEvent()
 		if ev.id >= 0 && ev.id <= rq.forwardedEventID {
-			// The event was passed on before the stream moved here.
+			// The event was already forwarded before the stream moved to this target.
 			continue
 		}
-		if err := gw.forwardEvent(rq, sk, an, ev); err != nil {
+		if err := gw.forwardEvent(rq, rw, an, ev); err != nil {
 			return err
 		}
 	}
 }
 
-// claimMove reports whether a request can go on at another target now, and takes the retry for it: the streams of
-// one silent target all ask at once, and there may be a retry for some of them only.
+// takeFailoverRetry reports whether a request can move to another target now, and takes the retry for it from the budget. All
+// streams of a silent target call it at about the same time, and the budget may suffice for only some of them.
 func (gw *Gateway) takeFailoverRetry(rt routes.Route, service string, tried []string) bool {
 	return !rt.Exclusive() && gw.hasUntriedTarget(rt, service, tried) && gw.RetryBudget.Take()
 }
 
-// another reports whether the route allows a further target and one is there.
+// hasUntriedTarget reports whether the route allows another attempt and an untried target is usable.
 func (gw *Gateway) hasUntriedTarget(rt routes.Route, service string, tried []string) bool {
 	untried := func(tg targets.Target) bool { return !slices.Contains(tried, tg.ID) }
 	return gw.countAvailable(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.Proven), untried)
 }
 
-func (gw *Gateway) forwardEvent(rq *request, sk *responseWriter, an *upstream.Answer, ev event) error {
-	if !sk.Started() {
-		copyEndToEndHeaders(sk.w.Header(), an.Header)
-		sk.w.Header().Del("Content-Length")
-		sk.start(an.StatusCode)
+// forwardEvent sends one event to the caller, after the headers if it is the first.
+func (gw *Gateway) forwardEvent(rq *request, rw *responseWriter, an *upstream.Answer, ev event) error {
+	if !rw.Started() {
+		copyEndToEndHeaders(rw.w.Header(), an.Header)
+		rw.w.Header().Del("Content-Length")
+		rw.start(an.StatusCode)
 	}
-	if err := sk.Forward(ev.raw, true); err != nil {
+	if err := rw.Forward(ev.raw, true); err != nil {
 		return err
 	}
 	rq.forwardedEventID = max(rq.forwardedEventID, ev.id)
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// timed notes that an event was passed on.
+// recordEventTime records when an event was forwarded.
 func (rq *request) recordEventTime(now time.Time) {
 	if rq.lastEventAt.IsZero() {
 		rq.timeToFirst = now.Sub(rq.arrived)
@@ -165,46 +166,49 @@
 	rq.lastEventAt = now
 }
 
-// streamEnded notes that a stream is whole. That holds also when its time is over just now.
-func (gw *Gateway) finishStream(sk *responseWriter, sl *dispatch.Slot, an *upstream.Answer) {
+// finishStream completes a stream that was received to its end. The stream is complete even if the deadline passes at this
+// moment.
+func (gw *Gateway) finishStream(rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer) {
 	an.Whole()
 	gw.Targets.Success(sl.Target.ID)
-	if !sk.Started() {
-		copyEndToEndHeaders(sk.w.Header(), an.Header)
-		sk.start(an.StatusCode)
+	if !rw.Started() {
+		copyEndToEndHeaders(rw.w.Header(), an.Header)
+		rw.start(an.StatusCode)
 	}
 }
 
-// watchdog closes an answer that stays silent for too long, but only while the stream can go on elsewhere: silence
-// alone is no reason to end an answer before its time.
+// stallWatchdog breaks off a stream that has stalled, but only while the stream can continue on another target. A stall alone
+// is no reason to end a response before its deadline. It is safe for concurrent use.
 type stallWatchdog struct {
 	an      *upstream.Answer
 	timeout time.Duration
-	// claim reports whether the stream may be ended, as its continuation elsewhere is paid for.
+	// takeRetry reports whether the stream may be broken off, after it has taken the retry to continue it on another target.
 	takeRetry func(silence time.Duration) bool
-	// heard is when the last event came.
+	// lastEventAt is when the last event was received; before the first event, when the head was.
 	lastEventAt time.Time
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// ended is set when the stream is over: its connection may then serve another request.
+	// stopped is set once the stream is over. Its connection must not be closed then, because another request may use it.
 	stopped bool
-	// fired is set when silence ended the stream.
+	// fired is set if the watchdog broke off the stream.
 	fired bool
 }
 
-func startStallWatchdog(an *upstream.Answer, limit time.Duration, claim func(silence time.Duration) bool) *stallWatchdog {
-	wd := &stallWatchdog{an: an, timeout: limit, takeRetry: claim, lastEventAt: time.Now()}
+// startStallWatchdog starts a watchdog for a stream whose head has been received.
+func startStallWatchdog(an *upstream.Answer, timeout time.Duration, takeRetry func(silence time.Duration) bool) *stallWatchdog {
+	wd := &stallWatchdog{an: an, timeout: timeout, takeRetry: takeRetry, lastEventAt: time.Now()}
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
 	wd.timer = time.AfterFunc(maxFirstEventDelay, wd.fire)
 	return wd
 }
 
-// firstEventMost bounds the silence between the head of a stream and its first event. The head comes with the first
-// token.
+// maxFirstEventDelay is the maximum time between the head of a stream and its first event. Targets send the head together with
+// the first token.
 const maxFirstEventDelay = 3 * time.Second
 
+// fire is called by the timer.
 func (wd *stallWatchdog) fire() {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
@@ -212,7 +216,7 @@
 		return
 	}
 	if wd.an.Waits() {
-		// It is not the target that was silent: this process, or the caller, takes no more at present.
+		// Data is waiting to be read, so the target is not silent: this process or the caller is slow.
 		wd.timer.Reset(stallRecheckInterval)
 		return
 	}
@@ -224,9 +228,11 @@
 	wd.an.Break()
 }
 
-// askAgain is how soon a silent stream that could not move is looked at again: a few passes of an engine.
+// stallRecheckInterval is the time until a stalled stream that could not move is checked again: a few forward passes of an
+// engine.
 const stallRecheckInterval = 250 * time.Millisecond
 
+// reset records that an event was received and restarts the timer.
 func (wd *stallWatchdog) reset(d time.Duration) {
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
@@ -247,7 +253,7 @@
 	return wd.fired
 }
 
-// cause returns the silence as the cause of a broken stream, if it was.
+// cause returns a SilentTargetError if the watchdog broke off the stream, else err.
 func (wd *stallWatchdog) cause(err error) error {
 	if wd.hasFired() {
 		return &SilentTargetError{After: wd.timeout}
