--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,5 +1,5 @@
-// Package answer holds what the head of a target's answer says. An adapter reads each head once, into a Head; nobody else looks at the
-// headers.
+// Package answer defines the information in the head of a target's response: its status and headers. An adapter reads each head
+// once into a Head. No other code interprets the headers.
 package answer
 
 import (
@@ -9,72 +9,73 @@
 	"github.com/silvermount/silvermount/internal/ratelimit"
 )
 
-// Head is what the head of an answer says of the request and of the target that gives it. It does not change.
+// Head is the information in the head of a response about the request and about the target that responds. It is immutable.
 type Head struct {
-	// Verdict is what the answer means for its request.
+	// Verdict is the meaning of the response for the request.
 	Verdict Verdict
-	// Request is the id of the request that is answered; empty when the head names none.
+	// RequestID is the id of the request that the response belongs to; empty if the head names none.
 	RequestID string
-	// Target is what the target that answers calls itself; empty when it does not say.
+	// TargetName is the name that the responding target uses for itself; empty if the head names none.
 	TargetName string
-	// AtFault is the address of the target that is the cause of a refusal; empty when the head names none.
+	// CauseAddress is the address of the target that caused a rejection; empty if the head names none.
 	CauseAddress string
-	// Leaving is set when the target that answers takes no new work from now on.
+	// Leaving is set if the responding target accepts no new requests from now on.
 	Leaving bool
-	// Limit is how many requests a second the target takes from all instances together.
+	// RateLimit is how many requests a second the target accepts from all instances together.
 	RateLimit ratelimit.Limit
-	// BackOff is how long the target wants no further request from this instance, counted from the answer; zero when it does not say.
-	// It is never negative.
+	// BackOff is how long this instance must send no further requests to the target, counted from the response; zero if the target asks
+	// for no back-off. It is never negative.
 	BackOff time.Duration
-	// Malformed holds the values that cannot be read. Each counts as absent.
+	// Malformed lists the header values that cannot be parsed. The fields are set as if these values were absent.
 	Malformed []MalformedError
 }
 
-// Unread reports whether a value of a fact cannot be read.
-func (hd Head) IsMalformed(fa Field) bool {
+// IsMalformed reports whether a value of a field cannot be parsed.
+func (hd Head) IsMalformed(fd Field) bool {
 	for _, me := range hd.Malformed {
-		if me.Field == fa {
+		if me.Field == fd {
 			return true
 		}
 	}
 	return false
 }
 
-// Fact names what a target says of itself.
+// Field names a property that a target states about itself.
 type Field string
 
-// The facts that may be malformed.
+// The fields whose values may be malformed.
 const (
 	FieldLeaving   Field = "leaving"
 	FieldRateLimit Field = "rate limit"
 	FieldBackOff   Field = "back-off"
 )
 
-// MalformedError says that a target gives a value that cannot be read.
+// MalformedError means that the head of a response contains a value that cannot be parsed.
 type MalformedError struct {
 	Field Field
 	Value string
 }
 
-// Error gives the fact, and the value as far as it is worth showing.
+// Error names the field and the beginning of the value.
 func (me *MalformedError) Error() string {
-	const shown = 40
-	return "malformed " + string(me.Field) + " " + strconv.Quote(me.Value[:min(len(me.Value), shown)])
+	const maxShown = 40
+	return "malformed " + string(me.Field) + " " + strconv.Quote(me.Value[:min(len(me.Value), maxShown)])
 }
 
-// Verdict says what an answer means for its request.
+// Verdict is the meaning of a response for the request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Answered is an answer to pass on unchanged.
+	// Answered means that the response is to be forwarded unchanged.
 	Answered Verdict = iota
-	// Failed is a failure of the target after it began; it may be passed on unchanged.
+	// Failed means that the target failed after it had begun to run the request. The response may be forwarded unchanged.
 	Failed
-	// Shed means that the target has not run the request and will not.
+	// Shed means that the target rejected the request: it has not run it and will not.
 	Shed
-	// Misdirected means that another incarnation has the address; it has not run the request.
+	// Misdirected means that the address now belongs to another incarnation, which has not run the request.
 	Misdirected
-	// Unproven is an answer that cannot be passed on: it lacks what shows that it is whole and the target's own.
+	// Unverified means that the response cannot be forwarded, because nothing in it shows that it is complete and comes from the
+	// target itself.
 	Unverified
 )
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,4 +1,4 @@
-// Package body reads the bodies of callers' requests.
+// Package body reads request bodies within a size limit and a shared memory budget.
 package body
 
 import (
@@ -13,23 +13,26 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// chunkStep is how much of a body of unknown length is accounted for at a time, in bytes.
+// chunkSize is the number of bytes by which the memory reserved for a body of unknown length grows.
 const chunkSize = 64 << 10
 
-// Reader reads bodies within a bound and within the memory that all requests share.
+// Reader reads request bodies. It is safe for concurrent use.
 type Reader struct {
+	// Memory is the budget that the bodies of all requests share.
 	Memory *budget.Memory
-	// Most bounds one body, in bytes.
+	// MaxBytes is the maximum size of one body.
 	MaxBytes int64
-	// ComeBack is when a caller should come back for whom there is no memory, or whose body did not come in time.
+	// RetryAfter is when a caller should retry if there was no memory for its body, or if its body timed out.
 	RetryAfter time.Duration
-	// Broken is the kind of failure of a body that does not come whole.
+	// IncompleteCode is the failure code for a body that ends early or cannot be read.
 	IncompleteCode failure.Code
-	// Late is the kind of failure of a body that does not come whole in its time, whose caller may still be there; empty for Broken.
+	// TimeoutCode is the failure code for a body that is incomplete at its deadline, when the caller may still be connected. If it is
+	// empty, IncompleteCode is used.
 	TimeoutCode failure.Code
 }
 
-// Read reads a body. free gives its memory back, also after a failure, and is never nil.
+// Read reads the body of a request. free returns the memory of the body to the budget. It is never nil, and must be called even
+// after an error.
 func (rd Reader) Read(r *http.Request) (b []byte, free func(), err error) {
 	size := r.ContentLength
 	if size > rd.MaxBytes {
@@ -41,7 +44,8 @@
 	return rd.readChunked(r.Body)
 }
 
-func (rd Reader) readSized(from io.Reader, size int64) (b []byte, free func(), err error) {
+// readSized reads a body whose length is known.
+func (rd Reader) readSized(src io.Reader, size int64) (b []byte, free func(), err error) {
 	if size == 0 {
 		return nil, func() {}, nil
 	}
@@ -50,28 +54,29 @@
 	}
 	free = func() { rd.Memory.Give(size) }
 	b = make([]byte, size)
-	if _, err := io.ReadFull(from, b); err != nil {
+	if _, err := io.ReadFull(src, b); err != nil {
 		return nil, free, rd.readError(err)
 	}
 	return b, free, nil
 }
 
-func (rd Reader) readChunked(from io.Reader) (b []byte, free func(), err error) {
-	var taken int64
-	free = func() { rd.Memory.Give(taken) }
+// readChunked reads a body of unknown length.
+func (rd Reader) readChunked(src io.Reader) (b []byte, free func(), err error) {
+	var reserved int64
+	free = func() { rd.Memory.Give(reserved) }
 	for {
 		if !rd.Memory.Take(chunkSize) {
 			return nil, free, rd.noMemory()
 		}
-		taken += chunkSize
-		part, err := io.ReadAll(io.LimitReader(from, chunkSize))
-		b = append(b, part...)
+		reserved += chunkSize
+		chunk, err := io.ReadAll(io.LimitReader(src, chunkSize))
+		b = append(b, chunk...)
 		switch {
 		case err != nil:
 			return nil, free, rd.readError(err)
 		case int64(len(b)) > rd.MaxBytes:
 			return nil, free, rd.tooLarge()
-		case len(part) < chunkSize:
+		case len(chunk) < chunkSize:
 			return b, free, nil
 		}
 	}
@@ -85,6 +90,7 @@
 	return failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(rd.RetryAfter)
 }
 
+// readError returns the failure for an error of the connection.
 func (rd Reader) readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) && rd.TimeoutCode != "" {
 		return failure.New(rd.TimeoutCode, failure.NotRun, "the body did not come in time").
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -18,54 +18,58 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// chunk is the step in which bodies of unknown length are accounted for.
+// chunk is the number of bytes by which the memory reserved for a body of unknown length grows.
 const chunk = 64 << 10
 
 func TestRead(t *testing.T) {
-	torn := func(n int) io.Reader {
+	truncated := func(n int) io.Reader {
 		return io.MultiReader(strings.NewReader(strings.Repeat("x", n)), iotest.ErrReader(io.ErrUnexpectedEOF))
 	}
-	slow := func(n int) io.Reader {
+	timedOut := func(n int) io.Reader {
 		return io.MultiReader(strings.NewReader(strings.Repeat("x", n)), iotest.ErrReader(os.ErrDeadlineExceeded))
 	}
-	whole := func(n int) io.Reader { return strings.NewReader(strings.Repeat("x", n)) }
+	complete := func(n int) io.Reader { return strings.NewReader(strings.Repeat("x", n)) }
 	tests := map[string]struct {
-		from io.Reader
-		// length is the announced one; negative when it is unknown.
-		length, memory, most int64
-		want                 int
-		// wantTaken is the memory in use until it is given back.
-		wantTaken int64
-		wantCode  failure.Code
+		src io.Reader
+		// length is the announced length of the body, or negative if it is unknown. memory is the size of the budget, maxBytes the
+		// limit of the reader, wantLen the number of bytes that it returns.
+		length, memory, maxBytes int64
+		wantLen                  int
+		// wantUsed is the memory that is in use until it is freed.
+		wantUsed int64
+		wantCode failure.Code
 	}{
-		"no body":                           {whole(0), 0, 10, 10, 0, 0, ""},
-		"of known length":                   {whole(10), 10, 10, 10, 10, 10, ""},
-		"of known length, too large":        {whole(11), 11, 20, 10, 0, 0, failure.TooLarge},
-		"of known length, no memory":        {whole(10), 10, 9, 10, 0, 0, failure.NoMemory},
-		"of known length, torn":             {torn(5), 10, 10, 10, 0, 10, failure.CallerGone},
-		"of known length, too slow":         {slow(5), 10, 10, 10, 0, 10, failure.DeadlineExceeded},
-		"of unknown length, too slow":       {slow(5), -1, chunk, 10, 0, chunk, failure.DeadlineExceeded},
-		"of unknown length":                 {whole(10), -1, chunk, 10, 10, chunk, ""},
-		"of unknown length, empty":          {whole(0), -1, chunk, 10, 0, chunk, ""},
-		"of unknown length, several steps":  {whole(chunk + 1), -1, 2 * chunk, 2 * chunk, chunk + 1, 2 * chunk, ""},
-		"of unknown length, too large":      {whole(11), -1, chunk, 10, 0, chunk, failure.TooLarge},
-		"of unknown length, no memory":      {whole(10), -1, chunk - 1, 10, 0, 0, failure.NoMemory},
-		"of unknown length, none any more":  {whole(chunk + 1), -1, chunk, 2 * chunk, 0, chunk, failure.NoMemory},
-		"of unknown length, torn":           {torn(5), -1, chunk, 10, 0, chunk, failure.CallerGone},
-		"of unknown length, torn at a step": {torn(chunk), -1, 2 * chunk, 2 * chunk, 0, 2 * chunk, failure.CallerGone},
+		"no body":                                       {complete(0), 0, 10, 10, 0, 0, ""},
+		"known length":                                  {complete(10), 10, 10, 10, 10, 10, ""},
+		"known length, too large":                       {complete(11), 11, 20, 10, 0, 0, failure.TooLarge},
+		"known length, no memory":                       {complete(10), 10, 9, 10, 0, 0, failure.NoMemory},
+		"known length, truncated":                       {truncated(5), 10, 10, 10, 0, 10, failure.CallerGone},
+		"known length, timeout":                         {timedOut(5), 10, 10, 10, 0, 10, failure.DeadlineExceeded},
+		"unknown length, timeout":                       {timedOut(5), -1, chunk, 10, 0, chunk, failure.DeadlineExceeded},
+		"unknown length":                                {complete(10), -1, chunk, 10, 10, chunk, ""},
+		"unknown length, empty":                         {complete(0), -1, chunk, 10, 0, chunk, ""},
+		"unknown length, several chunks":                {complete(chunk + 1), -1, 2 * chunk, 2 * chunk, chunk + 1, 2 * chunk, ""},
+		"unknown length, too large":                     {complete(11), -1, chunk, 10, 0, chunk, failure.TooLarge},
+		"unknown length, no memory":                     {complete(10), -1, chunk - 1, 10, 0, 0, failure.NoMemory},
+		"unknown length, no memory for second chunk":    {complete(chunk + 1), -1, chunk, 2 * chunk, 0, chunk, failure.NoMemory},
+		"unknown length, truncated":                     {truncated(5), -1, chunk, 10, 0, chunk, failure.CallerGone},
+		"unknown length, truncated after a whole chunk": {truncated(chunk), -1, 2 * chunk, 2 * chunk, 0, 2 * chunk, failure.CallerGone},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			mm := budget.NewMemory(tc.memory)
-			rd := body.Reader{Memory: mm, MaxBytes: tc.most, RetryAfter: time.Second, IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded}
-			r := httptest.NewRequest(http.MethodPost, "/", tc.from)
+			rd := body.Reader{
+				Memory: mm, MaxBytes: tc.maxBytes, RetryAfter: time.Second,
+				IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded,
+			}
+			r := httptest.NewRequest(http.MethodPost, "/", tc.src)
 			r.ContentLength = tc.length
 			b, free, err := rd.Read(r)
-			g.Expect(mm.Used()).To(Equal(tc.wantTaken))
+			g.Expect(mm.Used()).To(Equal(tc.wantUsed))
 			free()
 			g.Expect(mm.Used()).To(BeZero())
-			g.Expect(bytes.Equal(b, bytes.Repeat([]byte("x"), tc.want))).To(BeTrue(), "%d bytes", len(b))
+			g.Expect(bytes.Equal(b, bytes.Repeat([]byte("x"), tc.wantLen))).To(BeTrue(), "%d bytes", len(b))
 			if tc.wantCode == "" {
 				g.Expect(err).NotTo(HaveOccurred())
 				return
@@ -73,8 +77,8 @@
 			fe := failure.FromError(err)
 			g.Expect(fe.Code).To(Equal(tc.wantCode))
 			g.Expect(fe.Outcome).To(Equal(failure.NotRun))
-			comesBack := tc.wantCode == failure.NoMemory || tc.wantCode == failure.DeadlineExceeded
-			g.Expect(fe.RetryAfter > 0).To(Equal(comesBack))
+			wantRetryAfter := tc.wantCode == failure.NoMemory || tc.wantCode == failure.DeadlineExceeded
+			g.Expect(fe.RetryAfter > 0).To(Equal(wantRetryAfter))
 		})
 	}
 }
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,4 +1,4 @@
-// Package deadline bounds the exchange with a caller by the time when its answer is due.
+// Package deadline applies the deadline of a request to its context and to the caller's connection.
 package deadline
 
 import (
@@ -9,53 +9,55 @@
 	"github.com/cockroachdb/errors"
 )
 
-// answerGrace is the time that an answer has to reach its caller which begins when the answer is due, or later.
+// writeGrace is the time that a response which starts at the deadline or later has to reach its caller.
 const writeGrace = 250 * time.Millisecond
 
-// Deadline is when a caller's answer is due.
+// Deadline is the deadline of a request.
 type Deadline struct {
-	// At is when the answer must be whole.
+	// At is when the response must be complete.
 	At time.Time
 }
 
-// Of returns the deadline of a request that arrived at a time and may take so long at the most. A caller may ask for less;
-// zero asks for nothing.
-func ForRequest(arrived time.Time, most, asked time.Duration) Deadline {
-	if asked > 0 {
-		most = min(most, asked)
+// ForRequest returns the deadline of a request that arrived at the given time and may take up to maxDuration. The caller may
+// request a shorter duration; zero means that it requested none.
+func ForRequest(arrived time.Time, maxDuration, requested time.Duration) Deadline {
+	if requested > 0 {
+		maxDuration = min(maxDuration, requested)
 	}
-	return Deadline{At: arrived.Add(most)}
+	return Deadline{At: arrived.Add(maxDuration)}
 }
 
-// Context returns a context that ends with the deadline. cancel frees it.
+// Context returns a context that ends at the deadline. cancel releases its resources.
 func (dl Deadline) Context(ctx context.Context) (bound context.Context, cancel context.CancelFunc) {
 	return context.WithDeadline(ctx, dl.At)
 }
 
-// Bind bounds the reading of the body and the writing of the answer. bodyBy bounds the body further. It fails where the
-// connection has ended, and where the writer is none, as in tests.
+// Apply sets the deadlines of the caller's connection for reading the body and for writing the response. The body must be
+// complete by bodyBy if that is before the deadline. Apply fails if the connection is closed, or if the writer has no connection,
+// as in tests.
 func (dl Deadline) Apply(rc *http.ResponseController, bodyBy time.Time) error {
 	if dl.At.Before(bodyBy) {
 		bodyBy = dl.At
 	}
 	if err := rc.SetReadDeadline(bodyBy); err != nil {
-		return errors.Wrap(err, "bound the body")
+		return errors.Wrap(err, "set read deadline for body")
 	}
-	return errors.Wrap(rc.SetWriteDeadline(dl.At.Add(writeGrace)), "bound the answer")
+	return errors.Wrap(rc.SetWriteDeadline(dl.At.Add(writeGrace)), "set write deadline for response")
 }
 
-// BindAnswer bounds the writing of what is written now. What is late, as the process was held up, gets as long as what is in time: its
-// caller still learns what became of the request.
+// ExtendWriteDeadline sets the write deadline for a write that starts now. If the process was stalled and the write is late, it gets
+// as much time as one that starts at the deadline, so that the caller still learns what became of its request.
 func (dl Deadline) ExtendWriteDeadline(rc *http.ResponseController, now time.Time) error {
-	by := dl.At
-	if now.After(by) {
-		by = now
+	start := dl.At
+	if now.After(start) {
+		start = now
 	}
-	return errors.Wrap(rc.SetWriteDeadline(by.Add(writeGrace)), "bound the answer")
+	return errors.Wrap(rc.SetWriteDeadline(start.Add(writeGrace)), "set write deadline for response")
 }
 
-// BodyRead ends the bound for the body, which is read to its end: left in place it would look like a caller that goes
-// away. After a body that did not come it stays, else the server would wait for the rest before it ends the connection.
+// ClearReadDeadline removes the read deadline after the complete body was read. If it stayed, it would later look as if the caller
+// had disconnected. After an incomplete body it must stay: otherwise the server would wait for the rest of the body before it
+// closes the connection.
 func (dl Deadline) ClearReadDeadline(rc *http.ResponseController) error {
-	return errors.Wrap(rc.SetReadDeadline(time.Time{}), "lift the bound of the body")
+	return errors.Wrap(rc.SetReadDeadline(time.Time{}), "clear read deadline")
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,4 +1,4 @@
-// Package drain ends a callers' listener without breaking off an answer that can still be given.
+// Package drain shuts down the HTTP server for callers gracefully: requests in flight can complete until a deadline.
 package drain
 
 import (
@@ -9,28 +9,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Plan says how long each part of a stop may take, from the time when it was asked for.
+// Plan is the schedule of a shutdown. All durations are counted from the call of Run.
 type Plan struct {
-	// Lag is how long the balancer still sends new connections. They are accepted.
+	// BalancerLag is how long the load balancer may still open new connections. The listener stays open until then.
 	BalancerLag time.Duration
-	// Taking is how long new requests are still taken, at most Lag; zero takes them until the listener is closed.
+	// RefuseAfter is when the server begins to refuse new requests, at most BalancerLag. If RefuseNew is nil, it must be zero, and
+	// new requests are served until the listener is closed.
 	RefuseAfter time.Duration
-	// Refuse makes the instance turn new requests away; it is called after Taking, and is nil when Taking is zero.
+	// RefuseNew makes the server refuse new requests. It is called at RefuseAfter; nil if that is zero.
 	RefuseNew func()
-	// Answers is how long requests that are still running may go on, from Lag to Most. Without End it has no effect.
+	// AbortAfter is how long requests in flight may continue, between BalancerLag and Timeout. It has no effect if Abort is nil.
 	AbortAfter time.Duration
-	// End makes each request that is still running answer and end. It is called after Answers if there may be one, and is
-	// nil where all requests end by themselves before Most.
+	// Abort makes each request in flight send its response and end. It is called at AbortAfter if requests may still be in flight. It
+	// is nil if all requests end on their own before Timeout.
 	Abort func()
-	// Most is when the wait for the last connection is given up. Between Answers and Most the last answers go out.
+	// Timeout is when Run stops waiting for open connections. The last responses are sent between AbortAfter and Timeout.
 	Timeout time.Duration
 }
 
-// Run serves on for the balancer's lag, then closes the listener and waits for the last answer. The end of ctx cuts both
-// short.
+// Run lets the server continue for BalancerLag, then closes its listener and waits for the last response. If ctx ends, it does not
+// wait any longer.
 func (pl Plan) Run(ctx context.Context, srv *http.Server) error {
-	began := time.Now()
-	ctx, cancel := context.WithDeadline(ctx, began.Add(pl.Timeout))
+	startedAt := time.Now()
+	ctx, cancel := context.WithDeadline(ctx, startedAt.Add(pl.Timeout))
 	defer cancel()
 	if pl.RefuseNew != nil {
 		sleep(ctx, pl.RefuseAfter)
@@ -38,23 +39,24 @@
 	}
 	sleep(ctx, pl.BalancerLag-pl.RefuseAfter)
 	if pl.Abort != nil {
-		if shutdownBefore(ctx, srv, began.Add(pl.AbortAfter)) {
+		if shutdownBefore(ctx, srv, startedAt.Add(pl.AbortAfter)) {
 			return nil
 		}
 		pl.Abort()
 	}
-	// The server looks for the last connection in steps that grow up to half a second: asked anew after End, it sees the last
-	// answers go out within milliseconds.
-	return errors.Wrap(srv.Shutdown(ctx), "finish requests")
+	// Shutdown polls for open connections at intervals that grow to half a second. A new call after Abort starts with short
+	// intervals again, and so detects the last response within milliseconds.
+	return errors.Wrap(srv.Shutdown(ctx), "shut down server")
 }
 
-// finished closes the listener and reports whether the last answer came before a time.
+// shutdownBefore closes the listener, and reports whether the last request ended before the given time.
 func shutdownBefore(ctx context.Context, srv *http.Server, until time.Time) bool {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	return srv.Shutdown(ctx) == nil
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -12,14 +12,14 @@
 	"github.com/silvermount/silvermount/internal/drain"
 )
 
-// generous is far longer than anything here takes.
+// generous is far longer than any step of these tests takes.
 const generous = time.Minute
 
-// server serves on a free port. Each request is noted in came and waits for the end of release.
+// server is an HTTP server on a free port. Each request sends to received and then blocks until release is closed.
 type server struct {
-	hs            *http.Server
-	url           string
-	came, release chan struct{}
+	hs                *http.Server
+	url               string
+	received, release chan struct{}
 }
 
 func serve(t *testing.T) *server {
@@ -28,19 +28,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sv := &server{url: "http://" + l.Addr().String(), came: make(chan struct{}, 1), release: make(chan struct{})}
+	sv := &server{url: "http://" + l.Addr().String(), received: make(chan struct{}, 1), release: make(chan struct{})}
 	sv.hs = &http.Server{Handler: http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		sv.came <- struct{}{}
+		sv.received <- struct{}{}
 		<-sv.release
 	})}
-	ended := make(chan struct{})
-	go func() { defer close(ended); _ = sv.hs.Serve(l) }() // it always ends with an error
-	t.Cleanup(func() { sv.hs.Close(); <-ended })
+	done := make(chan struct{})
+	go func() { defer close(done); _ = sv.hs.Serve(l) }() // it always ends with an error
+	t.Cleanup(func() { sv.hs.Close(); <-done })
 	return sv
 }
 
-// ask sends a request and returns its end.
-func (sv *server) ask(t *testing.T) <-chan error {
+// get sends a request and returns a channel for its result.
+func (sv *server) get(t *testing.T) <-chan error {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() {
@@ -53,72 +53,75 @@
 	return done
 }
 
-func TestRunWaitsForTheLastAnswer(t *testing.T) {
+func TestRunWaitsForLastResponse(t *testing.T) {
 	g := NewWithT(t)
 	sv := serve(t)
-	answered := sv.ask(t)
-	<-sv.came
-	ended := make(chan error, 1)
+	result := sv.get(t)
+	<-sv.received
+	done := make(chan error, 1)
 	refused := make(chan struct{})
 	go func() {
-		ended <- drain.Plan{RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, RefuseNew: func() { close(refused) }, Timeout: generous}.
-			Run(context.Background(), sv.hs)
+		done <- drain.Plan{
+			RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, RefuseNew: func() { close(refused) }, Timeout: generous,
+		}.Run(context.Background(), sv.hs)
 	}()
 	<-refused
-	g.Expect(ended).NotTo(Receive())
+	g.Expect(done).NotTo(Receive())
 	close(sv.release)
-	g.Expect(<-answered).NotTo(HaveOccurred())
-	g.Expect(<-ended).NotTo(HaveOccurred())
+	g.Expect(<-result).NotTo(HaveOccurred())
+	g.Expect(<-done).NotTo(HaveOccurred())
 }
 
-func TestRunGivesUpAtTheEnd(t *testing.T) {
+func TestRunReturnsErrorAtTimeout(t *testing.T) {
 	tests := map[string]drain.Plan{
-		"without refusing":   {BalancerLag: time.Millisecond, Timeout: 20 * time.Millisecond},
-		"refusing":           {BalancerLag: time.Millisecond, RefuseAfter: time.Millisecond, RefuseNew: func() {}, Timeout: 20 * time.Millisecond},
-		"lag over the bound": {BalancerLag: generous, Timeout: 20 * time.Millisecond},
+		"without RefuseNew": {BalancerLag: time.Millisecond, Timeout: 20 * time.Millisecond},
+		"with RefuseNew": {
+			BalancerLag: time.Millisecond, RefuseAfter: time.Millisecond, RefuseNew: func() {}, Timeout: 20 * time.Millisecond,
+		},
+		"balancer lag longer than the timeout": {BalancerLag: generous, Timeout: 20 * time.Millisecond},
 	}
 	for name, pl := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			sv := serve(t)
-			answered := sv.ask(t)
-			<-sv.came
+			result := sv.get(t)
+			<-sv.received
 			g.Expect(pl.Run(context.Background(), sv.hs)).To(MatchError(context.DeadlineExceeded))
-			g.Expect(answered).NotTo(Receive(), "the caller decides what becomes of it")
+			g.Expect(result).NotTo(Receive(), "the caller of Run decides what happens to the request")
 			close(sv.release)
-			g.Expect(<-answered).NotTo(HaveOccurred())
+			g.Expect(<-result).NotTo(HaveOccurred())
 		})
 	}
 }
 
-// TestRunTellsRequestsToEnd has a request that ends only when it is told to, and one that ended before.
-func TestRunTellsRequestsToEnd(t *testing.T) {
-	tests := map[string]struct{ answersItself bool }{
-		"one is still running": {false},
-		"none is left":         {true},
+// TestRunAbortsRequests runs a plan with a request that ends only when it is aborted, and with one that done before.
+func TestRunAbortsRequests(t *testing.T) {
+	tests := map[string]struct{ endsItself bool }{
+		"request in flight":    {false},
+		"no request in flight": {true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			sv := serve(t)
-			answered := sv.ask(t)
-			<-sv.came
-			if tc.answersItself {
+			result := sv.get(t)
+			<-sv.received
+			if tc.endsItself {
 				close(sv.release)
-				g.Expect(<-answered).NotTo(HaveOccurred())
+				g.Expect(<-result).NotTo(HaveOccurred())
 			}
-			told := false
+			aborted := false
 			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Timeout: generous, Abort: func() {
-				told = true
+				aborted = true
 				close(sv.release)
 			}}
-			if tc.answersItself {
+			if tc.endsItself {
 				pl.AbortAfter = generous
 			}
 			g.Expect(pl.Run(context.Background(), sv.hs)).To(Succeed())
-			g.Expect(told).To(Equal(!tc.answersItself))
-			if !tc.answersItself {
-				g.Expect(<-answered).NotTo(HaveOccurred(), "the answer is given before the connection is closed")
+			g.Expect(aborted).To(Equal(!tc.endsItself))
+			if !tc.endsItself {
+				g.Expect(<-result).NotTo(HaveOccurred(), "the response is sent before the connection is closed")
 			}
 		})
 	}
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -187,7 +187,8 @@
 	stale := maxStaleness > 0 && staleness > maxStaleness
 	gw.logStaleness(stale, tb.Version(), staleness)
 	if stale {
-		return refusal(failure.ProofTooOld, notReadyRetryAfter, "the configuration was last confirmed %s ago", staleness.Round(time.Millisecond))
+		return refusal(failure.ProofTooOld, notReadyRetryAfter,
+			"the configuration was last confirmed %s ago", staleness.Round(time.Millisecond))
 	}
 	return nil
 }
@@ -199,7 +200,8 @@
 		maxBytes = min(maxBytes, lm)
 	}
 	br := body.Reader{
-		Memory: gw.BodyMemory, MaxBytes: maxBytes, RetryAfter: overloadRetryAfter, IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded,
+		Memory: gw.BodyMemory, MaxBytes: maxBytes, RetryAfter: overloadRetryAfter,
+		IncompleteCode: failure.CallerGone, TimeoutCode: failure.DeadlineExceeded,
 	}
 	// When requests are aborted, a body that is still being received is no longer waited for.
 	stopWatch := context.AfterFunc(gw.aborted, func() { gw.logDeadlineError(rq, rw.Controller().SetReadDeadline(gw.Now())) })
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -27,7 +27,9 @@
 		want    []string
 		minWait time.Duration
 	}{
-		"deadline after the next probe":  {5 * time.Second, true, []string{"request delayed after crashes of its targets", "request refused"}, 900 * time.Millisecond},
+		"deadline after the next probe": {
+			5 * time.Second, true, []string{"request delayed after crashes of its targets", "request refused"}, 900 * time.Millisecond,
+		},
 		"deadline before the next probe": {500 * time.Millisecond, true, []string{"request refused"}, 0},
 		"no evidence":                    {5 * time.Second, false, []string{"request refused"}, 0},
 	}
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -101,7 +101,9 @@
 
 // handlePlain forwards a response that is not a stream. A short response is forwarded only when it is complete, so that the
 // request can still be retried on another target if the response breaks off.
-func (gw *Gateway) handlePlain(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer, vd answer.Verdict) error {
+func (gw *Gateway) handlePlain(
+	ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer, vd answer.Verdict,
+) error {
 	body, err := io.ReadAll(io.LimitReader(an.Body, maxBufferedBytes))
 	if err != nil {
 		return gw.handleInterrupted(ctx, rq, sl, err)
@@ -130,7 +132,9 @@
 }
 
 // forwardPlain forwards the buffered beginning of a response, and then the rest as it is received.
-func (gw *Gateway) forwardPlain(ctx context.Context, rq *request, rw *responseWriter, an *upstream.Answer, body []byte, rest io.Reader) error {
+func (gw *Gateway) forwardPlain(
+	ctx context.Context, rq *request, rw *responseWriter, an *upstream.Answer, body []byte, rest io.Reader,
+) error {
 	copyEndToEndHeaders(rw.w.Header(), an.Header)
 	if len(body) < maxBufferedBytes {
 		rw.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -109,8 +109,9 @@
 	sv.Name = rq.service
 	return dispatch.Request{
 		ID: rq.RequestID, Service: sv, Exclude: rq.excluded,
-		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MaxAnswerTokens, AnswerTokensHint: rq.AnswerTokensHint, EventsForwarded: rq.eventsForwarded,
-		Objective: rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
+		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MaxAnswerTokens, AnswerTokensHint: rq.AnswerTokensHint,
+		EventsForwarded: rq.eventsForwarded,
+		Objective:       rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
 		Arrived: rq.arrived, Deadline: rq.deadline.At, Priority: rq.priority(), Resumed: rq.forwardedEventID >= 0,
 		Caution: rq.caution(), Authorise: func() error { return gw.reauthorise(rq) },
 		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.RetryBudget.Left(), Retried: len(rq.tried) > 0,
@@ -147,7 +148,8 @@
 	if errors.As(err, &fe) {
 		return fe.WithOutcome(gw.outcome(rq))
 	}
-	return failure.New(failure.NoTarget, gw.outcome(rq), "no target can take the request").WithCause(err).WithRetryAfter(overloadRetryAfter)
+	return failure.New(failure.NoTarget, gw.outcome(rq), "no target can take the request").
+		WithCause(err).WithRetryAfter(overloadRetryAfter)
 }
 
 // outcome returns what is known so far about whether the request ran.
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -15,7 +15,9 @@
 
 // sendWithSilenceTimeout sends the call. It cancels the call if the target stays silent while another target could still
 // respond in time.
-func (gw *Gateway) sendWithSilenceTimeout(ctx context.Context, rq *request, sl *dispatch.Slot, ca upstream.Call) (*upstream.Answer, error) {
+func (gw *Gateway) sendWithSilenceTimeout(
+	ctx context.Context, rq *request, sl *dispatch.Slot, ca upstream.Call,
+) (*upstream.Answer, error) {
 	timeout := gw.silenceTimeout(rq, sl)
 	if timeout <= 0 {
 		return gw.Pool.Do(ctx, ca)
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -23,8 +23,10 @@
 func TestNewRequestIsRefusedLateInShutdown(t *testing.T) {
 	g := NewWithT(t)
 	gw := gateway.New(gateway.Deps{
-		Protocol: gateway.Protocol{ReadRequest: func(*http.Request) (gateway.RequestInfo, error) { return gateway.RequestInfo{RequestID: "1"}, nil }},
-		Routes:   &routes.Holder{}, BodyMemory: budget.NewMemory(0), Metrics: metrics.NewSet(),
+		Protocol: gateway.Protocol{
+			ReadRequest: func(*http.Request) (gateway.RequestInfo, error) { return gateway.RequestInfo{RequestID: "1"}, nil },
+		},
+		Routes: &routes.Holder{}, BodyMemory: budget.NewMemory(0), Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New()}, Now: time.Now, Stopping: func() bool { return true },
 	}, gateway.Limits{})
 	send := func() *httptest.ResponseRecorder {
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -1,7 +1,7 @@
-// Package hangup keeps a hang-up signal from ending the process while it starts.
+// Package hangup keeps the signal SIGHUP from terminating the process while it starts.
 //
-// It needs nothing but the signals of the standard library, so it is initialised among the first packages. Only the few
-// milliseconds of the runtime's own start are left.
+// It imports nothing but packages of the standard library for signals, so that it is initialised among the first packages. The
+// process remains unprotected only for the few milliseconds in which the Go runtime starts.
 package hangup
 
 import (
@@ -10,10 +10,11 @@
 	"syscall"
 )
 
-// early takes hang-ups from the beginning of the process. Nobody reads it: the settings are read later anyway.
+// earlySignals receives SIGHUP from the start of the process. It is never read: a SIGHUP asks the process to reload its settings,
+// and during the start they are still to be read anyway.
 var earlySignals = make(chan os.Signal, 1)
 
 func init() { signal.Notify(earlySignals, syscall.SIGHUP) }
 
-// Release lets a hang-up end the process again, for commands that end with their terminal.
+// RestoreDefault lets SIGHUP terminate the process again, for commands that are to end with their terminal.
 func RestoreDefault() { signal.Stop(earlySignals) }
--- a/internal/hangup/hangup_test.go
+++ b/internal/hangup/hangup_test.go
@@ -11,14 +11,15 @@
 	"github.com/silvermount/silvermount/internal/hangup"
 )
 
-// TestHangUpBeforeTheStart sends this process a hang-up that nobody has asked for, and a second one to see that it came.
-func TestHangUpBeforeTheStart(t *testing.T) {
+// TestSIGHUPDuringStartIsIgnored sends SIGHUP to this process before any handler is registered. A second one, after a handler was
+// registered, shows that the signals arrive.
+func TestSIGHUPDuringStartIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
-	seen := make(chan os.Signal, 1)
-	signal.Notify(seen, syscall.SIGHUP)
-	defer signal.Stop(seen)
+	received := make(chan os.Signal, 1)
+	signal.Notify(received, syscall.SIGHUP)
+	defer signal.Stop(received)
 	g.Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
-	g.Eventually(seen).Should(Receive())
+	g.Eventually(received).Should(Receive())
 	hangup.RestoreDefault()
 }
--- a/internal/reply/reply.go
+++ b/internal/reply/reply.go
@@ -1,4 +1,4 @@
-// Package reply passes an answer on to a caller and notices when the caller goes away.
+// Package reply writes responses to callers and detects when a caller has disconnected.
 package reply
 
 import (
@@ -11,35 +11,36 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// Writer writes one answer and remembers whether it has begun. It is used by one goroutine.
+// Writer writes one response and records whether it has started. It is not safe for concurrent use.
 type Writer struct {
 	w  http.ResponseWriter
 	rc *http.ResponseController
-	// due is when the answer is due; its zero value bounds nothing.
+	// deadline is the deadline of the response; the zero value means that there is none.
 	deadline deadline.Deadline
-	// status is what was written; zero before.
+	// status is the status that was written; zero before.
 	status int
 }
 
-// New returns a writer of an answer that has not begun.
+// New returns a Writer for a response that has not started.
 func New(w http.ResponseWriter) *Writer { return &Writer{w: w, rc: http.NewResponseController(w)} }
 
-// Header returns the headers of the answer, which count until it begins.
+// Header returns the headers of the response. Changes have no effect once it has started.
 func (wr *Writer) Header() http.Header { return wr.w.Header() }
 
-// Control returns the controls of the caller's connection.
+// Controller returns the controller of the caller's connection.
 func (wr *Writer) Controller() *http.ResponseController { return wr.rc }
 
-// Due sets when the answer is due, before it begins: what is written later is bound anew.
+// SetDeadline sets the deadline of the response. It must be called before the response starts. Writes after the deadline
+// get an extended write deadline.
 func (wr *Writer) SetDeadline(dl deadline.Deadline) { wr.deadline = dl }
 
-// Started reports whether a status line was written.
+// Started reports whether the status line was written.
 func (wr *Writer) Started() bool { return wr.status != 0 }
 
 // Status returns the status that was written; zero before.
 func (wr *Writer) Status() int { return wr.status }
 
-// Start writes the status line and the headers. An answer that has begun keeps its status.
+// Start writes the status line and the headers. It has no effect on a response that has started.
 func (wr *Writer) Start(status int) {
 	if wr.Started() {
 		return
@@ -49,7 +50,8 @@
 	wr.w.WriteHeader(status)
 }
 
-// Pass writes a part of the answer, and sends it at once with flush. It fails when the caller has gone.
+// Forward writes part of the response, and flushes it if flush is set. It returns a failure.CallerGone error if the caller has
+// disconnected.
 func (wr *Writer) Forward(part []byte, flush bool) error {
 	wr.extendDeadline()
 	if _, err := wr.w.Write(part); err != nil {
@@ -64,16 +66,18 @@
 	return nil
 }
 
-// bindLate bounds anew what is written after the answer was due: the process may have been held up, and the bound passed meanwhile.
+// extendDeadline extends the write deadline for a write after the deadline of the response. The process may have been stalled until
+// the original write deadline had passed.
 func (wr *Writer) extendDeadline() {
 	now := time.Now()
 	if wr.deadline.At.IsZero() || !now.After(wr.deadline.At) {
 		return
 	}
-	// It fails on a connection that has ended, which the write tells, and on a writer that is none.
+	// This fails if the connection is closed, which the write itself reports, or if the writer has no connection.
 	_ = wr.deadline.ExtendWriteDeadline(wr.rc, now)
 }
 
+// callerGone returns the failure for an error of the connection.
 func callerGone(err error) error {
 	return failure.New(failure.CallerGone, failure.Failed, "the caller went away").WithCause(err)
 }
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -17,48 +17,48 @@
 
 var errBroken = errors.New("connection broken")
 
-// connection breaks where it is told to.
+// connection is a connection whose writes and flushes can fail.
 type connection struct {
 	*httptest.ResponseRecorder
-	write, flush error
+	writeErr, flushErr error
 }
 
-// Write fails or records.
+// Write returns writeErr if it is set, and records otherwise.
 func (cn *connection) Write(b []byte) (int, error) {
-	if cn.write != nil {
-		return 0, cn.write
+	if cn.writeErr != nil {
+		return 0, cn.writeErr
 	}
 	return cn.ResponseRecorder.Write(b)
 }
 
-// FlushError fails or records.
+// FlushError returns flushErr, and records the flush if that is nil.
 func (cn *connection) FlushError() error {
-	if cn.flush == nil {
+	if cn.flushErr == nil {
 		cn.Flush()
 	}
-	return cn.flush
+	return cn.flushErr
 }
 
 func TestPass(t *testing.T) {
 	tests := map[string]struct {
-		write, flush error
-		asksFlush    bool
-		wantErr      bool
-		wantFlushed  bool
+		writeErr, flushErr error
+		flush              bool
+		wantErr            bool
+		wantFlushed        bool
 	}{
-		"held back":               {},
-		"sent at once":            {asksFlush: true, wantFlushed: true},
-		"caller gone":             {write: errBroken, asksFlush: true, wantErr: true},
-		"caller gone meanwhile":   {flush: errBroken, asksFlush: true, wantErr: true},
-		"not noticed without one": {flush: errBroken},
+		"without flush":                      {},
+		"with flush":                         {flush: true, wantFlushed: true},
+		"write fails":                        {writeErr: errBroken, flush: true, wantErr: true},
+		"flush fails":                        {flushErr: errBroken, flush: true, wantErr: true},
+		"failure not detected without flush": {flushErr: errBroken},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			cn := &connection{ResponseRecorder: httptest.NewRecorder(), write: tc.write, flush: tc.flush}
+			cn := &connection{ResponseRecorder: httptest.NewRecorder(), writeErr: tc.writeErr, flushErr: tc.flushErr}
 			wr := reply.New(cn)
 			wr.Start(http.StatusOK)
-			err := wr.Forward([]byte("part"), tc.asksFlush)
+			err := wr.Forward([]byte("part"), tc.flush)
 			g.Expect(cn.Flushed).To(Equal(tc.wantFlushed))
 			if !tc.wantErr {
 				g.Expect(err).NotTo(HaveOccurred())
@@ -71,7 +71,7 @@
 	}
 }
 
-func TestStartKeepsTheFirstStatus(t *testing.T) {
+func TestStartKeepsFirstStatus(t *testing.T) {
 	g := NewWithT(t)
 	rec := httptest.NewRecorder()
 	wr := reply.New(rec)
@@ -85,32 +85,32 @@
 	g.Expect(rec.Header().Get("Content-Type")).To(Equal("text/plain"))
 }
 
-// TestAnswerAfterItsBoundReachesTheCaller begins an answer, or goes on with one, long after it was due.
-func TestAnswerAfterItsBoundReachesTheCaller(t *testing.T) {
+// TestResponseAfterDeadlineReachesCaller starts or continues a response long after its deadline.
+func TestResponseAfterDeadlineReachesCaller(t *testing.T) {
 	tests := map[string]struct {
-		due time.Duration
-		// held is how long the process stands still before the last part.
-		held time.Duration
+		deadline time.Duration
+		// stall is how long the process is stalled before the last part.
+		stall time.Duration
 	}{
-		"begun late":   {due: -time.Minute},
-		"gone on late": {due: 20 * time.Millisecond, held: 500 * time.Millisecond},
+		"started late":   {deadline: -time.Minute},
+		"continued late": {deadline: 20 * time.Millisecond, stall: 500 * time.Millisecond},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			sv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				due := deadline.Deadline{At: time.Now().Add(tc.due)}
+				dl := deadline.Deadline{At: time.Now().Add(tc.deadline)}
 				wr := reply.New(w)
-				if err := due.Apply(wr.Controller(), time.Now().Add(time.Minute)); err != nil {
+				if err := dl.Apply(wr.Controller(), time.Now().Add(time.Minute)); err != nil {
 					t.Error(err)
 				}
-				wr.SetDeadline(due)
+				wr.SetDeadline(dl)
 				wr.Start(http.StatusGatewayTimeout)
 				if err := wr.Forward([]byte("first,"), true); err != nil {
 					t.Error(err)
 				}
-				time.Sleep(tc.held)
+				time.Sleep(tc.stall)
 				if err := wr.Forward([]byte("last"), true); err != nil {
 					t.Error(err)
 				}
