--- a/internal/gateway/logging_test.go
+++ b/internal/gateway/logging_test.go
@@ -61,7 +61,7 @@
 	}{
 		"no key":         {"", log.Fields{"key": "none"}},
 		"never in force": {"never", log.Fields{"key": routes.DigestOf("never").String(), "key_known": false}},
-		"revoked":        {"taken", log.Fields{"key": routes.DigestOf("taken").String(), "key_known": true, "key_gone": int64(5)}},
+		"revoked key":    {"taken", log.Fields{"key": routes.DigestOf("taken").String(), "key_known": true, "key_gone": int64(5)}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -120,7 +120,7 @@
 		want string
 	}{
 		"no helper": {gateway.ShedError{Status: 503}, "target rejected the request with status 503"},
-		"helper": {
+		"a helper": {
 			gateway.ShedError{Status: 503, CauseAddress: "10.0.0.1:80"},
 			"target rejected the request with status 503 because of helper 10.0.0.1:80",
 		},
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -23,10 +23,10 @@
 		return gw.Pool.Do(ctx, ca)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	triedTargets := append(slices.Clone(rq.tried), sl.Target.ID)
+	tried := append(slices.Clone(rq.tried), sl.Target.ID)
 	sw := startSilenceWatch(timeout, func() bool {
 		gw.recordSilence(sl.Target)
-		if !gw.takeFailoverRetry(rq.route, rq.service, triedTargets) {
+		if !gw.takeFailoverRetry(rq.route, rq.service, tried) {
 			return false
 		}
 		cancel(&SilentTargetError{After: timeout})
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -16,7 +16,7 @@
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// copyEndToEndHeaders copies all headers that are not hop-by-hop, including those that the Connection header lists.
+// copyEndToEndHeaders copies all headers except hop-by-hop headers and those that the Connection header lists.
 func copyEndToEndHeaders(to, from http.Header) {
 	connection := from.Values("Connection")
 	for k, vs := range from {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -25,7 +25,7 @@
 	// minStallTimeout is the minimum silence within a stream after which it moves to another target. A target that depends on
 	// a lost target stalls for 1.5 s before it reports this, and callers give up after 2 s.
 	minStallTimeout = 1700 * time.Millisecond
-	// stallPauseFactor is the same silence as a multiple of the route's longest pause. The greater of the two applies.
+	// stallPauseFactor is the same minimum as a multiple of the route's longest pause. The greater of the two applies.
 	stallPauseFactor = 3
 )
 
