--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,4 +1,4 @@
-// Package body reads the bodies of callers' requests.
+// Package body reads request bodies within a size limit and a shared memory budget.
 package body
 
 import (
@@ -13,35 +13,39 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// chunkStep is how much of a body of unknown length is accounted for at a time, in bytes.
-const chunkStep = 64 << 10
+// chunkSize is the number of bytes by which the memory reserved for a body of unknown length grows.
+const chunkSize = 64 << 10
 
-// Reader reads bodies within a bound and within the memory that all requests share.
+// Reader reads request bodies. It is safe for concurrent use.
 type Reader struct {
+	// Memory is the budget that the bodies of all requests share.
 	Memory *budget.Memory
-	// Most bounds one body, in bytes.
-	Most int64
-	// ComeBack is when a caller should come back for whom there is no memory, or whose body did not come in time.
-	ComeBack time.Duration
-	// Broken is the kind of failure of a body that does not come whole.
-	Broken failure.Code
-	// Late is the kind of failure of a body that does not come whole in its time, whose caller may still be there; empty for Broken.
-	Late failure.Code
+	// MaxBytes is the maximum size of one body.
+	MaxBytes int64
+	// RetryAfter is when a caller should retry if there was no memory for its body, or if its body timed out.
+	RetryAfter time.Duration
+	// IncompleteCode is the failure code for a body that ends early or cannot be read.
+	IncompleteCode failure.Code
+	// TimeoutCode is the failure code for a body that is incomplete at its deadline, when the caller may still be connected. If it is
+	// empty, IncompleteCode is used.
+	TimeoutCode failure.Code
 }
 
-// Read reads a body. free gives its memory back, also after a failure, and is never nil.
+// Read reads the body of a request. free returns the memory of the body to the budget. It is never nil, and must be called even
+// after an error.
 func (rd Reader) Read(r *http.Request) (b []byte, free func(), err error) {
 	size := r.ContentLength
-	if size > rd.Most {
+	if size > rd.MaxBytes {
 		return nil, func() {}, rd.tooLarge()
 	}
 	if size >= 0 {
-		return rd.sized(r.Body, size)
+		return rd.readSized(r.Body, size)
 	}
-	return rd.chunked(r.Body)
+	return rd.readChunked(r.Body)
 }
 
-func (rd Reader) sized(from io.Reader, size int64) (b []byte, free func(), err error) {
+// readSized reads a body whose length is known.
+func (rd Reader) readSized(src io.Reader, size int64) (b []byte, free func(), err error) {
 	if size == 0 {
 		return nil, func() {}, nil
 	}
@@ -50,45 +54,47 @@
 	}
 	free = func() { rd.Memory.Release(size) }
 	b = make([]byte, size)
-	if _, err := io.ReadFull(from, b); err != nil {
-		return nil, free, rd.broken(err)
+	if _, err := io.ReadFull(src, b); err != nil {
+		return nil, free, rd.readError(err)
 	}
 	return b, free, nil
 }
 
-func (rd Reader) chunked(from io.Reader) (b []byte, free func(), err error) {
-	var taken int64
-	free = func() { rd.Memory.Release(taken) }
+// readChunked reads a body of unknown length.
+func (rd Reader) readChunked(src io.Reader) (b []byte, free func(), err error) {
+	var reserved int64
+	free = func() { rd.Memory.Release(reserved) }
 	for {
-		if !rd.Memory.TryAcquire(chunkStep) {
+		if !rd.Memory.TryAcquire(chunkSize) {
 			return nil, free, rd.noMemory()
 		}
-		taken += chunkStep
-		part, err := io.ReadAll(io.LimitReader(from, chunkStep))
-		b = append(b, part...)
+		reserved += chunkSize
+		chunk, err := io.ReadAll(io.LimitReader(src, chunkSize))
+		b = append(b, chunk...)
 		switch {
 		case err != nil:
-			return nil, free, rd.broken(err)
-		case int64(len(b)) > rd.Most:
+			return nil, free, rd.readError(err)
+		case int64(len(b)) > rd.MaxBytes:
 			return nil, free, rd.tooLarge()
-		case len(part) < chunkStep:
+		case len(chunk) < chunkSize:
 			return b, free, nil
 		}
 	}
 }
 
 func (rd Reader) tooLarge() error {
-	return failure.New(failure.TooLarge, failure.NotRun, "the body is larger than %d bytes", rd.Most)
+	return failure.New(failure.TooLarge, failure.NotRun, "the body is larger than %d bytes", rd.MaxBytes)
 }
 
 func (rd Reader) noMemory() error {
-	return failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(rd.ComeBack)
+	return failure.New(failure.NoMemory, failure.NotRun, "no memory for the body").WithRetryAfter(rd.RetryAfter)
 }
 
-func (rd Reader) broken(err error) error {
-	if errors.Is(err, os.ErrDeadlineExceeded) && rd.Late != "" {
-		return failure.New(rd.Late, failure.NotRun, "the body did not come in time").
-			WithCause(errors.Wrap(err, "read body")).WithRetryAfter(rd.ComeBack)
+// readError returns the failure for an error of the connection.
+func (rd Reader) readError(err error) error {
+	if errors.Is(err, os.ErrDeadlineExceeded) && rd.TimeoutCode != "" {
+		return failure.New(rd.TimeoutCode, failure.NotRun, "the body did not come in time").
+			WithCause(errors.Wrap(err, "read body")).WithRetryAfter(rd.RetryAfter)
 	}
-	return failure.New(rd.Broken, failure.NotRun, "the body could not be read").WithCause(errors.Wrap(err, "read body"))
+	return failure.New(rd.IncompleteCode, failure.NotRun, "the body could not be read").WithCause(errors.Wrap(err, "read body"))
 }
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -126,7 +126,7 @@
 	ctx, cancel := context.WithTimeout(ctx, total)
 	defer cancel()
 	answers := total - min(finalAnswersTime, st.Drain.Std()/2)
-	err := drain.Plan{Lag: lag, Answers: answers, End: sv.GiveUp, Most: total}.Run(ctx, srv)
+	err := drain.Plan{BalancerLag: lag, AbortAfter: answers, Abort: sv.GiveUp, Timeout: total}.Run(ctx, srv)
 	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
 }
 
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -98,8 +98,8 @@
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
 		Protocol: pt.Adapter.Protocol, Routes: pt.Routes, Targets: pt.Targets, Dispatcher: pt.Dispatcher, Pool: pt.Pool,
-		Retries: rt, Blame: pt.Blame, Feedback: pt.Feedback, Limits: pt.RateLimits, BackOffs: pt.BackOffs,
-		Bodies: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
+		RetryBudget: rt, Blame: pt.Blame, Feedback: pt.Feedback, RateLimits: pt.RateLimits, BackOffs: pt.BackOffs,
+		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
 	}, gatewayLimits(st))
 	env.OnReload(func(s config.Settings) { gw.SetLimits(gatewayLimits(s.Gateway)) })
@@ -109,7 +109,7 @@
 func gatewayLimits(st *config.Gateway) gateway.Limits {
 	lm := gateway.Limits{MaxBodyBytes: st.MaxBodyBytes}
 	if bound := st.RevocationBound.Std(); bound > 0 {
-		lm.ProofAge = max(bound-proofMargin, bound/2)
+		lm.MaxConfigStaleness = max(bound-proofMargin, bound/2)
 	}
 	return lm
 }
@@ -195,8 +195,8 @@
 func (sv *servers) stop(ctx context.Context, grace time.Duration) error {
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
-	sv.gw.EndsAt(time.Now().Add(grace - answerMargin))
-	err := stopPlan(grace, sv.gw.StopTaking, sv.endRequests).Run(ctx, sv.httpServers[0])
+	sv.gw.SetShutdownTime(time.Now().Add(grace - answerMargin))
+	err := stopPlan(grace, sv.gw.RefuseNewRequests, sv.endRequests).Run(ctx, sv.httpServers[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
 		// No request is in flight: the remaining connections were opened and never used, which is no failure.
@@ -213,7 +213,7 @@
 func stopPlan(grace time.Duration, refuse, end func()) drain.Plan {
 	lag, answers := min(balancerLag, grace/2), grace-answerMargin
 	return drain.Plan{
-		Lag: lag, Taking: min(acceptLag, lag, answers/2), Refuse: refuse, Answers: answers, End: end, Most: grace - exitMargin,
+		BalancerLag: lag, RefuseAfter: min(acceptLag, lag, answers/2), RefuseNew: refuse, AbortAfter: answers, Abort: end, Timeout: grace - exitMargin,
 	}
 }
 
@@ -222,7 +222,7 @@
 	if inf := sv.gw.InFlight(); inf != (gateway.InFlight{}) {
 		sv.lg.WithFields(inf.Fields()).Warn("grace nearly over before the last answer; ending requests")
 	}
-	sv.gw.End()
+	sv.gw.AbortRequests()
 }
 
 func (sv *servers) close() {
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -87,10 +87,10 @@
 // speaker returns the incarnation that gave an answer: the one that was meant, unless the answer names another. It reports false when that
 // one is not known.
 func (rc *Recorder) speaker(rp Report) (targets.Target, bool) {
-	if rp.Head.Target == "" || rp.Head.Target == rp.Target.NameOrID() {
+	if rp.Head.TargetName == "" || rp.Head.TargetName == rp.Target.NameOrID() {
 		return rp.Target, rp.Head.Verdict != answer.Misdirected
 	}
-	return rc.Targets.ByName(rp.Head.Target)
+	return rc.Targets.ByName(rp.Head.TargetName)
 }
 
 func (rc *Recorder) logMalformed(tg targets.Target, hd answer.Head) {
@@ -134,8 +134,8 @@
 
 // noteLimit takes what an answer says of the rate limit of its target. One whose limits cannot be read neither sets nor lifts one.
 func (rc *Recorder) noteLimit(tg targets.Target, rp Report) {
-	li := rp.Head.Limit
-	if rp.Head.Unread(answer.RateLimit) && !li.Limited {
+	li := rp.Head.RateLimit
+	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
 		return
 	}
 	ch, changed := rc.Limits.Observe(tg.ID, li, rp.Sent, rp.Came)
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestAnswerSpeaksForTheIncarnationThatGaveIt(t *testing.T) {
-	facts := answer.Head{BackOff: time.Second, Limit: ratelimit.PerSecond(2)}
+	facts := answer.Head{BackOff: time.Second, RateLimit: ratelimit.PerSecond(2)}
 	tests := map[string]struct {
 		verdict answer.Verdict
 		target  string
@@ -73,7 +73,7 @@
 		"the one that was meant":    {target: "a", of: &meant},
 		"turned away":               {verdict: answer.Shed, of: &meant},
 		"failed":                    {verdict: answer.Failed, of: &meant},
-		"not provably its own":      {verdict: answer.Unproven, of: &meant},
+		"not provably its own":      {verdict: answer.Unverified, of: &meant},
 		"another one":               {verdict: answer.Misdirected, target: "b", of: &other},
 		"one that nobody knows":     {verdict: answer.Misdirected, target: "c"},
 		"another one without a 421": {target: "b", of: &other},
@@ -82,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			be := newBench(t)
 			hd := facts
-			hd.Verdict, hd.Target = tc.verdict, tc.target
+			hd.Verdict, hd.TargetName = tc.verdict, tc.target
 			be.record(hd)
 			for _, tg := range []targets.Target{meant, other} {
 				is := tc.of != nil && tc.of.ID == tg.ID
@@ -117,16 +117,16 @@
 
 func TestMalformedLimitNeitherSetsNorLiftsOne(t *testing.T) {
 	be := newBench(t)
-	be.record(answer.Head{Limit: ratelimit.PerSecond(2)})
+	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
-	be.record(answer.Head{Malformed: []answer.MalformedError{{Fact: answer.RateLimit, Value: "many"}}})
+	be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldRateLimit, Value: "many"}}})
 	be.Expect(be.Limits.Limit(meant.ID)).To(Equal(ratelimit.PerSecond(2)))
 }
 
 func TestMalformedValuesAreLoggedOnceAndBounded(t *testing.T) {
 	be := newBench(t)
 	say := func(value string) {
-		be.record(answer.Head{Malformed: []answer.MalformedError{{Fact: answer.BackOff, Value: value}}})
+		be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldBackOff, Value: value}}})
 	}
 	say("many")
 	say("many")
@@ -139,7 +139,7 @@
 
 func TestOrdersLiftNothing(t *testing.T) {
 	be := newBench(t)
-	be.record(answer.Head{Limit: ratelimit.PerSecond(2)})
+	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
 	be.Record(feedback.Report{Source: feedback.Order, Target: meant, Came: be.now})
 	be.Expect(be.Limits.Limit(meant.ID).Limited).To(BeTrue())
--- /dev/null
+++ b/internal/gateway/crash.go
@@ -0,0 +1,114 @@
+package gateway
+
+import (
+	"context"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/silvermount/silvermount/internal/blame"
+	"github.com/silvermount/silvermount/internal/targets"
+	"github.com/silvermount/silvermount/internal/upstream"
+)
+
+// crashProbeDelays are the times after the interruption of a run at which a connection to its target is probed. A process
+// that crashes may reset its connections some time before it stops listening. After the last probe its address may already
+// belong to another process.
+var crashProbeDelays = []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond}
+
+// probeSet is the set of targets that are being probed for a crash. It is safe for concurrent use.
+type probeSet struct {
+	mu sync.Mutex
+	// running holds the incarnations of these targets.
+	running []string
+}
+
+// start adds a target. It reports false if the target is being probed already.
+func (ps *probeSet) start(id string) bool {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	if slices.Contains(ps.running, id) {
+		return false
+	}
+	ps.running = append(ps.running, id)
+	return true
+}
+
+// end removes a target.
+func (ps *probeSet) end(id string) {
+	ps.mu.Lock()
+	defer ps.mu.Unlock()
+	ps.running = slices.DeleteFunc(ps.running, func(other string) bool { return other == id })
+}
+
+// recordInterrupted records that a target interrupted a request, which counts against the request if the target proves to
+// have crashed. A target that was leaving is ignored, since its process ends as planned. A target that was only silent is
+// not probed.
+func (gw *Gateway) recordInterrupted(rq *request, tg targets.Target, cause error) {
+	if !gw.Targets.TakesWork(tg.ID) {
+		return
+	}
+	now := gw.Now()
+	startedAt := rq.sentAt
+	if !rq.headAt.IsZero() {
+		startedAt = rq.headAt
+	}
+	gw.Blame.RecordInterrupted(blame.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(startedAt), At: now})
+	var se *SilentTargetError
+	if !errors.As(cause, &se) {
+		gw.probeForCrash(tg)
+	}
+}
+
+// probeForCrash checks in the background whether a target that interrupted a run has crashed. A refused connection shows this
+// seconds before the target's entry disappears from the store.
+func (gw *Gateway) probeForCrash(tg targets.Target) {
+	if !gw.crashProbes.start(tg.ID) {
+		return
+	}
+	go func() {
+		defer gw.crashProbes.end(tg.ID)
+		startedAt := gw.Now()
+		for _, delay := range crashProbeDelays {
+			time.Sleep(delay - gw.Now().Sub(startedAt))
+			if gw.refusesConnections(tg) {
+				gw.logCrashed(tg, "connection refused", gw.Now().Sub(startedAt))
+				gw.Blame.RecordCrash(tg.ID)
+				return
+			}
+		}
+	}()
+}
+
+// refusesConnections reports whether no process listens on a target's address.
+func (gw *Gateway) refusesConnections(tg targets.Target) bool {
+	return isConnectionRefused(gw.Pool.Probe(context.Background(), tg.Address))
+}
+
+// recordCrashIfRefused records the crash of a target that refused a connection and was not leaving.
+func (gw *Gateway) recordCrashIfRefused(tg targets.Target, err error) {
+	if isConnectionRefused(err) && gw.Targets.TakesWork(tg.ID) {
+		gw.Blame.RecordCrash(tg.ID)
+	}
+}
+
+// recordUnreachable records that no connection to a target could be opened, unless this process was stalled meanwhile.
+func (gw *Gateway) recordUnreachable(tg targets.Target, err error) {
+	var de *upstream.DialError
+	if errors.As(err, &de) && de.HeldUp {
+		return
+	}
+	if gw.Targets.RecordUnreachable(tg.ID) {
+		gw.logZoneLeftOut(tg, "connections failed")
+	}
+	gw.logLeftOut(tg)
+	gw.recordCrashIfRefused(tg, err)
+}
+
+// isConnectionRefused reports whether an error shows that no process listens on the address.
+func isConnectionRefused(err error) bool {
+	var de *upstream.DialError
+	return errors.As(err, &de) && de.Refused()
+}
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -19,12 +19,14 @@
 	"github.com/silvermount/silvermount/internal/routes"
 )
 
-// TestRequestLateInAStopIsRefused takes requests until the gateway is told not to.
-func TestRequestLateInAStopIsRefused(t *testing.T) {
+// TestNewRequestIsRefusedLateInShutdown sends requests before and after the gateway starts to refuse new ones.
+func TestNewRequestIsRefusedLateInShutdown(t *testing.T) {
 	g := NewWithT(t)
 	gw := gateway.New(gateway.Deps{
-		Protocol: gateway.Protocol{Read: func(*http.Request) (gateway.Facts, error) { return gateway.Facts{RequestID: "1"}, nil }},
-		Routes:   &routes.Holder{}, Bodies: budget.NewMemory(0), Metrics: metrics.NewSet(),
+		Protocol: gateway.Protocol{
+			ReadRequest: func(*http.Request) (gateway.RequestInfo, error) { return gateway.RequestInfo{RequestID: "1"}, nil },
+		},
+		Routes: &routes.Holder{}, BodyMemory: budget.NewMemory(0), Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New()}, Now: time.Now, Stopping: func() bool { return true },
 	}, gateway.Limits{})
 	send := func() *httptest.ResponseRecorder {
@@ -33,7 +35,7 @@
 		return rec
 	}
 	g.Expect(send().Body.String()).To(HavePrefix("not_ready"))
-	gw.StopTaking()
+	gw.RefuseNewRequests()
 	rec := send()
 	g.Expect(rec.Code).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(rec.Body.String()).To(HavePrefix("stopping"))
@@ -41,11 +43,11 @@
 	g.Expect(rec.Header().Get("Connection")).To(Equal("close"))
 }
 
-// generous bounds each wait; it is long so that a busy machine passes.
+// generous is the maximum duration of each wait. It is long, so that the tests pass on a busy machine.
 const generous = 30 * time.Second
 
-// TestBodyThatStillComesAtTheEndIsRefused ends the gateway while half of a body has come.
-func TestBodyThatStillComesAtTheEndIsRefused(t *testing.T) {
+// TestRequestWithIncompleteBodyIsRefusedOnAbort aborts requests after half of a body was received.
+func TestRequestWithIncompleteBodyIsRefusedOnAbort(t *testing.T) {
 	g := NewWithT(t)
 	hd := &routes.Holder{}
 	ct := routes.Content{Version: 1, Routes: []routes.Route{{
@@ -62,7 +64,7 @@
 	_, err = io.WriteString(cn, "POST /a/ HTTP/1.1\r\nHost: example.com\r\nContent-Length: 10\r\n\r\nhalf")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(gw.InFlight, generous).Should(Equal(gateway.InFlight{Waiting: 1}))
-	gw.End()
+	gw.AbortRequests()
 	resp, err := http.ReadResponse(bufio.NewReader(cn), nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -90,7 +90,7 @@
 	now := time.Now()
 	return &request{
 		id: ident.New("req"), path: r.URL.Path, org: org, class: class, inForce: inf, arrived: now,
-		due: deadline.Of(now, class.Deadline.Std(), asked), never: r.Header.Get(HeaderRepeat) == repeatNever,
+		due: deadline.ForRequest(now, class.Deadline.Std(), asked), never: r.Header.Get(HeaderRepeat) == repeatNever,
 	}, nil
 }
 
@@ -121,8 +121,8 @@
 		return nil, nil, failure.New(failure.LimitReached, failure.NotRun, "%s has %d requests in flight",
 			rq.org.Name, rq.org.MaxConcurrent).WithRetryAfter(time.Second)
 	}
-	sv.logDeadline(rq, rq.due.Bind(sk.Control(), rq.due.At))
-	sk.Due(rq.due)
+	sv.logDeadline(rq, rq.due.Apply(sk.Controller(), rq.due.At))
+	sk.SetDeadline(rq.due)
 	ctx, giveUp := context.WithCancelCause(r.Context())
 	stop := context.AfterFunc(sv.over, func() { giveUp(context.Cause(sv.over)) })
 	ctx, cancel := rq.due.Context(ctx)
@@ -157,7 +157,7 @@
 
 // readBody reads a body under the shared budget. free is never nil.
 func (sv *Server) readBody(r *http.Request) (b []byte, free func(), err error) {
-	rd := body.Reader{Memory: sv.Bodies, Most: sv.limits.MaxBodyBytes, ComeBack: time.Second, Broken: failure.BadRequest}
+	rd := body.Reader{Memory: sv.Bodies, MaxBytes: sv.limits.MaxBodyBytes, RetryAfter: time.Second, IncompleteCode: failure.BadRequest}
 	return rd.Read(r)
 }
 
