--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -94,7 +94,7 @@
 // notReached notes that a target took no connection, unless this process stood still meanwhile.
 func (gw *Gateway) notReached(tg targets.Target, err error) {
 	var de *upstream.DialError
-	if errors.As(err, &de) && de.HeldUp {
+	if errors.As(err, &de) && de.ProcessStalled {
 		return
 	}
 	if gw.Targets.RecordUnreachable(tg.ID) {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -47,7 +47,7 @@
 	Address string
 	Cause   error
 	// HeldUp is set when this process stood still while it waited, so that the failure tells nothing of the target.
-	HeldUp bool
+	ProcessStalled bool
 }
 
 // Error names the address.
@@ -68,7 +68,7 @@
 func (de *DialError) waited(took, most time.Duration) *DialError {
 	var ne net.Error
 	timedOut := errors.As(de.Cause, &ne) && ne.Timeout()
-	de.HeldUp = timedOut && took >= most+heldUpLeast
+	de.ProcessStalled = timedOut && took >= most+heldUpLeast
 	return de
 }
 
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -89,7 +89,7 @@
 			_, err := pl.Do(t.Context(), call(address, "/1"))
 			var de *upstream.DialError
 			be.Expect(errors.As(err, &de)).To(BeTrue())
-			be.Expect(de.HeldUp).To(Equal(tc.want))
+			be.Expect(de.ProcessStalled).To(Equal(tc.want))
 		})
 	}
 }
