--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -25,7 +25,7 @@
 	Body   []byte
 	// Exclusive requests may run only once: they go out on new connections, since a target may drop a resting one
 	// without a sign and earlier than it said.
-	Exclusive bool
+	AtMostOnce bool
 	// Leave is asked right before anything is sent, after the wait for a connection; its error ends the call as one that was not sent. It is
 	// nil when nothing can forbid it.
 	Leave func() error
@@ -86,7 +86,7 @@
 // Do sends a call and returns the head of its answer. The end of ctx closes the connection, which ends the work at the target; what has
 // come of an answer by a deadline is still read.
 func (pl *Pool) Do(ctx context.Context, ca Call) (*Answer, error) {
-	cn, reused, err := pl.get(ctx, ca.Address, ca.Exclusive)
+	cn, reused, err := pl.get(ctx, ca.Address, ca.AtMostOnce)
 	if err != nil {
 		return nil, &SendError{Sent: false, Cause: err}
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -45,11 +45,11 @@
 			be := newBench(t)
 			tg := startTarget(t, tc.answer)
 			ca := call(tg.address(), "/1")
-			ca.Exclusive = tc.exclusive
+			ca.AtMostOnce = tc.exclusive
 			be.Expect(be.do(ca)).To(Equal("/1"))
 			be.clock.forward(tc.rest)
 			ca = call(tg.address(), "/2")
-			ca.Exclusive = tc.exclusive
+			ca.AtMostOnce = tc.exclusive
 			be.Expect(be.do(ca)).To(Equal("/2"))
 			want := 2
 			if tc.again {
