--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -181,7 +181,7 @@
 	ca := upstream.Call{
 		Address: sl.Target.Address, Method: rq.method, Target: rq.target, Host: rq.host, Header: h, Body: rq.body,
 		AtMostOnce: rq.route.Exclusive(),
-		Leave:      func() error { return gw.mayLeave(sl) },
+		BeforeSend: func() error { return gw.mayLeave(sl) },
 		Heard:      func(resp *http.Response) bool { return gw.heard(rq, sl.Target, resp) },
 	}
 	gw.logAttempt(rq, sl)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -28,7 +28,7 @@
 	AtMostOnce bool
 	// Leave is asked right before anything is sent, after the wait for a connection; its error ends the call as one that was not sent. It is
 	// nil when nothing can forbid it.
-	Leave func() error
+	BeforeSend func() error
 	// Sending is told right before anything is sent how to learn whether something has come since that was last asked. It is nil when
 	// nobody asks.
 	Sending func(came func() bool)
@@ -118,10 +118,10 @@
 
 // mayLeave returns what forbids to send the call now.
 func (ca Call) mayLeave(ctx context.Context) error {
-	if ctx.Err() != nil || ca.Leave == nil {
+	if ctx.Err() != nil || ca.BeforeSend == nil {
 		return ctx.Err()
 	}
-	return ca.Leave()
+	return ca.BeforeSend()
 }
 
 // ended reports whether a read failed because the target ended the connection.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -332,7 +332,7 @@
 	tg := startTarget(t, echo)
 	ca := call(tg.address(), "/1")
 	forbidden := &upstream.StrayAnswerError{}
-	ca.Leave = func() error { return forbidden }
+	ca.BeforeSend = func() error { return forbidden }
 	_, err := be.pool.Do(context.Background(), ca)
 	var se *upstream.SendError
 	be.Expect(errors.As(err, &se)).To(BeTrue())
