--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -29,7 +29,7 @@
 		cancel(&SilentTargetError{After: most})
 		return true
 	})
-	ca.Sending = sw.sending
+	ca.OnSend = sw.sending
 	an, err := gw.Pool.Do(ctx, ca)
 	rq.claimed = sw.stop()
 	if err != nil {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -31,7 +31,7 @@
 	BeforeSend func() error
 	// Sending is told right before anything is sent how to learn whether something has come since that was last asked. It is nil when
 	// nobody asks.
-	Sending func(came func() bool)
+	OnSend func(came func() bool)
 	// Heard is told of each head that comes, and reports whether the answer belongs to this call; others are skipped.
 	Heard func(*http.Response) bool
 }
@@ -99,8 +99,8 @@
 	an := &Answer{pool: pl, address: ca.Address, cn: cn, stop: stop, written: make(chan struct{}), wroteAll: new(bool)}
 	req := ca.request()
 	before := cn.got.Load()
-	if ca.Sending != nil {
-		ca.Sending(cn.news())
+	if ca.OnSend != nil {
+		ca.OnSend(cn.news())
 	}
 	go an.write(req)
 	// Close ends the body with the connection.
