--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -33,7 +33,7 @@
 	// nobody asks.
 	OnSend func(came func() bool)
 	// Heard is told of each head that comes, and reports whether the answer belongs to this call; others are skipped.
-	Heard func(*http.Response) bool
+	AcceptResponse func(*http.Response) bool
 }
 
 // SendError says that an exchange broke off.
@@ -104,7 +104,7 @@
 	}
 	go an.write(req)
 	// Close ends the body with the connection.
-	an.Response, err = readAnswer(cn, req, ca.Heard) //nolint:bodyclose // it stays open for the caller
+	an.Response, err = readAnswer(cn, req, ca.AcceptResponse) //nolint:bodyclose // it stays open for the caller
 	if err != nil {
 		forgotten := reused && cn.got.Load() == before && ended(err) && ctx.Err() == nil
 		if forgotten {
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -44,7 +44,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 			defer cancel()
 			ca := call(tg.address(), "/1")
-			ca.Heard = func(*http.Response) bool {
+			ca.AcceptResponse = func(*http.Response) bool {
 				if tc.cancel {
 					cancel()
 				}
--- a/internal/upstream/target_test.go
+++ b/internal/upstream/target_test.go
@@ -141,7 +141,7 @@
 func call(address, path string) upstream.Call {
 	return upstream.Call{
 		Address: address, Method: http.MethodPost, Target: path, Host: "h", Header: http.Header{headerID: []string{path}},
-		Heard: func(resp *http.Response) bool { return resp.Header.Get(headerID) == path },
+		AcceptResponse: func(resp *http.Response) bool { return resp.Header.Get(headerID) == path },
 	}
 }
 
