--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -47,15 +47,15 @@
 }
 
 // Error tells whether anything was sent.
-func (se *SendError) Error() string {
-	if !se.Sent {
-		return "not sent: " + se.Cause.Error()
+func (ee *SendError) Error() string {
+	if !ee.Sent {
+		return "not sent: " + ee.Cause.Error()
 	}
-	return "broken off after sending: " + se.Cause.Error()
+	return "broken off after sending: " + ee.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (se *SendError) Unwrap() error { return se.Cause }
+func (ee *SendError) Unwrap() error { return ee.Cause }
 
 // StrayAnswerError says that a connection carried answers of other requests only.
 type StrayAnswerError struct{}
