--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -220,7 +220,7 @@
 	if errors.As(err, &ce) && ctx.Err() == nil {
 		return gw.passOver(rq, sl, ce)
 	}
-	var se *upstream.SendError
+	var se *upstream.ExchangeError
 	if errors.As(err, &se) && !se.Sent {
 		if ctx.Err() != nil {
 			return gw.timeUp(ctx, rq)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -93,7 +93,7 @@
 func withCause(ctx context.Context, err error) error {
 	var se *SilentTargetError
 	if errors.As(context.Cause(ctx), &se) {
-		return &upstream.SendError{Sent: true, Cause: se}
+		return &upstream.ExchangeError{Sent: true, Cause: se}
 	}
 	return err
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -37,7 +37,7 @@
 }
 
 // SendError says that an exchange broke off.
-type SendError struct {
+type ExchangeError struct {
 	// Sent is false when certainly nothing of the request reached the target.
 	Sent bool
 	// Forgotten is set when a connection that had rested ended before anything came back: the target may have dropped it
@@ -47,7 +47,7 @@
 }
 
 // Error tells whether anything was sent.
-func (ee *SendError) Error() string {
+func (ee *ExchangeError) Error() string {
 	if !ee.Sent {
 		return "not sent: " + ee.Cause.Error()
 	}
@@ -55,7 +55,7 @@
 }
 
 // Unwrap returns the cause.
-func (ee *SendError) Unwrap() error { return ee.Cause }
+func (ee *ExchangeError) Unwrap() error { return ee.Cause }
 
 // StrayAnswerError says that a connection carried answers of other requests only.
 type StrayAnswerError struct{}
@@ -88,13 +88,13 @@
 func (pl *Pool) Do(ctx context.Context, ca Call) (*Answer, error) {
 	cn, reused, err := pl.get(ctx, ca.Address, ca.AtMostOnce)
 	if err != nil {
-		return nil, &SendError{Sent: false, Cause: err}
+		return nil, &ExchangeError{Sent: false, Cause: err}
 	}
 	stop := context.AfterFunc(ctx, func() { cn.end(ctx) })
 	if err := ca.mayLeave(ctx); err != nil {
 		stop()
 		pl.drop(ca.Address, cn)
-		return nil, &SendError{Sent: false, Cause: err}
+		return nil, &ExchangeError{Sent: false, Cause: err}
 	}
 	an := &Answer{pool: pl, address: ca.Address, cn: cn, stop: stop, written: make(chan struct{}), wroteAll: new(bool)}
 	req := ca.request()
@@ -111,7 +111,7 @@
 			pl.forgot(ca.Address, cn.rested)
 		}
 		an.Close()
-		return nil, &SendError{Sent: true, Forgotten: forgotten, Cause: err}
+		return nil, &ExchangeError{Sent: true, Forgotten: forgotten, Cause: err}
 	}
 	return an, nil
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -150,7 +150,7 @@
 	_, err := be.pool.Do(t.Context(), call(tg.address(), "/3"))
 	var sa *upstream.StrayAnswerError
 	be.Expect(errors.As(err, &sa)).To(BeTrue())
-	var se *upstream.SendError
+	var se *upstream.ExchangeError
 	be.Expect(errors.As(err, &se)).To(BeTrue())
 	be.Expect(se.Sent).To(BeTrue())
 	be.Expect(be.pool.Open(tg.address())).To(BeZero())
@@ -172,7 +172,7 @@
 			be := newBench(t)
 			tg := startTarget(t, func(net.Conn, *http.Request, string) bool { return false })
 			_, err := be.pool.Do(t.Context(), tc.call(tg))
-			var se *upstream.SendError
+			var se *upstream.ExchangeError
 			be.Expect(errors.As(err, &se)).To(BeTrue())
 			be.Expect(se.Sent).To(Equal(tc.sent))
 			be.Expect(be.pool.Open(tg.address())).To(BeZero())
@@ -277,7 +277,7 @@
 				be.Expect(be.do(call(tg.address(), "/1"))).To(Equal("/1"))
 			}
 			_, err := be.pool.Do(t.Context(), call(tg.address(), "/2"))
-			var se *upstream.SendError
+			var se *upstream.ExchangeError
 			be.Expect(errors.As(err, &se)).To(BeTrue())
 			be.Expect(se.Sent).To(BeTrue(), "it may have run")
 			be.Expect(se.Forgotten).To(Equal(tc.forgotten))
@@ -334,7 +334,7 @@
 	forbidden := &upstream.StrayAnswerError{}
 	ca.BeforeSend = func() error { return forbidden }
 	_, err := be.pool.Do(context.Background(), ca)
-	var se *upstream.SendError
+	var se *upstream.ExchangeError
 	be.Expect(errors.As(err, &se)).To(BeTrue())
 	be.Expect(se.Sent).To(BeFalse())
 	be.Expect(errors.Is(err, forbidden)).To(BeTrue())
