--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -237,7 +237,7 @@
 		gw.logGivenUp(rq, sl.Target, fe)
 		return fe
 	}
-	if se != nil && se.Forgotten {
+	if se != nil && se.StaleConnection {
 		// That tells nothing of the target's health; a target that has ended takes no new connection.
 		gw.logAttemptFailed(rq, sl.Target, err, true)
 	} else {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -42,8 +42,8 @@
 	Sent bool
 	// Forgotten is set when a connection that had rested ended before anything came back: the target may have dropped it
 	// without a sign. The request may have run all the same.
-	Forgotten bool
-	Cause     error
+	StaleConnection bool
+	Cause           error
 }
 
 // Error tells whether anything was sent.
@@ -111,7 +111,7 @@
 			pl.forgot(ca.Address, cn.rested)
 		}
 		an.Close()
-		return nil, &ExchangeError{Sent: true, Forgotten: forgotten, Cause: err}
+		return nil, &ExchangeError{Sent: true, StaleConnection: forgotten, Cause: err}
 	}
 	return an, nil
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -280,7 +280,7 @@
 			var se *upstream.ExchangeError
 			be.Expect(errors.As(err, &se)).To(BeTrue())
 			be.Expect(se.Sent).To(BeTrue(), "it may have run")
-			be.Expect(se.Forgotten).To(Equal(tc.forgotten))
+			be.Expect(se.StaleConnection).To(Equal(tc.forgotten))
 			be.Expect(tg.requests()).To(ContainElement("/2"))
 		})
 	}
