--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -58,10 +58,10 @@
 func (ee *ExchangeError) Unwrap() error { return ee.Cause }
 
 // StrayAnswerError says that a connection carried answers of other requests only.
-type StrayAnswerError struct{}
+type UnmatchedResponseError struct{}
 
 // Error says what came.
-func (*StrayAnswerError) Error() string { return "the answer belongs to another request" }
+func (*UnmatchedResponseError) Error() string { return "the answer belongs to another request" }
 
 // strayMost bounds the answers of other requests that are skipped before a connection is given up.
 const strayMost = 3
@@ -175,10 +175,10 @@
 		_, err = io.CopyN(io.Discard, resp.Body, strayBodyMost)
 		resp.Body.Close()
 		if !errors.Is(err, io.EOF) || resp.Close {
-			return nil, &StrayAnswerError{}
+			return nil, &UnmatchedResponseError{}
 		}
 	}
-	return nil, &StrayAnswerError{}
+	return nil, &UnmatchedResponseError{}
 }
 
 // Whole notes that the body was read to its end, so that the connection can be used again.
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -148,7 +148,7 @@
 	early = []string{"/0", "/1", "/0"}
 	mu.Unlock()
 	_, err := be.pool.Do(t.Context(), call(tg.address(), "/3"))
-	var sa *upstream.StrayAnswerError
+	var sa *upstream.UnmatchedResponseError
 	be.Expect(errors.As(err, &sa)).To(BeTrue())
 	var se *upstream.ExchangeError
 	be.Expect(errors.As(err, &se)).To(BeTrue())
@@ -331,7 +331,7 @@
 	be := newBench(t)
 	tg := startTarget(t, echo)
 	ca := call(tg.address(), "/1")
-	forbidden := &upstream.StrayAnswerError{}
+	forbidden := &upstream.UnmatchedResponseError{}
 	ca.BeforeSend = func() error { return forbidden }
 	_, err := be.pool.Do(context.Background(), ca)
 	var se *upstream.ExchangeError
