--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -157,10 +157,10 @@
 }
 
 // write sends the request beside the reading of the answer: a target may answer before it has read a long body.
-func (an *Answer) write(req *http.Request) {
-	defer close(an.written)
+func (rs *Answer) write(req *http.Request) {
+	defer close(rs.written)
 	// A failed write shows as a failed or early answer on the same connection.
-	*an.wroteAll = req.Write(an.cn) == nil
+	*rs.wroteAll = req.Write(rs.cn) == nil
 }
 
 func readAnswer(cn *conn, req *http.Request, heard func(*http.Response) bool) (*http.Response, error) {
@@ -182,23 +182,23 @@
 }
 
 // Whole notes that the body was read to its end, so that the connection can be used again.
-func (an *Answer) Whole() { an.whole = true }
+func (rs *Answer) Whole() { rs.whole = true }
 
 // Waits reports whether something of the answer has come that was not read yet.
-func (an *Answer) Waits() bool { return an.cn.readable() }
+func (rs *Answer) Waits() bool { return rs.cn.readable() }
 
 // Break closes the connection under a reader, whose read then fails. Close must still be called.
-func (an *Answer) Break() { an.cn.abandon() }
+func (rs *Answer) Break() { rs.cn.abandon() }
 
 // Close ends the exchange. The connection rests if request and answer are whole, else it is closed.
-func (an *Answer) Close() {
-	cancelled := !an.stop()
-	if an.Response != nil && an.whole && !cancelled && !an.Response.Close && an.sent() {
-		an.cn.keep = keepTime(an.Header)
-		an.pool.rest(an.address, an.cn)
+func (rs *Answer) Close() {
+	cancelled := !rs.stop()
+	if rs.Response != nil && rs.whole && !cancelled && !rs.Response.Close && rs.sent() {
+		rs.cn.keep = keepTime(rs.Header)
+		rs.pool.rest(rs.address, rs.cn)
 		return
 	}
-	an.pool.drop(an.address, an.cn)
+	rs.pool.drop(rs.address, rs.cn)
 }
 
 // writeWait bounds the wait for the end of a request whose answer is whole already. The writer has usually ended but
@@ -206,12 +206,12 @@
 const writeWait = 200 * time.Millisecond
 
 // sent reports whether the whole request is out.
-func (an *Answer) sent() bool {
+func (rs *Answer) sent() bool {
 	timer := time.NewTimer(writeWait)
 	defer timer.Stop()
 	select {
-	case <-an.written:
-		return *an.wroteAll
+	case <-rs.written:
+		return *rs.wroteAll
 	case <-timer.C:
 		return false
 	}
