--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -17,7 +17,7 @@
 )
 
 // receive passes a target's answer on.
-func (gw *Gateway) receive(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) receive(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Response) error {
 	verdict := rq.head.Verdict
 	if verdict != answer.Misdirected {
 		rq.tried = append(rq.tried, sl.Target.ID)
@@ -66,7 +66,7 @@
 	return "answer with status " + strconv.Itoa(ue.Status) + " is not provably the target's own"
 }
 
-func (gw *Gateway) shed(rq *request, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) shed(rq *request, sl *dispatch.Slot, an *upstream.Response) error {
 	// The body is short; reading it lets the connection be used again.
 	if _, err := io.CopyN(io.Discard, an.Body, bufferMost); errors.Is(err, io.EOF) {
 		an.Whole()
@@ -99,7 +99,7 @@
 
 // plain passes on an answer that is no stream. Short ones are passed on when they are whole, so that a broken one can
 // still be asked for elsewhere.
-func (gw *Gateway) plain(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Answer, v answer.Verdict) error {
+func (gw *Gateway) plain(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Response, v answer.Verdict) error {
 	body, err := io.ReadAll(io.LimitReader(an.Body, bufferMost))
 	if err != nil {
 		return gw.brokenOff(ctx, rq, sl, err)
@@ -127,7 +127,7 @@
 	return gw.passPlain(ctx, rq, sk, an, body, rest)
 }
 
-func (gw *Gateway) passPlain(ctx context.Context, rq *request, sk *sink, an *upstream.Answer, body []byte, rest io.Reader) error {
+func (gw *Gateway) passPlain(ctx context.Context, rq *request, sk *sink, an *upstream.Response, body []byte, rest io.Reader) error {
 	copyHeader(sk.w.Header(), an.Header)
 	if len(body) < bufferMost {
 		sk.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -167,7 +167,7 @@
 }
 
 // send sends a request to the target that was found.
-func (gw *Gateway) send(ctx context.Context, rq *request, sl *dispatch.Slot) (*upstream.Answer, error) {
+func (gw *Gateway) send(ctx context.Context, rq *request, sl *dispatch.Slot) (*upstream.Response, error) {
 	h := rq.header.Clone()
 	left := rq.due.At.Sub(gw.Now())
 	at := Attempt{
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -14,7 +14,7 @@
 )
 
 // exchange sends the call, and gives a silent target up where another one may still answer.
-func (gw *Gateway) exchange(ctx context.Context, rq *request, sl *dispatch.Slot, ca upstream.Call) (*upstream.Answer, error) {
+func (gw *Gateway) exchange(ctx context.Context, rq *request, sl *dispatch.Slot, ca upstream.Call) (*upstream.Response, error) {
 	most := gw.silenceMost(rq, sl)
 	if most <= 0 {
 		return gw.Pool.Do(ctx, ca)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -81,7 +81,7 @@
 }
 
 // stream passes on the events of an answer as they come.
-func (gw *Gateway) stream(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) stream(ctx context.Context, rq *request, sk *sink, sl *dispatch.Slot, an *upstream.Response) error {
 	ru := gw.Blame.BeginRun(rq.origin(), rq.fingerprint)
 	defer ru.End()
 	br := bufio.NewReader(an.Body)
@@ -140,7 +140,7 @@
 	return gw.stillThere(tried) < rt.MaxAttempts && slices.ContainsFunc(gw.Targets.Usable(service, targets.RequireReachable), untried)
 }
 
-func (gw *Gateway) passEvent(rq *request, sk *sink, an *upstream.Answer, ev event) error {
+func (gw *Gateway) passEvent(rq *request, sk *sink, an *upstream.Response, ev event) error {
 	if !sk.Started() {
 		copyHeader(sk.w.Header(), an.Header)
 		sk.w.Header().Del("Content-Length")
@@ -166,7 +166,7 @@
 }
 
 // streamEnded notes that a stream is whole. That holds also when its time is over just now.
-func (gw *Gateway) streamEnded(sk *sink, sl *dispatch.Slot, an *upstream.Answer) {
+func (gw *Gateway) streamEnded(sk *sink, sl *dispatch.Slot, an *upstream.Response) {
 	an.Whole()
 	gw.Targets.RecordSuccess(sl.Target.ID)
 	if !sk.Started() {
@@ -178,7 +178,7 @@
 // watchdog closes an answer that stays silent for too long, but only while the stream can go on elsewhere: silence
 // alone is no reason to end an answer before its time.
 type watchdog struct {
-	an    *upstream.Answer
+	an    *upstream.Response
 	limit time.Duration
 	// claim reports whether the stream may be ended, as its continuation elsewhere is paid for.
 	claim func(silence time.Duration) bool
@@ -193,7 +193,7 @@
 	fired bool
 }
 
-func newWatchdog(an *upstream.Answer, limit time.Duration, claim func(silence time.Duration) bool) *watchdog {
+func newWatchdog(an *upstream.Response, limit time.Duration, claim func(silence time.Duration) bool) *watchdog {
 	wd := &watchdog{an: an, limit: limit, claim: claim, heard: time.Now()}
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -70,7 +70,7 @@
 const strayBodyMost = 1 << 20
 
 // Answer is the head of a target's answer and its open body. Close must be called.
-type Answer struct {
+type Response struct {
 	*http.Response
 	pool    *Pool
 	address string
@@ -85,7 +85,7 @@
 
 // Do sends a call and returns the head of its answer. The end of ctx closes the connection, which ends the work at the target; what has
 // come of an answer by a deadline is still read.
-func (pl *Pool) Do(ctx context.Context, ca Call) (*Answer, error) {
+func (pl *Pool) Do(ctx context.Context, ca Call) (*Response, error) {
 	cn, reused, err := pl.get(ctx, ca.Address, ca.AtMostOnce)
 	if err != nil {
 		return nil, &ExchangeError{Sent: false, Cause: err}
@@ -96,7 +96,7 @@
 		pl.drop(ca.Address, cn)
 		return nil, &ExchangeError{Sent: false, Cause: err}
 	}
-	an := &Answer{pool: pl, address: ca.Address, cn: cn, stop: stop, written: make(chan struct{}), wroteAll: new(bool)}
+	an := &Response{pool: pl, address: ca.Address, cn: cn, stop: stop, written: make(chan struct{}), wroteAll: new(bool)}
 	req := ca.request()
 	before := cn.got.Load()
 	if ca.OnSend != nil {
@@ -157,7 +157,7 @@
 }
 
 // write sends the request beside the reading of the answer: a target may answer before it has read a long body.
-func (rs *Answer) write(req *http.Request) {
+func (rs *Response) write(req *http.Request) {
 	defer close(rs.written)
 	// A failed write shows as a failed or early answer on the same connection.
 	*rs.wroteAll = req.Write(rs.cn) == nil
@@ -182,16 +182,16 @@
 }
 
 // Whole notes that the body was read to its end, so that the connection can be used again.
-func (rs *Answer) Whole() { rs.whole = true }
+func (rs *Response) Whole() { rs.whole = true }
 
 // Waits reports whether something of the answer has come that was not read yet.
-func (rs *Answer) Waits() bool { return rs.cn.readable() }
+func (rs *Response) Waits() bool { return rs.cn.readable() }
 
 // Break closes the connection under a reader, whose read then fails. Close must still be called.
-func (rs *Answer) Break() { rs.cn.abandon() }
+func (rs *Response) Break() { rs.cn.abandon() }
 
 // Close ends the exchange. The connection rests if request and answer are whole, else it is closed.
-func (rs *Answer) Close() {
+func (rs *Response) Close() {
 	cancelled := !rs.stop()
 	if rs.Response != nil && rs.whole && !cancelled && !rs.Response.Close && rs.sent() {
 		rs.cn.keep = keepTime(rs.Header)
@@ -206,7 +206,7 @@
 const writeWait = 200 * time.Millisecond
 
 // sent reports whether the whole request is out.
-func (rs *Answer) sent() bool {
+func (rs *Response) sent() bool {
 	timer := time.NewTimer(writeWait)
 	defer timer.Stop()
 	select {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -106,7 +106,7 @@
 	const most, calls = 8, 12
 	be := newBench(t)
 	tg := startTarget(t, echo)
-	var ans []*upstream.Answer
+	var ans []*upstream.Response
 	for no := range calls {
 		an, err := be.pool.Do(t.Context(), call(tg.address(), "/"+strconv.Itoa(no)))
 		be.Expect(err).NotTo(HaveOccurred())
