--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -69,7 +69,7 @@
 func (gw *Gateway) shed(rq *request, sl *dispatch.Slot, an *upstream.Response) error {
 	// The body is short; reading it lets the connection be used again.
 	if _, err := io.CopyN(io.Discard, an.Body, bufferMost); errors.Is(err, io.EOF) {
-		an.Whole()
+		an.MarkComplete()
 	}
 	atFault := rq.head.AtFault
 	sl.RecordShed(atFault)
@@ -105,7 +105,7 @@
 		return gw.brokenOff(ctx, rq, sl, err)
 	}
 	if len(body) < bufferMost {
-		an.Whole()
+		an.MarkComplete()
 	}
 	if v == answer.Failed && gw.retryFailed(ctx, rq, sk) {
 		gw.failed(rq, sl.Target, &TargetFailureError{Status: an.StatusCode})
@@ -141,7 +141,7 @@
 		return gw.timeUp(ctx, rq).WithCause(err)
 	}
 	if len(body) == bufferMost {
-		an.Whole()
+		an.MarkComplete()
 	}
 	return nil
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -167,7 +167,7 @@
 
 // streamEnded notes that a stream is whole. That holds also when its time is over just now.
 func (gw *Gateway) streamEnded(sk *sink, sl *dispatch.Slot, an *upstream.Response) {
-	an.Whole()
+	an.MarkComplete()
 	gw.Targets.RecordSuccess(sl.Target.ID)
 	if !sk.Started() {
 		copyHeader(sk.w.Header(), an.Header)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -182,7 +182,7 @@
 }
 
 // Whole notes that the body was read to its end, so that the connection can be used again.
-func (rs *Response) Whole() { rs.whole = true }
+func (rs *Response) MarkComplete() { rs.whole = true }
 
 // Waits reports whether something of the answer has come that was not read yet.
 func (rs *Response) Waits() bool { return rs.cn.readable() }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -116,7 +116,7 @@
 	for _, an := range ans {
 		_, err := io.Copy(io.Discard, an.Body)
 		be.Expect(err).NotTo(HaveOccurred())
-		an.Whole()
+		an.MarkComplete()
 		an.Close()
 	}
 	be.Expect(be.pool.Open(tg.address())).To(Equal(most))
--- a/internal/upstream/target_test.go
+++ b/internal/upstream/target_test.go
@@ -152,6 +152,6 @@
 	defer an.Close()
 	b, err := io.ReadAll(an.Body)
 	be.Expect(err).NotTo(HaveOccurred())
-	an.Whole()
+	an.MarkComplete()
 	return string(b)
 }
