--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -211,7 +211,7 @@
 	if wd.ended {
 		return
 	}
-	if wd.an.Waits() {
+	if wd.an.HasUnreadData() {
 		// It is not the target that was silent: this process, or the caller, takes no more at present.
 		wd.timer.Reset(askAgain)
 		return
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -185,7 +185,7 @@
 func (rs *Response) MarkComplete() { rs.whole = true }
 
 // Waits reports whether something of the answer has come that was not read yet.
-func (rs *Response) Waits() bool { return rs.cn.readable() }
+func (rs *Response) HasUnreadData() bool { return rs.cn.readable() }
 
 // Break closes the connection under a reader, whose read then fails. Close must still be called.
 func (rs *Response) Break() { rs.cn.abandon() }
