--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -221,7 +221,7 @@
 		return
 	}
 	wd.fired = true
-	wd.an.Break()
+	wd.an.Abort()
 }
 
 // askAgain is how soon a silent stream that could not move is looked at again: a few passes of an engine.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -188,7 +188,7 @@
 func (rs *Response) HasUnreadData() bool { return rs.cn.readable() }
 
 // Break closes the connection under a reader, whose read then fails. Close must still be called.
-func (rs *Response) Break() { rs.cn.abandon() }
+func (rs *Response) Abort() { rs.cn.abandon() }
 
 // Close ends the exchange. The connection rests if request and answer are whole, else it is closed.
 func (rs *Response) Close() {
