--- a/internal/duty/frontend/shares.go
+++ b/internal/duty/frontend/shares.go
@@ -59,7 +59,7 @@
 	if tb == nil {
 		return
 	}
-	sh.pool.SetIdle(idleBound(tb.Services(), sh.most))
+	sh.pool.SetMaxIdle(idleBound(tb.Services(), sh.most))
 }
 
 // idleMost is how many idle connections to one target are of use to an instance, whatever the target takes.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -54,12 +54,12 @@
 		short:  map[string]shortRest{},
 		dialed: ms.GetOrCreateCounter("silvermount_target_connections_opened_total"),
 	}
-	pl.SetIdle(idleMost)
+	pl.SetMaxIdle(idleMost)
 	return pl
 }
 
 // SetIdle bounds the idle connections to one target; at least one is kept.
-func (pl *Pool) SetIdle(most int) { pl.idleMost.Store(int64(max(1, most))) }
+func (pl *Pool) SetMaxIdle(most int) { pl.idleMost.Store(int64(max(1, most))) }
 
 // get returns a connection at rest, or a new one.
 func (pl *Pool) get(ctx context.Context, address string, exclusive bool) (cn *conn, reused bool, err error) {
