--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -166,7 +166,7 @@
 }
 
 // Open returns how many connections lead to an address.
-func (pl *Pool) Open(address string) int {
+func (pl *Pool) OpenCount(address string) int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	return pl.open[address]
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -112,19 +112,19 @@
 		be.Expect(err).NotTo(HaveOccurred())
 		ans = append(ans, an)
 	}
-	be.Expect(be.pool.Open(tg.address())).To(Equal(calls))
+	be.Expect(be.pool.OpenCount(tg.address())).To(Equal(calls))
 	for _, an := range ans {
 		_, err := io.Copy(io.Discard, an.Body)
 		be.Expect(err).NotTo(HaveOccurred())
 		an.MarkComplete()
 		an.Close()
 	}
-	be.Expect(be.pool.Open(tg.address())).To(Equal(most))
+	be.Expect(be.pool.OpenCount(tg.address())).To(Equal(most))
 	be.pool.Sweep()
-	be.Expect(be.pool.Open(tg.address())).To(Equal(most))
+	be.Expect(be.pool.OpenCount(tg.address())).To(Equal(most))
 	be.clock.forward(4 * time.Second)
 	be.pool.Sweep()
-	be.Expect(be.pool.Open(tg.address())).To(BeZero())
+	be.Expect(be.pool.OpenCount(tg.address())).To(BeZero())
 }
 
 func TestAnswersOfOthersAreSkipped(t *testing.T) {
@@ -153,7 +153,7 @@
 	var se *upstream.ExchangeError
 	be.Expect(errors.As(err, &se)).To(BeTrue())
 	be.Expect(se.Sent).To(BeTrue())
-	be.Expect(be.pool.Open(tg.address())).To(BeZero())
+	be.Expect(be.pool.OpenCount(tg.address())).To(BeZero())
 }
 
 func TestWhatIsKnownAfterAFailure(t *testing.T) {
@@ -175,7 +175,7 @@
 			var se *upstream.ExchangeError
 			be.Expect(errors.As(err, &se)).To(BeTrue())
 			be.Expect(se.Sent).To(Equal(tc.sent))
-			be.Expect(be.pool.Open(tg.address())).To(BeZero())
+			be.Expect(be.pool.OpenCount(tg.address())).To(BeZero())
 		})
 	}
 }
@@ -208,7 +208,7 @@
 	_, err := be.pool.Do(ctx, call(tg.address(), "/1"))
 	be.Expect(err).To(HaveOccurred())
 	be.Eventually(gone).WithTimeout(generous).Should(BeClosed())
-	be.Expect(be.pool.Open(tg.address())).To(BeZero())
+	be.Expect(be.pool.OpenCount(tg.address())).To(BeZero())
 }
 
 func TestAnswerThatIsNotWholeClosesTheConnection(t *testing.T) {
@@ -217,7 +217,7 @@
 	an, err := be.pool.Do(t.Context(), call(tg.address(), "/1"))
 	be.Expect(err).NotTo(HaveOccurred())
 	an.Close()
-	be.Expect(be.pool.Open(tg.address())).To(BeZero())
+	be.Expect(be.pool.OpenCount(tg.address())).To(BeZero())
 }
 
 func TestRequestLineStaysAsItCame(t *testing.T) {
