--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -100,7 +100,7 @@
 		ms = metrics.NewSet()
 	}
 	pl := upstream.NewPool(time.Now, ms, env.Settings.Gateway.DialTimeout.Std())
-	dr := targets.New(time.Now, targets.WithSupersededHook(func(tg targets.Target) { pl.Forget(tg.Address) }))
+	dr := targets.New(time.Now, targets.WithSupersededHook(func(tg targets.Target) { pl.CloseIdle(tg.Address) }))
 	ch := &Changed{}
 	kp := &reservation.Manager{
 		Reserve: ad.Reserve, Release: ad.Release, NewID: func() string { return ident.New("mem") }, IsCurrent: dr.IsCurrent,
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -173,7 +173,7 @@
 }
 
 // Forget closes the connections at rest to an address, whose process has started again and knows nothing of them.
-func (pl *Pool) Forget(address string) {
+func (pl *Pool) CloseIdle(address string) {
 	pl.mu.Lock()
 	old := pl.idle[address]
 	delete(pl.idle, address)
