--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -84,7 +84,7 @@
 	}
 	sh := newShares(env, pt, mesh, rt)
 	sv.sweep(func() {
-		pt.Pool.Sweep()
+		pt.Pool.EvictExpired()
 		pt.Limits.Prune(pt.Targets.TakesWork)
 		pt.BackOffs.Prune(pt.Targets.TakesWork)
 		sh.update()
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -185,7 +185,7 @@
 }
 
 // Sweep closes connections that have rested too long.
-func (pl *Pool) Sweep() {
+func (pl *Pool) EvictExpired() {
 	now := pl.now()
 	old := map[string][]*conn{}
 	pl.mu.Lock()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -120,10 +120,10 @@
 		an.Close()
 	}
 	be.Expect(be.pool.OpenCount(tg.address())).To(Equal(most))
-	be.pool.Sweep()
+	be.pool.EvictExpired()
 	be.Expect(be.pool.OpenCount(tg.address())).To(Equal(most))
 	be.clock.forward(4 * time.Second)
-	be.pool.Sweep()
+	be.pool.EvictExpired()
 	be.Expect(be.pool.OpenCount(tg.address())).To(BeZero())
 }
 
