--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -101,7 +101,7 @@
 }
 
 func contextFailure(ctx context.Context) *failure.Error {
-	var ge *GivenUpError
+	var ge *ShutdownError
 	if errors.As(context.Cause(ctx), &ge) {
 		return failure.New(failure.InstanceEnded, failure.Failed, "the instance ended before the answer was whole").WithCause(ge)
 	}
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -188,7 +188,7 @@
 // noPlace is the failure of a request that found no place. One that was given up before anything was sent may come back at
 // once, over a new connection.
 func noPlace(ctx context.Context, known outcome.Aggregate, err error) *failure.Error {
-	var ge *GivenUpError
+	var ge *ShutdownError
 	switch {
 	case !errors.As(context.Cause(ctx), &ge):
 		return known.Apply(failure.FromError(err))
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -105,14 +105,14 @@
 }
 
 // GivenUpError is the cause of the end of a request that was left at the end of a stop.
-type GivenUpError struct{}
+type ShutdownError struct{}
 
 // Error says why.
-func (*GivenUpError) Error() string { return "the instance ends" }
+func (*ShutdownError) Error() string { return "the instance ends" }
 
 // GiveUp ends the requests that are left, each with an answer that says what is known: the process would end their
 // connections without a word.
-func (sv *Server) GiveUp() { sv.giveUp(&GivenUpError{}) }
+func (sv *Server) GiveUp() { sv.giveUp(&ShutdownError{}) }
 
 // Handler serves the callers' protocol.
 func (sv *Server) Handler() http.Handler {
