--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -125,7 +125,7 @@
 	ctx, cancel := context.WithTimeout(ctx, most)
 	defer cancel()
 	answers := most - min(lastAnswers, st.Drain.Std()/2)
-	err := drain.Plan{Lag: lag, Answers: answers, End: sv.GiveUp, Most: most}.Run(ctx, srv)
+	err := drain.Plan{Lag: lag, Answers: answers, End: sv.AbortInFlight, Most: most}.Run(ctx, srv)
 	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
 }
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -112,7 +112,7 @@
 
 // GiveUp ends the requests that are left, each with an answer that says what is known: the process would end their
 // connections without a word.
-func (sv *Server) GiveUp() { sv.giveUp(&ShutdownError{}) }
+func (sv *Server) AbortInFlight() { sv.giveUp(&ShutdownError{}) }
 
 // Handler serves the callers' protocol.
 func (sv *Server) Handler() http.Handler {
