--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -126,7 +126,7 @@
 	defer cancel()
 	answers := most - min(lastAnswers, st.Drain.Std()/2)
 	err := drain.Plan{Lag: lag, Answers: answers, End: sv.AbortInFlight, Most: most}.Run(ctx, srv)
-	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
+	return errors.CombineErrors(err, errors.Wrap(sv.WaitForRecords(ctx), "record results"))
 }
 
 // gather collects what the callers' side works with.
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -119,7 +119,7 @@
 
 // Settled waits until the results of all requests with a key are recorded. A stop that did not wait would leave a claim
 // whose result nobody knows, though its caller has the answer.
-func (sv *Server) Settled(ctx context.Context) error { return sv.settling.Wait(ctx) }
+func (sv *Server) WaitForRecords(ctx context.Context) error { return sv.settling.Wait(ctx) }
 
 // refuse ends a request that nothing was sent of.
 func (sv *Server) refuse(ctx context.Context, rq *request, err error) error {
