--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -234,7 +234,7 @@
 		return
 	}
 	ans, err := kp.server.RunJob(ctx, serve.Job{
-		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, Never: v.Never,
+		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, AtMostOnce: v.Never,
 	})
 	kp.finish(settle, v, ans, err, ctx.Err() != nil)
 }
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -21,7 +21,7 @@
 	// Deadline is when the answer is due.
 	Deadline time.Time
 	// Never is set when the job may not be run twice.
-	Never bool
+	AtMostOnce bool
 }
 
 // bodyWriter collects an answer as a connection would.
@@ -94,7 +94,7 @@
 	}
 	return &request{
 		id: ident.New("req"), path: j.Path, org: org, class: class, inForce: inf, arrived: time.Now(), due: deadline.Deadline{At: j.Deadline},
-		never: j.Never, body: j.Body,
+		never: j.AtMostOnce, body: j.Body,
 	}, nil
 }
 
