--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -103,7 +103,7 @@
 	Organisation string
 	Class        string
 	Limit        time.Duration
-	Never        bool
+	AtMostOnce   bool
 }
 
 // Identify tells who a request comes from.
@@ -112,7 +112,7 @@
 	if err != nil {
 		return Caller{}, err
 	}
-	return Caller{Organisation: rq.org.Name, Class: rq.class.Name, Limit: rq.due.At.Sub(rq.arrived), Never: rq.never}, nil
+	return Caller{Organisation: rq.org.Name, Class: rq.class.Name, Limit: rq.due.At.Sub(rq.arrived), AtMostOnce: rq.never}, nil
 }
 
 // ReadBody reads a body under the shared budget. free is never nil.
