--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -79,13 +79,13 @@
 		path = defaultPath
 	}
 	now := time.Now()
-	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.Limit)}
+	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.MaxDuration)}
 	if err := kp.server.CheckJob(j); err != nil {
 		return err
 	}
 	v, err := kp.store.Add(ctx, job.Record{
 		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, Never: who.AtMostOnce,
-		Created: now, Deadline: now.Add(who.Limit), State: job.Queued,
+		Created: now, Deadline: now.Add(who.MaxDuration), State: job.Queued,
 	}, body)
 	if err != nil {
 		// The record may have been stored without an answer; then the job runs, and the list shows it.
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -102,7 +102,7 @@
 type Caller struct {
 	Organisation string
 	Class        string
-	Limit        time.Duration
+	MaxDuration  time.Duration
 	AtMostOnce   bool
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return Caller{}, err
 	}
-	return Caller{Organisation: rq.org.Name, Class: rq.class.Name, Limit: rq.due.At.Sub(rq.arrived), AtMostOnce: rq.never}, nil
+	return Caller{Organisation: rq.org.Name, Class: rq.class.Name, MaxDuration: rq.due.At.Sub(rq.arrived), AtMostOnce: rq.never}, nil
 }
 
 // ReadBody reads a body under the shared budget. free is never nil.
