--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -80,7 +80,7 @@
 	}
 	now := time.Now()
 	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.MaxDuration)}
-	if err := kp.server.CheckJob(j); err != nil {
+	if err := kp.server.ValidateJob(j); err != nil {
 		return err
 	}
 	v, err := kp.store.Add(ctx, job.Record{
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -39,7 +39,7 @@
 func (bw *bodyWriter) WriteHeader(int) {}
 
 // CheckJob reports what is wrong with a job before it is accepted.
-func (sv *Server) CheckJob(j Job) error {
+func (sv *Server) ValidateJob(j Job) error {
 	rq, err := sv.jobRequest(j)
 	if err != nil {
 		return err
