--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -62,7 +62,7 @@
 			err = f(ctx, who, w, r)
 		}
 		if err != nil {
-			serve.Fail(w, asFailure(err))
+			serve.WriteError(w, asFailure(err))
 		}
 	}
 }
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -121,7 +121,7 @@
 }
 
 // Fail answers with a failure.
-func Fail(w http.ResponseWriter, err error) { newSink(w).fail(err) }
+func WriteError(w http.ResponseWriter, err error) { newSink(w).fail(err) }
 
 // JSON answers with a document.
 func JSON(w http.ResponseWriter, v any) { newSink(w).json(v) }
