--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -92,7 +92,7 @@
 		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store has the job").
 			WithCause(err).WithRetryAfter(time.Second)
 	}
-	serve.JSON(w, v.Record)
+	serve.WriteJSON(w, v.Record)
 	return nil
 }
 
@@ -120,7 +120,7 @@
 			list.Data = append(list.Data, v.Record)
 		}
 	}
-	serve.JSON(w, list)
+	serve.WriteJSON(w, list)
 	return nil
 }
 
@@ -129,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	serve.JSON(w, v.Record)
+	serve.WriteJSON(w, v.Record)
 	return nil
 }
 
@@ -174,6 +174,6 @@
 		run.cancel()
 	}
 	kp.mu.Unlock()
-	serve.JSON(w, nv.Record)
+	serve.WriteJSON(w, nv.Record)
 	return nil
 }
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -124,4 +124,4 @@
 func WriteError(w http.ResponseWriter, err error) { newSink(w).fail(err) }
 
 // JSON answers with a document.
-func JSON(w http.ResponseWriter, v any) { newSink(w).json(v) }
+func WriteJSON(w http.ResponseWriter, v any) { newSink(w).json(v) }
