--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -70,7 +70,7 @@
 	if tk := r.Header.Get(HeaderTicket); tk != "" {
 		return sv.withTicket(ctx, r, tk, rq, sk, run)
 	}
-	if key := r.Header.Get(HeaderKey); key != "" {
+	if key := r.Header.Get(HeaderIdempotencyKey); key != "" {
 		return sv.withKey(ctx, key, rq, sk, run)
 	}
 	return run(ctx, rq, sk)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -30,13 +30,13 @@
 
 // The headers of the callers' protocol.
 const (
-	HeaderClass     = "Silvermount-Class"
-	HeaderTimeout   = "Silvermount-Timeout"
-	HeaderRepeat    = "Silvermount-Repeat"
-	HeaderTicket    = "Silvermount-Ticket"
-	HeaderRequestID = "Silvermount-Request-Id"
-	HeaderBundle    = "Silvermount-Bundle"
-	HeaderKey       = "Idempotency-Key"
+	HeaderClass          = "Silvermount-Class"
+	HeaderTimeout        = "Silvermount-Timeout"
+	HeaderRepeat         = "Silvermount-Repeat"
+	HeaderTicket         = "Silvermount-Ticket"
+	HeaderRequestID      = "Silvermount-Request-Id"
+	HeaderBundle         = "Silvermount-Bundle"
+	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderServiceKey is the name under which a plain service gets the key: the HTTP transport does not know it,
 	// and so does not send the request a second time by itself.
 	HeaderServiceKey = "Silvermount-Key"
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -76,7 +76,7 @@
 // notPassed are headers of this protocol or of one connection only.
 var notPassed = []string{
 	"Authorization", "Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
-	HeaderKey, "X-Idempotency-Key", HeaderClass, HeaderTimeout, HeaderRepeat, HeaderTicket, headerPassed,
+	HeaderIdempotencyKey, "X-Idempotency-Key", HeaderClass, HeaderTimeout, HeaderRepeat, HeaderTicket, headerPassed,
 }
 
 func serviceHeaders(to, from http.Header, rq *request) {
@@ -86,7 +86,7 @@
 		}
 	}
 	to.Set(HeaderRequestID, rq.id)
-	if key := from.Get(HeaderKey); key != "" {
+	if key := from.Get(HeaderIdempotencyKey); key != "" {
 		to.Set(HeaderServiceKey, key)
 	}
 }
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -75,7 +75,7 @@
 		"target accepts and never answers": {fault: hang, want: "deadline_exceeded"},
 		"store hangs under a claim": {
 			fault:   func(lf *localfleet.Fleet) { lf.Store.SetSlow(time.Minute) },
-			headers: []string{serve.HeaderKey, "k1"}, want: "store_unavailable",
+			headers: []string{serve.HeaderIdempotencyKey, "k1"}, want: "store_unavailable",
 		},
 	}
 	for name, tc := range tests {
--- a/internal/session/once_test.go
+++ b/internal/session/once_test.go
@@ -44,7 +44,7 @@
 			// A first call leaves an idle connection, on which a transport would send a second time.
 			call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequest, "warm")
 			tc.fault(lf)
-			headers := []string{serve.HeaderKey, "valve-7", servicesim.HeaderRequest, "valve-7"}
+			headers := []string{serve.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequest, "valve-7"}
 			first := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 			g.Expect(first.status).To(Equal(tc.first), first.body)
 			second := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
@@ -62,7 +62,7 @@
 	g := NewWithT(t)
 	lf := small(t)
 	lf.Store.SetDown(true)
-	headers := []string{serve.HeaderKey, "valve-8", servicesim.HeaderRequest, "valve-8", serve.HeaderTimeout, "400ms"}
+	headers := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequest, "valve-8", serve.HeaderTimeout, "400ms"}
 	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(rep.outcome).To(Equal("not_run"))
 	g.Expect(lf.Services.Runs("valve-8")).To(BeZero())
@@ -75,8 +75,8 @@
 func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	lf := small(t)
-	call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderKey, "k")
-	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("close"), serve.HeaderKey, "k")
+	call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "k")
+	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("close"), serve.HeaderIdempotencyKey, "k")
 	g.Expect(rep.code).To(Equal("key_mismatch"))
 	g.Expect(rep.outcome).To(Equal("not_run"))
 }
@@ -129,7 +129,7 @@
 	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetSlow(4 * time.Second) })
 	done := make(chan reply, 1)
 	go func() {
-		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderKey, "valve-12", servicesim.HeaderRequest, "valve-12")
+		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve-12", servicesim.HeaderRequest, "valve-12")
 	}()
 	var rep reply
 	// The store's answers take 4 s; the record is tried for 10 s.
