--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -39,7 +39,7 @@
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderServiceKey is the name under which a plain service gets the key: the HTTP transport does not know it,
 	// and so does not send the request a second time by itself.
-	HeaderServiceKey = "Silvermount-Key"
+	HeaderForwardedKey = "Silvermount-Key"
 
 	repeatNever = "never"
 )
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -87,7 +87,7 @@
 	}
 	to.Set(HeaderRequestID, rq.id)
 	if key := from.Get(HeaderIdempotencyKey); key != "" {
-		to.Set(HeaderServiceKey, key)
+		to.Set(HeaderForwardedKey, key)
 	}
 }
 
