--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -1,5 +1,5 @@
-// Package upstream sends requests to targets over kept connections. Unlike the standard transport it never sends a
-// request a second time by itself, tells whether anything was written, and skips surplus answers.
+// Package upstream is an HTTP/1.1 client with a pool of keep-alive connections to targets. Unlike http.Transport it never
+// resends a request by itself, reports whether anything was written, and skips responses that belong to other requests.
 package upstream
 
 import (
@@ -18,39 +18,41 @@
 )
 
 const (
-	// unackedTimeout ends a connection whose peer acknowledges nothing: two retransmissions and a margin.
+	// unackedTimeout is the TCP user timeout: how long sent data may stay unacknowledged before the kernel closes the
+	// connection. It leaves time for two retransmissions and a margin.
 	unackedTimeout = 3 * time.Second
-	// keepAliveIdle and keepAliveInterval find silent peers of requests that wait for an answer.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount set the TCP keep-alive probes, which detect an unreachable peer
+	// while a request waits for its response.
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
-	// readBuffer holds the head of an answer and several events.
-	readBuffer = 8 << 10
+	// readBufferBytes holds the head of a response and several events.
+	readBufferBytes = 8 << 10
 )
 
-// conn is one kept connection. It serves one request at a time.
+// conn is a pooled connection. It carries one request at a time.
 type conn struct {
 	net.Conn
 	br *bufio.Reader
-	// restedAt is when the last answer ended; zero for a new connection.
-	restedAt time.Time
-	// rested is how long it had rested when it was taken; zero for a new connection.
-	rested time.Duration
-	// got counts the bytes that were read.
-	got atomic.Int64
-	// keep is how long the target keeps an idle connection, as far as it says.
-	keep time.Duration
+	// idleSince is when the last response ended; zero for a new connection.
+	idleSince time.Time
+	// idleFor is how long the connection had been idle when it was last reused; zero for a new connection.
+	idleFor   time.Duration
+	bytesRead atomic.Int64
+	// keepAliveTimeout is how long the target keeps an idle connection open, by its Keep-Alive header; zero if unknown.
+	keepAliveTimeout time.Duration
 }
 
-// DialError says that no connection came up; nothing was sent.
+// DialError reports that no connection was established, so nothing was sent.
 type DialError struct {
 	Address string
 	Cause   error
-	// HeldUp is set when this process stood still while it waited, so that the failure tells nothing of the target.
+	// ProcessStalled is set when this process was not running for part of the dial timeout. The timeout is then no evidence
+	// against the target.
 	ProcessStalled bool
 }
 
-// Error names the address.
+// Error includes the address and the cause.
 func (de *DialError) Error() string {
 	return "no connection to " + de.Address + ": " + de.Cause.Error()
 }
@@ -58,17 +60,19 @@
 // Unwrap returns the cause.
 func (de *DialError) Unwrap() error { return de.Cause }
 
-// Refused reports whether the machine is there and nothing listens at the address: the process that did has ended.
+// Refused reports whether the connection was refused: the machine is reachable, but the process that listened at the
+// address has ended.
 func (de *DialError) Refused() bool { return errors.Is(de.Cause, syscall.ECONNREFUSED) }
 
-// heldUpLeast is how much longer than its timeout a wait takes in a process that was held up: its timers fire late.
-const heldUpLeast = 100 * time.Millisecond
+// minStallDelay is by how much a dial must exceed its timeout to count as a stall of this process, whose timers then fire
+// late.
+const minStallDelay = 100 * time.Millisecond
 
-// waited returns the error of a dial that took some time of at most so much.
-func (de *DialError) waited(took, most time.Duration) *DialError {
+// withElapsed sets ProcessStalled if the dial timed out and took much longer than its timeout.
+func (de *DialError) withElapsed(elapsed, timeout time.Duration) *DialError {
 	var ne net.Error
 	timedOut := errors.As(de.Cause, &ne) && ne.Timeout()
-	de.ProcessStalled = timedOut && took >= most+heldUpLeast
+	de.ProcessStalled = timedOut && elapsed >= timeout+minStallDelay
 	return de
 }
 
@@ -78,65 +82,70 @@
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount,
 		},
-		Control: boundUnacked,
+		Control: setUserTimeout,
 	}
-	began := now()
+	startedAt := now()
 	nc, err := dl.DialContext(ctx, "tcp", address)
 	if err != nil {
 		de := &DialError{Address: address, Cause: err}
-		return nil, de.waited(now().Sub(began), timeout)
+		return nil, de.withElapsed(now().Sub(startedAt), timeout)
 	}
 	cn := &conn{Conn: nc}
-	cn.br = bufio.NewReaderSize(cn, readBuffer)
+	cn.br = bufio.NewReaderSize(cn, readBufferBytes)
 	return cn, nil
 }
 
-// Read counts what comes.
+// Read adds the bytes it reads to bytesRead.
 func (cn *conn) Read(b []byte) (int, error) {
 	n, err := cn.Conn.Read(b)
-	cn.got.Add(int64(n))
+	cn.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// boundUnacked makes the kernel give up a connection whose peer acknowledges nothing.
-func boundUnacked(_, _ string, rc syscall.RawConn) error {
-	var serr error
+// setUserTimeout makes the kernel close the connection when sent data stays unacknowledged for unackedTimeout.
+func setUserTimeout(_, _ string, rc syscall.RawConn) error {
+	var sockErr error
 	err := rc.Control(func(fd uintptr) {
-		serr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
-		return errors.Wrap(err, "reach socket")
+		return errors.Wrap(err, "access socket of new connection")
 	}
-	return errors.Wrap(serr, "set user timeout")
+	return errors.Wrap(sockErr, "set TCP user timeout")
 }
 
-// abandon closes the connection. An error changes nothing: it is not used again.
-func (cn *conn) abandon() { _ = cn.Close() }
+// closeIgnoringError closes the connection. A close error has no effect, as the connection is not used again.
+func (cn *conn) closeIgnoringError() { _ = cn.Close() }
 
-// lastLook is how long what a target had sent by the deadline of a call may take to be read. It ends the rest too.
-const lastLook = 200 * time.Millisecond
+// finalReadTimeout bounds the reading of response data that had arrived by the call's deadline. If the response is
+// incomplete, the read fails after this time.
+const finalReadTimeout = 200 * time.Millisecond
 
-// end ends the exchange of a call whose context has ended. An answer that is there at the deadline is still read: a process that was held
-// up finds the two at once.
-func (cn *conn) end(ctx context.Context) {
-	if errors.Is(ctx.Err(), context.DeadlineExceeded) && cn.readable() && cn.SetDeadline(time.Now().Add(lastLook)) == nil {
+// handleContextDone closes the connection when the call's context ends. If the deadline has passed but response data is
+// already there, the connection stays open for finalReadTimeout: after a stall, this process sees the response and the
+// expired deadline at the same time.
+func (cn *conn) handleContextDone(ctx context.Context) {
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) && cn.hasUnreadData() &&
+		cn.SetDeadline(time.Now().Add(finalReadTimeout)) == nil {
 		return
 	}
-	cn.abandon()
+	cn.closeIgnoringError()
 }
 
-// news returns how one goroutine learns whether something has come since it last asked.
-func (cn *conn) news() func() bool {
-	seen := cn.got.Load()
+// activityCheck returns a function that reports whether data has arrived since its last call, or since activityCheck at
+// the first. The function may be used by one goroutine only.
+func (cn *conn) activityCheck() func() bool {
+	lastCount := cn.bytesRead.Load()
 	return func() bool {
-		before := seen
-		seen = cn.got.Load()
-		return seen != before || cn.readable()
+		before := lastCount
+		lastCount = cn.bytesRead.Load()
+		return lastCount != before || cn.hasUnreadData()
 	}
 }
 
-// readable reports whether something has come that was not read. It may be asked beside a reader.
-func (cn *conn) readable() bool {
+// hasUnreadData reports whether the socket has received data that was not read yet. It is safe to call while another
+// goroutine reads.
+func (cn *conn) hasUnreadData() bool {
 	sc, ok := cn.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -148,15 +157,15 @@
 	n := 0
 	err = rc.Control(func(fd uintptr) {
 		var b [1]byte
-		// It fails where nothing has come, or the connection has broken.
+		// The call fails if no data has arrived or the connection is broken; n is then not positive.
 		n, _, _ = unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
 	return err == nil && n > 0
 }
 
-// quiet reports whether an idle connection is still open and has nothing to read: bytes that came unasked belong to
-// no request.
-func (cn *conn) quiet() bool {
+// isOpenAndEmpty reports whether an idle connection is still open and has received nothing. Data that arrives on an idle
+// connection belongs to no request, so the connection must not be reused.
+func (cn *conn) isOpenAndEmpty() bool {
 	if cn.br.Buffered() > 0 {
 		return false
 	}
@@ -171,15 +180,15 @@
 	var open bool
 	err = rc.Read(func(fd uintptr) bool {
 		var b [1]byte
-		_, rerr := syscall.Read(int(fd), b[:])
-		open = errors.Is(rerr, syscall.EAGAIN)
+		_, readErr := syscall.Read(int(fd), b[:])
+		open = errors.Is(readErr, syscall.EAGAIN)
 		return true
 	})
 	return err == nil && open
 }
 
-// keepTime returns how long the target keeps the connection, as its answer says; zero when it says nothing.
-func keepTime(h http.Header) time.Duration {
+// parseKeepAliveTimeout returns the timeout parameter of the Keep-Alive header; zero without one.
+func parseKeepAliveTimeout(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,120 +18,123 @@
 	// Address is an IP address and port.
 	Address string
 	Method  string
-	// Target is the path and query as they stand on the request line.
+	// Target is the request target: the path and query exactly as they appear on the request line.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Exclusive requests may run only once: they go out on new connections, since a target may drop a resting one
-	// without a sign and earlier than it said.
+	// AtMostOnce is set for requests that may run only once. They are sent on new connections, because a target may drop an
+	// idle one silently and earlier than it announced.
 	AtMostOnce bool
-	// Leave is asked right before anything is sent, after the wait for a connection; its error ends the call as one that was not sent. It is
-	// nil when nothing can forbid it.
+	// BeforeSend, if not nil, is called once a connection is there, immediately before anything is sent. If it returns an
+	// error, the call fails with that error as the cause and nothing is sent.
 	BeforeSend func() error
-	// Sending is told right before anything is sent how to learn whether something has come since that was last asked. It is nil when
-	// nobody asks.
-	OnSend func(came func() bool)
-	// Heard is told of each head that comes, and reports whether the answer belongs to this call; others are skipped.
+	// OnSend, if not nil, is called immediately before the request is sent. hasActivity reports whether data has arrived since
+	// its last call.
+	OnSend func(hasActivity func() bool)
+	// AcceptResponse, if not nil, is called with each response head, and reports whether the response belongs to this call.
+	// Other responses are skipped.
 	AcceptResponse func(*http.Response) bool
 }
 
-// SendError says that an exchange broke off.
+// ExchangeError reports that an exchange failed before its response head was read.
 type ExchangeError struct {
-	// Sent is false when certainly nothing of the request reached the target.
+	// Sent is false only if it is certain that nothing of the request was sent.
 	Sent bool
-	// Forgotten is set when a connection that had rested ended before anything came back: the target may have dropped it
-	// without a sign. The request may have run all the same.
+	// StaleConnection is set when a reused idle connection was closed before any response data arrived: the target may have
+	// dropped it silently. The request may have run nevertheless.
 	StaleConnection bool
 	Cause           error
 }
 
-// Error tells whether anything was sent.
+// Error includes whether anything was sent, and the cause.
 func (ee *ExchangeError) Error() string {
 	if !ee.Sent {
 		return "not sent: " + ee.Cause.Error()
 	}
-	return "broken off after sending: " + ee.Cause.Error()
+	return "failed after sending: " + ee.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (ee *ExchangeError) Unwrap() error { return ee.Cause }
 
-// StrayAnswerError says that a connection carried answers of other requests only.
+// UnmatchedResponseError reports that a connection carried only responses to other requests.
 type UnmatchedResponseError struct{}
 
-// Error says what came.
-func (*UnmatchedResponseError) Error() string { return "the answer belongs to another request" }
+// Error implements the error interface.
+func (*UnmatchedResponseError) Error() string { return "response belongs to another request" }
 
-// strayMost bounds the answers of other requests that are skipped before a connection is given up.
-const strayMost = 3
+// maxUnmatchedResponses is how many responses to other requests are read before the connection is closed.
+const maxUnmatchedResponses = 3
 
-// strayBodyMost bounds the bytes of such an answer.
-const strayBodyMost = 1 << 20
+// maxUnmatchedBodyBytes is how much of the body of a response to another request is read before the connection is closed.
+const maxUnmatchedBodyBytes = 1 << 20
 
-// Answer is the head of a target's answer and its open body. Close must be called.
+// Response is the head of a target's response and its open body. Close must be called.
 type Response struct {
 	*http.Response
 	pool    *Pool
 	address string
 	cn      *conn
-	// written is closed once the request is out, or cannot be sent any more.
-	written chan struct{}
-	// wroteAll is valid once written is closed.
-	wroteAll *bool
-	stop     func() bool
-	whole    bool
+	// writeDone is closed once the request is written completely, or a write has failed.
+	writeDone chan struct{}
+	// writeSucceeded reports whether the request was written completely. It is valid once writeDone is closed.
+	writeSucceeded *bool
+	detachContext  func() bool
+	complete       bool
 }
 
-// Do sends a call and returns the head of its answer. The end of ctx closes the connection, which ends the work at the target; what has
-// come of an answer by a deadline is still read.
+// Do sends a call and returns the head of its response. When ctx ends, the connection is closed, which ends the work at the
+// target. Response data that has arrived by the deadline of ctx is still read.
 func (pl *Pool) Do(ctx context.Context, ca Call) (*Response, error) {
-	cn, reused, err := pl.get(ctx, ca.Address, ca.AtMostOnce)
+	cn, reused, err := pl.acquire(ctx, ca.Address, ca.AtMostOnce)
 	if err != nil {
 		return nil, &ExchangeError{Sent: false, Cause: err}
 	}
-	stop := context.AfterFunc(ctx, func() { cn.end(ctx) })
-	if err := ca.mayLeave(ctx); err != nil {
-		stop()
-		pl.drop(ca.Address, cn)
+	detach := context.AfterFunc(ctx, func() { cn.handleContextDone(ctx) })
+	if err := ca.checkBeforeSend(ctx); err != nil {
+		detach()
+		pl.discard(ca.Address, cn)
 		return nil, &ExchangeError{Sent: false, Cause: err}
 	}
-	an := &Response{pool: pl, address: ca.Address, cn: cn, stop: stop, written: make(chan struct{}), wroteAll: new(bool)}
-	req := ca.request()
-	before := cn.got.Load()
+	rs := &Response{
+		pool: pl, address: ca.Address, cn: cn, detachContext: detach, writeDone: make(chan struct{}), writeSucceeded: new(bool),
+	}
+	req := ca.httpRequest()
+	readBefore := cn.bytesRead.Load()
 	if ca.OnSend != nil {
-		ca.OnSend(cn.news())
+		ca.OnSend(cn.activityCheck())
 	}
-	go an.write(req)
-	// Close ends the body with the connection.
-	an.Response, err = readAnswer(cn, req, ca.AcceptResponse) //nolint:bodyclose // it stays open for the caller
+	go rs.writeRequest(req)
+	// Response.Close ends the body together with the connection.
+	rs.Response, err = readResponse(cn, req, ca.AcceptResponse) //nolint:bodyclose // the body stays open for the caller
 	if err != nil {
-		forgotten := reused && cn.got.Load() == before && ended(err) && ctx.Err() == nil
-		if forgotten {
-			pl.forgot(ca.Address, cn.rested)
+		stale := reused && cn.bytesRead.Load() == readBefore && isConnectionClosed(err) && ctx.Err() == nil
+		if stale {
+			pl.recordStaleConnection(ca.Address, cn.idleFor)
 		}
-		an.Close()
-		return nil, &ExchangeError{Sent: true, StaleConnection: forgotten, Cause: err}
+		rs.Close()
+		return nil, &ExchangeError{Sent: true, StaleConnection: stale, Cause: err}
 	}
-	return an, nil
+	return rs, nil
 }
 
-// mayLeave returns what forbids to send the call now.
-func (ca Call) mayLeave(ctx context.Context) error {
+// checkBeforeSend returns the error that prevents sending the call: that of ctx, else that of BeforeSend.
+func (ca Call) checkBeforeSend(ctx context.Context) error {
 	if ctx.Err() != nil || ca.BeforeSend == nil {
 		return ctx.Err()
 	}
 	return ca.BeforeSend()
 }
 
-// ended reports whether a read failed because the target ended the connection.
-func ended(err error) bool {
+// isConnectionClosed reports whether a read failed because the target closed or reset the connection.
+func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
-func (ca Call) request() *http.Request {
+func (ca Call) httpRequest() *http.Request {
 	req := &http.Request{
-		Method: ca.Method, URL: requestLine(ca.Target), Host: ca.Host, Header: ca.Header,
+		Method: ca.Method, URL: requestURL(ca.Target), Host: ca.Host, Header: ca.Header,
 		ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if len(ca.Body) > 0 {
@@ -141,38 +144,41 @@
 	return req
 }
 
-// requestLine returns a URL that is written as the caller wrote it.
-func requestLine(target string) *url.URL {
+// requestURL returns a URL that net/http writes to the request line exactly as target.
+func requestURL(target string) *url.URL {
 	if !strings.HasPrefix(target, "//") {
 		return &url.URL{Opaque: target}
 	}
-	// An opaque URL with two slashes would be written with a scheme.
-	path, query, asked := strings.Cut(target, "?")
-	plain, err := url.PathUnescape(path)
+	// An opaque URL that begins with two slashes would be written with a scheme.
+	path, query, hasQuery := strings.Cut(target, "?")
+	unescaped, err := url.PathUnescape(path)
 	if err != nil {
-		// The path is sent as it is.
-		plain = path
+		// A path with invalid escapes is sent unchanged.
+		unescaped = path
 	}
-	return &url.URL{Path: plain, RawPath: path, RawQuery: query, ForceQuery: asked}
+	return &url.URL{Path: unescaped, RawPath: path, RawQuery: query, ForceQuery: hasQuery}
 }
 
-// write sends the request beside the reading of the answer: a target may answer before it has read a long body.
-func (rs *Response) write(req *http.Request) {
-	defer close(rs.written)
-	// A failed write shows as a failed or early answer on the same connection.
-	*rs.wroteAll = req.Write(rs.cn) == nil
+// writeRequest sends the request concurrently with the reading of the response: a target may respond before it has read a
+// long body.
+func (rs *Response) writeRequest(req *http.Request) {
+	defer close(rs.writeDone)
+	// A write error is not returned: the response on the same connection then fails, or is an early response.
+	*rs.writeSucceeded = req.Write(rs.cn) == nil
 }
 
-func readAnswer(cn *conn, req *http.Request, heard func(*http.Response) bool) (*http.Response, error) {
-	for range strayMost {
+// readResponse reads the head of the next final response that accept takes, or of the next one if accept is nil. It skips
+// interim responses (1xx) and the responses to other requests.
+func readResponse(cn *conn, req *http.Request, accept func(*http.Response) bool) (*http.Response, error) {
+	for range maxUnmatchedResponses {
 		resp, err := http.ReadResponse(cn.br, req)
 		if err != nil {
-			return nil, errors.Wrap(err, "read answer")
+			return nil, errors.Wrap(err, "read response head")
 		}
-		if resp.StatusCode >= http.StatusOK && (heard == nil || heard(resp)) {
+		if resp.StatusCode >= http.StatusOK && (accept == nil || accept(resp)) {
 			return resp, nil
 		}
-		_, err = io.CopyN(io.Discard, resp.Body, strayBodyMost)
+		_, err = io.CopyN(io.Discard, resp.Body, maxUnmatchedBodyBytes)
 		resp.Body.Close()
 		if !errors.Is(err, io.EOF) || resp.Close {
 			return nil, &UnmatchedResponseError{}
@@ -181,37 +187,38 @@
 	return nil, &UnmatchedResponseError{}
 }
 
-// Whole notes that the body was read to its end, so that the connection can be used again.
-func (rs *Response) MarkComplete() { rs.whole = true }
+// MarkComplete records that the body was read to its end, so that Close can return the connection to the pool.
+func (rs *Response) MarkComplete() { rs.complete = true }
 
-// Waits reports whether something of the answer has come that was not read yet.
-func (rs *Response) HasUnreadData() bool { return rs.cn.readable() }
+// HasUnreadData reports whether the socket has received response data that was not read yet.
+func (rs *Response) HasUnreadData() bool { return rs.cn.hasUnreadData() }
 
-// Break closes the connection under a reader, whose read then fails. Close must still be called.
-func (rs *Response) Abort() { rs.cn.abandon() }
+// Abort closes the connection, so that a concurrent read of the body fails. Close must still be called.
+func (rs *Response) Abort() { rs.cn.closeIgnoringError() }
 
-// Close ends the exchange. The connection rests if request and answer are whole, else it is closed.
+// Close ends the exchange. The connection returns to the pool if request and response are complete, else it is closed.
 func (rs *Response) Close() {
-	cancelled := !rs.stop()
-	if rs.Response != nil && rs.whole && !cancelled && !rs.Response.Close && rs.sent() {
-		rs.cn.keep = keepTime(rs.Header)
-		rs.pool.rest(rs.address, rs.cn)
+	cancelled := !rs.detachContext()
+	if rs.Response != nil && rs.complete && !cancelled && !rs.Response.Close && rs.requestWritten() {
+		rs.cn.keepAliveTimeout = parseKeepAliveTimeout(rs.Header)
+		rs.pool.release(rs.address, rs.cn)
 		return
 	}
-	rs.pool.drop(rs.address, rs.cn)
+	rs.pool.discard(rs.address, rs.cn)
 }
 
-// writeWait bounds the wait for the end of a request whose answer is whole already. The writer has usually ended but
-// for being scheduled; a target that answers early may take longer, and then loses the connection.
-const writeWait = 200 * time.Millisecond
+// requestWriteWait bounds the wait for the request write to finish after the response is complete. Usually only the
+// scheduling of the writing goroutine is outstanding. If a target that responded early takes longer to read the request, the
+// connection is closed.
+const requestWriteWait = 200 * time.Millisecond
 
-// sent reports whether the whole request is out.
-func (rs *Response) sent() bool {
-	timer := time.NewTimer(writeWait)
+// requestWritten reports whether the request was written completely. It waits for requestWriteWait at most.
+func (rs *Response) requestWritten() bool {
+	timer := time.NewTimer(requestWriteWait)
 	defer timer.Stop()
 	select {
-	case <-rs.written:
-		return *rs.wroteAll
+	case <-rs.writeDone:
+		return *rs.writeSucceeded
 	case <-timer.C:
 		return false
 	}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -12,68 +12,69 @@
 )
 
 const (
-	// restMost is how long an idle connection is used again when the target does not say how long it keeps it.
-	restMost = 4 * time.Second
-	// keepMargin is taken off the time that the target says.
-	keepMargin = 700 * time.Millisecond
-	// idleMost bounds the idle connections to one target until SetIdle is called.
-	idleMost = 8
-	// shortFor is how long a target's connections rest less after it dropped one without a sign: longer than the pauses
-	// between such resets under load, and short beside the price of a new connection for each request.
-	shortFor = 10 * time.Second
+	// defaultIdleTimeout is how long an idle connection may be reused if the target does not announce how long it keeps it.
+	defaultIdleTimeout = 4 * time.Second
+	// keepAliveMargin is subtracted from the keep-alive timeout that the target announces.
+	keepAliveMargin = 700 * time.Millisecond
+	// defaultMaxIdle bounds the idle connections to one target until SetMaxIdle is called.
+	defaultMaxIdle = 8
+	// reducedIdlePeriod is how long the idle timeout of a target stays reduced after it silently dropped a connection. It is
+	// longer than the intervals between such resets under load, and short enough to limit the cost of the additional
+	// connections.
+	reducedIdlePeriod = 10 * time.Second
 )
 
-// shortRest is how long connections to one target may rest after it dropped one.
-type shortRest struct {
-	most  time.Duration
-	until time.Time
+// reducedIdle is the idle timeout of one target after it silently dropped a connection.
+type reducedIdle struct {
+	timeout time.Duration
+	until   time.Time
 }
 
-// Pool keeps connections to targets. It is safe for use by any goroutine.
+// Pool is a pool of keep-alive connections to targets. It is safe for concurrent use.
 type Pool struct {
 	now    func() time.Time
-	dialed *metrics.Counter
-	// dialTimeout bounds the opening of a connection.
+	opened *metrics.Counter
+	// dialTimeout bounds the establishment of a connection.
 	dialTimeout time.Duration
-	// idleMost is at least one.
-	idleMost atomic.Int64
+	// maxIdle is at least one.
+	maxIdle atomic.Int64
 
 	mu sync.Mutex
-	// idle holds the connections at rest by address, the last used at the end.
+	// idle holds the idle connections by address, the most recently used one last.
 	idle map[string][]*conn
-	// open counts all connections by address; entries at zero are removed.
-	open map[string]int
-	// short holds the targets that dropped a connection lately, by address.
-	short map[string]shortRest
+	// openCounts counts all connections, idle and in use, by address. Entries at zero are removed.
+	openCounts map[string]int
+	// reduced holds the reduced idle timeouts of targets that recently dropped a connection, by address.
+	reduced map[string]reducedIdle
 }
 
-// NewPool returns an empty pool that counts new connections in a metric.
+// NewPool returns an empty pool. The counter of opened connections is registered in ms.
 func NewPool(now func() time.Time, ms *metrics.Set, dialTimeout time.Duration) *Pool {
 	pl := &Pool{
-		now: now, dialTimeout: dialTimeout, idle: map[string][]*conn{}, open: map[string]int{},
-		short:  map[string]shortRest{},
-		dialed: ms.GetOrCreateCounter("silvermount_target_connections_opened_total"),
+		now: now, dialTimeout: dialTimeout, idle: map[string][]*conn{}, openCounts: map[string]int{},
+		reduced: map[string]reducedIdle{},
+		opened:  ms.GetOrCreateCounter("silvermount_target_connections_opened_total"),
 	}
-	pl.SetMaxIdle(idleMost)
+	pl.SetMaxIdle(defaultMaxIdle)
 	return pl
 }
 
-// SetIdle bounds the idle connections to one target; at least one is kept.
-func (pl *Pool) SetMaxIdle(most int) { pl.idleMost.Store(int64(max(1, most))) }
+// SetMaxIdle bounds the idle connections to one target. The bound is at least one.
+func (pl *Pool) SetMaxIdle(limit int) { pl.maxIdle.Store(int64(max(1, limit))) }
 
-// get returns a connection at rest, or a new one.
-func (pl *Pool) get(ctx context.Context, address string, exclusive bool) (cn *conn, reused bool, err error) {
-	// A connection at rest may be gone without a sign: a request that may run only once would end with its outcome
-	// unknown. It gets a new one.
-	for !exclusive {
-		cn = pl.take(address)
+// acquire returns an idle connection if one can be reused, else a new one.
+func (pl *Pool) acquire(ctx context.Context, address string, atMostOnce bool) (cn *conn, reused bool, err error) {
+	// The target may have dropped an idle connection silently. The outcome of a request sent on it would be unknown, so
+	// requests that may run only once get a new connection.
+	for !atMostOnce {
+		cn = pl.popIdle(address)
 		if cn == nil {
 			break
 		}
-		if pl.usable(address, cn) {
+		if pl.isReusable(address, cn) {
 			return cn, true, nil
 		}
-		pl.drop(address, cn)
+		pl.discard(address, cn)
 	}
 	cn, err = pl.dial(ctx, address)
 	return cn, false, err
@@ -85,24 +86,25 @@
 	if err != nil {
 		return nil, err
 	}
-	pl.dialed.Inc()
+	pl.opened.Inc()
 	pl.mu.Lock()
-	pl.open[address]++
+	pl.openCounts[address]++
 	pl.mu.Unlock()
 	return cn, nil
 }
 
-// Probe asks an address for a connection, which then rests for the next request. It fails with a DialError.
+// Probe opens a connection to an address and keeps it idle for the next request. It fails with a DialError.
 func (pl *Pool) Probe(ctx context.Context, address string) error {
 	cn, err := pl.dial(ctx, address)
 	if err != nil {
 		return err
 	}
-	pl.rest(address, cn)
+	pl.release(address, cn)
 	return nil
 }
 
-func (pl *Pool) take(address string) *conn {
+// popIdle removes and returns the most recently used idle connection to an address; nil without one.
+func (pl *Pool) popIdle(address string) *conn {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
 	list := pl.idle[address]
@@ -114,90 +116,94 @@
 	return cn
 }
 
-func (pl *Pool) usable(address string, cn *conn) bool {
-	most := restMost
-	if cn.keep > 0 {
-		most = cn.keep - keepMargin
+// isReusable reports whether an idle connection is within its idle timeout, still open, and without unexpected data.
+func (pl *Pool) isReusable(address string, cn *conn) bool {
+	timeout := defaultIdleTimeout
+	if cn.keepAliveTimeout > 0 {
+		timeout = cn.keepAliveTimeout - keepAliveMargin
 	}
-	cn.rested = pl.now().Sub(cn.restedAt)
-	return cn.rested < min(most, pl.shortMost(address)) && cn.quiet()
+	cn.idleFor = pl.now().Sub(cn.idleSince)
+	return cn.idleFor < min(timeout, pl.reducedIdleTimeout(address)) && cn.isOpenAndEmpty()
 }
 
-// shortMost is how long a connection may rest by what the target dropped lately.
-func (pl *Pool) shortMost(address string) time.Duration {
+// reducedIdleTimeout returns the reduced idle timeout of a target, or the largest duration if it is not reduced.
+func (pl *Pool) reducedIdleTimeout(address string) time.Duration {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	sr, ok := pl.short[address]
-	if !ok || !pl.now().Before(sr.until) {
+	ri, ok := pl.reduced[address]
+	if !ok || !pl.now().Before(ri.until) {
 		return math.MaxInt64
 	}
-	return sr.most
+	return ri.timeout
 }
 
-// forgot notes that a target dropped a connection which had rested for some time. It may have dropped it earlier.
-func (pl *Pool) forgot(address string, rested time.Duration) {
+// recordStaleConnection reduces the idle timeout of a target that dropped a connection which had been idle for idleFor. The
+// timeout becomes half of that, as the target may have dropped the connection some time before.
+func (pl *Pool) recordStaleConnection(address string, idleFor time.Duration) {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.short[address] = shortRest{most: rested / 2, until: pl.now().Add(shortFor)}
+	pl.reduced[address] = reducedIdle{timeout: idleFor / 2, until: pl.now().Add(reducedIdlePeriod)}
 }
 
-// rest takes a connection back whose last answer was whole.
-func (pl *Pool) rest(address string, cn *conn) {
-	cn.restedAt = pl.now()
+// release returns a connection to the pool whose last response is complete. It closes the connection if the maximum of idle
+// connections to the address is reached.
+func (pl *Pool) release(address string, cn *conn) {
+	cn.idleSince = pl.now()
 	pl.mu.Lock()
-	full := int64(len(pl.idle[address])) >= pl.idleMost.Load()
+	full := int64(len(pl.idle[address])) >= pl.maxIdle.Load()
 	if !full {
 		pl.idle[address] = append(pl.idle[address], cn)
 	}
 	pl.mu.Unlock()
 	if full {
-		pl.drop(address, cn)
+		pl.discard(address, cn)
 	}
 }
 
-func (pl *Pool) drop(address string, cn *conn) {
-	cn.abandon()
+// discard closes a connection and removes it from the count of open ones.
+func (pl *Pool) discard(address string, cn *conn) {
+	cn.closeIgnoringError()
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	pl.open[address]--
-	if pl.open[address] <= 0 {
-		delete(pl.open, address)
+	pl.openCounts[address]--
+	if pl.openCounts[address] <= 0 {
+		delete(pl.openCounts, address)
 	}
 }
 
-// Open returns how many connections lead to an address.
+// OpenCount returns how many connections to an address are open, idle and in use.
 func (pl *Pool) OpenCount(address string) int {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
-	return pl.open[address]
+	return pl.openCounts[address]
 }
 
-// Forget closes the connections at rest to an address, whose process has started again and knows nothing of them.
+// CloseIdle closes the idle connections to an address whose process has restarted and does not know them.
 func (pl *Pool) CloseIdle(address string) {
 	pl.mu.Lock()
-	old := pl.idle[address]
+	conns := pl.idle[address]
 	delete(pl.idle, address)
-	delete(pl.short, address)
+	delete(pl.reduced, address)
 	pl.mu.Unlock()
-	for _, cn := range old {
-		pl.drop(address, cn)
+	for _, cn := range conns {
+		pl.discard(address, cn)
 	}
 }
 
-// Sweep closes connections that have rested too long.
+// EvictExpired closes connections that have exceeded their idle timeout, and removes expired reductions of it.
 func (pl *Pool) EvictExpired() {
 	now := pl.now()
-	old := map[string][]*conn{}
+	expired := map[string][]*conn{}
 	pl.mu.Lock()
-	maps.DeleteFunc(pl.short, func(_ string, sr shortRest) bool { return !now.Before(sr.until) })
+	maps.DeleteFunc(pl.reduced, func(_ string, ri reducedIdle) bool { return !now.Before(ri.until) })
 	for address, list := range pl.idle {
 		var kept []*conn
 		for _, cn := range list {
-			if now.Sub(cn.restedAt) < max(restMost, cn.keep) {
+			if now.Sub(cn.idleSince) < max(defaultIdleTimeout, cn.keepAliveTimeout) {
 				kept = append(kept, cn)
 				continue
 			}
-			old[address] = append(old[address], cn)
+			expired[address] = append(expired[address], cn)
 		}
 		if len(kept) == 0 {
 			delete(pl.idle, address)
@@ -206,9 +212,9 @@
 		pl.idle[address] = kept
 	}
 	pl.mu.Unlock()
-	for address, list := range old {
+	for address, list := range expired {
 		for _, cn := range list {
-			pl.drop(address, cn)
+			pl.discard(address, cn)
 		}
 	}
 }
--- a/internal/upstream/target_test.go
+++ b/internal/upstream/target_test.go
@@ -19,15 +19,16 @@
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
+// dialTimeout is long enough for a busy machine.
 const dialTimeout = 10 * time.Second
 
-// generous is far longer than anything here takes.
-const generous = 10 * time.Second
+// testTimeout is far longer than any step of these tests takes.
+const testTimeout = 10 * time.Second
 
-// headerID names the request that an answer belongs to.
-const headerID = "Request-Id"
+// headerRequestID is the header with the ID of the request that a response belongs to.
+const headerRequestID = "Request-Id"
 
-// clock is a steady clock that a test moves.
+// clock is a fake clock that tests advance.
 type clock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -35,33 +36,34 @@
 
 func (ck *clock) Now() time.Time { ck.mu.Lock(); defer ck.mu.Unlock(); return ck.now }
 
-func (ck *clock) forward(d time.Duration) { ck.mu.Lock(); defer ck.mu.Unlock(); ck.now = ck.now.Add(d) }
+func (ck *clock) advance(d time.Duration) { ck.mu.Lock(); defer ck.mu.Unlock(); ck.now = ck.now.Add(d) }
 
-// target answers requests on raw connections.
-type target struct {
+// fakeTarget answers requests on raw connections.
+type fakeTarget struct {
 	listener net.Listener
-	// answer writes what follows a request, and reports whether the connection goes on.
-	answer func(nc net.Conn, rq *http.Request, body string) bool
+	// respond writes the response to a request, and reports whether the connection stays open.
+	respond func(nc net.Conn, rq *http.Request, body string) bool
 
 	mu     sync.Mutex
 	opened int
-	seen   []string
-	conns  []net.Conn
+	// seen holds the request targets in the order of arrival.
+	seen  []string
+	conns []net.Conn
 }
 
-func startTarget(t *testing.T, answer func(nc net.Conn, rq *http.Request, body string) bool) *target {
+func startFakeTarget(t *testing.T, respond func(nc net.Conn, rq *http.Request, body string) bool) *fakeTarget {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tg := &target{listener: l, answer: answer}
+	tg := &fakeTarget{listener: l, respond: respond}
 	t.Cleanup(func() { l.Close() })
 	go tg.accept()
 	return tg
 }
 
-func (tg *target) accept() {
+func (tg *fakeTarget) accept() {
 	for {
 		nc, err := tg.listener.Accept()
 		if err != nil {
@@ -75,83 +77,84 @@
 	}
 }
 
-func (tg *target) serve(nc net.Conn) {
+func (tg *fakeTarget) serve(nc net.Conn) {
 	defer nc.Close()
 	br := bufio.NewReader(nc)
 	for {
 		rq, err := http.ReadRequest(br)
 		if err != nil {
-			return // the caller has gone
+			return // the client closed the connection
 		}
 		body, err := io.ReadAll(rq.Body)
 		if err != nil {
-			return // as above
+			return // the client closed the connection
 		}
 		tg.mu.Lock()
 		tg.seen = append(tg.seen, rq.RequestURI)
 		tg.mu.Unlock()
-		if !tg.answer(nc, rq, string(body)) {
+		if !tg.respond(nc, rq, string(body)) {
 			return
 		}
 	}
 }
 
-func (tg *target) address() string { return tg.listener.Addr().String() }
+func (tg *fakeTarget) address() string { return tg.listener.Addr().String() }
 
-func (tg *target) openedConns() int { tg.mu.Lock(); defer tg.mu.Unlock(); return tg.opened }
+func (tg *fakeTarget) connsOpened() int { tg.mu.Lock(); defer tg.mu.Unlock(); return tg.opened }
 
-func (tg *target) requests() []string { tg.mu.Lock(); defer tg.mu.Unlock(); return tg.seen }
+func (tg *fakeTarget) requests() []string { tg.mu.Lock(); defer tg.mu.Unlock(); return tg.seen }
 
-// last returns the newest connection.
-func (tg *target) last() net.Conn {
+// lastConn returns the connection that was accepted last.
+func (tg *fakeTarget) lastConn() net.Conn {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
 	return tg.conns[len(tg.conns)-1]
 }
 
-// echo answers with the request's own path, under its id.
+// echo responds with the request target as the body, and the request's ID in the header.
 func echo(nc net.Conn, rq *http.Request, _ string) bool {
-	return reply(nc, rq.Header.Get(headerID), rq.RequestURI)
+	return writeResponse(nc, rq.Header.Get(headerRequestID), rq.RequestURI)
 }
 
-func reply(nc net.Conn, id, body string, lines ...string) bool {
-	head := strings.Join(append(lines, headerID+": "+id, "Content-Length: "+strconv.Itoa(len(body))), "\r\n")
+// writeResponse writes a response with an ID, a body and additional header lines. It always returns true.
+func writeResponse(nc net.Conn, id, body string, lines ...string) bool {
+	head := strings.Join(append(lines, headerRequestID+": "+id, "Content-Length: "+strconv.Itoa(len(body))), "\r\n")
 	fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\n%s\r\n\r\n%s", head, body)
 	return true
 }
 
-// with adds lines to each answer.
-func with(lines ...string) func(net.Conn, *http.Request, string) bool {
+// withHeaders is echo with additional header lines.
+func withHeaders(lines ...string) func(net.Conn, *http.Request, string) bool {
 	return func(nc net.Conn, rq *http.Request, _ string) bool {
-		return reply(nc, rq.Header.Get(headerID), rq.RequestURI, lines...)
+		return writeResponse(nc, rq.Header.Get(headerRequestID), rq.RequestURI, lines...)
 	}
 }
 
-type bench struct {
+type fixture struct {
 	*WithT
 	clock *clock
 	pool  *upstream.Pool
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	ck := &clock{now: time.Unix(1000, 0)}
-	return &bench{WithT: NewWithT(t), clock: ck, pool: upstream.NewPool(ck.Now, metrics.NewSet(), dialTimeout)}
+	return &fixture{WithT: NewWithT(t), clock: ck, pool: upstream.NewPool(ck.Now, metrics.NewSet(), dialTimeout)}
 }
 
 func call(address, path string) upstream.Call {
 	return upstream.Call{
-		Address: address, Method: http.MethodPost, Target: path, Host: "h", Header: http.Header{headerID: []string{path}},
-		AcceptResponse: func(resp *http.Response) bool { return resp.Header.Get(headerID) == path },
+		Address: address, Method: http.MethodPost, Target: path, Host: "h", Header: http.Header{headerRequestID: []string{path}},
+		AcceptResponse: func(resp *http.Response) bool { return resp.Header.Get(headerRequestID) == path },
 	}
 }
 
-// do sends a call and reads its answer whole.
-func (be *bench) do(ca upstream.Call) string {
-	an, err := be.pool.Do(context.Background(), ca)
-	be.Expect(err).NotTo(HaveOccurred())
-	defer an.Close()
-	b, err := io.ReadAll(an.Body)
-	be.Expect(err).NotTo(HaveOccurred())
-	an.MarkComplete()
+// do sends a call and returns the complete body of its response.
+func (fx *fixture) do(ca upstream.Call) string {
+	rs, err := fx.pool.Do(context.Background(), ca)
+	fx.Expect(err).NotTo(HaveOccurred())
+	defer rs.Close()
+	b, err := io.ReadAll(rs.Body)
+	fx.Expect(err).NotTo(HaveOccurred())
+	rs.MarkComplete()
 	return string(b)
 }
