--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -179,7 +179,7 @@
 	}
 	gw.Protocol.Write(h, at)
 	ca := upstream.Call{
-		Address: sl.Target.Address, Method: rq.method, Target: rq.target, Host: rq.host, Header: h, Body: rq.body,
+		Address: sl.Target.Address, Method: rq.method, RequestURI: rq.target, Host: rq.host, Header: h, Body: rq.body,
 		AtMostOnce:     rq.route.Exclusive(),
 		BeforeSend:     func() error { return gw.mayLeave(sl) },
 		AcceptResponse: func(resp *http.Response) bool { return gw.heard(rq, sl.Target, resp) },
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -19,10 +19,10 @@
 	Address string
 	Method  string
 	// Target is the request target: the path and query exactly as they appear on the request line.
-	Target string
-	Host   string
-	Header http.Header
-	Body   []byte
+	RequestURI string
+	Host       string
+	Header     http.Header
+	Body       []byte
 	// AtMostOnce is set for requests that may run only once. They are sent on new connections, because a target may drop an
 	// idle one silently and earlier than it announced.
 	AtMostOnce bool
@@ -134,7 +134,7 @@
 
 func (ca Call) httpRequest() *http.Request {
 	req := &http.Request{
-		Method: ca.Method, URL: requestURL(ca.Target), Host: ca.Host, Header: ca.Header,
+		Method: ca.Method, URL: requestURL(ca.RequestURI), Host: ca.Host, Header: ca.Header,
 		ProtoMajor: 1, ProtoMinor: 1,
 	}
 	if len(ca.Body) > 0 {
--- a/internal/upstream/target_test.go
+++ b/internal/upstream/target_test.go
@@ -143,7 +143,7 @@
 
 func call(address, path string) upstream.Call {
 	return upstream.Call{
-		Address: address, Method: http.MethodPost, Target: path, Host: "h", Header: http.Header{headerRequestID: []string{path}},
+		Address: address, Method: http.MethodPost, RequestURI: path, Host: "h", Header: http.Header{headerRequestID: []string{path}},
 		AcceptResponse: func(resp *http.Response) bool { return resp.Header.Get(headerRequestID) == path },
 	}
 }
