--- a/internal/session/bench_test.go
+++ b/internal/session/bench_test.go
@@ -10,12 +10,12 @@
 	"github.com/silvermount/silvermount/internal/standin/enginesim"
 )
 
-// BenchmarkCompletion sends small plain completions through one instance to one engine, all in this process. The
-// allocations are those of caller, instance and engine together.
+// BenchmarkCompletion sends small completions without streaming through one instance to four engines, all in this process.
+// The allocations are those of caller, instance and engines together.
 func BenchmarkCompletion(b *testing.B) {
 	params := enginesim.DefaultParams()
 	params.Scale = 1e6
-	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, Params: params, Log: quiet()})
+	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, Params: params, Log: discardLogger()})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/session/client_test.go
+++ b/internal/session/client_test.go
@@ -12,7 +12,8 @@
 	"github.com/silvermount/silvermount/internal/localfleet"
 )
 
-type reply struct {
+// response is a response with its complete body, and the code and outcome of its error object, if any.
+type response struct {
 	status  int
 	body    string
 	header  http.Header
@@ -20,8 +21,8 @@
 	outcome string
 }
 
-// call sends one request to an instance and reads the whole answer.
-func call(t *testing.T, method, url string, body []byte, headers ...string) reply {
+// call sends one request to an instance and reads the complete response. headers are pairs of name and value.
+func call(t *testing.T, method, url string, body []byte, headers ...string) response {
 	t.Helper()
 	g := NewWithT(t)
 	req, err := http.NewRequestWithContext(t.Context(), method, url, bytes.NewReader(body))
@@ -39,10 +40,10 @@
 		Error struct{ Code, Outcome string }
 	}
 	_ = json.Unmarshal(b, &eb)
-	return reply{status: resp.StatusCode, body: string(b), header: resp.Header, code: eb.Error.Code, outcome: eb.Error.Outcome}
+	return response{status: resp.StatusCode, body: string(b), header: resp.Header, code: eb.Error.Code, outcome: eb.Error.Outcome}
 }
 
-// completion returns the body of a request with a prompt.
+// completion returns the body of a text completion request.
 func completion(prompt string, output int, stream bool) []byte {
 	b, _ := json.Marshal(map[string]any{"model": localfleet.Model, "prompt": prompt, "max_tokens": output, "stream": stream})
 	return b
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -22,8 +22,8 @@
 	"github.com/silvermount/silvermount/internal/serve"
 )
 
-// mixed returns n arrivals at once, a few of them long.
-func mixed(n int, class string) []load.Arrival {
+// mixedArrivals returns n arrivals, one each millisecond. One in 50 has a long prompt.
+func mixedArrivals(n int, class string) []load.Arrival {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	all := make([]load.Arrival, n)
 	for i := range all {
@@ -35,33 +35,33 @@
 	return all
 }
 
-func TestEachOfManyConcurrentAnswersIsItsOwn(t *testing.T) {
+func TestConcurrentResponsesMatchTheirRequests(t *testing.T) {
 	g := NewWithT(t)
-	lf := start(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fast(200)})
-	for _, r := range load.Run(t.Context(), target(lf, 2), mixed(200, localfleet.ClassCall)) {
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(200)})
+	for _, r := range load.Run(t.Context(), loadTarget(lf, 2), mixedArrivals(200, localfleet.ClassCall)) {
 		g.Expect(r.Right).To(BeTrue(), "%+v", r)
 	}
 }
 
-func TestNoHalfAnswerLooksWholeWhenEnginesDie(t *testing.T) {
+func TestIncompleteResponsesAreReportedWhenEnginesDie(t *testing.T) {
 	g := NewWithT(t)
-	lf := start(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fast(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100)})
 	kill := func(i int, after time.Duration) { time.AfterFunc(after, lf.Engines[i].Kill) }
 	kill(0, 40*time.Millisecond)
 	kill(3, 90*time.Millisecond)
-	right := 0
-	for _, r := range load.Run(t.Context(), target(lf, 4), mixed(200, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(Equal(r.Whole), "a whole answer is the right one: %+v", r)
+	correct := 0
+	for _, r := range load.Run(t.Context(), loadTarget(lf, 4), mixedArrivals(200, localfleet.ClassCall)) {
+		g.Expect(r.Right).To(Equal(r.Whole), "a complete response must be the correct one: %+v", r)
 		if !r.Whole {
 			g.Expect(r.Code).NotTo(Or(BeEmpty(), Equal("cut_off")), "%+v", r)
 			continue
 		}
-		right++
+		correct++
 	}
-	g.Expect(right).To(BeNumerically(">=", 190))
+	g.Expect(correct).To(BeNumerically(">=", 190))
 }
 
-func TestEveryRequestEndsInItsTimeAndLeavesNothing(t *testing.T) {
+func TestRequestsEndByDeadlineAndReleaseResources(t *testing.T) {
 	hang := func(lf *localfleet.Fleet) {
 		for _, en := range lf.Engines {
 			en.Hang(true)
@@ -72,8 +72,8 @@
 		headers []string
 		want    string
 	}{
-		"target accepts and never answers": {fault: hang, want: "deadline_exceeded"},
-		"store hangs under a claim": {
+		"target accepts and never responds": {fault: hang, want: "deadline_exceeded"},
+		"store hangs during a claim": {
 			fault:   func(lf *localfleet.Fleet) { lf.Store.SetSlow(time.Minute) },
 			headers: []string{serve.HeaderIdempotencyKey, "k1"}, want: "store_unavailable",
 		},
@@ -81,11 +81,11 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := start(t, localfleet.Options{Zones: 1, Engines: 2, Instances: 1, Params: fast(100)})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 2, Instances: 1, Params: fastEngines(100)})
 			tc.fault(lf)
 			headers := append([]string{serve.HeaderTimeout, "300ms"}, tc.headers...)
-			rep := call(t, http.MethodPost, lf.URLs()[0]+"/v1/completions", completion("hello", 4, false), headers...)
-			g.Expect(rep.code).To(Equal(tc.want))
+			resp := call(t, http.MethodPost, lf.URLs()[0]+"/v1/completions", completion("hello", 4, false), headers...)
+			g.Expect(resp.code).To(Equal(tc.want))
 			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Eventually(sv.InFlight).Should(BeZero())
@@ -100,9 +100,9 @@
 	}
 }
 
-func TestEngineMemoryIsFreedAfterCallersGo(t *testing.T) {
+func TestEngineMemoryIsFreedAfterCallersDisconnect(t *testing.T) {
 	g := NewWithT(t)
-	lf := start(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, Params: fast(10)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, Params: fastEngines(10)})
 	client := &http.Client{Timeout: 60 * time.Millisecond}
 	for i := range 30 {
 		body := completion(load.Prompt(9, load.Arrival{Tokens: 20_000, Index: i}), 500, true)
@@ -119,33 +119,34 @@
 	}
 }
 
-func TestLeavingTargetGetsNoNewWork(t *testing.T) {
+func TestLeavingTargetGetsNoNewRequests(t *testing.T) {
 	tests := map[string]func(*localfleet.Fleet){
-		"all well":               func(*localfleet.Fleet) {},
+		"no fault":               func(*localfleet.Fleet) {},
 		"platform's list frozen": func(lf *localfleet.Fleet) { lf.Store.Freeze(objectstore.KindTargets) },
 		"platform down":          func(lf *localfleet.Fleet) { lf.Store.SetDown(true) },
 	}
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := start(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, Params: fast(100)})
+			lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(100)})
 			fault(lf)
-			gone := lf.Engines[1]
-			gone.Leave()
-			// The sign spreads from the owner by heartbeats until every instance leaves the engine out.
+			leaving := lf.Engines[1]
+			leaving.Leave()
+			// The owner's heartbeats spread the state until every instance excludes the engine.
 			for _, in := range lf.Instances {
-				g.Eventually(func() bool { return leaves(in, gone.Name) }, 3*time.Second, 20*time.Millisecond).Should(BeTrue())
+				g.Eventually(func() bool { return isLeaving(in, leaving.Name) }, 3*time.Second, 20*time.Millisecond).Should(BeTrue())
 			}
-			before := gone.Started()
-			for _, r := range load.Run(t.Context(), target(lf, 5), mixed(40, localfleet.ClassCall)) {
+			startedBefore := leaving.Started()
+			for _, r := range load.Run(t.Context(), loadTarget(lf, 5), mixedArrivals(40, localfleet.ClassCall)) {
 				g.Expect(r.Right).To(BeTrue(), "%+v", r)
 			}
-			g.Expect(gone.Started()).To(Equal(before))
+			g.Expect(leaving.Started()).To(Equal(startedBefore))
 		})
 	}
 }
 
-func leaves(in *instance.Instance, target string) bool {
+// isLeaving reports whether an instance knows a target as leaving.
+func isLeaving(in *instance.Instance, target string) bool {
 	sv, err := kernel.Need[*serve.Server](in.Env())
 	if err != nil {
 		return false
@@ -154,62 +155,63 @@
 	return ok
 }
 
-func TestRollingRestartCutsOffNothing(t *testing.T) {
+func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	g := NewWithT(t)
-	lf := start(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fast(100)})
-	var alive atomic.Pointer[[]string]
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100)})
+	var liveURLs atomic.Pointer[[]string]
 	urls := lf.URLs()
-	alive.Store(&urls)
-	tg := target(lf, 6)
-	tg.Pick = func(i int) string { us := *alive.Load(); return us[i%len(us)] }
-	arrivals := mixed(300, localfleet.ClassCall)
+	liveURLs.Store(&urls)
+	tg := loadTarget(lf, 6)
+	tg.Pick = func(i int) string { us := *liveURLs.Load(); return us[i%len(us)] }
+	arrivals := mixedArrivals(300, localfleet.ClassCall)
 	for i := range arrivals {
 		arrivals[i].At *= 8
 	}
-	finished := make(chan []load.Result)
-	go func() { finished <- load.Run(t.Context(), tg, arrivals) }()
+	results := make(chan []load.Result)
+	go func() { results <- load.Run(t.Context(), tg, arrivals) }()
 	for i := range 3 {
 		old := lf.Instances[i]
-		// The balancer learns of the stop while the instance still accepts.
-		rest := without(*alive.Load(), old.CallersURL())
-		alive.Store(&rest)
+		// The load balancer removes the instance while it still accepts requests.
+		remaining := without(*liveURLs.Load(), old.CallersURL())
+		liveURLs.Store(&remaining)
 		g.Expect(old.Stop(t.Context())).To(Succeed())
 		in, err := lf.AddInstance(t.Context(), i)
 		g.Expect(err).NotTo(HaveOccurred())
 		sv, err := kernel.Need[*serve.Server](in.Env())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Eventually(sv.Ready, 5*time.Second).Should(BeTrue())
-		more := append(without(*alive.Load(), ""), in.CallersURL())
-		alive.Store(&more)
+		extended := append(without(*liveURLs.Load(), ""), in.CallersURL())
+		liveURLs.Store(&extended)
 	}
-	for _, r := range <-finished {
+	for _, r := range <-results {
 		g.Expect(r.Right).To(BeTrue(), "%+v", r)
 	}
 }
 
+// without returns a copy of urls that lacks url.
 func without(urls []string, url string) []string {
-	var rest []string
+	var remaining []string
 	for _, u := range urls {
 		if u != url {
-			rest = append(rest, u)
+			remaining = append(remaining, u)
 		}
 	}
-	return rest
+	return remaining
 }
 
-func TestCutOffZoneServesOn(t *testing.T) {
+func TestPartitionedZoneContinuesToServe(t *testing.T) {
 	g := NewWithT(t)
-	var cut atomic.Bool
-	lf := start(t, localfleet.Options{
-		Zones: 3, Engines: 6, Instances: 3, Params: fast(100),
-		Blocked: func(from, to string) bool { return cut.Load() && (from == "a") != (to == "a") },
+	var partitioned atomic.Bool
+	lf := startFleet(t, localfleet.Options{
+		Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100),
+		Blocked: func(from, to string) bool { return partitioned.Load() && (from == "a") != (to == "a") },
 	})
-	cut.Store(true)
+	partitioned.Store(true)
 	lf.Store.SetDown(true)
-	for _, r := range load.Run(t.Context(), target(lf, 8), mixed(60, localfleet.ClassCall)) {
+	for _, r := range load.Run(t.Context(), loadTarget(lf, 8), mixedArrivals(60, localfleet.ClassCall)) {
 		g.Expect(r.Right).To(BeTrue(), "%+v", r)
 	}
-	cut.Store(false)
+	partitioned.Store(false)
 	lf.Store.SetDown(false)
 	sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -224,10 +226,10 @@
 	}, 10*time.Second).Should(Equal(2))
 }
 
-// TestHalfSentBodyEndsAtTheDeadline promises a body and sends half of it.
-func TestHalfSentBodyEndsAtTheDeadline(t *testing.T) {
+// TestIncompleteBodyIsRefusedAtDeadline sends only the beginning of a body of 1000 bytes, and then nothing more.
+func TestIncompleteBodyIsRefusedAtDeadline(t *testing.T) {
 	g := NewWithT(t)
-	lf := start(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fast(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(100)})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(lf.URLs()[0], "http://"))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
@@ -235,9 +237,9 @@
 		localfleet.Key, serve.HeaderTimeout)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(conn.SetReadDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
-	answer, err := io.ReadAll(conn)
+	resp, err := io.ReadAll(conn)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(string(answer)).To(And(ContainSubstring("400"), ContainSubstring(`"outcome":"not_run"`)))
+	g.Expect(string(resp)).To(And(ContainSubstring("400"), ContainSubstring(`"outcome":"not_run"`)))
 	sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(sv.InFlight).Should(BeZero())
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -18,26 +18,28 @@
 	"github.com/silvermount/silvermount/internal/standin/answer"
 )
 
-func jobFleet(t *testing.T, scale float64) *localfleet.Fleet {
+func startJobFleet(t *testing.T, scale float64) *localfleet.Fleet {
 	t.Helper()
-	return start(t, localfleet.Options{
-		Zones: 1, Engines: 2, Instances: 3, Params: fast(scale),
+	return startFleet(t, localfleet.Options{
+		Zones: 1, Engines: 2, Instances: 3, Params: fastEngines(scale),
 		Adjust: func(s *config.Settings) { s.Platform.Registration = config.Duration(300 * time.Millisecond) },
 	})
 }
 
+// submit creates a job and returns its record.
 func submit(t *testing.T, url, prompt string, headers ...string) job.Record {
 	t.Helper()
 	headers = append([]string{serve.HeaderClass, localfleet.ClassJob, "Silvermount-Path", "/v1/completions"}, headers...)
-	rep := call(t, http.MethodPost, url+"/v1/jobs", completion(prompt, 4, false), headers...)
+	resp := call(t, http.MethodPost, url+"/v1/jobs", completion(prompt, 4, false), headers...)
 	var rc job.Record
 	g := NewWithT(t)
-	g.Expect(rep.status).To(Equal(http.StatusOK), rep.body)
-	g.Expect(json.Unmarshal([]byte(rep.body), &rc)).To(Succeed())
+	g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
+	g.Expect(json.Unmarshal([]byte(resp.body), &rc)).To(Succeed())
 	return rc
 }
 
-func stateOf(t *testing.T, url, id string) func() job.State {
+// jobState returns a function that reads the state of a job from an instance.
+func jobState(t *testing.T, url, id string) func() job.State {
 	return func() job.State {
 		var rc job.Record
 		_ = json.Unmarshal([]byte(call(t, http.MethodGet, url+"/v1/jobs/"+id, nil).body), &rc)
@@ -45,99 +47,101 @@
 	}
 }
 
-// TestJobsSurviveTheInstanceThatRunsThem stops every instance but one while jobs run.
-func TestJobsSurviveTheInstanceThatRunsThem(t *testing.T) {
+// TestJobsSurviveStopOfTheirInstance stops every instance but one while jobs run.
+func TestJobsSurviveStopOfTheirInstance(t *testing.T) {
 	g := NewWithT(t)
-	lf := jobFleet(t, 20)
+	lf := startJobFleet(t, 20)
 	prompts := map[string]string{}
 	for i := range 6 {
 		prompt := strings.Repeat("deed ", 20_000+i)
 		prompts[submit(t, lf.URLs()[i%3], prompt).ID] = prompt
 	}
-	last := lf.URLs()[2]
+	remainingURL := lf.URLs()[2]
 	for _, in := range lf.Instances[:2] {
 		go func() { _ = in.Stop(t.Context()) }()
 	}
 	for id, prompt := range prompts {
-		g.Eventually(stateOf(t, last, id), 30*time.Second, 50*time.Millisecond).Should(Equal(job.Done))
-		rep := call(t, http.MethodGet, last+"/v1/jobs/"+id+"/answer", nil)
-		g.Expect(rep.body).To(ContainSubstring(answer.Of(prompt, 4)))
+		g.Eventually(jobState(t, remainingURL, id), 30*time.Second, 50*time.Millisecond).Should(Equal(job.Done))
+		resp := call(t, http.MethodGet, remainingURL+"/v1/jobs/"+id+"/answer", nil)
+		g.Expect(resp.body).To(ContainSubstring(answer.Of(prompt, 4)))
 	}
 }
 
-// TestJobOfALostInstanceIsTakenOver cuts the owner of two jobs off from the store and from its peers while the jobs
-// run, then lets it come back and act as if it still owned them.
-func TestJobOfALostInstanceIsTakenOver(t *testing.T) {
+// TestJobOfPartitionedInstanceIsTakenOver partitions the owner of two jobs from the store and from its peers while the jobs
+// run. After the partition, the old owner still acts as if it owned them; its writes must not change their results.
+func TestJobOfPartitionedInstanceIsTakenOver(t *testing.T) {
 	g := NewWithT(t)
-	var lost atomic.Pointer[string]
-	fronts := map[string]*localfleet.Front{}
-	lf := start(t, localfleet.Options{
-		Zones: 3, Engines: 3, Instances: 3, Params: fast(200),
-		Blocked: func(from, to string) bool { z := lost.Load(); return z != nil && (from == *z) != (to == *z) },
+	var partitionedZone atomic.Pointer[string]
+	storeFronts := map[string]*localfleet.Front{}
+	lf := startFleet(t, localfleet.Options{
+		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
+		Blocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
 		Adjust: func(s *config.Settings) {
 			s.Platform.Registration = config.Duration(300 * time.Millisecond)
 			fr, err := localfleet.NewFront(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
-			fronts[s.AvailabilityZone] = fr
+			storeFronts[s.AvailabilityZone] = fr
 			s.Platform.URL = fr.URL
 		},
 	})
 	for _, en := range lf.Engines {
 		en.Hang(true)
 	}
-	rc := submit(t, lf.URLs()[0], "a deed")
-	never := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
-	record := func(id string) (out job.Record) {
+	repeatable := submit(t, lf.URLs()[0], "a deed")
+	atMostOnce := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
+	storedRecord := func(id string) (out job.Record) {
 		o, ok := lf.Store.Object(objectstore.KindJobs, id)
 		g.Expect(ok).To(BeTrue())
 		v, err := job.Decode(o)
 		g.Expect(err).NotTo(HaveOccurred())
 		return v.Record
 	}
-	g.Eventually(func() bool { return record(rc.ID).State == job.Running && record(never.ID).Dispatched }, 10*time.Second).Should(BeTrue())
-	// Only the jobs of the instance that is cut off are looked at from here on.
-	owner := record(never.ID).Owner
+	g.Eventually(func() bool {
+		return storedRecord(repeatable.ID).State == job.Running && storedRecord(atMostOnce.ID).Dispatched
+	}, 10*time.Second).Should(BeTrue())
+	// Only the owner of the at-most-once job is partitioned. The repeatable job may belong to it or to another instance.
+	owner := storedRecord(atMostOnce.ID).Owner
 	for _, in := range lf.Instances {
 		if in.Env().Incarnation == owner {
 			zone := in.Env().Settings.AvailabilityZone
-			fronts[zone].SetCut(true)
-			lost.Store(&zone)
+			storeFronts[zone].SetCut(true)
+			partitionedZone.Store(&zone)
 		}
 	}
-	g.Eventually(func() job.State { return record(never.ID).State }, 15*time.Second).Should(Equal(job.Unknown))
-	for _, fr := range fronts {
+	g.Eventually(func() job.State { return storedRecord(atMostOnce.ID).State }, 15*time.Second).Should(Equal(job.Unknown))
+	for _, fr := range storeFronts {
 		fr.SetCut(false)
 	}
-	lost.Store(nil)
+	partitionedZone.Store(nil)
 	for _, en := range lf.Engines {
 		en.Hang(false)
 	}
-	g.Eventually(func() job.State { return record(rc.ID).State }, 15*time.Second).Should(Equal(job.Done))
-	g.Consistently(func() job.State { return record(never.ID).State }, 500*time.Millisecond).Should(Equal(job.Unknown))
+	g.Eventually(func() job.State { return storedRecord(repeatable.ID).State }, 15*time.Second).Should(Equal(job.Done))
+	g.Consistently(func() job.State { return storedRecord(atMostOnce.ID).State }, 500*time.Millisecond).Should(Equal(job.Unknown))
 }
 
-func TestJobsAreAcceptedOnceTheStoreHasThem(t *testing.T) {
+func TestJobIsCreatedOnceWhenStoreAnswersAreLost(t *testing.T) {
 	g := NewWithT(t)
-	lf := jobFleet(t, 200)
+	lf := startJobFleet(t, 200)
 	lf.Store.LoseAnswers(2)
 	rc := submit(t, lf.URLs()[0], "a deed")
-	g.Eventually(stateOf(t, lf.URLs()[1], rc.ID), 10*time.Second).Should(Equal(job.Done))
-	rep := call(t, http.MethodGet, lf.URLs()[1]+"/v1/jobs", nil)
-	g.Expect(strings.Count(rep.body, `"id"`)).To(Equal(1))
+	g.Eventually(jobState(t, lf.URLs()[1], rc.ID), 10*time.Second).Should(Equal(job.Done))
+	resp := call(t, http.MethodGet, lf.URLs()[1]+"/v1/jobs", nil)
+	g.Expect(strings.Count(resp.body, `"id"`)).To(Equal(1))
 }
 
-func TestJobIsCancelled(t *testing.T) {
+func TestCancelledJobStaysCancelled(t *testing.T) {
 	g := NewWithT(t)
-	lf := jobFleet(t, 200)
+	lf := startJobFleet(t, 200)
 	for _, en := range lf.Engines {
 		en.Hang(true)
 	}
 	rc := submit(t, lf.URLs()[0], "a deed")
-	g.Eventually(stateOf(t, lf.URLs()[0], rc.ID), 10*time.Second).Should(Equal(job.Running))
+	g.Eventually(jobState(t, lf.URLs()[0], rc.ID), 10*time.Second).Should(Equal(job.Running))
 	g.Eventually(func() int {
 		return call(t, http.MethodDelete, lf.URLs()[1]+"/v1/jobs/"+rc.ID, nil).status
 	}, 5*time.Second).Should(Equal(http.StatusOK))
-	g.Consistently(stateOf(t, lf.URLs()[0], rc.ID), 500*time.Millisecond).Should(Equal(job.Cancelled))
-	rep := call(t, http.MethodGet, lf.URLs()[0]+"/v1/jobs/"+rc.ID+"/answer", nil)
-	g.Expect(rep.code).To(Equal("conflict"))
+	g.Consistently(jobState(t, lf.URLs()[0], rc.ID), 500*time.Millisecond).Should(Equal(job.Cancelled))
+	resp := call(t, http.MethodGet, lf.URLs()[0]+"/v1/jobs/"+rc.ID+"/answer", nil)
+	g.Expect(resp.code).To(Equal("conflict"))
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -1,4 +1,4 @@
-// Package session holds tests of whole sessions through the real HTTP path.
+// Package session holds end-to-end tests of a local fleet over HTTP.
 package session
 
 import (
@@ -17,54 +17,57 @@
 	"github.com/silvermount/silvermount/internal/standin/enginesim"
 )
 
-const stopWait = 10 * time.Second
+// closeTimeout bounds the shutdown of a fleet at the end of a test.
+const closeTimeout = 10 * time.Second
 
-func quiet() *log.Logger { return &log.Logger{Handler: discard.New(), Level: log.FatalLevel} }
+func discardLogger() *log.Logger { return &log.Logger{Handler: discard.New(), Level: log.FatalLevel} }
 
-func start(t *testing.T, o localfleet.Options) *localfleet.Fleet {
+// startFleet starts a fleet without logs, which stops at the end of the test.
+func startFleet(t *testing.T, o localfleet.Options) *localfleet.Fleet {
 	t.Helper()
-	o.Log = quiet()
+	o.Log = discardLogger()
 	lf, err := localfleet.Start(t.Context(), o)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() {
-		// The test's own context has ended by now.
-		ctx, cancel := context.WithTimeout(context.Background(), stopWait)
+		// The context of the test has already ended when its cleanups run.
+		ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 		defer cancel()
 		lf.Close(ctx)
 	})
 	return lf
 }
 
-func fast(scale float64) enginesim.Params {
+// fastEngines returns the default parameters of simulated engines that run faster by a factor of scale.
+func fastEngines(scale float64) enginesim.Params {
 	p := enginesim.DefaultParams()
 	p.Scale = scale
 	return p
 }
 
-func target(lf *localfleet.Fleet, seed uint64) load.Target {
+func loadTarget(lf *localfleet.Fleet, seed uint64) load.Target {
 	return load.Target{URLs: lf.URLs(), Key: localfleet.Key, Model: localfleet.Model, Seed: seed}
 }
 
-func TestPromptsLargerThanOneEngine(t *testing.T) {
+func TestPromptsLargerThanOneEngineComplete(t *testing.T) {
 	tests := map[string]struct {
-		policy  string
-		engines int
-		giants  int
+		policy      string
+		engines     int
+		hugePrompts int
 	}{
-		"two at once": {policy: lanegrant.Name, engines: 6, giants: 2},
-		"more than fit, views that do not matter": {policy: roundrobin.Name, engines: 6, giants: 6},
+		"two at once": {policy: lanegrant.Name, engines: 6, hugePrompts: 2},
+		"more at once than fit, policy independent of load views": {policy: roundrobin.Name, engines: 6, hugePrompts: 6},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := start(t, localfleet.Options{Zones: 1, Engines: tc.engines, Instances: 2, Params: fast(400), Policy: tc.policy})
-			var giants []load.Arrival
-			for i := range tc.giants {
-				giants = append(giants,
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: tc.engines, Instances: 2, Params: fastEngines(400), Policy: tc.policy})
+			var hugePrompts []load.Arrival
+			for i := range tc.hugePrompts {
+				hugePrompts = append(hugePrompts,
 					load.Arrival{Class: localfleet.ClassBatch, Tokens: 900_000 + 10_000*i, Output: 4, Index: 2 * i},
 					load.Arrival{Class: localfleet.ClassBatch, Tokens: 300_000, Output: 4, Index: 2*i + 1})
 			}
-			for _, r := range load.Run(t.Context(), target(lf, 1), giants) {
+			for _, r := range load.Run(t.Context(), loadTarget(lf, 1), hugePrompts) {
 				g.Expect(r.Right).To(BeTrue(), "%+v", r)
 			}
 			for _, en := range lf.Engines {
@@ -74,16 +77,16 @@
 	}
 }
 
-// TestLargePromptBesideADeadEngine kills the engine whose room would be reserved first.
-func TestLargePromptBesideADeadEngine(t *testing.T) {
+// TestLargePromptCompletesDespiteDeadEngine kills the engine whose memory would be reserved first.
+func TestLargePromptCompletesDespiteDeadEngine(t *testing.T) {
 	g := NewWithT(t)
-	lf := start(t, localfleet.Options{Zones: 3, Engines: 7, Instances: 3, Params: fast(400)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 7, Instances: 3, Params: fastEngines(400)})
 	lf.Engines[0].Kill()
-	// Index 1 goes to an instance in another availability zone, which is not told by the owner that the engine is down.
-	giant := []load.Arrival{{Class: localfleet.ClassBatch, Tokens: 900_000, Output: 4, Index: 1}}
+	// Index 1 goes to an instance in another availability zone, which the engine's owner does not notify of its failure.
+	hugePrompts := []load.Arrival{{Class: localfleet.ClassBatch, Tokens: 900_000, Output: 4, Index: 1}}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
-	for _, r := range load.Run(ctx, target(lf, 1), giant) {
+	for _, r := range load.Run(ctx, loadTarget(lf, 1), hugePrompts) {
 		g.Expect(r.Right).To(BeTrue(), "%+v", r)
 	}
 	for _, en := range lf.Engines[1:] {
--- a/internal/session/stream_test.go
+++ b/internal/session/stream_test.go
@@ -14,8 +14,8 @@
 	"github.com/silvermount/silvermount/internal/standin/answer"
 )
 
-// streamed returns the text of a whole stream; it fails on one without an end mark.
-func streamed(t *testing.T, body string) string {
+// streamText returns the text of an event stream. It fails the test if the stream does not end with [DONE].
+func streamText(t *testing.T, body string) string {
 	t.Helper()
 	g := NewWithT(t)
 	g.Expect(strings.TrimSpace(body)).To(HaveSuffix("data: [DONE]"))
@@ -37,7 +37,7 @@
 	return text.String()
 }
 
-func TestStreamsGoOnAfterABreak(t *testing.T) {
+func TestInterruptedStreamsAreCompleted(t *testing.T) {
 	const output = 12
 	chat := []byte(`{"model":"address","messages":[{"role":"user","content":"where is valve 7"}],"max_tokens":12,"stream":true}`)
 	tests := map[string]struct {
@@ -46,19 +46,19 @@
 		body         []byte
 		resumed      bool
 	}{
-		"broken once, resumed": {
+		"interrupted once, resumed": {
 			fault: func(lf *localfleet.Fleet) { lf.Engines[0].BreakStreams(1) }, path: "/v1/completions", prompt: "hello",
 			body: completion("hello", output, true), resumed: true,
 		},
-		"chat broken twice, resumed": {
+		"chat interrupted twice, resumed": {
 			fault: func(lf *localfleet.Fleet) { lf.Engines[0].BreakStreams(2) }, path: "/v1/chat/completions", prompt: "where is valve 7",
 			body: chat, resumed: true,
 		},
-		"broken too often, continued": {
+		"interrupted more often than it is resumed, continued by a new attempt": {
 			fault: func(lf *localfleet.Fleet) { lf.Engines[0].BreakStreams(3) }, path: "/v1/chat/completions", prompt: "where is valve 7",
 			body: chat, resumed: true,
 		},
-		"an answer of another attempt is dropped": {
+		"response of another attempt, dropped": {
 			fault: func(lf *localfleet.Fleet) { lf.Engines[0].CrossAnswers(1) }, path: "/v1/completions", prompt: "hello",
 			body: completion("hello", output, true),
 		},
@@ -66,15 +66,15 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := start(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fast(50)})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(50)})
 			tc.fault(lf)
-			rep := call(t, http.MethodPost, lf.URLs()[0]+tc.path, tc.body)
-			g.Expect(rep.status).To(Equal(http.StatusOK), rep.body)
-			g.Expect(streamed(t, rep.body)).To(Equal(answer.Of(tc.prompt, output)))
+			resp := call(t, http.MethodPost, lf.URLs()[0]+tc.path, tc.body)
+			g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
+			g.Expect(streamText(t, resp.body)).To(Equal(answer.Of(tc.prompt, output)))
 			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
-			count := sv.Metrics.GetOrCreateCounter("silvermount_streams_resumed_total").Get()
-			g.Expect(count > 0).To(Equal(tc.resumed))
+			resumedCount := sv.Metrics.GetOrCreateCounter("silvermount_streams_resumed_total").Get()
+			g.Expect(resumedCount > 0).To(Equal(tc.resumed))
 			g.Eventually(lf.Engines[0].MemoryUsed).Should(BeZero())
 		})
 	}
