--- a/internal/serve/account.go
+++ b/internal/serve/account.go
@@ -17,8 +17,8 @@
 	sv.incCounter(fmt.Sprintf("errors_total{code=%q,outcome=%q}", fe.Code, fe.Outcome))
 }
 
-// recordObjective records whether a request met the latency objective of its class. Requests whose caller went away are not
-// recorded: they are no miss.
+// recordObjective counts a request and records whether it met the latency objective of its class. Requests whose caller went
+// away are counted, but not recorded against the objective: they are no miss.
 func (sv *Server) recordObjective(rq *request, err error) {
 	sv.incCounter(fmt.Sprintf("requests_total{class=%q}", rq.class.Name))
 	if err != nil && failure.FromError(err).Code == failure.CallerGone {
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// enginePriority returns the priority of a request in the engine's queue: higher for higher classes and, within a class, for
-// shorter prompts. It is 0 if the policy does not use priorities.
+// enginePriority returns the priority of a request in the engine's queue: higher for classes of higher priority and, within
+// a class, for shorter prompts. It is 0 if the policy does not use priorities.
 func (sv *Server) enginePriority(rq *request) int {
 	if !sv.Router.Policy().Priorities {
 		return 0
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -67,7 +67,7 @@
 	Service func(t fleet.Target, r *http.Request) (*http.Response, error)
 }
 
-// Limits are the limits of a Server on requests.
+// Limits bound the requests that a Server accepts and runs.
 type Limits struct {
 	// MaxBodyBytes bounds one body.
 	MaxBodyBytes int64
@@ -92,8 +92,8 @@
 	mu sync.Mutex
 	// inFlightByOrganisation counts the requests in flight by organisation. Entries at zero are removed.
 	inFlightByOrganisation map[string]int
-	// mounted holds the handlers of other duties by path prefix. The map is replaced as a whole and never modified, so that it
-	// can be read without mu.
+	// mounted holds the handlers of other duties by path prefix. The map is replaced as a whole and never modified, so that
+	// requests can iterate over it without holding mu.
 	mounted map[string]http.Handler
 }
 
--- a/internal/session/client_test.go
+++ b/internal/session/client_test.go
@@ -12,7 +12,7 @@
 	"github.com/silvermount/silvermount/internal/localfleet"
 )
 
-// response is a response with its complete body, and the code and outcome of its error object, if any.
+// response is an HTTP response with its complete body, and the code and outcome of its error object, if any.
 type response struct {
 	status  int
 	body    string
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -83,10 +83,10 @@
 	one, two := lf.URLs()[0], lf.URLs()[1]
 	tr := &transcript{t: t}
 	tr.call("models", http.MethodGet, one, "/v1/models", nil)
-	tr.call("completion", http.MethodPost, one, "/v1/completions", completion("burst main in Heol Fawr", 3, false))
+	tr.call("plain completion", http.MethodPost, one, "/v1/completions", completion("burst main in Heol Fawr", 3, false))
 	tr.call("same prompt as a stream", http.MethodPost, two, "/v1/completions", completion("burst main in Heol Fawr", 3, true))
 	chat := []byte(`{"model":"address","messages":[{"role":"user","content":"where is valve 7"}],"max_tokens":2}`)
-	tr.call("chat completion", http.MethodPost, one, "/v1/chat/completions", chat)
+	tr.call("chat", http.MethodPost, one, "/v1/chat/completions", chat)
 	tr.call("unknown bearer key", http.MethodGet, one, "/v1/models", nil, "Authorization", "Bearer wrong")
 	tr.call("unknown class", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderClass, "none")
 	tr.call("unknown model", http.MethodPost, one, "/v1/completions", []byte(`{"model":"none"}`))
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -45,8 +45,8 @@
 	return stopped
 }
 
-// dialBlockedOperator returns a connection to the operators' listener that sends requests and reads no responses, until the
-// instance can write no more.
+// dialBlockedOperator returns a connection to the operators' listener on which it sends requests without
+// reading responses until the instance is blocked in writing them.
 func dialBlockedOperator(t *testing.T, in *instance.Instance) net.Conn {
 	t.Helper()
 	const writeTimeout = time.Second
@@ -102,7 +102,7 @@
 // TestStopCompletesDespiteOperatorNotReading stops an instance while an operator has requested the metrics and does not read
 // them.
 //
-// It guards against an instance that has served its last caller, does not end, and is killed before it removes its entry. That
+// It guards against an instance that has served its last caller, does not end, and is killed before it removes its entry from the store. That
 // happens if the stop of the operators' listener waits for the last response without a bound.
 func TestStopCompletesDespiteOperatorNotReading(t *testing.T) {
 	g := NewWithT(t)
@@ -144,7 +144,7 @@
 		status        int
 		want          claim.State
 	}{
-		"service responds":             {status: http.StatusOK, want: claim.Done},
+		"answered":                     {status: http.StatusOK, want: claim.Done},
 		"service drops the connection": {dropsAfterRun: 1, status: http.StatusBadGateway, want: claim.Lost},
 	}
 	for name, tc := range tests {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -91,14 +91,14 @@
 	if err != nil {
 		return nil, &ExchangeError{Sent: false, Cause: err}
 	}
-	detach := context.AfterFunc(ctx, func() { cn.handleContextDone(ctx) })
+	detachContext := context.AfterFunc(ctx, func() { cn.handleContextDone(ctx) })
 	if err := ca.checkBeforeSend(ctx); err != nil {
-		detach()
+		detachContext()
 		pl.discard(ca.Address, cn)
 		return nil, &ExchangeError{Sent: false, Cause: err}
 	}
 	rs := &Response{
-		pool: pl, address: ca.Address, cn: cn, detachContext: detach, writeDone: make(chan struct{}), writeSucceeded: new(bool),
+		pool: pl, address: ca.Address, cn: cn, detachContext: detachContext, writeDone: make(chan struct{}), writeSucceeded: new(bool),
 	}
 	req := ca.httpRequest()
 	readBefore := cn.bytesRead.Load()
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -65,7 +65,7 @@
 		"unexpected response": func(nc net.Conn) { writeResponse(nc, "/2", "surplus") },
 		"one unexpected byte": func(nc net.Conn) { fmt.Fprint(nc, "\n") },
 		"reset": func(nc net.Conn) {
-			_ = nc.(*net.TCPConn).SetLinger(0) // if this fails, the connection closes orderly, which serves the test as well
+			_ = nc.(*net.TCPConn).SetLinger(0) // if this fails, the connection closes without a reset, which also suits the test
 			nc.Close()
 		},
 	}
@@ -246,12 +246,12 @@
 	}
 }
 
-// resetOnClose makes a target reset connections in place of closing them orderly.
+// resetOnClose makes a target reset connections instead of closing them without a reset.
 func resetOnClose(respond func(net.Conn, *http.Request, string) bool) func(net.Conn, *http.Request, string) bool {
 	return func(nc net.Conn, rq *http.Request, body string) bool {
 		keepOpen := respond(nc, rq, body)
 		if tc, ok := nc.(*net.TCPConn); ok && !keepOpen {
-			_ = tc.SetLinger(0) // if this fails, the connection closes orderly, which serves the test as well
+			_ = tc.SetLinger(0) // if this fails, the connection closes without a reset, which also suits the test
 		}
 		return keepOpen
 	}
--- a/internal/upstream/stall_test.go
+++ b/internal/upstream/stall_test.go
@@ -78,8 +78,8 @@
 		stall time.Duration
 		want  bool
 	}{
-		"no stall": {0, false},
-		"stall":    {time.Second, true},
+		"no stall":      {0, false},
+		"process stall": {time.Second, true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
