--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -102,8 +102,8 @@
 // TestStopCompletesDespiteOperatorNotReading stops an instance while an operator has requested the metrics and does not read
 // them.
 //
-// It guards against an instance that has served its last caller, does not end, and is killed before it removes its entry from the store. That
-// happens if the stop of the operators' listener waits for the last response without a bound.
+// It guards against an instance that has served its last caller, does not end, and is killed before it removes its entry from
+// the store. That happens if the stop of the operators' listener waits for the last response without a bound.
 func TestStopCompletesDespiteOperatorNotReading(t *testing.T) {
 	g := NewWithT(t)
 	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200)})
