--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -126,8 +126,8 @@
 	ctx, cancel := context.WithTimeout(ctx, total)
 	defer cancel()
 	answers := total - min(finalAnswersTime, st.Drain.Std()/2)
-	err := drain.Plan{BalancerLag: lag, AbortAfter: answers, Abort: sv.GiveUp, Timeout: total}.Run(ctx, srv)
-	return errors.CombineErrors(err, errors.Wrap(sv.Settled(ctx), "record results"))
+	err := drain.Plan{BalancerLag: lag, AbortAfter: answers, Abort: sv.AbortInFlight, Timeout: total}.Run(ctx, srv)
+	return errors.CombineErrors(err, errors.Wrap(sv.WaitForRecords(ctx), "record results"))
 }
 
 // newDeps collects the dependencies of the callers' server.
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -84,7 +84,7 @@
 	}
 	ls := newLimitShares(env, pt, mesh, rt)
 	sv.runPeriodically(func() {
-		pt.Pool.Sweep()
+		pt.Pool.EvictExpired()
 		pt.RateLimits.Prune(pt.Targets.TakesWork)
 		pt.BackOffs.Prune(pt.Targets.TakesWork)
 		ls.update()
--- a/internal/duty/frontend/shares.go
+++ b/internal/duty/frontend/shares.go
@@ -60,7 +60,7 @@
 	if tb == nil {
 		return
 	}
-	ls.pool.SetIdle(idleLimit(tb.Services(), ls.maxLive))
+	ls.pool.SetMaxIdle(idleLimit(tb.Services(), ls.maxLive))
 }
 
 // maxIdlePerTarget is the number of idle connections to one target beyond which an instance has no use for more, even if the target
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -63,7 +63,7 @@
 			err = f(ctx, who, w, r)
 		}
 		if err != nil {
-			serve.Fail(w, toFailure(err))
+			serve.WriteError(w, toFailure(err))
 		}
 	}
 }
@@ -80,20 +80,20 @@
 		path = defaultPath
 	}
 	now := time.Now()
-	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.Limit)}
-	if err := mg.server.CheckJob(j); err != nil {
+	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.MaxDuration)}
+	if err := mg.server.ValidateJob(j); err != nil {
 		return err
 	}
 	v, err := mg.store.Add(ctx, job.Record{
-		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, Never: who.Never,
-		Created: now, Deadline: now.Add(who.Limit), State: job.Queued,
+		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, Never: who.AtMostOnce,
+		Created: now, Deadline: now.Add(who.MaxDuration), State: job.Queued,
 	}, body)
 	if err != nil {
 		// The store may have the record although its answer was lost. Then the job runs, and the list shows it.
 		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store has the job").
 			WithCause(err).WithRetryAfter(time.Second)
 	}
-	serve.JSON(w, v.Record)
+	serve.WriteJSON(w, v.Record)
 	return nil
 }
 
@@ -121,7 +121,7 @@
 			list.Data = append(list.Data, v.Record)
 		}
 	}
-	serve.JSON(w, list)
+	serve.WriteJSON(w, list)
 	return nil
 }
 
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	serve.JSON(w, v.Record)
+	serve.WriteJSON(w, v.Record)
 	return nil
 }
 
@@ -175,6 +175,6 @@
 		run.cancel()
 	}
 	mg.mu.Unlock()
-	serve.JSON(w, nv.Record)
+	serve.WriteJSON(w, nv.Record)
 	return nil
 }
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -235,7 +235,7 @@
 		return
 	}
 	ans, err := mg.server.RunJob(ctx, serve.Job{
-		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, Never: v.Never,
+		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, AtMostOnce: v.Never,
 	})
 	mg.recordOutcome(recordCtx, v, ans, err, ctx.Err() != nil)
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -97,7 +97,7 @@
 // recordUnreachable records that no connection to a target could be opened, unless this process was stalled meanwhile.
 func (gw *Gateway) recordUnreachable(tg targets.Target, err error) {
 	var de *upstream.DialError
-	if errors.As(err, &de) && de.HeldUp {
+	if errors.As(err, &de) && de.ProcessStalled {
 		return
 	}
 	if gw.Targets.RecordUnreachable(tg.ID) {
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -17,7 +17,7 @@
 )
 
 // handleResponse forwards a target's response to the caller, or returns why it cannot be forwarded.
-func (gw *Gateway) handleResponse(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) handleResponse(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Response) error {
 	vd := rq.head.Verdict
 	if vd != answer.Misdirected {
 		rq.tried = append(rq.tried, sl.Target.ID)
@@ -67,10 +67,10 @@
 }
 
 // handleShed handles the rejection of a request by a target that did not run it.
-func (gw *Gateway) handleShed(rq *request, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) handleShed(rq *request, sl *dispatch.Slot, an *upstream.Response) error {
 	// The body is short. Reading it to the end allows the connection to be reused.
 	if _, err := io.CopyN(io.Discard, an.Body, maxBufferedBytes); errors.Is(err, io.EOF) {
-		an.Whole()
+		an.MarkComplete()
 	}
 	causeAddress := rq.head.CauseAddress
 	sl.RecordShed(causeAddress)
@@ -102,14 +102,14 @@
 // handlePlain forwards a response that is not a stream. A short response is forwarded only when it is complete, so that the
 // request can still be retried on another target if the response breaks off.
 func (gw *Gateway) handlePlain(
-	ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer, vd answer.Verdict,
+	ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Response, vd answer.Verdict,
 ) error {
 	body, err := io.ReadAll(io.LimitReader(an.Body, maxBufferedBytes))
 	if err != nil {
 		return gw.handleInterrupted(ctx, rq, sl, err)
 	}
 	if len(body) < maxBufferedBytes {
-		an.Whole()
+		an.MarkComplete()
 	}
 	if vd == answer.Failed && gw.shouldRetryFailure(ctx, rq, rw) {
 		gw.recordFailedAttempt(rq, sl.Target, &TargetFailureError{Status: an.StatusCode})
@@ -133,7 +133,7 @@
 
 // forwardPlain forwards the buffered beginning of a response, and then the rest as it is received.
 func (gw *Gateway) forwardPlain(
-	ctx context.Context, rq *request, rw *responseWriter, an *upstream.Answer, body []byte, rest io.Reader,
+	ctx context.Context, rq *request, rw *responseWriter, an *upstream.Response, body []byte, rest io.Reader,
 ) error {
 	copyEndToEndHeaders(rw.w.Header(), an.Header)
 	if len(body) < maxBufferedBytes {
@@ -148,7 +148,7 @@
 		return gw.cancellationError(ctx, rq).WithCause(err)
 	}
 	if len(body) == maxBufferedBytes {
-		an.Whole()
+		an.MarkComplete()
 	}
 	return nil
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -172,7 +172,7 @@
 }
 
 // send sends a request to the chosen target and returns the head of its response.
-func (gw *Gateway) send(ctx context.Context, rq *request, sl *dispatch.Slot) (*upstream.Answer, error) {
+func (gw *Gateway) send(ctx context.Context, rq *request, sl *dispatch.Slot) (*upstream.Response, error) {
 	h := rq.header.Clone()
 	remaining := rq.deadline.At.Sub(gw.Now())
 	at := Attempt{
@@ -184,10 +184,10 @@
 	}
 	gw.Protocol.WriteAttempt(h, at)
 	ca := upstream.Call{
-		Address: sl.Target.Address, Method: rq.method, Target: rq.requestURI, Host: rq.host, Header: h, Body: rq.body,
-		Exclusive: rq.route.Exclusive(),
-		Leave:     func() error { return gw.checkAvailable(sl) },
-		Heard:     func(resp *http.Response) bool { return gw.recordHead(rq, sl.Target, resp) },
+		Address: sl.Target.Address, Method: rq.method, RequestURI: rq.requestURI, Host: rq.host, Header: h, Body: rq.body,
+		AtMostOnce:     rq.route.Exclusive(),
+		BeforeSend:     func() error { return gw.checkAvailable(sl) },
+		AcceptResponse: func(resp *http.Response) bool { return gw.recordHead(rq, sl.Target, resp) },
 	}
 	gw.logSent(rq, sl)
 	rq.excluded = append(rq.excluded, sl.Target.ID)
@@ -225,7 +225,7 @@
 	if errors.As(err, &ue) && ctx.Err() == nil {
 		return gw.skipTarget(rq, sl, ue)
 	}
-	var se *upstream.SendError
+	var se *upstream.ExchangeError
 	if errors.As(err, &se) && !se.Sent {
 		if ctx.Err() != nil {
 			return gw.cancellationError(ctx, rq)
@@ -242,7 +242,7 @@
 		gw.logCancelled(rq, sl.Target, fe)
 		return fe
 	}
-	if se != nil && se.Forgotten {
+	if se != nil && se.StaleConnection {
 		// The loss of an idle connection says nothing about the health of the target. If the target has crashed, it accepts no
 		// new connection.
 		gw.logAttemptFailed(rq, sl.Target, err, true)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -17,7 +17,7 @@
 // respond in time.
 func (gw *Gateway) sendWithSilenceTimeout(
 	ctx context.Context, rq *request, sl *dispatch.Slot, ca upstream.Call,
-) (*upstream.Answer, error) {
+) (*upstream.Response, error) {
 	timeout := gw.silenceTimeout(rq, sl)
 	if timeout <= 0 {
 		return gw.Pool.Do(ctx, ca)
@@ -32,7 +32,7 @@
 		cancel(&SilentTargetError{After: timeout})
 		return true
 	})
-	ca.Sending = sw.setReceived
+	ca.OnSend = sw.setReceived
 	an, err := gw.Pool.Do(ctx, ca)
 	rq.retryTaken = sw.stop()
 	if err != nil {
@@ -99,7 +99,7 @@
 func withSilenceCause(ctx context.Context, err error) error {
 	var se *SilentTargetError
 	if errors.As(context.Cause(ctx), &se) {
-		return &upstream.SendError{Sent: true, Cause: se}
+		return &upstream.ExchangeError{Sent: true, Cause: se}
 	}
 	return err
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -81,7 +81,7 @@
 }
 
 // forwardStream forwards the events of a response as they are received.
-func (gw *Gateway) forwardStream(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer) error {
+func (gw *Gateway) forwardStream(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Response) error {
 	ar := gw.Blame.BeginRun(rq.headHash(), rq.fingerprint)
 	defer ar.End()
 	br := bufio.NewReader(an.Body)
@@ -141,7 +141,7 @@
 }
 
 // forwardEvent sends one event to the caller, after the headers if it is the first.
-func (gw *Gateway) forwardEvent(rq *request, rw *responseWriter, an *upstream.Answer, ev event) error {
+func (gw *Gateway) forwardEvent(rq *request, rw *responseWriter, an *upstream.Response, ev event) error {
 	if !rw.Started() {
 		copyEndToEndHeaders(rw.w.Header(), an.Header)
 		rw.w.Header().Del("Content-Length")
@@ -168,8 +168,8 @@
 
 // finishStream completes a stream that was received to its end. The stream is complete even if the deadline passes at this
 // moment.
-func (gw *Gateway) finishStream(rw *responseWriter, sl *dispatch.Slot, an *upstream.Answer) {
-	an.Whole()
+func (gw *Gateway) finishStream(rw *responseWriter, sl *dispatch.Slot, an *upstream.Response) {
+	an.MarkComplete()
 	gw.Targets.RecordSuccess(sl.Target.ID)
 	if !rw.Started() {
 		copyEndToEndHeaders(rw.w.Header(), an.Header)
@@ -180,7 +180,7 @@
 // stallWatchdog breaks off a stream that has stalled, but only while the stream can continue on another target. A stall alone
 // is no reason to end a response before its deadline. It is safe for concurrent use.
 type stallWatchdog struct {
-	an      *upstream.Answer
+	an      *upstream.Response
 	timeout time.Duration
 	// takeRetry reports whether the stream may be broken off, after it has taken the retry to continue it on another target.
 	takeRetry func(silence time.Duration) bool
@@ -196,7 +196,7 @@
 }
 
 // startStallWatchdog starts a watchdog for a stream whose head has been received.
-func startStallWatchdog(an *upstream.Answer, timeout time.Duration, takeRetry func(silence time.Duration) bool) *stallWatchdog {
+func startStallWatchdog(an *upstream.Response, timeout time.Duration, takeRetry func(silence time.Duration) bool) *stallWatchdog {
 	wd := &stallWatchdog{an: an, timeout: timeout, takeRetry: takeRetry, lastEventAt: time.Now()}
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
@@ -215,7 +215,7 @@
 	if wd.stopped {
 		return
 	}
-	if wd.an.Waits() {
+	if wd.an.HasUnreadData() {
 		// Data is waiting to be read, so the target is not silent: this process or the caller is slow.
 		wd.timer.Reset(stallRecheckInterval)
 		return
@@ -225,7 +225,7 @@
 		return
 	}
 	wd.fired = true
-	wd.an.Break()
+	wd.an.Abort()
 }
 
 // stallRecheckInterval is the time until a stalled stream that could not move is checked again: a few forward passes of an
