--- a/internal/fleet/asked.go
+++ b/internal/fleet/asked.go
@@ -60,4 +60,4 @@
 }
 
 // shortBands is the number of length bands whose prompts are asked for one by one.
-const shortBands = policy.Bands - 1
+const shortBands = policy.NumLengthBands - 1
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -58,7 +58,7 @@
 	// Requests counts attempts.
 	Requests int
 	// Prefill is prompt tokens without a first token yet, by length band.
-	Prefill [policy.Bands]int
+	Prefill [policy.NumLengthBands]int
 	// Memory is KV memory in tokens.
 	Memory int
 	// Long counts long prompts.
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -52,7 +52,7 @@
 func work(u *peerpb.Usage) fleet.Work {
 	wk := fleet.Work{Requests: int(u.GetRequests()), Memory: int(u.GetMemory()), Long: int(u.GetLong())}
 	for i, p := range u.GetPrefill() {
-		if i < policy.Bands {
+		if i < policy.NumLengthBands {
 			wk.Prefill[i] = int(p)
 		}
 	}
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -25,7 +25,7 @@
 func TestChooseShort(t *testing.T) {
 	short := policy.Request{Tokens: 1_000}
 	busyLong := func(ca *policy.Candidate) {
-		ca.AllLong, ca.AllPrefill[policy.Bands-1] = 1, 500_000
+		ca.AllLong, ca.AllPrefill[policy.NumLengthBands-1] = 1, 500_000
 	}
 	tests := map[string]struct {
 		change  func(i int, ca *policy.Candidate)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -8,10 +8,10 @@
 )
 
 // Bands is the number of length bands into which prompts fall, shortest first.
-const Bands = 4
+const NumLengthBands = 4
 
 // bandLimits are the lengths in tokens from which the next band starts.
-var bandLimits = [Bands - 1]int{8_000, 32_000, 100_000}
+var bandLimits = [NumLengthBands - 1]int{8_000, 32_000, 100_000}
 
 // Band returns the length band of a prompt.
 func Band(tokens int) int {
@@ -20,7 +20,7 @@
 			return i
 		}
 	}
-	return Bands - 1
+	return NumLengthBands - 1
 }
 
 // Request is what a policy knows of a request.
@@ -40,9 +40,9 @@
 	Name string
 	// OwnRequests and OwnPrefill are what this instance has in flight.
 	OwnRequests int
-	OwnPrefill  [Bands]int
+	OwnPrefill  [NumLengthBands]int
 	// AllPrefill, AllLong and AllMemory include what peers have in flight, as last heard.
-	AllPrefill [Bands]int
+	AllPrefill [NumLengthBands]int
 	AllLong    int
 	AllMemory  int
 	// ReportedPrefill is the engine's own figure, which lags behind.
@@ -184,7 +184,7 @@
 }
 
 // Ahead returns the tokens that run before a prompt of the given band where shorter bands go first.
-func Ahead(prefill [Bands]int, band int) int {
+func Ahead(prefill [NumLengthBands]int, band int) int {
 	sum := 0
 	for b := 0; b <= band; b++ {
 		sum += prefill[b]
@@ -193,4 +193,4 @@
 }
 
 // Total returns the tokens over all bands.
-func Total(prefill [Bands]int) int { return Ahead(prefill, Bands-1) }
+func Total(prefill [NumLengthBands]int) int { return Ahead(prefill, NumLengthBands-1) }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -70,7 +70,7 @@
 		}
 		prefill := fleet.Work{Prefill: pl.work.Prefill}
 		pl.fl.End(pl.Target.Name, prefill)
-		pl.work.Prefill = [policy.Bands]int{}
+		pl.work.Prefill = [policy.NumLengthBands]int{}
 	})
 }
 
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -65,7 +65,7 @@
 		return 0
 	}
 	band := policy.Band(len(rq.body) / engine.BytesPerToken)
-	return rq.class.Priority*policy.Bands + policy.Bands - 1 - band
+	return rq.class.Priority*policy.NumLengthBands + policy.NumLengthBands - 1 - band
 }
 
 // startFailed tells what is known after an attempt that got no answer.
