--- a/internal/fleet/asked.go
+++ b/internal/fleet/asked.go
@@ -30,7 +30,7 @@
 	}
 	work := time.Duration(float64(tokens) / rate * float64(time.Second))
 	kt.asked[k] = asked{
-		tokens: tokens, band: policy.Band(tokens),
+		tokens: tokens, band: policy.LengthBand(tokens),
 		until: fl.now().Add(time.Duration(float64(wait+work) * askedShare)),
 	}
 }
--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -29,7 +29,7 @@
 
 // chooseShort counts the extra time beside a long prompt, since an engine does not break off a step.
 func chooseShort(in policy.Input) policy.Decision {
-	band := policy.Band(in.Request.Tokens)
+	band := policy.LengthBand(in.Request.Tokens)
 	best, wait := policy.Least(len(in.Candidates), in.Turn, func(i int) time.Duration {
 		ca := in.Candidates[i]
 		if !ca.Fits(in.Request) {
@@ -51,7 +51,7 @@
 
 func chooseLong(in policy.Input) policy.Decision {
 	lanes := LaneTargets(in)
-	band := policy.Band(in.Request.Tokens)
+	band := policy.LengthBand(in.Request.Tokens)
 	best, wait := policy.Least(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
 		if !lanes[i] || !ca.Fits(in.Request) || ca.AllLong >= in.Limits.LongPerTarget {
--- a/internal/policy/peerwait/peerwait.go
+++ b/internal/policy/peerwait/peerwait.go
@@ -17,7 +17,7 @@
 
 // Choose takes the candidate whose prompts ahead take the least time; targets without room are left out.
 func Choose(in policy.Input) policy.Decision {
-	band := policy.Band(in.Request.Tokens)
+	band := policy.LengthBand(in.Request.Tokens)
 	best, wait := policy.Least(len(in.Candidates), in.Turn, func(i int) time.Duration {
 		ca := in.Candidates[i]
 		if !ca.Fits(in.Request) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -14,7 +14,7 @@
 var bandLimits = [NumLengthBands - 1]int{8_000, 32_000, 100_000}
 
 // Band returns the length band of a prompt.
-func Band(tokens int) int {
+func LengthBand(tokens int) int {
 	for i, limit := range bandLimits {
 		if tokens < limit {
 			return i
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -278,7 +278,7 @@
 
 func workOf(rq policy.Request, borrowed int) fleet.Work {
 	wk := fleet.Work{Requests: 1, Memory: rq.Memory() - borrowed}
-	wk.Prefill[policy.Band(rq.Tokens)] = rq.Tokens
+	wk.Prefill[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
 		wk.Long = 1
 	}
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -27,7 +27,7 @@
 	if a.ask.Priority != b.ask.Priority {
 		return b.ask.Priority - a.ask.Priority
 	}
-	if d := policy.Band(a.ask.Request.Tokens) - policy.Band(b.ask.Request.Tokens); d != 0 {
+	if d := policy.LengthBand(a.ask.Request.Tokens) - policy.LengthBand(b.ask.Request.Tokens); d != 0 {
 		return d
 	}
 	return a.ask.Deadline.Compare(b.ask.Deadline)
@@ -99,7 +99,7 @@
 }
 
 func sameQueue(a, b *waiter) bool {
-	return policy.Band(a.ask.Request.Tokens) == policy.Band(b.ask.Request.Tokens) &&
+	return policy.LengthBand(a.ask.Request.Tokens) == policy.LengthBand(b.ask.Request.Tokens) &&
 		a.ask.Wanted.Model == b.ask.Wanted.Model && a.ask.Wanted.Service == b.ask.Wanted.Service
 }
 
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -64,7 +64,7 @@
 	if !sv.Router.Policy().Priorities {
 		return 0
 	}
-	band := policy.Band(len(rq.body) / engine.BytesPerToken)
+	band := policy.LengthBand(len(rq.body) / engine.BytesPerToken)
 	return rq.class.Priority*policy.NumLengthBands + policy.NumLengthBands - 1 - band
 }
 
