--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -21,14 +21,14 @@
 )
 
 // ChooseShort chooses the best owned target for a peer's short prompt.
-type ChooseShort func(model string, rq policy.Request) (target string, wait time.Duration, ok bool)
+type ChooseShort func(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool)
 
 // SetChooseShort sets the choice that answers to peers are made by.
 func (ms *Mesh) SetChooseShort(f ChooseShort) { ms.chooseShort.Store(&f) }
 
 func (ms *Mesh) answerShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
 	ans := &peerpb.ShortAnswer{Id: ask.GetId()}
-	rq := policy.Request{Tokens: int(ask.GetTokens()), Output: int(ask.GetOutput())}
+	rq := policy.Prompt{Tokens: int(ask.GetTokens()), Output: int(ask.GetOutput())}
 	if choose := ms.chooseShort.Load(); choose != nil && !ms.stopping() {
 		if target, wait, ok := (*choose)(ask.GetModel(), rq); ok {
 			ans.Target, ans.WaitMicros = target, uint32(min(wait, maxAge).Microseconds())
@@ -39,7 +39,7 @@
 }
 
 // AskShort asks some other owners, of this availability zone where there are any, and returns what they offer in time.
-func (ms *Mesh) AskShort(ctx context.Context, model string, rq policy.Request) []offer.Offer {
+func (ms *Mesh) AskShort(ctx context.Context, model string, rq policy.Prompt) []offer.Offer {
 	ctx, cancel := context.WithTimeout(ctx, shortTimeout)
 	defer cancel()
 	links := ms.someOwners(model)
@@ -74,7 +74,7 @@
 	return links
 }
 
-func (lk *link) askShort(ctx context.Context, id uint64, model string, rq policy.Request) offer.Offer {
+func (lk *link) askShort(ctx context.Context, id uint64, model string, rq policy.Prompt) offer.Offer {
 	ch := make(chan *peerpb.ShortAnswer, 1)
 	lk.mu.Lock()
 	lk.shorts[id] = ch
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -10,7 +10,7 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-func input(n int, rq policy.Request, change func(i int, ca *policy.Candidate)) policy.Input {
+func input(n int, rq policy.Prompt, change func(i int, ca *policy.Candidate)) policy.Input {
 	in := policy.Input{Request: rq, Limits: policy.Limits{LongPerTarget: 1, LongShare: 0.4}}
 	for i := range n {
 		ca := policy.Candidate{Name: fmt.Sprintf("e%d", i), Rate: 10_000, MemoryTotal: 1000_000, BesideLong: time.Second}
@@ -23,7 +23,7 @@
 }
 
 func TestChooseShort(t *testing.T) {
-	short := policy.Request{Tokens: 1_000}
+	short := policy.Prompt{Tokens: 1_000}
 	busyLong := func(ca *policy.Candidate) {
 		ca.AllLong, ca.AllPrefill[policy.NumLengthBands-1] = 1, 500_000
 	}
@@ -66,7 +66,7 @@
 }
 
 func TestLongPromptsKeepToTheirTargets(t *testing.T) {
-	long := policy.Request{Tokens: 200_000, Long: true}
+	long := policy.Prompt{Tokens: 200_000, Long: true}
 	tests := map[string]struct {
 		follows bool
 		demand  policy.Demand
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -24,7 +24,7 @@
 }
 
 // Request is what a policy knows of a request.
-type Request struct {
+type Prompt struct {
 	// Tokens is the length of the prompt, Output the bound on generated tokens.
 	Tokens, Output int
 	// Long is set from the configured length on.
@@ -32,7 +32,7 @@
 }
 
 // Memory returns the KV memory that the request takes, in tokens.
-func (rq Request) Memory() int { return rq.Tokens + rq.Output }
+func (rq Prompt) Memory() int { return rq.Tokens + rq.Output }
 
 // Candidate is one target that could take the request, as far as this instance knows.
 type Candidate struct {
@@ -58,7 +58,7 @@
 }
 
 // Fits reports whether the request's memory is free, as far as known.
-func (ca Candidate) Fits(rq Request) bool {
+func (ca Candidate) Fits(rq Prompt) bool {
 	return ca.MemoryTotal == 0 || ca.AllMemory+rq.Memory() <= ca.MemoryTotal
 }
 
@@ -77,7 +77,7 @@
 
 // Input is all that a decision rests on.
 type Input struct {
-	Request Request
+	Request Prompt
 	// Candidates are in a fixed order and never empty.
 	Candidates []Candidate
 	Limits     Limits
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -32,7 +32,7 @@
 // Ask is a request for a place to run.
 type Ask struct {
 	// Request is what the policy sees.
-	Request policy.Request
+	Request policy.Prompt
 	// Wanted selects targets.
 	Wanted fleet.Wanted
 	// Priority is that of the class; higher goes first.
@@ -109,7 +109,7 @@
 	// Grant asks the owner of a target for room for a long prompt; nil grants always.
 	Grant func(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool)
 	// AskShort asks other owners for a place for a short prompt; nil asks nobody.
-	AskShort func(ctx context.Context, model string, rq policy.Request) []offer.Offer
+	AskShort func(ctx context.Context, model string, rq policy.Prompt) []offer.Offer
 	// Borrow reserves memory on the main and other engines for a prompt larger than one.
 	Borrow func(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error)
 }
@@ -276,7 +276,7 @@
 	return pl, nil
 }
 
-func workOf(rq policy.Request, borrowed int) fleet.Work {
+func workOf(rq policy.Prompt, borrowed int) fleet.Work {
 	wk := fleet.Work{Requests: 1, Memory: rq.Memory() - borrowed}
 	wk.Prefill[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -63,9 +63,9 @@
 	}
 }
 
-func (rq *request) policyRequest(longTokens int) policy.Request {
+func (rq *request) policyRequest(longTokens int) policy.Prompt {
 	tokens := max(1, len(rq.body)/engine.BytesPerToken)
-	return policy.Request{Tokens: tokens, Output: rq.output(), Long: tokens >= longTokens}
+	return policy.Prompt{Tokens: tokens, Output: rq.output(), Long: tokens >= longTokens}
 }
 
 // open reads everything of a request but its body.
