--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -32,7 +32,7 @@
 }
 
 // Memory returns the KV memory that the request takes, in tokens.
-func (rq Prompt) Memory() int { return rq.Tokens + rq.Output }
+func (pr Prompt) Memory() int { return pr.Tokens + pr.Output }
 
 // Candidate is one target that could take the request, as far as this instance knows.
 type Candidate struct {
