--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -28,7 +28,7 @@
 
 func (ms *Mesh) answerShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
 	ans := &peerpb.ShortAnswer{Id: ask.GetId()}
-	rq := policy.Prompt{Tokens: int(ask.GetTokens()), Output: int(ask.GetOutput())}
+	rq := policy.Prompt{Tokens: int(ask.GetTokens()), MaxOutputTokens: int(ask.GetOutput())}
 	if choose := ms.chooseShort.Load(); choose != nil && !ms.stopping() {
 		if target, wait, ok := (*choose)(ask.GetModel(), rq); ok {
 			ans.Target, ans.WaitMicros = target, uint32(min(wait, maxAge).Microseconds())
@@ -79,7 +79,7 @@
 	lk.mu.Lock()
 	lk.shorts[id] = ch
 	lk.mu.Unlock()
-	ask := &peerpb.ShortAsk{Id: id, Model: model, Tokens: uint32(rq.Tokens), Output: uint32(rq.Output)}
+	ask := &peerpb.ShortAsk{Id: id, Model: model, Tokens: uint32(rq.Tokens), Output: uint32(rq.MaxOutputTokens)}
 	if lk.out.Offer(&peerpb.Frame{Kind: &peerpb.Frame_ShortAsk{ShortAsk: ask}}) {
 		select {
 		case ans := <-ch:
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -26,13 +26,13 @@
 // Request is what a policy knows of a request.
 type Prompt struct {
 	// Tokens is the length of the prompt, Output the bound on generated tokens.
-	Tokens, Output int
+	Tokens, MaxOutputTokens int
 	// Long is set from the configured length on.
 	Long bool
 }
 
 // Memory returns the KV memory that the request takes, in tokens.
-func (pr Prompt) Memory() int { return pr.Tokens + pr.Output }
+func (pr Prompt) Memory() int { return pr.Tokens + pr.MaxOutputTokens }
 
 // Candidate is one target that could take the request, as far as this instance knows.
 type Candidate struct {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -300,7 +300,7 @@
 	if need <= largest || rt.opts.Borrow == nil {
 		return 0
 	}
-	in.Request.Tokens, in.Request.Output = largest/room.LendPart, 0
+	in.Request.Tokens, in.Request.MaxOutputTokens = largest/room.LendPart, 0
 	return need
 }
 
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -65,7 +65,7 @@
 
 func (rq *request) policyRequest(longTokens int) policy.Prompt {
 	tokens := max(1, len(rq.body)/engine.BytesPerToken)
-	return policy.Prompt{Tokens: tokens, Output: rq.output(), Long: tokens >= longTokens}
+	return policy.Prompt{Tokens: tokens, MaxOutputTokens: rq.output(), Long: tokens >= longTokens}
 }
 
 // open reads everything of a request but its body.
