--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -32,7 +32,7 @@
 }
 
 // Memory returns the KV memory that the request takes, in tokens.
-func (pr Prompt) Memory() int { return pr.Tokens + pr.MaxOutputTokens }
+func (pr Prompt) MemoryTokens() int { return pr.Tokens + pr.MaxOutputTokens }
 
 // Candidate is one target that could take the request, as far as this instance knows.
 type Candidate struct {
@@ -59,7 +59,7 @@
 
 // Fits reports whether the request's memory is free, as far as known.
 func (ca Candidate) Fits(rq Prompt) bool {
-	return ca.MemoryTotal == 0 || ca.AllMemory+rq.Memory() <= ca.MemoryTotal
+	return ca.MemoryTotal == 0 || ca.AllMemory+rq.MemoryTokens() <= ca.MemoryTotal
 }
 
 // Work returns the time that prompt tokens take on the target.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -277,7 +277,7 @@
 }
 
 func workOf(rq policy.Prompt, borrowed int) fleet.Work {
-	wk := fleet.Work{Requests: 1, Memory: rq.Memory() - borrowed}
+	wk := fleet.Work{Requests: 1, Memory: rq.MemoryTokens() - borrowed}
 	wk.Prefill[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
 		wk.Long = 1
@@ -296,7 +296,7 @@
 		}
 		largest = max(largest, ca.MemoryTotal)
 	}
-	need := in.Request.Memory()
+	need := in.Request.MemoryTokens()
 	if need <= largest || rt.opts.Borrow == nil {
 		return 0
 	}
