--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -21,7 +21,7 @@
 
 // Choose packs long prompts on targets that already hold one, up to the limits, and spreads short ones over the rest.
 func Choose(in policy.Input) policy.Decision {
-	if in.Request.Long {
+	if in.Prompt.Long {
 		return chooseLong(in)
 	}
 	return chooseShort(in)
@@ -29,10 +29,10 @@
 
 // chooseShort counts the extra time beside a long prompt, since an engine does not break off a step.
 func chooseShort(in policy.Input) policy.Decision {
-	band := policy.LengthBand(in.Request.Tokens)
+	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.Least(len(in.Candidates), in.Turn, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !ca.Fits(in.Request) {
+		if !ca.Fits(in.Prompt) {
 			return -1
 		}
 		cost := ca.Work(policy.Ahead(ca.AllPrefill, band))
@@ -51,10 +51,10 @@
 
 func chooseLong(in policy.Input) policy.Decision {
 	lanes := LaneTargets(in)
-	band := policy.LengthBand(in.Request.Tokens)
+	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.Least(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !lanes[i] || !ca.Fits(in.Request) || ca.AllLong >= in.Limits.LongPerTarget {
+		if !lanes[i] || !ca.Fits(in.Prompt) || ca.AllLong >= in.Limits.LongPerTarget {
 			return -1
 		}
 		return ca.Work(policy.Ahead(ca.AllPrefill, band))
--- a/internal/policy/peerwait/peerwait.go
+++ b/internal/policy/peerwait/peerwait.go
@@ -17,10 +17,10 @@
 
 // Choose takes the candidate whose prompts ahead take the least time; targets without room are left out.
 func Choose(in policy.Input) policy.Decision {
-	band := policy.LengthBand(in.Request.Tokens)
+	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.Least(len(in.Candidates), in.Turn, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !ca.Fits(in.Request) {
+		if !ca.Fits(in.Prompt) {
 			return -1
 		}
 		return ca.Work(policy.Ahead(ca.AllPrefill, band))
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -77,7 +77,7 @@
 
 // Input is all that a decision rests on.
 type Input struct {
-	Request Prompt
+	Prompt Prompt
 	// Candidates are in a fixed order and never empty.
 	Candidates []Candidate
 	Limits     Limits
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -245,7 +245,7 @@
 			WithRetryAfter(time.Second)
 	}
 	in := policy.Input{
-		Request: ask.Request, Candidates: vw.Candidates, Limits: rt.opts.Limits, Turn: rt.turn.Add(1),
+		Prompt: ask.Request, Candidates: vw.Candidates, Limits: rt.opts.Limits, Turn: rt.turn.Add(1),
 	}
 	if rt.opts.Policy.Demand {
 		in.Demand, in.Follows = rt.demand(ask), true
@@ -296,11 +296,11 @@
 		}
 		largest = max(largest, ca.MemoryTotal)
 	}
-	need := in.Request.MemoryTokens()
+	need := in.Prompt.MemoryTokens()
 	if need <= largest || rt.opts.Borrow == nil {
 		return 0
 	}
-	in.Request.Tokens, in.Request.MaxOutputTokens = largest/room.LendPart, 0
+	in.Prompt.Tokens, in.Prompt.MaxOutputTokens = largest/room.LendPart, 0
 	return need
 }
 
