--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -67,7 +67,7 @@
 func LaneTargets(in policy.Input) []bool {
 	n := len(in.Candidates)
 	count := min(n, max(1, int(math.Round(in.Limits.LongShare*float64(n)))))
-	if in.Follows {
+	if in.HasDemand {
 		count = demanded(in, count)
 	}
 	order := make([]int, n)
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -83,7 +83,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			in := input(10, long, nil)
-			in.Follows, in.Demand = tc.follows, tc.demand
+			in.HasDemand, in.Demand = tc.follows, tc.demand
 			marked := 0
 			for i, m := range LaneTargets(in) {
 				if m {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -84,7 +84,7 @@
 	// Demand is set for policies that follow it.
 	Demand Demand
 	// Follows is set for policies that follow the demand.
-	Follows bool
+	HasDemand bool
 	// Turn grows with every decision of this instance, from a start of its own.
 	Turn uint64
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -248,7 +248,7 @@
 		Prompt: ask.Request, Candidates: vw.Candidates, Limits: rt.opts.Limits, Turn: rt.turn.Add(1),
 	}
 	if rt.opts.Policy.Demand {
-		in.Demand, in.Follows = rt.demand(ask), true
+		in.Demand, in.HasDemand = rt.demand(ask), true
 	}
 	borrow := rt.borrowing(&in)
 	dec := rt.opts.Policy.Choose(in)
