--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -86,7 +86,7 @@
 	// Follows is set for policies that follow the demand.
 	HasDemand bool
 	// Turn grows with every decision of this instance, from a start of its own.
-	Turn uint64
+	Sequence uint64
 }
 
 // Demand is what arrives, over all instances.
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -81,7 +81,7 @@
 		return "", 0, false
 	}
 	dec := rt.opts.Policy.Choose(policy.Input{
-		Prompt: rq, Candidates: vw.Candidates, Limits: rt.opts.Limits, Turn: rt.turn.Add(1),
+		Prompt: rq, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
 	})
 	if !dec.Run {
 		return "", 0, false
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -245,7 +245,7 @@
 			WithRetryAfter(time.Second)
 	}
 	in := policy.Input{
-		Prompt: ask.Request, Candidates: vw.Candidates, Limits: rt.opts.Limits, Turn: rt.turn.Add(1),
+		Prompt: ask.Request, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
 	}
 	if rt.opts.Policy.Demand {
 		in.Demand, in.HasDemand = rt.demand(ask), true
