--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -35,7 +35,7 @@
 		if !ca.Fits(in.Prompt) {
 			return -1
 		}
-		cost := ca.Work(policy.Ahead(ca.AllPrefill, band))
+		cost := ca.Work(policy.Ahead(ca.InFlightPrefill, band))
 		if Blocked(ca) {
 			cost += ca.BesideLong
 		}
@@ -46,7 +46,7 @@
 
 // Blocked reports whether a long prompt is being computed on the target.
 func Blocked(ca policy.Candidate) bool {
-	return ca.AllLong > 0 && policy.Total(ca.AllPrefill) > policy.Ahead(ca.AllPrefill, 0)
+	return ca.AllLong > 0 && policy.Total(ca.InFlightPrefill) > policy.Ahead(ca.InFlightPrefill, 0)
 }
 
 func chooseLong(in policy.Input) policy.Decision {
@@ -57,7 +57,7 @@
 		if !lanes[i] || !ca.Fits(in.Prompt) || ca.AllLong >= in.Limits.LongPerTarget {
 			return -1
 		}
-		return ca.Work(policy.Ahead(ca.AllPrefill, band))
+		return ca.Work(policy.Ahead(ca.InFlightPrefill, band))
 	})
 	return policy.Decision{Run: best >= 0, Index: max(0, best), Wait: wait}
 }
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -25,7 +25,7 @@
 func TestChooseShort(t *testing.T) {
 	short := policy.Prompt{Tokens: 1_000}
 	busyLong := func(ca *policy.Candidate) {
-		ca.AllLong, ca.AllPrefill[policy.NumLengthBands-1] = 1, 500_000
+		ca.AllLong, ca.InFlightPrefill[policy.NumLengthBands-1] = 1, 500_000
 	}
 	tests := map[string]struct {
 		change  func(i int, ca *policy.Candidate)
@@ -41,13 +41,13 @@
 			busyLong(ca)
 			if i == 1 {
 				*ca = policy.Candidate{Name: ca.Name, Rate: ca.Rate, MemoryTotal: ca.MemoryTotal}
-				ca.AllPrefill[0] = 5_000
+				ca.InFlightPrefill[0] = 5_000
 			}
 		}, wantRun: true, want: 1},
 		"a long queue is worse than a long prompt": {change: func(i int, ca *policy.Candidate) {
-			ca.AllPrefill[0] = 50_000
+			ca.InFlightPrefill[0] = 50_000
 			if i == 0 {
-				ca.AllPrefill[0] = 0
+				ca.InFlightPrefill[0] = 0
 				busyLong(ca)
 			}
 		}, wantRun: true, want: 0},
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -42,9 +42,9 @@
 	OwnRequests int
 	OwnPrefill  [NumLengthBands]int
 	// AllPrefill, AllLong and AllMemory include what peers have in flight, as last heard.
-	AllPrefill [NumLengthBands]int
-	AllLong    int
-	AllMemory  int
+	InFlightPrefill [NumLengthBands]int
+	AllLong         int
+	AllMemory       int
 	// ReportedPrefill is the engine's own figure, which lags behind.
 	ReportedPrefill int
 	// Rate is prompt tokens a second; always positive.
