--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -46,7 +46,7 @@
 
 // Blocked reports whether a long prompt is being computed on the target.
 func Blocked(ca policy.Candidate) bool {
-	return ca.AllLong > 0 && policy.Total(ca.InFlightPrefill) > policy.Ahead(ca.InFlightPrefill, 0)
+	return ca.InFlightLong > 0 && policy.Total(ca.InFlightPrefill) > policy.Ahead(ca.InFlightPrefill, 0)
 }
 
 func chooseLong(in policy.Input) policy.Decision {
@@ -54,7 +54,7 @@
 	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.Least(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !lanes[i] || !ca.Fits(in.Prompt) || ca.AllLong >= in.Limits.LongPerTarget {
+		if !lanes[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.LongPerTarget {
 			return -1
 		}
 		return ca.Work(policy.Ahead(ca.InFlightPrefill, band))
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -25,7 +25,7 @@
 func TestChooseShort(t *testing.T) {
 	short := policy.Prompt{Tokens: 1_000}
 	busyLong := func(ca *policy.Candidate) {
-		ca.AllLong, ca.InFlightPrefill[policy.NumLengthBands-1] = 1, 500_000
+		ca.InFlightLong, ca.InFlightPrefill[policy.NumLengthBands-1] = 1, 500_000
 	}
 	tests := map[string]struct {
 		change  func(i int, ca *policy.Candidate)
@@ -88,7 +88,7 @@
 			for i, m := range LaneTargets(in) {
 				if m {
 					marked++
-					in.Candidates[i].AllLong = 1
+					in.Candidates[i].InFlightLong = 1
 				}
 			}
 			g.Expect(marked).To(Equal(tc.want))
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -43,7 +43,7 @@
 	OwnPrefill  [NumLengthBands]int
 	// AllPrefill, AllLong and AllMemory include what peers have in flight, as last heard.
 	InFlightPrefill [NumLengthBands]int
-	AllLong         int
+	InFlightLong    int
 	AllMemory       int
 	// ReportedPrefill is the engine's own figure, which lags behind.
 	ReportedPrefill int
