--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -280,7 +280,7 @@
 	ca := policy.Candidate{
 		Name:        kt.Name,
 		OwnRequests: kt.own.Requests, OwnPrefill: kt.own.Prefill,
-		InFlightPrefill: all.Prefill, InFlightLong: all.Long, AllMemory: all.Memory,
+		InFlightPrefill: all.Prefill, InFlightLong: all.Long, InFlightMemory: all.Memory,
 		ReportedPrefill: kt.report.PrefillTokens,
 		Rate:            kt.rate, MemoryTotal: kt.report.MemoryTotal,
 	}
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -51,7 +51,7 @@
 				busyLong(ca)
 			}
 		}, wantRun: true, want: 0},
-		"full memory everywhere": {change: func(_ int, ca *policy.Candidate) { ca.AllMemory = ca.MemoryTotal }},
+		"full memory everywhere": {change: func(_ int, ca *policy.Candidate) { ca.InFlightMemory = ca.MemoryTotal }},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -44,7 +44,7 @@
 	// AllPrefill, AllLong and AllMemory include what peers have in flight, as last heard.
 	InFlightPrefill [NumLengthBands]int
 	InFlightLong    int
-	AllMemory       int
+	InFlightMemory  int
 	// ReportedPrefill is the engine's own figure, which lags behind.
 	ReportedPrefill int
 	// Rate is prompt tokens a second; always positive.
@@ -59,7 +59,7 @@
 
 // Fits reports whether the request's memory is free, as far as known.
 func (ca Candidate) Fits(rq Prompt) bool {
-	return ca.MemoryTotal == 0 || ca.AllMemory+rq.MemoryTokens() <= ca.MemoryTotal
+	return ca.MemoryTotal == 0 || ca.InFlightMemory+rq.MemoryTokens() <= ca.MemoryTotal
 }
 
 // Work returns the time that prompt tokens take on the target.
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -114,7 +114,7 @@
 
 // lendable is the memory that an engine can lend and still take short prompts.
 func lendable(ca policy.Candidate) int {
-	return ca.MemoryTotal/LendPart - ca.AllMemory
+	return ca.MemoryTotal/LendPart - ca.InFlightMemory
 }
 
 func (ln *Lender) giveBack(parts []part) {
