--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -282,19 +282,19 @@
 		OwnRequests: kt.own.Requests, OwnPrefill: kt.own.Prefill,
 		InFlightPrefill: all.Prefill, InFlightLong: all.Long, InFlightMemory: all.Memory,
 		ReportedPrefill: kt.report.PrefillTokens,
-		Rate:            kt.rate, MemoryTotal: kt.report.MemoryTotal,
+		PrefillRate:     kt.rate, MemoryTotal: kt.report.MemoryTotal,
 	}
 	if ca.MemoryTotal == 0 {
 		ca.MemoryTotal = kt.summary.MemoryTotal
 		ca.ReportedPrefill = kt.summary.ReportedPrefill
 	}
-	if ca.Rate <= 0 {
-		ca.Rate = kt.summary.Rate
+	if ca.PrefillRate <= 0 {
+		ca.PrefillRate = kt.summary.Rate
 	}
 	ca.BesideLong = fl.besideLong
-	ca.RateKnown = ca.Rate > 0
+	ca.RateKnown = ca.PrefillRate > 0
 	if !ca.RateKnown {
-		ca.Rate = defaultRate
+		ca.PrefillRate = defaultRate
 	}
 	return ca
 }
--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -92,7 +92,7 @@
 func demanded(in policy.Input, most int) int {
 	rate := 0.0
 	for _, ca := range in.Candidates {
-		rate += ca.Rate
+		rate += ca.PrefillRate
 	}
 	n := len(in.Candidates)
 	rate /= float64(n)
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -13,7 +13,7 @@
 func input(n int, rq policy.Prompt, change func(i int, ca *policy.Candidate)) policy.Input {
 	in := policy.Input{Prompt: rq, Limits: policy.Limits{LongPerTarget: 1, LongShare: 0.4}}
 	for i := range n {
-		ca := policy.Candidate{Name: fmt.Sprintf("e%d", i), Rate: 10_000, MemoryTotal: 1000_000, BesideLong: time.Second}
+		ca := policy.Candidate{Name: fmt.Sprintf("e%d", i), PrefillRate: 10_000, MemoryTotal: 1000_000, BesideLong: time.Second}
 		if change != nil {
 			change(i, &ca)
 		}
@@ -40,7 +40,7 @@
 		"a short queue before a long prompt": {change: func(i int, ca *policy.Candidate) {
 			busyLong(ca)
 			if i == 1 {
-				*ca = policy.Candidate{Name: ca.Name, Rate: ca.Rate, MemoryTotal: ca.MemoryTotal}
+				*ca = policy.Candidate{Name: ca.Name, PrefillRate: ca.PrefillRate, MemoryTotal: ca.MemoryTotal}
 				ca.InFlightPrefill[0] = 5_000
 			}
 		}, wantRun: true, want: 1},
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -48,7 +48,7 @@
 	// ReportedPrefill is the engine's own figure, which lags behind.
 	ReportedPrefill int
 	// Rate is prompt tokens a second; always positive.
-	Rate float64
+	PrefillRate float64
 	// RateKnown is false while Rate is only assumed.
 	RateKnown bool
 	// MemoryTotal is zero when not known.
@@ -64,7 +64,7 @@
 
 // Work returns the time that prompt tokens take on the target.
 func (ca Candidate) Work(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / ca.Rate * float64(time.Second))
+	return time.Duration(float64(tokens) / ca.PrefillRate * float64(time.Second))
 }
 
 // Limits are the configured bounds that policies keep.
