--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -292,8 +292,8 @@
 		ca.PrefillRate = kt.summary.Rate
 	}
 	ca.BesideLong = fl.besideLong
-	ca.RateKnown = ca.PrefillRate > 0
-	if !ca.RateKnown {
+	ca.PrefillRateKnown = ca.PrefillRate > 0
+	if !ca.PrefillRateKnown {
 		ca.PrefillRate = defaultRate
 	}
 	return ca
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -50,7 +50,7 @@
 	// Rate is prompt tokens a second; always positive.
 	PrefillRate float64
 	// RateKnown is false while Rate is only assumed.
-	RateKnown bool
+	PrefillRateKnown bool
 	// MemoryTotal is zero when not known.
 	MemoryTotal int
 	// BesideLong is the extra time that a short prompt takes where a long one runs, learnt from what targets do.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -256,7 +256,7 @@
 		return nil, &noRoomError{}
 	}
 	ca := in.Candidates[dec.Index]
-	if need := dec.Wait + ca.Work(ask.Request.Tokens) + admissionMargin; ca.RateKnown && need > left {
+	if need := dec.Wait + ca.Work(ask.Request.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
 		return nil, failure.New(failure.DeadlineTooShort, failure.NotRun, "the first token is expected in %s, past the deadline",
 			need.Round(time.Millisecond)).WithRetryAfter(dec.Wait)
 	}
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -129,7 +129,7 @@
 func (rt *Router) drainTime(ask Ask, tokens int) (need time.Duration, known bool) {
 	sum := 0.0
 	for _, ca := range rt.fl.Candidates(fleet.Wanted{Model: ask.Wanted.Model, Service: ask.Wanted.Service}).Candidates {
-		if ca.RateKnown {
+		if ca.PrefillRateKnown {
 			sum += ca.PrefillRate
 		}
 	}
