--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -291,7 +291,7 @@
 	if ca.PrefillRate <= 0 {
 		ca.PrefillRate = kt.summary.Rate
 	}
-	ca.BesideLong = fl.besideLong
+	ca.InterferenceDelay = fl.besideLong
 	ca.PrefillRateKnown = ca.PrefillRate > 0
 	if !ca.PrefillRateKnown {
 		ca.PrefillRate = defaultRate
--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -37,7 +37,7 @@
 		}
 		cost := ca.Work(policy.Ahead(ca.InFlightPrefill, band))
 		if Blocked(ca) {
-			cost += ca.BesideLong
+			cost += ca.InterferenceDelay
 		}
 		return cost
 	})
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -54,7 +54,7 @@
 	// MemoryTotal is zero when not known.
 	MemoryTotal int
 	// BesideLong is the extra time that a short prompt takes where a long one runs, learnt from what targets do.
-	BesideLong time.Duration
+	InterferenceDelay time.Duration
 }
 
 // Fits reports whether the request's memory is free, as far as known.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -270,7 +270,7 @@
 		alone: ca.Work(ask.Request.Tokens),
 	}
 	if lanes.Blocked(ca) && !ask.Request.Long {
-		pl.besideLong = ca.BesideLong
+		pl.besideLong = ca.InterferenceDelay
 	}
 	rt.fl.Begin(t.Name, pl.work)
 	return pl, nil
