--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -35,7 +35,7 @@
 		if !ca.Fits(in.Prompt) {
 			return -1
 		}
-		cost := ca.Work(policy.Ahead(ca.InFlightPrefill, band))
+		cost := ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
 		if Blocked(ca) {
 			cost += ca.InterferenceDelay
 		}
@@ -57,7 +57,7 @@
 		if !lanes[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.LongPerTarget {
 			return -1
 		}
-		return ca.Work(policy.Ahead(ca.InFlightPrefill, band))
+		return ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
 	})
 	return policy.Decision{Run: best >= 0, Index: max(0, best), Wait: wait}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -63,7 +63,7 @@
 }
 
 // Work returns the time that prompt tokens take on the target.
-func (ca Candidate) Work(tokens int) time.Duration {
+func (ca Candidate) PrefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / ca.PrefillRate * float64(time.Second))
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -256,7 +256,7 @@
 		return nil, &noRoomError{}
 	}
 	ca := in.Candidates[dec.Index]
-	if need := dec.Wait + ca.Work(ask.Request.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
+	if need := dec.Wait + ca.PrefillTime(ask.Request.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
 		return nil, failure.New(failure.DeadlineTooShort, failure.NotRun, "the first token is expected in %s, past the deadline",
 			need.Round(time.Millisecond)).WithRetryAfter(dec.Wait)
 	}
@@ -267,7 +267,7 @@
 	pl := &Place{
 		Target: t, Predicted: dec.Wait, Alone: policy.Total(ca.InFlightPrefill) == 0, Borrowed: borrow,
 		work: workOf(ask.Request, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
-		alone: ca.Work(ask.Request.Tokens),
+		alone: ca.PrefillTime(ask.Request.Tokens),
 	}
 	if lanes.Blocked(ca) && !ask.Request.Long {
 		pl.besideLong = ca.InterferenceDelay
