--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -54,7 +54,7 @@
 	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.Least(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !lanes[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.LongPerTarget {
+		if !lanes[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.MaxLongPerTarget {
 			return -1
 		}
 		return ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -70,7 +70,7 @@
 // Limits are the configured bounds that policies keep.
 type Limits struct {
 	// LongPerTarget bounds long prompts on one target.
-	LongPerTarget int
+	MaxLongPerTarget int
 	// LongShare bounds the share of targets that take long prompts.
 	LongShare float64
 }
