--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -66,7 +66,7 @@
 // Every instance with the same list of targets marks the same ones, so that no message is needed.
 func LaneTargets(in policy.Input) []bool {
 	n := len(in.Candidates)
-	count := min(n, max(1, int(math.Round(in.Limits.LongShare*float64(n)))))
+	count := min(n, max(1, int(math.Round(in.Limits.MaxLongTargetShare*float64(n)))))
 	if in.HasDemand {
 		count = demanded(in, count)
 	}
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -11,7 +11,7 @@
 )
 
 func input(n int, rq policy.Prompt, change func(i int, ca *policy.Candidate)) policy.Input {
-	in := policy.Input{Prompt: rq, Limits: policy.Limits{MaxLongPerTarget: 1, LongShare: 0.4}}
+	in := policy.Input{Prompt: rq, Limits: policy.Limits{MaxLongPerTarget: 1, MaxLongTargetShare: 0.4}}
 	for i := range n {
 		ca := policy.Candidate{Name: fmt.Sprintf("e%d", i), PrefillRate: 10_000, MemoryTotal: 1000_000, InterferenceDelay: time.Second}
 		if change != nil {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -72,7 +72,7 @@
 	// LongPerTarget bounds long prompts on one target.
 	MaxLongPerTarget int
 	// LongShare bounds the share of targets that take long prompts.
-	LongShare float64
+	MaxLongTargetShare float64
 }
 
 // Input is all that a decision rests on.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -23,7 +23,7 @@
 	fl.ApplyReport("e", engine.Report{Incarnation: "e-1", MemoryTotal: 1_000_000, PrefillRate: 1_000})
 	return New(fl, Options{
 		Policy:     policy.Policy{Peers: true, Choose: lanes.Choose},
-		Limits:     policy.Limits{MaxLongPerTarget: 1, LongShare: 1},
+		Limits:     policy.Limits{MaxLongPerTarget: 1, MaxLongTargetShare: 1},
 		MaxWaiting: maxWaiting,
 	})
 }
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -134,7 +134,7 @@
 		}
 	}
 	if ask.Request.Long {
-		sum *= rt.opts.Limits.LongShare
+		sum *= rt.opts.Limits.MaxLongTargetShare
 	}
 	if sum <= 0 {
 		return 0, false
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -296,7 +296,7 @@
 			vw := fl.Candidates(fleet.Wanted{Model: "m", Peers: true, Owned: turn%2 == 0})
 			if len(vw.Candidates) > 0 {
 				p.Choose(policy.Input{
-					Prompt: policy.Prompt{Tokens: 2000}, Candidates: vw.Candidates, Sequence: uint64(turn), Limits: policy.Limits{LongShare: 0.4},
+					Prompt: policy.Prompt{Tokens: 2000}, Candidates: vw.Candidates, Sequence: uint64(turn), Limits: policy.Limits{MaxLongTargetShare: 0.4},
 				})
 			}
 		}
