--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -92,7 +92,7 @@
 // Demand is what arrives, over all instances.
 type Demand struct {
 	// Short is prompt tokens a second of short prompts.
-	Short float64
+	ShortRate float64
 	// LongNeed is prompt tokens a second that waiting long prompts need to be in time.
 	LongNeed float64
 }
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -18,9 +18,9 @@
 // demand estimates the demand over all instances from this one's share: the balancer spreads requests evenly.
 func (rt *Router) demand(ask Ask) policy.Demand {
 	instances := float64(rt.fl.LiveInstances())
-	d := policy.Demand{Short: rt.arriving.Rate() * instances}
+	d := policy.Demand{ShortRate: rt.arriving.Rate() * instances}
 	if rt.opts.Expected != nil {
-		d.Short = max(d.Short, rt.opts.Expected())
+		d.ShortRate = max(d.ShortRate, rt.opts.Expected())
 	}
 	if ask.Request.Long {
 		d.LongNeed = rt.longNeed() * instances
