--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -97,6 +97,6 @@
 	n := len(in.Candidates)
 	rate /= float64(n)
 	free := n - int(math.Ceil(in.Demand.ShortRate/(rate*shortUse)))
-	late := int(math.Ceil(in.Demand.LongNeed / rate))
+	late := int(math.Ceil(in.Demand.RequiredLongRate / rate))
 	return min(n, max(1, min(free, most), min(late, most)))
 }
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -76,8 +76,8 @@
 		"no demand of short ones":          {follows: true, want: 4},
 		"short ones need most":             {follows: true, demand: policy.Demand{ShortRate: 35_000}, want: 1},
 		"short ones need more than all":    {follows: true, demand: policy.Demand{ShortRate: 1e9}, want: 1},
-		"long ones would be late":          {follows: true, demand: policy.Demand{ShortRate: 1e9, LongNeed: 25_000}, want: 3},
-		"never more than the share allows": {follows: true, demand: policy.Demand{ShortRate: 1e9, LongNeed: 1e9}, want: 4},
+		"long ones would be late":          {follows: true, demand: policy.Demand{ShortRate: 1e9, RequiredLongRate: 25_000}, want: 3},
+		"never more than the share allows": {follows: true, demand: policy.Demand{ShortRate: 1e9, RequiredLongRate: 1e9}, want: 4},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -94,7 +94,7 @@
 	// Short is prompt tokens a second of short prompts.
 	ShortRate float64
 	// LongNeed is prompt tokens a second that waiting long prompts need to be in time.
-	LongNeed float64
+	RequiredLongRate float64
 }
 
 // Decision says where a request runs. The zero value means that it waits.
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -23,7 +23,7 @@
 		d.ShortRate = max(d.ShortRate, rt.opts.Expected())
 	}
 	if ask.Request.Long {
-		d.LongNeed = rt.longNeed() * instances
+		d.RequiredLongRate = rt.longNeed() * instances
 	}
 	return d
 }
