--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -57,7 +57,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			dec := Choose(input(3, short, tc.change))
-			g.Expect(dec.Run).To(Equal(tc.wantRun))
+			g.Expect(dec.Placed).To(Equal(tc.wantRun))
 			if tc.wantRun {
 				g.Expect(dec.Index).To(Equal(tc.want))
 			}
@@ -92,7 +92,7 @@
 				}
 			}
 			g.Expect(marked).To(Equal(tc.want))
-			g.Expect(Choose(in).Run).To(BeFalse(), "all targets for long prompts have one")
+			g.Expect(Choose(in).Placed).To(BeFalse(), "all targets for long prompts have one")
 		})
 	}
 }
--- a/internal/policy/leastoutstanding/leastoutstanding.go
+++ b/internal/policy/leastoutstanding/leastoutstanding.go
@@ -19,5 +19,5 @@
 	best, _ := policy.Least(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		return time.Duration(in.Candidates[i].OwnRequests)
 	})
-	return policy.Decision{Run: true, Index: best}
+	return policy.Decision{Placed: true, Index: best}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -100,7 +100,7 @@
 // Decision says where a request runs. The zero value means that it waits.
 type Decision struct {
 	// Run is set when a target was chosen.
-	Run bool
+	Placed bool
 	// Index is that of the chosen candidate.
 	Index int
 	// Wait is the predicted time before the prompt is started.
--- a/internal/policy/roundrobin/roundrobin.go
+++ b/internal/policy/roundrobin/roundrobin.go
@@ -12,5 +12,5 @@
 
 // Choose takes the next candidate.
 func Choose(in policy.Input) policy.Decision {
-	return policy.Decision{Run: true, Index: int(in.Sequence % uint64(len(in.Candidates)))}
+	return policy.Decision{Placed: true, Index: int(in.Sequence % uint64(len(in.Candidates)))}
 }
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -83,7 +83,7 @@
 	dec := rt.opts.Policy.Choose(policy.Input{
 		Prompt: rq, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
 	})
-	if !dec.Run {
+	if !dec.Placed {
 		return "", 0, false
 	}
 	return vw.Candidates[dec.Index].Name, dec.Wait, true
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -252,7 +252,7 @@
 	}
 	borrow := rt.borrowing(&in)
 	dec := rt.opts.Policy.Choose(in)
-	if !dec.Run {
+	if !dec.Placed {
 		return nil, &noRoomError{}
 	}
 	ca := in.Candidates[dec.Index]
