--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -41,7 +41,7 @@
 		}
 		return cost
 	})
-	return policy.Decision{Placed: best >= 0, Index: max(0, best), Wait: wait}
+	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
 
 // Blocked reports whether a long prompt is being computed on the target.
@@ -59,7 +59,7 @@
 		}
 		return ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
 	})
-	return policy.Decision{Placed: best >= 0, Index: max(0, best), Wait: wait}
+	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
 
 // LaneTargets marks the candidates that take long prompts: those with the lowest hash of their name, up to the share.
--- a/internal/policy/leastwait/leastwait.go
+++ b/internal/policy/leastwait/leastwait.go
@@ -20,5 +20,5 @@
 		ca := in.Candidates[i]
 		return ca.PrefillTime(max(policy.Total(ca.OwnPrefill), ca.ReportedPrefill))
 	})
-	return policy.Decision{Placed: true, Index: best, Wait: wait}
+	return policy.Decision{Placed: true, Index: best, PredictedWait: wait}
 }
--- a/internal/policy/peerwait/peerwait.go
+++ b/internal/policy/peerwait/peerwait.go
@@ -25,5 +25,5 @@
 		}
 		return ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
 	})
-	return policy.Decision{Placed: best >= 0, Index: max(0, best), Wait: wait}
+	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -104,7 +104,7 @@
 	// Index is that of the chosen candidate.
 	Index int
 	// Wait is the predicted time before the prompt is started.
-	Wait time.Duration
+	PredictedWait time.Duration
 }
 
 // Policy is one way to decide.
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -86,5 +86,5 @@
 	if !dec.Placed {
 		return "", 0, false
 	}
-	return vw.Candidates[dec.Index].Name, dec.Wait, true
+	return vw.Candidates[dec.Index].Name, dec.PredictedWait, true
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -256,16 +256,16 @@
 		return nil, &noRoomError{}
 	}
 	ca := in.Candidates[dec.Index]
-	if need := dec.Wait + ca.PrefillTime(ask.Request.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
+	if need := dec.PredictedWait + ca.PrefillTime(ask.Request.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
 		return nil, failure.New(failure.DeadlineTooShort, failure.NotRun, "the first token is expected in %s, past the deadline",
-			need.Round(time.Millisecond)).WithRetryAfter(dec.Wait)
+			need.Round(time.Millisecond)).WithRetryAfter(dec.PredictedWait)
 	}
 	t, ok := rt.fl.Target(ca.Name)
 	if !ok {
 		return nil, &noRoomError{target: ca.Name}
 	}
 	pl := &Place{
-		Target: t, Predicted: dec.Wait, Alone: policy.Total(ca.InFlightPrefill) == 0, Borrowed: borrow,
+		Target: t, Predicted: dec.PredictedWait, Alone: policy.Total(ca.InFlightPrefill) == 0, Borrowed: borrow,
 		work: workOf(ask.Request, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
 		alone: ca.PrefillTime(ask.Request.Tokens),
 	}
