--- a/internal/policy/leastoutstanding/leastoutstanding.go
+++ b/internal/policy/leastoutstanding/leastoutstanding.go
@@ -11,7 +11,7 @@
 const Name = "leastoutstanding"
 
 func init() {
-	policy.Register(policy.Policy{Name: Name, Rung: 1, Choose: Choose})
+	policy.Register(policy.Policy{Name: Name, Rank: 1, Choose: Choose})
 }
 
 // Choose takes the candidate with the fewest requests in flight.
--- a/internal/policy/leastwait/leastwait.go
+++ b/internal/policy/leastwait/leastwait.go
@@ -11,7 +11,7 @@
 const Name = "leastwait"
 
 func init() {
-	policy.Register(policy.Policy{Name: Name, Rung: 2, Choose: Choose})
+	policy.Register(policy.Policy{Name: Name, Rank: 2, Choose: Choose})
 }
 
 // Choose takes the candidate whose prompts ahead take the least time.
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -112,7 +112,7 @@
 	// Name is unique among registered policies.
 	Name string
 	// Rung orders policies from the simplest.
-	Rung int
+	Rank int
 	// Priorities is set when the engine is told each request's length band.
 	Priorities bool
 	// Peers is set when the decision uses what peers have in flight.
@@ -138,7 +138,7 @@
 // Register adds a policy. It is called from init functions only.
 func Register(p Policy) {
 	registered = append(registered, p)
-	slices.SortFunc(registered, func(a, b Policy) int { return a.Rung - b.Rung })
+	slices.SortFunc(registered, func(a, b Policy) int { return a.Rank - b.Rank })
 }
 
 // ByName returns a registered policy.
--- a/internal/policy/roundrobin/roundrobin.go
+++ b/internal/policy/roundrobin/roundrobin.go
@@ -7,7 +7,7 @@
 const Name = "roundrobin"
 
 func init() {
-	policy.Register(policy.Policy{Name: Name, Rung: 0, Choose: Choose})
+	policy.Register(policy.Policy{Name: Name, Rank: 0, Choose: Choose})
 }
 
 // Choose takes the next candidate.
