--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -114,7 +114,7 @@
 	// Rung orders policies from the simplest.
 	Rank int
 	// Priorities is set when the engine is told each request's length band.
-	Priorities bool
+	UsesEnginePriorities bool
 	// Peers is set when the decision uses what peers have in flight.
 	Peers bool
 	// Grants is set when long prompts need a grant from the target's owner.
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -61,7 +61,7 @@
 
 // enginePriority orders by class and, within it, shorter prompts first.
 func (sv *Server) enginePriority(rq *request) int {
-	if !sv.Router.Policy().Priorities {
+	if !sv.Router.Policy().UsesEnginePriorities {
 		return 0
 	}
 	band := policy.LengthBand(len(rq.body) / engine.BytesPerToken)
