--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -16,7 +16,7 @@
 const Name = "lanes"
 
 func init() {
-	policy.Register(policy.Policy{Name: Name, Rank: 4, UsesEnginePriorities: true, Peers: true, Choose: Choose})
+	policy.Register(policy.Policy{Name: Name, Rank: 4, UsesEnginePriorities: true, UsesPeerLoad: true, Choose: Choose})
 }
 
 // Choose packs long prompts on targets that already hold one, up to the limits, and spreads short ones over the rest.
--- a/internal/policy/peerwait/peerwait.go
+++ b/internal/policy/peerwait/peerwait.go
@@ -12,7 +12,7 @@
 const Name = "peerwait"
 
 func init() {
-	policy.Register(policy.Policy{Name: Name, Rank: 3, UsesEnginePriorities: true, Peers: true, Choose: Choose})
+	policy.Register(policy.Policy{Name: Name, Rank: 3, UsesEnginePriorities: true, UsesPeerLoad: true, Choose: Choose})
 }
 
 // Choose takes the candidate whose prompts ahead take the least time; targets without room are left out.
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -116,7 +116,7 @@
 	// Priorities is set when the engine is told each request's length band.
 	UsesEnginePriorities bool
 	// Peers is set when the decision uses what peers have in flight.
-	Peers bool
+	UsesPeerLoad bool
 	// Grants is set when long prompts need a grant from the target's owner.
 	Grants bool
 	// Owners is set when short prompts go to targets that this instance owns, or that another owner offers.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -22,7 +22,7 @@
 	fl.SetTargets([]fleet.Target{{Name: "e", Kind: fleet.KindEngine, AvailabilityZone: "a", Models: []string{"m"}}})
 	fl.ApplyReport("e", engine.Report{Incarnation: "e-1", MemoryTotal: 1_000_000, PrefillRate: 1_000})
 	return New(fl, Options{
-		Policy:     policy.Policy{Peers: true, Choose: lanes.Choose},
+		Policy:     policy.Policy{UsesPeerLoad: true, Choose: lanes.Choose},
 		Limits:     policy.Limits{MaxLongPerTarget: 1, MaxLongTargetShare: 1},
 		MaxWaiting: maxWaiting,
 	})
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -134,7 +134,7 @@
 	ask := func(tried []string) router.Ask {
 		return router.Ask{
 			Request:  rq.policyRequest(sv.limits.LongTokens),
-			Wanted:   fleet.Wanted{Model: rq.fields.Model, Except: tried, Peers: sv.Router.Policy().Peers},
+			Wanted:   fleet.Wanted{Model: rq.fields.Model, Except: tried, Peers: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Yields: rq.class.Yields, Deadline: rq.due.At,
 		}
 	}
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -42,7 +42,7 @@
 	ask := func(tried []string) router.Ask {
 		return router.Ask{
 			Request:  policy.Prompt{Tokens: 1},
-			Wanted:   fleet.Wanted{Service: name, Except: tried, Peers: sv.Router.Policy().Peers},
+			Wanted:   fleet.Wanted{Service: name, Except: tried, Peers: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Deadline: rq.due.At,
 		}
 	}
