--- a/internal/policy/lanegrant/lanegrant.go
+++ b/internal/policy/lanegrant/lanegrant.go
@@ -11,6 +11,6 @@
 
 func init() {
 	policy.Register(policy.Policy{
-		Name: Name, Rank: 5, UsesEnginePriorities: true, UsesPeerLoad: true, Grants: true, Choose: lanes.Choose,
+		Name: Name, Rank: 5, UsesEnginePriorities: true, UsesPeerLoad: true, UsesGrants: true, Choose: lanes.Choose,
 	})
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -118,7 +118,7 @@
 	// Peers is set when the decision uses what peers have in flight.
 	UsesPeerLoad bool
 	// Grants is set when long prompts need a grant from the target's owner.
-	Grants bool
+	UsesGrants bool
 	// Owners is set when short prompts go to targets that this instance owns, or that another owner offers.
 	Owners bool
 	// Demand is set when the number of targets for long prompts follows the demand.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -320,7 +320,7 @@
 // secure gets what a long prompt needs besides the decision: the owner's grant, and memory on several engines.
 func (rt *Router) secure(ctx context.Context, ask Ask, pl *Place, hold time.Duration) (*Place, error) {
 	refused := &noRoomError{target: pl.Target.Name, refused: true}
-	if ask.Request.Long && rt.opts.Policy.Grants && rt.opts.Grant != nil {
+	if ask.Request.Long && rt.opts.Policy.UsesGrants && rt.opts.Grant != nil {
 		release, granted := rt.opts.Grant(ctx, pl.Target, pl.work.Memory, hold)
 		if !granted {
 			pl.undo()
