--- a/internal/policy/owners/owners.go
+++ b/internal/policy/owners/owners.go
@@ -12,6 +12,6 @@
 
 func init() {
 	policy.Register(policy.Policy{
-		Name: Name, Rank: 6, UsesEnginePriorities: true, UsesPeerLoad: true, UsesGrants: true, Owners: true, Choose: lanes.Choose,
+		Name: Name, Rank: 6, UsesEnginePriorities: true, UsesPeerLoad: true, UsesGrants: true, UsesOwners: true, Choose: lanes.Choose,
 	})
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -120,7 +120,7 @@
 	// Grants is set when long prompts need a grant from the target's owner.
 	UsesGrants bool
 	// Owners is set when short prompts go to targets that this instance owns, or that another owner offers.
-	Owners bool
+	UsesOwners bool
 	// Demand is set when the number of targets for long prompts follows the demand.
 	Demand bool
 	// Choose decides. It has no side effects.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -220,7 +220,7 @@
 func (rt *Router) try(ctx context.Context, ask Ask) (*Place, error) {
 	left := ask.Deadline.Sub(rt.opts.Now())
 	choose := rt.choose
-	if rt.opts.Policy.Owners && !ask.Request.Long && ask.Wanted.Model != "" {
+	if rt.opts.Policy.UsesOwners && !ask.Request.Long && ask.Wanted.Model != "" {
 		choose = func(ask Ask, left time.Duration) (*Place, error) { return rt.viaOwners(ctx, ask, left) }
 	}
 	pl, err := choose(ask, left)
