--- a/internal/policy/demand/demand.go
+++ b/internal/policy/demand/demand.go
@@ -12,6 +12,6 @@
 
 func init() {
 	policy.Register(policy.Policy{
-		Name: Name, Rank: 7, UsesEnginePriorities: true, UsesPeerLoad: true, UsesGrants: true, UsesOwners: true, Demand: true, Choose: lanes.Choose,
+		Name: Name, Rank: 7, UsesEnginePriorities: true, UsesPeerLoad: true, UsesGrants: true, UsesOwners: true, UsesDemand: true, Choose: lanes.Choose,
 	})
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -122,7 +122,7 @@
 	// Owners is set when short prompts go to targets that this instance owns, or that another owner offers.
 	UsesOwners bool
 	// Demand is set when the number of targets for long prompts follows the demand.
-	Demand bool
+	UsesDemand bool
 	// Choose decides. It has no side effects.
 	Choose func(Input) Decision
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -247,7 +247,7 @@
 	in := policy.Input{
 		Prompt: ask.Request, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
 	}
-	if rt.opts.Policy.Demand {
+	if rt.opts.Policy.UsesDemand {
 		in.Demand, in.HasDemand = rt.demand(ask), true
 	}
 	borrow := rt.borrowing(&in)
