--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -30,7 +30,7 @@
 // chooseShort counts the extra time beside a long prompt, since an engine does not break off a step.
 func chooseShort(in policy.Input) policy.Decision {
 	band := policy.LengthBand(in.Prompt.Tokens)
-	best, wait := policy.Least(len(in.Candidates), in.Sequence, func(i int) time.Duration {
+	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		ca := in.Candidates[i]
 		if !ca.Fits(in.Prompt) {
 			return -1
@@ -52,7 +52,7 @@
 func chooseLong(in policy.Input) policy.Decision {
 	lanes := LaneTargets(in)
 	band := policy.LengthBand(in.Prompt.Tokens)
-	best, wait := policy.Least(len(in.Candidates), 0, func(i int) time.Duration {
+	best, wait := policy.LeastCost(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
 		if !lanes[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.MaxLongPerTarget {
 			return -1
--- a/internal/policy/leastoutstanding/leastoutstanding.go
+++ b/internal/policy/leastoutstanding/leastoutstanding.go
@@ -16,7 +16,7 @@
 
 // Choose takes the candidate with the fewest requests in flight.
 func Choose(in policy.Input) policy.Decision {
-	best, _ := policy.Least(len(in.Candidates), in.Sequence, func(i int) time.Duration {
+	best, _ := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		return time.Duration(in.Candidates[i].OwnRequests)
 	})
 	return policy.Decision{Placed: true, Index: best}
--- a/internal/policy/leastwait/leastwait.go
+++ b/internal/policy/leastwait/leastwait.go
@@ -16,7 +16,7 @@
 
 // Choose takes the candidate whose prompts ahead take the least time.
 func Choose(in policy.Input) policy.Decision {
-	best, wait := policy.Least(len(in.Candidates), in.Sequence, func(i int) time.Duration {
+	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		ca := in.Candidates[i]
 		return ca.PrefillTime(max(policy.Total(ca.OwnPrefill), ca.ReportedPrefill))
 	})
--- a/internal/policy/peerwait/peerwait.go
+++ b/internal/policy/peerwait/peerwait.go
@@ -18,7 +18,7 @@
 // Choose takes the candidate whose prompts ahead take the least time; targets without room are left out.
 func Choose(in policy.Input) policy.Decision {
 	band := policy.LengthBand(in.Prompt.Tokens)
-	best, wait := policy.Least(len(in.Candidates), in.Sequence, func(i int) time.Duration {
+	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		ca := in.Candidates[i]
 		if !ca.Fits(in.Prompt) {
 			return -1
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -162,7 +162,7 @@
 
 // Least returns the index of the smallest cost. Ties are broken by a hash of turn, so that instances with the same
 // view do not all choose the same one. Candidates with a negative cost are left out; -1 means none.
-func Least(n int, turn uint64, cost func(i int) time.Duration) (best int, least time.Duration) {
+func LeastCost(n int, turn uint64, cost func(i int) time.Duration) (best int, least time.Duration) {
 	best = -1
 	first := mix(turn) % uint64(n)
 	for k := range n {
