--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -35,7 +35,7 @@
 		if !ca.Fits(in.Prompt) {
 			return -1
 		}
-		cost := ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
+		cost := ca.PrefillTime(policy.TokensAhead(ca.InFlightPrefill, band))
 		if Blocked(ca) {
 			cost += ca.InterferenceDelay
 		}
@@ -46,7 +46,7 @@
 
 // Blocked reports whether a long prompt is being computed on the target.
 func Blocked(ca policy.Candidate) bool {
-	return ca.InFlightLong > 0 && policy.Total(ca.InFlightPrefill) > policy.Ahead(ca.InFlightPrefill, 0)
+	return ca.InFlightLong > 0 && policy.Total(ca.InFlightPrefill) > policy.TokensAhead(ca.InFlightPrefill, 0)
 }
 
 func chooseLong(in policy.Input) policy.Decision {
@@ -57,7 +57,7 @@
 		if !lanes[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.MaxLongPerTarget {
 			return -1
 		}
-		return ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
+		return ca.PrefillTime(policy.TokensAhead(ca.InFlightPrefill, band))
 	})
 	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
--- a/internal/policy/peerwait/peerwait.go
+++ b/internal/policy/peerwait/peerwait.go
@@ -23,7 +23,7 @@
 		if !ca.Fits(in.Prompt) {
 			return -1
 		}
-		return ca.PrefillTime(policy.Ahead(ca.InFlightPrefill, band))
+		return ca.PrefillTime(policy.TokensAhead(ca.InFlightPrefill, band))
 	})
 	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -184,7 +184,7 @@
 }
 
 // Ahead returns the tokens that run before a prompt of the given band where shorter bands go first.
-func Ahead(prefill [NumLengthBands]int, band int) int {
+func TokensAhead(prefill [NumLengthBands]int, band int) int {
 	sum := 0
 	for b := 0; b <= band; b++ {
 		sum += prefill[b]
@@ -193,4 +193,4 @@
 }
 
 // Total returns the tokens over all bands.
-func Total(prefill [NumLengthBands]int) int { return Ahead(prefill, NumLengthBands-1) }
+func Total(prefill [NumLengthBands]int) int { return TokensAhead(prefill, NumLengthBands-1) }
