--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -41,7 +41,7 @@
 	u := &peerpb.Usage{
 		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.Memory)), Long: uint32(max(0, wk.Long)),
 	}
-	if policy.Total(wk.Prefill) > 0 {
+	if policy.TotalTokens(wk.Prefill) > 0 {
 		for _, p := range wk.Prefill {
 			u.Prefill = append(u.Prefill, uint64(max(0, p)))
 		}
--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -46,7 +46,7 @@
 
 // Blocked reports whether a long prompt is being computed on the target.
 func Blocked(ca policy.Candidate) bool {
-	return ca.InFlightLong > 0 && policy.Total(ca.InFlightPrefill) > policy.TokensAhead(ca.InFlightPrefill, 0)
+	return ca.InFlightLong > 0 && policy.TotalTokens(ca.InFlightPrefill) > policy.TokensAhead(ca.InFlightPrefill, 0)
 }
 
 func chooseLong(in policy.Input) policy.Decision {
--- a/internal/policy/leastwait/leastwait.go
+++ b/internal/policy/leastwait/leastwait.go
@@ -18,7 +18,7 @@
 func Choose(in policy.Input) policy.Decision {
 	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		return ca.PrefillTime(max(policy.Total(ca.OwnPrefill), ca.ReportedPrefill))
+		return ca.PrefillTime(max(policy.TotalTokens(ca.OwnPrefill), ca.ReportedPrefill))
 	})
 	return policy.Decision{Placed: true, Index: best, PredictedWait: wait}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -193,4 +193,4 @@
 }
 
 // Total returns the tokens over all bands.
-func Total(prefill [NumLengthBands]int) int { return TokensAhead(prefill, NumLengthBands-1) }
+func TotalTokens(prefill [NumLengthBands]int) int { return TokensAhead(prefill, NumLengthBands-1) }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -265,7 +265,7 @@
 		return nil, &noRoomError{target: ca.Name}
 	}
 	pl := &Place{
-		Target: t, Predicted: dec.PredictedWait, Alone: policy.Total(ca.InFlightPrefill) == 0, Borrowed: borrow,
+		Target: t, Predicted: dec.PredictedWait, Alone: policy.TotalTokens(ca.InFlightPrefill) == 0, Borrowed: borrow,
 		work: workOf(ask.Request, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
 		alone: ca.PrefillTime(ask.Request.Tokens),
 	}
