--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -36,7 +36,7 @@
 			return -1
 		}
 		cost := ca.PrefillTime(policy.TokensAhead(ca.InFlightPrefill, band))
-		if Blocked(ca) {
+		if HasLongPrefill(ca) {
 			cost += ca.InterferenceDelay
 		}
 		return cost
@@ -45,7 +45,7 @@
 }
 
 // Blocked reports whether a long prompt is being computed on the target.
-func Blocked(ca policy.Candidate) bool {
+func HasLongPrefill(ca policy.Candidate) bool {
 	return ca.InFlightLong > 0 && policy.TotalTokens(ca.InFlightPrefill) > policy.TokensAhead(ca.InFlightPrefill, 0)
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -269,7 +269,7 @@
 		work: workOf(ask.Request, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
 		alone: ca.PrefillTime(ask.Request.Tokens),
 	}
-	if lanes.Blocked(ca) && !ask.Request.Long {
+	if lanes.HasLongPrefill(ca) && !ask.Request.Long {
 		pl.besideLong = ca.InterferenceDelay
 	}
 	rt.fl.Begin(t.Name, pl.work)
