--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -50,7 +50,7 @@
 }
 
 func chooseLong(in policy.Input) policy.Decision {
-	lanes := LaneTargets(in)
+	lanes := LongPromptTargets(in)
 	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.LeastCost(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
@@ -64,7 +64,7 @@
 
 // LaneTargets marks the candidates that take long prompts: those with the lowest hash of their name, up to the share.
 // Every instance with the same list of targets marks the same ones, so that no message is needed.
-func LaneTargets(in policy.Input) []bool {
+func LongPromptTargets(in policy.Input) []bool {
 	n := len(in.Candidates)
 	count := min(n, max(1, int(math.Round(in.Limits.MaxLongTargetShare*float64(n)))))
 	if in.HasDemand {
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -85,7 +85,7 @@
 			in := input(10, long, nil)
 			in.HasDemand, in.Demand = tc.follows, tc.demand
 			marked := 0
-			for i, m := range LaneTargets(in) {
+			for i, m := range LongPromptTargets(in) {
 				if m {
 					marked++
 					in.Candidates[i].InFlightLong = 1
