--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -16,7 +16,7 @@
 )
 
 // demand estimates the demand over all instances from this one's share: the balancer spreads requests evenly.
-func (rt *Router) demand(ask Ask) policy.Demand {
+func (rt *Router) demand(ask Request) policy.Demand {
 	instances := float64(rt.fl.LiveInstances())
 	d := policy.Demand{ShortRate: rt.arriving.Rate() * instances}
 	if rt.opts.Expected != nil {
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -14,7 +14,7 @@
 const askFrom = 0.3
 
 // viaOwners places a short prompt at an owned target, or at that of another owner who offers a shorter wait.
-func (rt *Router) viaOwners(ctx context.Context, ask Ask, left time.Duration) (*Place, error) {
+func (rt *Router) viaOwners(ctx context.Context, ask Request, left time.Duration) (*Place, error) {
 	own := ask
 	own.Wanted.Owned = true
 	home, err := rt.choose(own, left)
@@ -39,7 +39,7 @@
 }
 
 // bestOffer asks other owners and returns the offer with the least wait; the others are given back.
-func (rt *Router) bestOffer(ctx context.Context, ask Ask) *offer.Offer {
+func (rt *Router) bestOffer(ctx context.Context, ask Request) *offer.Offer {
 	if rt.opts.AskShort == nil {
 		return nil
 	}
@@ -61,7 +61,7 @@
 }
 
 // accept takes a place that another owner offered.
-func (rt *Router) accept(ask Ask, of offer.Offer) (*Place, error) {
+func (rt *Router) accept(ask Request, of offer.Offer) (*Place, error) {
 	t, ok := rt.fl.Target(of.Target)
 	if !ok {
 		of.Release()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -30,7 +30,7 @@
 )
 
 // Ask is a request for a place to run.
-type Ask struct {
+type Request struct {
 	// Request is what the policy sees.
 	Request policy.Prompt
 	// Wanted selects targets.
@@ -152,7 +152,7 @@
 
 // Acquire returns a place for the request, waiting for room until its deadline. A request whose predicted start
 // lies past its deadline is refused at once.
-func (rt *Router) Acquire(ctx context.Context, ask Ask) (*Place, error) {
+func (rt *Router) Acquire(ctx context.Context, ask Request) (*Place, error) {
 	if !ask.Request.Long {
 		rt.arriving.Add(ask.Request.Tokens)
 	}
@@ -217,11 +217,11 @@
 func (nr *noRoomError) Error() string { return "no room at " + nr.target }
 
 // try decides once. It returns a noRoomError when the request has to wait.
-func (rt *Router) try(ctx context.Context, ask Ask) (*Place, error) {
+func (rt *Router) try(ctx context.Context, ask Request) (*Place, error) {
 	left := ask.Deadline.Sub(rt.opts.Now())
 	choose := rt.choose
 	if rt.opts.Policy.UsesOwners && !ask.Request.Long && ask.Wanted.Model != "" {
-		choose = func(ask Ask, left time.Duration) (*Place, error) { return rt.viaOwners(ctx, ask, left) }
+		choose = func(ask Request, left time.Duration) (*Place, error) { return rt.viaOwners(ctx, ask, left) }
 	}
 	pl, err := choose(ask, left)
 	if err != nil {
@@ -236,7 +236,7 @@
 
 // choose asks the policy and notes the work at the target, in one step, so that two requests of this instance see
 // each other.
-func (rt *Router) choose(ask Ask, left time.Duration) (*Place, error) {
+func (rt *Router) choose(ask Request, left time.Duration) (*Place, error) {
 	rt.decide.Lock()
 	defer rt.decide.Unlock()
 	vw := rt.fl.Candidates(ask.Wanted)
@@ -318,7 +318,7 @@
 }
 
 // secure gets what a long prompt needs besides the decision: the owner's grant, and memory on several engines.
-func (rt *Router) secure(ctx context.Context, ask Ask, pl *Place, hold time.Duration) (*Place, error) {
+func (rt *Router) secure(ctx context.Context, ask Request, pl *Place, hold time.Duration) (*Place, error) {
 	refused := &noRoomError{target: pl.Target.Name, refused: true}
 	if ask.Request.Long && rt.opts.Policy.UsesGrants && rt.opts.Grant != nil {
 		release, granted := rt.opts.Grant(ctx, pl.Target, pl.work.Memory, hold)
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -11,14 +11,14 @@
 
 // waiter is a request that has no place yet.
 type waiter struct {
-	ask Ask
+	ask Request
 	// out is closed when the request has to make way.
 	out chan struct{}
 	// turn has room for one signal: the request before it in its queue has left without a place.
 	turn chan struct{}
 }
 
-func newWaiter(ask Ask) *waiter {
+func newWaiter(ask Request) *waiter {
 	return &waiter{ask: ask, out: make(chan struct{}), turn: make(chan struct{}, 1)}
 }
 
@@ -126,7 +126,7 @@
 
 // drainTime is how long the targets that may take a request need for some prompt tokens. It is not known while no
 // target has told its speed.
-func (rt *Router) drainTime(ask Ask, tokens int) (need time.Duration, known bool) {
+func (rt *Router) drainTime(ask Request, tokens int) (need time.Duration, known bool) {
 	sum := 0.0
 	for _, ca := range rt.fl.Candidates(fleet.Wanted{Model: ask.Wanted.Model, Service: ask.Wanted.Service}).Candidates {
 		if ca.PrefillRateKnown {
@@ -145,7 +145,7 @@
 // overloaded tells the caller to come back when what waits now is done.
 func (rt *Router) overloaded() error {
 	rt.mu.Lock()
-	tokens, ask := 0, Ask{}
+	tokens, ask := 0, Request{}
 	for _, wt := range rt.waiting {
 		tokens += wt.ask.Request.Tokens
 		ask = wt.ask
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -131,8 +131,8 @@
 
 // run takes an inference request through its attempts.
 func (sv *Server) run(ctx context.Context, rq *request, sk *sink) error {
-	ask := func(tried []string) router.Ask {
-		return router.Ask{
+	ask := func(tried []string) router.Request {
+		return router.Request{
 			Request:  rq.policyRequest(sv.limits.LongTokens),
 			Wanted:   fleet.Wanted{Model: rq.fields.Model, Except: tried, Peers: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Yields: rq.class.Yields, Deadline: rq.due.At,
@@ -142,7 +142,7 @@
 }
 
 // attempts finds places and calls targets until an answer is whole or no further attempt is allowed.
-func (sv *Server) attempts(ctx context.Context, rq *request, sk *sink, ask func(tried []string) router.Ask, call func(*router.Place) error) error {
+func (sv *Server) attempts(ctx context.Context, rq *request, sk *sink, ask func(tried []string) router.Request, call func(*router.Place) error) error {
 	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
 		return err
 	}
