--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -22,7 +22,7 @@
 	if rt.opts.Expected != nil {
 		d.ShortRate = max(d.ShortRate, rt.opts.Expected())
 	}
-	if ask.Request.Long {
+	if ask.Prompt.Long {
 		d.RequiredLongRate = rt.longNeed() * instances
 	}
 	return d
@@ -35,11 +35,11 @@
 	now := rt.opts.Now()
 	need := 0.0
 	for _, wt := range rt.waiting {
-		if !wt.ask.Request.Long {
+		if !wt.ask.Prompt.Long {
 			continue
 		}
 		slack := max(leastSlack, time.Duration(slackPart*float64(wt.ask.Deadline.Sub(now))))
-		need += float64(wt.ask.Request.Tokens) / slack.Seconds()
+		need += float64(wt.ask.Prompt.Tokens) / slack.Seconds()
 	}
 	return need
 }
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -44,7 +44,7 @@
 		return nil
 	}
 	var best *offer.Offer
-	for _, of := range rt.opts.AskShort(ctx, ask.Wanted.Model, ask.Request) {
+	for _, of := range rt.opts.AskShort(ctx, ask.Wanted.Model, ask.Prompt) {
 		switch {
 		case slices.Contains(ask.Wanted.Except, of.Target):
 			of.Release()
@@ -67,7 +67,7 @@
 		of.Release()
 		return nil, &noRoomError{target: of.Target}
 	}
-	pl := &Place{Target: t, Predicted: of.Wait, work: workOf(ask.Request, 0), fl: rt.fl, release: []func(){of.Release}}
+	pl := &Place{Target: t, Predicted: of.Wait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
 	rt.fl.Begin(t.Name, pl.work)
 	return pl, nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -32,7 +32,7 @@
 // Ask is a request for a place to run.
 type Request struct {
 	// Request is what the policy sees.
-	Request policy.Prompt
+	Prompt policy.Prompt
 	// Wanted selects targets.
 	Wanted fleet.Wanted
 	// Priority is that of the class; higher goes first.
@@ -153,8 +153,8 @@
 // Acquire returns a place for the request, waiting for room until its deadline. A request whose predicted start
 // lies past its deadline is refused at once.
 func (rt *Router) Acquire(ctx context.Context, ask Request) (*Place, error) {
-	if !ask.Request.Long {
-		rt.arriving.Add(ask.Request.Tokens)
+	if !ask.Prompt.Long {
+		rt.arriving.Add(ask.Prompt.Tokens)
 	}
 	wt := newWaiter(ask)
 	if err := rt.enter(wt); err != nil {
@@ -220,7 +220,7 @@
 func (rt *Router) try(ctx context.Context, ask Request) (*Place, error) {
 	left := ask.Deadline.Sub(rt.opts.Now())
 	choose := rt.choose
-	if rt.opts.Policy.UsesOwners && !ask.Request.Long && ask.Wanted.Model != "" {
+	if rt.opts.Policy.UsesOwners && !ask.Prompt.Long && ask.Wanted.Model != "" {
 		choose = func(ask Request, left time.Duration) (*Place, error) { return rt.viaOwners(ctx, ask, left) }
 	}
 	pl, err := choose(ask, left)
@@ -245,7 +245,7 @@
 			WithRetryAfter(time.Second)
 	}
 	in := policy.Input{
-		Prompt: ask.Request, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
+		Prompt: ask.Prompt, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
 	}
 	if rt.opts.Policy.UsesDemand {
 		in.Demand, in.HasDemand = rt.demand(ask), true
@@ -256,7 +256,7 @@
 		return nil, &noRoomError{}
 	}
 	ca := in.Candidates[dec.Index]
-	if need := dec.PredictedWait + ca.PrefillTime(ask.Request.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
+	if need := dec.PredictedWait + ca.PrefillTime(ask.Prompt.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
 		return nil, failure.New(failure.DeadlineTooShort, failure.NotRun, "the first token is expected in %s, past the deadline",
 			need.Round(time.Millisecond)).WithRetryAfter(dec.PredictedWait)
 	}
@@ -266,10 +266,10 @@
 	}
 	pl := &Place{
 		Target: t, Predicted: dec.PredictedWait, Alone: policy.TotalTokens(ca.InFlightPrefill) == 0, Borrowed: borrow,
-		work: workOf(ask.Request, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
-		alone: ca.PrefillTime(ask.Request.Tokens),
+		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
+		alone: ca.PrefillTime(ask.Prompt.Tokens),
 	}
-	if lanes.HasLongPrefill(ca) && !ask.Request.Long {
+	if lanes.HasLongPrefill(ca) && !ask.Prompt.Long {
 		pl.besideLong = ca.InterferenceDelay
 	}
 	rt.fl.Begin(t.Name, pl.work)
@@ -320,7 +320,7 @@
 // secure gets what a long prompt needs besides the decision: the owner's grant, and memory on several engines.
 func (rt *Router) secure(ctx context.Context, ask Request, pl *Place, hold time.Duration) (*Place, error) {
 	refused := &noRoomError{target: pl.Target.Name, refused: true}
-	if ask.Request.Long && rt.opts.Policy.UsesGrants && rt.opts.Grant != nil {
+	if ask.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.Grant != nil {
 		release, granted := rt.opts.Grant(ctx, pl.Target, pl.work.Memory, hold)
 		if !granted {
 			pl.undo()
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -27,7 +27,7 @@
 	if a.ask.Priority != b.ask.Priority {
 		return b.ask.Priority - a.ask.Priority
 	}
-	if d := policy.LengthBand(a.ask.Request.Tokens) - policy.LengthBand(b.ask.Request.Tokens); d != 0 {
+	if d := policy.LengthBand(a.ask.Prompt.Tokens) - policy.LengthBand(b.ask.Prompt.Tokens); d != 0 {
 		return d
 	}
 	return a.ask.Deadline.Compare(b.ask.Deadline)
@@ -99,20 +99,20 @@
 }
 
 func sameQueue(a, b *waiter) bool {
-	return policy.LengthBand(a.ask.Request.Tokens) == policy.LengthBand(b.ask.Request.Tokens) &&
+	return policy.LengthBand(a.ask.Prompt.Tokens) == policy.LengthBand(b.ask.Prompt.Tokens) &&
 		a.ask.Wanted.Model == b.ask.Wanted.Model && a.ask.Wanted.Service == b.ask.Wanted.Service
 }
 
 // inTime refuses a request at once when those before it in its queue and its own prompt take longer than it has.
 func (rt *Router) inTime(wt *waiter) error {
 	rt.mu.Lock()
-	tokens := wt.ask.Request.Tokens
+	tokens := wt.ask.Prompt.Tokens
 	for _, o := range rt.waiting {
 		if o == wt {
 			break
 		}
 		if sameQueue(o, wt) {
-			tokens += o.ask.Request.Tokens
+			tokens += o.ask.Prompt.Tokens
 		}
 	}
 	rt.mu.Unlock()
@@ -133,7 +133,7 @@
 			sum += ca.PrefillRate
 		}
 	}
-	if ask.Request.Long {
+	if ask.Prompt.Long {
 		sum *= rt.opts.Limits.MaxLongTargetShare
 	}
 	if sum <= 0 {
@@ -147,7 +147,7 @@
 	rt.mu.Lock()
 	tokens, ask := 0, Request{}
 	for _, wt := range rt.waiting {
-		tokens += wt.ask.Request.Tokens
+		tokens += wt.ask.Prompt.Tokens
 		ask = wt.ask
 	}
 	n := len(rt.waiting)
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -133,7 +133,7 @@
 func (sv *Server) run(ctx context.Context, rq *request, sk *sink) error {
 	ask := func(tried []string) router.Request {
 		return router.Request{
-			Request:  rq.policyRequest(sv.limits.LongTokens),
+			Prompt:   rq.policyRequest(sv.limits.LongTokens),
 			Wanted:   fleet.Wanted{Model: rq.fields.Model, Except: tried, Peers: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Yields: rq.class.Yields, Deadline: rq.due.At,
 		}
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -41,7 +41,7 @@
 func (sv *Server) runService(ctx context.Context, r *http.Request, rq *request, sk *sink, name, path string) error {
 	ask := func(tried []string) router.Request {
 		return router.Request{
-			Request:  policy.Prompt{Tokens: 1},
+			Prompt:   policy.Prompt{Tokens: 1},
 			Wanted:   fleet.Wanted{Service: name, Except: tried, Peers: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Deadline: rq.due.At,
 		}
