--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -16,7 +16,7 @@
 // viaOwners places a short prompt at an owned target, or at that of another owner who offers a shorter wait.
 func (rt *Router) viaOwners(ctx context.Context, ask Request, left time.Duration) (*Place, error) {
 	own := ask
-	own.Wanted.Owned = true
+	own.Filter.Owned = true
 	home, err := rt.choose(own, left)
 	if err == nil && home.Predicted <= time.Duration(askFrom*float64(home.alone)) {
 		return home, nil
@@ -44,9 +44,9 @@
 		return nil
 	}
 	var best *offer.Offer
-	for _, of := range rt.opts.AskShort(ctx, ask.Wanted.Model, ask.Prompt) {
+	for _, of := range rt.opts.AskShort(ctx, ask.Filter.Model, ask.Prompt) {
 		switch {
-		case slices.Contains(ask.Wanted.Except, of.Target):
+		case slices.Contains(ask.Filter.Except, of.Target):
 			of.Release()
 		case best == nil:
 			best = &of
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -34,7 +34,7 @@
 	// Request is what the policy sees.
 	Prompt policy.Prompt
 	// Wanted selects targets.
-	Wanted fleet.Wanted
+	Filter fleet.Wanted
 	// Priority is that of the class; higher goes first.
 	Priority int
 	// Yields is set for work that is refused first.
@@ -220,7 +220,7 @@
 func (rt *Router) try(ctx context.Context, ask Request) (*Place, error) {
 	left := ask.Deadline.Sub(rt.opts.Now())
 	choose := rt.choose
-	if rt.opts.Policy.UsesOwners && !ask.Prompt.Long && ask.Wanted.Model != "" {
+	if rt.opts.Policy.UsesOwners && !ask.Prompt.Long && ask.Filter.Model != "" {
 		choose = func(ask Request, left time.Duration) (*Place, error) { return rt.viaOwners(ctx, ask, left) }
 	}
 	pl, err := choose(ask, left)
@@ -239,7 +239,7 @@
 func (rt *Router) choose(ask Request, left time.Duration) (*Place, error) {
 	rt.decide.Lock()
 	defer rt.decide.Unlock()
-	vw := rt.fl.Candidates(ask.Wanted)
+	vw := rt.fl.Candidates(ask.Filter)
 	if len(vw.Candidates) == 0 {
 		return nil, failure.New(failure.NoTarget, failure.NotRun, "no target serves this request now").
 			WithRetryAfter(time.Second)
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -100,7 +100,7 @@
 
 func sameQueue(a, b *waiter) bool {
 	return policy.LengthBand(a.ask.Prompt.Tokens) == policy.LengthBand(b.ask.Prompt.Tokens) &&
-		a.ask.Wanted.Model == b.ask.Wanted.Model && a.ask.Wanted.Service == b.ask.Wanted.Service
+		a.ask.Filter.Model == b.ask.Filter.Model && a.ask.Filter.Service == b.ask.Filter.Service
 }
 
 // inTime refuses a request at once when those before it in its queue and its own prompt take longer than it has.
@@ -128,7 +128,7 @@
 // target has told its speed.
 func (rt *Router) drainTime(ask Request, tokens int) (need time.Duration, known bool) {
 	sum := 0.0
-	for _, ca := range rt.fl.Candidates(fleet.Wanted{Model: ask.Wanted.Model, Service: ask.Wanted.Service}).Candidates {
+	for _, ca := range rt.fl.Candidates(fleet.Wanted{Model: ask.Filter.Model, Service: ask.Filter.Service}).Candidates {
 		if ca.PrefillRateKnown {
 			sum += ca.PrefillRate
 		}
