--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -38,7 +38,7 @@
 	// Priority is that of the class; higher goes first.
 	Priority int
 	// Yields is set for work that is refused first.
-	Yields bool
+	Sheddable bool
 	// Deadline is when the answer is due.
 	Deadline time.Time
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -78,7 +78,7 @@
 	first, err := rt.Acquire(t.Context(), long(100_000, time.Hour))
 	g.Expect(err).NotTo(HaveOccurred())
 	yielding := long(100_000, time.Hour)
-	yielding.Yields = true
+	yielding.Sheddable = true
 	evicted := make(chan error, 1)
 	go func() {
 		_, err := rt.Acquire(context.Background(), yielding)
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -37,7 +37,7 @@
 func (rt *Router) enter(wt *waiter) error {
 	rt.mu.Lock()
 	full := len(rt.waiting) >= rt.opts.MaxWaiting
-	if full && (wt.ask.Yields || !rt.evict()) {
+	if full && (wt.ask.Sheddable || !rt.evict()) {
 		rt.mu.Unlock()
 		return rt.overloaded()
 	}
@@ -50,7 +50,7 @@
 // evict ends the last waiter that yields. It is called with the lock held.
 func (rt *Router) evict() bool {
 	for i, wt := range slices.Backward(rt.waiting) {
-		if wt.ask.Yields {
+		if wt.ask.Sheddable {
 			close(wt.out)
 			rt.waiting = slices.Delete(rt.waiting, i, i+1)
 			return true
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -135,7 +135,7 @@
 		return router.Request{
 			Prompt:   rq.policyRequest(sv.limits.LongTokens),
 			Filter:   fleet.Wanted{Model: rq.fields.Model, Except: tried, Peers: sv.Router.Policy().UsesPeerLoad},
-			Priority: rq.class.Priority, Yields: rq.class.Yields, Deadline: rq.due.At,
+			Priority: rq.class.Priority, Sheddable: rq.class.Yields, Deadline: rq.due.At,
 		}
 	}
 	return sv.attempts(ctx, rq, sk, ask, func(pl *router.Place) error { return sv.attempt(ctx, rq, sk, pl) })
