--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -14,7 +14,7 @@
 const askFrom = 0.3
 
 // viaOwners places a short prompt at an owned target, or at that of another owner who offers a shorter wait.
-func (rt *Router) viaOwners(ctx context.Context, ask Request, left time.Duration) (*Place, error) {
+func (rt *Router) viaOwners(ctx context.Context, ask Request, left time.Duration) (*Slot, error) {
 	own := ask
 	own.Filter.Owned = true
 	home, err := rt.choose(own, left)
@@ -61,13 +61,13 @@
 }
 
 // accept takes a place that another owner offered.
-func (rt *Router) accept(ask Request, of offer.Offer) (*Place, error) {
+func (rt *Router) accept(ask Request, of offer.Offer) (*Slot, error) {
 	t, ok := rt.fl.Target(of.Target)
 	if !ok {
 		of.Release()
 		return nil, &noRoomError{target: of.Target}
 	}
-	pl := &Place{Target: t, Predicted: of.Wait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
+	pl := &Slot{Target: t, Predicted: of.Wait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
 	rt.fl.Begin(t.Name, pl.work)
 	return pl, nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -44,7 +44,7 @@
 }
 
 // Place is a target taken for one attempt. Done is called exactly once.
-type Place struct {
+type Slot struct {
 	Target fleet.Target
 	// Predicted is the expected time until the prompt starts.
 	Predicted time.Duration
@@ -63,7 +63,7 @@
 }
 
 // FirstToken notes that the prompt was computed, and how long after it was sent.
-func (pl *Place) FirstToken(took time.Duration) {
+func (pl *Slot) FirstToken(took time.Duration) {
 	pl.first.Do(func() {
 		if pl.besideLong > 0 {
 			pl.fl.ObserveBesideLong(took - (pl.Predicted - pl.besideLong) - pl.alone)
@@ -75,18 +75,18 @@
 }
 
 // Done gives the place back.
-func (pl *Place) Done() {
+func (pl *Slot) Done() {
 	pl.fl.End(pl.Target.Name, pl.work)
 	pl.giveBack()
 }
 
 // undo gives back a place that was never used.
-func (pl *Place) undo() {
+func (pl *Slot) undo() {
 	pl.fl.Undo(pl.Target.Name, pl.work)
 	pl.giveBack()
 }
 
-func (pl *Place) giveBack() {
+func (pl *Slot) giveBack() {
 	for _, f := range pl.release {
 		f()
 	}
@@ -152,7 +152,7 @@
 
 // Acquire returns a place for the request, waiting for room until its deadline. A request whose predicted start
 // lies past its deadline is refused at once.
-func (rt *Router) Acquire(ctx context.Context, ask Request) (*Place, error) {
+func (rt *Router) Acquire(ctx context.Context, ask Request) (*Slot, error) {
 	if !ask.Prompt.Long {
 		rt.arriving.Add(ask.Prompt.Tokens)
 	}
@@ -168,7 +168,7 @@
 }
 
 // await returns a place for a waiter that has entered; the waiter has left afterwards.
-func (rt *Router) await(ctx context.Context, wt *waiter) (*Place, error) {
+func (rt *Router) await(ctx context.Context, wt *waiter) (*Slot, error) {
 	defer rt.leave(wt)
 	ask := wt.ask
 	for waits := false; ; waits = true {
@@ -217,11 +217,11 @@
 func (nr *noRoomError) Error() string { return "no room at " + nr.target }
 
 // try decides once. It returns a noRoomError when the request has to wait.
-func (rt *Router) try(ctx context.Context, ask Request) (*Place, error) {
+func (rt *Router) try(ctx context.Context, ask Request) (*Slot, error) {
 	left := ask.Deadline.Sub(rt.opts.Now())
 	choose := rt.choose
 	if rt.opts.Policy.UsesOwners && !ask.Prompt.Long && ask.Filter.Model != "" {
-		choose = func(ask Request, left time.Duration) (*Place, error) { return rt.viaOwners(ctx, ask, left) }
+		choose = func(ask Request, left time.Duration) (*Slot, error) { return rt.viaOwners(ctx, ask, left) }
 	}
 	pl, err := choose(ask, left)
 	if err != nil {
@@ -236,7 +236,7 @@
 
 // choose asks the policy and notes the work at the target, in one step, so that two requests of this instance see
 // each other.
-func (rt *Router) choose(ask Request, left time.Duration) (*Place, error) {
+func (rt *Router) choose(ask Request, left time.Duration) (*Slot, error) {
 	rt.decide.Lock()
 	defer rt.decide.Unlock()
 	vw := rt.fl.Candidates(ask.Filter)
@@ -264,7 +264,7 @@
 	if !ok {
 		return nil, &noRoomError{target: ca.Name}
 	}
-	pl := &Place{
+	pl := &Slot{
 		Target: t, Predicted: dec.PredictedWait, Alone: policy.TotalTokens(ca.InFlightPrefill) == 0, Borrowed: borrow,
 		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
 		alone: ca.PrefillTime(ask.Prompt.Tokens),
@@ -318,7 +318,7 @@
 }
 
 // secure gets what a long prompt needs besides the decision: the owner's grant, and memory on several engines.
-func (rt *Router) secure(ctx context.Context, ask Request, pl *Place, hold time.Duration) (*Place, error) {
+func (rt *Router) secure(ctx context.Context, ask Request, pl *Slot, hold time.Duration) (*Slot, error) {
 	refused := &noRoomError{target: pl.Target.Name, refused: true}
 	if ask.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.Grant != nil {
 		release, granted := rt.opts.Grant(ctx, pl.Target, pl.work.Memory, hold)
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -31,7 +31,7 @@
 )
 
 // attempt sends a request to one engine and passes the answer on.
-func (sv *Server) attempt(ctx context.Context, rq *request, sk *sink, pl *router.Place) error {
+func (sv *Server) attempt(ctx context.Context, rq *request, sk *sink, pl *router.Slot) error {
 	cl := sv.Engine(pl.Target)
 	at := engine.Attempt{
 		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.left(), Borrowed: pl.Borrowed,
@@ -69,7 +69,7 @@
 }
 
 // startFailed tells what is known after an attempt that got no answer.
-func (sv *Server) startFailed(ctx context.Context, at engine.Attempt, cl *engine.Client, pl *router.Place, err error) error {
+func (sv *Server) startFailed(ctx context.Context, at engine.Attempt, cl *engine.Client, pl *router.Slot, err error) error {
 	var se *engine.StatusError
 	if errors.As(err, &se) {
 		return statusFailure(se)
@@ -113,7 +113,7 @@
 }
 
 // relay passes on what a target answers.
-func (sv *Server) relay(ctx context.Context, rq *request, sk *sink, pl *router.Place, at engine.Attempt, resp *http.Response, began time.Time) error {
+func (sv *Server) relay(ctx context.Context, rq *request, sk *sink, pl *router.Slot, at engine.Attempt, resp *http.Response, began time.Time) error {
 	if echo := resp.Header.Get(engine.HeaderAttempt); echo != "" && echo != at.ID {
 		sv.count("answers_of_other_attempts_total")
 		return failure.New(failure.TargetLost, failure.Unknown, "the target answered another attempt")
@@ -139,7 +139,7 @@
 }
 
 // firstToken learns from the first part of an answer.
-func (sv *Server) firstToken(ctx context.Context, rq *request, pl *router.Place, began time.Time) {
+func (sv *Server) firstToken(ctx context.Context, rq *request, pl *router.Slot, began time.Time) {
 	pl.FirstToken(time.Since(began))
 	if !rq.firstAt.IsZero() {
 		return
@@ -197,7 +197,7 @@
 	return rq.fields.Stream && sk.events > 0 && ctx.Err() == nil && failure.FromError(err).Code == failure.TargetLost
 }
 
-func (sv *Server) resume(ctx context.Context, rq *request, sk *sink, pl *router.Place, cl *engine.Client, at engine.Attempt, began time.Time) error {
+func (sv *Server) resume(ctx context.Context, rq *request, sk *sink, pl *router.Slot, cl *engine.Client, at engine.Attempt, began time.Time) error {
 	resp, err := cl.Resume(ctx, at.ID, sk.events)
 	if err != nil {
 		return brokenOff(ctx, err)
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -138,11 +138,11 @@
 			Priority: rq.class.Priority, Sheddable: rq.class.Yields, Deadline: rq.due.At,
 		}
 	}
-	return sv.attempts(ctx, rq, sk, ask, func(pl *router.Place) error { return sv.attempt(ctx, rq, sk, pl) })
+	return sv.attempts(ctx, rq, sk, ask, func(pl *router.Slot) error { return sv.attempt(ctx, rq, sk, pl) })
 }
 
 // attempts finds places and calls targets until an answer is whole or no further attempt is allowed.
-func (sv *Server) attempts(ctx context.Context, rq *request, sk *sink, ask func(tried []string) router.Request, call func(*router.Place) error) error {
+func (sv *Server) attempts(ctx context.Context, rq *request, sk *sink, ask func(tried []string) router.Request, call func(*router.Slot) error) error {
 	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
 		return err
 	}
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -46,10 +46,10 @@
 			Priority: rq.class.Priority, Deadline: rq.due.At,
 		}
 	}
-	return sv.attempts(ctx, rq, sk, ask, func(pl *router.Place) error { return sv.callService(ctx, r, rq, sk, pl, path) })
+	return sv.attempts(ctx, rq, sk, ask, func(pl *router.Slot) error { return sv.callService(ctx, r, rq, sk, pl, path) })
 }
 
-func (sv *Server) callService(ctx context.Context, r *http.Request, rq *request, sk *sink, pl *router.Place, path string) error {
+func (sv *Server) callService(ctx context.Context, r *http.Request, rq *request, sk *sink, pl *router.Slot, path string) error {
 	u := pl.Target.URL + path
 	if r.URL.RawQuery != "" {
 		u += "?" + r.URL.RawQuery
@@ -91,7 +91,7 @@
 	}
 }
 
-func (sv *Server) serviceFailed(ctx context.Context, pl *router.Place, err error) error {
+func (sv *Server) serviceFailed(ctx context.Context, pl *router.Slot, err error) error {
 	if engine.NeverConnected(err) {
 		sv.Fleet.Down(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
