--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -63,31 +63,31 @@
 }
 
 // FirstToken notes that the prompt was computed, and how long after it was sent.
-func (pl *Slot) FirstToken(took time.Duration) {
-	pl.first.Do(func() {
-		if pl.besideLong > 0 {
-			pl.fl.ObserveBesideLong(took - (pl.Predicted - pl.besideLong) - pl.alone)
+func (sl *Slot) FirstToken(took time.Duration) {
+	sl.first.Do(func() {
+		if sl.besideLong > 0 {
+			sl.fl.ObserveBesideLong(took - (sl.Predicted - sl.besideLong) - sl.alone)
 		}
-		prefill := fleet.Work{Prefill: pl.work.Prefill}
-		pl.fl.End(pl.Target.Name, prefill)
-		pl.work.Prefill = [policy.NumLengthBands]int{}
+		prefill := fleet.Work{Prefill: sl.work.Prefill}
+		sl.fl.End(sl.Target.Name, prefill)
+		sl.work.Prefill = [policy.NumLengthBands]int{}
 	})
 }
 
 // Done gives the place back.
-func (pl *Slot) Done() {
-	pl.fl.End(pl.Target.Name, pl.work)
-	pl.giveBack()
+func (sl *Slot) Done() {
+	sl.fl.End(sl.Target.Name, sl.work)
+	sl.giveBack()
 }
 
 // undo gives back a place that was never used.
-func (pl *Slot) undo() {
-	pl.fl.Undo(pl.Target.Name, pl.work)
-	pl.giveBack()
+func (sl *Slot) undo() {
+	sl.fl.Undo(sl.Target.Name, sl.work)
+	sl.giveBack()
 }
 
-func (pl *Slot) giveBack() {
-	for _, f := range pl.release {
+func (sl *Slot) giveBack() {
+	for _, f := range sl.release {
 		f()
 	}
 }
