--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -49,7 +49,7 @@
 	// Predicted is the expected time until the prompt starts.
 	Predicted time.Duration
 	// Alone is set when no other prefill was known at the target.
-	Alone bool
+	Uncontended bool
 	// Borrowed is memory in tokens that is reserved before the attempt, for a prompt larger than one engine.
 	Borrowed int
 
@@ -265,7 +265,7 @@
 		return nil, &noRoomError{target: ca.Name}
 	}
 	pl := &Slot{
-		Target: t, Predicted: dec.PredictedWait, Alone: policy.TotalTokens(ca.InFlightPrefill) == 0, Borrowed: borrow,
+		Target: t, Predicted: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, Borrowed: borrow,
 		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
 		alone: ca.PrefillTime(ask.Prompt.Tokens),
 	}
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -145,7 +145,7 @@
 		return
 	}
 	rq.firstAt = time.Now()
-	if pl.Alone && rq.fields.Stream {
+	if pl.Uncontended && rq.fields.Stream {
 		sv.Fleet.Observe(pl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstAt.Sub(began))
 	}
 	if err := sv.machine.Fire(ctx, &rq.life, life.FirstToken); err != nil {
