--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -51,7 +51,7 @@
 	// Alone is set when no other prefill was known at the target.
 	Uncontended bool
 	// Borrowed is memory in tokens that is reserved before the attempt, for a prompt larger than one engine.
-	Borrowed int
+	BorrowedTokens int
 
 	work  fleet.Work
 	fl    *fleet.Fleet
@@ -265,7 +265,7 @@
 		return nil, &noRoomError{target: ca.Name}
 	}
 	pl := &Slot{
-		Target: t, Predicted: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, Borrowed: borrow,
+		Target: t, Predicted: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrow,
 		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
 		alone: ca.PrefillTime(ask.Prompt.Tokens),
 	}
@@ -328,8 +328,8 @@
 		}
 		pl.release = append(pl.release, release)
 	}
-	if pl.Borrowed > 0 {
-		release, err := rt.opts.Borrow(ctx, pl.Target, pl.Borrowed, hold)
+	if pl.BorrowedTokens > 0 {
+		release, err := rt.opts.Borrow(ctx, pl.Target, pl.BorrowedTokens, hold)
 		if err != nil {
 			pl.undo()
 			return nil, refused
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -34,7 +34,7 @@
 func (sv *Server) attempt(ctx context.Context, rq *request, sk *sink, pl *router.Slot) error {
 	cl := sv.Engine(pl.Target)
 	at := engine.Attempt{
-		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.left(), Borrowed: pl.Borrowed,
+		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.left(), Borrowed: pl.BorrowedTokens,
 		Priority: sv.enginePriority(rq), Fresh: rq.never,
 	}
 	sk.events = 0
