--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -18,7 +18,7 @@
 	own := ask
 	own.Filter.Owned = true
 	home, err := rt.choose(own, left)
-	if err == nil && home.Predicted <= time.Duration(askFrom*float64(home.alone)) {
+	if err == nil && home.PredictedWait <= time.Duration(askFrom*float64(home.alone)) {
 		return home, nil
 	}
 	best := rt.bestOffer(ctx, ask)
@@ -28,7 +28,7 @@
 		return rt.choose(ask, left)
 	case best == nil:
 		return home, nil
-	case err == nil && home.Predicted <= best.Wait:
+	case err == nil && home.PredictedWait <= best.Wait:
 		best.Release()
 		return home, nil
 	}
@@ -67,7 +67,7 @@
 		of.Release()
 		return nil, &noRoomError{target: of.Target}
 	}
-	pl := &Slot{Target: t, Predicted: of.Wait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
+	pl := &Slot{Target: t, PredictedWait: of.Wait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
 	rt.fl.Begin(t.Name, pl.work)
 	return pl, nil
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -47,7 +47,7 @@
 type Slot struct {
 	Target fleet.Target
 	// Predicted is the expected time until the prompt starts.
-	Predicted time.Duration
+	PredictedWait time.Duration
 	// Alone is set when no other prefill was known at the target.
 	Uncontended bool
 	// Borrowed is memory in tokens that is reserved before the attempt, for a prompt larger than one engine.
@@ -66,7 +66,7 @@
 func (sl *Slot) FirstToken(took time.Duration) {
 	sl.first.Do(func() {
 		if sl.besideLong > 0 {
-			sl.fl.ObserveBesideLong(took - (sl.Predicted - sl.besideLong) - sl.alone)
+			sl.fl.ObserveBesideLong(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
 		}
 		prefill := fleet.Work{Prefill: sl.work.Prefill}
 		sl.fl.End(sl.Target.Name, prefill)
@@ -265,7 +265,7 @@
 		return nil, &noRoomError{target: ca.Name}
 	}
 	pl := &Slot{
-		Target: t, Predicted: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrow,
+		Target: t, PredictedWait: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrow,
 		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
 		alone: ca.PrefillTime(ask.Prompt.Tokens),
 	}
