--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -63,7 +63,7 @@
 }
 
 // FirstToken notes that the prompt was computed, and how long after it was sent.
-func (sl *Slot) FirstToken(took time.Duration) {
+func (sl *Slot) RecordFirstToken(took time.Duration) {
 	sl.first.Do(func() {
 		if sl.besideLong > 0 {
 			sl.fl.ObserveBesideLong(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -140,7 +140,7 @@
 
 // firstToken learns from the first part of an answer.
 func (sv *Server) firstToken(ctx context.Context, rq *request, pl *router.Slot, began time.Time) {
-	pl.FirstToken(time.Since(began))
+	pl.RecordFirstToken(time.Since(began))
 	if !rq.firstAt.IsZero() {
 		return
 	}
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -69,7 +69,7 @@
 	}
 	defer resp.Body.Close()
 	sv.Fleet.Confirm(pl.Target.Name)
-	pl.FirstToken(0)
+	pl.RecordFirstToken(0)
 	return copyAnswer(sk, resp)
 }
 
