--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -75,7 +75,7 @@
 }
 
 // Done gives the place back.
-func (sl *Slot) Done() {
+func (sl *Slot) Release() {
 	sl.fl.End(sl.Target.Name, sl.work)
 	sl.giveBack()
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -62,7 +62,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			rt.opts.MaxWaiting = tc.waitings
 			if tc.want == "" {
-				time.AfterFunc(20*time.Millisecond, first.Done)
+				time.AfterFunc(20*time.Millisecond, first.Release)
 			}
 			pl, err := rt.Acquire(t.Context(), tc.ask)
 			g.Expect(codeOf(err)).To(Equal(tc.want))
@@ -91,7 +91,7 @@
 		got <- err
 	}()
 	g.Expect(codeOf(<-evicted)).To(Equal(failure.Overloaded))
-	first.Done()
+	first.Release()
 	g.Expect(<-got).NotTo(HaveOccurred())
 }
 
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -161,15 +161,15 @@
 		}
 		if sv.over.Err() != nil {
 			// A request that was given up left its place to this one, which is told of the end a moment later.
-			pl.Done()
+			pl.Release()
 			return sv.end(rq, sk, noPlace(sv.over, known, sv.over.Err()))
 		}
 		if err := sv.machine.Fire(ctx, &rq.life, life.Dispatch); err != nil {
-			pl.Done()
+			pl.Release()
 			return err
 		}
 		err = call(pl)
-		pl.Done()
+		pl.Release()
 		if err == nil {
 			return sv.machine.Fire(ctx, &rq.life, life.Finish)
 		}
