--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -19,8 +19,8 @@
 func (rt *Router) demand(ask Request) policy.Demand {
 	instances := float64(rt.fl.LiveInstances())
 	d := policy.Demand{ShortRate: rt.arriving.Rate() * instances}
-	if rt.opts.Expected != nil {
-		d.ShortRate = max(d.ShortRate, rt.opts.Expected())
+	if rt.opts.ExpectedShortRate != nil {
+		d.ShortRate = max(d.ShortRate, rt.opts.ExpectedShortRate())
 	}
 	if ask.Prompt.Long {
 		d.RequiredLongRate = rt.longNeed() * instances
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -103,7 +103,7 @@
 	// Now is the clock.
 	Now func() time.Time
 	// Expected returns the tokens a second of short prompts that events bring now, over all instances; nil means none.
-	Expected func() float64
+	ExpectedShortRate func() float64
 	// Probe asks a target whether it is there; nil takes every target as confirmed.
 	Probe func(ctx context.Context, t fleet.Target) error
 	// Grant asks the owner of a target for room for a long prompt; nil grants always.
