--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -107,7 +107,7 @@
 	// Probe asks a target whether it is there; nil takes every target as confirmed.
 	Probe func(ctx context.Context, t fleet.Target) error
 	// Grant asks the owner of a target for room for a long prompt; nil grants always.
-	Grant func(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool)
+	RequestGrant func(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool)
 	// AskShort asks other owners for a place for a short prompt; nil asks nobody.
 	AskShort func(ctx context.Context, model string, rq policy.Prompt) []offer.Offer
 	// Borrow reserves memory on the main and other engines for a prompt larger than one.
@@ -320,8 +320,8 @@
 // secure gets what a long prompt needs besides the decision: the owner's grant, and memory on several engines.
 func (rt *Router) secure(ctx context.Context, ask Request, pl *Slot, hold time.Duration) (*Slot, error) {
 	refused := &noRoomError{target: pl.Target.Name, refused: true}
-	if ask.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.Grant != nil {
-		release, granted := rt.opts.Grant(ctx, pl.Target, pl.work.Memory, hold)
+	if ask.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.RequestGrant != nil {
+		release, granted := rt.opts.RequestGrant(ctx, pl.Target, pl.work.Memory, hold)
 		if !granted {
 			pl.undo()
 			return nil, refused
