--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -192,7 +192,7 @@
 		Policy:     p,
 		Limits:     policy.Limits{MaxLongPerTarget: r.LongPerTarget, MaxLongTargetShare: r.LongShare},
 		MaxWaiting: r.MaxWaiting, Probe: prober(d), RequestGrant: ms.Grant, Borrow: lender.Reserve,
-		AskShort: ms.AskShort, ExpectedShortRate: func() float64 {
+		RequestOffers: ms.AskShort, ExpectedShortRate: func() float64 {
 			if cur := d.Bundles.Current(); cur != nil {
 				return cur.Expected(time.Now())
 			}
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -40,11 +40,11 @@
 
 // bestOffer asks other owners and returns the offer with the least wait; the others are given back.
 func (rt *Router) bestOffer(ctx context.Context, ask Request) *offer.Offer {
-	if rt.opts.AskShort == nil {
+	if rt.opts.RequestOffers == nil {
 		return nil
 	}
 	var best *offer.Offer
-	for _, of := range rt.opts.AskShort(ctx, ask.Filter.Model, ask.Prompt) {
+	for _, of := range rt.opts.RequestOffers(ctx, ask.Filter.Model, ask.Prompt) {
 		switch {
 		case slices.Contains(ask.Filter.Except, of.Target):
 			of.Release()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -109,7 +109,7 @@
 	// Grant asks the owner of a target for room for a long prompt; nil grants always.
 	RequestGrant func(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool)
 	// AskShort asks other owners for a place for a short prompt; nil asks nobody.
-	AskShort func(ctx context.Context, model string, rq policy.Prompt) []offer.Offer
+	RequestOffers func(ctx context.Context, model string, rq policy.Prompt) []offer.Offer
 	// Borrow reserves memory on the main and other engines for a prompt larger than one.
 	Borrow func(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error)
 }
