--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -191,7 +191,7 @@
 	rt := router.New(d.Fleet, router.Options{
 		Policy:     p,
 		Limits:     policy.Limits{MaxLongPerTarget: r.LongPerTarget, MaxLongTargetShare: r.LongShare},
-		MaxWaiting: r.MaxWaiting, Probe: prober(d), RequestGrant: ms.Grant, Borrow: lender.Reserve,
+		MaxWaiting: r.MaxWaiting, Probe: prober(d), RequestGrant: ms.Grant, ReserveMemory: lender.Reserve,
 		RequestOffers: ms.AskShort, ExpectedShortRate: func() float64 {
 			if cur := d.Bundles.Current(); cur != nil {
 				return cur.Expected(time.Now())
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -111,7 +111,7 @@
 	// AskShort asks other owners for a place for a short prompt; nil asks nobody.
 	RequestOffers func(ctx context.Context, model string, rq policy.Prompt) []offer.Offer
 	// Borrow reserves memory on the main and other engines for a prompt larger than one.
-	Borrow func(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error)
+	ReserveMemory func(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error)
 }
 
 // Router is safe for use by any goroutine.
@@ -297,7 +297,7 @@
 		largest = max(largest, ca.MemoryTotal)
 	}
 	need := in.Prompt.MemoryTokens()
-	if need <= largest || rt.opts.Borrow == nil {
+	if need <= largest || rt.opts.ReserveMemory == nil {
 		return 0
 	}
 	in.Prompt.Tokens, in.Prompt.MaxOutputTokens = largest/room.LendPart, 0
@@ -329,7 +329,7 @@
 		pl.release = append(pl.release, release)
 	}
 	if pl.BorrowedTokens > 0 {
-		release, err := rt.opts.Borrow(ctx, pl.Target, pl.BorrowedTokens, hold)
+		release, err := rt.opts.ReserveMemory(ctx, pl.Target, pl.BorrowedTokens, hold)
 		if err != nil {
 			pl.undo()
 			return nil, refused
