--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -103,7 +103,7 @@
 	})
 	kernel.Provide(env, sv)
 	d.Metrics.NewGauge("silvermount_requests_in_flight", func() float64 { return float64(sv.InFlight()) })
-	d.Metrics.NewGauge("silvermount_requests_waiting", func() float64 { return float64(d.Router.Waiting()) })
+	d.Metrics.NewGauge("silvermount_requests_waiting", func() float64 { return float64(d.Router.QueueLength()) })
 	d.Metrics.NewGauge("silvermount_body_bytes", func() float64 { return float64(d.Bodies.Used()) })
 	srv := &http.Server{
 		Handler: sv.Handler(), ReadHeaderTimeout: s.Callers.HeaderTimeout.Std(), MaxHeaderBytes: maxHeader, IdleTimeout: idleLimit,
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -144,7 +144,7 @@
 func (rt *Router) Policy() policy.Policy { return rt.opts.Policy }
 
 // Waiting returns how many requests wait for room.
-func (rt *Router) Waiting() int {
+func (rt *Router) QueueLength() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	return len(rt.waiting)
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -67,7 +67,7 @@
 			pl, err := rt.Acquire(t.Context(), tc.ask)
 			g.Expect(codeOf(err)).To(Equal(tc.want))
 			g.Expect(pl == nil).To(Equal(tc.want != ""))
-			g.Expect(rt.Waiting()).To(BeZero())
+			g.Expect(rt.QueueLength()).To(BeZero())
 		})
 	}
 }
@@ -84,7 +84,7 @@
 		_, err := rt.Acquire(context.Background(), yielding)
 		evicted <- err
 	}()
-	g.Eventually(rt.Waiting).Should(Equal(1))
+	g.Eventually(rt.QueueLength).Should(Equal(1))
 	got := make(chan error, 1)
 	go func() {
 		_, err := rt.Acquire(context.Background(), long(100_000, time.Hour))
@@ -115,7 +115,7 @@
 			}()
 		}
 		synctest.Wait()
-		g.Expect(rt.Waiting()).To(Equal(waiters))
+		g.Expect(rt.QueueLength()).To(Equal(waiters))
 		rt.fl.SetTargets(nil)
 		left := time.Now()
 		for range waiters {
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -90,7 +90,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Eventually(sv.InFlight).Should(BeZero())
 			g.Expect(sv.Bodies.Used()).To(BeZero())
-			g.Eventually(sv.Router.Waiting).Should(BeZero())
+			g.Eventually(sv.Router.QueueLength).Should(BeZero())
 			lf.Store.SetSlow(0)
 			for _, en := range lf.Engines {
 				en.Hang(false)
--- a/internal/session/stop_test.go
+++ b/internal/session/stop_test.go
@@ -221,7 +221,7 @@
 			for _, prompt := range tc.prompts {
 				go func() { answers <- endOf(t.Context(), lf.URLs()[0]+"/v1/completions", completion(prompt, 4, false)) }()
 			}
-			g.Eventually(func() []int { return []int{int(sv.InFlight()), sv.Router.Waiting()} }, patience).
+			g.Eventually(func() []int { return []int{int(sv.InFlight()), sv.Router.QueueLength()} }, patience).
 				Should(Equal([]int{len(tc.prompts), tc.waiting}))
 			stopped := lf.Instances[0].Stop(t.Context())
 			var got []string
