--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -199,7 +199,7 @@
 			return 0
 		},
 	})
-	ms.SetChooseShort(rt.Offer)
+	ms.SetChooseShort(rt.ChooseOwnedTarget)
 	return rt, nil
 }
 
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -73,7 +73,7 @@
 }
 
 // Offer chooses the best owned target for another instance's short prompt.
-func (rt *Router) Offer(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool) {
+func (rt *Router) ChooseOwnedTarget(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool) {
 	rt.decide.Lock()
 	defer rt.decide.Unlock()
 	vw := rt.fl.Candidates(fleet.Wanted{Model: model, Peers: true, Owned: true})
