--- a/internal/fleet/asked.go
+++ b/internal/fleet/asked.go
@@ -45,7 +45,7 @@
 }
 
 // countAsked puts what peers asked for in the place of what their heartbeats tell of short prompts.
-func (fl *Fleet) countAsked(kt *knownTarget, all *Work) {
+func (fl *Fleet) countAsked(kt *knownTarget, all *Load) {
 	now := fl.now()
 	for b := range shortBands {
 		all.Prefill[b] = kt.own.Prefill[b]
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -54,7 +54,7 @@
 }
 
 // Work is load in flight at one target.
-type Work struct {
+type Load struct {
 	// Requests counts attempts.
 	Requests int
 	// Prefill is prompt tokens without a first token yet, by length band.
@@ -65,7 +65,7 @@
 	Long int
 }
 
-func (wk Work) plus(o Work, sign int) Work {
+func (wk Load) plus(o Load, sign int) Load {
 	wk.Requests += sign * o.Requests
 	wk.Memory += sign * o.Memory
 	wk.Long += sign * o.Long
@@ -76,7 +76,7 @@
 }
 
 // Add returns the sum of two loads.
-func (wk Work) Add(o Work) Work { return wk.plus(o, 1) }
+func (wk Load) Add(o Load) Load { return wk.plus(o, 1) }
 
 type knownTarget struct {
 	Target
@@ -85,8 +85,8 @@
 	// leaving sticks for the incarnation it was learnt of.
 	leavingOf  string
 	listed     bool
-	own        Work
-	byPeer     map[string]Work
+	own        Load
+	byPeer     map[string]Load
 	asked      map[grant.Key]asked
 	summary    Summary
 	summaryAt  time.Time
@@ -103,7 +103,7 @@
 	// Target is its name.
 	Target string
 	// Total is all work in flight but the receiver's own.
-	Total Work
+	Total Load
 	// Incarnation is that of the target's last report.
 	Incarnation string
 	// MemoryTotal is in tokens; zero when not known.
@@ -199,7 +199,7 @@
 	for _, t := range list {
 		kt := fl.targets[t.Name]
 		if kt == nil || kt.URL != t.URL {
-			kt = &knownTarget{byPeer: map[string]Work{}, asked: map[grant.Key]asked{}}
+			kt = &knownTarget{byPeer: map[string]Load{}, asked: map[grant.Key]asked{}}
 			fl.targets[t.Name] = kt
 		}
 		kt.Target = t
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -85,10 +85,10 @@
 }
 
 // Begin notes work that this instance sends to a target.
-func (fl *Fleet) Begin(target string, wk Work) { fl.change(target, wk, 1) }
+func (fl *Fleet) Begin(target string, wk Load) { fl.change(target, wk, 1) }
 
 // End takes back work noted by Begin, and wakes those who wait for room.
-func (fl *Fleet) End(target string, wk Work) {
+func (fl *Fleet) End(target string, wk Load) {
 	fl.change(target, wk, -1)
 	fl.mu.Lock()
 	fl.notify()
@@ -96,9 +96,9 @@
 }
 
 // Undo takes back work that was never sent. It wakes nobody: those who wait would else wake each other for ever.
-func (fl *Fleet) Undo(target string, wk Work) { fl.change(target, wk, -1) }
+func (fl *Fleet) Undo(target string, wk Load) { fl.change(target, wk, -1) }
 
-func (fl *Fleet) change(target string, wk Work, sign int) {
+func (fl *Fleet) change(target string, wk Load, sign int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
@@ -300,7 +300,7 @@
 }
 
 // allWork is the owner's total, corrected by what this instance did since.
-func (fl *Fleet) allWork(kt *knownTarget) Work {
+func (fl *Fleet) allWork(kt *knownTarget) Load {
 	if fl.owner(kt.Name) == fl.self.Name {
 		return kt.total()
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -17,7 +17,7 @@
 	// Stopping is set by an instance that is about to end.
 	Stopping bool
 	// Usage is the sender's work at targets that the receiver owns.
-	Usage map[string]Work
+	Usage map[string]Load
 	// Summaries are of targets that the sender owns.
 	Summaries []Summary
 	// Leaving maps targets to the incarnation that is leaving.
@@ -139,12 +139,12 @@
 }
 
 // UsageFor returns this instance's work at the targets that a peer owns.
-func (fl *Fleet) UsageFor(peer string) map[string]Work {
+func (fl *Fleet) UsageFor(peer string) map[string]Load {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	usage := map[string]Work{}
+	usage := map[string]Load{}
 	for name, kt := range fl.targets {
-		if kt.own != (Work{}) && fl.owner(name) == peer {
+		if kt.own != (Load{}) && fl.owner(name) == peer {
 			usage[name] = kt.own
 		}
 	}
@@ -179,7 +179,7 @@
 }
 
 // total is the own work and that of peers, as an owner knows it.
-func (kt *knownTarget) total() Work {
+func (kt *knownTarget) total() Load {
 	sum := kt.own
 	for _, wk := range kt.byPeer {
 		sum = sum.Add(wk)
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -37,7 +37,7 @@
 
 func millis(d time.Duration) uint32 { return uint32(max(0, min(d, maxAge)).Milliseconds()) }
 
-func usage(target string, wk fleet.Work) *peerpb.Usage {
+func usage(target string, wk fleet.Load) *peerpb.Usage {
 	u := &peerpb.Usage{
 		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.Memory)), Long: uint32(max(0, wk.Long)),
 	}
@@ -49,8 +49,8 @@
 	return u
 }
 
-func work(u *peerpb.Usage) fleet.Work {
-	wk := fleet.Work{Requests: int(u.GetRequests()), Memory: int(u.GetMemory()), Long: int(u.GetLong())}
+func work(u *peerpb.Usage) fleet.Load {
+	wk := fleet.Load{Requests: int(u.GetRequests()), Memory: int(u.GetMemory()), Long: int(u.GetLong())}
 	for i, p := range u.GetPrefill() {
 		if i < policy.NumLengthBands {
 			wk.Prefill[i] = int(p)
@@ -73,7 +73,7 @@
 		From: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
 	}
 	if !pb.GetAnswer() {
-		b.Usage = map[string]fleet.Work{}
+		b.Usage = map[string]fleet.Load{}
 	}
 	for _, u := range pb.GetUsage() {
 		b.Usage[u.GetTarget()] = work(u)
@@ -94,7 +94,7 @@
 }
 
 // renew extends the grants that a heartbeat tells are in use.
-func (ms *Mesh) renew(holder string, usage map[string]fleet.Work) {
+func (ms *Mesh) renew(holder string, usage map[string]fleet.Load) {
 	for target, wk := range usage {
 		if wk.Long > 0 {
 			ms.grants.Renew(holder, target, wk.Long)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -53,7 +53,7 @@
 	// Borrowed is memory in tokens that is reserved before the attempt, for a prompt larger than one engine.
 	BorrowedTokens int
 
-	work  fleet.Work
+	work  fleet.Load
 	fl    *fleet.Fleet
 	probe bool
 	// alone is the prompt's own time; besideLong is the part of Predicted that a long prompt adds, zero without one.
@@ -68,7 +68,7 @@
 		if sl.besideLong > 0 {
 			sl.fl.ObserveBesideLong(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
 		}
-		prefill := fleet.Work{Prefill: sl.work.Prefill}
+		prefill := fleet.Load{Prefill: sl.work.Prefill}
 		sl.fl.End(sl.Target.Name, prefill)
 		sl.work.Prefill = [policy.NumLengthBands]int{}
 	})
@@ -276,8 +276,8 @@
 	return pl, nil
 }
 
-func workOf(rq policy.Prompt, borrowed int) fleet.Work {
-	wk := fleet.Work{Requests: 1, Memory: rq.MemoryTokens() - borrowed}
+func workOf(rq policy.Prompt, borrowed int) fleet.Load {
+	wk := fleet.Load{Requests: 1, Memory: rq.MemoryTokens() - borrowed}
 	wk.Prefill[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
 		wk.Long = 1
