--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -65,18 +65,18 @@
 	Long int
 }
 
-func (wk Load) plus(o Load, sign int) Load {
-	wk.Requests += sign * o.Requests
-	wk.Memory += sign * o.Memory
-	wk.Long += sign * o.Long
-	for b := range wk.Prefill {
-		wk.Prefill[b] += sign * o.Prefill[b]
+func (lo Load) plus(o Load, sign int) Load {
+	lo.Requests += sign * o.Requests
+	lo.Memory += sign * o.Memory
+	lo.Long += sign * o.Long
+	for b := range lo.Prefill {
+		lo.Prefill[b] += sign * o.Prefill[b]
 	}
-	return wk
+	return lo
 }
 
 // Add returns the sum of two loads.
-func (wk Load) Add(o Load) Load { return wk.plus(o, 1) }
+func (lo Load) Add(o Load) Load { return lo.plus(o, 1) }
 
 type knownTarget struct {
 	Target
