--- a/internal/fleet/asked.go
+++ b/internal/fleet/asked.go
@@ -48,14 +48,14 @@
 func (fl *Fleet) countAsked(kt *knownTarget, all *Load) {
 	now := fl.now()
 	for b := range shortBands {
-		all.Prefill[b] = kt.own.Prefill[b]
+		all.PrefillTokens[b] = kt.own.PrefillTokens[b]
 	}
 	for k, a := range kt.asked {
 		if now.After(a.until) {
 			delete(kt.asked, k)
 			continue
 		}
-		all.Prefill[a.band] += a.tokens
+		all.PrefillTokens[a.band] += a.tokens
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -58,7 +58,7 @@
 	// Requests counts attempts.
 	Requests int
 	// Prefill is prompt tokens without a first token yet, by length band.
-	Prefill [policy.NumLengthBands]int
+	PrefillTokens [policy.NumLengthBands]int
 	// Memory is KV memory in tokens.
 	Memory int
 	// Long counts long prompts.
@@ -69,8 +69,8 @@
 	lo.Requests += sign * o.Requests
 	lo.Memory += sign * o.Memory
 	lo.Long += sign * o.Long
-	for b := range lo.Prefill {
-		lo.Prefill[b] += sign * o.Prefill[b]
+	for b := range lo.PrefillTokens {
+		lo.PrefillTokens[b] += sign * o.PrefillTokens[b]
 	}
 	return lo
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -279,8 +279,8 @@
 	}
 	ca := policy.Candidate{
 		Name:        kt.Name,
-		OwnRequests: kt.own.Requests, OwnPrefill: kt.own.Prefill,
-		InFlightPrefill: all.Prefill, InFlightLong: all.Long, InFlightMemory: all.Memory,
+		OwnRequests: kt.own.Requests, OwnPrefill: kt.own.PrefillTokens,
+		InFlightPrefill: all.PrefillTokens, InFlightLong: all.Long, InFlightMemory: all.Memory,
 		ReportedPrefill: kt.report.PrefillTokens,
 		PrefillRate:     kt.rate, MemoryTotal: kt.report.MemoryTotal,
 	}
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -41,8 +41,8 @@
 	u := &peerpb.Usage{
 		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.Memory)), Long: uint32(max(0, wk.Long)),
 	}
-	if policy.TotalTokens(wk.Prefill) > 0 {
-		for _, p := range wk.Prefill {
+	if policy.TotalTokens(wk.PrefillTokens) > 0 {
+		for _, p := range wk.PrefillTokens {
 			u.Prefill = append(u.Prefill, uint64(max(0, p)))
 		}
 	}
@@ -53,7 +53,7 @@
 	wk := fleet.Load{Requests: int(u.GetRequests()), Memory: int(u.GetMemory()), Long: int(u.GetLong())}
 	for i, p := range u.GetPrefill() {
 		if i < policy.NumLengthBands {
-			wk.Prefill[i] = int(p)
+			wk.PrefillTokens[i] = int(p)
 		}
 	}
 	return wk
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -68,9 +68,9 @@
 		if sl.besideLong > 0 {
 			sl.fl.ObserveBesideLong(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
 		}
-		prefill := fleet.Load{Prefill: sl.work.Prefill}
+		prefill := fleet.Load{PrefillTokens: sl.work.PrefillTokens}
 		sl.fl.End(sl.Target.Name, prefill)
-		sl.work.Prefill = [policy.NumLengthBands]int{}
+		sl.work.PrefillTokens = [policy.NumLengthBands]int{}
 	})
 }
 
@@ -278,7 +278,7 @@
 
 func workOf(rq policy.Prompt, borrowed int) fleet.Load {
 	wk := fleet.Load{Requests: 1, Memory: rq.MemoryTokens() - borrowed}
-	wk.Prefill[policy.LengthBand(rq.Tokens)] = rq.Tokens
+	wk.PrefillTokens[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
 		wk.Long = 1
 	}
