--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -60,14 +60,14 @@
 	// Prefill is prompt tokens without a first token yet, by length band.
 	PrefillTokens [policy.NumLengthBands]int
 	// Memory is KV memory in tokens.
-	Memory int
+	MemoryTokens int
 	// Long counts long prompts.
 	Long int
 }
 
 func (lo Load) plus(o Load, sign int) Load {
 	lo.Requests += sign * o.Requests
-	lo.Memory += sign * o.Memory
+	lo.MemoryTokens += sign * o.MemoryTokens
 	lo.Long += sign * o.Long
 	for b := range lo.PrefillTokens {
 		lo.PrefillTokens[b] += sign * o.PrefillTokens[b]
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -58,11 +58,11 @@
 		}
 	}
 	for _, p := range parts {
-		ln.fl.Begin(p.target.Name, fleet.Load{Memory: p.memory})
+		ln.fl.Begin(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 	}
 	return func() {
 		for _, p := range parts {
-			ln.fl.End(p.target.Name, fleet.Load{Memory: p.memory})
+			ln.fl.End(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 		}
 		ln.giveBack(parts)
 	}, nil
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -277,7 +277,7 @@
 }
 
 func workOf(rq policy.Prompt, borrowed int) fleet.Load {
-	wk := fleet.Load{Requests: 1, Memory: rq.MemoryTokens() - borrowed}
+	wk := fleet.Load{Requests: 1, MemoryTokens: rq.MemoryTokens() - borrowed}
 	wk.PrefillTokens[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
 		wk.Long = 1
@@ -321,7 +321,7 @@
 func (rt *Router) secure(ctx context.Context, ask Request, pl *Slot, hold time.Duration) (*Slot, error) {
 	refused := &noRoomError{target: pl.Target.Name, refused: true}
 	if ask.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.RequestGrant != nil {
-		release, granted := rt.opts.RequestGrant(ctx, pl.Target, pl.work.Memory, hold)
+		release, granted := rt.opts.RequestGrant(ctx, pl.Target, pl.work.MemoryTokens, hold)
 		if !granted {
 			pl.undo()
 			return nil, refused
