--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -62,13 +62,13 @@
 	// Memory is KV memory in tokens.
 	MemoryTokens int
 	// Long counts long prompts.
-	Long int
+	LongPrompts int
 }
 
 func (lo Load) plus(o Load, sign int) Load {
 	lo.Requests += sign * o.Requests
 	lo.MemoryTokens += sign * o.MemoryTokens
-	lo.Long += sign * o.Long
+	lo.LongPrompts += sign * o.LongPrompts
 	for b := range lo.PrefillTokens {
 		lo.PrefillTokens[b] += sign * o.PrefillTokens[b]
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -129,7 +129,7 @@
 func TestWorkIsCountedOnce(t *testing.T) {
 	g := NewWithT(t)
 	owner, _ := newFleet(0, 1, 1)
-	wk := Load{Requests: 1, MemoryTokens: 10, Long: 1}
+	wk := Load{Requests: 1, MemoryTokens: 10, LongPrompts: 1}
 	owner.Begin("engine-00", wk)
 	asker := Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "b"}
 	owner.ApplyBeat(Beat{From: asker, Usage: map[string]Load{"engine-00": wk}})
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -280,7 +280,7 @@
 	ca := policy.Candidate{
 		Name:        kt.Name,
 		OwnRequests: kt.own.Requests, OwnPrefill: kt.own.PrefillTokens,
-		InFlightPrefill: all.PrefillTokens, InFlightLong: all.Long, InFlightMemory: all.MemoryTokens,
+		InFlightPrefill: all.PrefillTokens, InFlightLong: all.LongPrompts, InFlightMemory: all.MemoryTokens,
 		ReportedPrefill: kt.report.PrefillTokens,
 		PrefillRate:     kt.rate, MemoryTotal: kt.report.MemoryTotal,
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -283,5 +283,5 @@
 		return 0, 0, 0
 	}
 	wk := kt.total()
-	return wk.Long, wk.MemoryTokens, kt.report.MemoryTotal
+	return wk.LongPrompts, wk.MemoryTokens, kt.report.MemoryTotal
 }
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -39,7 +39,7 @@
 
 func usage(target string, wk fleet.Load) *peerpb.Usage {
 	u := &peerpb.Usage{
-		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.MemoryTokens)), Long: uint32(max(0, wk.Long)),
+		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.MemoryTokens)), Long: uint32(max(0, wk.LongPrompts)),
 	}
 	if policy.TotalTokens(wk.PrefillTokens) > 0 {
 		for _, p := range wk.PrefillTokens {
@@ -50,7 +50,7 @@
 }
 
 func work(u *peerpb.Usage) fleet.Load {
-	wk := fleet.Load{Requests: int(u.GetRequests()), MemoryTokens: int(u.GetMemory()), Long: int(u.GetLong())}
+	wk := fleet.Load{Requests: int(u.GetRequests()), MemoryTokens: int(u.GetMemory()), LongPrompts: int(u.GetLong())}
 	for i, p := range u.GetPrefill() {
 		if i < policy.NumLengthBands {
 			wk.PrefillTokens[i] = int(p)
@@ -96,8 +96,8 @@
 // renew extends the grants that a heartbeat tells are in use.
 func (ms *Mesh) renew(holder string, usage map[string]fleet.Load) {
 	for target, wk := range usage {
-		if wk.Long > 0 {
-			ms.grants.Renew(holder, target, wk.Long)
+		if wk.LongPrompts > 0 {
+			ms.grants.Renew(holder, target, wk.LongPrompts)
 		}
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -280,7 +280,7 @@
 	wk := fleet.Load{Requests: 1, MemoryTokens: rq.MemoryTokens() - borrowed}
 	wk.PrefillTokens[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
-		wk.Long = 1
+		wk.LongPrompts = 1
 	}
 	return wk
 }
