--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -76,7 +76,7 @@
 }
 
 // Add returns the sum of two loads.
-func (lo Load) Add(o Load) Load { return lo.plus(o, 1) }
+func (lo Load) Plus(o Load) Load { return lo.plus(o, 1) }
 
 type knownTarget struct {
 	Target
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -182,7 +182,7 @@
 func (kt *knownTarget) total() Load {
 	sum := kt.own
 	for _, wk := range kt.byPeer {
-		sum = sum.Add(wk)
+		sum = sum.Plus(wk)
 	}
 	return sum
 }
