--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -88,7 +88,7 @@
 	own        Load
 	byPeer     map[string]Load
 	asked      map[grant.Key]asked
-	summary    Summary
+	summary    TargetSummary
 	summaryAt  time.Time
 	report     engine.Report
 	reportAt   time.Time
@@ -99,7 +99,7 @@
 }
 
 // Summary is what an owner tells of a target.
-type Summary struct {
+type TargetSummary struct {
 	// Target is its name.
 	Target string
 	// Total is all work in flight but the receiver's own.
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -19,7 +19,7 @@
 	// Usage is the sender's work at targets that the receiver owns.
 	Usage map[string]Load
 	// Summaries are of targets that the sender owns.
-	Summaries []Summary
+	Summaries []TargetSummary
 	// Leaving maps targets to the incarnation that is leaving.
 	Leaving map[string]string
 }
@@ -79,7 +79,7 @@
 	fl.notify()
 }
 
-func (fl *Fleet) applySummaries(summaries []Summary) {
+func (fl *Fleet) applySummaries(summaries []TargetSummary) {
 	for _, sm := range summaries {
 		kt := fl.targets[sm.Target]
 		if kt == nil {
@@ -152,16 +152,16 @@
 }
 
 // SummariesFor returns what this instance knows of the targets that it owns, less the receiver's own work.
-func (fl *Fleet) SummariesFor(peer string) []Summary {
+func (fl *Fleet) SummariesFor(peer string) []TargetSummary {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	var all []Summary
+	var all []TargetSummary
 	for _, name := range fl.names() {
 		kt := fl.targets[name]
 		if !kt.listed || fl.owner(name) != fl.self.Name {
 			continue
 		}
-		all = append(all, Summary{
+		all = append(all, TargetSummary{
 			Target: name, Total: kt.total().plus(kt.byPeer[peer], -1), Incarnation: kt.incarnation,
 			MemoryTotal: kt.report.MemoryTotal, ReportedPrefill: kt.report.PrefillTokens,
 			Rate: kt.rate, Age: fl.now().Sub(kt.reportAt), Models: kt.otherModels(),
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -79,7 +79,7 @@
 		b.Usage[u.GetTarget()] = work(u)
 	}
 	for _, s := range pb.GetSummaries() {
-		b.Summaries = append(b.Summaries, fleet.Summary{
+		b.Summaries = append(b.Summaries, fleet.TargetSummary{
 			Target: s.GetTotal().GetTarget(), Total: work(s.GetTotal()), Incarnation: s.GetIncarnation(),
 			MemoryTotal: int(s.GetMemoryTotal()), ReportedPrefill: int(s.GetReportedPrefill()), Rate: s.GetRate(),
 			Age: time.Duration(s.GetAgeMillis()) * time.Millisecond, Models: s.GetModels(),
