--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -103,7 +103,7 @@
 	// Target is its name.
 	Target string
 	// Total is all work in flight but the receiver's own.
-	Total Load
+	Load Load
 	// Incarnation is that of the target's last report.
 	Incarnation string
 	// MemoryTotal is in tokens; zero when not known.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -133,8 +133,8 @@
 	owner.Begin("engine-00", wk)
 	asker := Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "b"}
 	owner.ApplyBeat(Beat{From: asker, Usage: map[string]Load{"engine-00": wk}})
-	g.Expect(owner.SummariesFor("peer-00")[0].Total.MemoryTokens).To(Equal(10))
-	g.Expect(owner.SummariesFor("another")[0].Total.MemoryTokens).To(Equal(20))
+	g.Expect(owner.SummariesFor("peer-00")[0].Load.MemoryTokens).To(Equal(10))
+	g.Expect(owner.SummariesFor("another")[0].Load.MemoryTokens).To(Equal(20))
 	owner.ApplyBeat(Beat{From: Instance{Name: "peer-00", Incarnation: "2", AvailabilityZone: "b"}})
-	g.Expect(owner.SummariesFor("another")[0].Total.MemoryTokens).To(Equal(10), "work of an ended run is forgotten")
+	g.Expect(owner.SummariesFor("another")[0].Load.MemoryTokens).To(Equal(10), "work of an ended run is forgotten")
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -307,5 +307,5 @@
 	if fl.now().Sub(kt.summaryAt) > fl.lost {
 		return kt.own
 	}
-	return kt.summary.Total.Plus(kt.own)
+	return kt.summary.Load.Plus(kt.own)
 }
