--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -111,7 +111,7 @@
 	// ReportedPrefill is the engine's own figure.
 	ReportedPrefill int
 	// Rate is prompt tokens a second; zero when not known.
-	Rate float64
+	PrefillRate float64
 	// Models are loaded; nil where they are those of the platform's list.
 	Models []string
 	// Age is the time since the owner last heard from the target.
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -289,7 +289,7 @@
 		ca.ReportedPrefill = kt.summary.ReportedPrefill
 	}
 	if ca.PrefillRate <= 0 {
-		ca.PrefillRate = kt.summary.Rate
+		ca.PrefillRate = kt.summary.PrefillRate
 	}
 	ca.InterferenceDelay = fl.besideLong
 	ca.PrefillRateKnown = ca.PrefillRate > 0
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -164,7 +164,7 @@
 		all = append(all, TargetSummary{
 			Target: name, Load: kt.total().plus(kt.byPeer[peer], -1), Incarnation: kt.incarnation,
 			MemoryTotal: kt.report.MemoryTotal, ReportedPrefill: kt.report.PrefillTokens,
-			Rate: kt.rate, Age: fl.now().Sub(kt.reportAt), Models: kt.otherModels(),
+			PrefillRate: kt.rate, Age: fl.now().Sub(kt.reportAt), Models: kt.otherModels(),
 		})
 	}
 	return all
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -27,7 +27,7 @@
 	for _, sm := range ms.fl.SummariesFor(peer) {
 		b.Summaries = append(b.Summaries, &peerpb.Summary{
 			Total: usage(sm.Target, sm.Load), Incarnation: sm.Incarnation, MemoryTotal: uint64(sm.MemoryTotal),
-			ReportedPrefill: uint64(sm.ReportedPrefill), Rate: sm.Rate, AgeMillis: millis(sm.Age), Models: sm.Models,
+			ReportedPrefill: uint64(sm.ReportedPrefill), Rate: sm.PrefillRate, AgeMillis: millis(sm.Age), Models: sm.Models,
 		})
 	}
 	return b
@@ -81,7 +81,7 @@
 	for _, s := range pb.GetSummaries() {
 		b.Summaries = append(b.Summaries, fleet.TargetSummary{
 			Target: s.GetTotal().GetTarget(), Load: work(s.GetTotal()), Incarnation: s.GetIncarnation(),
-			MemoryTotal: int(s.GetMemoryTotal()), ReportedPrefill: int(s.GetReportedPrefill()), Rate: s.GetRate(),
+			MemoryTotal: int(s.GetMemoryTotal()), ReportedPrefill: int(s.GetReportedPrefill()), PrefillRate: s.GetRate(),
 			Age: time.Duration(s.GetAgeMillis()) * time.Millisecond, Models: s.GetModels(),
 		})
 	}
