--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -9,7 +9,7 @@
 )
 
 // Beat is what a peer says of itself and of targets.
-type Beat struct {
+type Heartbeat struct {
 	// From is the sender.
 	From Instance
 	// BundleVersion is the sender's version in force.
@@ -41,7 +41,7 @@
 }
 
 // ApplyBeat takes a heartbeat.
-func (fl *Fleet) ApplyBeat(b Beat) {
+func (fl *Fleet) ApplyBeat(b Heartbeat) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	kp := fl.peers[b.From.Name]
