--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -11,7 +11,7 @@
 // Beat is what a peer says of itself and of targets.
 type Heartbeat struct {
 	// From is the sender.
-	From Instance
+	Sender Instance
 	// BundleVersion is the sender's version in force.
 	BundleVersion int64
 	// Stopping is set by an instance that is about to end.
@@ -44,17 +44,17 @@
 func (fl *Fleet) ApplyBeat(b Heartbeat) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	kp := fl.peers[b.From.Name]
+	kp := fl.peers[b.Sender.Name]
 	if kp == nil {
 		kp = &knownPeer{}
-		fl.peers[b.From.Name] = kp
+		fl.peers[b.Sender.Name] = kp
 	}
-	if kp.Incarnation != "" && kp.Incarnation != b.From.Incarnation {
-		fl.forgetWork(b.From.Name)
+	if kp.Incarnation != "" && kp.Incarnation != b.Sender.Incarnation {
+		fl.forgetWork(b.Sender.Name)
 		fl.markEnded(kp.Incarnation)
 	}
 	address := kp.PeerAddress
-	kp.Instance = b.From
+	kp.Instance = b.Sender
 	if kp.PeerAddress == "" {
 		kp.PeerAddress = address
 	}
@@ -64,12 +64,12 @@
 	kp.heardAt, kp.version, kp.stopping = fl.now(), b.BundleVersion, b.Stopping
 	for _, kt := range fl.targets {
 		if _, ok := b.Usage[kt.Name]; !ok && b.Usage != nil {
-			delete(kt.byPeer, b.From.Name)
+			delete(kt.byPeer, b.Sender.Name)
 		}
 	}
 	for name, wk := range b.Usage {
 		if kt := fl.targets[name]; kt != nil {
-			kt.byPeer[b.From.Name] = wk
+			kt.byPeer[b.Sender.Name] = wk
 		}
 	}
 	fl.applySummaries(b.Summaries)
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -70,7 +70,7 @@
 // applyBeat takes a heartbeat from either side of a stream. Only first beats tell usage.
 func (ms *Mesh) applyBeat(from fleet.Instance, pb *peerpb.Beat) {
 	b := fleet.Heartbeat{
-		From: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
+		Sender: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
 	}
 	if !pb.GetAnswer() {
 		b.Usage = map[string]fleet.Load{}
