--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -35,10 +35,10 @@
 	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithNow(func() time.Time { return now }))
 	peer := fleet.Instance{Name: "p", Incarnation: "p-1"}
 	fl.SetInstances([]fleet.Listed{{Instance: peer, Version: 1}})
-	fl.ApplyBeat(fleet.Heartbeat{Sender: peer})
+	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: peer})
 	now = now.Add(time.Hour)
 	g.Expect(fl.Ended().Has("p-1")).To(BeFalse())
-	fl.ApplyBeat(fleet.Heartbeat{Sender: fleet.Instance{Name: "p", Incarnation: "p-2"}})
+	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: "p", Incarnation: "p-2"}})
 	g.Expect(fl.Ended().Has("p-1")).To(BeTrue())
 	fl.SetInstances(nil)
 	g.Expect(fl.Ended().Has("p-2")).To(BeTrue())
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -24,7 +24,7 @@
 	}
 	fl.SetTargets(list)
 	for i := range peers {
-		fl.ApplyBeat(Heartbeat{Sender: Instance{Name: fmt.Sprintf("peer-%02d", i), Incarnation: "1", AvailabilityZone: string(rune('a' + i%zones))}})
+		fl.ApplyHeartbeat(Heartbeat{Sender: Instance{Name: fmt.Sprintf("peer-%02d", i), Incarnation: "1", AvailabilityZone: string(rune('a' + i%zones))}})
 	}
 	return fl, ck
 }
@@ -62,7 +62,7 @@
 	g.Expect(fl.Owned()).To(HaveLen(3))
 	ck.at = ck.at.Add(time.Minute)
 	g.Expect(fl.Owned()).To(HaveLen(6))
-	fl.ApplyBeat(Heartbeat{Sender: Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "a"}})
+	fl.ApplyHeartbeat(Heartbeat{Sender: Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "a"}})
 	g.Expect(fl.Owned()).To(HaveLen(3))
 }
 
@@ -111,7 +111,7 @@
 
 func leavingNews(fl *Fleet, _ *clock) {
 	fl.ApplyReport("engine-00", engine.Report{Incarnation: "x"})
-	fl.ApplyBeat(Heartbeat{Sender: Instance{Name: "p"}, Leaving: map[string]string{"engine-00": "x"}})
+	fl.ApplyHeartbeat(Heartbeat{Sender: Instance{Name: "p"}, Leaving: map[string]string{"engine-00": "x"}})
 }
 
 func newRun(fl *Fleet, ck *clock) {
@@ -132,9 +132,9 @@
 	wk := Load{Requests: 1, MemoryTokens: 10, LongPrompts: 1}
 	owner.Begin("engine-00", wk)
 	asker := Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "b"}
-	owner.ApplyBeat(Heartbeat{Sender: asker, Usage: map[string]Load{"engine-00": wk}})
+	owner.ApplyHeartbeat(Heartbeat{Sender: asker, Usage: map[string]Load{"engine-00": wk}})
 	g.Expect(owner.SummariesFor("peer-00")[0].Load.MemoryTokens).To(Equal(10))
 	g.Expect(owner.SummariesFor("another")[0].Load.MemoryTokens).To(Equal(20))
-	owner.ApplyBeat(Heartbeat{Sender: Instance{Name: "peer-00", Incarnation: "2", AvailabilityZone: "b"}})
+	owner.ApplyHeartbeat(Heartbeat{Sender: Instance{Name: "peer-00", Incarnation: "2", AvailabilityZone: "b"}})
 	g.Expect(owner.SummariesFor("another")[0].Load.MemoryTokens).To(Equal(10), "work of an ended run is forgotten")
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -41,7 +41,7 @@
 }
 
 // ApplyBeat takes a heartbeat.
-func (fl *Fleet) ApplyBeat(b Heartbeat) {
+func (fl *Fleet) ApplyHeartbeat(b Heartbeat) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	kp := fl.peers[b.Sender.Name]
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -88,7 +88,7 @@
 	for _, l := range pb.GetLeaving() {
 		b.Leaving[l.GetTarget()] = l.GetIncarnation()
 	}
-	ms.fl.ApplyBeat(b)
+	ms.fl.ApplyHeartbeat(b)
 	ms.renew(from.Incarnation, b.Usage)
 	ms.bundles.Hear(pb.GetBundleVersion())
 }
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -289,7 +289,7 @@
 		}
 		fl.SetTargets(list)
 		for i := range size.Peers {
-			fl.ApplyBeat(fleet.Heartbeat{Sender: fleet.Instance{Name: fmt.Sprintf("entry-%03d", i), AvailabilityZone: zoneOf(i, size)}})
+			fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: fmt.Sprintf("entry-%03d", i), AvailabilityZone: zoneOf(i, size)}})
 		}
 		began := time.Now()
 		for turn := range rounds {
