--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -213,7 +213,7 @@
 	}
 	for _, p := range ap.fleet.Peers() {
 		st.Peers = append(st.Peers, PeerStatus{
-			Name: p.Name, Live: p.Live, Heard: config.Duration(p.Heard.Round(time.Millisecond)), BundleVersion: p.BundleVersion,
+			Name: p.Name, Live: p.Live, Heard: config.Duration(p.HeartbeatAge.Round(time.Millisecond)), BundleVersion: p.BundleVersion,
 		})
 	}
 	for target, incarnation := range ap.fleet.Leaving() {
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -31,7 +31,7 @@
 type PeerStatus struct {
 	Instance
 	// Heard is the time since its last heartbeat.
-	Heard time.Duration
+	HeartbeatAge time.Duration
 	// BundleVersion is its version in force.
 	BundleVersion int64
 	// Live is false for a peer that is silent or stopping.
@@ -120,7 +120,7 @@
 	var ps []PeerStatus
 	for _, kp := range fl.peers {
 		ps = append(ps, PeerStatus{
-			Instance: kp.Instance, Heard: fl.now().Sub(kp.heardAt), BundleVersion: kp.version, Live: fl.live(kp), Listed: kp.listed,
+			Instance: kp.Instance, HeartbeatAge: fl.now().Sub(kp.heardAt), BundleVersion: kp.version, Live: fl.live(kp), Listed: kp.listed,
 		})
 	}
 	slices.SortFunc(ps, func(a, b PeerStatus) int { return strings.Compare(a.Name, b.Name) })
@@ -131,7 +131,7 @@
 // another availability zone is often known from the platform only.
 func (fl *Fleet) PeerByIncarnation(incarnation string) (Instance, bool) {
 	for _, p := range fl.Peers() {
-		if p.Incarnation == incarnation && p.Heard < goneAfter {
+		if p.Incarnation == incarnation && p.HeartbeatAge < goneAfter {
 			return p.Instance, true
 		}
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -77,7 +77,7 @@
 	remote := map[string]int{}
 	near := 0
 	for _, p := range peers {
-		keep := p.Listed || p.Heard < forgetAfter
+		keep := p.Listed || p.HeartbeatAge < forgetAfter
 		if p.Live && p.AvailabilityZone == self.AvailabilityZone {
 			near++
 		}
