--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/knowledge/knowledge.go
@@ -62,7 +62,7 @@
 	})
 	instances := kernel.Go(func(ctx context.Context) {
 		Follow(ctx, cl, objectstore.KindInstances, instancePace, lg, func(items []objectstore.Object) {
-			fl.SetInstances(decode[fleet.Listed](items, lg))
+			fl.SetInstances(decode[fleet.ListedInstance](items, lg))
 		})
 	})
 	return func(ctx context.Context) error {
@@ -82,7 +82,7 @@
 			lg.WithField("object", o.Name).WithError(err).Warn("object skipped")
 			continue
 		}
-		if l, ok := any(&v).(*fleet.Listed); ok {
+		if l, ok := any(&v).(*fleet.ListedInstance); ok {
 			l.Version = o.Version
 		}
 		all = append(all, v)
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -34,7 +34,7 @@
 	now := time.Unix(0, 0)
 	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithNow(func() time.Time { return now }))
 	peer := fleet.Instance{Name: "p", Incarnation: "p-1"}
-	fl.SetInstances([]fleet.Listed{{Instance: peer, Version: 1}})
+	fl.SetInstances([]fleet.ListedInstance{{Instance: peer, Version: 1}})
 	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: peer})
 	now = now.Add(time.Hour)
 	g.Expect(fl.Ended().Has("p-1")).To(BeFalse())
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -189,7 +189,7 @@
 
 // SetInstances takes the platform's list of instances, so that those not heard of yet are dialled. One that is no
 // longer listed has ended: an instance takes its entry back after its last request.
-func (fl *Fleet) SetInstances(list []Listed) {
+func (fl *Fleet) SetInstances(list []ListedInstance) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	listed := map[string]bool{}
@@ -209,13 +209,13 @@
 }
 
 // Listed is an instance in the platform's list, with the version of its object.
-type Listed struct {
+type ListedInstance struct {
 	Instance
 	Version int64
 }
 
 // noteRenewal notes by this instance's own clock when an instance's object last changed.
-func (fl *Fleet) noteRenewal(in Listed) {
+func (fl *Fleet) noteRenewal(in ListedInstance) {
 	kp := fl.peers[in.Name]
 	if kp.renewal != in.Version {
 		kp.renewal, kp.renewedAt = in.Version, fl.now()
@@ -238,7 +238,7 @@
 	return false
 }
 
-func (fl *Fleet) introduce(in Listed) {
+func (fl *Fleet) introduce(in ListedInstance) {
 	kp := fl.peers[in.Name]
 	if kp == nil {
 		kp = &knownPeer{heardAt: fl.now().Add(-fl.lost)}
