--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -32,7 +32,7 @@
 func TestSilenceIsNoEnd(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithNow(func() time.Time { return now }))
+	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithClock(func() time.Time { return now }))
 	peer := fleet.Instance{Name: "p", Incarnation: "p-1"}
 	fl.SetInstances([]fleet.ListedInstance{{Instance: peer, Version: 1}})
 	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: peer})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -156,7 +156,7 @@
 type Option func(*Fleet)
 
 // WithNow replaces the clock.
-func WithNow(now func() time.Time) Option { return func(fl *Fleet) { fl.now = now } }
+func WithClock(now func() time.Time) Option { return func(fl *Fleet) { fl.now = now } }
 
 // WithLost sets the silence after which a peer counts as gone.
 func WithLost(d time.Duration) Option { return func(fl *Fleet) { fl.lost = d } }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 // newFleet returns the view of instance self in zone a, with peers and targets spread over zones.
 func newFleet(peers, targets, zones int) (*Fleet, *clock) {
 	ck := &clock{at: time.Unix(1_000_000, 0)}
-	fl := New(Instance{Name: "self", AvailabilityZone: "a"}, WithNow(func() time.Time { return ck.at }))
+	fl := New(Instance{Name: "self", AvailabilityZone: "a"}, WithClock(func() time.Time { return ck.at }))
 	var list []Target
 	for i := range targets {
 		list = append(list, Target{
