--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/knowledge/knowledge.go
@@ -52,7 +52,7 @@
 		PeerAddress: ls.Peers.Addr().String(), CallersAddress: ls.CallersAddress,
 		OperatorsAddress: ls.Operators.Addr().String(),
 	}
-	fl := fleet.New(self, fleet.WithLost(env.Settings.Peers.Lost.Std()))
+	fl := fleet.New(self, fleet.WithPeerTimeout(env.Settings.Peers.Lost.Std()))
 	kernel.Provide(env, fl)
 	kernel.Provide(env, rollout.New())
 	kernel.Provide(env, burn.New(time.Now))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -159,7 +159,7 @@
 func WithClock(now func() time.Time) Option { return func(fl *Fleet) { fl.now = now } }
 
 // WithLost sets the silence after which a peer counts as gone.
-func WithLost(d time.Duration) Option { return func(fl *Fleet) { fl.lost = d } }
+func WithPeerTimeout(d time.Duration) Option { return func(fl *Fleet) { fl.lost = d } }
 
 // New returns the knowledge of an instance that has heard of nothing yet.
 func New(self Instance, opts ...Option) *Fleet {
