--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -166,7 +166,7 @@
 }
 
 // Wanted selects candidates.
-type Wanted struct {
+type Filter struct {
 	// Model is set for engines, Service for plain services.
 	Model, Service string
 	// Except names targets that were tried already.
@@ -187,7 +187,7 @@
 }
 
 // Candidates returns the targets that may take new work.
-func (fl *Fleet) Candidates(wn Wanted) View {
+func (fl *Fleet) Candidates(wn Filter) View {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	now := fl.now()
@@ -232,7 +232,7 @@
 	return heard
 }
 
-func (fl *Fleet) eligible(wn Wanted) []*knownTarget {
+func (fl *Fleet) eligible(wn Filter) []*knownTarget {
 	var fit []*knownTarget
 	for _, name := range fl.names() {
 		kt := fl.targets[name]
@@ -250,7 +250,7 @@
 	return fit
 }
 
-func (kt *knownTarget) serves(wn Wanted) bool {
+func (kt *knownTarget) serves(wn Filter) bool {
 	if wn.Service != "" {
 		return kt.Kind == KindService && kt.Service == wn.Service
 	}
@@ -269,7 +269,7 @@
 	}
 }
 
-func (fl *Fleet) candidate(kt *knownTarget, wn Wanted) policy.Candidate {
+func (fl *Fleet) candidate(kt *knownTarget, wn Filter) policy.Candidate {
 	all := kt.own
 	if wn.Peers {
 		all = fl.allWork(kt)
--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -119,7 +119,7 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	seen := map[string]bool{fl.self.Name: true, "": true}
-	for _, kt := range fl.eligible(Wanted{Model: model}) {
+	for _, kt := range fl.eligible(Filter{Model: model}) {
 		owner := fl.owner(kt.Name)
 		if seen[owner] {
 			continue
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -286,7 +286,7 @@
 				live++
 			}
 		}
-		vw := fl.Candidates(fleet.Wanted{Model: Model})
+		vw := fl.Candidates(fleet.Filter{Model: Model})
 		if live < len(lf.Instances)-1 || len(vw.Unconfirmed) > 0 {
 			return false
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -34,7 +34,7 @@
 	// Request is what the policy sees.
 	Prompt policy.Prompt
 	// Wanted selects targets.
-	Filter fleet.Wanted
+	Filter fleet.Filter
 	// Priority is that of the class; higher goes first.
 	Priority int
 	// Yields is set for work that is refused first.
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -30,7 +30,7 @@
 
 func long(tokens int, limit time.Duration) Request {
 	return Request{
-		Prompt: policy.Prompt{Tokens: tokens, Long: true}, Filter: fleet.Wanted{Model: "m", Peers: true},
+		Prompt: policy.Prompt{Tokens: tokens, Long: true}, Filter: fleet.Filter{Model: "m", Peers: true},
 		Deadline: time.Now().Add(limit),
 	}
 }
@@ -52,7 +52,7 @@
 		"has time and waits for its turn":      {ask: long(100_000, time.Hour), waitings: 10},
 		"would be late by its own prompt":      {ask: long(100_000, time.Second), waitings: 10, want: failure.DeadlineTooShort},
 		"no room to wait":                      {ask: long(100_000, time.Hour), want: failure.Overloaded},
-		"a short prompt goes beside the other": {ask: Request{Prompt: policy.Prompt{Tokens: 10}, Filter: fleet.Wanted{Model: "m"}, Deadline: time.Now().Add(time.Hour)}, waitings: 10},
+		"a short prompt goes beside the other": {ask: Request{Prompt: policy.Prompt{Tokens: 10}, Filter: fleet.Filter{Model: "m"}, Deadline: time.Now().Add(time.Hour)}, waitings: 10},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -128,7 +128,7 @@
 // target has told its speed.
 func (rt *Router) drainTime(ask Request, tokens int) (need time.Duration, known bool) {
 	sum := 0.0
-	for _, ca := range rt.fl.Candidates(fleet.Wanted{Model: ask.Filter.Model, Service: ask.Filter.Service}).Candidates {
+	for _, ca := range rt.fl.Candidates(fleet.Filter{Model: ask.Filter.Model, Service: ask.Filter.Service}).Candidates {
 		if ca.PrefillRateKnown {
 			sum += ca.PrefillRate
 		}
