--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -170,7 +170,7 @@
 	// Model is set for engines, Service for plain services.
 	Model, Service string
 	// Except names targets that were tried already.
-	Except []string
+	Exclude []string
 	// Peers makes the view include what peers have in flight.
 	Peers bool
 	// Owned leaves out targets that this instance does not own. What peers have in flight of short prompts is then
@@ -243,7 +243,7 @@
 		if fl.now().Before(kt.downUntil) {
 			continue
 		}
-		if kt.listed && !leaving && kt.serves(wn) && !slices.Contains(wn.Except, name) {
+		if kt.listed && !leaving && kt.serves(wn) && !slices.Contains(wn.Exclude, name) {
 			fit = append(fit, kt)
 		}
 	}
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -46,7 +46,7 @@
 	var best *offer.Offer
 	for _, of := range rt.opts.RequestOffers(ctx, ask.Filter.Model, ask.Prompt) {
 		switch {
-		case slices.Contains(ask.Filter.Except, of.Target):
+		case slices.Contains(ask.Filter.Exclude, of.Target):
 			of.Release()
 		case best == nil:
 			best = &of
