--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestCandidatesAfter(t *testing.T) {
-	wanted := Filter{Model: "m", Peers: true}
+	wanted := Filter{Model: "m", IncludePeerLoad: true}
 	tests := map[string]struct {
 		do   func(fl *Fleet, ck *clock)
 		want []string
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -172,7 +172,7 @@
 	// Except names targets that were tried already.
 	Exclude []string
 	// Peers makes the view include what peers have in flight.
-	Peers bool
+	IncludePeerLoad bool
 	// Owned leaves out targets that this instance does not own. What peers have in flight of short prompts is then
 	// taken from what they asked for, which is newer than their heartbeats.
 	Owned bool
@@ -271,7 +271,7 @@
 
 func (fl *Fleet) candidate(kt *knownTarget, wn Filter) policy.Candidate {
 	all := kt.own
-	if wn.Peers {
+	if wn.IncludePeerLoad {
 		all = fl.allWork(kt)
 	}
 	if wn.Owned {
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -79,7 +79,7 @@
 	if len(main.Models) > 0 {
 		model = main.Models[0]
 	}
-	vw := ln.fl.Candidates(fleet.Filter{Model: model, Peers: true})
+	vw := ln.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
 	// An engine that nobody has heard of lately would spoil every reservation that it is part of.
 	lenders := slices.DeleteFunc(vw.Candidates, func(ca policy.Candidate) bool { return vw.Unconfirmed[ca.Name] })
 	slices.SortFunc(lenders, func(a, b policy.Candidate) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -76,7 +76,7 @@
 func (rt *Router) ChooseOwnedTarget(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool) {
 	rt.decide.Lock()
 	defer rt.decide.Unlock()
-	vw := rt.fl.Candidates(fleet.Filter{Model: model, Peers: true, Owned: true})
+	vw := rt.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true, Owned: true})
 	if len(vw.Candidates) == 0 {
 		return "", 0, false
 	}
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -30,7 +30,7 @@
 
 func long(tokens int, limit time.Duration) Request {
 	return Request{
-		Prompt: policy.Prompt{Tokens: tokens, Long: true}, Filter: fleet.Filter{Model: "m", Peers: true},
+		Prompt: policy.Prompt{Tokens: tokens, Long: true}, Filter: fleet.Filter{Model: "m", IncludePeerLoad: true},
 		Deadline: time.Now().Add(limit),
 	}
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -134,7 +134,7 @@
 	ask := func(tried []string) router.Request {
 		return router.Request{
 			Prompt:   rq.policyRequest(sv.limits.LongTokens),
-			Filter:   fleet.Filter{Model: rq.fields.Model, Exclude: tried, Peers: sv.Router.Policy().UsesPeerLoad},
+			Filter:   fleet.Filter{Model: rq.fields.Model, Exclude: tried, IncludePeerLoad: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Sheddable: rq.class.Yields, Deadline: rq.due.At,
 		}
 	}
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -42,7 +42,7 @@
 	ask := func(tried []string) router.Request {
 		return router.Request{
 			Prompt:   policy.Prompt{Tokens: 1},
-			Filter:   fleet.Filter{Service: name, Exclude: tried, Peers: sv.Router.Policy().UsesPeerLoad},
+			Filter:   fleet.Filter{Service: name, Exclude: tried, IncludePeerLoad: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Deadline: rq.due.At,
 		}
 	}
