--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -175,7 +175,7 @@
 	IncludePeerLoad bool
 	// Owned leaves out targets that this instance does not own. What peers have in flight of short prompts is then
 	// taken from what they asked for, which is newer than their heartbeats.
-	Owned bool
+	OwnedOnly bool
 }
 
 // View is the candidates for a request with what must be done before use.
@@ -237,7 +237,7 @@
 	for _, name := range fl.names() {
 		kt := fl.targets[name]
 		leaving := kt.Leaving || (kt.leavingOf != "" && kt.leavingOf == kt.incarnation)
-		if wn.Owned && fl.owner(name) != fl.self.Name {
+		if wn.OwnedOnly && fl.owner(name) != fl.self.Name {
 			continue
 		}
 		if fl.now().Before(kt.downUntil) {
@@ -274,7 +274,7 @@
 	if wn.IncludePeerLoad {
 		all = fl.allWork(kt)
 	}
-	if wn.Owned {
+	if wn.OwnedOnly {
 		fl.countAsked(kt, &all)
 	}
 	ca := policy.Candidate{
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -16,7 +16,7 @@
 // viaOwners places a short prompt at an owned target, or at that of another owner who offers a shorter wait.
 func (rt *Router) viaOwners(ctx context.Context, ask Request, left time.Duration) (*Slot, error) {
 	own := ask
-	own.Filter.Owned = true
+	own.Filter.OwnedOnly = true
 	home, err := rt.choose(own, left)
 	if err == nil && home.PredictedWait <= time.Duration(askFrom*float64(home.alone)) {
 		return home, nil
@@ -76,7 +76,7 @@
 func (rt *Router) ChooseOwnedTarget(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool) {
 	rt.decide.Lock()
 	defer rt.decide.Unlock()
-	vw := rt.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true, Owned: true})
+	vw := rt.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true, OwnedOnly: true})
 	if len(vw.Candidates) == 0 {
 		return "", 0, false
 	}
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -293,7 +293,7 @@
 		}
 		began := time.Now()
 		for turn := range rounds {
-			vw := fl.Candidates(fleet.Filter{Model: "m", IncludePeerLoad: true, Owned: turn%2 == 0})
+			vw := fl.Candidates(fleet.Filter{Model: "m", IncludePeerLoad: true, OwnedOnly: turn%2 == 0})
 			if len(vw.Candidates) > 0 {
 				p.Choose(policy.Input{
 					Prompt: policy.Prompt{Tokens: 2000}, Candidates: vw.Candidates, Sequence: uint64(turn), Limits: policy.Limits{MaxLongTargetShare: 0.4},
