--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -66,7 +66,7 @@
 	g.Expect(fl.Owned()).To(HaveLen(3))
 }
 
-func names(vw View) []string {
+func names(vw CandidateSet) []string {
 	var all []string
 	for _, ca := range vw.Candidates {
 		all = append(all, ca.Name)
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -179,7 +179,7 @@
 }
 
 // View is the candidates for a request with what must be done before use.
-type View struct {
+type CandidateSet struct {
 	// Candidates are in the order of their names, this availability zone's first.
 	Candidates []policy.Candidate
 	// Unconfirmed are those that need a probe first.
@@ -187,7 +187,7 @@
 }
 
 // Candidates returns the targets that may take new work.
-func (fl *Fleet) Candidates(wn Filter) View {
+func (fl *Fleet) Candidates(wn Filter) CandidateSet {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	now := fl.now()
@@ -196,7 +196,7 @@
 	if float64(len(in)) >= ejectFloor*float64(len(fit)) {
 		fit = in
 	}
-	vw := View{Unconfirmed: map[string]bool{}}
+	vw := CandidateSet{Unconfirmed: map[string]bool{}}
 	for _, kt := range fit {
 		vw.Candidates = append(vw.Candidates, fl.candidate(kt, wn))
 		if now.Sub(kt.confirmedAt()) > confirmWithin {
