--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -183,7 +183,7 @@
 	// Candidates are in the order of their names, this availability zone's first.
 	Candidates []policy.Candidate
 	// Unconfirmed are those that need a probe first.
-	Unconfirmed map[string]bool
+	NeedsProbe map[string]bool
 }
 
 // Candidates returns the targets that may take new work.
@@ -196,11 +196,11 @@
 	if float64(len(in)) >= ejectFloor*float64(len(fit)) {
 		fit = in
 	}
-	vw := CandidateSet{Unconfirmed: map[string]bool{}}
+	vw := CandidateSet{NeedsProbe: map[string]bool{}}
 	for _, kt := range fit {
 		vw.Candidates = append(vw.Candidates, fl.candidate(kt, wn))
 		if now.Sub(kt.confirmedAt()) > confirmWithin {
-			vw.Unconfirmed[kt.Name] = true
+			vw.NeedsProbe[kt.Name] = true
 		}
 	}
 	return vw
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -287,7 +287,7 @@
 			}
 		}
 		vw := fl.Candidates(fleet.Filter{Model: Model})
-		if live < len(lf.Instances)-1 || len(vw.Unconfirmed) > 0 {
+		if live < len(lf.Instances)-1 || len(vw.NeedsProbe) > 0 {
 			return false
 		}
 	}
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -81,7 +81,7 @@
 	}
 	vw := ln.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
 	// An engine that nobody has heard of lately would spoil every reservation that it is part of.
-	lenders := slices.DeleteFunc(vw.Candidates, func(ca policy.Candidate) bool { return vw.Unconfirmed[ca.Name] })
+	lenders := slices.DeleteFunc(vw.Candidates, func(ca policy.Candidate) bool { return vw.NeedsProbe[ca.Name] })
 	slices.SortFunc(lenders, func(a, b policy.Candidate) int { return strings.Compare(a.Name, b.Name) })
 	keep := 0
 	for _, ca := range lenders {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -266,7 +266,7 @@
 	}
 	pl := &Slot{
 		Target: t, PredictedWait: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrow,
-		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.Unconfirmed[ca.Name],
+		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.NeedsProbe[ca.Name],
 		alone: ca.PrefillTime(ask.Prompt.Tokens),
 	}
 	if lanes.HasLongPrefill(ca) && !ask.Prompt.Long {
