--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -47,7 +47,7 @@
 }
 
 // Confirm notes that a plain service answered.
-func (fl *Fleet) Confirm(target string) {
+func (fl *Fleet) ConfirmReachable(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -68,7 +68,7 @@
 		return sv.serviceFailed(ctx, pl, err)
 	}
 	defer resp.Body.Close()
-	sv.Fleet.Confirm(pl.Target.Name)
+	sv.Fleet.ConfirmReachable(pl.Target.Name)
 	pl.RecordFirstToken(0)
 	return copyAnswer(sk, resp)
 }
