--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -130,7 +130,7 @@
 	g := NewWithT(t)
 	owner, _ := newFleet(0, 1, 1)
 	wk := Load{Requests: 1, MemoryTokens: 10, LongPrompts: 1}
-	owner.Begin("engine-00", wk)
+	owner.AddLoad("engine-00", wk)
 	asker := Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "b"}
 	owner.ApplyHeartbeat(Heartbeat{Sender: asker, Usage: map[string]Load{"engine-00": wk}})
 	g.Expect(owner.SummariesFor("peer-00")[0].Load.MemoryTokens).To(Equal(10))
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -85,7 +85,7 @@
 }
 
 // Begin notes work that this instance sends to a target.
-func (fl *Fleet) Begin(target string, wk Load) { fl.change(target, wk, 1) }
+func (fl *Fleet) AddLoad(target string, wk Load) { fl.change(target, wk, 1) }
 
 // End takes back work noted by Begin, and wakes those who wait for room.
 func (fl *Fleet) End(target string, wk Load) {
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, p := range parts {
-		ln.fl.Begin(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+		ln.fl.AddLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 	}
 	return func() {
 		for _, p := range parts {
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -68,7 +68,7 @@
 		return nil, &noRoomError{target: of.Target}
 	}
 	pl := &Slot{Target: t, PredictedWait: of.Wait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
-	rt.fl.Begin(t.Name, pl.work)
+	rt.fl.AddLoad(t.Name, pl.work)
 	return pl, nil
 }
 
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -272,7 +272,7 @@
 	if lanes.HasLongPrefill(ca) && !ask.Prompt.Long {
 		pl.besideLong = ca.InterferenceDelay
 	}
-	rt.fl.Begin(t.Name, pl.work)
+	rt.fl.AddLoad(t.Name, pl.work)
 	return pl, nil
 }
 
