--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -88,7 +88,7 @@
 func (fl *Fleet) AddLoad(target string, wk Load) { fl.change(target, wk, 1) }
 
 // End takes back work noted by Begin, and wakes those who wait for room.
-func (fl *Fleet) End(target string, wk Load) {
+func (fl *Fleet) RemoveLoad(target string, wk Load) {
 	fl.change(target, wk, -1)
 	fl.mu.Lock()
 	fl.notify()
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -62,7 +62,7 @@
 	}
 	return func() {
 		for _, p := range parts {
-			ln.fl.End(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+			ln.fl.RemoveLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 		}
 		ln.giveBack(parts)
 	}, nil
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -69,14 +69,14 @@
 			sl.fl.ObserveBesideLong(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
 		}
 		prefill := fleet.Load{PrefillTokens: sl.work.PrefillTokens}
-		sl.fl.End(sl.Target.Name, prefill)
+		sl.fl.RemoveLoad(sl.Target.Name, prefill)
 		sl.work.PrefillTokens = [policy.NumLengthBands]int{}
 	})
 }
 
 // Done gives the place back.
 func (sl *Slot) Release() {
-	sl.fl.End(sl.Target.Name, sl.work)
+	sl.fl.RemoveLoad(sl.Target.Name, sl.work)
 	sl.giveBack()
 }
 
