--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -96,7 +96,7 @@
 }
 
 // Undo takes back work that was never sent. It wakes nobody: those who wait would else wake each other for ever.
-func (fl *Fleet) Undo(target string, wk Load) { fl.change(target, wk, -1) }
+func (fl *Fleet) RevertLoad(target string, wk Load) { fl.change(target, wk, -1) }
 
 func (fl *Fleet) change(target string, wk Load, sign int) {
 	fl.mu.Lock()
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -82,7 +82,7 @@
 
 // undo gives back a place that was never used.
 func (sl *Slot) undo() {
-	sl.fl.Undo(sl.Target.Name, sl.work)
+	sl.fl.RevertLoad(sl.Target.Name, sl.work)
 	sl.giveBack()
 }
 
