--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -107,7 +107,7 @@
 }
 
 // Observe learns from an attempt that got its first token while nothing else was being prefilled.
-func (fl *Fleet) Observe(target string, tokens int, took time.Duration) {
+func (fl *Fleet) ObservePrefill(target string, tokens int, took time.Duration) {
 	if tokens < rateSampleTokens || took <= 0 {
 		return
 	}
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -146,7 +146,7 @@
 	}
 	rq.firstAt = time.Now()
 	if pl.Uncontended && rq.fields.Stream {
-		sv.Fleet.Observe(pl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstAt.Sub(began))
+		sv.Fleet.ObservePrefill(pl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstAt.Sub(began))
 	}
 	if err := sv.machine.Fire(ctx, &rq.life, life.FirstToken); err != nil {
 		sv.Log.WithError(err).Error("first token in a wrong state")
