--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -125,7 +125,7 @@
 }
 
 // ObserveBesideLong learns from a short prompt that ran beside a long one by how much it came later than predicted.
-func (fl *Fleet) ObserveBesideLong(extra time.Duration) {
+func (fl *Fleet) ObserveInterference(extra time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.besideLong += time.Duration(rateWeight * float64(max(0, extra)-fl.besideLong))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -66,7 +66,7 @@
 func (sl *Slot) RecordFirstToken(took time.Duration) {
 	sl.first.Do(func() {
 		if sl.besideLong > 0 {
-			sl.fl.ObserveBesideLong(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
+			sl.fl.ObserveInterference(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
 		}
 		prefill := fleet.Load{PrefillTokens: sl.work.PrefillTokens}
 		sl.fl.RemoveLoad(sl.Target.Name, prefill)
