--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -94,10 +94,10 @@
 			fl.ApplyReport("engine-00", engine.Report{Incarnation: "x", Models: []string{"n"}})
 		}, want: []string{"engine-01"}},
 		"success between failures": {do: func(fl *Fleet, _ *clock) {
-			fl.Failure("engine-00")
+			fl.RecordFailure("engine-00")
 			fl.Success("engine-00")
-			fl.Failure("engine-00")
-			fl.Failure("engine-00")
+			fl.RecordFailure("engine-00")
+			fl.RecordFailure("engine-00")
 		}, want: []string{"engine-00", "engine-01"}},
 	}
 	for name, tc := range tests {
@@ -121,7 +121,7 @@
 
 func failures(fl *Fleet, target string) {
 	for range ejectAfter {
-		fl.Failure(target)
+		fl.RecordFailure(target)
 	}
 }
 
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -132,7 +132,7 @@
 }
 
 // Failure counts a failed attempt; several in a row take the target out for a while.
-func (fl *Fleet) Failure(target string) {
+func (fl *Fleet) RecordFailure(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	kt := fl.targets[target]
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
 		if failure.FromError(err).Code == failure.TargetLost {
-			sv.Fleet.Failure(pl.Target.Name)
+			sv.Fleet.RecordFailure(pl.Target.Name)
 		}
 		return err
 	}
@@ -82,7 +82,7 @@
 	if ctx.Err() != nil {
 		return contextFailure(ctx)
 	}
-	sv.Fleet.Failure(pl.Target.Name)
+	sv.Fleet.RecordFailure(pl.Target.Name)
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off before it answered").WithCause(err)
 }
 
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -99,6 +99,6 @@
 	if ctx.Err() != nil {
 		return contextFailure(ctx).WithOutcome(failure.Unknown)
 	}
-	sv.Fleet.Failure(pl.Target.Name)
+	sv.Fleet.RecordFailure(pl.Target.Name)
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off before it answered").WithCause(err)
 }
