--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -95,7 +95,7 @@
 		}, want: []string{"engine-01"}},
 		"success between failures": {do: func(fl *Fleet, _ *clock) {
 			fl.RecordFailure("engine-00")
-			fl.Success("engine-00")
+			fl.RecordSuccess("engine-00")
 			fl.RecordFailure("engine-00")
 			fl.RecordFailure("engine-00")
 		}, want: []string{"engine-00", "engine-01"}},
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -157,7 +157,7 @@
 }
 
 // Success ends a run of failures.
-func (fl *Fleet) Success(target string) {
+func (fl *Fleet) RecordSuccess(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -55,7 +55,7 @@
 		}
 		return err
 	}
-	sv.Fleet.Success(pl.Target.Name)
+	sv.Fleet.RecordSuccess(pl.Target.Name)
 	return nil
 }
 
