--- a/internal/duty/reports/reports.go
+++ b/internal/duty/reports/reports.go
@@ -70,7 +70,7 @@
 			r, err := clients(t).Report(ctx)
 			if err != nil {
 				if engine.NeverConnected(err) {
-					fl.Down(t.Name)
+					fl.MarkUnreachable(t.Name)
 				}
 				return
 			}
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -147,7 +147,7 @@
 }
 
 // Down takes a target that takes no connections out for a while, whatever is left; then it needs a probe.
-func (fl *Fleet) Down(target string) {
+func (fl *Fleet) MarkUnreachable(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -50,7 +50,7 @@
 		if err := ln.reserve(ctx, p); err != nil {
 			held := parts[:i+1] // the reservation that failed may have taken effect without an answer
 			if engine.NeverConnected(err) {
-				ln.fl.Down(p.target.Name)
+				ln.fl.MarkUnreachable(p.target.Name)
 				held = parts[:i]
 			}
 			ln.giveBack(held)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -311,7 +311,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if err := rt.opts.Probe(ctx, t); err != nil {
-		rt.fl.Down(t.Name)
+		rt.fl.MarkUnreachable(t.Name)
 		return false
 	}
 	return true
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -75,7 +75,7 @@
 		return statusFailure(se)
 	}
 	if engine.NeverConnected(err) {
-		sv.Fleet.Down(pl.Target.Name)
+		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
 	sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -93,7 +93,7 @@
 
 func (sv *Server) serviceFailed(ctx context.Context, pl *router.Slot, err error) error {
 	if engine.NeverConnected(err) {
-		sv.Fleet.Down(pl.Target.Name)
+		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
 	if ctx.Err() != nil {
