--- a/internal/fleet/asked.go
+++ b/internal/fleet/asked.go
@@ -17,7 +17,7 @@
 }
 
 // NoteAsked counts a peer's short prompt at an owned target until it has surely been computed.
-func (fl *Fleet) NoteAsked(target string, k grant.Key, tokens int, wait time.Duration) {
+func (fl *Fleet) RecordOffer(target string, k grant.Key, tokens int, wait time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	kt := fl.targets[target]
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -32,7 +32,7 @@
 	if choose := ms.chooseShort.Load(); choose != nil && !ms.stopping() {
 		if target, wait, ok := (*choose)(ask.GetModel(), rq); ok {
 			ans.Target, ans.WaitMicros = target, uint32(min(wait, maxAge).Microseconds())
-			ms.fl.NoteAsked(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, rq.Tokens, wait)
+			ms.fl.RecordOffer(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, rq.Tokens, wait)
 		}
 	}
 	return &peerpb.Frame{Kind: &peerpb.Frame_ShortAnswer{ShortAnswer: ans}}
