--- a/internal/fleet/asked.go
+++ b/internal/fleet/asked.go
@@ -36,7 +36,7 @@
 }
 
 // DropAsked takes back what NoteAsked counted.
-func (fl *Fleet) DropAsked(target string, k grant.Key) {
+func (fl *Fleet) RemoveOffer(target string, k grant.Key) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -149,7 +149,7 @@
 	case *peerpb.Frame_Release:
 		key := grant.Key{Holder: from.Incarnation, ID: k.Release.GetId()}
 		ms.grants.Release(key)
-		ms.fl.DropAsked(k.Release.GetTarget(), key)
+		ms.fl.RemoveOffer(k.Release.GetTarget(), key)
 	case *peerpb.Frame_BundleAsk:
 		return ms.bundleBody(k.BundleAsk.GetVersion())
 	}
