--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -100,7 +100,7 @@
 }
 
 // DropLost forgets the work of peers that are silent and returns their incarnations.
-func (fl *Fleet) DropLost() set.Set[string] {
+func (fl *Fleet) ForgetSilentPeers() set.Set[string] {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	gone := set.Of[string]()
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -54,7 +54,7 @@
 	defer tick.Stop()
 	for {
 		ms.connect(ctx)
-		for incarnation := range ms.fl.DropLost().All() {
+		for incarnation := range ms.fl.ForgetSilentPeers().All() {
 			ms.grants.DropHolder(incarnation)
 		}
 		ms.renew(ms.fl.Self().Incarnation, ms.fl.UsageFor(ms.fl.Self().Name))
