--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -114,7 +114,7 @@
 // gone reports whether whoever runs a job is no more. A job that this instance is said to run is looked at only when
 // it does not run here.
 func (kp *keeper) gone(incarnation string) bool {
-	return incarnation == kp.incarnation || kp.fleet.Gone(incarnation, kp.lapse)
+	return incarnation == kp.incarnation || kp.fleet.PresumedEnded(incarnation, kp.lapse)
 }
 
 func (kp *keeper) run(ctx, work context.Context) {
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -223,7 +223,7 @@
 }
 
 // Gone reports whether an incarnation has ended, or has neither been heard of nor renewed its object for a time.
-func (fl *Fleet) Gone(incarnation string, silence time.Duration) bool {
+func (fl *Fleet) PresumedEnded(incarnation string, silence time.Duration) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.ended.Has(incarnation) {
