--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -56,7 +56,7 @@
 // Sweep frees, at the targets that this instance owns, what is past its deadline or held for an incarnation that has
 // ended. It returns how many it freed.
 func Sweep(ctx context.Context, fl *fleet.Fleet, clients reports.Clients) int {
-	gone := fl.Ended()
+	gone := fl.EndedIncarnations()
 	freed := 0
 	for _, t := range fl.Owned() {
 		if t.Kind == fleet.KindEngine {
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -37,9 +37,9 @@
 	fl.SetInstances([]fleet.ListedInstance{{Instance: peer, Version: 1}})
 	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: peer})
 	now = now.Add(time.Hour)
-	g.Expect(fl.Ended().Has("p-1")).To(BeFalse())
+	g.Expect(fl.EndedIncarnations().Has("p-1")).To(BeFalse())
 	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: "p", Incarnation: "p-2"}})
-	g.Expect(fl.Ended().Has("p-1")).To(BeTrue())
+	g.Expect(fl.EndedIncarnations().Has("p-1")).To(BeTrue())
 	fl.SetInstances(nil)
-	g.Expect(fl.Ended().Has("p-2")).To(BeTrue())
+	g.Expect(fl.EndedIncarnations().Has("p-2")).To(BeTrue())
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -268,7 +268,7 @@
 }
 
 // Ended returns the incarnations of instances that are known to have ended. Silence alone is no such knowledge.
-func (fl *Fleet) Ended() set.Set[string] {
+func (fl *Fleet) EndedIncarnations() set.Set[string] {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.ended
