--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		blocked = func(string) bool { return false }
 	}
-	ledger := grant.New(env.Settings.Routing.LongPerTarget, fl.Busy, time.Now)
+	ledger := grant.New(env.Settings.Routing.LongPerTarget, fl.Utilisation, time.Now)
 	ms := peer.New(fl, holder, ledger, env.Stopping.Load, peer.Options{
 		Secret: p.Secret, TLS: tc, Heartbeat: p.Heartbeat.Std(), RemoteEvery: p.RemoteEvery, Seeds: p.Seeds,
 		FullMesh: p.FullMesh, RemoteLinks: p.RemoteLinks,
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -275,7 +275,7 @@
 }
 
 // Busy returns the long prompts and memory in flight at a target, and the memory it has.
-func (fl *Fleet) Busy(target string) (long, memoryUsed, memoryTotal int) {
+func (fl *Fleet) Utilisation(target string) (long, memoryUsed, memoryTotal int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	kt := fl.targets[target]
