--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -115,7 +115,7 @@
 }
 
 // OtherOwners returns the live peers that own an engine with the model, this availability zone's first.
-func (fl *Fleet) OtherOwners(model string) (near, far []string) {
+func (fl *Fleet) PeersOwning(model string) (near, far []string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	seen := map[string]bool{fl.self.Name: true, "": true}
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -59,7 +59,7 @@
 }
 
 func (ms *Mesh) someOwners(model string) []*link {
-	near, far := ms.fl.OtherOwners(model)
+	near, far := ms.fl.PeersOwning(model)
 	shuffle := func(names []string) {
 		rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	}
