--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -108,7 +108,7 @@
 }
 
 // LiveInstances returns the number of live instances, this one included.
-func (fl *Fleet) LiveInstances() int {
+func (fl *Fleet) LiveInstanceCount() int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return len(fl.liveInstances())
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -17,7 +17,7 @@
 
 // demand estimates the demand over all instances from this one's share: the balancer spreads requests evenly.
 func (rt *Router) demand(ask Request) policy.Demand {
-	instances := float64(rt.fl.LiveInstances())
+	instances := float64(rt.fl.LiveInstanceCount())
 	d := policy.Demand{ShortRate: rt.arriving.Rate() * instances}
 	if rt.opts.ExpectedShortRate != nil {
 		d.ShortRate = max(d.ShortRate, rt.opts.ExpectedShortRate())
