--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -16,7 +16,7 @@
 }
 
 // Lease is how long a grant is held without a heartbeat that tells of its use.
-const Lease = 3 * time.Second
+const LeaseDuration = 3 * time.Second
 
 type held struct {
 	target string
@@ -62,7 +62,7 @@
 	if count >= lg.limit || (total > 0 && used+memory > total) {
 		return false
 	}
-	lg.held[k] = held{target: target, memory: memory, since: now, until: now.Add(min(hold, Lease))}
+	lg.held[k] = held{target: target, memory: memory, since: now, until: now.Add(min(hold, LeaseDuration))}
 	return true
 }
 
@@ -79,7 +79,7 @@
 	slices.SortFunc(keys, func(a, b Key) int { return lg.held[b].since.Compare(lg.held[a].since) })
 	for _, k := range keys[:min(inUse, len(keys))] {
 		h := lg.held[k]
-		h.until = lg.now().Add(Lease)
+		h.until = lg.now().Add(LeaseDuration)
 		lg.held[k] = h
 	}
 }
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -17,7 +17,7 @@
 		"second long prompt waits":        {between: func(*Ledger, *time.Time) {}, memory: 1},
 		"room after release":              {between: func(lg *Ledger, _ *time.Time) { lg.Release(a) }, memory: 1, want: true},
 		"room after holder is gone":       {between: func(lg *Ledger, _ *time.Time) { lg.DropHolder("a") }, memory: 1, want: true},
-		"lost answer runs out":            {between: func(_ *Ledger, now *time.Time) { *now = now.Add(Lease + 1) }, memory: 1, want: true},
+		"lost answer runs out":            {between: func(_ *Ledger, now *time.Time) { *now = now.Add(LeaseDuration + 1) }, memory: 1, want: true},
 		"renewed by heartbeat":            {between: renewed(1), memory: 1},
 		"heartbeat without use runs out":  {between: renewed(0), memory: 1, want: true},
 		"more memory than the target has": {between: func(lg *Ledger, _ *time.Time) { lg.Release(a) }, memory: 101},
@@ -36,8 +36,8 @@
 
 func renewed(inUse int) func(*Ledger, *time.Time) {
 	return func(lg *Ledger, now *time.Time) {
-		*now = now.Add(Lease / 2)
+		*now = now.Add(LeaseDuration / 2)
 		lg.Renew("a", "t", inUse)
-		*now = now.Add(Lease/2 + 1)
+		*now = now.Add(LeaseDuration/2 + 1)
 	}
 }
