--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -43,7 +43,7 @@
 }
 
 // Ask grants room at a target for at most a time, or refuses it. A grant whose answer is lost runs out with Lease.
-func (lg *Ledger) Ask(k Key, target string, memory int, hold time.Duration) bool {
+func (lg *Ledger) TryAcquire(k Key, target string, memory int, hold time.Duration) bool {
 	_, _, total := lg.busy(target)
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -27,9 +27,9 @@
 			g := NewWithT(t)
 			now := time.Unix(0, 0)
 			lg := New(1, func(string) (int, int, int) { return 0, 0, 100 }, func() time.Time { return now })
-			g.Expect(lg.Ask(a, "t", 1, time.Minute)).To(BeTrue())
+			g.Expect(lg.TryAcquire(a, "t", 1, time.Minute)).To(BeTrue())
 			tc.between(lg, &now)
-			g.Expect(lg.Ask(b, "t", tc.memory, time.Minute)).To(Equal(tc.want))
+			g.Expect(lg.TryAcquire(b, "t", tc.memory, time.Minute)).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -142,7 +142,7 @@
 	case *peerpb.Frame_Ask:
 		key := grant.Key{Holder: from.Incarnation, ID: k.Ask.GetId()}
 		hold := time.Duration(k.Ask.GetHoldMillis()) * time.Millisecond
-		ok := ms.grants.Ask(key, k.Ask.GetTarget(), int(k.Ask.GetMemory()), hold)
+		ok := ms.grants.TryAcquire(key, k.Ask.GetTarget(), int(k.Ask.GetMemory()), hold)
 		return &peerpb.Frame{Kind: &peerpb.Frame_Answer{Answer: &peerpb.Answer{Id: k.Ask.GetId(), Granted: ok}}}
 	case *peerpb.Frame_ShortAsk:
 		return ms.answerShort(from, k.ShortAsk)
@@ -198,7 +198,7 @@
 	key := grant.Key{Holder: ms.fl.Self().Incarnation, ID: ms.nextID.Add(1)}
 	owner := ms.fl.Owner(t)
 	if owner == ms.fl.Self().Name {
-		ok := ms.grants.Ask(key, t.Name, memory, hold)
+		ok := ms.grants.TryAcquire(key, t.Name, memory, hold)
 		return func() { ms.grants.Release(key) }, ok
 	}
 	lk := ms.linkTo(owner)
