--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -92,7 +92,7 @@
 }
 
 // DropHolder releases all grants of an incarnation that is gone.
-func (lg *Ledger) DropHolder(incarnation string) {
+func (lg *Ledger) ReleaseHolder(incarnation string) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
 	for k := range lg.held {
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -16,7 +16,7 @@
 	}{
 		"second long prompt waits":        {between: func(*Ledger, *time.Time) {}, memory: 1},
 		"room after release":              {between: func(lg *Ledger, _ *time.Time) { lg.Release(a) }, memory: 1, want: true},
-		"room after holder is gone":       {between: func(lg *Ledger, _ *time.Time) { lg.DropHolder("a") }, memory: 1, want: true},
+		"room after holder is gone":       {between: func(lg *Ledger, _ *time.Time) { lg.ReleaseHolder("a") }, memory: 1, want: true},
 		"lost answer runs out":            {between: func(_ *Ledger, now *time.Time) { *now = now.Add(LeaseDuration + 1) }, memory: 1, want: true},
 		"renewed by heartbeat":            {between: renewed(1), memory: 1},
 		"heartbeat without use runs out":  {between: renewed(0), memory: 1, want: true},
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -55,7 +55,7 @@
 	for {
 		ms.connect(ctx)
 		for incarnation := range ms.fl.ForgetSilentPeers().All() {
-			ms.grants.DropHolder(incarnation)
+			ms.grants.ReleaseHolder(incarnation)
 		}
 		ms.renew(ms.fl.Self().Incarnation, ms.fl.UsageFor(ms.fl.Self().Name))
 		select {
