--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -22,15 +22,15 @@
 )
 
 // Lender reserves memory.
-type Lender struct {
+type Reserver struct {
 	fl      *fleet.Fleet
 	client  func(fleet.Target) *engine.Client
 	release func(attempt string, cl *engine.Client)
 }
 
 // New returns a lender. release ends a reservation, repeatedly if need be.
-func New(fl *fleet.Fleet, client func(fleet.Target) *engine.Client, release func(attempt string, cl *engine.Client)) *Lender {
-	return &Lender{fl: fl, client: client, release: release}
+func New(fl *fleet.Fleet, client func(fleet.Target) *engine.Client, release func(attempt string, cl *engine.Client)) *Reserver {
+	return &Reserver{fl: fl, client: client, release: release}
 }
 
 type part struct {
@@ -41,7 +41,7 @@
 
 // Reserve takes memory on main and on others, in the order of their names, so that two prompts meet at the
 // first engine and one of them gives way before it holds anything. When any part fails, all are given back.
-func (ln *Lender) Reserve(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error) {
+func (ln *Reserver) Reserve(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error) {
 	parts, left := ln.plan(main, tokens, hold)
 	if left > 0 {
 		return nil, failure.New(failure.NoMemory, failure.NotRun, "%d tokens of memory are missing", left).WithRetryAfter(time.Second)
@@ -68,13 +68,13 @@
 	}, nil
 }
 
-func (ln *Lender) reserve(ctx context.Context, p part) error {
+func (ln *Reserver) reserve(ctx context.Context, p part) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return ln.client(p.target).Reserve(ctx, p.room)
 }
 
-func (ln *Lender) plan(main fleet.Target, tokens int, hold time.Duration) (parts []part, left int) {
+func (ln *Reserver) plan(main fleet.Target, tokens int, hold time.Duration) (parts []part, left int) {
 	model := ""
 	if len(main.Models) > 0 {
 		model = main.Models[0]
@@ -117,7 +117,7 @@
 	return ca.MemoryTotal/LendPart - ca.InFlightMemory
 }
 
-func (ln *Lender) giveBack(parts []part) {
+func (ln *Reserver) giveBack(parts []part) {
 	for _, p := range parts {
 		ln.release(p.room.Attempt, ln.client(p.target))
 	}
