--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -41,45 +41,45 @@
 
 // Reserve takes memory on main and on others, in the order of their names, so that two prompts meet at the
 // first engine and one of them gives way before it holds anything. When any part fails, all are given back.
-func (ln *Reserver) Reserve(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error) {
-	parts, left := ln.plan(main, tokens, hold)
+func (rs *Reserver) Reserve(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error) {
+	parts, left := rs.plan(main, tokens, hold)
 	if left > 0 {
 		return nil, failure.New(failure.NoMemory, failure.NotRun, "%d tokens of memory are missing", left).WithRetryAfter(time.Second)
 	}
 	for i, p := range parts {
-		if err := ln.reserve(ctx, p); err != nil {
+		if err := rs.reserve(ctx, p); err != nil {
 			held := parts[:i+1] // the reservation that failed may have taken effect without an answer
 			if engine.NeverConnected(err) {
-				ln.fl.MarkUnreachable(p.target.Name)
+				rs.fl.MarkUnreachable(p.target.Name)
 				held = parts[:i]
 			}
-			ln.giveBack(held)
+			rs.giveBack(held)
 			return nil, failure.New(failure.NoMemory, failure.NotRun, "%s has no room", p.target.Name).WithCause(err)
 		}
 	}
 	for _, p := range parts {
-		ln.fl.AddLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+		rs.fl.AddLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 	}
 	return func() {
 		for _, p := range parts {
-			ln.fl.RemoveLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+			rs.fl.RemoveLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 		}
-		ln.giveBack(parts)
+		rs.giveBack(parts)
 	}, nil
 }
 
-func (ln *Reserver) reserve(ctx context.Context, p part) error {
+func (rs *Reserver) reserve(ctx context.Context, p part) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return ln.client(p.target).Reserve(ctx, p.room)
+	return rs.client(p.target).Reserve(ctx, p.room)
 }
 
-func (ln *Reserver) plan(main fleet.Target, tokens int, hold time.Duration) (parts []part, left int) {
+func (rs *Reserver) plan(main fleet.Target, tokens int, hold time.Duration) (parts []part, left int) {
 	model := ""
 	if len(main.Models) > 0 {
 		model = main.Models[0]
 	}
-	vw := ln.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
+	vw := rs.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
 	// An engine that nobody has heard of lately would spoil every reservation that it is part of.
 	lenders := slices.DeleteFunc(vw.Candidates, func(ca policy.Candidate) bool { return vw.NeedsProbe[ca.Name] })
 	slices.SortFunc(lenders, func(a, b policy.Candidate) int { return strings.Compare(a.Name, b.Name) })
@@ -101,12 +101,12 @@
 		} else {
 			left -= max(0, take)
 		}
-		t, ok := ln.fl.Target(ca.Name)
+		t, ok := rs.fl.Target(ca.Name)
 		if take <= 0 || !ok {
 			continue
 		}
 		parts = append(parts, part{target: t, memory: take, room: engine.Held{
-			Attempt: ident.New("room"), Holder: ln.fl.Self().Incarnation, Tokens: take, LeftMillis: hold.Milliseconds(),
+			Attempt: ident.New("room"), Holder: rs.fl.Self().Incarnation, Tokens: take, LeftMillis: hold.Milliseconds(),
 		}})
 	}
 	return parts, left
@@ -117,8 +117,8 @@
 	return ca.MemoryTotal/LendPart - ca.InFlightMemory
 }
 
-func (ln *Reserver) giveBack(parts []part) {
+func (rs *Reserver) giveBack(parts []part) {
 	for _, p := range parts {
-		ln.release(p.room.Attempt, ln.client(p.target))
+		rs.release(p.room.Attempt, rs.client(p.target))
 	}
 }
