--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -16,7 +16,7 @@
 
 const (
 	// LendPart is the part of one engine's memory that is lent at the most: one in so many.
-	LendPart = 2
+	LendableDivisor = 2
 	// callTimeout bounds one reservation.
 	callTimeout = time.Second
 )
@@ -114,7 +114,7 @@
 
 // lendable is the memory that an engine can lend and still take short prompts.
 func lendable(ca policy.Candidate) int {
-	return ca.MemoryTotal/LendPart - ca.InFlightMemory
+	return ca.MemoryTotal/LendableDivisor - ca.InFlightMemory
 }
 
 func (rs *Reserver) giveBack(parts []part) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -300,7 +300,7 @@
 	if need <= largest || rt.opts.ReserveMemory == nil {
 		return 0
 	}
-	in.Prompt.Tokens, in.Prompt.MaxOutputTokens = largest/room.LendPart, 0
+	in.Prompt.Tokens, in.Prompt.MaxOutputTokens = largest/room.LendableDivisor, 0
 	return need
 }
 
