--- a/internal/offer/offer.go
+++ b/internal/offer/offer.go
@@ -8,7 +8,7 @@
 	// Target is the name of an engine.
 	Target string
 	// Wait is the predicted time until the prompt starts.
-	Wait time.Duration
+	PredictedWait time.Duration
 	// Release gives the offer back.
 	Release func()
 }
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -104,7 +104,7 @@
 	}
 	var once sync.Once
 	return offer.Offer{
-		Target: ans.GetTarget(), Wait: time.Duration(ans.GetWaitMicros()) * time.Microsecond,
+		Target: ans.GetTarget(), PredictedWait: time.Duration(ans.GetWaitMicros()) * time.Microsecond,
 		Release: func() { once.Do(func() { lk.release(ans.GetId(), ans.GetTarget()) }) },
 	}
 }
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -28,7 +28,7 @@
 		return rt.choose(ask, left)
 	case best == nil:
 		return home, nil
-	case err == nil && home.PredictedWait <= best.Wait:
+	case err == nil && home.PredictedWait <= best.PredictedWait:
 		best.Release()
 		return home, nil
 	}
@@ -50,7 +50,7 @@
 			of.Release()
 		case best == nil:
 			best = &of
-		case of.Wait < best.Wait:
+		case of.PredictedWait < best.PredictedWait:
 			best.Release()
 			best = &of
 		default:
@@ -67,7 +67,7 @@
 		of.Release()
 		return nil, &noRoomError{target: of.Target}
 	}
-	pl := &Slot{Target: t, PredictedWait: of.Wait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
+	pl := &Slot{Target: t, PredictedWait: of.PredictedWait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
 	rt.fl.AddLoad(t.Name, pl.work)
 	return pl, nil
 }
