--- a/internal/serve/tickets.go
+++ b/internal/serve/tickets.go
@@ -48,7 +48,7 @@
 	if ticket.Issuer(tk) != sv.Incarnation {
 		return sv.passOn(ctx, r, tk, rq, sk)
 	}
-	ans, err := sv.Tickets.Take(tk)
+	ans, err := sv.Tickets.Redeem(tk)
 	if err != nil {
 		return err
 	}
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -66,7 +66,7 @@
 }
 
 // Take honours a ticket: it returns nothing when the request may run now, or the recorded answer of its run.
-func (lg *Ledger) Take(ticket string) (*claim.Response, error) {
+func (lg *Ledger) Redeem(ticket string) (*claim.Response, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
 	lg.sweep()
