--- a/internal/serve/tickets.go
+++ b/internal/serve/tickets.go
@@ -61,7 +61,7 @@
 	err = run(ctx, rq, sk)
 	switch {
 	case err == nil:
-		sv.Tickets.Finish(tk, *sk.record)
+		sv.Tickets.Complete(tk, *sk.record)
 	case failure.FromError(err).Outcome == failure.NotRun:
 		sv.Tickets.Release(tk)
 	default:
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -87,7 +87,7 @@
 }
 
 // Finish records the answer of the run.
-func (lg *Ledger) Finish(ticket string, ans claim.Response) {
+func (lg *Ledger) Complete(ticket string, ans claim.Response) {
 	lg.set(ticket, entry{state: done, answer: &ans})
 }
 
