--- a/internal/serve/tickets.go
+++ b/internal/serve/tickets.go
@@ -65,7 +65,7 @@
 	case failure.FromError(err).Outcome == failure.NotRun:
 		sv.Tickets.Release(tk)
 	default:
-		sv.Tickets.Lose(tk)
+		sv.Tickets.MarkLost(tk)
 	}
 	return err
 }
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -95,7 +95,7 @@
 func (lg *Ledger) Release(ticket string) { lg.set(ticket, entry{state: issued}) }
 
 // Lose records that the result is not known.
-func (lg *Ledger) Lose(ticket string) { lg.set(ticket, entry{state: lost}) }
+func (lg *Ledger) MarkLost(ticket string) { lg.set(ticket, entry{state: lost}) }
 
 func (lg *Ledger) set(ticket string, en entry) {
 	lg.mu.Lock()
