--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	v, err := kp.store.Add(ctx, job.Record{
-		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, Never: who.Never,
+		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, AtMostOnce: who.Never,
 		Created: now, Deadline: now.Add(who.Limit), State: job.Queued,
 	}, body)
 	if err != nil {
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -206,7 +206,7 @@
 	}
 	jobCtx, cancel := context.WithCancel(work)
 	kp.mu.Lock()
-	kp.running[v.ID] = ownRun{cancel: cancel, never: v.Never}
+	kp.running[v.ID] = ownRun{cancel: cancel, never: v.AtMostOnce}
 	kp.mu.Unlock()
 	kp.wg.Go(func() {
 		defer cancel()
@@ -221,7 +221,7 @@
 func (kp *keeper) perform(ctx context.Context, v job.Versioned) {
 	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(v.Deadline)+writeLimit)
 	defer cancel()
-	if v.Never {
+	if v.AtMostOnce {
 		nv, ok := kp.change(ctx, v, v.WithDispatched())
 		if !ok {
 			return
@@ -234,7 +234,7 @@
 		return
 	}
 	ans, err := kp.server.RunJob(ctx, serve.Job{
-		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, Never: v.Never,
+		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, Never: v.AtMostOnce,
 	})
 	kp.finish(settle, v, ans, err, ctx.Err() != nil)
 }
@@ -252,7 +252,7 @@
 		return
 	}
 	fe := asFailure(err)
-	again := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.Never)
+	again := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.AtMostOnce)
 	switch {
 	case again && !givenBack && fe.Code == failure.TargetLost:
 		// The job itself may be what ends its targets: it comes again ever more seldom.
@@ -261,7 +261,7 @@
 		kp.change(settle, v, next)
 	case again && (givenBack || fe.RetryAfter > 0):
 		kp.change(settle, v, v.WithQueued())
-	case fe.Outcome == failure.Unknown && v.Never:
+	case fe.Outcome == failure.Unknown && v.AtMostOnce:
 		kp.change(settle, v, v.WithEnd(job.Unknown, ended(fe)))
 	default:
 		kp.change(settle, v, v.WithEnd(job.Failed, ended(fe)))
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -34,7 +34,7 @@
 	// Path is that of the callers' protocol, such as /v1/completions.
 	Path string `json:"path"`
 	// Never is set when the job may not be run twice.
-	Never bool `json:"never,omitempty"`
+	AtMostOnce bool `json:"never,omitempty"`
 	// Parts is the number of stored parts of the body.
 	Parts int `json:"parts"`
 	// Created and Deadline are by the clock of the instance that accepted the job.
@@ -148,7 +148,7 @@
 		return Take
 	case !ownerGone(rc.Owner):
 		return Leave
-	case rc.Never && rc.Dispatched:
+	case rc.AtMostOnce && rc.Dispatched:
 		return GiveUp
 	case now.After(rc.Deadline):
 		return Expire
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -14,7 +14,7 @@
 	kept := open.WithEnd(Done, Result{Ended: now.Add(-Keep / 2)})
 	old := open.WithEnd(Done, Result{Ended: now.Add(-Keep - 1)})
 	never := open
-	never.Never = true
+	never.AtMostOnce = true
 	tests := map[string]struct {
 		rc   Record
 		want Step
