--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -46,7 +46,7 @@
 	// Dispatched is set before a job that may not be repeated is sent to a target.
 	Dispatched bool `json:"dispatched,omitempty"`
 	// Lost counts the runs whose target was lost, and NotBefore is when the next may begin, by the clock of the last owner.
-	Lost      int       `json:"lost,omitempty"`
+	LostRuns  int       `json:"lost,omitempty"`
 	NotBefore time.Time `json:"not_before,omitzero"`
 	// Result is set once the state is final.
 	Result *Result `json:"result,omitempty"`
@@ -91,10 +91,10 @@
 // also end by themselves.
 func (rc Record) WithLost(now time.Time) Record {
 	rc = rc.WithQueued()
-	if rc.Lost > 0 {
-		rc.NotBefore = now.Add(min(lostMost, lostPause<<min(rc.Lost-1, maxDoublings)))
+	if rc.LostRuns > 0 {
+		rc.NotBefore = now.Add(min(lostMost, lostPause<<min(rc.LostRuns-1, maxDoublings)))
 	}
-	rc.Lost++
+	rc.LostRuns++
 	return rc
 }
 
