--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -260,7 +260,7 @@
 		kp.log.WithField("job", v.ID).WithField("lost", next.LostRuns).WithError(fe).Warn("job given back, its target was lost")
 		kp.change(settle, v, next)
 	case again && (givenBack || fe.RetryAfter > 0):
-		kp.change(settle, v, v.WithQueued())
+		kp.change(settle, v, v.WithRequeued())
 	case fe.Outcome == failure.Unknown && v.AtMostOnce:
 		kp.change(settle, v, v.WithEnd(job.Unknown, ended(fe)))
 	default:
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -73,7 +73,7 @@
 }
 
 // WithQueued returns the record as given back by its owner.
-func (rc Record) WithQueued() Record {
+func (rc Record) WithRequeued() Record {
 	rc.State, rc.Owner, rc.Dispatched = Queued, "", false
 	return rc
 }
@@ -90,7 +90,7 @@
 // WithLost returns the record as given back because the target of its run was lost. The first loss is tried again at once: targets
 // also end by themselves.
 func (rc Record) WithLost(now time.Time) Record {
-	rc = rc.WithQueued()
+	rc = rc.WithRequeued()
 	if rc.LostRuns > 0 {
 		rc.NotBefore = now.Add(min(lostMost, lostPause<<min(rc.LostRuns-1, maxDoublings)))
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -27,7 +27,7 @@
 		"owner is gone past the deadline":            {rc: late.WithOwner("gone"), want: Expire},
 		"never repeated, owner gone before dispatch": {rc: never.WithOwner("gone"), want: Take},
 		"never repeated, owner gone after dispatch":  {rc: never.WithOwner("gone").WithDispatched(), want: GiveUp},
-		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithQueued(), want: Take},
+		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithRequeued(), want: Take},
 		"result is kept":                             {rc: kept, want: Leave},
 		"result was kept long enough":                {rc: old, want: Forget},
 	}
