--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -256,7 +256,7 @@
 	switch {
 	case again && !givenBack && fe.Code == failure.TargetLost:
 		// The job itself may be what ends its targets: it comes again ever more seldom.
-		next := v.WithLost(time.Now())
+		next := v.WithTargetLost(time.Now())
 		kp.log.WithField("job", v.ID).WithField("lost", next.LostRuns).WithError(fe).Warn("job given back, its target was lost")
 		kp.change(settle, v, next)
 	case again && (givenBack || fe.RetryAfter > 0):
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -89,7 +89,7 @@
 
 // WithLost returns the record as given back because the target of its run was lost. The first loss is tried again at once: targets
 // also end by themselves.
-func (rc Record) WithLost(now time.Time) Record {
+func (rc Record) WithTargetLost(now time.Time) Record {
 	rc = rc.WithRequeued()
 	if rc.LostRuns > 0 {
 		rc.NotBefore = now.Add(min(lostMost, lostPause<<min(rc.LostRuns-1, maxDoublings)))
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -55,7 +55,7 @@
 		if len(first) < 5 {
 			first = append(first, now.Sub(began))
 		}
-		rc = rc.WithOwner("me").WithLost(now)
+		rc = rc.WithOwner("me").WithTargetLost(now)
 	}
 	g.Expect(first).To(Equal([]time.Duration{0, 250 * time.Millisecond, 1250 * time.Millisecond, 3250 * time.Millisecond, 7250 * time.Millisecond}))
 	g.Expect(runs).To(Equal(154))
