--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -161,7 +161,7 @@
 	if v.State.Final() {
 		return failure.New(failure.Conflict, failure.NotRun, "the job is %s already", v.State)
 	}
-	nv, err := kp.store.Update(ctx, v, v.WithEnd(job.Cancelled, job.Result{Ended: time.Now()}))
+	nv, err := kp.store.Update(ctx, v, v.WithResult(job.Cancelled, job.Result{Ended: time.Now()}))
 	if err != nil {
 		var conflict *objectstore.ConflictError
 		if errors.As(err, &conflict) {
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -167,10 +167,10 @@
 	case job.Take:
 		kp.take(ctx, work, v)
 	case job.GiveUp:
-		kp.change(ctx, v, v.WithEnd(job.Unknown, ended(failure.New(failure.TargetLost, failure.Unknown,
+		kp.change(ctx, v, v.WithResult(job.Unknown, ended(failure.New(failure.TargetLost, failure.Unknown,
 			"the instance that ran the job is gone; its result is not known"))))
 	case job.Expire:
-		kp.change(ctx, v, v.WithEnd(job.Failed, ended(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
+		kp.change(ctx, v, v.WithResult(job.Failed, ended(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
 	case job.Forget:
 		if err := kp.store.Remove(ctx, v); err != nil {
 			kp.log.WithField("job", v.ID).WithError(err).Warn("job not removed")
@@ -246,7 +246,7 @@
 			kp.log.WithField("job", v.ID).WithError(perr).Error("answer not stored")
 			return
 		}
-		kp.change(settle, v, v.WithEnd(job.Done, job.Result{
+		kp.change(settle, v, v.WithResult(job.Done, job.Result{
 			Ended: time.Now(), Status: ans.Status, ContentType: ans.ContentType, Parts: parts,
 		}))
 		return
@@ -262,9 +262,9 @@
 	case again && (givenBack || fe.RetryAfter > 0):
 		kp.change(settle, v, v.WithRequeued())
 	case fe.Outcome == failure.Unknown && v.AtMostOnce:
-		kp.change(settle, v, v.WithEnd(job.Unknown, ended(fe)))
+		kp.change(settle, v, v.WithResult(job.Unknown, ended(fe)))
 	default:
-		kp.change(settle, v, v.WithEnd(job.Failed, ended(fe)))
+		kp.change(settle, v, v.WithResult(job.Failed, ended(fe)))
 	}
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -105,7 +105,7 @@
 }
 
 // WithEnd returns the record in a final state.
-func (rc Record) WithEnd(st State, rs Result) Record {
+func (rc Record) WithResult(st State, rs Result) Record {
 	rc.State, rc.Owner, rc.Result = st, "", &rs
 	return rc
 }
