--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -160,7 +160,7 @@
 	return true
 }
 
-func (kp *keeper) act(ctx, work context.Context, v job.Versioned, step job.Step) {
+func (kp *keeper) act(ctx, work context.Context, v job.Versioned, step job.Action) {
 	ctx, cancel := context.WithTimeout(ctx, writeLimit)
 	defer cancel()
 	switch step {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -111,12 +111,12 @@
 }
 
 // Step is what an instance does about a job next.
-type Step int
+type Action int
 
 // The steps.
 const (
 	// Leave does nothing.
-	Leave Step = iota
+	Leave Action = iota
 	// Take claims the job and runs it.
 	Take
 	// GiveUp ends a job whose only run was lost.
@@ -133,7 +133,7 @@
 // Next decides about a job that this instance is responsible for. ownerGone tells whether an incarnation has ended.
 // The decision is pure; what it leads to rests on a conditional write, so that two instances that both think
 // themselves responsible cost a refused write and no second run.
-func Next(rc Record, now time.Time, ownerGone func(incarnation string) bool) Step {
+func Next(rc Record, now time.Time, ownerGone func(incarnation string) bool) Action {
 	switch {
 	case rc.State.Final():
 		if rc.Result != nil && now.Sub(rc.Result.Ended) > Keep {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -17,7 +17,7 @@
 	never.AtMostOnce = true
 	tests := map[string]struct {
 		rc   Record
-		want Step
+		want Action
 	}{
 		"queued is taken":                            {rc: open, want: Take},
 		"queued past its deadline":                   {rc: late, want: Expire},
