--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -144,7 +144,7 @@
 		if ctx.Err() != nil || !kp.responsible(v.ID) {
 			continue
 		}
-		kp.act(ctx, work, v, job.Next(v.Record, time.Now(), kp.gone))
+		kp.act(ctx, work, v, job.NextAction(v.Record, time.Now(), kp.gone))
 	}
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -133,7 +133,7 @@
 // Next decides about a job that this instance is responsible for. ownerGone tells whether an incarnation has ended.
 // The decision is pure; what it leads to rests on a conditional write, so that two instances that both think
 // themselves responsible cost a refused write and no second run.
-func Next(rc Record, now time.Time, ownerGone func(incarnation string) bool) Action {
+func NextAction(rc Record, now time.Time, ownerGone func(incarnation string) bool) Action {
 	switch {
 	case rc.State.Final():
 		if rc.Result != nil && now.Sub(rc.Result.Ended) > Keep {
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -33,7 +33,7 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			got := Next(tc.rc, now, func(incarnation string) bool { return incarnation == "gone" })
+			got := NextAction(tc.rc, now, func(incarnation string) bool { return incarnation == "gone" })
 			NewWithT(t).Expect(got).To(Equal(tc.want))
 		})
 	}
@@ -48,7 +48,7 @@
 	runs := 0
 	var first []time.Duration
 	for now := began; now.Before(rc.Deadline); now = now.Add(250 * time.Millisecond) {
-		if Next(rc, now, nobody) != Take {
+		if NextAction(rc, now, nobody) != Take {
 			continue
 		}
 		runs++
@@ -59,5 +59,5 @@
 	}
 	g.Expect(first).To(Equal([]time.Duration{0, 250 * time.Millisecond, 1250 * time.Millisecond, 3250 * time.Millisecond, 7250 * time.Millisecond}))
 	g.Expect(runs).To(Equal(154))
-	g.Expect(Next(rc, rc.Deadline.Add(time.Second), nobody)).To(Equal(Expire))
+	g.Expect(NextAction(rc, rc.Deadline.Add(time.Second), nobody)).To(Equal(Expire))
 }
