--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -175,7 +175,7 @@
 		if err := kp.store.Remove(ctx, v); err != nil {
 			kp.log.WithField("job", v.ID).WithError(err).Warn("job not removed")
 		}
-	case job.Leave:
+	case job.ActionNone:
 	}
 }
 
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -116,7 +116,7 @@
 // The steps.
 const (
 	// Leave does nothing.
-	Leave Action = iota
+	ActionNone Action = iota
 	// Take claims the job and runs it.
 	Take
 	// GiveUp ends a job whose only run was lost.
@@ -139,15 +139,15 @@
 		if rc.Result != nil && now.Sub(rc.Result.Ended) > Keep {
 			return Forget
 		}
-		return Leave
+		return ActionNone
 	case rc.State == Queued && now.After(rc.Deadline):
 		return Expire
 	case rc.State == Queued && now.Before(rc.NotBefore):
-		return Leave
+		return ActionNone
 	case rc.State == Queued:
 		return Take
 	case !ownerGone(rc.Owner):
-		return Leave
+		return ActionNone
 	case rc.AtMostOnce && rc.Dispatched:
 		return GiveUp
 	case now.After(rc.Deadline):
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -21,14 +21,14 @@
 	}{
 		"queued is taken":                            {rc: open, want: Take},
 		"queued past its deadline":                   {rc: late, want: Expire},
-		"running by a live owner":                    {rc: open.WithOwner("live"), want: Leave},
-		"late but running by a live owner":           {rc: late.WithOwner("live"), want: Leave},
+		"running by a live owner":                    {rc: open.WithOwner("live"), want: ActionNone},
+		"late but running by a live owner":           {rc: late.WithOwner("live"), want: ActionNone},
 		"owner is gone":                              {rc: open.WithOwner("gone"), want: Take},
 		"owner is gone past the deadline":            {rc: late.WithOwner("gone"), want: Expire},
 		"never repeated, owner gone before dispatch": {rc: never.WithOwner("gone"), want: Take},
 		"never repeated, owner gone after dispatch":  {rc: never.WithOwner("gone").WithDispatched(), want: GiveUp},
 		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithRequeued(), want: Take},
-		"result is kept":                             {rc: kept, want: Leave},
+		"result is kept":                             {rc: kept, want: ActionNone},
 		"result was kept long enough":                {rc: old, want: Forget},
 	}
 	for name, tc := range tests {
