--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -164,7 +164,7 @@
 	ctx, cancel := context.WithTimeout(ctx, writeLimit)
 	defer cancel()
 	switch step {
-	case job.Take:
+	case job.ActionRun:
 		kp.take(ctx, work, v)
 	case job.GiveUp:
 		kp.change(ctx, v, v.WithResult(job.Unknown, ended(failure.New(failure.TargetLost, failure.Unknown,
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -118,7 +118,7 @@
 	// Leave does nothing.
 	ActionNone Action = iota
 	// Take claims the job and runs it.
-	Take
+	ActionRun
 	// GiveUp ends a job whose only run was lost.
 	GiveUp
 	// Expire ends a job whose deadline is past.
@@ -145,7 +145,7 @@
 	case rc.State == Queued && now.Before(rc.NotBefore):
 		return ActionNone
 	case rc.State == Queued:
-		return Take
+		return ActionRun
 	case !ownerGone(rc.Owner):
 		return ActionNone
 	case rc.AtMostOnce && rc.Dispatched:
@@ -153,6 +153,6 @@
 	case now.After(rc.Deadline):
 		return Expire
 	default:
-		return Take
+		return ActionRun
 	}
 }
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -19,15 +19,15 @@
 		rc   Record
 		want Action
 	}{
-		"queued is taken":                            {rc: open, want: Take},
+		"queued is taken":                            {rc: open, want: ActionRun},
 		"queued past its deadline":                   {rc: late, want: Expire},
 		"running by a live owner":                    {rc: open.WithOwner("live"), want: ActionNone},
 		"late but running by a live owner":           {rc: late.WithOwner("live"), want: ActionNone},
-		"owner is gone":                              {rc: open.WithOwner("gone"), want: Take},
+		"owner is gone":                              {rc: open.WithOwner("gone"), want: ActionRun},
 		"owner is gone past the deadline":            {rc: late.WithOwner("gone"), want: Expire},
-		"never repeated, owner gone before dispatch": {rc: never.WithOwner("gone"), want: Take},
+		"never repeated, owner gone before dispatch": {rc: never.WithOwner("gone"), want: ActionRun},
 		"never repeated, owner gone after dispatch":  {rc: never.WithOwner("gone").WithDispatched(), want: GiveUp},
-		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithRequeued(), want: Take},
+		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithRequeued(), want: ActionRun},
 		"result is kept":                             {rc: kept, want: ActionNone},
 		"result was kept long enough":                {rc: old, want: Forget},
 	}
@@ -48,7 +48,7 @@
 	runs := 0
 	var first []time.Duration
 	for now := began; now.Before(rc.Deadline); now = now.Add(250 * time.Millisecond) {
-		if NextAction(rc, now, nobody) != Take {
+		if NextAction(rc, now, nobody) != ActionRun {
 			continue
 		}
 		runs++
