--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -166,7 +166,7 @@
 	switch step {
 	case job.ActionRun:
 		kp.take(ctx, work, v)
-	case job.GiveUp:
+	case job.ActionMarkUnknown:
 		kp.change(ctx, v, v.WithResult(job.Unknown, ended(failure.New(failure.TargetLost, failure.Unknown,
 			"the instance that ran the job is gone; its result is not known"))))
 	case job.Expire:
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -120,7 +120,7 @@
 	// Take claims the job and runs it.
 	ActionRun
 	// GiveUp ends a job whose only run was lost.
-	GiveUp
+	ActionMarkUnknown
 	// Expire ends a job whose deadline is past.
 	Expire
 	// Forget deletes a job whose result was kept for its time.
@@ -149,7 +149,7 @@
 	case !ownerGone(rc.Owner):
 		return ActionNone
 	case rc.AtMostOnce && rc.Dispatched:
-		return GiveUp
+		return ActionMarkUnknown
 	case now.After(rc.Deadline):
 		return Expire
 	default:
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -26,7 +26,7 @@
 		"owner is gone":                              {rc: open.WithOwner("gone"), want: ActionRun},
 		"owner is gone past the deadline":            {rc: late.WithOwner("gone"), want: Expire},
 		"never repeated, owner gone before dispatch": {rc: never.WithOwner("gone"), want: ActionRun},
-		"never repeated, owner gone after dispatch":  {rc: never.WithOwner("gone").WithDispatched(), want: GiveUp},
+		"never repeated, owner gone after dispatch":  {rc: never.WithOwner("gone").WithDispatched(), want: ActionMarkUnknown},
 		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithRequeued(), want: ActionRun},
 		"result is kept":                             {rc: kept, want: ActionNone},
 		"result was kept long enough":                {rc: old, want: Forget},
