--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -169,7 +169,7 @@
 	case job.ActionMarkUnknown:
 		kp.change(ctx, v, v.WithResult(job.Unknown, ended(failure.New(failure.TargetLost, failure.Unknown,
 			"the instance that ran the job is gone; its result is not known"))))
-	case job.Expire:
+	case job.ActionExpire:
 		kp.change(ctx, v, v.WithResult(job.Failed, ended(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
 	case job.Forget:
 		if err := kp.store.Remove(ctx, v); err != nil {
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -122,7 +122,7 @@
 	// GiveUp ends a job whose only run was lost.
 	ActionMarkUnknown
 	// Expire ends a job whose deadline is past.
-	Expire
+	ActionExpire
 	// Forget deletes a job whose result was kept for its time.
 	Forget
 )
@@ -141,7 +141,7 @@
 		}
 		return ActionNone
 	case rc.State == Queued && now.After(rc.Deadline):
-		return Expire
+		return ActionExpire
 	case rc.State == Queued && now.Before(rc.NotBefore):
 		return ActionNone
 	case rc.State == Queued:
@@ -151,7 +151,7 @@
 	case rc.AtMostOnce && rc.Dispatched:
 		return ActionMarkUnknown
 	case now.After(rc.Deadline):
-		return Expire
+		return ActionExpire
 	default:
 		return ActionRun
 	}
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -20,11 +20,11 @@
 		want Action
 	}{
 		"queued is taken":                            {rc: open, want: ActionRun},
-		"queued past its deadline":                   {rc: late, want: Expire},
+		"queued past its deadline":                   {rc: late, want: ActionExpire},
 		"running by a live owner":                    {rc: open.WithOwner("live"), want: ActionNone},
 		"late but running by a live owner":           {rc: late.WithOwner("live"), want: ActionNone},
 		"owner is gone":                              {rc: open.WithOwner("gone"), want: ActionRun},
-		"owner is gone past the deadline":            {rc: late.WithOwner("gone"), want: Expire},
+		"owner is gone past the deadline":            {rc: late.WithOwner("gone"), want: ActionExpire},
 		"never repeated, owner gone before dispatch": {rc: never.WithOwner("gone"), want: ActionRun},
 		"never repeated, owner gone after dispatch":  {rc: never.WithOwner("gone").WithDispatched(), want: ActionMarkUnknown},
 		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithRequeued(), want: ActionRun},
@@ -59,5 +59,5 @@
 	}
 	g.Expect(first).To(Equal([]time.Duration{0, 250 * time.Millisecond, 1250 * time.Millisecond, 3250 * time.Millisecond, 7250 * time.Millisecond}))
 	g.Expect(runs).To(Equal(154))
-	g.Expect(NextAction(rc, rc.Deadline.Add(time.Second), nobody)).To(Equal(Expire))
+	g.Expect(NextAction(rc, rc.Deadline.Add(time.Second), nobody)).To(Equal(ActionExpire))
 }
