--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -171,7 +171,7 @@
 			"the instance that ran the job is gone; its result is not known"))))
 	case job.ActionExpire:
 		kp.change(ctx, v, v.WithResult(job.Failed, ended(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
-	case job.Forget:
+	case job.ActionDelete:
 		if err := kp.store.Remove(ctx, v); err != nil {
 			kp.log.WithField("job", v.ID).WithError(err).Warn("job not removed")
 		}
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -124,7 +124,7 @@
 	// Expire ends a job whose deadline is past.
 	ActionExpire
 	// Forget deletes a job whose result was kept for its time.
-	Forget
+	ActionDelete
 )
 
 // Keep is how long a job's result is kept.
@@ -137,7 +137,7 @@
 	switch {
 	case rc.State.Final():
 		if rc.Result != nil && now.Sub(rc.Result.Ended) > Keep {
-			return Forget
+			return ActionDelete
 		}
 		return ActionNone
 	case rc.State == Queued && now.After(rc.Deadline):
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -29,7 +29,7 @@
 		"never repeated, owner gone after dispatch":  {rc: never.WithOwner("gone").WithDispatched(), want: ActionMarkUnknown},
 		"never repeated, given back before dispatch": {rc: never.WithOwner("gone").WithRequeued(), want: ActionRun},
 		"result is kept":                             {rc: kept, want: ActionNone},
-		"result was kept long enough":                {rc: old, want: Forget},
+		"result was kept long enough":                {rc: old, want: ActionDelete},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
