--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -128,7 +128,7 @@
 )
 
 // Keep is how long a job's result is kept.
-const Keep = 24 * time.Hour
+const ResultRetention = 24 * time.Hour
 
 // Next decides about a job that this instance is responsible for. ownerGone tells whether an incarnation has ended.
 // The decision is pure; what it leads to rests on a conditional write, so that two instances that both think
@@ -136,7 +136,7 @@
 func NextAction(rc Record, now time.Time, ownerGone func(incarnation string) bool) Action {
 	switch {
 	case rc.State.Final():
-		if rc.Result != nil && now.Sub(rc.Result.Ended) > Keep {
+		if rc.Result != nil && now.Sub(rc.Result.Ended) > ResultRetention {
 			return ActionDelete
 		}
 		return ActionNone
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -11,8 +11,8 @@
 	now := time.Unix(1_000_000, 0)
 	open := Record{State: Queued, Deadline: now.Add(time.Hour)}
 	late := Record{State: Queued, Deadline: now.Add(-time.Second)}
-	kept := open.WithResult(Done, Result{Ended: now.Add(-Keep / 2)})
-	old := open.WithResult(Done, Result{Ended: now.Add(-Keep - 1)})
+	kept := open.WithResult(Done, Result{Ended: now.Add(-ResultRetention / 2)})
+	old := open.WithResult(Done, Result{Ended: now.Add(-ResultRetention - 1)})
 	never := open
 	never.AtMostOnce = true
 	tests := map[string]struct {
