--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -23,10 +23,10 @@
 )
 
 // LostError says that a part of a job's body or answer is not in the store.
-type LostError struct{ Part string }
+type PartLostError struct{ Part string }
 
 // Error names the part.
-func (le *LostError) Error() string { return "part " + le.Part + " is lost" }
+func (le *PartLostError) Error() string { return "part " + le.Part + " is lost" }
 
 // Store keeps jobs in the platform's store.
 type Store struct {
@@ -218,13 +218,13 @@
 		}
 		var p part
 		if err := json.Unmarshal(o.Value, &p); err != nil {
-			return nil, &LostError{Part: name}
+			return nil, &PartLostError{Part: name}
 		}
 		buf.Write(p.Data)
 	}
 	zr, err := gzip.NewReader(&buf)
 	if err != nil {
-		return nil, &LostError{Part: prefix + "0"}
+		return nil, &PartLostError{Part: prefix + "0"}
 	}
 	b, err := io.ReadAll(zr)
 	return b, errors.Wrap(err, "uncompress")
