--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -12,7 +12,7 @@
 )
 
 // Share is a service that takes a part of a route's requests.
-type Share struct {
+type WeightedService struct {
 	Service string
 	// Weight is at least zero; the weights of a route have a positive sum.
 	Weight int
@@ -26,7 +26,7 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	// Shares is never empty.
-	Shares []Share
+	Shares []WeightedService
 	// Streaming answers are passed on event by event.
 	Streaming bool
 	// Repeatable requests may run more than once.
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -11,7 +11,7 @@
 )
 
 func route(name, host, prefix string) routes.Route {
-	return routes.Route{Name: name, Host: host, PathPrefix: prefix, Shares: []routes.Share{{Service: "s", Weight: 1}}}
+	return routes.Route{Name: name, Host: host, PathPrefix: prefix, Shares: []routes.WeightedService{{Service: "s", Weight: 1}}}
 }
 
 func table(version int64, rts ...routes.Route) *routes.Table {
@@ -47,9 +47,9 @@
 }
 
 func TestPickFollowsTheWeights(t *testing.T) {
-	shares := []routes.Share{{Service: "a", Weight: 1}, {Service: "none", Weight: 0}, {Service: "b", Weight: 3}}
+	shares := []routes.WeightedService{{Service: "a", Weight: 1}, {Service: "none", Weight: 0}, {Service: "b", Weight: 3}}
 	cases := map[string]struct {
-		shares []routes.Share
+		shares []routes.WeightedService
 		point  float64
 		want   string
 	}{
@@ -58,8 +58,8 @@
 		"at the border":              {shares, 0.25, "b"},
 		"at the end":                 {shares, 0.999999, "b"},
 		"one service":                {shares[:1], 0.7, "a"},
-		"first has no weight":        {[]routes.Share{{Service: "none"}, {Service: "b", Weight: 1}}, 0, "b"},
-		"last has no weight, at end": {[]routes.Share{{Service: "b", Weight: 1}, {Service: "none"}}, 0.999999, "b"},
+		"first has no weight":        {[]routes.WeightedService{{Service: "none"}, {Service: "b", Weight: 1}}, 0, "b"},
+		"last has no weight, at end": {[]routes.WeightedService{{Service: "b", Weight: 1}, {Service: "none"}}, 0.999999, "b"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 		rte := routes.Route{}
 		for no, w := range weights {
 			sum += w
-			rte.Shares = append(rte.Shares, routes.Share{Service: string(rune('a' + no)), Weight: w})
+			rte.Shares = append(rte.Shares, routes.WeightedService{Service: string(rune('a' + no)), Weight: w})
 		}
 		if sum == 0 {
 			rte.Shares[0].Weight = 1
