--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -86,7 +86,7 @@
 func newWaiting(most time.Duration) *gateway.Gateway {
 	hd := &routes.Holder{}
 	hd.Offer(routes.New(routes.Content{Version: 1, Routes: []routes.Route{{
-		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: most, Shares: []routes.WeightedService{{Service: "s", Weight: 1}},
+		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: most, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 	}}}), nil, time.Now())
 	gw := newGateway(hd, discard.New())
 	gw.SetLimits(gateway.Limits{MaxBodyBytes: 100})
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -49,7 +49,7 @@
 	g := NewWithT(t)
 	hd := &routes.Holder{}
 	ct := routes.Content{Version: 1, Routes: []routes.Route{{
-		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: generous, Shares: []routes.WeightedService{{Service: "s", Weight: 1}},
+		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: generous, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 	}}}
 	hd.Offer(routes.New(ct), nil, time.Now())
 	gw := newGateway(hd, discard.New())
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -26,7 +26,7 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 	// Shares is never empty.
-	Shares []WeightedService
+	Services []WeightedService
 	// Streaming answers are passed on event by event.
 	Streaming bool
 	// Repeatable requests may run more than once.
@@ -149,17 +149,17 @@
 // Pick returns the service for a request; point is uniform in [0, 1).
 func (rt Route) Pick(point float64) string {
 	total := 0
-	for _, sh := range rt.Shares {
+	for _, sh := range rt.Services {
 		total += sh.Weight
 	}
 	left := point * float64(total)
-	for _, sh := range rt.Shares {
+	for _, sh := range rt.Services {
 		left -= float64(sh.Weight)
 		if left < 0 {
 			return sh.Service
 		}
 	}
-	return rt.Shares[len(rt.Shares)-1].Service
+	return rt.Services[len(rt.Services)-1].Service
 }
 
 // Exclusive reports whether a request may run at most once.
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -11,7 +11,7 @@
 )
 
 func route(name, host, prefix string) routes.Route {
-	return routes.Route{Name: name, Host: host, PathPrefix: prefix, Shares: []routes.WeightedService{{Service: "s", Weight: 1}}}
+	return routes.Route{Name: name, Host: host, PathPrefix: prefix, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 }
 
 func table(version int64, rts ...routes.Route) *routes.Table {
@@ -63,7 +63,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(routes.Route{Shares: tc.shares}.Pick(tc.point)).To(Equal(tc.want))
+			NewWithT(t).Expect(routes.Route{Services: tc.shares}.Pick(tc.point)).To(Equal(tc.want))
 		})
 	}
 }
@@ -77,10 +77,10 @@
 		rte := routes.Route{}
 		for no, w := range weights {
 			sum += w
-			rte.Shares = append(rte.Shares, routes.WeightedService{Service: string(rune('a' + no)), Weight: w})
+			rte.Services = append(rte.Services, routes.WeightedService{Service: string(rune('a' + no)), Weight: w})
 		}
 		if sum == 0 {
-			rte.Shares[0].Weight = 1
+			rte.Services[0].Weight = 1
 			weights[0] = 1
 		}
 		got := rte.Pick(rapid.Float64Range(0, 0.9999999).Draw(rt, "point"))
