--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -235,7 +235,7 @@
 	switch {
 	case rq.first > rq.route.Objective:
 		return "first"
-	case rq.route.LongestPause > 0 && rq.pause > rq.route.LongestPause:
+	case rq.route.MaxPause > 0 && rq.pause > rq.route.MaxPause:
 		return "pause"
 	default:
 		return ""
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -85,7 +85,7 @@
 	ru := gw.Blame.BeginRun(rq.origin(), rq.fingerprint)
 	defer ru.End()
 	br := bufio.NewReader(an.Body)
-	stall := max(stallFloor, stallPauses*rq.route.LongestPause)
+	stall := max(stallFloor, stallPauses*rq.route.MaxPause)
 	// A copy: the timer may look at it while the next attempt begins.
 	tried := slices.Clone(rq.tried)
 	wd := newWatchdog(an, stall, func(silence time.Duration) bool {
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -40,7 +40,7 @@
 	// Objective is the time within which an answer, or its first event, is due.
 	Objective time.Duration
 	// LongestPause between two events keeps a stream in time; zero when none is set.
-	LongestPause time.Duration
+	MaxPause time.Duration
 	// Patience is the longest time without an event for which callers wait; zero when it is not known.
 	Patience time.Duration
 	// MaxAttempts is at least one.
