--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -109,7 +109,7 @@
 	return dispatch.Request{
 		ID: rq.RequestID, Service: sv, Exclude: rq.avoid,
 		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MostAnswerTokens, AnswerTokensHint: rq.AnswerHint, EventsForwarded: rq.events,
-		Objective: rq.route.Objective, MaxPause: rq.route.MaxPause, CallerIdleTimeout: rq.route.Patience,
+		Objective: rq.route.Objective, MaxPause: rq.route.MaxPause, CallerIdleTimeout: rq.route.CallerIdleTimeout,
 		Arrived: rq.arrived, Deadline: rq.due.At, Priority: rq.priority(), Resumed: rq.lastEvent >= 0,
 		Caution: rq.caution(), Authorise: func() error { return gw.stillAllowed(rq) },
 		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.Retries.Available(), Retried: len(rq.tried) > 0,
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -42,7 +42,7 @@
 	// LongestPause between two events keeps a stream in time; zero when none is set.
 	MaxPause time.Duration
 	// Patience is the longest time without an event for which callers wait; zero when it is not known.
-	Patience time.Duration
+	CallerIdleTimeout time.Duration
 	// MaxAttempts is at least one.
 	MaxAttempts int
 	// Priority is the rank, zero first.
