--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	gw.Retries.Deposit()
-	rq.service = rq.route.Pick(gw.Random())
+	rq.service = rq.route.PickService(gw.Random())
 	var last *failure.Error
 	for dials := 0; ; {
 		err := gw.attempt(ctx, rq, sk)
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -147,7 +147,7 @@
 }
 
 // Pick returns the service for a request; point is uniform in [0, 1).
-func (rt Route) Pick(point float64) string {
+func (rt Route) PickService(point float64) string {
 	total := 0
 	for _, sh := range rt.Services {
 		total += sh.Weight
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -63,7 +63,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(routes.Route{Services: tc.shares}.Pick(tc.point)).To(Equal(tc.want))
+			NewWithT(t).Expect(routes.Route{Services: tc.shares}.PickService(tc.point)).To(Equal(tc.want))
 		})
 	}
 }
@@ -83,7 +83,7 @@
 			rte.Services[0].Weight = 1
 			weights[0] = 1
 		}
-		got := rte.Pick(rapid.Float64Range(0, 0.9999999).Draw(rt, "point"))
+		got := rte.PickService(rapid.Float64Range(0, 0.9999999).Draw(rt, "point"))
 		g.Expect(weights[got[0]-'a']).To(BeNumerically(">", 0))
 	})
 }
