--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -154,7 +154,7 @@
 
 // retryFailed reports whether a failure that a target answered is to be tried elsewhere in place of being passed on.
 func (gw *Gateway) retryFailed(ctx context.Context, rq *request, sk *sink) bool {
-	return ctx.Err() == nil && !rq.route.Exclusive() && !sk.Started() &&
+	return ctx.Err() == nil && !rq.route.AtMostOnce() && !sk.Started() &&
 		gw.another(rq.route, rq.service, rq.tried) && gw.Retries.Available()
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -120,7 +120,7 @@
 // one that lost an attempt already is no probe.
 func (rq *request) caution() targets.Caution {
 	switch {
-	case rq.route.Exclusive():
+	case rq.route.AtMostOnce():
 		return targets.RequireHealthy
 	case len(rq.tried) > 0:
 		return targets.RequireReachable
@@ -180,7 +180,7 @@
 	gw.Protocol.Write(h, at)
 	ca := upstream.Call{
 		Address: sl.Target.Address, Method: rq.method, Target: rq.target, Host: rq.host, Header: h, Body: rq.body,
-		Exclusive: rq.route.Exclusive(),
+		Exclusive: rq.route.AtMostOnce(),
 		Leave:     func() error { return gw.mayLeave(sl) },
 		Heard:     func(resp *http.Response) bool { return gw.heard(rq, sl.Target, resp) },
 	}
@@ -296,7 +296,7 @@
 	claimed := rq.claimed
 	rq.claimed = false
 	again, why := retry.FailedAttempt{
-		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.route.Exclusive(), MayHaveRun: rq.known.MayHaveRun(),
+		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.route.AtMostOnce(), MayHaveRun: rq.known.MayHaveRun(),
 		Attempts: gw.stillThere(rq.tried), MaxAttempts: rq.route.MaxAttempts, ResponseStarted: sk.Started(),
 		TryResume: func() bool { return rq.route.Resumable }, BudgetTaken: claimed,
 	}.Decide(gw.Retries)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -116,7 +116,7 @@
 func (gw *Gateway) silenceMost(rq *request, sl *dispatch.Slot) time.Duration {
 	most := silenceShare * rq.route.Objective
 	switch {
-	case rq.route.Exclusive() || len(rq.tried) > 0 || rq.route.MaxAttempts < 2:
+	case rq.route.AtMostOnce() || len(rq.tried) > 0 || rq.route.MaxAttempts < 2:
 		return 0
 	case rq.route.Streaming:
 		return max(stallFloor, most, silencePredictions*sl.PredictedFirstToken)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -131,7 +131,7 @@
 // claimMove reports whether a request can go on at another target now, and takes the retry for it: the streams of
 // one silent target all ask at once, and there may be a retry for some of them only.
 func (gw *Gateway) claimMove(rt routes.Route, service string, tried []string) bool {
-	return !rt.Exclusive() && gw.another(rt, service, tried) && gw.Retries.TryWithdraw()
+	return !rt.AtMostOnce() && gw.another(rt, service, tried) && gw.Retries.TryWithdraw()
 }
 
 // another reports whether the route allows a further target and one is there.
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -163,7 +163,7 @@
 }
 
 // Exclusive reports whether a request may run at most once.
-func (rt Route) Exclusive() bool {
+func (rt Route) AtMostOnce() bool {
 	if rt.Streaming {
 		return !rt.Resumable
 	}
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -126,7 +126,7 @@
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
-			NewWithT(t).Expect(tc.route.Exclusive()).To(Equal(tc.exclusive))
+			NewWithT(t).Expect(tc.route.AtMostOnce()).To(Equal(tc.exclusive))
 		})
 	}
 }
