--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -131,7 +131,7 @@
 
 // priority is the organisation's rank where it has one, else the route's.
 func (rq *request) priority() int {
-	if rq.org.RanksItself {
+	if rq.org.OverridesPriority {
 		return rq.org.Priority
 	}
 	return rq.route.Priority
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -62,8 +62,8 @@
 type Organisation struct {
 	Name string
 	// Priority replaces that of the route when RanksItself is set.
-	Priority    int
-	RanksItself bool
+	Priority          int
+	OverridesPriority bool
 }
 
 // Limits bound what callers may send.
