--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -29,7 +29,7 @@
 	// ConfigurationKind and ConfigurationName are where the configuration lies, TargetKind where targets are listed.
 	ConfigurationKind, ConfigurationName, TargetKind string
 	// Configuration decodes the configuration's value.
-	Configuration func(value []byte) (routes.Content, error)
+	Configuration func(value []byte) (routes.Config, error)
 	// Target decodes a listed target.
 	Target func(objectstore.Object) (targets.Target, error)
 	// Reserve sets memory aside at a target, or renews it; a reservation.RefusedError says that it surely did not. It tells of the head of
--- a/internal/duty/facts/simfleet_test.go
+++ b/internal/duty/facts/simfleet_test.go
@@ -217,9 +217,9 @@
 	si.sy = &syncer{
 		ad: adapter.Adapter{
 			ConfigurationKind: kindConfiguration, ConfigurationName: "main", TargetKind: kindTargets,
-			Configuration: func(value []byte) (routes.Content, error) {
+			Configuration: func(value []byte) (routes.Config, error) {
 				v, err := strconv.ParseInt(string(value), 10, 64)
-				return routes.Content{Version: v}, err
+				return routes.Config{Version: v}, err
 			},
 			Target: func(ob objectstore.Object) (targets.Target, error) { return targets.Target{ID: ob.Name}, nil },
 		},
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -45,7 +45,7 @@
 }
 
 func keys(version int64, keys ...string) *routes.Table {
-	ct := routes.Content{Version: version, Keys: map[string]routes.Organisation{}}
+	ct := routes.Config{Version: version, Keys: map[string]routes.Organisation{}}
 	ct.Routes = []routes.Route{{Name: "r", Host: "example.com", PathPrefix: "/", Services: []routes.WeightedService{{Service: "s", Weight: 1}}}}
 	for _, key := range keys {
 		ct.Keys[key] = routes.Organisation{Name: "o"}
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -48,7 +48,7 @@
 func TestBodyThatStillComesAtTheEndIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	hd := &routes.Holder{}
-	ct := routes.Content{Version: 1, Routes: []routes.Route{{
+	ct := routes.Config{Version: 1, Routes: []routes.Route{{
 		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: generous, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 	}}}
 	hd.Offer(routes.New(ct), nil, time.Now())
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -82,7 +82,7 @@
 }
 
 // Content is what a table is made from.
-type Content struct {
+type Config struct {
 	Version  int64
 	Limits   Limits
 	Routes   []Route
@@ -92,7 +92,7 @@
 }
 
 // New returns a table.
-func New(ct Content) *Table {
+func New(ct Config) *Table {
 	tb := &Table{
 		version: ct.Version, limits: ct.Limits, byKey: ct.Keys,
 		byHost: map[string][]Route{}, services: map[string]Service{},
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -15,7 +15,7 @@
 }
 
 func table(version int64, rts ...routes.Route) *routes.Table {
-	return routes.New(routes.Content{Version: version, Routes: rts})
+	return routes.New(routes.Config{Version: version, Routes: rts})
 }
 
 func TestRouteIsTheLongestPrefixOfTheHost(t *testing.T) {
@@ -90,7 +90,7 @@
 
 func TestKeys(t *testing.T) {
 	open := table(1)
-	closed := routes.New(routes.Content{Version: 1, Keys: map[string]routes.Organisation{"k": {Name: "red"}}})
+	closed := routes.New(routes.Config{Version: 1, Keys: map[string]routes.Organisation{"k": {Name: "red"}}})
 	cases := map[string]struct {
 		table *routes.Table
 		route routes.Route
@@ -182,7 +182,7 @@
 // TestKeysThatWent follows one key through versions of the configuration.
 func TestKeysThatWent(t *testing.T) {
 	with := func(version int64, keys ...string) *routes.Table {
-		ct := routes.Content{Version: version, Keys: map[string]routes.Organisation{}}
+		ct := routes.Config{Version: version, Keys: map[string]routes.Organisation{}}
 		for _, key := range keys {
 			ct.Keys[key] = routes.Organisation{}
 		}
