--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -191,7 +191,7 @@
 		return
 	}
 	sy.version = ct.Version
-	if sy.rts.Offer(routes.New(ct), it.Value, sy.proofTime(asOf)) {
+	if sy.rts.ApplyIfNewer(routes.New(ct), it.Value, sy.proofTime(asOf)) {
 		sy.lg.WithFields(log.Fields{
 			"version": ct.Version, "routes": len(ct.Routes), "services": len(ct.Services), "source": "store",
 			"age": time.Since(asOf).Round(time.Millisecond).String(),
--- a/internal/duty/facts/simfleet_test.go
+++ b/internal/duty/facts/simfleet_test.go
@@ -287,7 +287,7 @@
 	}
 	to.sy.followers.Heard(tb.Version())
 	if time.Since(to.outdatedSince) >= fetchLatency {
-		to.sy.rts.Offer(tb, []byte("{}"), provenAt)
+		to.sy.rts.ApplyIfNewer(tb, []byte("{}"), provenAt)
 	}
 }
 
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -345,7 +345,7 @@
 		// The proof is for an older version.
 		asOf = time.Time{}
 	}
-	if du.rts.Offer(routes.New(ct), doc, asOf) {
+	if du.rts.ApplyIfNewer(routes.New(ct), doc, asOf) {
 		fs := log.Fields{"version": ct.Version, "routes": len(ct.Routes), "services": len(ct.Services), "source": "peer"}
 		if !asOf.IsZero() {
 			fs["age"] = time.Since(asOf).Round(time.Millisecond).String()
--- a/internal/gateway/key_test.go
+++ b/internal/gateway/key_test.go
@@ -44,8 +44,8 @@
 			g := NewWithT(t)
 			at := time.Unix(1000, 0)
 			hd := &routes.Holder{}
-			hd.Offer(keys(3, "kept", "taken"), nil, at)
-			hd.Offer(keys(4, "kept"), nil, at)
+			hd.ApplyIfNewer(keys(3, "kept", "taken"), nil, at)
+			hd.ApplyIfNewer(keys(4, "kept"), nil, at)
 			hd.Confirm(tc.told, at)
 			gw := newGateway(hd, memory.New())
 			gw.Now = func() time.Time { return at.Add(tc.age) }
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -85,7 +85,7 @@
 // newWaiting returns a gateway without targets whose requests may take a time.
 func newWaiting(most time.Duration) *gateway.Gateway {
 	hd := &routes.Holder{}
-	hd.Offer(routes.New(routes.Config{Version: 1, Routes: []routes.Route{{
+	hd.ApplyIfNewer(routes.New(routes.Config{Version: 1, Routes: []routes.Route{{
 		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: most, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 	}}}), nil, time.Now())
 	gw := newGateway(hd, discard.New())
--- a/internal/gateway/lines_test.go
+++ b/internal/gateway/lines_test.go
@@ -67,8 +67,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			hd, mh := &routes.Holder{}, memory.New()
-			hd.Offer(keys(4, "taken", "kept"), nil, time.Now())
-			hd.Offer(keys(5, "kept"), nil, time.Now())
+			hd.ApplyIfNewer(keys(4, "taken", "kept"), nil, time.Now())
+			hd.ApplyIfNewer(keys(5, "kept"), nil, time.Now())
 			g.Expect(get(newGateway(hd, mh), "1", tc.key)).To(Equal(http.StatusUnauthorized))
 			g.Expect(mh.Entries).To(HaveLen(1))
 			for name, value := range tc.want {
@@ -137,7 +137,7 @@
 	g := NewWithT(t)
 	hd, mh := &routes.Holder{}, memory.New()
 	at := time.Unix(1000, 0)
-	hd.Offer(keys(4, "kept"), nil, at)
+	hd.ApplyIfNewer(keys(4, "kept"), nil, at)
 	gw := newGateway(hd, mh)
 	gw.Now = func() time.Time { return at }
 	gw.SetLimits(gateway.Limits{ProofAge: time.Second})
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -51,7 +51,7 @@
 	ct := routes.Config{Version: 1, Routes: []routes.Route{{
 		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: generous, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 	}}}
-	hd.Offer(routes.New(ct), nil, time.Now())
+	hd.ApplyIfNewer(routes.New(ct), nil, time.Now())
 	gw := newGateway(hd, discard.New())
 	gw.SetLimits(gateway.Limits{MaxBodyBytes: 100})
 	sv := httptest.NewServer(gw)
--- a/internal/routes/holder.go
+++ b/internal/routes/holder.go
@@ -52,7 +52,7 @@
 
 // Offer puts a table in force if it is newer than the present one, and reports whether it did. Evidence is the time
 // before which the store cannot have held a newer version.
-func (hd *Holder) Offer(tb *Table, document []byte, evidence time.Time) bool {
+func (hd *Holder) ApplyIfNewer(tb *Table, document []byte, evidence time.Time) bool {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	hd.told = max(hd.told, tb.version)
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -140,9 +140,9 @@
 	g.Expect(provenAt.IsZero()).To(BeTrue())
 	g.Expect(hd.Confirm(1, t0)).To(BeFalse())
 
-	g.Expect(hd.Offer(table(3), []byte("three"), t0)).To(BeTrue())
-	g.Expect(hd.Offer(table(3), []byte("again"), t0)).To(BeFalse())
-	g.Expect(hd.Offer(table(2), []byte("two"), t0.Add(time.Hour))).To(BeFalse())
+	g.Expect(hd.ApplyIfNewer(table(3), []byte("three"), t0)).To(BeTrue())
+	g.Expect(hd.ApplyIfNewer(table(3), []byte("again"), t0)).To(BeFalse())
+	g.Expect(hd.ApplyIfNewer(table(2), []byte("two"), t0.Add(time.Hour))).To(BeFalse())
 	tb, provenAt = hd.Current()
 	g.Expect(tb.Version()).To(BeEquivalentTo(3))
 	g.Expect(provenAt).To(Equal(t0), "an older version proves nothing")
@@ -162,16 +162,16 @@
 		"confirmed earlier":           {func(hd *routes.Holder) bool { return hd.Confirm(3, t0.Add(-time.Second)) }, true, t0},
 		"an older one confirmed":      {func(hd *routes.Holder) bool { return hd.Confirm(2, t0.Add(time.Second)) }, true, t0},
 		"a newer one confirmed":       {func(hd *routes.Holder) bool { return hd.Confirm(4, t0.Add(time.Second)) }, false, t0},
-		"offered again, later":        {func(hd *routes.Holder) bool { return !hd.Offer(table(3), nil, t0.Add(time.Second)) }, true, t0.Add(time.Second)},
-		"offered again, earlier":      {func(hd *routes.Holder) bool { return !hd.Offer(table(3), nil, t0.Add(-time.Second)) }, true, t0},
-		"a newer one, without proof":  {func(hd *routes.Holder) bool { return hd.Offer(table(4), nil, time.Time{}) }, true, t0},
-		"a newer one, with old proof": {func(hd *routes.Holder) bool { return hd.Offer(table(4), nil, t0.Add(-time.Second)) }, true, t0},
+		"offered again, later":        {func(hd *routes.Holder) bool { return !hd.ApplyIfNewer(table(3), nil, t0.Add(time.Second)) }, true, t0.Add(time.Second)},
+		"offered again, earlier":      {func(hd *routes.Holder) bool { return !hd.ApplyIfNewer(table(3), nil, t0.Add(-time.Second)) }, true, t0},
+		"a newer one, without proof":  {func(hd *routes.Holder) bool { return hd.ApplyIfNewer(table(4), nil, time.Time{}) }, true, t0},
+		"a newer one, with old proof": {func(hd *routes.Holder) bool { return hd.ApplyIfNewer(table(4), nil, t0.Add(-time.Second)) }, true, t0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			hd := &routes.Holder{}
-			hd.Offer(table(3), nil, t0)
+			hd.ApplyIfNewer(table(3), nil, t0)
 			g.Expect(tc.act(hd)).To(Equal(tc.good))
 			_, provenAt := hd.Current()
 			g.Expect(provenAt).To(Equal(tc.want))
@@ -204,7 +204,7 @@
 			g := NewWithT(t)
 			hd := &routes.Holder{}
 			for _, tb := range tc.tables {
-				hd.Offer(tb, nil, time.Now())
+				hd.ApplyIfNewer(tb, nil, time.Now())
 			}
 			version, known := hd.GoneSince(routes.DigestOf("key"))
 			g.Expect(known).To(Equal(tc.want != 0))
