--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -166,7 +166,7 @@
 	switch {
 	case known:
 		return nil
-	case gw.Routes.Told() > tb.Version():
+	case gw.Routes.NewestKnownVersion() > tb.Version():
 		return refused(failure.NotReady, comeBackUnready, "a newer configuration, which may have the key, is not in force yet")
 	default:
 		return failure.New(failure.Unauthorized, failure.NotRun, "the key is not known")
--- a/internal/routes/holder.go
+++ b/internal/routes/holder.go
@@ -93,7 +93,7 @@
 
 // Told returns the newest version that this instance knows of. While it is above that in force, what the table in force
 // lacks may exist.
-func (hd *Holder) Told() int64 {
+func (hd *Holder) NewestKnownVersion() int64 {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	return hd.told
