--- a/internal/gateway/lines.go
+++ b/internal/gateway/lines.go
@@ -154,7 +154,7 @@
 	}
 	dg := routes.DigestOf(key)
 	fs["key"] = dg.String()
-	version, known := gw.Routes.GoneSince(dg)
+	version, known := gw.Routes.RemovedSince(dg)
 	fs["key_known"] = known
 	if known {
 		fs["key_gone"] = version
--- a/internal/routes/holder.go
+++ b/internal/routes/holder.go
@@ -26,7 +26,7 @@
 
 // GoneSince returns the first version without a key that was in force at this instance before. It reports false for a
 // key that was never in force here, or that is.
-func (hd *Holder) GoneSince(dg Digest) (version int64, known bool) {
+func (hd *Holder) RemovedSince(dg Digest) (version int64, known bool) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	version, known = hd.gone[dg]
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -206,7 +206,7 @@
 			for _, tb := range tc.tables {
 				hd.ApplyIfNewer(tb, nil, time.Now())
 			}
-			version, known := hd.GoneSince(routes.DigestOf("key"))
+			version, known := hd.RemovedSince(routes.DigestOf("key"))
 			g.Expect(known).To(Equal(tc.want != 0))
 			g.Expect(version).To(Equal(tc.want))
 		})
