--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -65,7 +65,7 @@
 	LongPrompts int
 }
 
-func (lo Load) plus(o Load, sign int) Load {
+func (lo Load) plusSigned(o Load, sign int) Load {
 	lo.Requests += sign * o.Requests
 	lo.MemoryTokens += sign * o.MemoryTokens
 	lo.LongPrompts += sign * o.LongPrompts
@@ -76,26 +76,26 @@
 }
 
 // Add returns the sum of two loads.
-func (lo Load) Plus(o Load) Load { return lo.plus(o, 1) }
+func (lo Load) Plus(o Load) Load { return lo.plusSigned(o, 1) }
 
 type knownTarget struct {
 	Target
 	// incarnation is that of the last report.
 	incarnation string
 	// leaving sticks for the incarnation it was learnt of.
-	leavingOf  string
-	listed     bool
-	own        Load
-	byPeer     map[string]Load
-	asked      map[grant.Key]asked
-	summary    TargetSummary
-	summaryAt  time.Time
-	report     engine.Report
-	reportAt   time.Time
-	rate       float64
-	ejectUntil time.Time
-	downUntil  time.Time
-	failures   int
+	leavingIncarnation string
+	listed             bool
+	ownLoad            Load
+	peerLoads          map[string]Load
+	offers             map[grant.Key]offeredPrompt
+	summary            TargetSummary
+	summaryAt          time.Time
+	report             engine.Report
+	reportAt           time.Time
+	prefillRate        float64
+	ejectedUntil       time.Time
+	unreachableUntil   time.Time
+	failures           int
 }
 
 // Summary is what an owner tells of a target.
@@ -120,20 +120,20 @@
 
 type knownPeer struct {
 	Instance
-	heardAt  time.Time
-	version  int64
-	stopping bool
-	listed   bool
+	heardAt       time.Time
+	bundleVersion int64
+	stopping      bool
+	listed        bool
 	// renewal is the version of its object, and renewedAt when that last changed.
-	renewal   int64
-	renewedAt time.Time
+	objectVersion int64
+	renewedAt     time.Time
 }
 
 // Fleet is safe for use by any goroutine.
 type Fleet struct {
-	self Instance
-	now  func() time.Time
-	lost time.Duration
+	self        Instance
+	now         func() time.Time
+	peerTimeout time.Duration
 
 	mu      sync.Mutex
 	targets map[string]*knownTarget
@@ -143,14 +143,14 @@
 	// changed is closed and replaced whenever a decision could come out differently.
 	changed chan struct{}
 	// order is the sorted names of targets; nil when stale.
-	order []string
-	owned owners
+	sortedNames []string
+	ownership   ownership
 	// besideLong is the learnt extra time of a short prompt beside a long one.
-	besideLong time.Duration
+	interferenceDelay time.Duration
 }
 
 // firstBesideLong is assumed until a short prompt has run beside a long one.
-const firstBesideLong = 400 * time.Millisecond
+const initialInterferenceDelay = 400 * time.Millisecond
 
 // Option changes a Fleet under construction.
 type Option func(*Fleet)
@@ -159,12 +159,12 @@
 func WithClock(now func() time.Time) Option { return func(fl *Fleet) { fl.now = now } }
 
 // WithLost sets the silence after which a peer counts as gone.
-func WithPeerTimeout(d time.Duration) Option { return func(fl *Fleet) { fl.lost = d } }
+func WithPeerTimeout(d time.Duration) Option { return func(fl *Fleet) { fl.peerTimeout = d } }
 
 // New returns the knowledge of an instance that has heard of nothing yet.
 func New(self Instance, opts ...Option) *Fleet {
 	fl := &Fleet{
-		self: self, now: time.Now, lost: 3 * time.Second, besideLong: firstBesideLong,
+		self: self, now: time.Now, peerTimeout: 3 * time.Second, interferenceDelay: initialInterferenceDelay,
 		targets: map[string]*knownTarget{}, peers: map[string]*knownPeer{}, changed: make(chan struct{}),
 	}
 	for _, o := range opts {
@@ -199,31 +199,31 @@
 	for _, t := range list {
 		kt := fl.targets[t.Name]
 		if kt == nil || kt.URL != t.URL {
-			kt = &knownTarget{byPeer: map[string]Load{}, asked: map[grant.Key]asked{}}
+			kt = &knownTarget{peerLoads: map[string]Load{}, offers: map[grant.Key]offeredPrompt{}}
 			fl.targets[t.Name] = kt
 		}
 		kt.Target = t
 		kt.listed = true
 	}
 	for name, kt := range fl.targets {
-		if !kt.listed && kt.own.Requests == 0 {
+		if !kt.listed && kt.ownLoad.Requests == 0 {
 			delete(fl.targets, name)
 		}
 	}
-	fl.order = nil
-	fl.owned = owners{}
+	fl.sortedNames = nil
+	fl.ownership = ownership{}
 	fl.notify()
 }
 
 // names is called with the lock held.
-func (fl *Fleet) names() []string {
-	if fl.order == nil {
+func (fl *Fleet) targetNames() []string {
+	if fl.sortedNames == nil {
 		for n := range fl.targets {
-			fl.order = append(fl.order, n)
+			fl.sortedNames = append(fl.sortedNames, n)
 		}
-		slices.Sort(fl.order)
+		slices.Sort(fl.sortedNames)
 	}
-	return fl.order
+	return fl.sortedNames
 }
 
 // Target returns a target by name.
@@ -242,7 +242,7 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	var ts []Target
-	for _, n := range fl.names() {
+	for _, n := range fl.targetNames() {
 		if fl.targets[n].listed {
 			ts = append(ts, fl.targets[n].Target)
 		}
@@ -262,6 +262,6 @@
 }
 
 // live is called with the lock held.
-func (fl *Fleet) live(kp *knownPeer) bool {
-	return !kp.stopping && fl.now().Sub(kp.heardAt) < fl.lost
+func (fl *Fleet) isLive(kp *knownPeer) bool {
+	return !kp.stopping && fl.now().Sub(kp.heardAt) < fl.peerTimeout
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -29,7 +29,7 @@
 	return fl, ck
 }
 
-func TestOwnersShareEvenly(t *testing.T) {
+func TestAssignOwnersDistributesTargetsEvenly(t *testing.T) {
 	tests := map[string]struct{ peers, targets, zones, least, most int }{
 		"alone":               {targets: 5, zones: 1, least: 5, most: 5},
 		"one zone":            {peers: 3, targets: 8, zones: 1, least: 2, most: 2},
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestOwnershipMovesFromASilentPeer(t *testing.T) {
+func TestOwnershipMovesAwayFromSilentPeer(t *testing.T) {
 	g := NewWithT(t)
 	fl, ck := newFleet(1, 6, 1)
 	g.Expect(fl.Owned()).To(HaveLen(3))
@@ -66,7 +66,7 @@
 	g.Expect(fl.Owned()).To(HaveLen(3))
 }
 
-func names(vw CandidateSet) []string {
+func candidateNames(vw CandidateSet) []string {
 	var all []string
 	for _, ca := range vw.Candidates {
 		all = append(all, ca.Name)
@@ -74,7 +74,7 @@
 	return all
 }
 
-func TestCandidatesAfter(t *testing.T) {
+func TestCandidatesAfterEvent(t *testing.T) {
 	wanted := Filter{Model: "m", IncludePeerLoad: true}
 	tests := map[string]struct {
 		do   func(fl *Fleet, ck *clock)
@@ -82,13 +82,13 @@
 	}{
 		"nothing":                    {do: func(*Fleet, *clock) {}, want: []string{"engine-00", "engine-01"}},
 		"own report of leaving":      {do: func(fl *Fleet, _ *clock) { fl.ApplyReport("engine-00", engine.Report{Incarnation: "x", Leaving: true}) }, want: []string{"engine-01"}},
-		"peer's news of leaving":     {do: leavingNews, want: []string{"engine-01"}},
-		"leaving, then a new run":    {do: newRun, want: []string{"engine-00", "engine-01"}},
+		"peer's news of leaving":     {do: peerReportsLeaving, want: []string{"engine-01"}},
+		"leaving, then a new run":    {do: leavingTargetRestarts, want: []string{"engine-00", "engine-01"}},
 		"a refused connection":       {do: func(fl *Fleet, _ *clock) { fl.MarkUnreachable("engine-00") }, want: []string{"engine-01"}},
 		"refused everywhere":         {do: func(fl *Fleet, _ *clock) { fl.MarkUnreachable("engine-00"); fl.MarkUnreachable("engine-01") }},
-		"refused, some time ago":     {do: func(fl *Fleet, ck *clock) { fl.MarkUnreachable("engine-00"); ck.at = ck.at.Add(2 * downFor) }, want: []string{"engine-00", "engine-01"}},
-		"failures in a row":          {do: func(fl *Fleet, _ *clock) { failures(fl, "engine-00") }, want: []string{"engine-01"}},
-		"failures everywhere: floor": {do: func(fl *Fleet, _ *clock) { failures(fl, "engine-00"); failures(fl, "engine-01") }, want: []string{"engine-00", "engine-01"}},
+		"refused, some time ago":     {do: func(fl *Fleet, ck *clock) { fl.MarkUnreachable("engine-00"); ck.at = ck.at.Add(2 * unreachableTime) }, want: []string{"engine-00", "engine-01"}},
+		"failures in a row":          {do: func(fl *Fleet, _ *clock) { failRepeatedly(fl, "engine-00") }, want: []string{"engine-01"}},
+		"failures everywhere: floor": {do: func(fl *Fleet, _ *clock) { failRepeatedly(fl, "engine-00"); failRepeatedly(fl, "engine-01") }, want: []string{"engine-00", "engine-01"}},
 		"no longer listed":           {do: func(fl *Fleet, _ *clock) { fl.SetTargets(fl.Targets()[1:]) }, want: []string{"engine-01"}},
 		"report of another model": {do: func(fl *Fleet, _ *clock) {
 			fl.ApplyReport("engine-00", engine.Report{Incarnation: "x", Models: []string{"n"}})
@@ -104,29 +104,29 @@
 		t.Run(name, func(t *testing.T) {
 			fl, ck := newFleet(0, 2, 1)
 			tc.do(fl, ck)
-			NewWithT(t).Expect(names(fl.Candidates(wanted))).To(Equal(tc.want))
+			NewWithT(t).Expect(candidateNames(fl.Candidates(wanted))).To(Equal(tc.want))
 		})
 	}
 }
 
-func leavingNews(fl *Fleet, _ *clock) {
+func peerReportsLeaving(fl *Fleet, _ *clock) {
 	fl.ApplyReport("engine-00", engine.Report{Incarnation: "x"})
 	fl.ApplyHeartbeat(Heartbeat{Sender: Instance{Name: "p"}, Leaving: map[string]string{"engine-00": "x"}})
 }
 
-func newRun(fl *Fleet, ck *clock) {
-	leavingNews(fl, ck)
+func leavingTargetRestarts(fl *Fleet, ck *clock) {
+	peerReportsLeaving(fl, ck)
 	fl.ApplyReport("engine-00", engine.Report{Incarnation: "y"})
 }
 
-func failures(fl *Fleet, target string) {
-	for range ejectAfter {
+func failRepeatedly(fl *Fleet, target string) {
+	for range ejectionThreshold {
 		fl.RecordFailure(target)
 	}
 }
 
 // TestWorkIsCountedOnce shows that an owner's summary leaves out the receiver's own work.
-func TestWorkIsCountedOnce(t *testing.T) {
+func TestSummaryExcludesLoadOfReceiver(t *testing.T) {
 	g := NewWithT(t)
 	owner, _ := newFleet(0, 1, 1)
 	wk := Load{Requests: 1, MemoryTokens: 10, LongPrompts: 1}
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -10,22 +10,22 @@
 
 const (
 	// defaultRate is assumed until a target has answered once.
-	defaultRate = 10_000
+	assumedPrefillRate = 10_000
 	// rateWeight is the weight of a new sample of a target's rate.
-	rateWeight = 0.2
+	sampleWeight = 0.2
 	// confirmWithin is the silence after which a target needs a probe before new work.
-	confirmWithin = 3 * time.Second
+	maxUnconfirmedAge = 3 * time.Second
 	// ejectAfter failures in a row take a target out for ejectFor.
-	ejectAfter = 3
-	ejectFor   = 2 * time.Second
+	ejectionThreshold = 3
+	ejectionTime      = 2 * time.Second
 	// downFor is how long a target without connections is left alone before the next probe.
-	downFor = time.Second
+	unreachableTime = time.Second
 	// ejectFloor is the least share of targets that stays in.
-	ejectFloor = 0.5
+	minShareNotEjected = 0.5
 	// manyTargets is the number of candidates from which only those nearby are weighed.
-	manyTargets = 64
+	maxTargetsAllZones = 64
 	// rateSampleTokens is the shortest prompt whose time tells the rate.
-	rateSampleTokens = 1000
+	minRateSampleTokens = 1000
 )
 
 // ApplyReport takes a load report asked from the target itself.
@@ -38,8 +38,8 @@
 	}
 	kt.report, kt.reportAt = r, fl.now()
 	kt.incarnation = r.Incarnation
-	if kt.rate == 0 {
-		kt.rate = r.PrefillRate
+	if kt.prefillRate == 0 {
+		kt.prefillRate = r.PrefillRate
 	}
 	if r.Leaving {
 		fl.markLeaving(target, r.Incarnation)
@@ -67,7 +67,7 @@
 
 func (fl *Fleet) markLeaving(target, incarnation string) {
 	if kt := fl.targets[target]; kt != nil && incarnation != "" {
-		kt.leavingOf = incarnation
+		kt.leavingIncarnation = incarnation
 	}
 }
 
@@ -77,38 +77,38 @@
 	defer fl.mu.Unlock()
 	news := map[string]string{}
 	for name, kt := range fl.targets {
-		if kt.leavingOf != "" && kt.leavingOf == kt.incarnation {
-			news[name] = kt.leavingOf
+		if kt.leavingIncarnation != "" && kt.leavingIncarnation == kt.incarnation {
+			news[name] = kt.leavingIncarnation
 		}
 	}
 	return news
 }
 
 // Begin notes work that this instance sends to a target.
-func (fl *Fleet) AddLoad(target string, wk Load) { fl.change(target, wk, 1) }
+func (fl *Fleet) AddLoad(target string, wk Load) { fl.addSigned(target, wk, 1) }
 
 // End takes back work noted by Begin, and wakes those who wait for room.
 func (fl *Fleet) RemoveLoad(target string, wk Load) {
-	fl.change(target, wk, -1)
+	fl.addSigned(target, wk, -1)
 	fl.mu.Lock()
 	fl.notify()
 	fl.mu.Unlock()
 }
 
 // Undo takes back work that was never sent. It wakes nobody: those who wait would else wake each other for ever.
-func (fl *Fleet) RevertLoad(target string, wk Load) { fl.change(target, wk, -1) }
+func (fl *Fleet) RevertLoad(target string, wk Load) { fl.addSigned(target, wk, -1) }
 
-func (fl *Fleet) change(target string, wk Load, sign int) {
+func (fl *Fleet) addSigned(target string, wk Load, sign int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
-		kt.own = kt.own.plus(wk, sign)
+		kt.ownLoad = kt.ownLoad.plusSigned(wk, sign)
 	}
 }
 
 // Observe learns from an attempt that got its first token while nothing else was being prefilled.
 func (fl *Fleet) ObservePrefill(target string, tokens int, took time.Duration) {
-	if tokens < rateSampleTokens || took <= 0 {
+	if tokens < minRateSampleTokens || took <= 0 {
 		return
 	}
 	sample := float64(tokens) / took.Seconds()
@@ -118,17 +118,17 @@
 	if kt == nil {
 		return
 	}
-	if kt.rate == 0 {
-		kt.rate = sample
+	if kt.prefillRate == 0 {
+		kt.prefillRate = sample
 	}
-	kt.rate += rateWeight * (sample - kt.rate)
+	kt.prefillRate += sampleWeight * (sample - kt.prefillRate)
 }
 
 // ObserveBesideLong learns from a short prompt that ran beside a long one by how much it came later than predicted.
 func (fl *Fleet) ObserveInterference(extra time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	fl.besideLong += time.Duration(rateWeight * float64(max(0, extra)-fl.besideLong))
+	fl.interferenceDelay += time.Duration(sampleWeight * float64(max(0, extra)-fl.interferenceDelay))
 }
 
 // Failure counts a failed attempt; several in a row take the target out for a while.
@@ -140,8 +140,8 @@
 		return
 	}
 	kt.failures++
-	if kt.failures >= ejectAfter {
-		kt.ejectUntil = fl.now().Add(ejectFor)
+	if kt.failures >= ejectionThreshold {
+		kt.ejectedUntil = fl.now().Add(ejectionTime)
 		kt.failures = 0
 	}
 }
@@ -151,7 +151,7 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
-		kt.downUntil = fl.now().Add(downFor)
+		kt.unreachableUntil = fl.now().Add(unreachableTime)
 		kt.reportAt, kt.summaryAt = time.Time{}, time.Time{}
 	}
 }
@@ -191,15 +191,15 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	now := fl.now()
-	fit := fl.nearby(fl.eligible(wn))
-	in := slices.DeleteFunc(slices.Clone(fit), func(kt *knownTarget) bool { return now.Before(kt.ejectUntil) })
-	if float64(len(in)) >= ejectFloor*float64(len(fit)) {
+	fit := fl.preferOwnZone(fl.eligible(wn))
+	in := slices.DeleteFunc(slices.Clone(fit), func(kt *knownTarget) bool { return now.Before(kt.ejectedUntil) })
+	if float64(len(in)) >= minShareNotEjected*float64(len(fit)) {
 		fit = in
 	}
 	vw := CandidateSet{NeedsProbe: map[string]bool{}}
 	for _, kt := range fit {
 		vw.Candidates = append(vw.Candidates, fl.candidate(kt, wn))
-		if now.Sub(kt.confirmedAt()) > confirmWithin {
+		if now.Sub(kt.confirmedAt()) > maxUnconfirmedAge {
 			vw.NeedsProbe[kt.Name] = true
 		}
 	}
@@ -208,8 +208,8 @@
 
 // nearby leaves out other availability zones in a large fleet, where this one has targets enough and a message to
 // each other zone for every decision would not pay.
-func (fl *Fleet) nearby(all []*knownTarget) []*knownTarget {
-	if len(all) <= manyTargets {
+func (fl *Fleet) preferOwnZone(all []*knownTarget) []*knownTarget {
+	if len(all) <= maxTargetsAllZones {
 		return all
 	}
 	var near []*knownTarget
@@ -234,13 +234,13 @@
 
 func (fl *Fleet) eligible(wn Filter) []*knownTarget {
 	var fit []*knownTarget
-	for _, name := range fl.names() {
+	for _, name := range fl.targetNames() {
 		kt := fl.targets[name]
-		leaving := kt.Leaving || (kt.leavingOf != "" && kt.leavingOf == kt.incarnation)
+		leaving := kt.Leaving || (kt.leavingIncarnation != "" && kt.leavingIncarnation == kt.incarnation)
 		if wn.OwnedOnly && fl.owner(name) != fl.self.Name {
 			continue
 		}
-		if fl.now().Before(kt.downUntil) {
+		if fl.now().Before(kt.unreachableUntil) {
 			continue
 		}
 		if kt.listed && !leaving && kt.serves(wn) && !slices.Contains(wn.Exclude, name) {
@@ -254,11 +254,11 @@
 	if wn.Service != "" {
 		return kt.Kind == KindService && kt.Service == wn.Service
 	}
-	return kt.Kind == KindEngine && slices.Contains(kt.loaded(), wn.Model)
+	return kt.Kind == KindEngine && slices.Contains(kt.loadedModels(), wn.Model)
 }
 
 // loaded returns the newest known models of an engine.
-func (kt *knownTarget) loaded() []string {
+func (kt *knownTarget) loadedModels() []string {
 	switch {
 	case kt.reportAt.After(kt.summaryAt) && kt.report.Models != nil:
 		return kt.report.Models
@@ -270,19 +270,19 @@
 }
 
 func (fl *Fleet) candidate(kt *knownTarget, wn Filter) policy.Candidate {
-	all := kt.own
+	all := kt.ownLoad
 	if wn.IncludePeerLoad {
-		all = fl.allWork(kt)
+		all = fl.inFlightLoad(kt)
 	}
 	if wn.OwnedOnly {
-		fl.countAsked(kt, &all)
+		fl.countOffers(kt, &all)
 	}
 	ca := policy.Candidate{
 		Name:        kt.Name,
-		OwnRequests: kt.own.Requests, OwnPrefill: kt.own.PrefillTokens,
+		OwnRequests: kt.ownLoad.Requests, OwnPrefill: kt.ownLoad.PrefillTokens,
 		InFlightPrefill: all.PrefillTokens, InFlightLong: all.LongPrompts, InFlightMemory: all.MemoryTokens,
 		ReportedPrefill: kt.report.PrefillTokens,
-		PrefillRate:     kt.rate, MemoryTotal: kt.report.MemoryTotal,
+		PrefillRate:     kt.prefillRate, MemoryTotal: kt.report.MemoryTotal,
 	}
 	if ca.MemoryTotal == 0 {
 		ca.MemoryTotal = kt.summary.MemoryTotal
@@ -291,21 +291,21 @@
 	if ca.PrefillRate <= 0 {
 		ca.PrefillRate = kt.summary.PrefillRate
 	}
-	ca.InterferenceDelay = fl.besideLong
+	ca.InterferenceDelay = fl.interferenceDelay
 	ca.PrefillRateKnown = ca.PrefillRate > 0
 	if !ca.PrefillRateKnown {
-		ca.PrefillRate = defaultRate
+		ca.PrefillRate = assumedPrefillRate
 	}
 	return ca
 }
 
 // allWork is the owner's total, corrected by what this instance did since.
-func (fl *Fleet) allWork(kt *knownTarget) Load {
+func (fl *Fleet) inFlightLoad(kt *knownTarget) Load {
 	if fl.owner(kt.Name) == fl.self.Name {
-		return kt.total()
+		return kt.totalLoad()
 	}
-	if fl.now().Sub(kt.summaryAt) > fl.lost {
-		return kt.own
+	if fl.now().Sub(kt.summaryAt) > fl.peerTimeout {
+		return kt.ownLoad
 	}
-	return kt.summary.Load.Plus(kt.own)
+	return kt.summary.Load.Plus(kt.ownLoad)
 }
--- a/internal/fleet/asked.go
+++ b/internal/fleet/offers.go
@@ -8,10 +8,10 @@
 )
 
 // askedShare is how much longer than predicted a prompt that was asked for is counted.
-const askedShare = 1.2
+const offerTimeMargin = 1.2
 
 // asked is a short prompt that a peer sends to an owned target.
-type asked struct {
+type offeredPrompt struct {
 	tokens, band int
 	until        time.Time
 }
@@ -24,14 +24,14 @@
 	if kt == nil {
 		return
 	}
-	rate := kt.rate
+	rate := kt.prefillRate
 	if rate <= 0 {
-		rate = defaultRate
+		rate = assumedPrefillRate
 	}
 	work := time.Duration(float64(tokens) / rate * float64(time.Second))
-	kt.asked[k] = asked{
+	kt.offers[k] = offeredPrompt{
 		tokens: tokens, band: policy.LengthBand(tokens),
-		until: fl.now().Add(time.Duration(float64(wait+work) * askedShare)),
+		until: fl.now().Add(time.Duration(float64(wait+work) * offerTimeMargin)),
 	}
 }
 
@@ -40,19 +40,19 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
-		delete(kt.asked, k)
+		delete(kt.offers, k)
 	}
 }
 
 // countAsked puts what peers asked for in the place of what their heartbeats tell of short prompts.
-func (fl *Fleet) countAsked(kt *knownTarget, all *Load) {
+func (fl *Fleet) countOffers(kt *knownTarget, all *Load) {
 	now := fl.now()
-	for b := range shortBands {
-		all.PrefillTokens[b] = kt.own.PrefillTokens[b]
+	for b := range numOfferedBands {
+		all.PrefillTokens[b] = kt.ownLoad.PrefillTokens[b]
 	}
-	for k, a := range kt.asked {
+	for k, a := range kt.offers {
 		if now.After(a.until) {
-			delete(kt.asked, k)
+			delete(kt.offers, k)
 			continue
 		}
 		all.PrefillTokens[a.band] += a.tokens
@@ -60,4 +60,4 @@
 }
 
 // shortBands is the number of length bands whose prompts are asked for one by one.
-const shortBands = policy.NumLengthBands - 1
+const numOfferedBands = policy.NumLengthBands - 1
--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -9,12 +9,12 @@
 )
 
 // ownersFor is how long the computed owners hold when nothing is heard that would change them.
-const ownersFor = 200 * time.Millisecond
+const maxOwnershipAge = 200 * time.Millisecond
 
 // owners is who owns each target, computed from one view of who is live.
-type owners struct {
-	of map[string]string
-	at time.Time
+type ownership struct {
+	ownerOf    map[string]string
+	computedAt time.Time
 }
 
 // Owner returns the name of the instance that owns a target.
@@ -26,14 +26,14 @@
 
 // owner is called with the lock held. A target that is not known has no owner.
 func (fl *Fleet) owner(name string) string {
-	if fl.owned.of == nil || fl.now().Sub(fl.owned.at) > ownersFor {
-		fl.owned = owners{of: fl.assign(), at: fl.now()}
+	if fl.ownership.ownerOf == nil || fl.now().Sub(fl.ownership.computedAt) > maxOwnershipAge {
+		fl.ownership = ownership{ownerOf: fl.assignOwners(), computedAt: fl.now()}
 	}
-	return fl.owned.of[name]
+	return fl.ownership.ownerOf[name]
 }
 
 // group is the targets that are shared out together.
-type group struct {
+type targetGroup struct {
 	zone string
 	kind Kind
 }
@@ -41,16 +41,16 @@
 // assign gives each target to a live instance of its availability zone, or of any where the zone has none: to the one
 // with the highest hash that has less than its share. No two instances differ by more than one target of a kind, and a
 // change of instances moves few targets.
-func (fl *Fleet) assign() map[string]string {
+func (fl *Fleet) assignOwners() map[string]string {
 	all := fl.liveInstances()
 	byZone := map[string][]Instance{}
 	for _, in := range all {
 		byZone[in.AvailabilityZone] = append(byZone[in.AvailabilityZone], in)
 	}
-	members := map[group][]string{}
-	for _, name := range fl.names() {
+	members := map[targetGroup][]string{}
+	for _, name := range fl.targetNames() {
 		kt := fl.targets[name]
-		gr := group{zone: kt.AvailabilityZone, kind: kt.Kind}
+		gr := targetGroup{zone: kt.AvailabilityZone, kind: kt.Kind}
 		members[gr] = append(members[gr], name)
 	}
 	of := make(map[string]string, len(fl.targets))
@@ -59,17 +59,17 @@
 		if len(able) == 0 {
 			able = all
 		}
-		share(names, able, of)
+		assignEvenly(names, able, of)
 	}
 	return of
 }
 
 // share gives names to instances, each its even share; the first few may take one more.
-func share(names []string, able []Instance, of map[string]string) {
+func assignEvenly(names []string, able []Instance, of map[string]string) {
 	load := map[string]int{}
 	even, more := len(names)/len(able), len(names)%len(able)
 	for _, name := range names {
-		best := highest(name, able, func(in Instance) bool {
+		best := highestHash(name, able, func(in Instance) bool {
 			return load[in.Name] < even || (load[in.Name] == even && more > 0)
 		})
 		if load[best] >= even {
@@ -81,7 +81,7 @@
 }
 
 // highest returns the instance with the highest hash among those that may take more, or among all when none may.
-func highest(name string, able []Instance, may func(Instance) bool) string {
+func highestHash(name string, able []Instance, may func(Instance) bool) string {
 	best, top := "", uint64(0)
 	for _, in := range able {
 		h := xxhash.Sum64String(name + "\x00" + in.Name)
@@ -90,7 +90,7 @@
 		}
 	}
 	if best == "" {
-		return highest(name, able, func(Instance) bool { return true })
+		return highestHash(name, able, func(Instance) bool { return true })
 	}
 	return best
 }
@@ -99,7 +99,7 @@
 func (fl *Fleet) liveInstances() []Instance {
 	all := []Instance{fl.self}
 	for _, kp := range fl.peers {
-		if fl.live(kp) {
+		if fl.isLive(kp) {
 			all = append(all, kp.Instance)
 		}
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -25,7 +25,7 @@
 }
 
 // goneAfter is the silence after which nobody expects a peer to come back as it was.
-const goneAfter = 10 * time.Minute
+const peerRetention = 10 * time.Minute
 
 // PeerStatus is what is known of one peer.
 type PeerStatus struct {
@@ -50,7 +50,7 @@
 		fl.peers[b.Sender.Name] = kp
 	}
 	if kp.Incarnation != "" && kp.Incarnation != b.Sender.Incarnation {
-		fl.forgetWork(b.Sender.Name)
+		fl.forgetLoads(b.Sender.Name)
 		fl.markEnded(kp.Incarnation)
 	}
 	address := kp.PeerAddress
@@ -58,18 +58,18 @@
 	if kp.PeerAddress == "" {
 		kp.PeerAddress = address
 	}
-	if !fl.live(kp) || b.Stopping {
-		fl.owned = owners{}
+	if !fl.isLive(kp) || b.Stopping {
+		fl.ownership = ownership{}
 	}
-	kp.heardAt, kp.version, kp.stopping = fl.now(), b.BundleVersion, b.Stopping
+	kp.heardAt, kp.bundleVersion, kp.stopping = fl.now(), b.BundleVersion, b.Stopping
 	for _, kt := range fl.targets {
 		if _, ok := b.Usage[kt.Name]; !ok && b.Usage != nil {
-			delete(kt.byPeer, b.Sender.Name)
+			delete(kt.peerLoads, b.Sender.Name)
 		}
 	}
 	for name, wk := range b.Usage {
 		if kt := fl.targets[name]; kt != nil {
-			kt.byPeer[b.Sender.Name] = wk
+			kt.peerLoads[b.Sender.Name] = wk
 		}
 	}
 	fl.applySummaries(b.Summaries)
@@ -93,9 +93,9 @@
 }
 
 // forgetWork is called with the lock held when a peer has a new incarnation or is gone.
-func (fl *Fleet) forgetWork(peer string) {
+func (fl *Fleet) forgetLoads(peer string) {
 	for _, kt := range fl.targets {
-		delete(kt.byPeer, peer)
+		delete(kt.peerLoads, peer)
 	}
 }
 
@@ -105,8 +105,8 @@
 	defer fl.mu.Unlock()
 	gone := set.Of[string]()
 	for name, kp := range fl.peers {
-		if fl.now().Sub(kp.heardAt) >= fl.lost {
-			fl.forgetWork(name)
+		if fl.now().Sub(kp.heardAt) >= fl.peerTimeout {
+			fl.forgetLoads(name)
 			gone = gone.With(kp.Incarnation)
 		}
 	}
@@ -120,7 +120,7 @@
 	var ps []PeerStatus
 	for _, kp := range fl.peers {
 		ps = append(ps, PeerStatus{
-			Instance: kp.Instance, HeartbeatAge: fl.now().Sub(kp.heardAt), BundleVersion: kp.version, Live: fl.live(kp), Listed: kp.listed,
+			Instance: kp.Instance, HeartbeatAge: fl.now().Sub(kp.heardAt), BundleVersion: kp.bundleVersion, Live: fl.isLive(kp), Listed: kp.listed,
 		})
 	}
 	slices.SortFunc(ps, func(a, b PeerStatus) int { return strings.Compare(a.Name, b.Name) })
@@ -131,7 +131,7 @@
 // another availability zone is often known from the platform only.
 func (fl *Fleet) PeerByIncarnation(incarnation string) (Instance, bool) {
 	for _, p := range fl.Peers() {
-		if p.Incarnation == incarnation && p.HeartbeatAge < goneAfter {
+		if p.Incarnation == incarnation && p.HeartbeatAge < peerRetention {
 			return p.Instance, true
 		}
 	}
@@ -144,8 +144,8 @@
 	defer fl.mu.Unlock()
 	usage := map[string]Load{}
 	for name, kt := range fl.targets {
-		if kt.own != (Load{}) && fl.owner(name) == peer {
-			usage[name] = kt.own
+		if kt.ownLoad != (Load{}) && fl.owner(name) == peer {
+			usage[name] = kt.ownLoad
 		}
 	}
 	return usage
@@ -156,22 +156,22 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	var all []TargetSummary
-	for _, name := range fl.names() {
+	for _, name := range fl.targetNames() {
 		kt := fl.targets[name]
 		if !kt.listed || fl.owner(name) != fl.self.Name {
 			continue
 		}
 		all = append(all, TargetSummary{
-			Target: name, Load: kt.total().plus(kt.byPeer[peer], -1), Incarnation: kt.incarnation,
+			Target: name, Load: kt.totalLoad().plusSigned(kt.peerLoads[peer], -1), Incarnation: kt.incarnation,
 			MemoryTotal: kt.report.MemoryTotal, ReportedPrefill: kt.report.PrefillTokens,
-			PrefillRate: kt.rate, Age: fl.now().Sub(kt.reportAt), Models: kt.otherModels(),
+			PrefillRate: kt.prefillRate, Age: fl.now().Sub(kt.reportAt), Models: kt.reportedModelsIfDifferent(),
 		})
 	}
 	return all
 }
 
 // otherModels returns the reported models where they differ from the platform's list.
-func (kt *knownTarget) otherModels() []string {
+func (kt *knownTarget) reportedModelsIfDifferent() []string {
 	if kt.report.Models == nil || slices.Equal(kt.report.Models, kt.Models) {
 		return nil
 	}
@@ -179,9 +179,9 @@
 }
 
 // total is the own work and that of peers, as an owner knows it.
-func (kt *knownTarget) total() Load {
-	sum := kt.own
-	for _, wk := range kt.byPeer {
+func (kt *knownTarget) totalLoad() Load {
+	sum := kt.ownLoad
+	for _, wk := range kt.peerLoads {
 		sum = sum.Plus(wk)
 	}
 	return sum
@@ -196,8 +196,8 @@
 	for _, in := range list {
 		if in.Name != fl.self.Name {
 			listed[in.Name] = true
-			fl.introduce(in)
-			fl.noteRenewal(in)
+			fl.addListedInstance(in)
+			fl.recordRenewal(in)
 		}
 	}
 	for name, kp := range fl.peers {
@@ -215,10 +215,10 @@
 }
 
 // noteRenewal notes by this instance's own clock when an instance's object last changed.
-func (fl *Fleet) noteRenewal(in ListedInstance) {
+func (fl *Fleet) recordRenewal(in ListedInstance) {
 	kp := fl.peers[in.Name]
-	if kp.renewal != in.Version {
-		kp.renewal, kp.renewedAt = in.Version, fl.now()
+	if kp.objectVersion != in.Version {
+		kp.objectVersion, kp.renewedAt = in.Version, fl.now()
 	}
 }
 
@@ -238,14 +238,14 @@
 	return false
 }
 
-func (fl *Fleet) introduce(in ListedInstance) {
+func (fl *Fleet) addListedInstance(in ListedInstance) {
 	kp := fl.peers[in.Name]
 	if kp == nil {
-		kp = &knownPeer{heardAt: fl.now().Add(-fl.lost)}
+		kp = &knownPeer{heardAt: fl.now().Add(-fl.peerTimeout)}
 		fl.peers[in.Name] = kp
 	}
 	kp.listed = true
-	if fl.now().Sub(kp.heardAt) < fl.lost {
+	if fl.now().Sub(kp.heardAt) < fl.peerTimeout {
 		return
 	}
 	if kp.Incarnation != in.Incarnation {
@@ -282,6 +282,6 @@
 	if kt == nil {
 		return 0, 0, 0
 	}
-	wk := kt.total()
+	wk := kt.totalLoad()
 	return wk.LongPrompts, wk.MemoryTokens, kt.report.MemoryTotal
 }
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -18,39 +18,39 @@
 // Lease is how long a grant is held without a heartbeat that tells of its use.
 const LeaseDuration = 3 * time.Second
 
-type held struct {
+type heldGrant struct {
 	target string
 	memory int
 	// since is when it was granted, until when it runs out.
-	since, until time.Time
+	grantedAt, expiresAt time.Time
 }
 
 // Ledger is safe for use by any goroutine. It is lost with its owner: a new owner starts empty and learns what is in
 // flight from heartbeats, so that two ledgers for a while cost speed and never a promise.
 type Ledger struct {
-	now   func() time.Time
-	limit int
+	now          func() time.Time
+	maxPerTarget int
 	// busy returns the long prompts in flight at a target as heartbeats tell, and its memory.
-	busy func(target string) (long, memoryUsed, memoryTotal int)
+	utilisation func(target string) (long, memoryUsed, memoryTotal int)
 
 	mu   sync.Mutex
-	held map[Key]held
+	held map[Key]heldGrant
 }
 
 // New returns an empty ledger that allows limit long prompts a target.
 func New(limit int, busy func(target string) (long, memoryUsed, memoryTotal int), now func() time.Time) *Ledger {
-	return &Ledger{now: now, limit: limit, busy: busy, held: map[Key]held{}}
+	return &Ledger{now: now, maxPerTarget: limit, utilisation: busy, held: map[Key]heldGrant{}}
 }
 
 // Ask grants room at a target for at most a time, or refuses it. A grant whose answer is lost runs out with Lease.
 func (lg *Ledger) TryAcquire(k Key, target string, memory int, hold time.Duration) bool {
-	_, _, total := lg.busy(target)
+	_, _, total := lg.utilisation(target)
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
 	now := lg.now()
 	count, used := 0, 0
 	for key, h := range lg.held {
-		if now.After(h.until) {
+		if now.After(h.expiresAt) {
 			delete(lg.held, key)
 			continue
 		}
@@ -59,10 +59,10 @@
 			used += h.memory
 		}
 	}
-	if count >= lg.limit || (total > 0 && used+memory > total) {
+	if count >= lg.maxPerTarget || (total > 0 && used+memory > total) {
 		return false
 	}
-	lg.held[k] = held{target: target, memory: memory, since: now, until: now.Add(min(hold, LeaseDuration))}
+	lg.held[k] = heldGrant{target: target, memory: memory, grantedAt: now, expiresAt: now.Add(min(hold, LeaseDuration))}
 	return true
 }
 
@@ -76,10 +76,10 @@
 			keys = append(keys, k)
 		}
 	}
-	slices.SortFunc(keys, func(a, b Key) int { return lg.held[b].since.Compare(lg.held[a].since) })
+	slices.SortFunc(keys, func(a, b Key) int { return lg.held[b].grantedAt.Compare(lg.held[a].grantedAt) })
 	for _, k := range keys[:min(inUse, len(keys))] {
 		h := lg.held[k]
-		h.until = lg.now().Add(LeaseDuration)
+		h.expiresAt = lg.now().Add(LeaseDuration)
 		lg.held[k] = h
 	}
 }
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestLedger(t *testing.T) {
+func TestTryAcquireWhileGrantIsHeld(t *testing.T) {
 	a, b := Key{Holder: "a", ID: 1}, Key{Holder: "b", ID: 2}
 	tests := map[string]struct {
 		between func(lg *Ledger, now *time.Time)
@@ -18,8 +18,8 @@
 		"room after release":              {between: func(lg *Ledger, _ *time.Time) { lg.Release(a) }, memory: 1, want: true},
 		"room after holder is gone":       {between: func(lg *Ledger, _ *time.Time) { lg.ReleaseHolder("a") }, memory: 1, want: true},
 		"lost answer runs out":            {between: func(_ *Ledger, now *time.Time) { *now = now.Add(LeaseDuration + 1) }, memory: 1, want: true},
-		"renewed by heartbeat":            {between: renewed(1), memory: 1},
-		"heartbeat without use runs out":  {between: renewed(0), memory: 1, want: true},
+		"renewed by heartbeat":            {between: renewedAfterHalfLease(1), memory: 1},
+		"heartbeat without use runs out":  {between: renewedAfterHalfLease(0), memory: 1, want: true},
 		"more memory than the target has": {between: func(lg *Ledger, _ *time.Time) { lg.Release(a) }, memory: 101},
 	}
 	for name, tc := range tests {
@@ -34,7 +34,7 @@
 	}
 }
 
-func renewed(inUse int) func(*Ledger, *time.Time) {
+func renewedAfterHalfLease(inUse int) func(*Ledger, *time.Time) {
 	return func(lg *Ledger, now *time.Time) {
 		*now = now.Add(LeaseDuration / 2)
 		lg.Renew("a", "t", inUse)
--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -81,8 +81,8 @@
 const (
 	// lostPause is the pause after the second run in a row whose target was lost: it doubles with each further one up to lostMost. A
 	// job that ends the targets that run it then ends some 150 in a day; without a pause it was run again within lookEvery of its owner.
-	lostPause = time.Second
-	lostMost  = 10 * time.Minute
+	minLostDelay = time.Second
+	maxLostDelay = 10 * time.Minute
 	// maxDoublings keeps the doubling within the numbers of a duration.
 	maxDoublings = 10
 )
@@ -92,7 +92,7 @@
 func (rc Record) WithTargetLost(now time.Time) Record {
 	rc = rc.WithRequeued()
 	if rc.LostRuns > 0 {
-		rc.NotBefore = now.Add(min(lostMost, lostPause<<min(rc.LostRuns-1, maxDoublings)))
+		rc.NotBefore = now.Add(min(maxLostDelay, minLostDelay<<min(rc.LostRuns-1, maxDoublings)))
 	}
 	rc.LostRuns++
 	return rc
--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestNext(t *testing.T) {
+func TestNextAction(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	open := Record{State: Queued, Deadline: now.Add(time.Hour)}
 	late := Record{State: Queued, Deadline: now.Add(-time.Second)}
@@ -40,7 +40,7 @@
 }
 
 // TestJobThatLosesItsTargets follows a job whose every run loses its target, for as long as it may take.
-func TestJobThatLosesItsTargets(t *testing.T) {
+func TestBackOffOfJobThatLosesEveryTarget(t *testing.T) {
 	g := NewWithT(t)
 	nobody := func(string) bool { return false }
 	began := time.Unix(1_000_000, 0)
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -16,10 +16,10 @@
 
 const (
 	// partBytes keeps a part below the store's bound on values after it is encoded as base64.
-	partBytes  = 700 << 10
-	retryEvery = 50 * time.Millisecond
+	maxPartBytes  = 700 << 10
+	retryInterval = 50 * time.Millisecond
 	// kindParts holds bodies and answers.
-	kindParts = "jobparts"
+	partsKind = "jobparts"
 )
 
 // LostError says that a part of a job's body or answer is not in the store.
@@ -69,7 +69,7 @@
 			}
 		}
 		select {
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return 0, errors.Wrap(err, "create "+kind)
 		}
@@ -89,20 +89,20 @@
 			return v, err
 		}
 		if now, gerr := sr.Get(ctx, v.ID); gerr == nil && now.Version != v.Version {
-			if same(now.Record, next) {
+			if sameEncoding(now.Record, next) {
 				return now, nil
 			}
 			return v, &objectstore.ConflictError{Kind: objectstore.KindJobs, Name: v.ID}
 		}
 		select {
-		case <-time.After(retryEvery):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 			return v, err
 		}
 	}
 }
 
-func same(a, b Record) bool {
+func sameEncoding(a, b Record) bool {
 	x, xerr := json.Marshal(a)
 	y, yerr := json.Marshal(b)
 	return xerr == nil && yerr == nil && bytes.Equal(x, y)
@@ -168,8 +168,8 @@
 
 // removePart deletes a part; one that stays is deleted with the job's next removal.
 func (sr *Store) removePart(ctx context.Context, name string) {
-	if o, err := sr.client.Get(ctx, kindParts, name); err == nil {
-		_ = sr.client.Delete(ctx, kindParts, name, o.Version)
+	if o, err := sr.client.Get(ctx, partsKind, name); err == nil {
+		_ = sr.client.Delete(ctx, partsKind, name, o.Version)
 	}
 }
 
@@ -187,8 +187,8 @@
 		return 0, errors.Wrap(err, "compress")
 	}
 	n := 0
-	for chunk := range chunks(buf.Bytes()) {
-		if _, err := sr.create(ctx, kindParts, prefix+strconv.Itoa(n), part{Data: chunk}); err != nil {
+	for chunk := range splitParts(buf.Bytes()) {
+		if _, err := sr.create(ctx, partsKind, prefix+strconv.Itoa(n), part{Data: chunk}); err != nil {
 			return 0, err
 		}
 		n++
@@ -196,10 +196,10 @@
 	return n, nil
 }
 
-func chunks(b []byte) func(yield func([]byte) bool) {
+func splitParts(b []byte) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		for len(b) > 0 {
-			n := min(partBytes, len(b))
+			n := min(maxPartBytes, len(b))
 			if !yield(b[:n]) {
 				return
 			}
@@ -212,7 +212,7 @@
 	var buf bytes.Buffer
 	for i := range n {
 		name := prefix + strconv.Itoa(i)
-		o, err := sr.client.Get(ctx, kindParts, name)
+		o, err := sr.client.Get(ctx, partsKind, name)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -68,7 +68,7 @@
 	n := len(in.Candidates)
 	count := min(n, max(1, int(math.Round(in.Limits.MaxLongTargetShare*float64(n)))))
 	if in.HasDemand {
-		count = demanded(in, count)
+		count = longTargetCount(in, count)
 	}
 	order := make([]int, n)
 	for i := range order {
@@ -85,18 +85,18 @@
 }
 
 // shortUse is the share of a target's time that short prompts may take before they wait for each other too long.
-const shortUse = 0.4
+const maxShortUtilisation = 0.4
 
 // demanded returns the number of targets for long prompts: at most most, and none that short prompts need, unless long
 // prompts would be late.
-func demanded(in policy.Input, most int) int {
+func longTargetCount(in policy.Input, most int) int {
 	rate := 0.0
 	for _, ca := range in.Candidates {
 		rate += ca.PrefillRate
 	}
 	n := len(in.Candidates)
 	rate /= float64(n)
-	free := n - int(math.Ceil(in.Demand.ShortRate/(rate*shortUse)))
+	free := n - int(math.Ceil(in.Demand.ShortRate/(rate*maxShortUtilisation)))
 	late := int(math.Ceil(in.Demand.RequiredLongRate / rate))
 	return min(n, max(1, min(free, most), min(late, most)))
 }
--- a/internal/policy/lanes/lanes_test.go
+++ b/internal/policy/lanes/lanes_test.go
@@ -10,7 +10,7 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-func input(n int, rq policy.Prompt, change func(i int, ca *policy.Candidate)) policy.Input {
+func newInput(n int, rq policy.Prompt, change func(i int, ca *policy.Candidate)) policy.Input {
 	in := policy.Input{Prompt: rq, Limits: policy.Limits{MaxLongPerTarget: 1, MaxLongTargetShare: 0.4}}
 	for i := range n {
 		ca := policy.Candidate{Name: fmt.Sprintf("e%d", i), PrefillRate: 10_000, MemoryTotal: 1000_000, InterferenceDelay: time.Second}
@@ -56,7 +56,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			dec := Choose(input(3, short, tc.change))
+			dec := Choose(newInput(3, short, tc.change))
 			g.Expect(dec.Placed).To(Equal(tc.wantRun))
 			if tc.wantRun {
 				g.Expect(dec.Index).To(Equal(tc.want))
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestLongPromptsKeepToTheirTargets(t *testing.T) {
+func TestNumberOfLongPromptTargets(t *testing.T) {
 	long := policy.Prompt{Tokens: 200_000, Long: true}
 	tests := map[string]struct {
 		follows bool
@@ -82,7 +82,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			in := input(10, long, nil)
+			in := newInput(10, long, nil)
 			in.HasDemand, in.Demand = tc.follows, tc.demand
 			marked := 0
 			for i, m := range LongPromptTargets(in) {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -11,11 +11,11 @@
 const NumLengthBands = 4
 
 // bandLimits are the lengths in tokens from which the next band starts.
-var bandLimits = [NumLengthBands - 1]int{8_000, 32_000, 100_000}
+var lengthBandLimits = [NumLengthBands - 1]int{8_000, 32_000, 100_000}
 
 // Band returns the length band of a prompt.
 func LengthBand(tokens int) int {
-	for i, limit := range bandLimits {
+	for i, limit := range lengthBandLimits {
 		if tokens < limit {
 			return i
 		}
@@ -164,7 +164,7 @@
 // view do not all choose the same one. Candidates with a negative cost are left out; -1 means none.
 func LeastCost(n int, turn uint64, cost func(i int) time.Duration) (best int, least time.Duration) {
 	best = -1
-	first := mix(turn) % uint64(n)
+	first := mixBits(turn) % uint64(n)
 	for k := range n {
 		i := int((first + uint64(k)) % uint64(n))
 		c := cost(i)
@@ -176,7 +176,7 @@
 }
 
 // mix is the finishing step of the SplitMix64 generator.
-func mix(x uint64) uint64 {
+func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
 	x = (x ^ (x >> 27)) * 0x94d049bb133111eb
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -18,22 +18,22 @@
 	// LendPart is the part of one engine's memory that is lent at the most: one in so many.
 	LendableDivisor = 2
 	// callTimeout bounds one reservation.
-	callTimeout = time.Second
+	reserveTimeout = time.Second
 )
 
 // Lender reserves memory.
 type Reserver struct {
-	fl      *fleet.Fleet
+	fleet   *fleet.Fleet
 	client  func(fleet.Target) *engine.Client
 	release func(attempt string, cl *engine.Client)
 }
 
 // New returns a lender. release ends a reservation, repeatedly if need be.
 func New(fl *fleet.Fleet, client func(fleet.Target) *engine.Client, release func(attempt string, cl *engine.Client)) *Reserver {
-	return &Reserver{fl: fl, client: client, release: release}
+	return &Reserver{fleet: fl, client: client, release: release}
 }
 
-type part struct {
+type memoryShare struct {
 	target fleet.Target
 	room   engine.Held
 	memory int
@@ -50,36 +50,36 @@
 		if err := rs.reserve(ctx, p); err != nil {
 			held := parts[:i+1] // the reservation that failed may have taken effect without an answer
 			if engine.NeverConnected(err) {
-				rs.fl.MarkUnreachable(p.target.Name)
+				rs.fleet.MarkUnreachable(p.target.Name)
 				held = parts[:i]
 			}
-			rs.giveBack(held)
+			rs.releaseAll(held)
 			return nil, failure.New(failure.NoMemory, failure.NotRun, "%s has no room", p.target.Name).WithCause(err)
 		}
 	}
 	for _, p := range parts {
-		rs.fl.AddLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+		rs.fleet.AddLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 	}
 	return func() {
 		for _, p := range parts {
-			rs.fl.RemoveLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+			rs.fleet.RemoveLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
 		}
-		rs.giveBack(parts)
+		rs.releaseAll(parts)
 	}, nil
 }
 
-func (rs *Reserver) reserve(ctx context.Context, p part) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (rs *Reserver) reserve(ctx context.Context, p memoryShare) error {
+	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	return rs.client(p.target).Reserve(ctx, p.room)
 }
 
-func (rs *Reserver) plan(main fleet.Target, tokens int, hold time.Duration) (parts []part, left int) {
+func (rs *Reserver) plan(main fleet.Target, tokens int, hold time.Duration) (parts []memoryShare, left int) {
 	model := ""
 	if len(main.Models) > 0 {
 		model = main.Models[0]
 	}
-	vw := rs.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
+	vw := rs.fleet.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
 	// An engine that nobody has heard of lately would spoil every reservation that it is part of.
 	lenders := slices.DeleteFunc(vw.Candidates, func(ca policy.Candidate) bool { return vw.NeedsProbe[ca.Name] })
 	slices.SortFunc(lenders, func(a, b policy.Candidate) int { return strings.Compare(a.Name, b.Name) })
@@ -101,12 +101,12 @@
 		} else {
 			left -= max(0, take)
 		}
-		t, ok := rs.fl.Target(ca.Name)
+		t, ok := rs.fleet.Target(ca.Name)
 		if take <= 0 || !ok {
 			continue
 		}
-		parts = append(parts, part{target: t, memory: take, room: engine.Held{
-			Attempt: ident.New("room"), Holder: rs.fl.Self().Incarnation, Tokens: take, LeftMillis: hold.Milliseconds(),
+		parts = append(parts, memoryShare{target: t, memory: take, room: engine.Held{
+			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: take, LeftMillis: hold.Milliseconds(),
 		}})
 	}
 	return parts, left
@@ -117,7 +117,7 @@
 	return ca.MemoryTotal/LendableDivisor - ca.InFlightMemory
 }
 
-func (rs *Reserver) giveBack(parts []part) {
+func (rs *Reserver) releaseAll(parts []memoryShare) {
 	for _, p := range parts {
 		rs.release(p.room.Attempt, rs.client(p.target))
 	}
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -11,14 +11,14 @@
 )
 
 // askFrom is the part of a prompt's own time that it may wait at an owned target before others are asked.
-const askFrom = 0.3
+const maxOwnWaitShare = 0.3
 
 // viaOwners places a short prompt at an owned target, or at that of another owner who offers a shorter wait.
-func (rt *Router) viaOwners(ctx context.Context, ask Request, left time.Duration) (*Slot, error) {
+func (rt *Router) chooseViaOwners(ctx context.Context, ask Request, left time.Duration) (*Slot, error) {
 	own := ask
 	own.Filter.OwnedOnly = true
 	home, err := rt.choose(own, left)
-	if err == nil && home.PredictedWait <= time.Duration(askFrom*float64(home.alone)) {
+	if err == nil && home.PredictedWait <= time.Duration(maxOwnWaitShare*float64(home.prefillTime)) {
 		return home, nil
 	}
 	best := rt.bestOffer(ctx, ask)
@@ -33,9 +33,9 @@
 		return home, nil
 	}
 	if err == nil {
-		home.undo()
+		home.rollBack()
 	}
-	return rt.accept(ask, *best)
+	return rt.acceptOffer(ask, *best)
 }
 
 // bestOffer asks other owners and returns the offer with the least wait; the others are given back.
@@ -61,27 +61,27 @@
 }
 
 // accept takes a place that another owner offered.
-func (rt *Router) accept(ask Request, of offer.Offer) (*Slot, error) {
+func (rt *Router) acceptOffer(ask Request, of offer.Offer) (*Slot, error) {
 	t, ok := rt.fl.Target(of.Target)
 	if !ok {
 		of.Release()
 		return nil, &noRoomError{target: of.Target}
 	}
-	pl := &Slot{Target: t, PredictedWait: of.PredictedWait, work: workOf(ask.Prompt, 0), fl: rt.fl, release: []func(){of.Release}}
-	rt.fl.AddLoad(t.Name, pl.work)
+	pl := &Slot{Target: t, PredictedWait: of.PredictedWait, load: loadOf(ask.Prompt, 0), fleet: rt.fl, releaseFuncs: []func(){of.Release}}
+	rt.fl.AddLoad(t.Name, pl.load)
 	return pl, nil
 }
 
 // Offer chooses the best owned target for another instance's short prompt.
 func (rt *Router) ChooseOwnedTarget(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool) {
-	rt.decide.Lock()
-	defer rt.decide.Unlock()
+	rt.decideMu.Lock()
+	defer rt.decideMu.Unlock()
 	vw := rt.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true, OwnedOnly: true})
 	if len(vw.Candidates) == 0 {
 		return "", 0, false
 	}
 	dec := rt.opts.Policy.Choose(policy.Input{
-		Prompt: rq, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
+		Prompt: rq, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.sequence.Add(1),
 	})
 	if !dec.Placed {
 		return "", 0, false
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -22,11 +22,11 @@
 
 const (
 	// recheck bounds the time between two looks at a waiting request when no news comes.
-	recheck = 50 * time.Millisecond
+	recheckInterval = 50 * time.Millisecond
 	// probeTimeout bounds the probe of a target that nobody has confirmed.
 	probeTimeout = 500 * time.Millisecond
 	// admissionMargin is the least time that must be left after the predicted start.
-	admissionMargin = 10 * time.Millisecond
+	minAdmissionMargin = 10 * time.Millisecond
 )
 
 // Ask is a request for a place to run.
@@ -53,41 +53,41 @@
 	// Borrowed is memory in tokens that is reserved before the attempt, for a prompt larger than one engine.
 	BorrowedTokens int
 
-	work  fleet.Load
-	fl    *fleet.Fleet
-	probe bool
+	load       fleet.Load
+	fleet      *fleet.Fleet
+	needsProbe bool
 	// alone is the prompt's own time; besideLong is the part of Predicted that a long prompt adds, zero without one.
-	alone, besideLong time.Duration
-	first             sync.Once
-	release           []func()
+	prefillTime, interferenceDelay time.Duration
+	firstTokenOnce                 sync.Once
+	releaseFuncs                   []func()
 }
 
 // FirstToken notes that the prompt was computed, and how long after it was sent.
 func (sl *Slot) RecordFirstToken(took time.Duration) {
-	sl.first.Do(func() {
-		if sl.besideLong > 0 {
-			sl.fl.ObserveInterference(took - (sl.PredictedWait - sl.besideLong) - sl.alone)
+	sl.firstTokenOnce.Do(func() {
+		if sl.interferenceDelay > 0 {
+			sl.fleet.ObserveInterference(took - (sl.PredictedWait - sl.interferenceDelay) - sl.prefillTime)
 		}
-		prefill := fleet.Load{PrefillTokens: sl.work.PrefillTokens}
-		sl.fl.RemoveLoad(sl.Target.Name, prefill)
-		sl.work.PrefillTokens = [policy.NumLengthBands]int{}
+		prefill := fleet.Load{PrefillTokens: sl.load.PrefillTokens}
+		sl.fleet.RemoveLoad(sl.Target.Name, prefill)
+		sl.load.PrefillTokens = [policy.NumLengthBands]int{}
 	})
 }
 
 // Done gives the place back.
 func (sl *Slot) Release() {
-	sl.fl.RemoveLoad(sl.Target.Name, sl.work)
-	sl.giveBack()
+	sl.fleet.RemoveLoad(sl.Target.Name, sl.load)
+	sl.runReleaseFuncs()
 }
 
 // undo gives back a place that was never used.
-func (sl *Slot) undo() {
-	sl.fl.RevertLoad(sl.Target.Name, sl.work)
-	sl.giveBack()
+func (sl *Slot) rollBack() {
+	sl.fleet.RevertLoad(sl.Target.Name, sl.load)
+	sl.runReleaseFuncs()
 }
 
-func (sl *Slot) giveBack() {
-	for _, f := range sl.release {
+func (sl *Slot) runReleaseFuncs() {
+	for _, f := range sl.releaseFuncs {
 		f()
 	}
 }
@@ -116,18 +116,18 @@
 
 // Router is safe for use by any goroutine.
 type Router struct {
-	fl   *fleet.Fleet
-	opts Options
-	turn atomic.Uint64
+	fl       *fleet.Fleet
+	opts     Options
+	sequence atomic.Uint64
 	// arriving measures the short prompts of this instance.
-	arriving *demandmeter.Meter
+	shortArrivals *demandmeter.Meter
 
 	// decide is held from the view of the fleet to the note of the work.
-	decide sync.Mutex
+	decideMu sync.Mutex
 
 	mu sync.Mutex
 	// waiting is ordered by before.
-	waiting []*waiter
+	queue []*waiter
 }
 
 // New returns a router over the fleet.
@@ -135,8 +135,8 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	rt := &Router{fl: fl, opts: o, arriving: demandmeter.New(assumedShort, o.Now)}
-	rt.turn.Store(xxhash.Sum64String(fl.Self().Name))
+	rt := &Router{fl: fl, opts: o, shortArrivals: demandmeter.New(initialShortRate, o.Now)}
+	rt.sequence.Store(xxhash.Sum64String(fl.Self().Name))
 	return rt
 }
 
@@ -147,20 +147,20 @@
 func (rt *Router) QueueLength() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	return len(rt.waiting)
+	return len(rt.queue)
 }
 
 // Acquire returns a place for the request, waiting for room until its deadline. A request whose predicted start
 // lies past its deadline is refused at once.
 func (rt *Router) Acquire(ctx context.Context, ask Request) (*Slot, error) {
 	if !ask.Prompt.Long {
-		rt.arriving.Add(ask.Prompt.Tokens)
+		rt.shortArrivals.Add(ask.Prompt.Tokens)
 	}
 	wt := newWaiter(ask)
-	if err := rt.enter(wt); err != nil {
+	if err := rt.enqueue(wt); err != nil {
 		return nil, err
 	}
-	pl, err := rt.await(ctx, wt)
+	pl, err := rt.waitForSlot(ctx, wt)
 	if err != nil {
 		rt.wakeNext(wt)
 	}
@@ -168,13 +168,13 @@
 }
 
 // await returns a place for a waiter that has entered; the waiter has left afterwards.
-func (rt *Router) await(ctx context.Context, wt *waiter) (*Slot, error) {
-	defer rt.leave(wt)
-	ask := wt.ask
+func (rt *Router) waitForSlot(ctx context.Context, wt *waiter) (*Slot, error) {
+	defer rt.dequeue(wt)
+	ask := wt.request
 	for waits := false; ; waits = true {
 		changed := rt.fl.Changed()
-		if rt.first(wt) {
-			pl, err := rt.try(ctx, ask)
+		if rt.isFirst(wt) {
+			pl, err := rt.tryOnce(ctx, ask)
 			var wait *noRoomError
 			if !errors.As(err, &wait) {
 				return pl, err
@@ -184,19 +184,19 @@
 			}
 		}
 		if !waits {
-			if err := rt.inTime(wt); err != nil {
+			if err := rt.checkDeadline(wt); err != nil {
 				return nil, err
 			}
 		}
 		// The jitter keeps those who were refused together from asking together again.
-		timer := time.NewTimer(recheck/2 + rand.N(recheck))
+		timer := time.NewTimer(recheckInterval/2 + rand.N(recheckInterval))
 		select {
 		case <-changed:
 		case <-timer.C:
-		case <-wt.turn:
-		case <-wt.out:
+		case <-wt.wake:
+		case <-wt.evicted:
 			timer.Stop()
-			return nil, rt.overloaded()
+			return nil, rt.overloadError()
 		case <-ctx.Done():
 			timer.Stop()
 			return nil, failure.New(failure.DeadlineExceeded, failure.NotRun, "no room came free in time").
@@ -217,46 +217,46 @@
 func (nr *noRoomError) Error() string { return "no room at " + nr.target }
 
 // try decides once. It returns a noRoomError when the request has to wait.
-func (rt *Router) try(ctx context.Context, ask Request) (*Slot, error) {
+func (rt *Router) tryOnce(ctx context.Context, ask Request) (*Slot, error) {
 	left := ask.Deadline.Sub(rt.opts.Now())
 	choose := rt.choose
 	if rt.opts.Policy.UsesOwners && !ask.Prompt.Long && ask.Filter.Model != "" {
-		choose = func(ask Request, left time.Duration) (*Slot, error) { return rt.viaOwners(ctx, ask, left) }
+		choose = func(ask Request, left time.Duration) (*Slot, error) { return rt.chooseViaOwners(ctx, ask, left) }
 	}
 	pl, err := choose(ask, left)
 	if err != nil {
 		return nil, err
 	}
-	if pl.probe && !rt.probe(ctx, pl.Target) {
-		pl.undo()
+	if pl.needsProbe && !rt.probe(ctx, pl.Target) {
+		pl.rollBack()
 		return nil, &noRoomError{target: pl.Target.Name}
 	}
-	return rt.secure(ctx, ask, pl, left)
+	return rt.obtainGrantAndMemory(ctx, ask, pl, left)
 }
 
 // choose asks the policy and notes the work at the target, in one step, so that two requests of this instance see
 // each other.
 func (rt *Router) choose(ask Request, left time.Duration) (*Slot, error) {
-	rt.decide.Lock()
-	defer rt.decide.Unlock()
+	rt.decideMu.Lock()
+	defer rt.decideMu.Unlock()
 	vw := rt.fl.Candidates(ask.Filter)
 	if len(vw.Candidates) == 0 {
 		return nil, failure.New(failure.NoTarget, failure.NotRun, "no target serves this request now").
 			WithRetryAfter(time.Second)
 	}
 	in := policy.Input{
-		Prompt: ask.Prompt, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.turn.Add(1),
+		Prompt: ask.Prompt, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.sequence.Add(1),
 	}
 	if rt.opts.Policy.UsesDemand {
-		in.Demand, in.HasDemand = rt.demand(ask), true
+		in.Demand, in.HasDemand = rt.estimateDemand(ask), true
 	}
-	borrow := rt.borrowing(&in)
+	borrow := rt.limitToOneEngine(&in)
 	dec := rt.opts.Policy.Choose(in)
 	if !dec.Placed {
 		return nil, &noRoomError{}
 	}
 	ca := in.Candidates[dec.Index]
-	if need := dec.PredictedWait + ca.PrefillTime(ask.Prompt.Tokens) + admissionMargin; ca.PrefillRateKnown && need > left {
+	if need := dec.PredictedWait + ca.PrefillTime(ask.Prompt.Tokens) + minAdmissionMargin; ca.PrefillRateKnown && need > left {
 		return nil, failure.New(failure.DeadlineTooShort, failure.NotRun, "the first token is expected in %s, past the deadline",
 			need.Round(time.Millisecond)).WithRetryAfter(dec.PredictedWait)
 	}
@@ -266,17 +266,17 @@
 	}
 	pl := &Slot{
 		Target: t, PredictedWait: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrow,
-		work: workOf(ask.Prompt, borrow), fl: rt.fl, probe: vw.NeedsProbe[ca.Name],
-		alone: ca.PrefillTime(ask.Prompt.Tokens),
+		load: loadOf(ask.Prompt, borrow), fleet: rt.fl, needsProbe: vw.NeedsProbe[ca.Name],
+		prefillTime: ca.PrefillTime(ask.Prompt.Tokens),
 	}
 	if lanes.HasLongPrefill(ca) && !ask.Prompt.Long {
-		pl.besideLong = ca.InterferenceDelay
+		pl.interferenceDelay = ca.InterferenceDelay
 	}
-	rt.fl.AddLoad(t.Name, pl.work)
+	rt.fl.AddLoad(t.Name, pl.load)
 	return pl, nil
 }
 
-func workOf(rq policy.Prompt, borrowed int) fleet.Load {
+func loadOf(rq policy.Prompt, borrowed int) fleet.Load {
 	wk := fleet.Load{Requests: 1, MemoryTokens: rq.MemoryTokens() - borrowed}
 	wk.PrefillTokens[policy.LengthBand(rq.Tokens)] = rq.Tokens
 	if rq.Long {
@@ -288,7 +288,7 @@
 // borrowing cuts a prompt larger than any one engine to what it takes on its main engine. It returns the whole
 // memory to reserve: the main engine's part is reserved with the others, for two prompts that hold the rest while
 // they wait for their main engines would wait for each other.
-func (rt *Router) borrowing(in *policy.Input) int {
+func (rt *Router) limitToOneEngine(in *policy.Input) int {
 	largest := 0
 	for _, ca := range in.Candidates {
 		if ca.MemoryTotal == 0 {
@@ -318,23 +318,23 @@
 }
 
 // secure gets what a long prompt needs besides the decision: the owner's grant, and memory on several engines.
-func (rt *Router) secure(ctx context.Context, ask Request, pl *Slot, hold time.Duration) (*Slot, error) {
+func (rt *Router) obtainGrantAndMemory(ctx context.Context, ask Request, pl *Slot, hold time.Duration) (*Slot, error) {
 	refused := &noRoomError{target: pl.Target.Name, refused: true}
 	if ask.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.RequestGrant != nil {
-		release, granted := rt.opts.RequestGrant(ctx, pl.Target, pl.work.MemoryTokens, hold)
+		release, granted := rt.opts.RequestGrant(ctx, pl.Target, pl.load.MemoryTokens, hold)
 		if !granted {
-			pl.undo()
+			pl.rollBack()
 			return nil, refused
 		}
-		pl.release = append(pl.release, release)
+		pl.releaseFuncs = append(pl.releaseFuncs, release)
 	}
 	if pl.BorrowedTokens > 0 {
 		release, err := rt.opts.ReserveMemory(ctx, pl.Target, pl.BorrowedTokens, hold)
 		if err != nil {
-			pl.undo()
+			pl.rollBack()
 			return nil, refused
 		}
-		pl.release = append(pl.release, release)
+		pl.releaseFuncs = append(pl.releaseFuncs, release)
 	}
 	return pl, nil
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -17,7 +17,7 @@
 )
 
 // oneEngine returns a router before one engine that computes 1,000 tokens a second and takes one long prompt.
-func oneEngine(maxWaiting int) *Router {
+func newOneEngineRouter(maxWaiting int) *Router {
 	fl := fleet.New(fleet.Instance{Name: "self", AvailabilityZone: "a"})
 	fl.SetTargets([]fleet.Target{{Name: "e", Kind: fleet.KindEngine, AvailabilityZone: "a", Models: []string{"m"}}})
 	fl.ApplyReport("e", engine.Report{Incarnation: "e-1", MemoryTotal: 1_000_000, PrefillRate: 1_000})
@@ -28,7 +28,7 @@
 	})
 }
 
-func long(tokens int, limit time.Duration) Request {
+func longRequest(tokens int, limit time.Duration) Request {
 	return Request{
 		Prompt: policy.Prompt{Tokens: tokens, Long: true}, Filter: fleet.Filter{Model: "m", IncludePeerLoad: true},
 		Deadline: time.Now().Add(limit),
@@ -43,22 +43,22 @@
 	return ""
 }
 
-func TestAcquireBehindALongPrompt(t *testing.T) {
+func TestAcquireBehindLongPrompt(t *testing.T) {
 	tests := map[string]struct {
 		ask      Request
 		waitings int
 		want     failure.Code
 	}{
-		"has time and waits for its turn":      {ask: long(100_000, time.Hour), waitings: 10},
-		"would be late by its own prompt":      {ask: long(100_000, time.Second), waitings: 10, want: failure.DeadlineTooShort},
-		"no room to wait":                      {ask: long(100_000, time.Hour), want: failure.Overloaded},
+		"has time and waits for its turn":      {ask: longRequest(100_000, time.Hour), waitings: 10},
+		"would be late by its own prompt":      {ask: longRequest(100_000, time.Second), waitings: 10, want: failure.DeadlineTooShort},
+		"no room to wait":                      {ask: longRequest(100_000, time.Hour), want: failure.Overloaded},
 		"a short prompt goes beside the other": {ask: Request{Prompt: policy.Prompt{Tokens: 10}, Filter: fleet.Filter{Model: "m"}, Deadline: time.Now().Add(time.Hour)}, waitings: 10},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			rt := oneEngine(10)
-			first, err := rt.Acquire(t.Context(), long(100_000, time.Hour))
+			rt := newOneEngineRouter(10)
+			first, err := rt.Acquire(t.Context(), longRequest(100_000, time.Hour))
 			g.Expect(err).NotTo(HaveOccurred())
 			rt.opts.MaxWaiting = tc.waitings
 			if tc.want == "" {
@@ -72,12 +72,12 @@
 	}
 }
 
-func TestWhatYieldsMakesWay(t *testing.T) {
+func TestSheddableWaiterIsEvictedFromFullQueue(t *testing.T) {
 	g := NewWithT(t)
-	rt := oneEngine(1)
-	first, err := rt.Acquire(t.Context(), long(100_000, time.Hour))
+	rt := newOneEngineRouter(1)
+	first, err := rt.Acquire(t.Context(), longRequest(100_000, time.Hour))
 	g.Expect(err).NotTo(HaveOccurred())
-	yielding := long(100_000, time.Hour)
+	yielding := longRequest(100_000, time.Hour)
 	yielding.Sheddable = true
 	evicted := make(chan error, 1)
 	go func() {
@@ -87,7 +87,7 @@
 	g.Eventually(rt.QueueLength).Should(Equal(1))
 	got := make(chan error, 1)
 	go func() {
-		_, err := rt.Acquire(context.Background(), long(100_000, time.Hour))
+		_, err := rt.Acquire(context.Background(), longRequest(100_000, time.Hour))
 		got <- err
 	}()
 	g.Expect(codeOf(<-evicted)).To(Equal(failure.Overloaded))
@@ -100,17 +100,17 @@
 // Symptom: requests that cannot be served any more are refused one after the other, the last ones at their deadlines.
 // Sequence: many requests wait in one queue; all targets that could take them leave.
 // Cause: only the first of a queue looks for a place, and when it has left nobody tells the next one.
-func TestAllWhoWaitAreToldThatTheTargetsLeft(t *testing.T) {
+func TestAllWaitersAreRefusedSoonWhenTargetsLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const waiters = 200
 		g := NewWithT(t)
-		rt := oneEngine(waiters)
-		_, err := rt.Acquire(t.Context(), long(100, time.Hour))
+		rt := newOneEngineRouter(waiters)
+		_, err := rt.Acquire(t.Context(), longRequest(100, time.Hour))
 		g.Expect(err).NotTo(HaveOccurred())
 		ended := make(chan error, waiters)
 		for range waiters {
 			go func() {
-				_, err := rt.Acquire(t.Context(), long(100, time.Hour))
+				_, err := rt.Acquire(t.Context(), longRequest(100, time.Hour))
 				ended <- err
 			}()
 		}
@@ -122,6 +122,6 @@
 			g.Expect(codeOf(<-ended)).To(Equal(failure.NoTarget))
 		}
 		// The clock is the test's own: it does not go on while anybody works.
-		g.Expect(time.Since(left)).To(BeNumerically("<=", 2*recheck))
+		g.Expect(time.Since(left)).To(BeNumerically("<=", 2*recheckInterval))
 	})
 }
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -11,59 +11,59 @@
 
 // waiter is a request that has no place yet.
 type waiter struct {
-	ask Request
+	request Request
 	// out is closed when the request has to make way.
-	out chan struct{}
+	evicted chan struct{}
 	// turn has room for one signal: the request before it in its queue has left without a place.
-	turn chan struct{}
+	wake chan struct{}
 }
 
 func newWaiter(ask Request) *waiter {
-	return &waiter{ask: ask, out: make(chan struct{}), turn: make(chan struct{}, 1)}
+	return &waiter{request: ask, evicted: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
 // before orders waiters: class priority, then length band, then deadline.
-func before(a, b *waiter) int {
-	if a.ask.Priority != b.ask.Priority {
-		return b.ask.Priority - a.ask.Priority
+func compareWaiters(a, b *waiter) int {
+	if a.request.Priority != b.request.Priority {
+		return b.request.Priority - a.request.Priority
 	}
-	if d := policy.LengthBand(a.ask.Prompt.Tokens) - policy.LengthBand(b.ask.Prompt.Tokens); d != 0 {
+	if d := policy.LengthBand(a.request.Prompt.Tokens) - policy.LengthBand(b.request.Prompt.Tokens); d != 0 {
 		return d
 	}
-	return a.ask.Deadline.Compare(b.ask.Deadline)
+	return a.request.Deadline.Compare(b.request.Deadline)
 }
 
 // enter adds a waiter. When too many wait, the last of those that yield makes way for one that does not.
-func (rt *Router) enter(wt *waiter) error {
+func (rt *Router) enqueue(wt *waiter) error {
 	rt.mu.Lock()
-	full := len(rt.waiting) >= rt.opts.MaxWaiting
-	if full && (wt.ask.Sheddable || !rt.evict()) {
+	full := len(rt.queue) >= rt.opts.MaxWaiting
+	if full && (wt.request.Sheddable || !rt.evictSheddable()) {
 		rt.mu.Unlock()
-		return rt.overloaded()
+		return rt.overloadError()
 	}
 	defer rt.mu.Unlock()
-	i, _ := slices.BinarySearchFunc(rt.waiting, wt, before)
-	rt.waiting = slices.Insert(rt.waiting, i, wt)
+	i, _ := slices.BinarySearchFunc(rt.queue, wt, compareWaiters)
+	rt.queue = slices.Insert(rt.queue, i, wt)
 	return nil
 }
 
 // evict ends the last waiter that yields. It is called with the lock held.
-func (rt *Router) evict() bool {
-	for i, wt := range slices.Backward(rt.waiting) {
-		if wt.ask.Sheddable {
-			close(wt.out)
-			rt.waiting = slices.Delete(rt.waiting, i, i+1)
+func (rt *Router) evictSheddable() bool {
+	for i, wt := range slices.Backward(rt.queue) {
+		if wt.request.Sheddable {
+			close(wt.evicted)
+			rt.queue = slices.Delete(rt.queue, i, i+1)
 			return true
 		}
 	}
 	return false
 }
 
-func (rt *Router) leave(wt *waiter) {
+func (rt *Router) dequeue(wt *waiter) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	if i := slices.Index(rt.waiting, wt); i >= 0 {
-		rt.waiting = slices.Delete(rt.waiting, i, i+1)
+	if i := slices.Index(rt.queue, wt); i >= 0 {
+		rt.queue = slices.Delete(rt.queue, i, i+1)
 	}
 }
 
@@ -72,22 +72,22 @@
 func (rt *Router) wakeNext(gone *waiter) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	i := slices.IndexFunc(rt.waiting, func(wt *waiter) bool { return sameQueue(wt, gone) })
+	i := slices.IndexFunc(rt.queue, func(wt *waiter) bool { return sameQueue(wt, gone) })
 	if i < 0 {
 		return
 	}
 	select {
-	case rt.waiting[i].turn <- struct{}{}:
+	case rt.queue[i].wake <- struct{}{}:
 	default:
 		// A signal waits already.
 	}
 }
 
 // first reports whether no more urgent request of the same length band and model waits.
-func (rt *Router) first(wt *waiter) bool {
+func (rt *Router) isFirst(wt *waiter) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	for _, o := range rt.waiting {
+	for _, o := range rt.queue {
 		if o == wt {
 			return true
 		}
@@ -99,25 +99,25 @@
 }
 
 func sameQueue(a, b *waiter) bool {
-	return policy.LengthBand(a.ask.Prompt.Tokens) == policy.LengthBand(b.ask.Prompt.Tokens) &&
-		a.ask.Filter.Model == b.ask.Filter.Model && a.ask.Filter.Service == b.ask.Filter.Service
+	return policy.LengthBand(a.request.Prompt.Tokens) == policy.LengthBand(b.request.Prompt.Tokens) &&
+		a.request.Filter.Model == b.request.Filter.Model && a.request.Filter.Service == b.request.Filter.Service
 }
 
 // inTime refuses a request at once when those before it in its queue and its own prompt take longer than it has.
-func (rt *Router) inTime(wt *waiter) error {
+func (rt *Router) checkDeadline(wt *waiter) error {
 	rt.mu.Lock()
-	tokens := wt.ask.Prompt.Tokens
-	for _, o := range rt.waiting {
+	tokens := wt.request.Prompt.Tokens
+	for _, o := range rt.queue {
 		if o == wt {
 			break
 		}
 		if sameQueue(o, wt) {
-			tokens += o.ask.Prompt.Tokens
+			tokens += o.request.Prompt.Tokens
 		}
 	}
 	rt.mu.Unlock()
-	need, known := rt.drainTime(wt.ask, tokens)
-	if left := wt.ask.Deadline.Sub(rt.opts.Now()); known && need > left {
+	need, known := rt.drainTime(wt.request, tokens)
+	if left := wt.request.Deadline.Sub(rt.opts.Now()); known && need > left {
 		return failure.New(failure.DeadlineTooShort, failure.NotRun, "the queue before it takes about %s, past the deadline",
 			need.Round(time.Millisecond)).WithRetryAfter(need - left)
 	}
@@ -143,14 +143,14 @@
 }
 
 // overloaded tells the caller to come back when what waits now is done.
-func (rt *Router) overloaded() error {
+func (rt *Router) overloadError() error {
 	rt.mu.Lock()
 	tokens, ask := 0, Request{}
-	for _, wt := range rt.waiting {
-		tokens += wt.ask.Prompt.Tokens
-		ask = wt.ask
+	for _, wt := range rt.queue {
+		tokens += wt.request.Prompt.Tokens
+		ask = wt.request
 	}
-	n := len(rt.waiting)
+	n := len(rt.queue)
 	rt.mu.Unlock()
 	need, _ := rt.drainTime(ask, tokens)
 	return failure.New(failure.Overloaded, failure.NotRun, "%d requests wait already", n).WithRetryAfter(max(time.Second, need))
--- a/internal/routes/holder.go
+++ b/internal/routes/holder.go
@@ -16,36 +16,36 @@
 	// provenAt is on the steady clock, taken before the store was asked; it only grows.
 	provenAt time.Time
 	// told is the newest version that was offered or told of, in force or not; it only grows.
-	told int64
+	newestKnown int64
 	// gone maps the digest of a key that was in force here to the first version that lacked it, at most maxGone of them.
-	gone map[Digest]int64
+	removedKeys map[Digest]int64
 }
 
 // maxGone bounds the keys remembered after they went, 40 bytes each.
-const maxGone = 4096
+const maxRemovedKeys = 4096
 
 // GoneSince returns the first version without a key that was in force at this instance before. It reports false for a
 // key that was never in force here, or that is.
 func (hd *Holder) RemovedSince(dg Digest) (version int64, known bool) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	version, known = hd.gone[dg]
+	version, known = hd.removedKeys[dg]
 	return version, known
 }
 
 // remember notes the keys that a new table lacks; the caller holds mu.
-func (hd *Holder) remember(before, after *Table) {
-	if hd.gone == nil {
-		hd.gone = map[Digest]int64{}
+func (hd *Holder) recordRemovedKeys(before, after *Table) {
+	if hd.removedKeys == nil {
+		hd.removedKeys = map[Digest]int64{}
 	}
 	for key := range before.byKey {
-		if _, ok := after.byKey[key]; !ok && len(hd.gone) < maxGone {
-			hd.gone[DigestOf(key)] = after.version
+		if _, ok := after.byKey[key]; !ok && len(hd.removedKeys) < maxRemovedKeys {
+			hd.removedKeys[DigestOf(key)] = after.version
 		}
 	}
 	for key := range after.byKey {
 		if _, ok := before.byKey[key]; !ok {
-			delete(hd.gone, DigestOf(key))
+			delete(hd.removedKeys, DigestOf(key))
 		}
 	}
 }
@@ -55,10 +55,10 @@
 func (hd *Holder) ApplyIfNewer(tb *Table, document []byte, evidence time.Time) bool {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	hd.told = max(hd.told, tb.version)
+	hd.newestKnown = max(hd.newestKnown, tb.version)
 	newer := hd.table == nil || tb.version > hd.table.version
 	if newer && hd.table != nil {
-		hd.remember(hd.table, tb)
+		hd.recordRemovedKeys(hd.table, tb)
 	}
 	if newer {
 		hd.table = tb
@@ -74,7 +74,7 @@
 func (hd *Holder) Confirm(version int64, evidence time.Time) bool {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	hd.told = max(hd.told, version)
+	hd.newestKnown = max(hd.newestKnown, version)
 	if hd.table == nil || version > hd.table.version {
 		return false
 	}
@@ -96,7 +96,7 @@
 func (hd *Holder) NewestKnownVersion() int64 {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	return hd.told
+	return hd.newestKnown
 }
 
 // Document returns what the table in force was decoded from.
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -10,17 +10,17 @@
 	"github.com/silvermount/silvermount/internal/routes"
 )
 
-func route(name, host, prefix string) routes.Route {
+func newRoute(name, host, prefix string) routes.Route {
 	return routes.Route{Name: name, Host: host, PathPrefix: prefix, Services: []routes.WeightedService{{Service: "s", Weight: 1}}}
 }
 
-func table(version int64, rts ...routes.Route) *routes.Table {
+func newTable(version int64, rts ...routes.Route) *routes.Table {
 	return routes.New(routes.Config{Version: version, Routes: rts})
 }
 
-func TestRouteIsTheLongestPrefixOfTheHost(t *testing.T) {
-	tb := table(1,
-		route("root", "a", "/"), route("deep", "a", "/x/y/"), route("x", "a", "/x/"), route("other", "b", "/x/"),
+func TestRouteMatchesLongestPrefixOfHost(t *testing.T) {
+	tb := newTable(1,
+		newRoute("root", "a", "/"), newRoute("deep", "a", "/x/y/"), newRoute("x", "a", "/x/"), newRoute("other", "b", "/x/"),
 	)
 	cases := map[string]struct{ host, path, want string }{
 		"the only prefix":           {"a", "/z", "root"},
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	shares := []routes.WeightedService{{Service: "a", Weight: 1}, {Service: "none", Weight: 0}, {Service: "b", Weight: 3}}
 	cases := map[string]struct {
 		shares []routes.WeightedService
@@ -69,7 +69,7 @@
 }
 
 // TestPickNeverTakesAServiceWithoutWeight draws shares and points.
-func TestPickNeverTakesAServiceWithoutWeight(t *testing.T) {
+func TestPickServiceNeverPicksZeroWeight(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
 		weights := rapid.SliceOfN(rapid.IntRange(0, 5), 1, 6).Draw(rt, "weights")
@@ -88,8 +88,8 @@
 	})
 }
 
-func TestKeys(t *testing.T) {
-	open := table(1)
+func TestNeedsKeyOnlyWithOrganisations(t *testing.T) {
+	open := newTable(1)
 	closed := routes.New(routes.Config{Version: 1, Keys: map[string]routes.Organisation{"k": {Name: "red"}}})
 	cases := map[string]struct {
 		table *routes.Table
@@ -113,7 +113,7 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-func TestWhatMayRunOnceOnly(t *testing.T) {
+func TestAtMostOnce(t *testing.T) {
 	cases := map[string]struct {
 		route     routes.Route
 		exclusive bool
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestHolderNeverGoesBack(t *testing.T) {
+func TestHolderKeepsHighestVersion(t *testing.T) {
 	g := NewWithT(t)
 	hd := &routes.Holder{}
 	t0 := time.Unix(1000, 0)
@@ -140,9 +140,9 @@
 	g.Expect(provenAt.IsZero()).To(BeTrue())
 	g.Expect(hd.Confirm(1, t0)).To(BeFalse())
 
-	g.Expect(hd.ApplyIfNewer(table(3), []byte("three"), t0)).To(BeTrue())
-	g.Expect(hd.ApplyIfNewer(table(3), []byte("again"), t0)).To(BeFalse())
-	g.Expect(hd.ApplyIfNewer(table(2), []byte("two"), t0.Add(time.Hour))).To(BeFalse())
+	g.Expect(hd.ApplyIfNewer(newTable(3), []byte("three"), t0)).To(BeTrue())
+	g.Expect(hd.ApplyIfNewer(newTable(3), []byte("again"), t0)).To(BeFalse())
+	g.Expect(hd.ApplyIfNewer(newTable(2), []byte("two"), t0.Add(time.Hour))).To(BeFalse())
 	tb, provenAt = hd.Current()
 	g.Expect(tb.Version()).To(BeEquivalentTo(3))
 	g.Expect(provenAt).To(Equal(t0), "an older version proves nothing")
@@ -151,7 +151,7 @@
 	g.Expect(string(document)).To(Equal("three"))
 }
 
-func TestProofOnlyGrows(t *testing.T) {
+func TestProvenAtNeverDecreases(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	cases := map[string]struct {
 		act  func(hd *routes.Holder) bool
@@ -162,16 +162,16 @@
 		"confirmed earlier":           {func(hd *routes.Holder) bool { return hd.Confirm(3, t0.Add(-time.Second)) }, true, t0},
 		"an older one confirmed":      {func(hd *routes.Holder) bool { return hd.Confirm(2, t0.Add(time.Second)) }, true, t0},
 		"a newer one confirmed":       {func(hd *routes.Holder) bool { return hd.Confirm(4, t0.Add(time.Second)) }, false, t0},
-		"offered again, later":        {func(hd *routes.Holder) bool { return !hd.ApplyIfNewer(table(3), nil, t0.Add(time.Second)) }, true, t0.Add(time.Second)},
-		"offered again, earlier":      {func(hd *routes.Holder) bool { return !hd.ApplyIfNewer(table(3), nil, t0.Add(-time.Second)) }, true, t0},
-		"a newer one, without proof":  {func(hd *routes.Holder) bool { return hd.ApplyIfNewer(table(4), nil, time.Time{}) }, true, t0},
-		"a newer one, with old proof": {func(hd *routes.Holder) bool { return hd.ApplyIfNewer(table(4), nil, t0.Add(-time.Second)) }, true, t0},
+		"offered again, later":        {func(hd *routes.Holder) bool { return !hd.ApplyIfNewer(newTable(3), nil, t0.Add(time.Second)) }, true, t0.Add(time.Second)},
+		"offered again, earlier":      {func(hd *routes.Holder) bool { return !hd.ApplyIfNewer(newTable(3), nil, t0.Add(-time.Second)) }, true, t0},
+		"a newer one, without proof":  {func(hd *routes.Holder) bool { return hd.ApplyIfNewer(newTable(4), nil, time.Time{}) }, true, t0},
+		"a newer one, with old proof": {func(hd *routes.Holder) bool { return hd.ApplyIfNewer(newTable(4), nil, t0.Add(-time.Second)) }, true, t0},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			hd := &routes.Holder{}
-			hd.ApplyIfNewer(table(3), nil, t0)
+			hd.ApplyIfNewer(newTable(3), nil, t0)
 			g.Expect(tc.act(hd)).To(Equal(tc.good))
 			_, provenAt := hd.Current()
 			g.Expect(provenAt).To(Equal(tc.want))
@@ -180,7 +180,7 @@
 }
 
 // TestKeysThatWent follows one key through versions of the configuration.
-func TestKeysThatWent(t *testing.T) {
+func TestRemovedSince(t *testing.T) {
 	with := func(version int64, keys ...string) *routes.Table {
 		ct := routes.Config{Version: version, Keys: map[string]routes.Organisation{}}
 		for _, key := range keys {
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestDigestShowsLittleOfAKey(t *testing.T) {
+func TestDigestPrintsOnlyPrefix(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(routes.DigestOf("key").String()).To(HaveLen(8))
 	g.Expect(routes.DigestOf("key")).NotTo(Equal(routes.DigestOf("kex")))
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -24,16 +24,16 @@
 )
 
 type entry struct {
-	state  state
-	answer *claim.Response
-	until  time.Time
+	state     state
+	response  *claim.Response
+	expiresAt time.Time
 }
 
 // Ledger holds the tickets of one incarnation. It is safe for use by any goroutine.
 type Ledger struct {
 	incarnation string
-	keep        time.Duration
-	limit       int
+	retention   time.Duration
+	maxTickets  int
 	now         func() time.Time
 
 	mu      sync.Mutex
@@ -42,7 +42,7 @@
 
 // New returns an empty ledger that keeps each ticket for a time, and at most limit tickets.
 func New(incarnation string, keep time.Duration, limit int, now func() time.Time) *Ledger {
-	return &Ledger{incarnation: incarnation, keep: keep, limit: limit, now: now, entries: map[string]*entry{}}
+	return &Ledger{incarnation: incarnation, retention: keep, maxTickets: limit, now: now, entries: map[string]*entry{}}
 }
 
 // Issuer returns the incarnation that a ticket names.
@@ -55,21 +55,21 @@
 func (lg *Ledger) Issue() (string, time.Duration, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
-	lg.sweep()
-	if len(lg.entries) >= lg.limit {
+	lg.removeExpired()
+	if len(lg.entries) >= lg.maxTickets {
 		return "", 0, failure.New(failure.Overloaded, failure.NotRun, "%d tickets are out", len(lg.entries)).
 			WithRetryAfter(time.Second)
 	}
 	id := lg.incarnation + separator + ident.New("ticket")
-	lg.entries[id] = &entry{until: lg.now().Add(lg.keep)}
-	return id, lg.keep, nil
+	lg.entries[id] = &entry{expiresAt: lg.now().Add(lg.retention)}
+	return id, lg.retention, nil
 }
 
 // Take honours a ticket: it returns nothing when the request may run now, or the recorded answer of its run.
 func (lg *Ledger) Redeem(ticket string) (*claim.Response, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
-	lg.sweep()
+	lg.removeExpired()
 	en := lg.entries[ticket]
 	switch {
 	case en == nil:
@@ -78,7 +78,7 @@
 		en.state = running
 		return nil, nil
 	case en.state == done:
-		return en.answer, nil
+		return en.response, nil
 	case en.state == running:
 		return nil, failure.New(failure.KeyInUse, failure.Unknown, "the request is running").WithRetryAfter(time.Second)
 	default:
@@ -88,7 +88,7 @@
 
 // Finish records the answer of the run.
 func (lg *Ledger) Complete(ticket string, ans claim.Response) {
-	lg.set(ticket, entry{state: done, answer: &ans})
+	lg.set(ticket, entry{state: done, response: &ans})
 }
 
 // Release lets the ticket be used again, after a request of which nothing was run.
@@ -100,15 +100,15 @@
 func (lg *Ledger) set(ticket string, en entry) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
-	en.until = lg.now().Add(lg.keep)
+	en.expiresAt = lg.now().Add(lg.retention)
 	lg.entries[ticket] = &en
 }
 
 // sweep is called with the lock held.
-func (lg *Ledger) sweep() {
+func (lg *Ledger) removeExpired() {
 	now := lg.now()
 	for id, en := range lg.entries {
-		if en.state != running && now.After(en.until) {
+		if en.state != running && now.After(en.expiresAt) {
 			delete(lg.entries, id)
 		}
 	}
