--- a/internal/policy/all/all.go
+++ b/internal/policy/all/all.go
@@ -1,8 +1,8 @@
-// Package all lists the routing policies in one place; importing it registers them.
+// Package all registers all routing policies as a side effect of its import.
 package all
 
 import (
-	// Each policy registers itself.
+	// Each policy registers itself in its init function.
 	_ "github.com/silvermount/silvermount/internal/policy/demand"
 	_ "github.com/silvermount/silvermount/internal/policy/lanegrant"
 	_ "github.com/silvermount/silvermount/internal/policy/lanes"
--- a/internal/policy/demand/demand.go
+++ b/internal/policy/demand/demand.go
@@ -1,5 +1,6 @@
-// Package demand is owners with the number of targets for long prompts taken from the demand: what the short prompts
-// that arrive, or that an event is expected to bring, do not need, and at least what long prompts need to be in time.
+// Package demand implements a routing policy that extends owners: the number of targets for long prompts depends on the
+// demand. It is the number that short prompts, which arrive now or are expected for an event, leave free, but at least the
+// number that long prompts need to meet their deadlines.
 package demand
 
 import (
--- a/internal/policy/lanegrant/lanegrant.go
+++ b/internal/policy/lanegrant/lanegrant.go
@@ -1,4 +1,4 @@
-// Package lanegrant is lanes with a grant from the target's owner for each long prompt.
+// Package lanegrant implements a routing policy that extends lanes: each long prompt needs a grant from the target's owner.
 package lanegrant
 
 import (
--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -1,4 +1,5 @@
-// Package lanes keeps long prompts on few targets and short prompts away from them.
+// Package lanes implements a routing policy that restricts long prompts to a few targets and keeps short prompts away from
+// targets that compute a long one.
 package lanes
 
 import (
@@ -19,7 +20,8 @@
 	policy.Register(policy.Policy{Name: Name, Rank: 4, UsesEnginePriorities: true, UsesPeerLoad: true, Choose: Choose})
 }
 
-// Choose packs long prompts on targets that already hold one, up to the limits, and spreads short ones over the rest.
+// Choose places a long prompt on one of the targets for long prompts, within the limits, and a short prompt on any target,
+// preferably one without a long prefill.
 func Choose(in policy.Input) policy.Decision {
 	if in.Prompt.Long {
 		return chooseLong(in)
@@ -27,7 +29,8 @@
 	return chooseShort(in)
 }
 
-// chooseShort counts the extra time beside a long prompt, since an engine does not break off a step.
+// chooseShort chooses the target with the shortest predicted wait. The prediction includes the delay by a long prefill, since
+// an engine does not interrupt a step that it has begun.
 func chooseShort(in policy.Input) policy.Decision {
 	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
@@ -44,17 +47,17 @@
 	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
 
-// Blocked reports whether a long prompt is being computed on the target.
+// HasLongPrefill reports whether the target has a long prompt in flight and prefill left of prompts beyond the shortest band.
 func HasLongPrefill(ca policy.Candidate) bool {
 	return ca.InFlightLong > 0 && policy.TotalTokens(ca.InFlightPrefill) > policy.TokensAhead(ca.InFlightPrefill, 0)
 }
 
 func chooseLong(in policy.Input) policy.Decision {
-	lanes := LongPromptTargets(in)
+	takesLong := LongPromptTargets(in)
 	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.LeastCost(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !lanes[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.MaxLongPerTarget {
+		if !takesLong[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.MaxLongPerTarget {
 			return -1
 		}
 		return ca.PrefillTime(policy.TokensAhead(ca.InFlightPrefill, band))
@@ -62,8 +65,8 @@
 	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
 
-// LaneTargets marks the candidates that take long prompts: those with the lowest hash of their name, up to the share.
-// Every instance with the same list of targets marks the same ones, so that no message is needed.
+// LongPromptTargets marks the candidates that take long prompts: those whose names have the lowest hashes, up to the
+// configured share. Instances with the same list of targets mark the same ones without exchanging messages.
 func LongPromptTargets(in policy.Input) []bool {
 	n := len(in.Candidates)
 	count := min(n, max(1, int(math.Round(in.Limits.MaxLongTargetShare*float64(n)))))
@@ -84,19 +87,19 @@
 	return marks
 }
 
-// shortUse is the share of a target's time that short prompts may take before they wait for each other too long.
+// maxShortUtilisation is the share of a target's time above which short prompts wait too long for each other.
 const maxShortUtilisation = 0.4
 
-// demanded returns the number of targets for long prompts: at most most, and none that short prompts need, unless long
-// prompts would be late.
-func longTargetCount(in policy.Input, most int) int {
-	rate := 0.0
+// longTargetCount returns the number of targets for long prompts, between 1 and maxCount. It leaves short prompts as many
+// targets as they need, unless long prompts would then miss their deadlines.
+func longTargetCount(in policy.Input, maxCount int) int {
+	meanRate := 0.0
 	for _, ca := range in.Candidates {
-		rate += ca.PrefillRate
+		meanRate += ca.PrefillRate
 	}
 	n := len(in.Candidates)
-	rate /= float64(n)
-	free := n - int(math.Ceil(in.Demand.ShortRate/(rate*maxShortUtilisation)))
-	late := int(math.Ceil(in.Demand.RequiredLongRate / rate))
-	return min(n, max(1, min(free, most), min(late, most)))
+	meanRate /= float64(n)
+	free := n - int(math.Ceil(in.Demand.ShortRate/(meanRate*maxShortUtilisation)))
+	required := int(math.Ceil(in.Demand.RequiredLongRate / meanRate))
+	return min(n, max(1, min(free, maxCount), min(required, maxCount)))
 }
--- a/internal/policy/leastoutstanding/leastoutstanding.go
+++ b/internal/policy/leastoutstanding/leastoutstanding.go
@@ -1,4 +1,5 @@
-// Package leastoutstanding takes the target with the fewest requests of this instance.
+// Package leastoutstanding implements a routing policy that chooses the target with the fewest outstanding requests of this
+// instance.
 package leastoutstanding
 
 import (
@@ -14,7 +15,7 @@
 	policy.Register(policy.Policy{Name: Name, Rank: 1, Choose: Choose})
 }
 
-// Choose takes the candidate with the fewest requests in flight.
+// Choose returns the candidate with the fewest requests of this instance in flight. It predicts no wait.
 func Choose(in policy.Input) policy.Decision {
 	best, _ := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		return time.Duration(in.Candidates[i].OwnRequests)
--- a/internal/policy/leastwait/leastwait.go
+++ b/internal/policy/leastwait/leastwait.go
@@ -1,4 +1,5 @@
-// Package leastwait takes the target with the least predicted wait, from own knowledge and lagging load reports.
+// Package leastwait implements a routing policy that chooses the target with the shortest predicted wait, based on the
+// requests of this instance and on the engines' load reports, which are stale.
 package leastwait
 
 import (
@@ -14,7 +15,8 @@
 	policy.Register(policy.Policy{Name: Name, Rank: 2, Choose: Choose})
 }
 
-// Choose takes the candidate whose prompts ahead take the least time.
+// Choose returns the candidate with the shortest prefill time ahead of the prompt. It takes the larger of the own and the
+// reported prefill, since reports are stale.
 func Choose(in policy.Input) policy.Decision {
 	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		ca := in.Candidates[i]
--- a/internal/policy/owners/owners.go
+++ b/internal/policy/owners/owners.go
@@ -1,5 +1,5 @@
-// Package owners is lanegrant with short prompts sent to targets that the instance owns and so knows exactly; when
-// those are busy, two other owners are asked for a better place.
+// Package owners implements a routing policy that extends lanegrant: it sends short prompts to targets that the instance
+// owns, whose load it knows exactly. If those are busy, it asks two other owners for a target with a shorter wait.
 package owners
 
 import (
--- a/internal/policy/peerwait/peerwait.go
+++ b/internal/policy/peerwait/peerwait.go
@@ -1,5 +1,5 @@
-// Package peerwait takes the target with the least predicted wait, counting what peers have in flight and
-// letting shorter prompts go first at the engine.
+// Package peerwait implements a routing policy that chooses the target with the shortest predicted wait. It counts the load
+// of peers, and engines compute shorter prompts first.
 package peerwait
 
 import (
@@ -15,7 +15,7 @@
 	policy.Register(policy.Policy{Name: Name, Rank: 3, UsesEnginePriorities: true, UsesPeerLoad: true, Choose: Choose})
 }
 
-// Choose takes the candidate whose prompts ahead take the least time; targets without room are left out.
+// Choose returns the candidate with the shortest prefill time ahead of the prompt, among those with enough free memory.
 func Choose(in policy.Input) policy.Decision {
 	band := policy.LengthBand(in.Prompt.Tokens)
 	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,4 +1,4 @@
-// Package policy defines what a routing policy sees and decides. Policies are pure: state in, decision out.
+// Package policy defines the input and the decision of a routing policy. A policy is a pure function from one to the other.
 package policy
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Bands is the number of length bands into which prompts fall, shortest first.
+// NumLengthBands is the number of length bands into which prompts are classified. Band 0 holds the shortest prompts.
 const NumLengthBands = 4
 
-// bandLimits are the lengths in tokens from which the next band starts.
+// lengthBandLimits holds, for each band but the last, the prompt length in tokens at which the next band starts.
 var lengthBandLimits = [NumLengthBands - 1]int{8_000, 32_000, 100_000}
 
-// Band returns the length band of a prompt.
+// LengthBand returns the length band of a prompt with this number of tokens.
 func LengthBand(tokens int) int {
 	for i, limit := range lengthBandLimits {
 		if tokens < limit {
@@ -23,125 +23,126 @@
 	return NumLengthBands - 1
 }
 
-// Request is what a policy knows of a request.
+// Prompt describes a request to a policy.
 type Prompt struct {
-	// Tokens is the length of the prompt, Output the bound on generated tokens.
+	// Tokens is the length of the prompt, MaxOutputTokens the limit on generated tokens.
 	Tokens, MaxOutputTokens int
-	// Long is set from the configured length on.
+	// Long is set for prompts of at least the configured minimum length of long prompts.
 	Long bool
 }
 
-// Memory returns the KV memory that the request takes, in tokens.
+// MemoryTokens returns the maximum KV memory that the request occupies, in tokens.
 func (pr Prompt) MemoryTokens() int { return pr.Tokens + pr.MaxOutputTokens }
 
-// Candidate is one target that could take the request, as far as this instance knows.
+// Candidate is a target that can serve the request, with its load as this instance knows it.
 type Candidate struct {
 	// Name is unique among candidates.
 	Name string
-	// OwnRequests and OwnPrefill are what this instance has in flight.
+	// OwnRequests counts the requests of this instance in flight, OwnPrefill their prompt tokens not yet computed, by length band.
 	OwnRequests int
 	OwnPrefill  [NumLengthBands]int
-	// AllPrefill, AllLong and AllMemory include what peers have in flight, as last heard.
+	// InFlightPrefill, InFlightLong and InFlightMemory are prompt tokens not yet computed, long prompts and KV memory in
+	// tokens. They include the requests of peers, as of the last heartbeats, if the policy asks for the load of peers.
 	InFlightPrefill [NumLengthBands]int
 	InFlightLong    int
 	InFlightMemory  int
-	// ReportedPrefill is the engine's own figure, which lags behind.
+	// ReportedPrefill is the number of prompt tokens not yet computed in the engine's last load report, which is stale.
 	ReportedPrefill int
-	// Rate is prompt tokens a second; always positive.
+	// PrefillRate is in prompt tokens per second and always positive.
 	PrefillRate float64
-	// RateKnown is false while Rate is only assumed.
+	// PrefillRateKnown is false if PrefillRate is an assumption, because no rate has been reported or observed yet.
 	PrefillRateKnown bool
-	// MemoryTotal is zero when not known.
+	// MemoryTotal is the KV memory of the engine in tokens; zero if unknown.
 	MemoryTotal int
-	// BesideLong is the extra time that a short prompt takes where a long one runs, learnt from what targets do.
+	// InterferenceDelay is the extra time that a short prompt takes on a target that also runs a long one, as observed.
 	InterferenceDelay time.Duration
 }
 
-// Fits reports whether the request's memory is free, as far as known.
+// Fits reports whether enough memory is free for the prompt and its output. It returns true if the total is unknown.
 func (ca Candidate) Fits(rq Prompt) bool {
 	return ca.MemoryTotal == 0 || ca.InFlightMemory+rq.MemoryTokens() <= ca.MemoryTotal
 }
 
-// Work returns the time that prompt tokens take on the target.
+// PrefillTime returns the time that the target needs to compute this number of prompt tokens.
 func (ca Candidate) PrefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / ca.PrefillRate * float64(time.Second))
 }
 
-// Limits are the configured bounds that policies keep.
+// Limits are configured limits that every policy respects.
 type Limits struct {
-	// LongPerTarget bounds long prompts on one target.
+	// MaxLongPerTarget is the maximum number of long prompts on one target.
 	MaxLongPerTarget int
-	// LongShare bounds the share of targets that take long prompts.
+	// MaxLongTargetShare is the maximum share of targets that take long prompts.
 	MaxLongTargetShare float64
 }
 
-// Input is all that a decision rests on.
+// Input is everything that a decision depends on.
 type Input struct {
 	Prompt Prompt
 	// Candidates are in a fixed order and never empty.
 	Candidates []Candidate
 	Limits     Limits
-	// Demand is set for policies that follow it.
+	// Demand is valid only if HasDemand is set.
 	Demand Demand
-	// Follows is set for policies that follow the demand.
+	// HasDemand is set for policies whose UsesDemand is set.
 	HasDemand bool
-	// Turn grows with every decision of this instance, from a start of its own.
+	// Sequence increases with every decision of this instance. Each instance starts at a different number.
 	Sequence uint64
 }
 
-// Demand is what arrives, over all instances.
+// Demand is the load that callers offer to all instances together.
 type Demand struct {
-	// Short is prompt tokens a second of short prompts.
+	// ShortRate is the arrival rate of short prompts in prompt tokens per second.
 	ShortRate float64
-	// LongNeed is prompt tokens a second that waiting long prompts need to be in time.
+	// RequiredLongRate is the rate in prompt tokens per second that waiting long prompts need to meet their deadlines.
 	RequiredLongRate float64
 }
 
-// Decision says where a request runs. The zero value means that it waits.
+// Decision is the outcome of a policy. The zero value means that the request waits.
 type Decision struct {
-	// Run is set when a target was chosen.
+	// Placed is set if a target was chosen.
 	Placed bool
-	// Index is that of the chosen candidate.
+	// Index is the position of the chosen target in Input.Candidates.
 	Index int
-	// Wait is the predicted time before the prompt is started.
+	// PredictedWait is the predicted time until the target starts to compute the prompt.
 	PredictedWait time.Duration
 }
 
-// Policy is one way to decide.
+// Policy is a routing policy: a function that chooses a target, and what the router has to provide for it.
 type Policy struct {
 	// Name is unique among registered policies.
 	Name string
-	// Rung orders policies from the simplest.
+	// Rank orders policies by complexity, the simplest first.
 	Rank int
-	// Priorities is set when the engine is told each request's length band.
+	// UsesEnginePriorities is set if requests carry a priority to the engine that puts shorter length bands first.
 	UsesEnginePriorities bool
-	// Peers is set when the decision uses what peers have in flight.
+	// UsesPeerLoad is set if decisions use the load that peers have in flight.
 	UsesPeerLoad bool
-	// Grants is set when long prompts need a grant from the target's owner.
+	// UsesGrants is set if long prompts need a grant from the target's owner.
 	UsesGrants bool
-	// Owners is set when short prompts go to targets that this instance owns, or that another owner offers.
+	// UsesOwners is set if short prompts go to targets that this instance owns or that another owner offers.
 	UsesOwners bool
-	// Demand is set when the number of targets for long prompts follows the demand.
+	// UsesDemand is set if the number of targets for long prompts depends on the demand.
 	UsesDemand bool
-	// Choose decides. It has no side effects.
+	// Choose makes a decision. It has no side effects.
 	Choose func(Input) Decision
 }
 
-// UnknownError says that no policy has the name.
+// UnknownError is returned for a name that no registered policy has.
 type UnknownError struct{ Name string }
 
-// Error names the policy.
-func (ue *UnknownError) Error() string { return fmt.Sprintf("no policy %q", ue.Name) }
+// Error includes the name.
+func (ue *UnknownError) Error() string { return fmt.Sprintf("unknown routing policy %q", ue.Name) }
 
 var registered []Policy
 
-// Register adds a policy. It is called from init functions only.
+// Register adds a policy. It must only be called from init functions, since it does not lock.
 func Register(p Policy) {
 	registered = append(registered, p)
 	slices.SortFunc(registered, func(a, b Policy) int { return a.Rank - b.Rank })
 }
 
-// ByName returns a registered policy.
+// ByName returns the registered policy with this name, or an UnknownError.
 func ByName(name string) (Policy, error) {
 	for _, p := range registered {
 		if p.Name == name {
@@ -151,7 +152,7 @@
 	return Policy{}, &UnknownError{Name: name}
 }
 
-// Names returns the registered policies, simplest first.
+// Names returns the names of the registered policies in the order of their ranks.
 func Names() []string {
 	names := make([]string, len(registered))
 	for i, p := range registered {
@@ -160,22 +161,23 @@
 	return names
 }
 
-// Least returns the index of the smallest cost. Ties are broken by a hash of turn, so that instances with the same
-// view do not all choose the same one. Candidates with a negative cost are left out; -1 means none.
-func LeastCost(n int, turn uint64, cost func(i int) time.Duration) (best int, least time.Duration) {
+// LeastCost returns the index in [0, n) with the lowest cost, and that cost. A hash of sequence breaks ties, so that
+// instances with the same view do not all choose the same target. A negative cost excludes an index; if all are excluded,
+// best is -1.
+func LeastCost(n int, sequence uint64, cost func(i int) time.Duration) (best int, minCost time.Duration) {
 	best = -1
-	first := mixBits(turn) % uint64(n)
+	first := mixBits(sequence) % uint64(n)
 	for k := range n {
 		i := int((first + uint64(k)) % uint64(n))
 		c := cost(i)
-		if c >= 0 && (best < 0 || c < least) {
-			best, least = i, c
+		if c >= 0 && (best < 0 || c < minCost) {
+			best, minCost = i, c
 		}
 	}
-	return best, least
+	return best, minCost
 }
 
-// mix is the finishing step of the SplitMix64 generator.
+// mixBits spreads each bit of a number over all its bits. It is the finalizer of SplitMix64.
 func mixBits(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -183,7 +185,8 @@
 	return x ^ (x >> 31)
 }
 
-// Ahead returns the tokens that run before a prompt of the given band where shorter bands go first.
+// TokensAhead returns the prefill tokens that an engine computes before a new prompt of the given band, if it computes
+// shorter bands first: the sum over this band and all shorter ones.
 func TokensAhead(prefill [NumLengthBands]int, band int) int {
 	sum := 0
 	for b := 0; b <= band; b++ {
@@ -192,5 +195,5 @@
 	return sum
 }
 
-// Total returns the tokens over all bands.
+// TotalTokens returns the sum of the tokens of all bands.
 func TotalTokens(prefill [NumLengthBands]int) int { return TokensAhead(prefill, NumLengthBands-1) }
--- a/internal/policy/roundrobin/roundrobin.go
+++ b/internal/policy/roundrobin/roundrobin.go
@@ -1,4 +1,4 @@
-// Package roundrobin takes targets in turn.
+// Package roundrobin implements a routing policy that chooses targets in turn, whatever their load.
 package roundrobin
 
 import "github.com/silvermount/silvermount/internal/policy"
@@ -10,7 +10,7 @@
 	policy.Register(policy.Policy{Name: Name, Rank: 0, Choose: Choose})
 }
 
-// Choose takes the next candidate.
+// Choose returns the next candidate in the order of Input.Candidates.
 func Choose(in policy.Input) policy.Decision {
 	return policy.Decision{Placed: true, Index: int(in.Sequence % uint64(len(in.Candidates)))}
 }
