--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -7,39 +7,41 @@
 )
 
 const (
-	// assumedShort is the demand in tokens a second that an instance assumes when it starts.
+	// initialShortRate is the rate of short prompts, in prompt tokens per second, that an instance assumes when it starts.
 	initialShortRate = 20_000
-	// slackPart is the part of the time left by which a long prompt shall have started.
+	// slackShare is the share of the time until its deadline within which a waiting long prompt is to be served.
 	slackShare = 0.5
-	// leastSlack keeps the need of a late prompt finite.
+	// minSlack keeps the required rate of a prompt finite when its deadline is near or past.
 	minSlack = time.Second
 )
 
-// demand estimates the demand over all instances from this one's share: the balancer spreads requests evenly.
-func (rt *Router) estimateDemand(ask Request) policy.Demand {
+// estimateDemand extrapolates the demand on this instance to all live instances. This assumes that the load balancer in front
+// of them distributes requests evenly.
+func (rt *Router) estimateDemand(rq Request) policy.Demand {
 	instances := float64(rt.fl.LiveInstanceCount())
 	d := policy.Demand{ShortRate: rt.shortArrivals.Rate() * instances}
 	if rt.opts.ExpectedShortRate != nil {
 		d.ShortRate = max(d.ShortRate, rt.opts.ExpectedShortRate())
 	}
-	if ask.Prompt.Long {
+	if rq.Prompt.Long {
 		d.RequiredLongRate = rt.requiredLongRate() * instances
 	}
 	return d
 }
 
-// longNeed is the prompt tokens a second that the long prompts waiting here need to be in time.
+// requiredLongRate returns the rate in prompt tokens per second that the long prompts in the queue of this instance need to
+// meet their deadlines.
 func (rt *Router) requiredLongRate() float64 {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	now := rt.opts.Now()
-	need := 0.0
+	requiredRate := 0.0
 	for _, wt := range rt.queue {
 		if !wt.request.Prompt.Long {
 			continue
 		}
 		slack := max(minSlack, time.Duration(slackShare*float64(wt.request.Deadline.Sub(now))))
-		need += float64(wt.request.Prompt.Tokens) / slack.Seconds()
+		requiredRate += float64(wt.request.Prompt.Tokens) / slack.Seconds()
 	}
-	return need
+	return requiredRate
 }
--- a/internal/router/owners.go
+++ b/internal/router/owners.go
@@ -10,43 +10,44 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-// askFrom is the part of a prompt's own time that it may wait at an owned target before others are asked.
+// maxOwnWaitShare is the predicted wait at an owned target, as a share of the prompt's own prefill time, above which other
+// owners are asked for offers.
 const maxOwnWaitShare = 0.3
 
-// viaOwners places a short prompt at an owned target, or at that of another owner who offers a shorter wait.
-func (rt *Router) chooseViaOwners(ctx context.Context, ask Request, left time.Duration) (*Slot, error) {
-	own := ask
-	own.Filter.OwnedOnly = true
-	home, err := rt.choose(own, left)
-	if err == nil && home.PredictedWait <= time.Duration(maxOwnWaitShare*float64(home.prefillTime)) {
-		return home, nil
+// chooseViaOwners places a short prompt on an owned target, or on the target of another owner that offers a shorter wait.
+func (rt *Router) chooseViaOwners(ctx context.Context, rq Request, timeLeft time.Duration) (*Slot, error) {
+	ownedOnly := rq
+	ownedOnly.Filter.OwnedOnly = true
+	ownSlot, err := rt.choose(ownedOnly, timeLeft)
+	if err == nil && ownSlot.PredictedWait <= time.Duration(maxOwnWaitShare*float64(ownSlot.prefillTime)) {
+		return ownSlot, nil
 	}
-	best := rt.bestOffer(ctx, ask)
+	best := rt.bestOffer(ctx, rq)
 	switch {
 	case best == nil && err != nil:
-		// Nobody answered: this instance's own view of all targets has to do.
-		return rt.choose(ask, left)
+		// No owned target has room and there is no offer, so choose among all targets by this instance's own view of them.
+		return rt.choose(rq, timeLeft)
 	case best == nil:
-		return home, nil
-	case err == nil && home.PredictedWait <= best.PredictedWait:
+		return ownSlot, nil
+	case err == nil && ownSlot.PredictedWait <= best.PredictedWait:
 		best.Release()
-		return home, nil
+		return ownSlot, nil
 	}
 	if err == nil {
-		home.rollBack()
+		ownSlot.rollBack()
 	}
-	return rt.acceptOffer(ask, *best)
+	return rt.acceptOffer(rq, *best)
 }
 
-// bestOffer asks other owners and returns the offer with the least wait; the others are given back.
-func (rt *Router) bestOffer(ctx context.Context, ask Request) *offer.Offer {
+// bestOffer asks other owners and returns the offer with the shortest wait, or nil if there is none. It releases the others.
+func (rt *Router) bestOffer(ctx context.Context, rq Request) *offer.Offer {
 	if rt.opts.RequestOffers == nil {
 		return nil
 	}
 	var best *offer.Offer
-	for _, of := range rt.opts.RequestOffers(ctx, ask.Filter.Model, ask.Prompt) {
+	for _, of := range rt.opts.RequestOffers(ctx, rq.Filter.Model, rq.Prompt) {
 		switch {
-		case slices.Contains(ask.Filter.Exclude, of.Target):
+		case slices.Contains(rq.Filter.Exclude, of.Target):
 			of.Release()
 		case best == nil:
 			best = &of
@@ -60,31 +61,31 @@
 	return best
 }
 
-// accept takes a place that another owner offered.
-func (rt *Router) acceptOffer(ask Request, of offer.Offer) (*Slot, error) {
+// acceptOffer returns a slot at the target that another owner offered. Releasing the slot releases the offer.
+func (rt *Router) acceptOffer(rq Request, of offer.Offer) (*Slot, error) {
 	t, ok := rt.fl.Target(of.Target)
 	if !ok {
 		of.Release()
 		return nil, &noRoomError{target: of.Target}
 	}
-	pl := &Slot{Target: t, PredictedWait: of.PredictedWait, load: loadOf(ask.Prompt, 0), fleet: rt.fl, releaseFuncs: []func(){of.Release}}
-	rt.fl.AddLoad(t.Name, pl.load)
-	return pl, nil
+	sl := &Slot{Target: t, PredictedWait: of.PredictedWait, load: loadOf(rq.Prompt, 0), fleet: rt.fl, releaseFuncs: []func(){of.Release}}
+	rt.fl.AddLoad(t.Name, sl.load)
+	return sl, nil
 }
 
-// Offer chooses the best owned target for another instance's short prompt.
-func (rt *Router) ChooseOwnedTarget(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool) {
+// ChooseOwnedTarget chooses the best target owned by this instance for a short prompt of another instance.
+func (rt *Router) ChooseOwnedTarget(model string, pr policy.Prompt) (target string, wait time.Duration, ok bool) {
 	rt.decideMu.Lock()
 	defer rt.decideMu.Unlock()
-	vw := rt.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true, OwnedOnly: true})
-	if len(vw.Candidates) == 0 {
+	cs := rt.fl.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true, OwnedOnly: true})
+	if len(cs.Candidates) == 0 {
 		return "", 0, false
 	}
 	dec := rt.opts.Policy.Choose(policy.Input{
-		Prompt: rq, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.sequence.Add(1),
+		Prompt: pr, Candidates: cs.Candidates, Limits: rt.opts.Limits, Sequence: rt.sequence.Add(1),
 	})
 	if !dec.Placed {
 		return "", 0, false
 	}
-	return vw.Candidates[dec.Index].Name, dec.PredictedWait, true
+	return cs.Candidates[dec.Index].Name, dec.PredictedWait, true
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,4 +1,5 @@
-// Package router decides where a request runs, and keeps those that must wait.
+// Package router chooses a target for each request according to the routing policy, and queues requests for which no target
+// has room.
 package router
 
 import (
@@ -21,48 +22,52 @@
 )
 
 const (
-	// recheck bounds the time between two looks at a waiting request when no news comes.
+	// recheckInterval is the mean interval at which the first waiter of a queue tries again if nothing wakes it earlier.
+	// With jitter, the interval is between 25 and 75 ms.
 	recheckInterval = 50 * time.Millisecond
-	// probeTimeout bounds the probe of a target that nobody has confirmed.
+	// probeTimeout limits the probe of a target that neither this instance nor the owner has heard from lately.
 	probeTimeout = 500 * time.Millisecond
-	// admissionMargin is the least time that must be left after the predicted start.
+	// minAdmissionMargin is the minimum time between the predicted first token and the deadline of an admitted request.
 	minAdmissionMargin = 10 * time.Millisecond
 )
 
-// Ask is a request for a place to run.
+// Request is one request for a Slot.
 type Request struct {
-	// Request is what the policy sees.
+	// Prompt is the input of the policy.
 	Prompt policy.Prompt
-	// Wanted selects targets.
+	// Filter selects the targets that can serve the request.
 	Filter fleet.Filter
-	// Priority is that of the class; higher goes first.
+	// Priority is that of the class; higher values are served first.
 	Priority int
-	// Yields is set for work that is refused first.
+	// Sheddable is set for work that is shed first under overload.
 	Sheddable bool
-	// Deadline is when the answer is due.
+	// Deadline is the time by which the answer is due.
 	Deadline time.Time
 }
 
-// Place is a target taken for one attempt. Done is called exactly once.
+// Slot is the right to send one attempt to a target, which counts as load there. Release must be called exactly once.
 type Slot struct {
 	Target fleet.Target
-	// Predicted is the expected time until the prompt starts.
+	// PredictedWait is the predicted time until the target starts to compute the prompt.
 	PredictedWait time.Duration
-	// Alone is set when no other prefill was known at the target.
+	// Uncontended is set if no other prefill was known at the target when the slot was taken.
 	Uncontended bool
-	// Borrowed is memory in tokens that is reserved before the attempt, for a prompt larger than one engine.
+	// BorrowedTokens is the memory in tokens, reserved before the attempt on several engines, for a prompt larger than one
+	// engine; zero for other prompts.
 	BorrowedTokens int
 
 	load       fleet.Load
 	fleet      *fleet.Fleet
 	needsProbe bool
-	// alone is the prompt's own time; besideLong is the part of Predicted that a long prompt adds, zero without one.
+	// prefillTime is the time to compute the prompt itself. interferenceDelay is the part of PredictedWait that is due to a
+	// long prompt on the target; zero without one.
 	prefillTime, interferenceDelay time.Duration
 	firstTokenOnce                 sync.Once
 	releaseFuncs                   []func()
 }
 
-// FirstToken notes that the prompt was computed, and how long after it was sent.
+// RecordFirstToken records that the first token arrived this long after the request was sent, and removes the prefill from the
+// target's load. Calls after the first have no effect.
 func (sl *Slot) RecordFirstToken(took time.Duration) {
 	sl.firstTokenOnce.Do(func() {
 		if sl.interferenceDelay > 0 {
@@ -74,13 +79,13 @@
 	})
 }
 
-// Done gives the place back.
+// Release removes the load of the slot, and releases its grant and reserved memory.
 func (sl *Slot) Release() {
 	sl.fleet.RemoveLoad(sl.Target.Name, sl.load)
 	sl.runReleaseFuncs()
 }
 
-// undo gives back a place that was never used.
+// rollBack releases a slot to which nothing was sent. Unlike Release it does not wake waiters.
 func (sl *Slot) rollBack() {
 	sl.fleet.RevertLoad(sl.Target.Name, sl.load)
 	sl.runReleaseFuncs()
@@ -92,45 +97,49 @@
 	}
 }
 
-// Options are the bounds and seams of a Router.
+// Options are the settings and dependencies of a Router.
 type Options struct {
-	// Policy decides.
+	// Policy chooses the target of each request.
 	Policy policy.Policy
 	// Limits are passed to the policy.
 	Limits policy.Limits
-	// MaxWaiting bounds waiting requests.
+	// MaxWaiting is the maximum number of requests in the queue.
 	MaxWaiting int
-	// Now is the clock.
+	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// Expected returns the tokens a second of short prompts that events bring now, over all instances; nil means none.
+	// ExpectedShortRate returns the rate of short prompts, in prompt tokens per second over all instances, that is expected
+	// now because of announced events; nil means that none is expected.
 	ExpectedShortRate func() float64
-	// Probe asks a target whether it is there; nil takes every target as confirmed.
+	// Probe checks whether a target is reachable; nil means that targets are used without a probe.
 	Probe func(ctx context.Context, t fleet.Target) error
-	// Grant asks the owner of a target for room for a long prompt; nil grants always.
-	RequestGrant func(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool)
-	// AskShort asks other owners for a place for a short prompt; nil asks nobody.
-	RequestOffers func(ctx context.Context, model string, rq policy.Prompt) []offer.Offer
-	// Borrow reserves memory on the main and other engines for a prompt larger than one.
-	ReserveMemory func(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error)
+	// RequestGrant asks the owner of a target for a grant for a long prompt, held for at most maxHold. If it is nil, no grants
+	// are needed.
+	RequestGrant func(ctx context.Context, t fleet.Target, memory int, maxHold time.Duration) (release func(), granted bool)
+	// RequestOffers asks other owners to offer a target for a short prompt; nil means that none is asked.
+	RequestOffers func(ctx context.Context, model string, pr policy.Prompt) []offer.Offer
+	// ReserveMemory reserves memory on the main target and on other engines for a prompt larger than one engine. If it is
+	// nil, such a prompt is passed to the policy like any other.
+	ReserveMemory func(ctx context.Context, main fleet.Target, tokens int, maxHold time.Duration) (release func(), err error)
 }
 
-// Router is safe for use by any goroutine.
+// Router assigns requests to targets and queues those that must wait. It is safe for concurrent use.
 type Router struct {
 	fl       *fleet.Fleet
 	opts     Options
 	sequence atomic.Uint64
-	// arriving measures the short prompts of this instance.
+	// shortArrivals measures the rate of short prompts that arrive at this instance.
 	shortArrivals *demandmeter.Meter
 
-	// decide is held from the view of the fleet to the note of the work.
+	// decideMu is held from reading the candidates until the load of the decision is added, so that concurrent decisions of
+	// this instance see each other's load.
 	decideMu sync.Mutex
 
 	mu sync.Mutex
-	// waiting is ordered by before.
+	// queue is sorted by compareWaiters.
 	queue []*waiter
 }
 
-// New returns a router over the fleet.
+// New returns a router for the targets of the fleet.
 func New(fl *fleet.Fleet, o Options) *Router {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -140,55 +149,55 @@
 	return rt
 }
 
-// Policy returns the policy in use.
+// Policy returns the routing policy that the router was created with.
 func (rt *Router) Policy() policy.Policy { return rt.opts.Policy }
 
-// Waiting returns how many requests wait for room.
+// QueueLength returns the number of requests that wait for a slot.
 func (rt *Router) QueueLength() int {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
 	return len(rt.queue)
 }
 
-// Acquire returns a place for the request, waiting for room until its deadline. A request whose predicted start
-// lies past its deadline is refused at once.
-func (rt *Router) Acquire(ctx context.Context, ask Request) (*Slot, error) {
-	if !ask.Prompt.Long {
-		rt.shortArrivals.Add(ask.Prompt.Tokens)
+// Acquire returns a slot for the request. It waits for room until ctx is done, and refuses the request at once if it is
+// predicted to miss its deadline.
+func (rt *Router) Acquire(ctx context.Context, rq Request) (*Slot, error) {
+	if !rq.Prompt.Long {
+		rt.shortArrivals.Add(rq.Prompt.Tokens)
 	}
-	wt := newWaiter(ask)
+	wt := newWaiter(rq)
 	if err := rt.enqueue(wt); err != nil {
 		return nil, err
 	}
-	pl, err := rt.waitForSlot(ctx, wt)
+	sl, err := rt.waitForSlot(ctx, wt)
 	if err != nil {
 		rt.wakeNext(wt)
 	}
-	return pl, err
+	return sl, err
 }
 
-// await returns a place for a waiter that has entered; the waiter has left afterwards.
+// waitForSlot returns a slot for a waiter in the queue, and removes it from the queue in any case.
 func (rt *Router) waitForSlot(ctx context.Context, wt *waiter) (*Slot, error) {
 	defer rt.dequeue(wt)
-	ask := wt.request
-	for waits := false; ; waits = true {
+	rq := wt.request
+	for waited := false; ; waited = true {
 		changed := rt.fl.Changed()
 		if rt.isFirst(wt) {
-			pl, err := rt.tryOnce(ctx, ask)
-			var wait *noRoomError
-			if !errors.As(err, &wait) {
-				return pl, err
+			sl, err := rt.tryOnce(ctx, rq)
+			var noRoom *noRoomError
+			if !errors.As(err, &noRoom) {
+				return sl, err
 			}
-			if wait.refused {
+			if noRoom.refused {
 				changed = nil
 			}
 		}
-		if !waits {
+		if !waited {
 			if err := rt.checkDeadline(wt); err != nil {
 				return nil, err
 			}
 		}
-		// The jitter keeps those who were refused together from asking together again.
+		// The jitter keeps requests that were refused at the same time from trying again at the same time.
 		timer := time.NewTimer(recheckInterval/2 + rand.N(recheckInterval))
 		select {
 		case <-changed:
@@ -206,57 +215,58 @@
 	}
 }
 
-// noRoomError says that a request has to wait.
+// noRoomError is returned for a request that has to wait.
 type noRoomError struct {
+	// target is the one that was tried; empty if the policy chose none.
 	target string
-	// refused is set when the target or its owner refused, so that asking again at once is of no use.
+	// refused is set if the grant or the memory reservation was refused, so that an immediate retry would most likely fail too.
 	refused bool
 }
 
-// Error names the target that was tried last.
-func (nr *noRoomError) Error() string { return "no room at " + nr.target }
+// Error includes the target.
+func (nr *noRoomError) Error() string { return "no room at target " + nr.target }
 
-// try decides once. It returns a noRoomError when the request has to wait.
-func (rt *Router) tryOnce(ctx context.Context, ask Request) (*Slot, error) {
-	left := ask.Deadline.Sub(rt.opts.Now())
+// tryOnce makes one attempt to obtain a slot. It returns a noRoomError if the request has to wait.
+func (rt *Router) tryOnce(ctx context.Context, rq Request) (*Slot, error) {
+	timeLeft := rq.Deadline.Sub(rt.opts.Now())
 	choose := rt.choose
-	if rt.opts.Policy.UsesOwners && !ask.Prompt.Long && ask.Filter.Model != "" {
-		choose = func(ask Request, left time.Duration) (*Slot, error) { return rt.chooseViaOwners(ctx, ask, left) }
+	if rt.opts.Policy.UsesOwners && !rq.Prompt.Long && rq.Filter.Model != "" {
+		choose = func(rq Request, timeLeft time.Duration) (*Slot, error) { return rt.chooseViaOwners(ctx, rq, timeLeft) }
 	}
-	pl, err := choose(ask, left)
+	sl, err := choose(rq, timeLeft)
 	if err != nil {
 		return nil, err
 	}
-	if pl.needsProbe && !rt.probe(ctx, pl.Target) {
-		pl.rollBack()
-		return nil, &noRoomError{target: pl.Target.Name}
+	if sl.needsProbe && !rt.probe(ctx, sl.Target) {
+		sl.rollBack()
+		return nil, &noRoomError{target: sl.Target.Name}
 	}
-	return rt.obtainGrantAndMemory(ctx, ask, pl, left)
+	return rt.obtainGrantAndMemory(ctx, rq, sl, timeLeft)
 }
 
-// choose asks the policy and notes the work at the target, in one step, so that two requests of this instance see
-// each other.
-func (rt *Router) choose(ask Request, left time.Duration) (*Slot, error) {
+// choose calls the policy and adds the load to the chosen target in one step, so that concurrent requests of this instance
+// see each other's load.
+func (rt *Router) choose(rq Request, timeLeft time.Duration) (*Slot, error) {
 	rt.decideMu.Lock()
 	defer rt.decideMu.Unlock()
-	vw := rt.fl.Candidates(ask.Filter)
-	if len(vw.Candidates) == 0 {
+	cs := rt.fl.Candidates(rq.Filter)
+	if len(cs.Candidates) == 0 {
 		return nil, failure.New(failure.NoTarget, failure.NotRun, "no target serves this request now").
 			WithRetryAfter(time.Second)
 	}
 	in := policy.Input{
-		Prompt: ask.Prompt, Candidates: vw.Candidates, Limits: rt.opts.Limits, Sequence: rt.sequence.Add(1),
+		Prompt: rq.Prompt, Candidates: cs.Candidates, Limits: rt.opts.Limits, Sequence: rt.sequence.Add(1),
 	}
 	if rt.opts.Policy.UsesDemand {
-		in.Demand, in.HasDemand = rt.estimateDemand(ask), true
+		in.Demand, in.HasDemand = rt.estimateDemand(rq), true
 	}
-	borrow := rt.limitToOneEngine(&in)
+	borrowed := rt.limitToOneEngine(&in)
 	dec := rt.opts.Policy.Choose(in)
 	if !dec.Placed {
 		return nil, &noRoomError{}
 	}
 	ca := in.Candidates[dec.Index]
-	if need := dec.PredictedWait + ca.PrefillTime(ask.Prompt.Tokens) + minAdmissionMargin; ca.PrefillRateKnown && need > left {
+	if need := dec.PredictedWait + ca.PrefillTime(rq.Prompt.Tokens) + minAdmissionMargin; ca.PrefillRateKnown && need > timeLeft {
 		return nil, failure.New(failure.DeadlineTooShort, failure.NotRun, "the first token is expected in %s, past the deadline",
 			need.Round(time.Millisecond)).WithRetryAfter(dec.PredictedWait)
 	}
@@ -264,30 +274,32 @@
 	if !ok {
 		return nil, &noRoomError{target: ca.Name}
 	}
-	pl := &Slot{
-		Target: t, PredictedWait: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrow,
-		load: loadOf(ask.Prompt, borrow), fleet: rt.fl, needsProbe: vw.NeedsProbe[ca.Name],
-		prefillTime: ca.PrefillTime(ask.Prompt.Tokens),
+	sl := &Slot{
+		Target: t, PredictedWait: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrowed,
+		load: loadOf(rq.Prompt, borrowed), fleet: rt.fl, needsProbe: cs.NeedsProbe[ca.Name],
+		prefillTime: ca.PrefillTime(rq.Prompt.Tokens),
 	}
-	if lanes.HasLongPrefill(ca) && !ask.Prompt.Long {
-		pl.interferenceDelay = ca.InterferenceDelay
+	if lanes.HasLongPrefill(ca) && !rq.Prompt.Long {
+		sl.interferenceDelay = ca.InterferenceDelay
 	}
-	rt.fl.AddLoad(t.Name, pl.load)
-	return pl, nil
+	rt.fl.AddLoad(t.Name, sl.load)
+	return sl, nil
 }
 
-func loadOf(rq policy.Prompt, borrowed int) fleet.Load {
-	wk := fleet.Load{Requests: 1, MemoryTokens: rq.MemoryTokens() - borrowed}
-	wk.PrefillTokens[policy.LengthBand(rq.Tokens)] = rq.Tokens
-	if rq.Long {
-		wk.LongPrompts = 1
+// loadOf returns the load that a prompt adds to its main target, without the memory that is borrowed by reservation.
+func loadOf(pr policy.Prompt, borrowed int) fleet.Load {
+	lo := fleet.Load{Requests: 1, MemoryTokens: pr.MemoryTokens() - borrowed}
+	lo.PrefillTokens[policy.LengthBand(pr.Tokens)] = pr.Tokens
+	if pr.Long {
+		lo.LongPrompts = 1
 	}
-	return wk
+	return lo
 }
 
-// borrowing cuts a prompt larger than any one engine to what it takes on its main engine. It returns the whole
-// memory to reserve: the main engine's part is reserved with the others, for two prompts that hold the rest while
-// they wait for their main engines would wait for each other.
+// limitToOneEngine reduces a prompt that is larger than any engine to the part that its main engine holds, and returns the
+// memory to reserve for the whole prompt. It returns zero for smaller prompts, and if the memory of a candidate is unknown. The
+// part on the main engine is reserved together with the others: two prompts that reserved only the rest and then waited for
+// their main engines would deadlock.
 func (rt *Router) limitToOneEngine(in *policy.Input) int {
 	largest := 0
 	for _, ca := range in.Candidates {
@@ -304,6 +316,7 @@
 	return need
 }
 
+// probe reports whether the target is reachable, and marks it unreachable if the probe fails.
 func (rt *Router) probe(ctx context.Context, t fleet.Target) bool {
 	if rt.opts.Probe == nil {
 		return true
@@ -317,24 +330,25 @@
 	return true
 }
 
-// secure gets what a long prompt needs besides the decision: the owner's grant, and memory on several engines.
-func (rt *Router) obtainGrantAndMemory(ctx context.Context, ask Request, pl *Slot, hold time.Duration) (*Slot, error) {
-	refused := &noRoomError{target: pl.Target.Name, refused: true}
-	if ask.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.RequestGrant != nil {
-		release, granted := rt.opts.RequestGrant(ctx, pl.Target, pl.load.MemoryTokens, hold)
+// obtainGrantAndMemory completes a slot for a long prompt: it obtains the grant of the target's owner, and reserves memory on
+// several engines if the prompt is larger than one. On failure it rolls the slot back.
+func (rt *Router) obtainGrantAndMemory(ctx context.Context, rq Request, sl *Slot, maxHold time.Duration) (*Slot, error) {
+	refused := &noRoomError{target: sl.Target.Name, refused: true}
+	if rq.Prompt.Long && rt.opts.Policy.UsesGrants && rt.opts.RequestGrant != nil {
+		release, granted := rt.opts.RequestGrant(ctx, sl.Target, sl.load.MemoryTokens, maxHold)
 		if !granted {
-			pl.rollBack()
+			sl.rollBack()
 			return nil, refused
 		}
-		pl.releaseFuncs = append(pl.releaseFuncs, release)
+		sl.releaseFuncs = append(sl.releaseFuncs, release)
 	}
-	if pl.BorrowedTokens > 0 {
-		release, err := rt.opts.ReserveMemory(ctx, pl.Target, pl.BorrowedTokens, hold)
+	if sl.BorrowedTokens > 0 {
+		release, err := rt.opts.ReserveMemory(ctx, sl.Target, sl.BorrowedTokens, maxHold)
 		if err != nil {
-			pl.rollBack()
+			sl.rollBack()
 			return nil, refused
 		}
-		pl.releaseFuncs = append(pl.releaseFuncs, release)
+		sl.releaseFuncs = append(sl.releaseFuncs, release)
 	}
-	return pl, nil
+	return sl, nil
 }
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -16,7 +16,7 @@
 	"github.com/silvermount/silvermount/internal/policy/lanes"
 )
 
-// oneEngine returns a router before one engine that computes 1,000 tokens a second and takes one long prompt.
+// newOneEngineRouter returns a router for one engine that computes 1,000 prompt tokens per second and takes one long prompt.
 func newOneEngineRouter(maxWaiting int) *Router {
 	fl := fleet.New(fleet.Instance{Name: "self", AvailabilityZone: "a"})
 	fl.SetTargets([]fleet.Target{{Name: "e", Kind: fleet.KindEngine, AvailabilityZone: "a", Models: []string{"m"}}})
@@ -28,13 +28,15 @@
 	})
 }
 
-func longRequest(tokens int, limit time.Duration) Request {
+func longRequest(tokens int, timeout time.Duration) Request {
 	return Request{
 		Prompt: policy.Prompt{Tokens: tokens, Long: true}, Filter: fleet.Filter{Model: "m", IncludePeerLoad: true},
-		Deadline: time.Now().Add(limit),
+		Deadline: time.Now().Add(timeout),
 	}
 }
 
+// codeOf returns the failure code of an error that states that the request was not run and after which time to retry; for
+// other errors and nil it is empty.
 func codeOf(err error) failure.Code {
 	var fe *failure.Error
 	if errors.As(err, &fe) && fe.Outcome == failure.NotRun && fe.RetryAfter > 0 {
@@ -45,14 +47,14 @@
 
 func TestAcquireBehindLongPrompt(t *testing.T) {
 	tests := map[string]struct {
-		ask      Request
-		waitings int
-		want     failure.Code
+		rq         Request
+		maxWaiting int
+		want       failure.Code
 	}{
-		"has time and waits for its turn":      {ask: longRequest(100_000, time.Hour), waitings: 10},
-		"would be late by its own prompt":      {ask: longRequest(100_000, time.Second), waitings: 10, want: failure.DeadlineTooShort},
-		"no room to wait":                      {ask: longRequest(100_000, time.Hour), want: failure.Overloaded},
-		"a short prompt goes beside the other": {ask: Request{Prompt: policy.Prompt{Tokens: 10}, Filter: fleet.Filter{Model: "m"}, Deadline: time.Now().Add(time.Hour)}, waitings: 10},
+		"long prompt waits until the first is done": {rq: longRequest(100_000, time.Hour), maxWaiting: 10},
+		"long prompt alone takes past its deadline": {rq: longRequest(100_000, time.Second), maxWaiting: 10, want: failure.DeadlineTooShort},
+		"queue is full":                         {rq: longRequest(100_000, time.Hour), want: failure.Overloaded},
+		"short prompt runs beside the long one": {rq: Request{Prompt: policy.Prompt{Tokens: 10}, Filter: fleet.Filter{Model: "m"}, Deadline: time.Now().Add(time.Hour)}, maxWaiting: 10},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,13 +62,13 @@
 			rt := newOneEngineRouter(10)
 			first, err := rt.Acquire(t.Context(), longRequest(100_000, time.Hour))
 			g.Expect(err).NotTo(HaveOccurred())
-			rt.opts.MaxWaiting = tc.waitings
+			rt.opts.MaxWaiting = tc.maxWaiting
 			if tc.want == "" {
 				time.AfterFunc(20*time.Millisecond, first.Release)
 			}
-			pl, err := rt.Acquire(t.Context(), tc.ask)
+			sl, err := rt.Acquire(t.Context(), tc.rq)
 			g.Expect(codeOf(err)).To(Equal(tc.want))
-			g.Expect(pl == nil).To(Equal(tc.want != ""))
+			g.Expect(sl == nil).To(Equal(tc.want != ""))
 			g.Expect(rt.QueueLength()).To(BeZero())
 		})
 	}
@@ -77,11 +79,11 @@
 	rt := newOneEngineRouter(1)
 	first, err := rt.Acquire(t.Context(), longRequest(100_000, time.Hour))
 	g.Expect(err).NotTo(HaveOccurred())
-	yielding := longRequest(100_000, time.Hour)
-	yielding.Sheddable = true
+	sheddable := longRequest(100_000, time.Hour)
+	sheddable.Sheddable = true
 	evicted := make(chan error, 1)
 	go func() {
-		_, err := rt.Acquire(context.Background(), yielding)
+		_, err := rt.Acquire(context.Background(), sheddable)
 		evicted <- err
 	}()
 	g.Eventually(rt.QueueLength).Should(Equal(1))
@@ -95,11 +97,9 @@
 	g.Expect(<-got).NotTo(HaveOccurred())
 }
 
-// TestAllWhoWaitAreToldThatTheTargetsLeft takes the only target from a queue of many.
-//
-// Symptom: requests that cannot be served any more are refused one after the other, the last ones at their deadlines.
-// Sequence: many requests wait in one queue; all targets that could take them leave.
-// Cause: only the first of a queue looks for a place, and when it has left nobody tells the next one.
+// This test guards against requests in one queue that are refused one after the other, the last ones only at their deadlines,
+// when all their targets leave. Only the first waiter of a queue looks for a slot; if it leaves the queue without waking the
+// next one, that one notices only at its own recheck.
 func TestAllWaitersAreRefusedSoonWhenTargetsLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const waiters = 200
@@ -117,11 +117,11 @@
 		synctest.Wait()
 		g.Expect(rt.QueueLength()).To(Equal(waiters))
 		rt.fl.SetTargets(nil)
-		left := time.Now()
+		removed := time.Now()
 		for range waiters {
 			g.Expect(codeOf(<-ended)).To(Equal(failure.NoTarget))
 		}
-		// The clock is the test's own: it does not go on while anybody works.
-		g.Expect(time.Since(left)).To(BeNumerically("<=", 2*recheckInterval))
+		// In a synctest bubble, time advances only while all goroutines are blocked.
+		g.Expect(time.Since(removed)).To(BeNumerically("<=", 2*recheckInterval))
 	})
 }
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -9,20 +9,21 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-// waiter is a request that has no place yet.
+// waiter is a request in the queue. Requests of the same length band and the same model or service form a queue of their own
+// within it, of which only the first waiter looks for a slot.
 type waiter struct {
 	request Request
-	// out is closed when the request has to make way.
+	// evicted is closed when the waiter is removed in favour of a request that is not sheddable.
 	evicted chan struct{}
-	// turn has room for one signal: the request before it in its queue has left without a place.
+	// wake receives a signal when a waiter of the same queue has left without a slot. It is buffered for one signal.
 	wake chan struct{}
 }
 
-func newWaiter(ask Request) *waiter {
-	return &waiter{request: ask, evicted: make(chan struct{}), wake: make(chan struct{}, 1)}
+func newWaiter(rq Request) *waiter {
+	return &waiter{request: rq, evicted: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
-// before orders waiters: class priority, then length band, then deadline.
+// compareWaiters orders waiters by class priority (highest first), then length band (shortest first), then deadline.
 func compareWaiters(a, b *waiter) int {
 	if a.request.Priority != b.request.Priority {
 		return b.request.Priority - a.request.Priority
@@ -33,7 +34,8 @@
 	return a.request.Deadline.Compare(b.request.Deadline)
 }
 
-// enter adds a waiter. When too many wait, the last of those that yield makes way for one that does not.
+// enqueue adds a waiter. If the queue is full, a waiter that is not sheddable evicts the last sheddable one; any other is
+// refused.
 func (rt *Router) enqueue(wt *waiter) error {
 	rt.mu.Lock()
 	full := len(rt.queue) >= rt.opts.MaxWaiting
@@ -47,7 +49,7 @@
 	return nil
 }
 
-// evict ends the last waiter that yields. It is called with the lock held.
+// evictSheddable evicts the last sheddable waiter and reports whether there was one. The caller holds the lock.
 func (rt *Router) evictSheddable() bool {
 	for i, wt := range slices.Backward(rt.queue) {
 		if wt.request.Sheddable {
@@ -67,91 +69,93 @@
 	}
 }
 
-// wakeNext wakes the first of a queue that a waiter has left without a place: what ended one often ends all, and each would
-// else notice it up to 75 ms after the one before it.
-func (rt *Router) wakeNext(gone *waiter) {
+// wakeNext wakes the first waiter of the queue that this waiter has left without a slot. What ended one waiter, such as the
+// loss of all targets, often ends the others too, and without the signal each would notice up to 75 ms after the one before it.
+func (rt *Router) wakeNext(left *waiter) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	i := slices.IndexFunc(rt.queue, func(wt *waiter) bool { return sameQueue(wt, gone) })
+	i := slices.IndexFunc(rt.queue, func(wt *waiter) bool { return sameQueue(wt, left) })
 	if i < 0 {
 		return
 	}
 	select {
 	case rt.queue[i].wake <- struct{}{}:
 	default:
-		// A signal waits already.
+		// A signal is already pending.
 	}
 }
 
-// first reports whether no more urgent request of the same length band and model waits.
+// isFirst reports whether the waiter is the first of its queue.
 func (rt *Router) isFirst(wt *waiter) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	for _, o := range rt.queue {
-		if o == wt {
+	for _, other := range rt.queue {
+		if other == wt {
 			return true
 		}
-		if sameQueue(o, wt) {
+		if sameQueue(other, wt) {
 			return false
 		}
 	}
 	return true
 }
 
+// sameQueue reports whether two waiters have the same length band and the same model or service.
 func sameQueue(a, b *waiter) bool {
 	return policy.LengthBand(a.request.Prompt.Tokens) == policy.LengthBand(b.request.Prompt.Tokens) &&
 		a.request.Filter.Model == b.request.Filter.Model && a.request.Filter.Service == b.request.Filter.Service
 }
 
-// inTime refuses a request at once when those before it in its queue and its own prompt take longer than it has.
+// checkDeadline returns an error if the prompts ahead of a waiter in its queue and its own prompt are predicted to take longer
+// than the time left until its deadline.
 func (rt *Router) checkDeadline(wt *waiter) error {
 	rt.mu.Lock()
 	tokens := wt.request.Prompt.Tokens
-	for _, o := range rt.queue {
-		if o == wt {
+	for _, other := range rt.queue {
+		if other == wt {
 			break
 		}
-		if sameQueue(o, wt) {
-			tokens += o.request.Prompt.Tokens
+		if sameQueue(other, wt) {
+			tokens += other.request.Prompt.Tokens
 		}
 	}
 	rt.mu.Unlock()
 	need, known := rt.drainTime(wt.request, tokens)
-	if left := wt.request.Deadline.Sub(rt.opts.Now()); known && need > left {
+	if timeLeft := wt.request.Deadline.Sub(rt.opts.Now()); known && need > timeLeft {
 		return failure.New(failure.DeadlineTooShort, failure.NotRun, "the queue before it takes about %s, past the deadline",
-			need.Round(time.Millisecond)).WithRetryAfter(need - left)
+			need.Round(time.Millisecond)).WithRetryAfter(need - timeLeft)
 	}
 	return nil
 }
 
-// drainTime is how long the targets that may take a request need for some prompt tokens. It is not known while no
-// target has told its speed.
-func (rt *Router) drainTime(ask Request, tokens int) (need time.Duration, known bool) {
-	sum := 0.0
-	for _, ca := range rt.fl.Candidates(fleet.Filter{Model: ask.Filter.Model, Service: ask.Filter.Service}).Candidates {
+// drainTime returns the time that the targets that can serve the request need to compute this number of prompt tokens. It is
+// unknown while no target has a known prefill rate.
+func (rt *Router) drainTime(rq Request, tokens int) (need time.Duration, known bool) {
+	totalRate := 0.0
+	for _, ca := range rt.fl.Candidates(fleet.Filter{Model: rq.Filter.Model, Service: rq.Filter.Service}).Candidates {
 		if ca.PrefillRateKnown {
-			sum += ca.PrefillRate
+			totalRate += ca.PrefillRate
 		}
 	}
-	if ask.Prompt.Long {
-		sum *= rt.opts.Limits.MaxLongTargetShare
+	if rq.Prompt.Long {
+		totalRate *= rt.opts.Limits.MaxLongTargetShare
 	}
-	if sum <= 0 {
+	if totalRate <= 0 {
 		return 0, false
 	}
-	return time.Duration(float64(tokens) / sum * float64(time.Second)), true
+	return time.Duration(float64(tokens) / totalRate * float64(time.Second)), true
 }
 
-// overloaded tells the caller to come back when what waits now is done.
+// overloadError returns an error that tells the caller to retry after the time needed to drain the queue, at least 1 s.
 func (rt *Router) overloadError() error {
 	rt.mu.Lock()
-	tokens, ask := 0, Request{}
+	tokens, rq := 0, Request{}
 	for _, wt := range rt.queue {
 		tokens += wt.request.Prompt.Tokens
-		ask = wt.request
+		rq = wt.request
 	}
 	n := len(rt.queue)
 	rt.mu.Unlock()
-	need, _ := rt.drainTime(ask, tokens)
+	need, _ := rt.drainTime(rq, tokens)
 	return failure.New(failure.Overloaded, failure.NotRun, "%d requests wait already", n).WithRetryAfter(max(time.Second, need))
 }
