--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -12,7 +12,7 @@
 
 type clock struct{ at time.Time }
 
-// newFleet returns the view of instance self in zone a, with peers and targets spread over zones.
+// newFleet returns the Fleet of the instance self in zone a, with peers and targets distributed evenly over the zones.
 func newFleet(peers, targets, zones int) (*Fleet, *clock) {
 	ck := &clock{at: time.Unix(1_000_000, 0)}
 	fl := New(Instance{Name: "self", AvailabilityZone: "a"}, WithClock(func() time.Time { return ck.at }))
@@ -30,13 +30,13 @@
 }
 
 func TestAssignOwnersDistributesTargetsEvenly(t *testing.T) {
-	tests := map[string]struct{ peers, targets, zones, least, most int }{
-		"alone":               {targets: 5, zones: 1, least: 5, most: 5},
-		"one zone":            {peers: 3, targets: 8, zones: 1, least: 2, most: 2},
-		"not evenly":          {peers: 7, targets: 20, zones: 1, least: 2, most: 3},
-		"one more than even":  {peers: 7, targets: 17, zones: 1, least: 2, most: 3},
-		"zones of their own":  {peers: 6, targets: 12, zones: 3, least: 1, most: 2},
-		"a zone without peer": {peers: 1, targets: 9, zones: 3, least: 3, most: 6},
+	tests := map[string]struct{ peers, targets, zones, minOwned, maxOwned int }{
+		"no peers":                  {targets: 5, zones: 1, minOwned: 5, maxOwned: 5},
+		"one zone":                  {peers: 3, targets: 8, zones: 1, minOwned: 2, maxOwned: 2},
+		"large remainder":           {peers: 7, targets: 20, zones: 1, minOwned: 2, maxOwned: 3},
+		"remainder of one":          {peers: 7, targets: 17, zones: 1, minOwned: 2, maxOwned: 3},
+		"instances in every zone":   {peers: 6, targets: 12, zones: 3, minOwned: 1, maxOwned: 2},
+		"zones without an instance": {peers: 1, targets: 9, zones: 3, minOwned: 3, maxOwned: 6},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -48,9 +48,9 @@
 				g.Expect(owner).NotTo(BeEmpty())
 				counts[owner]++
 			}
-			g.Expect(counts).To(HaveLen(tc.peers+1), "every instance owns some")
+			g.Expect(counts).To(HaveLen(tc.peers+1), "every instance owns at least one target")
 			for owner, n := range counts {
-				g.Expect(n).To(And(BeNumerically(">=", tc.least), BeNumerically("<=", tc.most)), owner)
+				g.Expect(n).To(And(BeNumerically(">=", tc.minOwned), BeNumerically("<=", tc.maxOwned)), owner)
 			}
 		})
 	}
@@ -66,34 +66,34 @@
 	g.Expect(fl.Owned()).To(HaveLen(3))
 }
 
-func candidateNames(vw CandidateSet) []string {
+func candidateNames(cs CandidateSet) []string {
 	var all []string
-	for _, ca := range vw.Candidates {
+	for _, ca := range cs.Candidates {
 		all = append(all, ca.Name)
 	}
 	return all
 }
 
 func TestCandidatesAfterEvent(t *testing.T) {
-	wanted := Filter{Model: "m", IncludePeerLoad: true}
+	filter := Filter{Model: "m", IncludePeerLoad: true}
 	tests := map[string]struct {
-		do   func(fl *Fleet, ck *clock)
-		want []string
+		event func(fl *Fleet, ck *clock)
+		want  []string
 	}{
-		"nothing":                    {do: func(*Fleet, *clock) {}, want: []string{"engine-00", "engine-01"}},
-		"own report of leaving":      {do: func(fl *Fleet, _ *clock) { fl.ApplyReport("engine-00", engine.Report{Incarnation: "x", Leaving: true}) }, want: []string{"engine-01"}},
-		"peer's news of leaving":     {do: peerReportsLeaving, want: []string{"engine-01"}},
-		"leaving, then a new run":    {do: leavingTargetRestarts, want: []string{"engine-00", "engine-01"}},
-		"a refused connection":       {do: func(fl *Fleet, _ *clock) { fl.MarkUnreachable("engine-00") }, want: []string{"engine-01"}},
-		"refused everywhere":         {do: func(fl *Fleet, _ *clock) { fl.MarkUnreachable("engine-00"); fl.MarkUnreachable("engine-01") }},
-		"refused, some time ago":     {do: func(fl *Fleet, ck *clock) { fl.MarkUnreachable("engine-00"); ck.at = ck.at.Add(2 * unreachableTime) }, want: []string{"engine-00", "engine-01"}},
-		"failures in a row":          {do: func(fl *Fleet, _ *clock) { failRepeatedly(fl, "engine-00") }, want: []string{"engine-01"}},
-		"failures everywhere: floor": {do: func(fl *Fleet, _ *clock) { failRepeatedly(fl, "engine-00"); failRepeatedly(fl, "engine-01") }, want: []string{"engine-00", "engine-01"}},
-		"no longer listed":           {do: func(fl *Fleet, _ *clock) { fl.SetTargets(fl.Targets()[1:]) }, want: []string{"engine-01"}},
-		"report of another model": {do: func(fl *Fleet, _ *clock) {
+		"no event":                           {event: func(*Fleet, *clock) {}, want: []string{"engine-00", "engine-01"}},
+		"report says that target is leaving": {event: func(fl *Fleet, _ *clock) { fl.ApplyReport("engine-00", engine.Report{Incarnation: "x", Leaving: true}) }, want: []string{"engine-01"}},
+		"peer says that target is leaving":   {event: peerReportsLeaving, want: []string{"engine-01"}},
+		"leaving target restarts":            {event: leavingTargetRestarts, want: []string{"engine-00", "engine-01"}},
+		"target refuses connections":         {event: func(fl *Fleet, _ *clock) { fl.MarkUnreachable("engine-00") }, want: []string{"engine-01"}},
+		"all targets refuse connections":     {event: func(fl *Fleet, _ *clock) { fl.MarkUnreachable("engine-00"); fl.MarkUnreachable("engine-01") }},
+		"target refused connections earlier": {event: func(fl *Fleet, ck *clock) { fl.MarkUnreachable("engine-00"); ck.at = ck.at.Add(2 * unreachableTime) }, want: []string{"engine-00", "engine-01"}},
+		"target fails repeatedly":            {event: func(fl *Fleet, _ *clock) { failRepeatedly(fl, "engine-00") }, want: []string{"engine-01"}},
+		"all targets fail repeatedly":        {event: func(fl *Fleet, _ *clock) { failRepeatedly(fl, "engine-00"); failRepeatedly(fl, "engine-01") }, want: []string{"engine-00", "engine-01"}},
+		"target is no longer listed":         {event: func(fl *Fleet, _ *clock) { fl.SetTargets(fl.Targets()[1:]) }, want: []string{"engine-01"}},
+		"report lists another model": {event: func(fl *Fleet, _ *clock) {
 			fl.ApplyReport("engine-00", engine.Report{Incarnation: "x", Models: []string{"n"}})
 		}, want: []string{"engine-01"}},
-		"success between failures": {do: func(fl *Fleet, _ *clock) {
+		"success between failures": {event: func(fl *Fleet, _ *clock) {
 			fl.RecordFailure("engine-00")
 			fl.RecordSuccess("engine-00")
 			fl.RecordFailure("engine-00")
@@ -103,8 +103,8 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			fl, ck := newFleet(0, 2, 1)
-			tc.do(fl, ck)
-			NewWithT(t).Expect(candidateNames(fl.Candidates(wanted))).To(Equal(tc.want))
+			tc.event(fl, ck)
+			NewWithT(t).Expect(candidateNames(fl.Candidates(filter))).To(Equal(tc.want))
 		})
 	}
 }
@@ -125,16 +125,15 @@
 	}
 }
 
-// TestWorkIsCountedOnce shows that an owner's summary leaves out the receiver's own work.
 func TestSummaryExcludesLoadOfReceiver(t *testing.T) {
 	g := NewWithT(t)
 	owner, _ := newFleet(0, 1, 1)
-	wk := Load{Requests: 1, MemoryTokens: 10, LongPrompts: 1}
-	owner.AddLoad("engine-00", wk)
-	asker := Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "b"}
-	owner.ApplyHeartbeat(Heartbeat{Sender: asker, Usage: map[string]Load{"engine-00": wk}})
+	lo := Load{Requests: 1, MemoryTokens: 10, LongPrompts: 1}
+	owner.AddLoad("engine-00", lo)
+	peer := Instance{Name: "peer-00", Incarnation: "1", AvailabilityZone: "b"}
+	owner.ApplyHeartbeat(Heartbeat{Sender: peer, Usage: map[string]Load{"engine-00": lo}})
 	g.Expect(owner.SummariesFor("peer-00")[0].Load.MemoryTokens).To(Equal(10))
 	g.Expect(owner.SummariesFor("another")[0].Load.MemoryTokens).To(Equal(20))
 	owner.ApplyHeartbeat(Heartbeat{Sender: Instance{Name: "peer-00", Incarnation: "2", AvailabilityZone: "b"}})
-	g.Expect(owner.SummariesFor("another")[0].Load.MemoryTokens).To(Equal(10), "work of an ended run is forgotten")
+	g.Expect(owner.SummariesFor("another")[0].Load.MemoryTokens).To(Equal(10), "the load of an ended incarnation is forgotten")
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// defaultRate is assumed until a target has answered once.
+	// assumedPrefillRate is the prefill rate, in prompt tokens per second, of a target whose rate is unknown.
 	assumedPrefillRate = 10_000
-	// rateWeight is the weight of a new sample of a target's rate.
+	// sampleWeight is the weight of a new sample in the moving averages of prefill rates and of the interference delay.
 	sampleWeight = 0.2
-	// confirmWithin is the silence after which a target needs a probe before new work.
+	// maxUnconfirmedAge is the silence after which a target must be probed before it gets new requests.
 	maxUnconfirmedAge = 3 * time.Second
-	// ejectAfter failures in a row take a target out for ejectFor.
+	// After ejectionThreshold failures in a row, a target is ejected for ejectionTime.
 	ejectionThreshold = 3
 	ejectionTime      = 2 * time.Second
-	// downFor is how long a target without connections is left alone before the next probe.
+	// unreachableTime is the time for which a target that accepts no connections is not used; after it, a probe is needed.
 	unreachableTime = time.Second
-	// ejectFloor is the least share of targets that stays in.
+	// minShareNotEjected is the minimum share of eligible targets that must remain; ejections are ignored below it.
 	minShareNotEjected = 0.5
-	// manyTargets is the number of candidates from which only those nearby are weighed.
+	// maxTargetsAllZones is the number of eligible targets above which only those in the own availability zone are used.
 	maxTargetsAllZones = 64
-	// rateSampleTokens is the shortest prompt whose time tells the rate.
+	// minRateSampleTokens is the minimum length of a prompt whose prefill time is used as a sample of the prefill rate.
 	minRateSampleTokens = 1000
 )
 
-// ApplyReport takes a load report asked from the target itself.
+// ApplyReport applies a load report that this instance got from the target itself.
 func (fl *Fleet) ApplyReport(target string, r engine.Report) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Confirm notes that a plain service answered.
+// ConfirmReachable records that a plain service answered a request.
 func (fl *Fleet) ConfirmReachable(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// MarkLeaving notes that the present incarnation of a target is leaving.
+// MarkLeaving records that the current incarnation of a target is leaving, so that it gets no new requests.
 func (fl *Fleet) MarkLeaving(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -65,48 +65,51 @@
 	}
 }
 
+// markLeaving records that an incarnation of a target is leaving; an empty one is ignored. The caller holds the lock.
 func (fl *Fleet) markLeaving(target, incarnation string) {
 	if kt := fl.targets[target]; kt != nil && incarnation != "" {
 		kt.leavingIncarnation = incarnation
 	}
 }
 
-// Leaving returns the targets known to be leaving, with the incarnation.
+// Leaving returns the names of targets whose current incarnation is leaving, with that incarnation.
 func (fl *Fleet) Leaving() map[string]string {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	news := map[string]string{}
+	leaving := map[string]string{}
 	for name, kt := range fl.targets {
 		if kt.leavingIncarnation != "" && kt.leavingIncarnation == kt.incarnation {
-			news[name] = kt.leavingIncarnation
+			leaving[name] = kt.leavingIncarnation
 		}
 	}
-	return news
+	return leaving
 }
 
-// Begin notes work that this instance sends to a target.
-func (fl *Fleet) AddLoad(target string, wk Load) { fl.addSigned(target, wk, 1) }
+// AddLoad adds load that this instance sends to a target.
+func (fl *Fleet) AddLoad(target string, lo Load) { fl.addSigned(target, lo, 1) }
 
-// End takes back work noted by Begin, and wakes those who wait for room.
-func (fl *Fleet) RemoveLoad(target string, wk Load) {
-	fl.addSigned(target, wk, -1)
+// RemoveLoad removes load that AddLoad added, and wakes the requests that wait for room.
+func (fl *Fleet) RemoveLoad(target string, lo Load) {
+	fl.addSigned(target, lo, -1)
 	fl.mu.Lock()
 	fl.notify()
 	fl.mu.Unlock()
 }
 
-// Undo takes back work that was never sent. It wakes nobody: those who wait would else wake each other for ever.
-func (fl *Fleet) RevertLoad(target string, wk Load) { fl.addSigned(target, wk, -1) }
+// RevertLoad removes load of a request that was never sent. It does not wake waiting requests: they would wake each other in
+// an endless loop, since each that tries in vain reverts its load.
+func (fl *Fleet) RevertLoad(target string, lo Load) { fl.addSigned(target, lo, -1) }
 
-func (fl *Fleet) addSigned(target string, wk Load, sign int) {
+// addSigned adds the load, multiplied by sign, to the load of this instance at the target.
+func (fl *Fleet) addSigned(target string, lo Load, sign int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
-		kt.ownLoad = kt.ownLoad.plusSigned(wk, sign)
+		kt.ownLoad = kt.ownLoad.plusSigned(lo, sign)
 	}
 }
 
-// Observe learns from an attempt that got its first token while nothing else was being prefilled.
+// ObservePrefill updates the prefill rate of a target with the prefill time of a prompt that ran there without other prefill.
 func (fl *Fleet) ObservePrefill(target string, tokens int, took time.Duration) {
 	if tokens < minRateSampleTokens || took <= 0 {
 		return
@@ -124,14 +127,15 @@
 	kt.prefillRate += sampleWeight * (sample - kt.prefillRate)
 }
 
-// ObserveBesideLong learns from a short prompt that ran beside a long one by how much it came later than predicted.
+// ObserveInterference updates the interference delay with the time by which the first token of a short prompt, on a target with
+// a long prompt, came later than predicted without the long one. A negative delay counts as zero.
 func (fl *Fleet) ObserveInterference(extra time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	fl.interferenceDelay += time.Duration(sampleWeight * float64(max(0, extra)-fl.interferenceDelay))
 }
 
-// Failure counts a failed attempt; several in a row take the target out for a while.
+// RecordFailure counts a failed attempt. After ejectionThreshold failures in a row, the target is ejected for a while.
 func (fl *Fleet) RecordFailure(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -146,7 +150,8 @@
 	}
 }
 
-// Down takes a target that takes no connections out for a while, whatever is left; then it needs a probe.
+// MarkUnreachable excludes a target that accepts no connections for a while, even if no other target remains. After that it
+// needs a probe.
 func (fl *Fleet) MarkUnreachable(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -156,7 +161,7 @@
 	}
 }
 
-// Success ends a run of failures.
+// RecordSuccess resets the count of failures in a row.
 func (fl *Fleet) RecordSuccess(target string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -165,65 +170,66 @@
 	}
 }
 
-// Wanted selects candidates.
+// Filter selects the targets that can serve a request.
 type Filter struct {
 	// Model is set for engines, Service for plain services.
 	Model, Service string
-	// Except names targets that were tried already.
+	// Exclude holds the names of targets that were already tried.
 	Exclude []string
-	// Peers makes the view include what peers have in flight.
+	// IncludePeerLoad adds the load of peers to that of this instance.
 	IncludePeerLoad bool
-	// Owned leaves out targets that this instance does not own. What peers have in flight of short prompts is then
-	// taken from what they asked for, which is newer than their heartbeats.
+	// OwnedOnly excludes targets that this instance does not own. The short prompts of peers are then counted from the offers
+	// made to them, which are newer than their heartbeats.
 	OwnedOnly bool
 }
 
-// View is the candidates for a request with what must be done before use.
+// CandidateSet is the result of Candidates.
 type CandidateSet struct {
-	// Candidates are in the order of their names, this availability zone's first.
+	// Candidates are sorted by name.
 	Candidates []policy.Candidate
-	// Unconfirmed are those that need a probe first.
+	// NeedsProbe holds the names of candidates that must be probed before use, since nobody has heard from them lately.
 	NeedsProbe map[string]bool
 }
 
-// Candidates returns the targets that may take new work.
-func (fl *Fleet) Candidates(wn Filter) CandidateSet {
+// Candidates returns the targets that match the filter and may get new requests.
+func (fl *Fleet) Candidates(fi Filter) CandidateSet {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	now := fl.now()
-	fit := fl.preferOwnZone(fl.eligible(wn))
-	in := slices.DeleteFunc(slices.Clone(fit), func(kt *knownTarget) bool { return now.Before(kt.ejectedUntil) })
-	if float64(len(in)) >= minShareNotEjected*float64(len(fit)) {
-		fit = in
-	}
-	vw := CandidateSet{NeedsProbe: map[string]bool{}}
-	for _, kt := range fit {
-		vw.Candidates = append(vw.Candidates, fl.candidate(kt, wn))
+	eligible := fl.preferOwnZone(fl.eligible(fi))
+	notEjected := slices.DeleteFunc(slices.Clone(eligible), func(kt *knownTarget) bool { return now.Before(kt.ejectedUntil) })
+	if float64(len(notEjected)) >= minShareNotEjected*float64(len(eligible)) {
+		eligible = notEjected
+	}
+	cs := CandidateSet{NeedsProbe: map[string]bool{}}
+	for _, kt := range eligible {
+		cs.Candidates = append(cs.Candidates, fl.candidate(kt, fi))
 		if now.Sub(kt.confirmedAt()) > maxUnconfirmedAge {
-			vw.NeedsProbe[kt.Name] = true
+			cs.NeedsProbe[kt.Name] = true
 		}
 	}
-	return vw
+	return cs
 }
 
-// nearby leaves out other availability zones in a large fleet, where this one has targets enough and a message to
-// each other zone for every decision would not pay.
+// preferOwnZone excludes targets in other availability zones if there are many, unless the own zone has none. In a large fleet
+// the own zone has enough targets, and messages to every other zone for each decision would not pay off.
 func (fl *Fleet) preferOwnZone(all []*knownTarget) []*knownTarget {
 	if len(all) <= maxTargetsAllZones {
 		return all
 	}
-	var near []*knownTarget
+	var ownZone []*knownTarget
 	for _, kt := range all {
 		if kt.AvailabilityZone == fl.self.AvailabilityZone {
-			near = append(near, kt)
+			ownZone = append(ownZone, kt)
 		}
 	}
-	if len(near) == 0 {
+	if len(ownZone) == 0 {
 		return all
 	}
-	return near
+	return ownZone
 }
 
+// confirmedAt returns the last time at which this instance or the owner is known to have heard from the target.
 func (kt *knownTarget) confirmedAt() time.Time {
 	heard := kt.summaryAt.Add(-kt.summary.Age)
 	if kt.reportAt.After(heard) {
@@ -232,32 +238,36 @@
 	return heard
 }
 
-func (fl *Fleet) eligible(wn Filter) []*knownTarget {
-	var fit []*knownTarget
+// eligible returns the targets that match the filter and are listed, reachable and not leaving, sorted by name. The caller
+// holds the lock.
+func (fl *Fleet) eligible(fi Filter) []*knownTarget {
+	var eligible []*knownTarget
 	for _, name := range fl.targetNames() {
 		kt := fl.targets[name]
 		leaving := kt.Leaving || (kt.leavingIncarnation != "" && kt.leavingIncarnation == kt.incarnation)
-		if wn.OwnedOnly && fl.owner(name) != fl.self.Name {
+		if fi.OwnedOnly && fl.owner(name) != fl.self.Name {
 			continue
 		}
 		if fl.now().Before(kt.unreachableUntil) {
 			continue
 		}
-		if kt.listed && !leaving && kt.serves(wn) && !slices.Contains(wn.Exclude, name) {
-			fit = append(fit, kt)
+		if kt.listed && !leaving && kt.serves(fi) && !slices.Contains(fi.Exclude, name) {
+			eligible = append(eligible, kt)
 		}
 	}
-	return fit
+	return eligible
 }
 
-func (kt *knownTarget) serves(wn Filter) bool {
-	if wn.Service != "" {
-		return kt.Kind == KindService && kt.Service == wn.Service
+// serves reports whether the target provides the service or has loaded the model of the filter.
+func (kt *knownTarget) serves(fi Filter) bool {
+	if fi.Service != "" {
+		return kt.Kind == KindService && kt.Service == fi.Service
 	}
-	return kt.Kind == KindEngine && slices.Contains(kt.loadedModels(), wn.Model)
+	return kt.Kind == KindEngine && slices.Contains(kt.loadedModels(), fi.Model)
 }
 
-// loaded returns the newest known models of an engine.
+// loadedModels returns the models of an engine from the newest source: the last report, the owner's summary or the platform's
+// list.
 func (kt *knownTarget) loadedModels() []string {
 	switch {
 	case kt.reportAt.After(kt.summaryAt) && kt.report.Models != nil:
@@ -269,18 +279,19 @@
 	}
 }
 
-func (fl *Fleet) candidate(kt *knownTarget, wn Filter) policy.Candidate {
-	all := kt.ownLoad
-	if wn.IncludePeerLoad {
-		all = fl.inFlightLoad(kt)
+// candidate converts a target to a candidate of the policy. The caller holds the lock.
+func (fl *Fleet) candidate(kt *knownTarget, fi Filter) policy.Candidate {
+	lo := kt.ownLoad
+	if fi.IncludePeerLoad {
+		lo = fl.inFlightLoad(kt)
 	}
-	if wn.OwnedOnly {
-		fl.countOffers(kt, &all)
+	if fi.OwnedOnly {
+		fl.countOffers(kt, &lo)
 	}
 	ca := policy.Candidate{
 		Name:        kt.Name,
 		OwnRequests: kt.ownLoad.Requests, OwnPrefill: kt.ownLoad.PrefillTokens,
-		InFlightPrefill: all.PrefillTokens, InFlightLong: all.LongPrompts, InFlightMemory: all.MemoryTokens,
+		InFlightPrefill: lo.PrefillTokens, InFlightLong: lo.LongPrompts, InFlightMemory: lo.MemoryTokens,
 		ReportedPrefill: kt.report.PrefillTokens,
 		PrefillRate:     kt.prefillRate, MemoryTotal: kt.report.MemoryTotal,
 	}
@@ -299,7 +310,8 @@
 	return ca
 }
 
-// allWork is the owner's total, corrected by what this instance did since.
+// inFlightLoad returns the load of all instances on a target: the exact total if this instance is the owner, otherwise the
+// owner's last summary, which excludes this instance, plus the own load. A summary older than peerTimeout is ignored.
 func (fl *Fleet) inFlightLoad(kt *knownTarget) Load {
 	if fl.owner(kt.Name) == fl.self.Name {
 		return kt.totalLoad()
--- a/internal/fleet/offers.go
+++ b/internal/fleet/offers.go
@@ -7,16 +7,18 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-// askedShare is how much longer than predicted a prompt that was asked for is counted.
+// offerTimeMargin is the factor by which an offered prompt is counted longer than its predicted wait and prefill time.
 const offerTimeMargin = 1.2
 
-// asked is a short prompt that a peer sends to an owned target.
+// offeredPrompt is a short prompt of a peer for which an owned target was offered.
 type offeredPrompt struct {
 	tokens, band int
-	until        time.Time
+	// until is the time up to which the prompt counts as load.
+	until time.Time
 }
 
-// NoteAsked counts a peer's short prompt at an owned target until it has surely been computed.
+// RecordOffer counts a short prompt of a peer as load on an owned target, until RemoveOffer or until the prompt should have been
+// computed, with a margin.
 func (fl *Fleet) RecordOffer(target string, k grant.Key, tokens int, wait time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -28,14 +30,14 @@
 	if rate <= 0 {
 		rate = assumedPrefillRate
 	}
-	work := time.Duration(float64(tokens) / rate * float64(time.Second))
+	prefillTime := time.Duration(float64(tokens) / rate * float64(time.Second))
 	kt.offers[k] = offeredPrompt{
 		tokens: tokens, band: policy.LengthBand(tokens),
-		until: fl.now().Add(time.Duration(float64(wait+work) * offerTimeMargin)),
+		until: fl.now().Add(time.Duration(float64(wait+prefillTime) * offerTimeMargin)),
 	}
 }
 
-// DropAsked takes back what NoteAsked counted.
+// RemoveOffer stops counting a prompt that RecordOffer added.
 func (fl *Fleet) RemoveOffer(target string, k grant.Key) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -44,20 +46,21 @@
 	}
 }
 
-// countAsked puts what peers asked for in the place of what their heartbeats tell of short prompts.
-func (fl *Fleet) countOffers(kt *knownTarget, all *Load) {
+// countOffers replaces the prefill of peers' short prompts in a load, which comes from heartbeats, by that of offers. It deletes
+// expired offers. The caller holds the lock.
+func (fl *Fleet) countOffers(kt *knownTarget, lo *Load) {
 	now := fl.now()
 	for b := range numOfferedBands {
-		all.PrefillTokens[b] = kt.ownLoad.PrefillTokens[b]
+		lo.PrefillTokens[b] = kt.ownLoad.PrefillTokens[b]
 	}
-	for k, a := range kt.offers {
-		if now.After(a.until) {
+	for k, op := range kt.offers {
+		if now.After(op.until) {
 			delete(kt.offers, k)
 			continue
 		}
-		all.PrefillTokens[a.band] += a.tokens
+		lo.PrefillTokens[op.band] += op.tokens
 	}
 }
 
-// shortBands is the number of length bands whose prompts are asked for one by one.
+// numOfferedBands is the number of length bands, from the shortest, whose prompts are counted from offers: all but the longest.
 const numOfferedBands = policy.NumLengthBands - 1
--- a/internal/fleet/owners.go
+++ b/internal/fleet/owners.go
@@ -8,23 +8,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownersFor is how long the computed owners hold when nothing is heard that would change them.
+// maxOwnershipAge is the age at which owners are computed again even if no event has invalidated them.
 const maxOwnershipAge = 200 * time.Millisecond
 
-// owners is who owns each target, computed from one view of who is live.
+// ownership is the assignment of all targets to owners, computed from the set of live instances.
 type ownership struct {
+	// ownerOf maps names of targets to names of instances.
 	ownerOf    map[string]string
 	computedAt time.Time
 }
 
-// Owner returns the name of the instance that owns a target.
+// Owner returns the name of the instance that owns a target, or an empty one for an unknown target. The owner collects the load
+// of all instances on the target, issues grants and makes offers for it.
 func (fl *Fleet) Owner(t Target) string {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.owner(t.Name)
 }
 
-// owner is called with the lock held. A target that is not known has no owner.
+// owner returns the owner of the target with this name, or an empty one for an unknown target. The caller holds the lock.
 func (fl *Fleet) owner(name string) string {
 	if fl.ownership.ownerOf == nil || fl.now().Sub(fl.ownership.computedAt) > maxOwnershipAge {
 		fl.ownership = ownership{ownerOf: fl.assignOwners(), computedAt: fl.now()}
@@ -32,15 +34,15 @@
 	return fl.ownership.ownerOf[name]
 }
 
-// group is the targets that are shared out together.
+// targetGroup identifies targets that are distributed together.
 type targetGroup struct {
 	zone string
 	kind Kind
 }
 
-// assign gives each target to a live instance of its availability zone, or of any where the zone has none: to the one
-// with the highest hash that has less than its share. No two instances differ by more than one target of a kind, and a
-// change of instances moves few targets.
+// assignOwners assigns each target to a live instance of its availability zone, or to any live instance if the zone has none. It
+// takes the instance with the highest hash that has less than its share of the group. Within a group, the numbers of targets of
+// any two instances differ by at most one, and a change of the live instances moves few targets.
 func (fl *Fleet) assignOwners() map[string]string {
 	all := fl.liveInstances()
 	byZone := map[string][]Instance{}
@@ -53,49 +55,51 @@
 		gr := targetGroup{zone: kt.AvailabilityZone, kind: kt.Kind}
 		members[gr] = append(members[gr], name)
 	}
-	of := make(map[string]string, len(fl.targets))
+	ownerOf := make(map[string]string, len(fl.targets))
 	for gr, names := range members {
-		able := byZone[gr.zone]
-		if len(able) == 0 {
-			able = all
+		instances := byZone[gr.zone]
+		if len(instances) == 0 {
+			instances = all
 		}
-		assignEvenly(names, able, of)
+		assignEvenly(names, instances, ownerOf)
 	}
-	return of
+	return ownerOf
 }
 
-// share gives names to instances, each its even share; the first few may take one more.
-func assignEvenly(names []string, able []Instance, of map[string]string) {
-	load := map[string]int{}
-	even, more := len(names)/len(able), len(names)%len(able)
+// assignEvenly assigns the named targets to instances and records the owners in ownerOf. Each instance gets an equal share; if
+// there is a remainder, some get one target more.
+func assignEvenly(names []string, instances []Instance, ownerOf map[string]string) {
+	counts := map[string]int{}
+	share, remainder := len(names)/len(instances), len(names)%len(instances)
 	for _, name := range names {
-		best := highestHash(name, able, func(in Instance) bool {
-			return load[in.Name] < even || (load[in.Name] == even && more > 0)
+		best := highestHash(name, instances, func(in Instance) bool {
+			return counts[in.Name] < share || (counts[in.Name] == share && remainder > 0)
 		})
-		if load[best] >= even {
-			more--
+		if counts[best] >= share {
+			remainder--
 		}
-		load[best]++
-		of[name] = best
+		counts[best]++
+		ownerOf[name] = best
 	}
 }
 
-// highest returns the instance with the highest hash among those that may take more, or among all when none may.
-func highestHash(name string, able []Instance, may func(Instance) bool) string {
-	best, top := "", uint64(0)
-	for _, in := range able {
+// highestHash returns the instance with the highest hash (rendezvous hashing) among those that have room for another target, or
+// among all if none has.
+func highestHash(name string, instances []Instance, hasRoom func(Instance) bool) string {
+	best, bestHash := "", uint64(0)
+	for _, in := range instances {
 		h := xxhash.Sum64String(name + "\x00" + in.Name)
-		if may(in) && (best == "" || cmp.Or(cmp.Compare(h, top), cmp.Compare(in.Name, best)) > 0) {
-			best, top = in.Name, h
+		if hasRoom(in) && (best == "" || cmp.Or(cmp.Compare(h, bestHash), cmp.Compare(in.Name, best)) > 0) {
+			best, bestHash = in.Name, h
 		}
 	}
 	if best == "" {
-		return highestHash(name, able, func(Instance) bool { return true })
+		return highestHash(name, instances, func(Instance) bool { return true })
 	}
 	return best
 }
 
-// liveInstances returns this instance and its live peers, by name. It is called with the lock held.
+// liveInstances returns this instance and its live peers, sorted by name. The caller holds the lock.
 func (fl *Fleet) liveInstances() []Instance {
 	all := []Instance{fl.self}
 	for _, kp := range fl.peers {
@@ -107,15 +111,16 @@
 	return all
 }
 
-// LiveInstances returns the number of live instances, this one included.
+// LiveInstanceCount returns the number of live instances including this one.
 func (fl *Fleet) LiveInstanceCount() int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return len(fl.liveInstances())
 }
 
-// OtherOwners returns the live peers that own an engine with the model, this availability zone's first.
-func (fl *Fleet) PeersOwning(model string) (near, far []string) {
+// PeersOwning returns the names of live peers that own an engine with the model: those in the availability zone of this instance
+// and those in other zones.
+func (fl *Fleet) PeersOwning(model string) (ownZone, otherZones []string) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	seen := map[string]bool{fl.self.Name: true, "": true}
@@ -126,10 +131,10 @@
 		}
 		seen[owner] = true
 		if kp := fl.peers[owner]; kp != nil && kp.AvailabilityZone == fl.self.AvailabilityZone {
-			near = append(near, owner)
+			ownZone = append(ownZone, owner)
 		} else {
-			far = append(far, owner)
+			otherZones = append(otherZones, owner)
 		}
 	}
-	return near, far
+	return ownZone, otherZones
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -8,77 +8,80 @@
 	"github.com/silvermount/silvermount/internal/set"
 )
 
-// Beat is what a peer says of itself and of targets.
+// Heartbeat is the state of a peer and of the targets that it knows, as it sends it periodically.
 type Heartbeat struct {
-	// From is the sender.
+	// Sender is the peer that sent the heartbeat.
 	Sender Instance
-	// BundleVersion is the sender's version in force.
+	// BundleVersion is the version in force at the sender.
 	BundleVersion int64
-	// Stopping is set by an instance that is about to end.
+	// Stopping is set by an instance that is about to stop.
 	Stopping bool
-	// Usage is the sender's work at targets that the receiver owns.
+	// Usage is the sender's load at the targets that the receiver owns, by target. If it is nil, the heartbeat states no loads
+	// and the last ones remain.
 	Usage map[string]Load
-	// Summaries are of targets that the sender owns.
+	// Summaries describe targets that the sender owns.
 	Summaries []TargetSummary
-	// Leaving maps targets to the incarnation that is leaving.
+	// Leaving maps the names of leaving targets to the incarnation that is leaving.
 	Leaving map[string]string
 }
 
-// goneAfter is the silence after which nobody expects a peer to come back as it was.
+// peerRetention is the silence after which a peer is not expected to return as the same incarnation.
 const peerRetention = 10 * time.Minute
 
-// PeerStatus is what is known of one peer.
+// PeerStatus is the state of one peer.
 type PeerStatus struct {
 	Instance
-	// Heard is the time since its last heartbeat.
+	// HeartbeatAge is the time since the last heartbeat.
 	HeartbeatAge time.Duration
-	// BundleVersion is its version in force.
+	// BundleVersion is the version in force at the peer.
 	BundleVersion int64
 	// Live is false for a peer that is silent or stopping.
 	Live bool
-	// Listed is set while the platform lists it.
+	// Listed is set while the platform lists the peer.
 	Listed bool
 }
 
-// ApplyBeat takes a heartbeat.
-func (fl *Fleet) ApplyHeartbeat(b Heartbeat) {
+// ApplyHeartbeat updates the state of the sender and of targets from a heartbeat. A new incarnation of the sender implies that
+// the previous one has ended, so its load is forgotten.
+func (fl *Fleet) ApplyHeartbeat(hb Heartbeat) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	kp := fl.peers[b.Sender.Name]
+	kp := fl.peers[hb.Sender.Name]
 	if kp == nil {
 		kp = &knownPeer{}
-		fl.peers[b.Sender.Name] = kp
+		fl.peers[hb.Sender.Name] = kp
 	}
-	if kp.Incarnation != "" && kp.Incarnation != b.Sender.Incarnation {
-		fl.forgetLoads(b.Sender.Name)
+	if kp.Incarnation != "" && kp.Incarnation != hb.Sender.Incarnation {
+		fl.forgetLoads(hb.Sender.Name)
 		fl.markEnded(kp.Incarnation)
 	}
 	address := kp.PeerAddress
-	kp.Instance = b.Sender
+	kp.Instance = hb.Sender
 	if kp.PeerAddress == "" {
 		kp.PeerAddress = address
 	}
-	if !fl.isLive(kp) || b.Stopping {
+	if !fl.isLive(kp) || hb.Stopping {
 		fl.ownership = ownership{}
 	}
-	kp.heardAt, kp.bundleVersion, kp.stopping = fl.now(), b.BundleVersion, b.Stopping
+	kp.heardAt, kp.bundleVersion, kp.stopping = fl.now(), hb.BundleVersion, hb.Stopping
 	for _, kt := range fl.targets {
-		if _, ok := b.Usage[kt.Name]; !ok && b.Usage != nil {
-			delete(kt.peerLoads, b.Sender.Name)
+		if _, ok := hb.Usage[kt.Name]; !ok && hb.Usage != nil {
+			delete(kt.peerLoads, hb.Sender.Name)
 		}
 	}
-	for name, wk := range b.Usage {
+	for name, lo := range hb.Usage {
 		if kt := fl.targets[name]; kt != nil {
-			kt.peerLoads[b.Sender.Name] = wk
+			kt.peerLoads[hb.Sender.Name] = lo
 		}
 	}
-	fl.applySummaries(b.Summaries)
-	for name, incarnation := range b.Leaving {
+	fl.applySummaries(hb.Summaries)
+	for name, incarnation := range hb.Leaving {
 		fl.markLeaving(name, incarnation)
 	}
 	fl.notify()
 }
 
+// applySummaries stores summaries that owners sent. The caller holds the lock.
 func (fl *Fleet) applySummaries(summaries []TargetSummary) {
 	for _, sm := range summaries {
 		kt := fl.targets[sm.Target]
@@ -92,28 +95,28 @@
 	}
 }
 
-// forgetWork is called with the lock held when a peer has a new incarnation or is gone.
+// forgetLoads removes the loads of a peer that has a new incarnation or is silent. The caller holds the lock.
 func (fl *Fleet) forgetLoads(peer string) {
 	for _, kt := range fl.targets {
 		delete(kt.peerLoads, peer)
 	}
 }
 
-// DropLost forgets the work of peers that are silent and returns their incarnations.
+// ForgetSilentPeers removes the loads of peers without a heartbeat for the peer timeout, and returns their incarnations.
 func (fl *Fleet) ForgetSilentPeers() set.Set[string] {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	gone := set.Of[string]()
+	silent := set.Of[string]()
 	for name, kp := range fl.peers {
 		if fl.now().Sub(kp.heardAt) >= fl.peerTimeout {
 			fl.forgetLoads(name)
-			gone = gone.With(kp.Incarnation)
+			silent = silent.With(kp.Incarnation)
 		}
 	}
-	return gone
+	return silent
 }
 
-// Peers returns all peers ever heard of, by name.
+// Peers returns all peers that have ever been known, sorted by name.
 func (fl *Fleet) Peers() []PeerStatus {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -127,8 +130,8 @@
 	return ps
 }
 
-// PeerByIncarnation returns the peer that has an incarnation. It may be stopping, or gone without a word; a peer in
-// another availability zone is often known from the platform only.
+// PeerByIncarnation returns the peer with this incarnation, whether it is live or not: it may be stopping, or may have stopped
+// without notice. A peer in another availability zone often sends no heartbeats and is known only from the platform.
 func (fl *Fleet) PeerByIncarnation(incarnation string) (Instance, bool) {
 	for _, p := range fl.Peers() {
 		if p.Incarnation == incarnation && p.HeartbeatAge < peerRetention {
@@ -138,7 +141,7 @@
 	return Instance{}, false
 }
 
-// UsageFor returns this instance's work at the targets that a peer owns.
+// UsageFor returns the load of this instance at the targets that an instance owns.
 func (fl *Fleet) UsageFor(peer string) map[string]Load {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -151,7 +154,7 @@
 	return usage
 }
 
-// SummariesFor returns what this instance knows of the targets that it owns, less the receiver's own work.
+// SummariesFor returns summaries of the targets that this instance owns, without the load of the receiving peer.
 func (fl *Fleet) SummariesFor(peer string) []TargetSummary {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -170,7 +173,7 @@
 	return all
 }
 
-// otherModels returns the reported models where they differ from the platform's list.
+// reportedModelsIfDifferent returns the reported models if they differ from the platform's list, otherwise nil.
 func (kt *knownTarget) reportedModelsIfDifferent() []string {
 	if kt.report.Models == nil || slices.Equal(kt.report.Models, kt.Models) {
 		return nil
@@ -178,17 +181,17 @@
 	return kt.report.Models
 }
 
-// total is the own work and that of peers, as an owner knows it.
+// totalLoad returns the load of this instance and of all peers, which only the owner of the target knows.
 func (kt *knownTarget) totalLoad() Load {
 	sum := kt.ownLoad
-	for _, wk := range kt.peerLoads {
-		sum = sum.Plus(wk)
+	for _, lo := range kt.peerLoads {
+		sum = sum.Plus(lo)
 	}
 	return sum
 }
 
-// SetInstances takes the platform's list of instances, so that those not heard of yet are dialled. One that is no
-// longer listed has ended: an instance takes its entry back after its last request.
+// SetInstances applies the platform's list of instances. New ones become known as peers, so that they are dialled. An instance
+// that is no longer listed has ended, since an instance removes its entry after its last request.
 func (fl *Fleet) SetInstances(list []ListedInstance) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -208,13 +211,14 @@
 	}
 }
 
-// Listed is an instance in the platform's list, with the version of its object.
+// ListedInstance is an instance in the platform's list, with the version of its object in the store.
 type ListedInstance struct {
 	Instance
 	Version int64
 }
 
-// noteRenewal notes by this instance's own clock when an instance's object last changed.
+// recordRenewal records, by the clock of this instance, when a listed instance last renewed its object. The caller holds the
+// lock.
 func (fl *Fleet) recordRenewal(in ListedInstance) {
 	kp := fl.peers[in.Name]
 	if kp.objectVersion != in.Version {
@@ -222,7 +226,8 @@
 	}
 }
 
-// Gone reports whether an incarnation has ended, or has neither been heard of nor renewed its object for a time.
+// PresumedEnded reports whether an incarnation has ended, or has neither sent a heartbeat nor renewed its object for longer than
+// the given silence. An unknown incarnation is not presumed to have ended.
 func (fl *Fleet) PresumedEnded(incarnation string, silence time.Duration) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -238,6 +243,8 @@
 	return false
 }
 
+// addListedInstance adds a listed instance to the peers, or updates a silent one. A peer that sends heartbeats is not updated,
+// since these are newer than the list. The caller holds the lock.
 func (fl *Fleet) addListedInstance(in ListedInstance) {
 	kp := fl.peers[in.Name]
 	if kp == nil {
@@ -254,9 +261,10 @@
 	kp.Instance = in.Instance
 }
 
-// maxEnded bounds the ended incarnations that are remembered.
+// maxEnded is the maximum number of ended incarnations that are remembered.
 const maxEnded = 4096
 
+// markEnded records that an incarnation has ended; an empty one is ignored. The caller holds the lock.
 func (fl *Fleet) markEnded(incarnation string) {
 	if incarnation == "" {
 		return
@@ -267,14 +275,15 @@
 	fl.ended = fl.ended.With(incarnation)
 }
 
-// Ended returns the incarnations of instances that are known to have ended. Silence alone is no such knowledge.
+// EndedIncarnations returns the incarnations of instances that are known to have ended. Silence alone does not count as ended.
 func (fl *Fleet) EndedIncarnations() set.Set[string] {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.ended
 }
 
-// Busy returns the long prompts and memory in flight at a target, and the memory it has.
+// Utilisation returns the long prompts and the memory in flight at a target, and its total memory. All are zero for an unknown
+// target; the total is also zero if unknown.
 func (fl *Fleet) Utilisation(target string) (long, memoryUsed, memoryTotal int) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -282,6 +291,6 @@
 	if kt == nil {
 		return 0, 0, 0
 	}
-	wk := kt.totalLoad()
-	return wk.LongPrompts, wk.MemoryTokens, kt.report.MemoryTotal
+	lo := kt.totalLoad()
+	return lo.LongPrompts, lo.MemoryTokens, kt.report.MemoryTotal
 }
