--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -1,4 +1,4 @@
-// Package grant is the owner's ledger of long prompts let through to the targets that it owns.
+// Package grant keeps track of the long prompts that the owner of targets admits to them.
 package grant
 
 import (
@@ -7,43 +7,47 @@
 	"time"
 )
 
-// Key names one grant.
+// Key identifies a grant.
 type Key struct {
-	// Holder is the incarnation of the instance that asked.
+	// Holder is the incarnation of the instance that requested the grant.
 	Holder string
-	// ID is unique for the holder.
+	// ID is unique per holder.
 	ID uint64
 }
 
-// Lease is how long a grant is held without a heartbeat that tells of its use.
+// LeaseDuration is the time after which a grant expires unless a heartbeat of the holder states that it is in use.
 const LeaseDuration = 3 * time.Second
 
+// heldGrant is a grant that is neither released nor known to have expired.
 type heldGrant struct {
 	target string
-	memory int
-	// since is when it was granted, until when it runs out.
+	// memory is in tokens.
+	memory               int
 	grantedAt, expiresAt time.Time
 }
 
-// Ledger is safe for use by any goroutine. It is lost with its owner: a new owner starts empty and learns what is in
-// flight from heartbeats, so that two ledgers for a while cost speed and never a promise.
+// Ledger holds the grants of one owner. It is safe for concurrent use. It is lost when its owner stops: a new owner starts with
+// an empty ledger and learns the load in flight from heartbeats. For a while, the ledgers of two owners together can grant too
+// much, which costs speed but breaks no guarantee.
 type Ledger struct {
 	now          func() time.Time
 	maxPerTarget int
-	// busy returns the long prompts in flight at a target as heartbeats tell, and its memory.
+	// utilisation returns the long prompts and the memory in flight at a target according to heartbeats, and its total memory.
 	utilisation func(target string) (long, memoryUsed, memoryTotal int)
 
 	mu   sync.Mutex
 	held map[Key]heldGrant
 }
 
-// New returns an empty ledger that allows limit long prompts a target.
-func New(limit int, busy func(target string) (long, memoryUsed, memoryTotal int), now func() time.Time) *Ledger {
-	return &Ledger{now: now, maxPerTarget: limit, utilisation: busy, held: map[Key]heldGrant{}}
+// New returns an empty ledger that admits at most maxPerTarget long prompts to each target.
+func New(maxPerTarget int, utilisation func(target string) (long, memoryUsed, memoryTotal int), now func() time.Time) *Ledger {
+	return &Ledger{now: now, maxPerTarget: maxPerTarget, utilisation: utilisation, held: map[Key]heldGrant{}}
 }
 
-// Ask grants room at a target for at most a time, or refuses it. A grant whose answer is lost runs out with Lease.
-func (lg *Ledger) TryAcquire(k Key, target string, memory int, hold time.Duration) bool {
+// TryAcquire issues a grant for a prompt with this memory in tokens, if the target has room for it, and reports whether it did.
+// The grant expires after maxHold, or after LeaseDuration if that is shorter, unless Renew extends it. This removes grants whose
+// answer to the holder is lost.
+func (lg *Ledger) TryAcquire(k Key, target string, memory int, maxHold time.Duration) bool {
 	_, _, total := lg.utilisation(target)
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
@@ -62,11 +66,11 @@
 	if count >= lg.maxPerTarget || (total > 0 && used+memory > total) {
 		return false
 	}
-	lg.held[k] = heldGrant{target: target, memory: memory, grantedAt: now, expiresAt: now.Add(min(hold, LeaseDuration))}
+	lg.held[k] = heldGrant{target: target, memory: memory, grantedAt: now, expiresAt: now.Add(min(maxHold, LeaseDuration))}
 	return true
 }
 
-// Renew extends the newest grants of a holder at a target, as many as a heartbeat says are in use.
+// Renew extends the leases of the inUse newest grants of a holder at a target, where inUse comes from a heartbeat.
 func (lg *Ledger) Renew(holder, target string, inUse int) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
@@ -84,14 +88,14 @@
 	}
 }
 
-// Release gives a grant back. A grant that is not held is no fault: its ledger may have been another's.
+// Release removes a grant. An unknown grant is ignored, since a previous owner of the target may have issued it.
 func (lg *Ledger) Release(k Key) {
 	lg.mu.Lock()
 	delete(lg.held, k)
 	lg.mu.Unlock()
 }
 
-// DropHolder releases all grants of an incarnation that is gone.
+// ReleaseHolder removes all grants of an incarnation that has ended or is silent.
 func (lg *Ledger) ReleaseHolder(incarnation string) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
@@ -102,7 +106,7 @@
 	}
 }
 
-// Len returns how many grants are held.
+// Len returns the number of grants held, including expired ones that no call has removed yet.
 func (lg *Ledger) Len() int {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -1,4 +1,5 @@
-// Package room reserves memory on several engines for a prompt that is larger than one, all or nothing.
+// Package room reserves memory on several engines for a prompt that is larger than one engine. A reservation covers the whole
+// prompt or fails.
 package room
 
 import (
@@ -15,110 +16,115 @@
 )
 
 const (
-	// LendPart is the part of one engine's memory that is lent at the most: one in so many.
+	// LendableDivisor determines the maximum memory of one engine that can be lent: its total divided by this number.
 	LendableDivisor = 2
-	// callTimeout bounds one reservation.
+	// reserveTimeout limits the call to one engine.
 	reserveTimeout = time.Second
 )
 
-// Lender reserves memory.
+// Reserver reserves memory on engines.
 type Reserver struct {
 	fleet   *fleet.Fleet
 	client  func(fleet.Target) *engine.Client
 	release func(attempt string, cl *engine.Client)
 }
 
-// New returns a lender. release ends a reservation, repeatedly if need be.
+// New returns a Reserver. The function release must end the reservation of an attempt, and repeat the call until it succeeds.
 func New(fl *fleet.Fleet, client func(fleet.Target) *engine.Client, release func(attempt string, cl *engine.Client)) *Reserver {
 	return &Reserver{fleet: fl, client: client, release: release}
 }
 
+// memoryShare is the memory to reserve on one engine, in tokens.
 type memoryShare struct {
-	target fleet.Target
-	room   engine.Held
-	memory int
+	target      fleet.Target
+	reservation engine.Held
+	memory      int
 }
 
-// Reserve takes memory on main and on others, in the order of their names, so that two prompts meet at the
-// first engine and one of them gives way before it holds anything. When any part fails, all are given back.
-func (rs *Reserver) Reserve(ctx context.Context, main fleet.Target, tokens int, hold time.Duration) (release func(), err error) {
-	parts, left := rs.plan(main, tokens, hold)
-	if left > 0 {
-		return nil, failure.New(failure.NoMemory, failure.NotRun, "%d tokens of memory are missing", left).WithRetryAfter(time.Second)
+// Reserve reserves memory on the main target and on others, in the order of their names. This order makes two competing prompts
+// meet at the first engine, where one of them fails before it holds anything. If any engine fails, all reservations are released.
+func (rs *Reserver) Reserve(ctx context.Context, main fleet.Target, tokens int, maxHold time.Duration) (release func(), err error) {
+	shares, missing := rs.plan(main, tokens, maxHold)
+	if missing > 0 {
+		return nil, failure.New(failure.NoMemory, failure.NotRun, "%d tokens of memory are missing", missing).WithRetryAfter(time.Second)
 	}
-	for i, p := range parts {
-		if err := rs.reserve(ctx, p); err != nil {
-			held := parts[:i+1] // the reservation that failed may have taken effect without an answer
+	for i, sh := range shares {
+		if err := rs.reserve(ctx, sh); err != nil {
+			held := shares[:i+1] // the failed reservation may have taken effect, with only the answer lost
 			if engine.NeverConnected(err) {
-				rs.fleet.MarkUnreachable(p.target.Name)
-				held = parts[:i]
+				rs.fleet.MarkUnreachable(sh.target.Name)
+				held = shares[:i]
 			}
 			rs.releaseAll(held)
-			return nil, failure.New(failure.NoMemory, failure.NotRun, "%s has no room", p.target.Name).WithCause(err)
+			return nil, failure.New(failure.NoMemory, failure.NotRun, "%s has no room", sh.target.Name).WithCause(err)
 		}
 	}
-	for _, p := range parts {
-		rs.fleet.AddLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+	for _, sh := range shares {
+		rs.fleet.AddLoad(sh.target.Name, fleet.Load{MemoryTokens: sh.memory})
 	}
 	return func() {
-		for _, p := range parts {
-			rs.fleet.RemoveLoad(p.target.Name, fleet.Load{MemoryTokens: p.memory})
+		for _, sh := range shares {
+			rs.fleet.RemoveLoad(sh.target.Name, fleet.Load{MemoryTokens: sh.memory})
 		}
-		rs.releaseAll(parts)
+		rs.releaseAll(shares)
 	}, nil
 }
 
-func (rs *Reserver) reserve(ctx context.Context, p memoryShare) error {
+// reserve reserves the share of one engine.
+func (rs *Reserver) reserve(ctx context.Context, sh memoryShare) error {
 	ctx, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	return rs.client(p.target).Reserve(ctx, p.room)
+	return rs.client(sh.target).Reserve(ctx, sh.reservation)
 }
 
-func (rs *Reserver) plan(main fleet.Target, tokens int, hold time.Duration) (parts []memoryShare, left int) {
+// plan divides the memory of a prompt into shares, sorted by the name of the engine. The share of the main target is as large as
+// it can lend. The number missing is that of tokens for which no engine has memory; the shares are usable only if it is 0.
+func (rs *Reserver) plan(main fleet.Target, tokens int, maxHold time.Duration) (shares []memoryShare, missing int) {
 	model := ""
 	if len(main.Models) > 0 {
 		model = main.Models[0]
 	}
-	vw := rs.fleet.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
-	// An engine that nobody has heard of lately would spoil every reservation that it is part of.
-	lenders := slices.DeleteFunc(vw.Candidates, func(ca policy.Candidate) bool { return vw.NeedsProbe[ca.Name] })
+	cs := rs.fleet.Candidates(fleet.Filter{Model: model, IncludePeerLoad: true})
+	// Engines that need a probe are excluded: an unreachable engine makes every reservation fail that it is part of.
+	lenders := slices.DeleteFunc(cs.Candidates, func(ca policy.Candidate) bool { return cs.NeedsProbe[ca.Name] })
 	slices.SortFunc(lenders, func(a, b policy.Candidate) int { return strings.Compare(a.Name, b.Name) })
-	keep := 0
+	mainShare := 0
 	for _, ca := range lenders {
 		if ca.Name == main.Name {
-			keep = min(tokens, lendable(ca))
+			mainShare = min(tokens, lendable(ca))
 		}
 	}
-	if keep <= 0 {
+	if mainShare <= 0 {
 		return nil, tokens
 	}
-	// The main engine's part comes off first, and is reserved in its place in the order of names.
-	left = tokens - keep
+	// The share of the main engine is subtracted first, but reserved at its position in the order of names.
+	missing = tokens - mainShare
 	for _, ca := range lenders {
-		take := min(left, lendable(ca))
+		share := min(missing, lendable(ca))
 		if ca.Name == main.Name {
-			take = keep
+			share = mainShare
 		} else {
-			left -= max(0, take)
+			missing -= max(0, share)
 		}
 		t, ok := rs.fleet.Target(ca.Name)
-		if take <= 0 || !ok {
+		if share <= 0 || !ok {
 			continue
 		}
-		parts = append(parts, memoryShare{target: t, memory: take, room: engine.Held{
-			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: take, LeftMillis: hold.Milliseconds(),
+		shares = append(shares, memoryShare{target: t, memory: share, reservation: engine.Held{
+			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: share, LeftMillis: maxHold.Milliseconds(),
 		}})
 	}
-	return parts, left
+	return shares, missing
 }
 
-// lendable is the memory that an engine can lend and still take short prompts.
+// lendable returns the memory that an engine can lend while it still accepts short prompts. It is negative if more is in use.
 func lendable(ca policy.Candidate) int {
 	return ca.MemoryTotal/LendableDivisor - ca.InFlightMemory
 }
 
-func (rs *Reserver) releaseAll(parts []memoryShare) {
-	for _, p := range parts {
-		rs.release(p.room.Attempt, rs.client(p.target))
+// releaseAll releases the reservations of the given shares.
+func (rs *Reserver) releaseAll(shares []memoryShare) {
+	for _, sh := range shares {
+		rs.release(sh.reservation.Attempt, rs.client(sh.target))
 	}
 }
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -1,5 +1,5 @@
-// Package ticket makes a request with a ticket run at most once without the platform's store: only the incarnation
-// that issued a ticket runs it, from a ledger in its memory.
+// Package ticket lets a request run at most once without the platform's store: only the incarnation that issued the request's
+// ticket runs it, and keeps the ticket's state in memory.
 package ticket
 
 import (
@@ -14,12 +14,15 @@
 
 const separator = "."
 
+// state is the state of a ticket.
 type state int
 
 const (
+	// issued is the state of a ticket that can be redeemed.
 	issued state = iota
 	running
 	done
+	// lost is the state of a ticket whose request was run with an unknown result.
 	lost
 )
 
@@ -40,18 +43,19 @@
 	entries map[string]*entry
 }
 
-// New returns an empty ledger that keeps each ticket for a time, and at most limit tickets.
-func New(incarnation string, keep time.Duration, limit int, now func() time.Time) *Ledger {
-	return &Ledger{incarnation: incarnation, retention: keep, maxTickets: limit, now: now, entries: map[string]*entry{}}
+// New returns an empty ledger that holds at most maxTickets tickets, each for the retention time after its issue or the end of
+// its run.
+func New(incarnation string, retention time.Duration, maxTickets int, now func() time.Time) *Ledger {
+	return &Ledger{incarnation: incarnation, retention: retention, maxTickets: maxTickets, now: now, entries: map[string]*entry{}}
 }
 
-// Issuer returns the incarnation that a ticket names.
+// Issuer returns the incarnation that issued the ticket.
 func Issuer(ticket string) string {
 	issuer, _, _ := strings.Cut(ticket, separator)
 	return issuer
 }
 
-// Issue returns a new ticket and how long it is kept.
+// Issue returns a new ticket and the time for which it is valid.
 func (lg *Ledger) Issue() (string, time.Duration, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
@@ -65,7 +69,8 @@
 	return id, lg.retention, nil
 }
 
-// Take honours a ticket: it returns nothing when the request may run now, or the recorded answer of its run.
+// Redeem returns a nil response if the request may run now, or the recorded response if it has already run. It returns an error
+// if the ticket is unknown, or if the request is running or has run without a known result.
 func (lg *Ledger) Redeem(ticket string) (*claim.Response, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
@@ -86,15 +91,15 @@
 	}
 }
 
-// Finish records the answer of the run.
-func (lg *Ledger) Complete(ticket string, ans claim.Response) {
-	lg.set(ticket, entry{state: done, response: &ans})
+// Complete records the response of the request.
+func (lg *Ledger) Complete(ticket string, resp claim.Response) {
+	lg.set(ticket, entry{state: done, response: &resp})
 }
 
-// Release lets the ticket be used again, after a request of which nothing was run.
+// Release makes a ticket redeemable again after a request that was not run.
 func (lg *Ledger) Release(ticket string) { lg.set(ticket, entry{state: issued}) }
 
-// Lose records that the result is not known.
+// MarkLost records that the result of the request is unknown.
 func (lg *Ledger) MarkLost(ticket string) { lg.set(ticket, entry{state: lost}) }
 
 func (lg *Ledger) set(ticket string, en entry) {
@@ -104,7 +109,7 @@
 	lg.entries[ticket] = &en
 }
 
-// sweep is called with the lock held.
+// removeExpired removes tickets past their retention time, except those of running requests. The caller holds the lock.
 func (lg *Ledger) removeExpired() {
 	now := lg.now()
 	for id, en := range lg.entries {
