--- a/internal/job/job.go
+++ b/internal/job/job.go
@@ -1,4 +1,4 @@
-// Package job defines work that nobody waits for, kept in the platform's store until it is done.
+// Package job defines asynchronous requests, which are kept in the platform's store until they are done.
 package job
 
 import (
@@ -7,88 +7,90 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// State is where a job stands.
+// State is the state of a job.
 type State string
 
-// The states of a job. All but Queued and Running are final.
+// States of a job. All but Queued and Running are final.
 const (
 	Queued    State = "queued"
 	Running   State = "running"
 	Done      State = "done"
 	Failed    State = "failed"
 	Cancelled State = "cancelled"
-	// Unknown is the state of a job that may not be repeated and whose run was lost.
+	// Unknown is the state of an at-most-once job whose run ended without a known result.
 	Unknown State = "unknown"
 )
 
-// Final reports whether nothing more happens to a job in the state.
+// Final reports whether a job in this state does not change its state again.
 func (st State) Final() bool { return st != Queued && st != Running }
 
 // Record is the stored object of a job. It is immutable; the With methods return copies.
 type Record struct {
-	// ID is unique.
+	// ID is unique over all instances.
 	ID string `json:"id"`
-	// Organisation and Class say whose work it is.
+	// Organisation and Class are those of the caller that submitted the job.
 	Organisation string `json:"organisation"`
 	Class        string `json:"class"`
-	// Path is that of the callers' protocol, such as /v1/completions.
+	// Path is the path of the request in the callers' protocol, such as /v1/completions.
 	Path string `json:"path"`
-	// Never is set when the job may not be run twice.
+	// AtMostOnce is set if the job must not be run twice.
 	AtMostOnce bool `json:"never,omitempty"`
 	// Parts is the number of stored parts of the body.
 	Parts int `json:"parts"`
-	// Created and Deadline are by the clock of the instance that accepted the job.
+	// Created and Deadline are times on the clock of the instance that accepted the job.
 	Created  time.Time `json:"created"`
 	Deadline time.Time `json:"deadline"`
 	State    State     `json:"state"`
-	// Owner is the incarnation that runs the job; empty unless Running.
+	// Owner is the incarnation that runs the job; empty unless the state is Running.
 	Owner string `json:"owner,omitempty"`
-	// Dispatched is set before a job that may not be repeated is sent to a target.
+	// Dispatched is set before an at-most-once job is sent to a target.
 	Dispatched bool `json:"dispatched,omitempty"`
-	// Lost counts the runs whose target was lost, and NotBefore is when the next may begin, by the clock of the last owner.
+	// LostRuns counts the runs whose target was lost. NotBefore is the earliest time of the next run on the clock of the last
+	// owner.
 	LostRuns  int       `json:"lost,omitempty"`
 	NotBefore time.Time `json:"not_before,omitzero"`
-	// Result is set once the state is final.
+	// Result is nil until the state is final.
 	Result *Result `json:"result,omitempty"`
 }
 
-// Result is the end of a job.
+// Result is the result of a job in a final state.
 type Result struct {
-	// Ended is by the clock of the last owner.
+	// Ended is a time on the clock of the last owner.
 	Ended time.Time `json:"ended"`
-	// Status, ContentType and Parts are those of the answer of a job that is done.
+	// Status and ContentType are those of the answer of a job that is Done, Parts the number of stored parts of its body.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Parts       int    `json:"parts,omitempty"`
-	// Code, Outcome and Message are set for one that is not.
+	// Code, Outcome and Message describe the failure of a job in another final state.
 	Code    failure.Code    `json:"code,omitempty"`
 	Outcome failure.Outcome `json:"outcome,omitempty"`
 	Message string          `json:"message,omitempty"`
 }
 
-// WithOwner returns the record as run by an incarnation.
+// WithOwner returns the record with the state Running and this incarnation as the owner.
 func (rc Record) WithOwner(incarnation string) Record {
 	rc.State, rc.Owner = Running, incarnation
 	return rc
 }
 
-// WithQueued returns the record as given back by its owner.
+// WithRequeued returns the record with the state Queued and without an owner.
 func (rc Record) WithRequeued() Record {
 	rc.State, rc.Owner, rc.Dispatched = Queued, "", false
 	return rc
 }
 
 const (
-	// lostPause is the pause after the second run in a row whose target was lost: it doubles with each further one up to lostMost. A
-	// job that ends the targets that run it then ends some 150 in a day; without a pause it was run again within lookEvery of its owner.
+	// minLostDelay is the delay after the second run whose target was lost. It doubles with each further one, up to maxLostDelay.
+	// A job that crashes the targets that run it then crashes some 150 of them in a day. Without a delay, it was run again within
+	// 1 s, the interval at which its owner checks all jobs.
 	minLostDelay = time.Second
 	maxLostDelay = 10 * time.Minute
-	// maxDoublings keeps the doubling within the numbers of a duration.
+	// maxDoublings prevents an overflow of the delay.
 	maxDoublings = 10
 )
 
-// WithLost returns the record as given back because the target of its run was lost. The first loss is tried again at once: targets
-// also end by themselves.
+// WithTargetLost returns the record requeued after a run whose target was lost. After the first loss there is no delay, since
+// targets also end for reasons unrelated to the job.
 func (rc Record) WithTargetLost(now time.Time) Record {
 	rc = rc.WithRequeued()
 	if rc.LostRuns > 0 {
@@ -98,42 +100,41 @@
 	return rc
 }
 
-// WithDispatched returns the record as about to be sent to a target.
+// WithDispatched returns the record with Dispatched set. It must be stored before the job is sent to a target.
 func (rc Record) WithDispatched() Record {
 	rc.Dispatched = true
 	return rc
 }
 
-// WithEnd returns the record in a final state.
+// WithResult returns the record in the given final state with its result.
 func (rc Record) WithResult(st State, rs Result) Record {
 	rc.State, rc.Owner, rc.Result = st, "", &rs
 	return rc
 }
 
-// Step is what an instance does about a job next.
+// Action is what the instance responsible for a job does with it next.
 type Action int
 
-// The steps.
+// Actions on a job.
 const (
-	// Leave does nothing.
 	ActionNone Action = iota
-	// Take claims the job and runs it.
+	// ActionRun claims the job and runs it.
 	ActionRun
-	// GiveUp ends a job whose only run was lost.
+	// ActionMarkUnknown ends an at-most-once job with the state Unknown, since the owner of its only run has ended.
 	ActionMarkUnknown
-	// Expire ends a job whose deadline is past.
+	// ActionExpire ends a job that missed its deadline.
 	ActionExpire
-	// Forget deletes a job whose result was kept for its time.
+	// ActionDelete deletes a job whose result has been kept for ResultRetention.
 	ActionDelete
 )
 
-// Keep is how long a job's result is kept.
+// ResultRetention is the time for which the result of a job is kept.
 const ResultRetention = 24 * time.Hour
 
-// Next decides about a job that this instance is responsible for. ownerGone tells whether an incarnation has ended.
-// The decision is pure; what it leads to rests on a conditional write, so that two instances that both think
-// themselves responsible cost a refused write and no second run.
-func NextAction(rc Record, now time.Time, ownerGone func(incarnation string) bool) Action {
+// NextAction decides what to do with a job for which this instance is responsible. The function ownerEnded reports whether an
+// incarnation has ended. The decision has no side effects. Carrying it out begins with a conditional write, so if two instances
+// consider themselves responsible, one write is refused and the job is not run twice.
+func NextAction(rc Record, now time.Time, ownerEnded func(incarnation string) bool) Action {
 	switch {
 	case rc.State.Final():
 		if rc.Result != nil && now.Sub(rc.Result.Ended) > ResultRetention {
@@ -146,7 +147,7 @@
 		return ActionNone
 	case rc.State == Queued:
 		return ActionRun
-	case !ownerGone(rc.Owner):
+	case !ownerEnded(rc.Owner):
 		return ActionNone
 	case rc.AtMostOnce && rc.Dispatched:
 		return ActionMarkUnknown
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -15,34 +15,34 @@
 )
 
 const (
-	// partBytes keeps a part below the store's bound on values after it is encoded as base64.
+	// maxPartBytes keeps a part below the store's maximum size of values after it is encoded as base64.
 	maxPartBytes  = 700 << 10
 	retryInterval = 50 * time.Millisecond
-	// kindParts holds bodies and answers.
+	// partsKind is the kind of the objects that hold the parts of bodies and answers.
 	partsKind = "jobparts"
 )
 
-// LostError says that a part of a job's body or answer is not in the store.
+// PartLostError is returned for a job whose body or answer cannot be read from its stored parts.
 type PartLostError struct{ Part string }
 
-// Error names the part.
-func (le *PartLostError) Error() string { return "part " + le.Part + " is lost" }
+// Error includes the name of the part.
+func (le *PartLostError) Error() string { return "part " + le.Part + " is corrupt" }
 
-// Store keeps jobs in the platform's store.
+// Store reads and writes jobs in the platform's store.
 type Store struct {
 	client *objectstore.Client
 }
 
-// NewStore returns a store of jobs.
+// NewStore returns a Store that uses the client.
 func NewStore(client *objectstore.Client) *Store { return &Store{client: client} }
 
-// Versioned is a record with the version of its object.
+// Versioned is a record with the version of its object in the store.
 type Versioned struct {
 	Record
 	Version int64
 }
 
-// Add accepts a job: first the body, then the record. It returns once the store has both.
+// Add stores a new job: first the body, then the record. It returns once the store has both.
 func (sr *Store) Add(ctx context.Context, rc Record, body []byte) (Versioned, error) {
 	parts, err := sr.putParts(ctx, rc.ID+".in.", body)
 	if err != nil {
@@ -53,8 +53,8 @@
 	return Versioned{Record: rc, Version: version}, err
 }
 
-// create repeats a create until it is known to have taken effect. The name belongs to this caller alone, so that a
-// conflict means that an earlier try with a lost answer took effect.
+// create retries a create until it is known to have taken effect. Only this caller uses the name, so a conflict means that an
+// earlier try took effect whose answer was lost.
 func (sr *Store) create(ctx context.Context, kind, name string, value any) (int64, error) {
 	for {
 		version, err := sr.client.Create(ctx, kind, name, value)
@@ -76,7 +76,8 @@
 	}
 }
 
-// Update replaces the record. After a lost answer the object is read back: it is settled whether the write took effect.
+// Update replaces the record. If the answer of the store is lost, it reads the object back to find out whether the write took
+// effect, and retries if it did not. A record that another instance has changed meanwhile results in a ConflictError.
 func (sr *Store) Update(ctx context.Context, v Versioned, next Record) (Versioned, error) {
 	for {
 		version, err := sr.client.Update(ctx, objectstore.KindJobs, v.ID, v.Version, next)
@@ -84,13 +85,13 @@
 			return Versioned{Record: next, Version: version}, nil
 		}
 		var unknown *objectstore.UnknownError
-		var away *objectstore.UnavailableError
-		if !errors.As(err, &unknown) && !errors.As(err, &away) {
+		var unavailable *objectstore.UnavailableError
+		if !errors.As(err, &unknown) && !errors.As(err, &unavailable) {
 			return v, err
 		}
-		if now, gerr := sr.Get(ctx, v.ID); gerr == nil && now.Version != v.Version {
-			if sameEncoding(now.Record, next) {
-				return now, nil
+		if stored, gerr := sr.Get(ctx, v.ID); gerr == nil && stored.Version != v.Version {
+			if sameEncoding(stored.Record, next) {
+				return stored, nil
 			}
 			return v, &objectstore.ConflictError{Kind: objectstore.KindJobs, Name: v.ID}
 		}
@@ -102,13 +103,14 @@
 	}
 }
 
+// sameEncoding reports whether two records have the same JSON encoding.
 func sameEncoding(a, b Record) bool {
 	x, xerr := json.Marshal(a)
 	y, yerr := json.Marshal(b)
 	return xerr == nil && yerr == nil && bytes.Equal(x, y)
 }
 
-// Get reads a record.
+// Get reads the record of a job.
 func (sr *Store) Get(ctx context.Context, id string) (Versioned, error) {
 	o, err := sr.client.Get(ctx, objectstore.KindJobs, id)
 	if err != nil {
@@ -117,13 +119,13 @@
 	return Decode(o)
 }
 
-// Decode reads the record in an object.
+// Decode decodes the record in an object of the store.
 func Decode(o objectstore.Object) (Versioned, error) {
 	v := Versioned{Version: o.Version}
 	return v, errors.Wrap(json.Unmarshal(o.Value, &v.Record), "decode job")
 }
 
-// List reads all records.
+// List reads the records of all jobs. It skips those that it cannot decode.
 func (sr *Store) List(ctx context.Context) ([]Versioned, error) {
 	l, err := sr.client.List(ctx, objectstore.KindJobs)
 	if err != nil {
@@ -138,22 +140,22 @@
 	return all, nil
 }
 
-// Body reads the body of a job.
+// Body reads the request body of a job from its parts.
 func (sr *Store) Body(ctx context.Context, rc Record) ([]byte, error) {
 	return sr.getParts(ctx, rc.ID+".in.", rc.Parts)
 }
 
-// Answer reads the answer of a job that is done.
+// Answer reads the body of the answer of a job in the state Done.
 func (sr *Store) Answer(ctx context.Context, rc Record) ([]byte, error) {
 	return sr.getParts(ctx, rc.ID+".out.", rc.Result.Parts)
 }
 
-// PutAnswer stores an answer and returns the number of its parts.
+// PutAnswer stores the body of an answer and returns the number of its parts.
 func (sr *Store) PutAnswer(ctx context.Context, rc Record, body []byte) (int, error) {
 	return sr.putParts(ctx, rc.ID+".out.", body)
 }
 
-// Remove deletes a job with all its parts.
+// Remove deletes a job: first its parts, then the record.
 func (sr *Store) Remove(ctx context.Context, v Versioned) error {
 	for i := range v.Parts {
 		sr.removePart(ctx, v.ID+".in."+strconv.Itoa(i))
@@ -166,17 +168,19 @@
 	return sr.client.Delete(ctx, objectstore.KindJobs, v.ID, v.Version)
 }
 
-// removePart deletes a part; one that stays is deleted with the job's next removal.
+// removePart deletes a part. It ignores errors: while the record remains, the next Remove of the job tries again.
 func (sr *Store) removePart(ctx context.Context, name string) {
 	if o, err := sr.client.Get(ctx, partsKind, name); err == nil {
 		_ = sr.client.Delete(ctx, partsKind, name, o.Version)
 	}
 }
 
+// part is the stored object of one part.
 type part struct {
 	Data []byte `json:"data"`
 }
 
+// putParts compresses the body, stores it in parts named by the prefix and a number, and returns the number of parts.
 func (sr *Store) putParts(ctx context.Context, prefix string, body []byte) (int, error) {
 	var buf bytes.Buffer
 	zw := gzip.NewWriter(&buf)
@@ -196,6 +200,7 @@
 	return n, nil
 }
 
+// splitParts yields slices of b of at most maxPartBytes.
 func splitParts(b []byte) func(yield func([]byte) bool) {
 	return func(yield func([]byte) bool) {
 		for len(b) > 0 {
@@ -208,6 +213,7 @@
 	}
 }
 
+// getParts reads and uncompresses the body that putParts stored in n parts.
 func (sr *Store) getParts(ctx context.Context, prefix string, n int) ([]byte, error) {
 	var buf bytes.Buffer
 	for i := range n {
