--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -23,10 +23,10 @@
 )
 
 // PartLostError is returned for a job whose body or answer cannot be read from its stored parts.
-type PartLostError struct{ Part string }
+type PartCorruptError struct{ Part string }
 
 // Error includes the name of the part.
-func (le *PartLostError) Error() string { return "part " + le.Part + " is corrupt" }
+func (le *PartCorruptError) Error() string { return "part " + le.Part + " is corrupt" }
 
 // Store reads and writes jobs in the platform's store.
 type Store struct {
@@ -224,13 +224,13 @@
 		}
 		var p part
 		if err := json.Unmarshal(o.Value, &p); err != nil {
-			return nil, &PartLostError{Part: name}
+			return nil, &PartCorruptError{Part: name}
 		}
 		buf.Write(p.Data)
 	}
 	zr, err := gzip.NewReader(&buf)
 	if err != nil {
-		return nil, &PartLostError{Part: prefix + "0"}
+		return nil, &PartCorruptError{Part: prefix + "0"}
 	}
 	b, err := io.ReadAll(zr)
 	return b, errors.Wrap(err, "uncompress")
