--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -22,7 +22,7 @@
 	partsKind = "jobparts"
 )
 
-// PartLostError is returned for a job whose body or answer cannot be read from its stored parts.
+// PartCorruptError is returned for a job whose body or answer cannot be read from its stored parts.
 type PartCorruptError struct{ Part string }
 
 // Error includes the name of the part.
