--- a/internal/job/job_test.go
+++ b/internal/job/job_test.go
@@ -19,7 +19,7 @@
 		rc   Record
 		want Action
 	}{
-		"queued":                                    {rc: queued, want: ActionRun},
+		"queued before its deadline":                {rc: queued, want: ActionRun},
 		"queued past its deadline":                  {rc: late, want: ActionExpire},
 		"running on a live owner":                   {rc: queued.WithOwner("live"), want: ActionNone},
 		"running on a live owner past its deadline": {rc: late.WithOwner("live"), want: ActionNone},
--- a/internal/router/demand.go
+++ b/internal/router/demand.go
@@ -9,7 +9,7 @@
 const (
 	// initialShortRate is the rate of short prompts, in prompt tokens per second, that an instance assumes when it starts.
 	initialShortRate = 20_000
-	// slackShare is the share of the time until its deadline within which a waiting long prompt is to be served.
+	// slackShare is the share of the time until its deadline within which a waiting long prompt is to be computed.
 	slackShare = 0.5
 	// minSlack keeps the required rate of a prompt finite when its deadline is near or past.
 	minSlack = time.Second
