--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -103,7 +103,7 @@
 	})
 	kernel.Provide(env, sv)
 	d.Metrics.NewGauge("silvermount_requests_in_flight", func() float64 { return float64(sv.InFlight()) })
-	d.Metrics.NewGauge("silvermount_requests_waiting", func() float64 { return float64(d.Router.Waiting()) })
+	d.Metrics.NewGauge("silvermount_requests_waiting", func() float64 { return float64(d.Router.QueueLength()) })
 	d.Metrics.NewGauge("silvermount_body_bytes", func() float64 { return float64(d.Bodies.Used()) })
 	srv := &http.Server{
 		Handler: sv.Handler(), ReadHeaderTimeout: s.Callers.HeaderTimeout.Std(), MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
@@ -191,16 +191,16 @@
 	})
 	rt := router.New(d.Fleet, router.Options{
 		Policy:     p,
-		Limits:     policy.Limits{LongPerTarget: r.LongPerTarget, LongShare: r.LongShare},
-		MaxWaiting: r.MaxWaiting, Probe: newProbe(d), Grant: ms.RequestGrant, Borrow: reserver.Reserve,
-		AskShort: ms.RequestShortOffers, Expected: func() float64 {
+		Limits:     policy.Limits{MaxLongPerTarget: r.LongPerTarget, MaxLongTargetShare: r.LongShare},
+		MaxWaiting: r.MaxWaiting, Probe: newProbe(d), RequestGrant: ms.RequestGrant, ReserveMemory: reserver.Reserve,
+		RequestOffers: ms.RequestShortOffers, ExpectedShortRate: func() float64 {
 			if cur := d.Bundles.Current(); cur != nil {
 				return cur.Expected(time.Now())
 			}
 			return 0
 		},
 	})
-	ms.SetShortPromptChooser(rt.Offer)
+	ms.SetShortPromptChooser(rt.ChooseOwnedTarget)
 	return rt, nil
 }
 
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -85,7 +85,7 @@
 		return err
 	}
 	v, err := mg.store.Add(ctx, job.Record{
-		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, Never: who.AtMostOnce,
+		ID: ident.New("job"), Organisation: who.Organisation, Class: who.Class, Path: path, AtMostOnce: who.AtMostOnce,
 		Created: now, Deadline: now.Add(who.MaxDuration), State: job.Queued,
 	}, body)
 	if err != nil {
@@ -162,7 +162,7 @@
 	if v.State.Final() {
 		return failure.New(failure.Conflict, failure.NotRun, "the job is %s already", v.State)
 	}
-	nv, err := mg.store.Update(ctx, v, v.WithEnd(job.Cancelled, job.Result{Ended: time.Now()}))
+	nv, err := mg.store.Update(ctx, v, v.WithResult(job.Cancelled, job.Result{Ended: time.Now()}))
 	if err != nil {
 		var conflict *objectstore.ConflictError
 		if errors.As(err, &conflict) {
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -115,7 +115,7 @@
 // ownerGone reports whether the owner of a job has ended. scan asks this only about jobs that do not run here, so a job that names this
 // instance as its owner has lost its run.
 func (mg *manager) ownerGone(incarnation string) bool {
-	return incarnation == mg.incarnation || mg.fleet.Gone(incarnation, mg.ownerTimeout)
+	return incarnation == mg.incarnation || mg.fleet.PresumedEnded(incarnation, mg.ownerTimeout)
 }
 
 func (mg *manager) run(ctx, baseCtx context.Context) {
@@ -145,7 +145,7 @@
 		if ctx.Err() != nil || !mg.isResponsible(v.ID) {
 			continue
 		}
-		mg.applyStep(ctx, baseCtx, v, job.Next(v.Record, time.Now(), mg.ownerGone))
+		mg.applyStep(ctx, baseCtx, v, job.NextAction(v.Record, time.Now(), mg.ownerGone))
 	}
 }
 
@@ -161,22 +161,22 @@
 	return true
 }
 
-func (mg *manager) applyStep(ctx, baseCtx context.Context, v job.Versioned, step job.Step) {
+func (mg *manager) applyStep(ctx, baseCtx context.Context, v job.Versioned, step job.Action) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	switch step {
-	case job.Take:
+	case job.ActionRun:
 		mg.claimAndRun(ctx, baseCtx, v)
-	case job.GiveUp:
-		mg.updateRecord(ctx, v, v.WithEnd(job.Unknown, failedResult(failure.New(failure.TargetLost, failure.Unknown,
+	case job.ActionMarkUnknown:
+		mg.updateRecord(ctx, v, v.WithResult(job.Unknown, failedResult(failure.New(failure.TargetLost, failure.Unknown,
 			"the instance that ran the job is gone; its result is not known"))))
-	case job.Expire:
-		mg.updateRecord(ctx, v, v.WithEnd(job.Failed, failedResult(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
-	case job.Forget:
+	case job.ActionExpire:
+		mg.updateRecord(ctx, v, v.WithResult(job.Failed, failedResult(failure.New(failure.DeadlineExceeded, failure.NotRun, "the deadline passed"))))
+	case job.ActionDelete:
 		if err := mg.store.Remove(ctx, v); err != nil {
 			mg.log.WithField("job", v.ID).WithError(err).Warn("could not remove job from the store")
 		}
-	case job.Leave:
+	case job.ActionNone:
 	}
 }
 
@@ -207,7 +207,7 @@
 	}
 	jobCtx, cancel := context.WithCancel(baseCtx)
 	mg.mu.Lock()
-	mg.running[v.ID] = activeRun{cancel: cancel, runOnce: v.Never}
+	mg.running[v.ID] = activeRun{cancel: cancel, runOnce: v.AtMostOnce}
 	mg.mu.Unlock()
 	mg.wg.Go(func() {
 		defer cancel()
@@ -222,7 +222,7 @@
 func (mg *manager) execute(ctx context.Context, v job.Versioned) {
 	recordCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), time.Until(v.Deadline)+writeTimeout)
 	defer cancel()
-	if v.Never {
+	if v.AtMostOnce {
 		nv, ok := mg.updateRecord(ctx, v, v.WithDispatched())
 		if !ok {
 			return
@@ -235,7 +235,7 @@
 		return
 	}
 	ans, err := mg.server.RunJob(ctx, serve.Job{
-		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, AtMostOnce: v.Never,
+		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, AtMostOnce: v.AtMostOnce,
 	})
 	mg.recordOutcome(recordCtx, v, ans, err, ctx.Err() != nil)
 }
@@ -247,25 +247,25 @@
 			mg.log.WithField("job", v.ID).WithError(putErr).Error("could not store answer of job")
 			return
 		}
-		mg.updateRecord(recordCtx, v, v.WithEnd(job.Done, job.Result{
+		mg.updateRecord(recordCtx, v, v.WithResult(job.Done, job.Result{
 			Ended: time.Now(), Status: ans.Status, ContentType: ans.ContentType, Parts: parts,
 		}))
 		return
 	}
 	fe := toFailure(err)
-	repeatable := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.Never)
+	repeatable := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.AtMostOnce)
 	switch {
 	case repeatable && !interrupted && fe.Code == failure.TargetLost:
 		// The job itself may crash its targets, so WithLost delays each further retry for longer.
-		next := v.WithLost(time.Now())
-		mg.log.WithField("job", v.ID).WithField("lost", next.Lost).WithError(fe).Warn("target lost while running job; job queued again")
+		next := v.WithTargetLost(time.Now())
+		mg.log.WithField("job", v.ID).WithField("lost", next.LostRuns).WithError(fe).Warn("target lost while running job; job queued again")
 		mg.updateRecord(recordCtx, v, next)
 	case repeatable && (interrupted || fe.RetryAfter > 0):
-		mg.updateRecord(recordCtx, v, v.WithQueued())
-	case fe.Outcome == failure.Unknown && v.Never:
-		mg.updateRecord(recordCtx, v, v.WithEnd(job.Unknown, failedResult(fe)))
+		mg.updateRecord(recordCtx, v, v.WithRequeued())
+	case fe.Outcome == failure.Unknown && v.AtMostOnce:
+		mg.updateRecord(recordCtx, v, v.WithResult(job.Unknown, failedResult(fe)))
 	default:
-		mg.updateRecord(recordCtx, v, v.WithEnd(job.Failed, failedResult(fe)))
+		mg.updateRecord(recordCtx, v, v.WithResult(job.Failed, failedResult(fe)))
 	}
 }
 
--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/knowledge/knowledge.go
@@ -52,7 +52,7 @@
 		PeerAddress: ls.Peers.Addr().String(), CallersAddress: ls.CallersAddress,
 		OperatorsAddress: ls.Operators.Addr().String(),
 	}
-	fl := fleet.New(self, fleet.WithLost(env.Settings.Peers.Lost.Std()))
+	fl := fleet.New(self, fleet.WithPeerTimeout(env.Settings.Peers.Lost.Std()))
 	kernel.Provide(env, fl)
 	kernel.Provide(env, rollout.New())
 	kernel.Provide(env, burn.New(time.Now))
@@ -62,7 +62,7 @@
 	})
 	instances := kernel.Go(func(ctx context.Context) {
 		ListAndWatch(ctx, cl, objectstore.KindInstances, instanceWatchInterval, lg, func(objects []objectstore.Object) {
-			fl.SetInstances(decodeObjects[fleet.Listed](objects, lg))
+			fl.SetInstances(decodeObjects[fleet.ListedInstance](objects, lg))
 		})
 	})
 	return func(ctx context.Context) error {
@@ -82,7 +82,7 @@
 			lg.WithField("object", o.Name).WithError(err).Warn("could not decode object of the store; object skipped")
 			continue
 		}
-		if l, ok := any(&v).(*fleet.Listed); ok {
+		if l, ok := any(&v).(*fleet.ListedInstance); ok {
 			l.Version = o.Version
 		}
 		decoded = append(decoded, v)
--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -56,7 +56,7 @@
 // Sweep cancels the attempts that are past their deadline or held for an ended incarnation, at the targets that this instance owns. It
 // returns the number of cancelled attempts.
 func Sweep(ctx context.Context, fl *fleet.Fleet, clients reports.Clients) int {
-	ended := fl.Ended()
+	ended := fl.EndedIncarnations()
 	cancelled := 0
 	for _, t := range fl.Owned() {
 		if t.Kind == fleet.KindEngine {
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -32,14 +32,14 @@
 func TestSilentInstanceIsNotTreatedAsEnded(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
-	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithNow(func() time.Time { return now }))
+	fl := fleet.New(fleet.Instance{Name: "self"}, fleet.WithClock(func() time.Time { return now }))
 	peer := fleet.Instance{Name: "p", Incarnation: "p-1"}
-	fl.SetInstances([]fleet.Listed{{Instance: peer, Version: 1}})
-	fl.ApplyBeat(fleet.Beat{From: peer})
+	fl.SetInstances([]fleet.ListedInstance{{Instance: peer, Version: 1}})
+	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: peer})
 	now = now.Add(time.Hour)
-	g.Expect(fl.Ended().Has("p-1")).To(BeFalse())
-	fl.ApplyBeat(fleet.Beat{From: fleet.Instance{Name: "p", Incarnation: "p-2"}})
-	g.Expect(fl.Ended().Has("p-1")).To(BeTrue())
+	g.Expect(fl.EndedIncarnations().Has("p-1")).To(BeFalse())
+	fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: "p", Incarnation: "p-2"}})
+	g.Expect(fl.EndedIncarnations().Has("p-1")).To(BeTrue())
 	fl.SetInstances(nil)
-	g.Expect(fl.Ended().Has("p-2")).To(BeTrue())
+	g.Expect(fl.EndedIncarnations().Has("p-2")).To(BeTrue())
 }
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -172,7 +172,7 @@
 	switch {
 	case known:
 		return nil
-	case gw.Routes.Told() > tb.Version():
+	case gw.Routes.NewestKnownVersion() > tb.Version():
 		return refusal(failure.NotReady, notReadyRetryAfter, "a newer configuration, which may have the key, is not in force yet")
 	default:
 		return failure.New(failure.Unauthorized, failure.NotRun, "the key is not known")
--- a/internal/gateway/key_test.go
+++ b/internal/gateway/key_test.go
@@ -44,8 +44,8 @@
 			g := NewWithT(t)
 			at := time.Unix(1000, 0)
 			hd := &routes.Holder{}
-			hd.Offer(tableWithKeys(3, "kept", "taken"), nil, at)
-			hd.Offer(tableWithKeys(4, "kept"), nil, at)
+			hd.ApplyIfNewer(tableWithKeys(3, "kept", "taken"), nil, at)
+			hd.ApplyIfNewer(tableWithKeys(4, "kept"), nil, at)
 			hd.Confirm(tc.announced, at)
 			gw := newGateway(hd, memory.New())
 			gw.Now = func() time.Time { return at.Add(tc.staleness) }
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -155,7 +155,7 @@
 	}
 	dg := routes.DigestOf(key)
 	fs["key"] = dg.String()
-	version, known := gw.Routes.GoneSince(dg)
+	version, known := gw.Routes.RemovedSince(dg)
 	fs["key_known"] = known
 	if known {
 		fs["key_gone"] = version
@@ -239,7 +239,7 @@
 	switch {
 	case rq.timeToFirst > rq.route.Objective:
 		return "first"
-	case rq.route.LongestPause > 0 && rq.longestPause > rq.route.LongestPause:
+	case rq.route.MaxPause > 0 && rq.longestPause > rq.route.MaxPause:
 		return "pause"
 	default:
 		return ""
--- a/internal/gateway/logging_test.go
+++ b/internal/gateway/logging_test.go
@@ -45,8 +45,8 @@
 }
 
 func tableWithKeys(version int64, keys ...string) *routes.Table {
-	ct := routes.Content{Version: version, Keys: map[string]routes.Organisation{}}
-	ct.Routes = []routes.Route{{Name: "r", Host: "example.com", PathPrefix: "/", Shares: []routes.Share{{Service: "s", Weight: 1}}}}
+	ct := routes.Config{Version: version, Keys: map[string]routes.Organisation{}}
+	ct.Routes = []routes.Route{{Name: "r", Host: "example.com", PathPrefix: "/", Services: []routes.WeightedService{{Service: "s", Weight: 1}}}}
 	for _, key := range keys {
 		ct.Keys[key] = routes.Organisation{Name: "o"}
 	}
@@ -67,8 +67,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			hd, mh := &routes.Holder{}, memory.New()
-			hd.Offer(tableWithKeys(4, "taken", "kept"), nil, time.Now())
-			hd.Offer(tableWithKeys(5, "kept"), nil, time.Now())
+			hd.ApplyIfNewer(tableWithKeys(4, "taken", "kept"), nil, time.Now())
+			hd.ApplyIfNewer(tableWithKeys(5, "kept"), nil, time.Now())
 			g.Expect(get(newGateway(hd, mh), "1", tc.key)).To(Equal(http.StatusUnauthorized))
 			g.Expect(mh.Entries).To(HaveLen(1))
 			for name, value := range tc.want {
@@ -137,7 +137,7 @@
 	g := NewWithT(t)
 	hd, mh := &routes.Holder{}, memory.New()
 	at := time.Unix(1000, 0)
-	hd.Offer(tableWithKeys(4, "kept"), nil, at)
+	hd.ApplyIfNewer(tableWithKeys(4, "kept"), nil, at)
 	gw := newGateway(hd, mh)
 	gw.Now = func() time.Time { return at }
 	gw.SetLimits(gateway.Limits{MaxConfigStaleness: time.Second})
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -163,7 +163,7 @@
 
 // shouldRetryFailure reports whether a request is to be retried on another target instead of forwarding the target's failure.
 func (gw *Gateway) shouldRetryFailure(ctx context.Context, rq *request, rw *responseWriter) bool {
-	return ctx.Err() == nil && !rq.route.Exclusive() && !rw.Started() &&
+	return ctx.Err() == nil && !rq.route.AtMostOnce() && !rw.Started() &&
 		gw.hasUntriedTarget(rq.route, rq.service, rq.tried) && gw.RetryBudget.Available()
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	gw.RetryBudget.Deposit()
-	rq.service = rq.route.Pick(gw.Random())
+	rq.service = rq.route.PickService(gw.Random())
 	var last *failure.Error
 	for dialRetries := 0; ; {
 		err := gw.attempt(ctx, rq, rw)
@@ -111,7 +111,7 @@
 		ID: rq.RequestID, Service: sv, Exclude: rq.excluded,
 		PromptTokens: rq.PromptTokens, MaxAnswerTokens: rq.MaxAnswerTokens, AnswerTokensHint: rq.AnswerTokensHint,
 		EventsForwarded: rq.eventsForwarded,
-		Objective:       rq.route.Objective, MaxPause: rq.route.LongestPause, CallerIdleTimeout: rq.route.Patience,
+		Objective:       rq.route.Objective, MaxPause: rq.route.MaxPause, CallerIdleTimeout: rq.route.CallerIdleTimeout,
 		Arrived: rq.arrived, Deadline: rq.deadline.At, Priority: rq.priority(), Resumed: rq.forwardedEventID >= 0,
 		Caution: rq.caution(), Authorise: func() error { return gw.reauthorise(rq) },
 		CanRetry: len(rq.tried) == 0 && rq.route.MaxAttempts > 1 && gw.RetryBudget.Available(), Retried: len(rq.tried) > 0,
@@ -122,7 +122,7 @@
 // that failed recently, and a request that has already lost an attempt is not used as a probe.
 func (rq *request) caution() targets.Caution {
 	switch {
-	case rq.route.Exclusive():
+	case rq.route.AtMostOnce():
 		return targets.RequireHealthy
 	case len(rq.tried) > 0:
 		return targets.RequireReachable
@@ -133,7 +133,7 @@
 
 // priority returns the organisation's priority if it has one of its own, else the route's.
 func (rq *request) priority() int {
-	if rq.org.RanksItself {
+	if rq.org.OverridesPriority {
 		return rq.org.Priority
 	}
 	return rq.route.Priority
@@ -185,7 +185,7 @@
 	gw.Protocol.WriteAttempt(h, at)
 	ca := upstream.Call{
 		Address: sl.Target.Address, Method: rq.method, RequestURI: rq.requestURI, Host: rq.host, Header: h, Body: rq.body,
-		AtMostOnce:     rq.route.Exclusive(),
+		AtMostOnce:     rq.route.AtMostOnce(),
 		BeforeSend:     func() error { return gw.checkAvailable(sl) },
 		AcceptResponse: func(resp *http.Response) bool { return gw.recordHead(rq, sl.Target, resp) },
 	}
@@ -304,7 +304,7 @@
 	retryTaken := rq.retryTaken
 	rq.retryTaken = false
 	retried, reason := retry.FailedAttempt{
-		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.route.Exclusive(), MayHaveRun: rq.outcomes.MayHaveRun(),
+		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.route.AtMostOnce(), MayHaveRun: rq.outcomes.MayHaveRun(),
 		Attempts: gw.countAvailable(rq.tried), MaxAttempts: rq.route.MaxAttempts, ResponseStarted: rw.Started(),
 		TryResume: func() bool { return rq.route.Resumable }, BudgetTaken: retryTaken,
 	}.Decide(gw.RetryBudget)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -122,7 +122,7 @@
 func (gw *Gateway) silenceTimeout(rq *request, sl *dispatch.Slot) time.Duration {
 	timeout := silenceObjectives * rq.route.Objective
 	switch {
-	case rq.route.Exclusive() || len(rq.tried) > 0 || rq.route.MaxAttempts < 2:
+	case rq.route.AtMostOnce() || len(rq.tried) > 0 || rq.route.MaxAttempts < 2:
 		return 0
 	case rq.route.Streaming:
 		return max(minStallTimeout, timeout, silencePredictionFactor*sl.PredictedFirstToken)
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -86,8 +86,8 @@
 // newGatewayWithoutTargets returns a gateway without targets whose route has the given timeout.
 func newGatewayWithoutTargets(timeout time.Duration) *gateway.Gateway {
 	hd := &routes.Holder{}
-	hd.Offer(routes.New(routes.Content{Version: 1, Routes: []routes.Route{{
-		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: timeout, Shares: []routes.Share{{Service: "s", Weight: 1}},
+	hd.ApplyIfNewer(routes.New(routes.Config{Version: 1, Routes: []routes.Route{{
+		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: timeout, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 	}}}), nil, time.Now())
 	gw := newGateway(hd, discard.New())
 	gw.SetLimits(gateway.Limits{MaxBodyBytes: 100})
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -85,7 +85,7 @@
 	ar := gw.Blame.BeginRun(rq.headHash(), rq.fingerprint)
 	defer ar.End()
 	br := bufio.NewReader(an.Body)
-	stallTimeout := max(minStallTimeout, stallPauseFactor*rq.route.LongestPause)
+	stallTimeout := max(minStallTimeout, stallPauseFactor*rq.route.MaxPause)
 	// Cloned, because the watchdog may read it while the next attempt appends to rq.tried.
 	tried := slices.Clone(rq.tried)
 	wd := startStallWatchdog(an, stallTimeout, func(silence time.Duration) bool {
@@ -131,7 +131,7 @@
 // takeFailoverRetry reports whether a request can move to another target now, and takes the retry for it from the budget. All
 // streams of a silent target call it at about the same time, and the budget may suffice for only some of them.
 func (gw *Gateway) takeFailoverRetry(rt routes.Route, service string, tried []string) bool {
-	return !rt.Exclusive() && gw.hasUntriedTarget(rt, service, tried) && gw.RetryBudget.TryWithdraw()
+	return !rt.AtMostOnce() && gw.hasUntriedTarget(rt, service, tried) && gw.RetryBudget.TryWithdraw()
 }
 
 // hasUntriedTarget reports whether the route allows another attempt and an untried target is usable.
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -286,8 +286,8 @@
 				live++
 			}
 		}
-		vw := fl.Candidates(fleet.Wanted{Model: Model})
-		if live < len(lf.Instances)-1 || len(vw.Unconfirmed) > 0 {
+		vw := fl.Candidates(fleet.Filter{Model: Model})
+		if live < len(lf.Instances)-1 || len(vw.NeedsProbe) > 0 {
 			return false
 		}
 	}
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -26,8 +26,8 @@
 	}
 	for _, sm := range ms.fl.SummariesFor(peer) {
 		b.Summaries = append(b.Summaries, &peerpb.Summary{
-			Total: encodeUsage(sm.Target, sm.Total), Incarnation: sm.Incarnation, MemoryTotal: uint64(sm.MemoryTotal),
-			ReportedPrefill: uint64(sm.ReportedPrefill), Rate: sm.Rate, AgeMillis: clampMillis(sm.Age), Models: sm.Models,
+			Total: encodeUsage(sm.Target, sm.Load), Incarnation: sm.Incarnation, MemoryTotal: uint64(sm.MemoryTotal),
+			ReportedPrefill: uint64(sm.ReportedPrefill), Rate: sm.PrefillRate, AgeMillis: clampMillis(sm.Age), Models: sm.Models,
 		})
 	}
 	return b
@@ -38,23 +38,23 @@
 
 func clampMillis(d time.Duration) uint32 { return uint32(max(0, min(d, maxAge)).Milliseconds()) }
 
-func encodeUsage(target string, wk fleet.Work) *peerpb.Usage {
+func encodeUsage(target string, wk fleet.Load) *peerpb.Usage {
 	u := &peerpb.Usage{
-		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.Memory)), Long: uint32(max(0, wk.Long)),
+		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.MemoryTokens)), Long: uint32(max(0, wk.LongPrompts)),
 	}
-	if policy.Total(wk.Prefill) > 0 {
-		for _, p := range wk.Prefill {
+	if policy.TotalTokens(wk.PrefillTokens) > 0 {
+		for _, p := range wk.PrefillTokens {
 			u.Prefill = append(u.Prefill, uint64(max(0, p)))
 		}
 	}
 	return u
 }
 
-func decodeUsage(u *peerpb.Usage) fleet.Work {
-	wk := fleet.Work{Requests: int(u.GetRequests()), Memory: int(u.GetMemory()), Long: int(u.GetLong())}
+func decodeUsage(u *peerpb.Usage) fleet.Load {
+	wk := fleet.Load{Requests: int(u.GetRequests()), MemoryTokens: int(u.GetMemory()), LongPrompts: int(u.GetLong())}
 	for i, p := range u.GetPrefill() {
-		if i < policy.Bands {
-			wk.Prefill[i] = int(p)
+		if i < policy.NumLengthBands {
+			wk.PrefillTokens[i] = int(p)
 		}
 	}
 	return wk
@@ -70,35 +70,35 @@
 
 // applyBeat applies a heartbeat from either side of a stream. Only requests carry usage, not answers.
 func (ms *Mesh) applyBeat(from fleet.Instance, pb *peerpb.Beat) {
-	b := fleet.Beat{
-		From: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
+	b := fleet.Heartbeat{
+		Sender: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
 	}
 	if !pb.GetAnswer() {
-		b.Usage = map[string]fleet.Work{}
+		b.Usage = map[string]fleet.Load{}
 	}
 	for _, u := range pb.GetUsage() {
 		b.Usage[u.GetTarget()] = decodeUsage(u)
 	}
 	for _, s := range pb.GetSummaries() {
-		b.Summaries = append(b.Summaries, fleet.Summary{
-			Target: s.GetTotal().GetTarget(), Total: decodeUsage(s.GetTotal()), Incarnation: s.GetIncarnation(),
-			MemoryTotal: int(s.GetMemoryTotal()), ReportedPrefill: int(s.GetReportedPrefill()), Rate: s.GetRate(),
+		b.Summaries = append(b.Summaries, fleet.TargetSummary{
+			Target: s.GetTotal().GetTarget(), Load: decodeUsage(s.GetTotal()), Incarnation: s.GetIncarnation(),
+			MemoryTotal: int(s.GetMemoryTotal()), ReportedPrefill: int(s.GetReportedPrefill()), PrefillRate: s.GetRate(),
 			Age: time.Duration(s.GetAgeMillis()) * time.Millisecond, Models: s.GetModels(),
 		})
 	}
 	for _, l := range pb.GetLeaving() {
 		b.Leaving[l.GetTarget()] = l.GetIncarnation()
 	}
-	ms.fl.ApplyBeat(b)
+	ms.fl.ApplyHeartbeat(b)
 	ms.renewGrants(from.Incarnation, b.Usage)
 	ms.bundles.Hear(pb.GetBundleVersion())
 }
 
 // renewGrants extends the grants that the holder's usage shows to be in use.
-func (ms *Mesh) renewGrants(holder string, usage map[string]fleet.Work) {
+func (ms *Mesh) renewGrants(holder string, usage map[string]fleet.Load) {
 	for target, wk := range usage {
-		if wk.Long > 0 {
-			ms.grants.Renew(holder, target, wk.Long)
+		if wk.LongPrompts > 0 {
+			ms.grants.Renew(holder, target, wk.LongPrompts)
 		}
 	}
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -55,8 +55,8 @@
 	defer tick.Stop()
 	for {
 		ms.updateLinks(ctx)
-		for incarnation := range ms.fl.DropLost().All() {
-			ms.grants.DropHolder(incarnation)
+		for incarnation := range ms.fl.ForgetSilentPeers().All() {
+			ms.grants.ReleaseHolder(incarnation)
 		}
 		ms.renewGrants(ms.fl.Self().Incarnation, ms.fl.UsageFor(ms.fl.Self().Name))
 		select {
@@ -78,7 +78,7 @@
 	remoteLinks := map[string]int{}
 	sameZone := 0
 	for _, p := range peers {
-		keep := p.Listed || p.Heard < maxDialSilence
+		keep := p.Listed || p.HeartbeatAge < maxDialSilence
 		if p.Live && p.AvailabilityZone == self.AvailabilityZone {
 			sameZone++
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -142,14 +142,14 @@
 	case *peerpb.Frame_Ask:
 		key := grant.Key{Holder: from.Incarnation, ID: k.Ask.GetId()}
 		hold := time.Duration(k.Ask.GetHoldMillis()) * time.Millisecond
-		ok := ms.grants.Ask(key, k.Ask.GetTarget(), int(k.Ask.GetMemory()), hold)
+		ok := ms.grants.TryAcquire(key, k.Ask.GetTarget(), int(k.Ask.GetMemory()), hold)
 		return &peerpb.Frame{Kind: &peerpb.Frame_Answer{Answer: &peerpb.Answer{Id: k.Ask.GetId(), Granted: ok}}}
 	case *peerpb.Frame_ShortAsk:
 		return ms.respondShort(from, k.ShortAsk)
 	case *peerpb.Frame_Release:
 		key := grant.Key{Holder: from.Incarnation, ID: k.Release.GetId()}
 		ms.grants.Release(key)
-		ms.fl.DropAsked(k.Release.GetTarget(), key)
+		ms.fl.RemoveOffer(k.Release.GetTarget(), key)
 	case *peerpb.Frame_BundleAsk:
 		return ms.bundleResponse(k.BundleAsk.GetVersion())
 	}
@@ -198,7 +198,7 @@
 	key := grant.Key{Holder: ms.fl.Self().Incarnation, ID: ms.nextID.Add(1)}
 	owner := ms.fl.Owner(t)
 	if owner == ms.fl.Self().Name {
-		ok := ms.grants.Ask(key, t.Name, memory, hold)
+		ok := ms.grants.TryAcquire(key, t.Name, memory, hold)
 		return func() { ms.grants.Release(key) }, ok
 	}
 	lk := ms.linkTo(owner)
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -21,18 +21,18 @@
 )
 
 // ShortPromptChooser selects the best target that this instance owns for a peer's short prompt. It returns false if there is none.
-type ShortPromptChooser func(model string, rq policy.Request) (target string, wait time.Duration, ok bool)
+type ShortPromptChooser func(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool)
 
 // SetShortPromptChooser sets the function that answers peers' requests for offers. Before it is set, no offers are made.
 func (ms *Mesh) SetShortPromptChooser(f ShortPromptChooser) { ms.chooseShortTarget.Store(&f) }
 
 func (ms *Mesh) respondShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
 	ans := &peerpb.ShortAnswer{Id: ask.GetId()}
-	rq := policy.Request{Tokens: int(ask.GetTokens()), Output: int(ask.GetOutput())}
+	rq := policy.Prompt{Tokens: int(ask.GetTokens()), MaxOutputTokens: int(ask.GetOutput())}
 	if choose := ms.chooseShortTarget.Load(); choose != nil && !ms.stopping() {
 		if target, wait, ok := (*choose)(ask.GetModel(), rq); ok {
 			ans.Target, ans.WaitMicros = target, uint32(min(wait, maxAge).Microseconds())
-			ms.fl.NoteAsked(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, rq.Tokens, wait)
+			ms.fl.RecordOffer(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, rq.Tokens, wait)
 		}
 	}
 	return &peerpb.Frame{Kind: &peerpb.Frame_ShortAnswer{ShortAnswer: ans}}
@@ -40,7 +40,7 @@
 
 // RequestShortOffers asks a few other owners, preferably in this availability zone, and returns the offers that arrive within
 // offerTimeout.
-func (ms *Mesh) RequestShortOffers(ctx context.Context, model string, rq policy.Request) []offer.Offer {
+func (ms *Mesh) RequestShortOffers(ctx context.Context, model string, rq policy.Prompt) []offer.Offer {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	links := ms.pickOwnerLinks(model)
@@ -61,7 +61,7 @@
 
 // pickOwnerLinks returns links to random owners of targets with the model, those in this availability zone first.
 func (ms *Mesh) pickOwnerLinks(model string) []*link {
-	sameZone, otherZones := ms.fl.OtherOwners(model)
+	sameZone, otherZones := ms.fl.PeersOwning(model)
 	shuffle := func(names []string) {
 		rand.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 	}
@@ -76,12 +76,12 @@
 	return links
 }
 
-func (lk *link) requestOffer(ctx context.Context, id uint64, model string, rq policy.Request) offer.Offer {
+func (lk *link) requestOffer(ctx context.Context, id uint64, model string, rq policy.Prompt) offer.Offer {
 	ch := make(chan *peerpb.ShortAnswer, 1)
 	lk.mu.Lock()
 	lk.pendingOffers[id] = ch
 	lk.mu.Unlock()
-	ask := &peerpb.ShortAsk{Id: id, Model: model, Tokens: uint32(rq.Tokens), Output: uint32(rq.Output)}
+	ask := &peerpb.ShortAsk{Id: id, Model: model, Tokens: uint32(rq.Tokens), Output: uint32(rq.MaxOutputTokens)}
 	if lk.sendQueue.Offer(&peerpb.Frame{Kind: &peerpb.Frame_ShortAsk{ShortAsk: ask}}) {
 		select {
 		case ans := <-ch:
@@ -106,7 +106,7 @@
 	}
 	var once sync.Once
 	return offer.Offer{
-		Target: ans.GetTarget(), Wait: time.Duration(ans.GetWaitMicros()) * time.Microsecond,
+		Target: ans.GetTarget(), PredictedWait: time.Duration(ans.GetWaitMicros()) * time.Microsecond,
 		Release: func() { once.Do(func() { lk.releaseGrant(ans.GetId(), ans.GetTarget()) }) },
 	}
 }
--- a/internal/policy/lanegrant/lanegrant.go
+++ b/internal/policy/lanegrant/lanegrant.go
@@ -1,4 +1,4 @@
-// Package lanegrant is lanes with a grant from the target's owner for each long prompt.
+// Package lanegrant implements a routing policy that extends lanes: each long prompt needs a grant from the target's owner.
 package lanegrant
 
 import (
@@ -11,6 +11,6 @@
 
 func init() {
 	policy.Register(policy.Policy{
-		Name: Name, Rung: 5, Priorities: true, Peers: true, Grants: true, Choose: lanes.Choose,
+		Name: Name, Rank: 5, UsesEnginePriorities: true, UsesPeerLoad: true, UsesGrants: true, Choose: lanes.Choose,
 	})
 }
--- a/internal/policy/lanes/lanes.go
+++ b/internal/policy/lanes/lanes.go
@@ -1,4 +1,5 @@
-// Package lanes keeps long prompts on few targets and short prompts away from them.
+// Package lanes implements a routing policy that restricts long prompts to a few targets and keeps short prompts away from
+// targets that compute a long one.
 package lanes
 
 import (
@@ -16,59 +17,61 @@
 const Name = "lanes"
 
 func init() {
-	policy.Register(policy.Policy{Name: Name, Rung: 4, Priorities: true, Peers: true, Choose: Choose})
+	policy.Register(policy.Policy{Name: Name, Rank: 4, UsesEnginePriorities: true, UsesPeerLoad: true, Choose: Choose})
 }
 
-// Choose packs long prompts on targets that already hold one, up to the limits, and spreads short ones over the rest.
+// Choose places a long prompt on one of the targets for long prompts, within the limits, and a short prompt on any target,
+// preferably one without a long prefill.
 func Choose(in policy.Input) policy.Decision {
-	if in.Request.Long {
+	if in.Prompt.Long {
 		return chooseLong(in)
 	}
 	return chooseShort(in)
 }
 
-// chooseShort counts the extra time beside a long prompt, since an engine does not break off a step.
+// chooseShort chooses the target with the shortest predicted wait. The prediction includes the delay by a long prefill, since
+// an engine does not interrupt a step that it has begun.
 func chooseShort(in policy.Input) policy.Decision {
-	band := policy.Band(in.Request.Tokens)
-	best, wait := policy.Least(len(in.Candidates), in.Turn, func(i int) time.Duration {
+	band := policy.LengthBand(in.Prompt.Tokens)
+	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !ca.Fits(in.Request) {
+		if !ca.Fits(in.Prompt) {
 			return -1
 		}
-		cost := ca.Work(policy.Ahead(ca.AllPrefill, band))
-		if Blocked(ca) {
-			cost += ca.BesideLong
+		cost := ca.PrefillTime(policy.TokensAhead(ca.InFlightPrefill, band))
+		if HasLongPrefill(ca) {
+			cost += ca.InterferenceDelay
 		}
 		return cost
 	})
-	return policy.Decision{Run: best >= 0, Index: max(0, best), Wait: wait}
+	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
 
-// Blocked reports whether a long prompt is being computed on the target.
-func Blocked(ca policy.Candidate) bool {
-	return ca.AllLong > 0 && policy.Total(ca.AllPrefill) > policy.Ahead(ca.AllPrefill, 0)
+// HasLongPrefill reports whether the target has a long prompt in flight and prefill left of prompts beyond the shortest band.
+func HasLongPrefill(ca policy.Candidate) bool {
+	return ca.InFlightLong > 0 && policy.TotalTokens(ca.InFlightPrefill) > policy.TokensAhead(ca.InFlightPrefill, 0)
 }
 
 func chooseLong(in policy.Input) policy.Decision {
-	lanes := LaneTargets(in)
-	band := policy.Band(in.Request.Tokens)
-	best, wait := policy.Least(len(in.Candidates), 0, func(i int) time.Duration {
+	takesLong := LongPromptTargets(in)
+	band := policy.LengthBand(in.Prompt.Tokens)
+	best, wait := policy.LeastCost(len(in.Candidates), 0, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		if !lanes[i] || !ca.Fits(in.Request) || ca.AllLong >= in.Limits.LongPerTarget {
+		if !takesLong[i] || !ca.Fits(in.Prompt) || ca.InFlightLong >= in.Limits.MaxLongPerTarget {
 			return -1
 		}
-		return ca.Work(policy.Ahead(ca.AllPrefill, band))
+		return ca.PrefillTime(policy.TokensAhead(ca.InFlightPrefill, band))
 	})
-	return policy.Decision{Run: best >= 0, Index: max(0, best), Wait: wait}
+	return policy.Decision{Placed: best >= 0, Index: max(0, best), PredictedWait: wait}
 }
 
-// LaneTargets marks the candidates that take long prompts: those with the lowest hash of their name, up to the share.
-// Every instance with the same list of targets marks the same ones, so that no message is needed.
-func LaneTargets(in policy.Input) []bool {
+// LongPromptTargets marks the candidates that take long prompts: those whose names have the lowest hashes, up to the
+// configured share. Instances with the same list of targets mark the same ones without exchanging messages.
+func LongPromptTargets(in policy.Input) []bool {
 	n := len(in.Candidates)
-	count := min(n, max(1, int(math.Round(in.Limits.LongShare*float64(n)))))
-	if in.Follows {
-		count = demanded(in, count)
+	count := min(n, max(1, int(math.Round(in.Limits.MaxLongTargetShare*float64(n)))))
+	if in.HasDemand {
+		count = longTargetCount(in, count)
 	}
 	order := make([]int, n)
 	for i := range order {
@@ -84,19 +87,19 @@
 	return marks
 }
 
-// shortUse is the share of a target's time that short prompts may take before they wait for each other too long.
-const shortUse = 0.4
+// maxShortUtilisation is the share of a target's time above which short prompts wait too long for each other.
+const maxShortUtilisation = 0.4
 
-// demanded returns the number of targets for long prompts: at most most, and none that short prompts need, unless long
-// prompts would be late.
-func demanded(in policy.Input, most int) int {
-	rate := 0.0
+// longTargetCount returns the number of targets for long prompts, between 1 and maxCount. It leaves short prompts as many
+// targets as they need, unless long prompts would then miss their deadlines.
+func longTargetCount(in policy.Input, maxCount int) int {
+	meanRate := 0.0
 	for _, ca := range in.Candidates {
-		rate += ca.Rate
+		meanRate += ca.PrefillRate
 	}
 	n := len(in.Candidates)
-	rate /= float64(n)
-	free := n - int(math.Ceil(in.Demand.Short/(rate*shortUse)))
-	late := int(math.Ceil(in.Demand.LongNeed / rate))
-	return min(n, max(1, min(free, most), min(late, most)))
+	meanRate /= float64(n)
+	free := n - int(math.Ceil(in.Demand.ShortRate/(meanRate*maxShortUtilisation)))
+	required := int(math.Ceil(in.Demand.RequiredLongRate / meanRate))
+	return min(n, max(1, min(free, maxCount), min(required, maxCount)))
 }
--- a/internal/policy/leastwait/leastwait.go
+++ b/internal/policy/leastwait/leastwait.go
@@ -1,4 +1,5 @@
-// Package leastwait takes the target with the least predicted wait, from own knowledge and lagging load reports.
+// Package leastwait implements a routing policy that chooses the target with the shortest predicted wait, based on the
+// requests of this instance and on the engines' load reports, which are stale.
 package leastwait
 
 import (
@@ -11,14 +12,15 @@
 const Name = "leastwait"
 
 func init() {
-	policy.Register(policy.Policy{Name: Name, Rung: 2, Choose: Choose})
+	policy.Register(policy.Policy{Name: Name, Rank: 2, Choose: Choose})
 }
 
-// Choose takes the candidate whose prompts ahead take the least time.
+// Choose returns the candidate with the shortest prefill time ahead of the prompt. It takes the larger of the own and the
+// reported prefill, since reports are stale.
 func Choose(in policy.Input) policy.Decision {
-	best, wait := policy.Least(len(in.Candidates), in.Turn, func(i int) time.Duration {
+	best, wait := policy.LeastCost(len(in.Candidates), in.Sequence, func(i int) time.Duration {
 		ca := in.Candidates[i]
-		return ca.Work(max(policy.Total(ca.OwnPrefill), ca.ReportedPrefill))
+		return ca.PrefillTime(max(policy.TotalTokens(ca.OwnPrefill), ca.ReportedPrefill))
 	})
-	return policy.Decision{Run: true, Index: best, Wait: wait}
+	return policy.Decision{Placed: true, Index: best, PredictedWait: wait}
 }
--- a/internal/router/waiting.go
+++ b/internal/router/waiting.go
@@ -9,149 +9,153 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-// waiter is a request that has no place yet.
+// waiter is a request in the queue. Requests of the same length band and the same model or service form a queue of their own
+// within it, of which only the first waiter looks for a slot.
 type waiter struct {
-	ask Ask
-	// out is closed when the request has to make way.
-	out chan struct{}
-	// turn has room for one signal: the request before it in its queue has left without a place.
-	turn chan struct{}
+	request Request
+	// evicted is closed when the waiter is removed in favour of a request that is not sheddable.
+	evicted chan struct{}
+	// wake receives a signal when a waiter of the same queue has left without a slot. It is buffered for one signal.
+	wake chan struct{}
 }
 
-func newWaiter(ask Ask) *waiter {
-	return &waiter{ask: ask, out: make(chan struct{}), turn: make(chan struct{}, 1)}
+func newWaiter(rq Request) *waiter {
+	return &waiter{request: rq, evicted: make(chan struct{}), wake: make(chan struct{}, 1)}
 }
 
-// before orders waiters: class priority, then length band, then deadline.
-func before(a, b *waiter) int {
-	if a.ask.Priority != b.ask.Priority {
-		return b.ask.Priority - a.ask.Priority
+// compareWaiters orders waiters by class priority (highest first), then length band (shortest first), then deadline.
+func compareWaiters(a, b *waiter) int {
+	if a.request.Priority != b.request.Priority {
+		return b.request.Priority - a.request.Priority
 	}
-	if d := policy.Band(a.ask.Request.Tokens) - policy.Band(b.ask.Request.Tokens); d != 0 {
+	if d := policy.LengthBand(a.request.Prompt.Tokens) - policy.LengthBand(b.request.Prompt.Tokens); d != 0 {
 		return d
 	}
-	return a.ask.Deadline.Compare(b.ask.Deadline)
+	return a.request.Deadline.Compare(b.request.Deadline)
 }
 
-// enter adds a waiter. When too many wait, the last of those that yield makes way for one that does not.
-func (rt *Router) enter(wt *waiter) error {
+// enqueue adds a waiter. If the queue is full, a waiter that is not sheddable evicts the last sheddable one; any other is
+// refused.
+func (rt *Router) enqueue(wt *waiter) error {
 	rt.mu.Lock()
-	full := len(rt.waiting) >= rt.opts.MaxWaiting
-	if full && (wt.ask.Yields || !rt.evict()) {
+	full := len(rt.queue) >= rt.opts.MaxWaiting
+	if full && (wt.request.Sheddable || !rt.evictSheddable()) {
 		rt.mu.Unlock()
-		return rt.overloaded()
+		return rt.overloadError()
 	}
 	defer rt.mu.Unlock()
-	i, _ := slices.BinarySearchFunc(rt.waiting, wt, before)
-	rt.waiting = slices.Insert(rt.waiting, i, wt)
+	i, _ := slices.BinarySearchFunc(rt.queue, wt, compareWaiters)
+	rt.queue = slices.Insert(rt.queue, i, wt)
 	return nil
 }
 
-// evict ends the last waiter that yields. It is called with the lock held.
-func (rt *Router) evict() bool {
-	for i, wt := range slices.Backward(rt.waiting) {
-		if wt.ask.Yields {
-			close(wt.out)
-			rt.waiting = slices.Delete(rt.waiting, i, i+1)
+// evictSheddable evicts the last sheddable waiter and reports whether there was one. The caller holds the lock.
+func (rt *Router) evictSheddable() bool {
+	for i, wt := range slices.Backward(rt.queue) {
+		if wt.request.Sheddable {
+			close(wt.evicted)
+			rt.queue = slices.Delete(rt.queue, i, i+1)
 			return true
 		}
 	}
 	return false
 }
 
-func (rt *Router) leave(wt *waiter) {
+func (rt *Router) dequeue(wt *waiter) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	if i := slices.Index(rt.waiting, wt); i >= 0 {
-		rt.waiting = slices.Delete(rt.waiting, i, i+1)
+	if i := slices.Index(rt.queue, wt); i >= 0 {
+		rt.queue = slices.Delete(rt.queue, i, i+1)
 	}
 }
 
-// wakeNext wakes the first of a queue that a waiter has left without a place: what ended one often ends all, and each would
-// else notice it up to 75 ms after the one before it.
-func (rt *Router) wakeNext(gone *waiter) {
+// wakeNext wakes the first waiter of the queue that this waiter has left without a slot. What ended one waiter, such as the
+// loss of all targets, often ends the others too, and without the signal each would notice up to 75 ms after the one before it.
+func (rt *Router) wakeNext(left *waiter) {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	i := slices.IndexFunc(rt.waiting, func(wt *waiter) bool { return sameQueue(wt, gone) })
+	i := slices.IndexFunc(rt.queue, func(wt *waiter) bool { return sameQueue(wt, left) })
 	if i < 0 {
 		return
 	}
 	select {
-	case rt.waiting[i].turn <- struct{}{}:
+	case rt.queue[i].wake <- struct{}{}:
 	default:
-		// A signal waits already.
+		// A signal is already pending.
 	}
 }
 
-// first reports whether no more urgent request of the same length band and model waits.
-func (rt *Router) first(wt *waiter) bool {
+// isFirst reports whether the waiter is the first of its queue.
+func (rt *Router) isFirst(wt *waiter) bool {
 	rt.mu.Lock()
 	defer rt.mu.Unlock()
-	for _, o := range rt.waiting {
-		if o == wt {
+	for _, other := range rt.queue {
+		if other == wt {
 			return true
 		}
-		if sameQueue(o, wt) {
+		if sameQueue(other, wt) {
 			return false
 		}
 	}
 	return true
 }
 
+// sameQueue reports whether two waiters have the same length band and the same model or service.
 func sameQueue(a, b *waiter) bool {
-	return policy.Band(a.ask.Request.Tokens) == policy.Band(b.ask.Request.Tokens) &&
-		a.ask.Wanted.Model == b.ask.Wanted.Model && a.ask.Wanted.Service == b.ask.Wanted.Service
+	return policy.LengthBand(a.request.Prompt.Tokens) == policy.LengthBand(b.request.Prompt.Tokens) &&
+		a.request.Filter.Model == b.request.Filter.Model && a.request.Filter.Service == b.request.Filter.Service
 }
 
-// inTime refuses a request at once when those before it in its queue and its own prompt take longer than it has.
-func (rt *Router) inTime(wt *waiter) error {
+// checkDeadline returns an error if the prompts ahead of a waiter in its queue and its own prompt are predicted to take longer
+// than the time left until its deadline.
+func (rt *Router) checkDeadline(wt *waiter) error {
 	rt.mu.Lock()
-	tokens := wt.ask.Request.Tokens
-	for _, o := range rt.waiting {
-		if o == wt {
+	tokens := wt.request.Prompt.Tokens
+	for _, other := range rt.queue {
+		if other == wt {
 			break
 		}
-		if sameQueue(o, wt) {
-			tokens += o.ask.Request.Tokens
+		if sameQueue(other, wt) {
+			tokens += other.request.Prompt.Tokens
 		}
 	}
 	rt.mu.Unlock()
-	need, known := rt.drainTime(wt.ask, tokens)
-	if left := wt.ask.Deadline.Sub(rt.opts.Now()); known && need > left {
+	need, known := rt.drainTime(wt.request, tokens)
+	if timeLeft := wt.request.Deadline.Sub(rt.opts.Now()); known && need > timeLeft {
 		return failure.New(failure.DeadlineTooShort, failure.NotRun, "the queue before it takes about %s, past the deadline",
-			need.Round(time.Millisecond)).WithRetryAfter(need - left)
+			need.Round(time.Millisecond)).WithRetryAfter(need - timeLeft)
 	}
 	return nil
 }
 
-// drainTime is how long the targets that may take a request need for some prompt tokens. It is not known while no
-// target has told its speed.
-func (rt *Router) drainTime(ask Ask, tokens int) (need time.Duration, known bool) {
-	sum := 0.0
-	for _, ca := range rt.fl.Candidates(fleet.Wanted{Model: ask.Wanted.Model, Service: ask.Wanted.Service}).Candidates {
-		if ca.RateKnown {
-			sum += ca.Rate
+// drainTime returns the time that the targets that can serve the request need to compute this number of prompt tokens. It is
+// unknown while no target has a known prefill rate.
+func (rt *Router) drainTime(rq Request, tokens int) (need time.Duration, known bool) {
+	totalRate := 0.0
+	for _, ca := range rt.fl.Candidates(fleet.Filter{Model: rq.Filter.Model, Service: rq.Filter.Service}).Candidates {
+		if ca.PrefillRateKnown {
+			totalRate += ca.PrefillRate
 		}
 	}
-	if ask.Request.Long {
-		sum *= rt.opts.Limits.LongShare
+	if rq.Prompt.Long {
+		totalRate *= rt.opts.Limits.MaxLongTargetShare
 	}
-	if sum <= 0 {
+	if totalRate <= 0 {
 		return 0, false
 	}
-	return time.Duration(float64(tokens) / sum * float64(time.Second)), true
+	return time.Duration(float64(tokens) / totalRate * float64(time.Second)), true
 }
 
-// overloaded tells the caller to come back when what waits now is done.
-func (rt *Router) overloaded() error {
+// overloadError returns an error that tells the caller to retry after the time needed to drain the queue, at least 1 s.
+func (rt *Router) overloadError() error {
 	rt.mu.Lock()
-	tokens, ask := 0, Ask{}
-	for _, wt := range rt.waiting {
-		tokens += wt.ask.Request.Tokens
-		ask = wt.ask
+	tokens, rq := 0, Request{}
+	for _, wt := range rt.queue {
+		tokens += wt.request.Prompt.Tokens
+		rq = wt.request
 	}
-	n := len(rt.waiting)
+	n := len(rt.queue)
 	rt.mu.Unlock()
-	need, _ := rt.drainTime(ask, tokens)
+	need, _ := rt.drainTime(rq, tokens)
 	return failure.New(failure.Overloaded, failure.NotRun, "%d requests wait already", n).WithRetryAfter(max(time.Second, need))
 }
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -31,10 +31,10 @@
 )
 
 // runAttempt sends a request to one engine and relays the response to the caller.
-func (sv *Server) runAttempt(ctx context.Context, rq *request, sk *sink, pl *router.Place) error {
+func (sv *Server) runAttempt(ctx context.Context, rq *request, sk *sink, pl *router.Slot) error {
 	cl := sv.Engine(pl.Target)
 	at := engine.Attempt{
-		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.remaining(), Borrowed: pl.Borrowed,
+		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.remaining(), Borrowed: pl.BorrowedTokens,
 		Priority: sv.enginePriority(rq), Fresh: rq.atMostOnce,
 	}
 	sk.events = 0
@@ -51,40 +51,40 @@
 	if err != nil {
 		sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
 		if failure.FromError(err).Code == failure.TargetLost {
-			sv.Fleet.Failure(pl.Target.Name)
+			sv.Fleet.RecordFailure(pl.Target.Name)
 		}
 		return err
 	}
-	sv.Fleet.Success(pl.Target.Name)
+	sv.Fleet.RecordSuccess(pl.Target.Name)
 	return nil
 }
 
 // enginePriority returns the priority of a request in the engine's queue: higher for classes of higher priority and, within
 // a class, for shorter prompts. It is 0 if the policy does not use priorities.
 func (sv *Server) enginePriority(rq *request) int {
-	if !sv.Router.Policy().Priorities {
+	if !sv.Router.Policy().UsesEnginePriorities {
 		return 0
 	}
-	band := policy.Band(len(rq.body) / engine.BytesPerToken)
-	return rq.class.Priority*policy.Bands + policy.Bands - 1 - band
+	band := policy.LengthBand(len(rq.body) / engine.BytesPerToken)
+	return rq.class.Priority*policy.NumLengthBands + policy.NumLengthBands - 1 - band
 }
 
 // handleStartError returns the failure of an attempt that got no response, and updates the state of its target. If the
 // attempt may be running at the target, it is cancelled there.
-func (sv *Server) handleStartError(ctx context.Context, at engine.Attempt, cl *engine.Client, pl *router.Place, err error) error {
+func (sv *Server) handleStartError(ctx context.Context, at engine.Attempt, cl *engine.Client, pl *router.Slot, err error) error {
 	var se *engine.StatusError
 	if errors.As(err, &se) {
 		return failureFromStatus(se)
 	}
 	if engine.NeverConnected(err) {
-		sv.Fleet.Down(pl.Target.Name)
+		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
 	sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
 	if ctx.Err() != nil {
 		return failureFromContext(ctx)
 	}
-	sv.Fleet.Failure(pl.Target.Name)
+	sv.Fleet.RecordFailure(pl.Target.Name)
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off before it answered").WithCause(err)
 }
 
@@ -118,7 +118,7 @@
 
 // relayResponse passes a target's response on to the caller.
 func (sv *Server) relayResponse(
-	ctx context.Context, rq *request, sk *sink, pl *router.Place, at engine.Attempt, resp *http.Response, startedAt time.Time,
+	ctx context.Context, rq *request, sk *sink, pl *router.Slot, at engine.Attempt, resp *http.Response, startedAt time.Time,
 ) error {
 	if echo := resp.Header.Get(engine.HeaderAttempt); echo != "" && echo != at.ID {
 		sv.incCounter("answers_of_other_attempts_total")
@@ -146,14 +146,14 @@
 }
 
 // recordFirstToken records the time to the first part of a response, for load predictions, metrics and the request's state.
-func (sv *Server) recordFirstToken(ctx context.Context, rq *request, pl *router.Place, startedAt time.Time) {
-	pl.FirstToken(time.Since(startedAt))
+func (sv *Server) recordFirstToken(ctx context.Context, rq *request, pl *router.Slot, startedAt time.Time) {
+	pl.RecordFirstToken(time.Since(startedAt))
 	if !rq.firstTokenAt.IsZero() {
 		return
 	}
 	rq.firstTokenAt = time.Now()
-	if pl.Alone && rq.fields.Stream {
-		sv.Fleet.Observe(pl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstTokenAt.Sub(startedAt))
+	if pl.Uncontended && rq.fields.Stream {
+		sv.Fleet.ObservePrefill(pl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstTokenAt.Sub(startedAt))
 	}
 	if err := sv.machine.Fire(ctx, &rq.life, life.FirstToken); err != nil {
 		sv.Log.WithError(err).Error("first token received in a state that does not allow it")
@@ -206,7 +206,7 @@
 
 // resumeStream requests the rest of an interrupted stream from the same engine, and relays it.
 func (sv *Server) resumeStream(
-	ctx context.Context, rq *request, sk *sink, pl *router.Place, cl *engine.Client, at engine.Attempt, startedAt time.Time,
+	ctx context.Context, rq *request, sk *sink, pl *router.Slot, cl *engine.Client, at engine.Attempt, startedAt time.Time,
 ) error {
 	resp, err := cl.Resume(ctx, at.ID, sk.events)
 	if err != nil {
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -134,19 +134,19 @@
 
 // runInference makes the attempts of an inference request.
 func (sv *Server) runInference(ctx context.Context, rq *request, sk *sink) error {
-	ask := func(tried []string) router.Ask {
-		return router.Ask{
-			Request:  rq.policyRequest(sv.limits.LongTokens),
-			Wanted:   fleet.Wanted{Model: rq.fields.Model, Except: tried, Peers: sv.Router.Policy().Peers},
-			Priority: rq.class.Priority, Yields: rq.class.Yields, Deadline: rq.deadline.At,
+	ask := func(tried []string) router.Request {
+		return router.Request{
+			Prompt:   rq.policyRequest(sv.limits.LongTokens),
+			Filter:   fleet.Filter{Model: rq.fields.Model, Exclude: tried, IncludePeerLoad: sv.Router.Policy().UsesPeerLoad},
+			Priority: rq.class.Priority, Sheddable: rq.class.Yields, Deadline: rq.deadline.At,
 		}
 	}
-	return sv.runAttempts(ctx, rq, sk, ask, func(pl *router.Place) error { return sv.runAttempt(ctx, rq, sk, pl) })
+	return sv.runAttempts(ctx, rq, sk, ask, func(pl *router.Slot) error { return sv.runAttempt(ctx, rq, sk, pl) })
 }
 
 // runAttempts acquires places and calls targets until a response is complete or no further attempt is allowed.
 func (sv *Server) runAttempts(
-	ctx context.Context, rq *request, sk *sink, ask func(tried []string) router.Ask, call func(*router.Place) error,
+	ctx context.Context, rq *request, sk *sink, ask func(tried []string) router.Request, call func(*router.Slot) error,
 ) error {
 	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
 		return err
@@ -167,15 +167,15 @@
 		if sv.abortCtx.Err() != nil {
 			// The place came free because another request was aborted at shutdown. This request is aborted too, but its own
 			// context has not ended yet.
-			pl.Done()
+			pl.Release()
 			return sv.endFailed(rq, sk, noPlaceFailure(sv.abortCtx, known, sv.abortCtx.Err()))
 		}
 		if err := sv.machine.Fire(ctx, &rq.life, life.Dispatch); err != nil {
-			pl.Done()
+			pl.Release()
 			return err
 		}
 		err = call(pl)
-		pl.Done()
+		pl.Release()
 		if err == nil {
 			return sv.machine.Fire(ctx, &rq.life, life.Finish)
 		}
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -64,9 +64,9 @@
 	}
 }
 
-func (rq *request) policyRequest(longTokens int) policy.Request {
+func (rq *request) policyRequest(longTokens int) policy.Prompt {
 	tokens := max(1, len(rq.body)/engine.BytesPerToken)
-	return policy.Request{Tokens: tokens, Output: rq.maxOutputTokens(), Long: tokens >= longTokens}
+	return policy.Prompt{Tokens: tokens, MaxOutputTokens: rq.maxOutputTokens(), Long: tokens >= longTokens}
 }
 
 // newRequest authenticates a request and reads everything of it except its body.
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -40,18 +40,18 @@
 
 // runService makes the attempts of a request to a plain service.
 func (sv *Server) runService(ctx context.Context, r *http.Request, rq *request, sk *sink, name, path string) error {
-	ask := func(tried []string) router.Ask {
-		return router.Ask{
-			Request:  policy.Request{Tokens: 1},
-			Wanted:   fleet.Wanted{Service: name, Except: tried, Peers: sv.Router.Policy().Peers},
+	ask := func(tried []string) router.Request {
+		return router.Request{
+			Prompt:   policy.Prompt{Tokens: 1},
+			Filter:   fleet.Filter{Service: name, Exclude: tried, IncludePeerLoad: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Deadline: rq.deadline.At,
 		}
 	}
-	return sv.runAttempts(ctx, rq, sk, ask, func(pl *router.Place) error { return sv.callService(ctx, r, rq, sk, pl, path) })
+	return sv.runAttempts(ctx, rq, sk, ask, func(pl *router.Slot) error { return sv.callService(ctx, r, rq, sk, pl, path) })
 }
 
 // callService sends a request to one instance of a plain service and relays the response to the caller.
-func (sv *Server) callService(ctx context.Context, r *http.Request, rq *request, sk *sink, pl *router.Place, path string) error {
+func (sv *Server) callService(ctx context.Context, r *http.Request, rq *request, sk *sink, pl *router.Slot, path string) error {
 	u := pl.Target.URL + path
 	if r.URL.RawQuery != "" {
 		u += "?" + r.URL.RawQuery
@@ -70,8 +70,8 @@
 		return sv.handleServiceError(ctx, pl, err)
 	}
 	defer resp.Body.Close()
-	sv.Fleet.Confirm(pl.Target.Name)
-	pl.FirstToken(0)
+	sv.Fleet.ConfirmReachable(pl.Target.Name)
+	pl.RecordFirstToken(0)
 	return copyResponse(sk, resp)
 }
 
@@ -96,14 +96,14 @@
 }
 
 // handleServiceError returns the failure of a call that got no response, and updates the state of its target.
-func (sv *Server) handleServiceError(ctx context.Context, pl *router.Place, err error) error {
+func (sv *Server) handleServiceError(ctx context.Context, pl *router.Slot, err error) error {
 	if engine.NeverConnected(err) {
-		sv.Fleet.Down(pl.Target.Name)
+		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
 	if ctx.Err() != nil {
 		return failureFromContext(ctx).WithOutcome(failure.Unknown)
 	}
-	sv.Fleet.Failure(pl.Target.Name)
+	sv.Fleet.RecordFailure(pl.Target.Name)
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off before it answered").WithCause(err)
 }
--- a/internal/serve/tickets.go
+++ b/internal/serve/tickets.go
@@ -49,7 +49,7 @@
 	if ticket.Issuer(tk) != sv.Incarnation {
 		return sv.forwardToIssuer(ctx, r, tk, rq, sk)
 	}
-	resp, err := sv.Tickets.Take(tk)
+	resp, err := sv.Tickets.Redeem(tk)
 	if err != nil {
 		return err
 	}
@@ -62,11 +62,11 @@
 	err = run(ctx, rq, sk)
 	switch {
 	case err == nil:
-		sv.Tickets.Finish(tk, *sk.recording)
+		sv.Tickets.Complete(tk, *sk.recording)
 	case failure.FromError(err).Outcome == failure.NotRun:
 		sv.Tickets.Release(tk)
 	default:
-		sv.Tickets.Lose(tk)
+		sv.Tickets.MarkLost(tk)
 	}
 	return err
 }
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -220,7 +220,7 @@
 					responses <- tryCall(t.Context(), lf.URLs()[0]+"/v1/completions", completion(prompt, 4, false))
 				}()
 			}
-			g.Eventually(func() []int { return []int{int(sv.InFlight()), sv.Router.Waiting()} }, stepTimeout).
+			g.Eventually(func() []int { return []int{int(sv.InFlight()), sv.Router.QueueLength()} }, stepTimeout).
 				Should(Equal([]int{len(tc.prompts), tc.waiting}))
 			stopErr := lf.Instances[0].Stop(t.Context())
 			var got []string
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -289,14 +289,14 @@
 		}
 		fl.SetTargets(list)
 		for i := range size.Peers {
-			fl.ApplyBeat(fleet.Beat{From: fleet.Instance{Name: fmt.Sprintf("entry-%03d", i), AvailabilityZone: zoneOf(i, size)}})
+			fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: fmt.Sprintf("entry-%03d", i), AvailabilityZone: zoneOf(i, size)}})
 		}
 		began := time.Now()
 		for turn := range rounds {
-			vw := fl.Candidates(fleet.Wanted{Model: "m", Peers: true, Owned: turn%2 == 0})
+			vw := fl.Candidates(fleet.Filter{Model: "m", IncludePeerLoad: true, OwnedOnly: turn%2 == 0})
 			if len(vw.Candidates) > 0 {
 				p.Choose(policy.Input{
-					Request: policy.Request{Tokens: 2000}, Candidates: vw.Candidates, Turn: uint64(turn), Limits: policy.Limits{LongShare: 0.4},
+					Prompt: policy.Prompt{Tokens: 2000}, Candidates: vw.Candidates, Sequence: uint64(turn), Limits: policy.Limits{MaxLongTargetShare: 0.4},
 				})
 			}
 		}
--- a/internal/ticket/ticket.go
+++ b/internal/ticket/ticket.go
@@ -1,5 +1,5 @@
-// Package ticket makes a request with a ticket run at most once without the platform's store: only the incarnation
-// that issued a ticket runs it, from a ledger in its memory.
+// Package ticket lets a request run at most once without the platform's store: only the incarnation that issued the request's
+// ticket runs it, and keeps the ticket's state in memory.
 package ticket
 
 import (
@@ -14,62 +14,67 @@
 
 const separator = "."
 
+// state is the state of a ticket.
 type state int
 
 const (
+	// issued is the state of a ticket that can be redeemed.
 	issued state = iota
 	running
 	done
+	// lost is the state of a ticket whose request was run with an unknown result.
 	lost
 )
 
 type entry struct {
-	state  state
-	answer *claim.Response
-	until  time.Time
+	state     state
+	response  *claim.Response
+	expiresAt time.Time
 }
 
 // Ledger holds the tickets of one incarnation. It is safe for use by any goroutine.
 type Ledger struct {
 	incarnation string
-	keep        time.Duration
-	limit       int
+	retention   time.Duration
+	maxTickets  int
 	now         func() time.Time
 
 	mu      sync.Mutex
 	entries map[string]*entry
 }
 
-// New returns an empty ledger that keeps each ticket for a time, and at most limit tickets.
-func New(incarnation string, keep time.Duration, limit int, now func() time.Time) *Ledger {
-	return &Ledger{incarnation: incarnation, keep: keep, limit: limit, now: now, entries: map[string]*entry{}}
+// New returns an empty ledger that holds at most maxTickets tickets, each for the retention time after its issue or the end of
+// its run.
+func New(incarnation string, retention time.Duration, maxTickets int, now func() time.Time) *Ledger {
+	return &Ledger{incarnation: incarnation, retention: retention, maxTickets: maxTickets, now: now, entries: map[string]*entry{}}
 }
 
-// Issuer returns the incarnation that a ticket names.
+// Issuer returns the incarnation that issued the ticket.
 func Issuer(ticket string) string {
 	issuer, _, _ := strings.Cut(ticket, separator)
 	return issuer
 }
 
-// Issue returns a new ticket and how long it is kept.
+// Issue returns a new ticket and the time for which it is valid.
 func (lg *Ledger) Issue() (string, time.Duration, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
-	lg.sweep()
-	if len(lg.entries) >= lg.limit {
+	lg.removeExpired()
+	if len(lg.entries) >= lg.maxTickets {
 		return "", 0, failure.New(failure.Overloaded, failure.NotRun, "%d tickets are out", len(lg.entries)).
 			WithRetryAfter(time.Second)
 	}
 	id := lg.incarnation + separator + ident.New("ticket")
-	lg.entries[id] = &entry{until: lg.now().Add(lg.keep)}
-	return id, lg.keep, nil
+	lg.entries[id] = &entry{expiresAt: lg.now().Add(lg.retention)}
+	return id, lg.retention, nil
 }
 
-// Take honours a ticket: it returns nothing when the request may run now, or the recorded answer of its run.
-func (lg *Ledger) Take(ticket string) (*claim.Response, error) {
+// Redeem returns a nil response if the request may run now, or the recorded response if it has already run. It returns an error
+// if the ticket is unknown, or if the request is running or has run without a known result.
+func (lg *Ledger) Redeem(ticket string) (*claim.Response, error) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
-	lg.sweep()
+	lg.removeExpired()
 	en := lg.entries[ticket]
 	switch {
 	case en == nil:
@@ -78,7 +83,7 @@
 		en.state = running
 		return nil, nil
 	case en.state == done:
-		return en.answer, nil
+		return en.response, nil
 	case en.state == running:
 		return nil, failure.New(failure.KeyInUse, failure.Unknown, "the request is running").WithRetryAfter(time.Second)
 	default:
@@ -86,29 +91,29 @@
 	}
 }
 
-// Finish records the answer of the run.
-func (lg *Ledger) Finish(ticket string, ans claim.Response) {
-	lg.set(ticket, entry{state: done, answer: &ans})
+// Complete records the response of the request.
+func (lg *Ledger) Complete(ticket string, resp claim.Response) {
+	lg.set(ticket, entry{state: done, response: &resp})
 }
 
-// Release lets the ticket be used again, after a request of which nothing was run.
+// Release makes a ticket redeemable again after a request that was not run.
 func (lg *Ledger) Release(ticket string) { lg.set(ticket, entry{state: issued}) }
 
-// Lose records that the result is not known.
-func (lg *Ledger) Lose(ticket string) { lg.set(ticket, entry{state: lost}) }
+// MarkLost records that the result of the request is unknown.
+func (lg *Ledger) MarkLost(ticket string) { lg.set(ticket, entry{state: lost}) }
 
 func (lg *Ledger) set(ticket string, en entry) {
 	lg.mu.Lock()
 	defer lg.mu.Unlock()
-	en.until = lg.now().Add(lg.keep)
+	en.expiresAt = lg.now().Add(lg.retention)
 	lg.entries[ticket] = &en
 }
 
-// sweep is called with the lock held.
-func (lg *Ledger) sweep() {
+// removeExpired removes tickets past their retention time, except those of running requests. The caller holds the lock.
+func (lg *Ledger) removeExpired() {
 	now := lg.now()
 	for id, en := range lg.entries {
-		if en.state != running && now.After(en.until) {
+		if en.state != running && now.After(en.expiresAt) {
 			delete(lg.entries, id)
 		}
 	}
