--- a/internal/standin/fault/answer.go
+++ b/internal/standin/fault/answer.go
@@ -9,7 +9,7 @@
 const Unbounded = -1
 
 // Answer is what a target sends for one request.
-type Answer struct {
+type Response struct {
 	Status int
 	// Header is never nil and holds no framing.
 	Header http.Header
@@ -21,33 +21,33 @@
 }
 
 // Whole returns an answer that is sent in one piece.
-func Whole(status int, body []byte) Answer {
-	return Answer{
+func Whole(status int, body []byte) Response {
+	return Response{
 		Status: status, Header: http.Header{}, Length: len(body),
 		Body: func(send func([]byte) bool) bool { return send(body) },
 	}
 }
 
 // Refusal returns an answer which says that the request was not run.
-func Refusal(status int) Answer {
+func Refusal(status int) Response {
 	return Whole(status, nil).With(HeaderNotExecuted, "1")
 }
 
 // With returns a copy with one more header.
-func (an Answer) With(name, value string) Answer {
+func (an Response) With(name, value string) Response {
 	an.Header = an.Header.Clone()
 	an.Header.Set(name, value)
 	return an
 }
 
-func (an Answer) without(name string) Answer {
+func (an Response) without(name string) Response {
 	an.Header = an.Header.Clone()
 	an.Header.Del(name)
 	return an
 }
 
 // framed returns a copy with the headers that tell where the answer ends.
-func (an Answer) framed(kd Kind) Answer {
+func (an Response) framed(kd Kind) Response {
 	switch {
 	case kd == NoLength:
 		return an.With("Connection", "close")
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -111,7 +111,7 @@
 }
 
 // aside answers health checks and the requests that take no slot. The answer is nil when the body did not arrive.
-func (cn *conn) aside(rq *http.Request) (*Answer, bool) {
+func (cn *conn) aside(rq *http.Request) (*Response, bool) {
 	side := cn.server.work.Side[sideKey(rq)]
 	health := rq.Method == http.MethodGet && rq.URL.Path == cn.server.settings.HealthPath
 	if side == nil && !health {
@@ -237,7 +237,7 @@
 }
 
 // disguise returns the answer as the fault shows it.
-func disguise(an Answer, kd Kind) Answer {
+func disguise(an Response, kd Kind) Response {
 	switch kd {
 	case Fail:
 		return Whole(http.StatusInternalServerError, []byte(failureBody)).
@@ -256,12 +256,12 @@
 }
 
 // dress returns the answer with all that the target says in it.
-func (cn *conn) dress(an Answer, rq *http.Request, kd Kind) Answer {
+func (cn *conn) dress(an Response, rq *http.Request, kd Kind) Response {
 	return cn.server.dress(cn.server.say(an, cn.exchange), rq, kd)
 }
 
 // dress returns the answer with the headers that every answer has.
-func (sv *Server) dress(an Answer, rq *http.Request, kd Kind) Answer {
+func (sv *Server) dress(an Response, rq *http.Request, kd Kind) Response {
 	if an.Header.Get(HeaderAttempt) == "" && rq.Header.Get(HeaderAttempt) != "" {
 		an = an.With(HeaderAttempt, rq.Header.Get(HeaderAttempt))
 	}
@@ -276,13 +276,13 @@
 }
 
 // reply sends an answer without a fault and reports whether the connection can serve another request.
-func (cn *conn) reply(rq *http.Request, an Answer) bool {
+func (cn *conn) reply(rq *http.Request, an Response) bool {
 	an = cn.dress(an, rq, None)
 	return cn.send(an, None) && an.Header.Get("Connection") != "close"
 }
 
 // replyAside is reply with the fault that is set for the request's method and path.
-func (cn *conn) replyAside(rq *http.Request, an Answer) bool {
+func (cn *conn) replyAside(rq *http.Request, an Response) bool {
 	kd := cn.server.sidePlan(sideKey(rq)).take()
 	if kd == None {
 		return cn.reply(rq, an)
@@ -295,7 +295,7 @@
 func sideKey(rq *http.Request) string { return rq.Method + " " + rq.URL.Path }
 
 // answer sends an answer as its fault asks, and reports whether the run came to its end.
-func (cn *conn) answer(ctx context.Context, an Answer, kd Kind) bool {
+func (cn *conn) answer(ctx context.Context, an Response, kd Kind) bool {
 	switch kd {
 	case Reset:
 		exhaust(an)
@@ -314,11 +314,11 @@
 }
 
 // exhaust does the work of an answer without sending it.
-func exhaust(an Answer) {
+func exhaust(an Response) {
 	an.Body(func([]byte) bool { return true })
 }
 
-func (cn *conn) sendSurplus(an Answer, kd Kind) bool {
+func (cn *conn) sendSurplus(an Response, kd Kind) bool {
 	if kd != Surplus && kd != LateSurplus {
 		return true
 	}
@@ -334,7 +334,7 @@
 }
 
 // send writes an answer and reports whether it went out whole.
-func (cn *conn) send(an Answer, kd Kind) bool {
+func (cn *conn) send(an Response, kd Kind) bool {
 	_, _ = cn.writer.Write(cn.owed) // the flush returns its failure, here and below
 	cn.owed = nil
 	_, _ = fmt.Fprintf(cn.writer, "HTTP/1.1 %d %s\r\n", an.Status, http.StatusText(an.Status))
@@ -346,7 +346,7 @@
 	return cn.sendPieces(an, kd)
 }
 
-func (cn *conn) sendPieces(an Answer, kd Kind) bool {
+func (cn *conn) sendPieces(an Response, kd Kind) bool {
 	chunked := an.Header.Get("Transfer-Encoding") != ""
 	count := 0
 	all := an.Body(func(pc []byte) bool {
--- a/internal/standin/fault/limit.go
+++ b/internal/standin/fault/limit.go
@@ -39,7 +39,7 @@
 }
 
 // nameLimit adds the limits to an answer.
-func (sv *Server) nameLimit(an Answer) Answer {
+func (sv *Server) nameLimit(an Response) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if len(sv.limit.values) == 0 {
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -60,12 +60,12 @@
 // Work is what a concrete target does with a request.
 type Work struct {
 	// Side answers requests that take no slot, such as reports; its keys are a method, a space and a path.
-	Side map[string]func(body []byte) Answer
+	Side map[string]func(body []byte) Response
 	// Check returns the tokens of memory that a request needs, or a refusal. Nil refuses nothing.
-	Check func(rq *http.Request) (int, *Answer)
+	Check func(rq *http.Request) (int, *Response)
 	// Run does the request and returns its answer. It calls begin once the request starts to run; an answer without
 	// that is a refusal. ctx ends with the request, and early when the caller goes or the deadline passes.
-	Run func(ctx context.Context, rq *http.Request, begin func()) Answer
+	Run func(ctx context.Context, rq *http.Request, begin func()) Response
 }
 
 // Server is the stand-in target. Its methods may be called at any time.
@@ -326,7 +326,7 @@
 
 func (sv *Server) end(rn *Run, st State) { sv.mu.Lock(); defer sv.mu.Unlock(); rn.State = st }
 
-func (sv *Server) refuse(an Answer) Answer {
+func (sv *Server) refuse(an Response) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.refused++
@@ -337,7 +337,7 @@
 }
 
 // screen returns the refusal of a request that names another instance, or no attempt.
-func (sv *Server) screen(rq *http.Request) (int, *Answer) {
+func (sv *Server) screen(rq *http.Request) (int, *Response) {
 	own := sv.Instance()
 	if id := rq.Header.Get(HeaderExpect); id != "" && id != own {
 		an := Whole(http.StatusMisdirectedRequest, nil).With(HeaderInstance, own)
@@ -353,7 +353,7 @@
 	return sv.work.Check(rq)
 }
 
-func (sv *Server) checkHealth(ctx context.Context) Answer {
+func (sv *Server) checkHealth(ctx context.Context) Response {
 	sv.mu.Lock()
 	sv.health++
 	well := !sv.draining && !sv.unwell
--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -62,11 +62,11 @@
 }
 
 // turnedAway returns the refusal of a target that asks for a back-off.
-func (sv *Server) turnedAway() (Answer, bool) {
+func (sv *Server) turnedAway() (Response, bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.word.backOff == 0 {
-		return Answer{}, false
+		return Response{}, false
 	}
 	an := Refusal(http.StatusServiceUnavailable).With(HeaderRetryAfter, strconv.FormatFloat(sv.word.backOff.Seconds(), 'f', -1, 64))
 	if sv.word.unpromised {
@@ -85,7 +85,7 @@
 }
 
 // say adds what the target says of itself to the answer of an exchange; nil for one that takes no slot.
-func (sv *Server) say(an Answer, ex *Exchange) Answer {
+func (sv *Server) say(an Response, ex *Exchange) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.word.leaving {
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -95,7 +95,7 @@
 		settings: se, gate: fault.NewGate(se.Slots, se.Queue, se.Memory), version: firstVersion, pace: 1,
 		tickets: map[string]*ticket{}, helped: map[*use]struct{}{},
 	}
-	side := map[string]func([]byte) fault.Answer{ReportKey: en.report, OrderKey: en.order}
+	side := map[string]func([]byte) fault.Response{ReportKey: en.report, OrderKey: en.order}
 	sv, err := fault.Start(se.Settings, en.gate, fault.Work{Side: side, Check: en.check, Run: en.run})
 	if err != nil {
 		return nil, err
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -57,7 +57,7 @@
 	return slices.Clone(en.orders)
 }
 
-func (en *Engine) order(body []byte) fault.Answer {
+func (en *Engine) order(body []byte) fault.Response {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	var or Order
@@ -217,7 +217,7 @@
 	Tickets  []Ticket      `json:"tickets"`
 }
 
-func (en *Engine) report([]byte) fault.Answer {
+func (en *Engine) report([]byte) fault.Response {
 	tickets := en.Tickets()
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -229,7 +229,7 @@
 	})
 }
 
-func encode(status int, v any) fault.Answer {
+func encode(status int, v any) fault.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return fault.Whole(http.StatusInternalServerError, []byte(err.Error()))
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -39,7 +39,7 @@
 }
 
 // check returns the memory that a request needs at this engine, or why it is not taken.
-func (en *Engine) check(rq *http.Request) (int, *fault.Answer) {
+func (en *Engine) check(rq *http.Request) (int, *fault.Response) {
 	want := rq.Header.Get(HeaderExpectVersion)
 	if want != "" && want != strconv.Itoa(en.Version()) {
 		an := fault.Whole(http.StatusMisdirectedRequest, nil).With(fault.HeaderInstance, en.Instance())
@@ -64,12 +64,12 @@
 }
 
 // refusalAt refuses a request because of the engine at that address.
-func refusalAt(address string) fault.Answer {
+func refusalAt(address string) fault.Response {
 	return fault.Refusal(http.StatusServiceUnavailable).With(fault.HeaderAtServer, address)
 }
 
 // run reads the prompt, and returns a stream that begins with the first event that the caller lacks.
-func (en *Engine) run(ctx context.Context, rq *http.Request, begin func()) fault.Answer {
+func (en *Engine) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
 	helpers, _ := parseHelpers(rq.Header.Get(fault.HeaderHelpers)) // check has refused those that do not parse
 	uctx := en.useHelpers(ctx, helpers)
 	us, _ := usageOf(rq) // as above
@@ -81,7 +81,7 @@
 	return en.stream(uctx, rq, us)
 }
 
-func (en *Engine) stream(ctx context.Context, rq *http.Request, us usage) fault.Answer {
+func (en *Engine) stream(ctx context.Context, rq *http.Request, us usage) fault.Response {
 	version := en.Version()
 	last := (us.answer + en.settings.EventTokens - 1) / en.settings.EventTokens
 	from, err := strconv.Atoi(rq.Header.Get(fault.HeaderLastEvent))
@@ -102,7 +102,7 @@
 		}
 		return true
 	}
-	an := fault.Answer{Status: http.StatusOK, Header: http.Header{}, Length: fault.Unbounded, Body: body}
+	an := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Unbounded, Body: body}
 	return an.With("Content-Type", eventStream).With(HeaderVersions, strconv.Itoa(version))
 }
 
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -80,7 +80,7 @@
 	return strings.Repeat(text, ps.settings.Bytes/len(text)+1)[:ps.settings.Bytes]
 }
 
-func (ps *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Answer {
+func (ps *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
 	begin()
 	work, failed := ps.note()
 	select {
