--- a/internal/standin/fault/answer.go
+++ b/internal/standin/fault/answer.go
@@ -34,26 +34,26 @@
 }
 
 // With returns a copy with one more header.
-func (an Response) With(name, value string) Response {
-	an.Header = an.Header.Clone()
-	an.Header.Set(name, value)
-	return an
+func (rs Response) With(name, value string) Response {
+	rs.Header = rs.Header.Clone()
+	rs.Header.Set(name, value)
+	return rs
 }
 
-func (an Response) without(name string) Response {
-	an.Header = an.Header.Clone()
-	an.Header.Del(name)
-	return an
+func (rs Response) without(name string) Response {
+	rs.Header = rs.Header.Clone()
+	rs.Header.Del(name)
+	return rs
 }
 
 // framed returns a copy with the headers that tell where the answer ends.
-func (an Response) framed(kd Kind) Response {
+func (rs Response) framed(kd Kind) Response {
 	switch {
 	case kd == NoLength:
-		return an.With("Connection", "close")
-	case an.Length == Unbounded:
-		return an.With("Transfer-Encoding", "chunked")
+		return rs.With("Connection", "close")
+	case rs.Length == Unbounded:
+		return rs.With("Transfer-Encoding", "chunked")
 	default:
-		return an.With("Content-Length", strconv.Itoa(an.Length))
+		return rs.With("Content-Length", strconv.Itoa(rs.Length))
 	}
 }
