--- a/internal/standin/fault/answer.go
+++ b/internal/standin/fault/answer.go
@@ -30,11 +30,11 @@
 
 // Refusal returns an answer which says that the request was not run.
 func Refusal(status int) Response {
-	return Whole(status, nil).With(HeaderNotExecuted, "1")
+	return Whole(status, nil).WithHeader(HeaderNotExecuted, "1")
 }
 
 // With returns a copy with one more header.
-func (rs Response) With(name, value string) Response {
+func (rs Response) WithHeader(name, value string) Response {
 	rs.Header = rs.Header.Clone()
 	rs.Header.Set(name, value)
 	return rs
@@ -50,10 +50,10 @@
 func (rs Response) framed(kd Kind) Response {
 	switch {
 	case kd == NoLength:
-		return rs.With("Connection", "close")
+		return rs.WithHeader("Connection", "close")
 	case rs.Length == Unbounded:
-		return rs.With("Transfer-Encoding", "chunked")
+		return rs.WithHeader("Transfer-Encoding", "chunked")
 	default:
-		return rs.With("Content-Length", strconv.Itoa(rs.Length))
+		return rs.WithHeader("Content-Length", strconv.Itoa(rs.Length))
 	}
 }
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -207,7 +207,7 @@
 	if dctx.Err() != nil && ctx.Err() == nil {
 		an = Whole(http.StatusGatewayTimeout, nil)
 	}
-	an = cn.dress(disguise(an.With(HeaderSignature, rn.Signature), kd), rq, kd)
+	an = cn.dress(disguise(an.WithHeader(HeaderSignature, rn.Signature), kd), rq, kd)
 	whole := ctx.Err() == nil && cn.answer(ctx, an, kd)
 	cn.server.gate.Leave(tokens) // before the record says that the run has ended
 	cn.server.end(rn, cn.outcome(ctx, dctx, whole, kd))
@@ -241,13 +241,13 @@
 	switch kd {
 	case Fail:
 		return Whole(http.StatusInternalServerError, []byte(failureBody)).
-			With(HeaderSignature, an.Header.Get(HeaderSignature))
+			WithHeader(HeaderSignature, an.Header.Get(HeaderSignature))
 	case WrongAttempt:
-		return an.With(HeaderAttempt, otherAttempt)
+		return an.WithHeader(HeaderAttempt, otherAttempt)
 	case Encoded:
-		return an.With("Content-Encoding", otherEncoding)
+		return an.WithHeader("Content-Encoding", otherEncoding)
 	case WrongSignature:
-		return an.With(HeaderSignature, otherSignature)
+		return an.WithHeader(HeaderSignature, otherSignature)
 	case NoSignature:
 		return an.without(HeaderSignature)
 	default:
@@ -263,13 +263,13 @@
 // dress returns the answer with the headers that every answer has.
 func (sv *Server) dress(an Response, rq *http.Request, kd Kind) Response {
 	if an.Header.Get(HeaderAttempt) == "" && rq.Header.Get(HeaderAttempt) != "" {
-		an = an.With(HeaderAttempt, rq.Header.Get(HeaderAttempt))
+		an = an.WithHeader(HeaderAttempt, rq.Header.Get(HeaderAttempt))
 	}
 	if whole := int(sv.settings.Idle / time.Second); whole > 0 {
-		an = an.With("Keep-Alive", "timeout="+strconv.Itoa(whole))
+		an = an.WithHeader("Keep-Alive", "timeout="+strconv.Itoa(whole))
 	}
 	if sv.Draining() {
-		an = an.With("Connection", "close")
+		an = an.WithHeader("Connection", "close")
 	}
 	an = sv.nameLimit(an)
 	return an.framed(kd)
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -331,7 +331,7 @@
 	defer sv.mu.Unlock()
 	sv.refused++
 	if an.Header.Get(HeaderAtServer) == "" {
-		return an.With(HeaderAtServer, sv.Address())
+		return an.WithHeader(HeaderAtServer, sv.Address())
 	}
 	return an
 }
@@ -340,7 +340,7 @@
 func (sv *Server) screen(rq *http.Request) (int, *Response) {
 	own := sv.Instance()
 	if id := rq.Header.Get(HeaderExpect); id != "" && id != own {
-		an := Whole(http.StatusMisdirectedRequest, nil).With(HeaderInstance, own)
+		an := Whole(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, own)
 		return 0, &an
 	}
 	if rq.Header.Get(HeaderAttempt) == "" {
@@ -366,5 +366,5 @@
 	if !well {
 		status = http.StatusServiceUnavailable
 	}
-	return Whole(status, nil).With(HeaderInstance, sv.Instance())
+	return Whole(status, nil).WithHeader(HeaderInstance, sv.Instance())
 }
--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -68,7 +68,7 @@
 	if sv.word.backOff == 0 {
 		return Response{}, false
 	}
-	an := Refusal(http.StatusServiceUnavailable).With(HeaderRetryAfter, strconv.FormatFloat(sv.word.backOff.Seconds(), 'f', -1, 64))
+	an := Refusal(http.StatusServiceUnavailable).WithHeader(HeaderRetryAfter, strconv.FormatFloat(sv.word.backOff.Seconds(), 'f', -1, 64))
 	if sv.word.unpromised {
 		an = an.without(HeaderNotExecuted)
 	}
@@ -89,7 +89,7 @@
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.word.leaving {
-		an = an.With(HeaderLeaving, "1")
+		an = an.WithHeader(HeaderLeaving, "1")
 	}
 	if ex == nil {
 		return an
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -234,5 +234,5 @@
 	if err != nil {
 		return fault.Whole(http.StatusInternalServerError, []byte(err.Error()))
 	}
-	return fault.Whole(status, body).With("Content-Type", "application/json")
+	return fault.Whole(status, body).WithHeader("Content-Type", "application/json")
 }
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -42,7 +42,7 @@
 func (en *Engine) check(rq *http.Request) (int, *fault.Response) {
 	want := rq.Header.Get(HeaderExpectVersion)
 	if want != "" && want != strconv.Itoa(en.Version()) {
-		an := fault.Whole(http.StatusMisdirectedRequest, nil).With(fault.HeaderInstance, en.Instance())
+		an := fault.Whole(http.StatusMisdirectedRequest, nil).WithHeader(fault.HeaderInstance, en.Instance())
 		return 0, &an
 	}
 	us, ok := usageOf(rq)
@@ -65,7 +65,7 @@
 
 // refusalAt refuses a request because of the engine at that address.
 func refusalAt(address string) fault.Response {
-	return fault.Refusal(http.StatusServiceUnavailable).With(fault.HeaderAtServer, address)
+	return fault.Refusal(http.StatusServiceUnavailable).WithHeader(fault.HeaderAtServer, address)
 }
 
 // run reads the prompt, and returns a stream that begins with the first event that the caller lacks.
@@ -103,7 +103,7 @@
 		return true
 	}
 	an := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Unbounded, Body: body}
-	return an.With("Content-Type", eventStream).With(HeaderVersions, strconv.Itoa(version))
+	return an.WithHeader("Content-Type", eventStream).WithHeader(HeaderVersions, strconv.Itoa(version))
 }
 
 // event returns one event; its data depends on the request and the id alone, so that any engine can go on.
