--- a/internal/standin/fault/answer.go
+++ b/internal/standin/fault/answer.go
@@ -21,7 +21,7 @@
 }
 
 // Whole returns an answer that is sent in one piece.
-func Whole(status int, body []byte) Response {
+func NewResponse(status int, body []byte) Response {
 	return Response{
 		Status: status, Header: http.Header{}, Length: len(body),
 		Body: func(send func([]byte) bool) bool { return send(body) },
@@ -30,7 +30,7 @@
 
 // Refusal returns an answer which says that the request was not run.
 func Refusal(status int) Response {
-	return Whole(status, nil).WithHeader(HeaderNotExecuted, "1")
+	return NewResponse(status, nil).WithHeader(HeaderNotExecuted, "1")
 }
 
 // With returns a copy with one more header.
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -205,7 +205,7 @@
 		return cn.reply(rq, cn.server.refuse(an))
 	}
 	if dctx.Err() != nil && ctx.Err() == nil {
-		an = Whole(http.StatusGatewayTimeout, nil)
+		an = NewResponse(http.StatusGatewayTimeout, nil)
 	}
 	an = cn.dress(disguise(an.WithHeader(HeaderSignature, rn.Signature), kd), rq, kd)
 	whole := ctx.Err() == nil && cn.answer(ctx, an, kd)
@@ -240,7 +240,7 @@
 func disguise(an Response, kd Kind) Response {
 	switch kd {
 	case Fail:
-		return Whole(http.StatusInternalServerError, []byte(failureBody)).
+		return NewResponse(http.StatusInternalServerError, []byte(failureBody)).
 			WithHeader(HeaderSignature, an.Header.Get(HeaderSignature))
 	case WrongAttempt:
 		return an.WithHeader(HeaderAttempt, otherAttempt)
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -340,7 +340,7 @@
 func (sv *Server) screen(rq *http.Request) (int, *Response) {
 	own := sv.Instance()
 	if id := rq.Header.Get(HeaderExpect); id != "" && id != own {
-		an := Whole(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, own)
+		an := NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, own)
 		return 0, &an
 	}
 	if rq.Header.Get(HeaderAttempt) == "" {
@@ -366,5 +366,5 @@
 	if !well {
 		status = http.StatusServiceUnavailable
 	}
-	return Whole(status, nil).WithHeader(HeaderInstance, sv.Instance())
+	return NewResponse(status, nil).WithHeader(HeaderInstance, sv.Instance())
 }
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -67,7 +67,7 @@
 	}
 	en.orders = append(en.orders, or)
 	if or.Status == http.StatusBadRequest {
-		return fault.Whole(or.Status, nil)
+		return fault.NewResponse(or.Status, nil)
 	}
 	return encode(or.Status, struct {
 		Free int `json:"free"`
@@ -232,7 +232,7 @@
 func encode(status int, v any) fault.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return fault.Whole(http.StatusInternalServerError, []byte(err.Error()))
+		return fault.NewResponse(http.StatusInternalServerError, []byte(err.Error()))
 	}
-	return fault.Whole(status, body).WithHeader("Content-Type", "application/json")
+	return fault.NewResponse(status, body).WithHeader("Content-Type", "application/json")
 }
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -88,9 +88,9 @@
 	case <-ctx.Done():
 	}
 	if failed {
-		return fault.Whole(http.StatusInternalServerError, []byte("failed"))
+		return fault.NewResponse(http.StatusInternalServerError, []byte("failed"))
 	}
-	return fault.Whole(http.StatusOK, []byte(ps.Body(rq.Method, rq.RequestURI)))
+	return fault.NewResponse(http.StatusOK, []byte(ps.Body(rq.Method, rq.RequestURI)))
 }
 
 func (ps *Service) note() (work time.Duration, failed bool) {
