--- a/internal/standin/fault/answer.go
+++ b/internal/standin/fault/answer.go
@@ -6,7 +6,7 @@
 )
 
 // Unbounded is the Length of an answer that is sent in chunks.
-const Unbounded = -1
+const Chunked = -1
 
 // Answer is what a target sends for one request.
 type Response struct {
@@ -51,7 +51,7 @@
 	switch {
 	case kd == NoLength:
 		return rs.WithHeader("Connection", "close")
-	case rs.Length == Unbounded:
+	case rs.Length == Chunked:
 		return rs.WithHeader("Transfer-Encoding", "chunked")
 	default:
 		return rs.WithHeader("Content-Length", strconv.Itoa(rs.Length))
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -102,7 +102,7 @@
 		}
 		return true
 	}
-	an := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Unbounded, Body: body}
+	an := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Chunked, Body: body}
 	return an.WithHeader("Content-Type", eventStream).WithHeader(HeaderVersions, strconv.Itoa(version))
 }
 
