--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -350,14 +350,14 @@
 	chunked := an.Header.Get("Transfer-Encoding") != ""
 	count := 0
 	all := an.Body(func(pc []byte) bool {
-		cut := kd == Cut && (an.Length != Chunked || count == cn.server.settings.CutAfter)
+		cut := kd == Truncate && (an.Length != Chunked || count == cn.server.settings.CutAfter)
 		if cut {
 			pc = pc[:len(pc)/2]
 		}
 		count++
 		return cn.sendPiece(pc, chunked) == nil && !cut
 	})
-	if !all || kd == Cut {
+	if !all || kd == Truncate {
 		return false
 	}
 	return !chunked || cn.sendLast() == nil
--- a/internal/standin/fault/plan.go
+++ b/internal/standin/fault/plan.go
@@ -12,7 +12,7 @@
 	// Reset runs the request and resets the connection in place of an answer.
 	Reset Kind = "reset"
 	// Cut closes the connection in the middle of an event, or of a plain body.
-	Cut Kind = "cut"
+	Truncate Kind = "cut"
 	// Hang runs the request and stays silent until the caller closes the connection.
 	Hang Kind = "hang"
 	// Fail answers 500.
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -131,7 +131,7 @@
 func TestCutBreaksInTheMiddleOfAnEvent(t *testing.T) {
 	g := NewWithT(t)
 	en := start(t, func(se *modelsim.Settings) { se.CutAfter = 2 })
-	en.Next(fault.Cut, 1)
+	en.Next(fault.Truncate, 1)
 	an := ask(t.Context(), en, nil)
 	g.Expect(an.err).To(HaveOccurred())
 	g.Expect(an.body).To(HavePrefix(events(1, 2)))
