--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -239,7 +239,7 @@
 // disguise returns the answer as the fault shows it.
 func disguise(an Response, kd Kind) Response {
 	switch kd {
-	case Fail:
+	case InternalError:
 		return NewResponse(http.StatusInternalServerError, []byte(failureBody)).
 			WithHeader(HeaderSignature, an.Header.Get(HeaderSignature))
 	case WrongAttempt:
--- a/internal/standin/fault/plan.go
+++ b/internal/standin/fault/plan.go
@@ -16,7 +16,7 @@
 	// Hang runs the request and stays silent until the caller closes the connection.
 	Hang Kind = "hang"
 	// Fail answers 500.
-	Fail Kind = "fail"
+	InternalError Kind = "fail"
 	// Refuse answers 503 and says that the request was not run.
 	Refuse Kind = "refuse"
 	// WrongAttempt answers under the id of another attempt.
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -103,7 +103,7 @@
 		fault.Reset:          {broken: true, runs: 1},
 		fault.Garbage:        {broken: true, runs: 1},
 		fault.Truncate:       {broken: true, status: 200, runs: 1},
-		fault.Fail:           {status: 500, runs: 1},
+		fault.InternalError:  {status: 500, runs: 1},
 		fault.Refuse:         {status: 503, header: "X-Not-Executed", value: "1"},
 		fault.WrongAttempt:   {status: 200, header: "X-Attempt-Id", value: "another-attempt", runs: 1},
 		fault.WrongSignature: {status: 200, header: "X-Engine-Signature", value: "another.signature", runs: 1},
