--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -244,7 +244,7 @@
 			WithHeader(HeaderSignature, an.Header.Get(HeaderSignature))
 	case WrongAttempt:
 		return an.WithHeader(HeaderAttempt, otherAttempt)
-	case Encoded:
+	case WrongEncoding:
 		return an.WithHeader("Content-Encoding", otherEncoding)
 	case WrongSignature:
 		return an.WithHeader(HeaderSignature, otherSignature)
--- a/internal/standin/fault/plan.go
+++ b/internal/standin/fault/plan.go
@@ -30,7 +30,7 @@
 	// Early answers before the body is read, and reads it afterwards.
 	Early Kind = "early"
 	// Encoded names an encoding of the body.
-	Encoded Kind = "encoded"
+	WrongEncoding Kind = "encoded"
 	// WrongSignature signs as another incarnation.
 	WrongSignature Kind = "wrong-signature"
 	// NoSignature leaves the signature out.
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -108,7 +108,7 @@
 		fault.WrongAttempt:   {status: 200, header: "X-Attempt-Id", value: "another-attempt", runs: 1},
 		fault.WrongSignature: {status: 200, header: "X-Engine-Signature", value: "another.signature", runs: 1},
 		fault.NoSignature:    {status: 200, header: "X-Engine-Signature", value: "", runs: 1},
-		fault.Encoded:        {status: 200, header: "Content-Encoding", value: "gzip", runs: 1},
+		fault.WrongEncoding:  {status: 200, header: "Content-Encoding", value: "gzip", runs: 1},
 		fault.NoLength:       {status: 200, header: "Content-Length", value: "", runs: 1},
 		fault.Early:          {status: 200, runs: 1},
 	}
