--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -93,7 +93,7 @@
 	if refusal == nil {
 		kd = cn.server.plan.take()
 	}
-	if kd == Early {
+	if kd == EarlyResponse {
 		return cn.runEarly(rq, tokens)
 	}
 	body, err := cn.body(rq)
@@ -174,7 +174,7 @@
 // runEarly answers before it reads the body, and then reads the body from the same connection.
 func (cn *conn) runEarly(rq *http.Request, tokens int) bool {
 	var early *Run
-	keep := cn.run(cn.server.ctx, rq, Early, tokens, func(rn *Run) { early = rn })
+	keep := cn.run(cn.server.ctx, rq, EarlyResponse, tokens, func(rn *Run) { early = rn })
 	if !keep {
 		return false
 	}
--- a/internal/standin/fault/plan.go
+++ b/internal/standin/fault/plan.go
@@ -28,7 +28,7 @@
 	// NoLength sends an answer that ends when the connection does.
 	NoLength Kind = "no-length"
 	// Early answers before the body is read, and reads it afterwards.
-	Early Kind = "early"
+	EarlyResponse Kind = "early"
 	// Encoded names an encoding of the body.
 	WrongEncoding Kind = "encoded"
 	// WrongSignature signs as another incarnation.
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -110,7 +110,7 @@
 		fault.NoSignature:    {status: 200, header: "X-Engine-Signature", value: "", runs: 1},
 		fault.WrongEncoding:  {status: 200, header: "Content-Encoding", value: "gzip", runs: 1},
 		fault.NoLength:       {status: 200, header: "Content-Length", value: "", runs: 1},
-		fault.Early:          {status: 200, runs: 1},
+		fault.EarlyResponse:  {status: 200, runs: 1},
 	}
 	for kd, tc := range cases {
 		t.Run(string(kd), func(t *testing.T) {
@@ -153,7 +153,7 @@
 func TestEarlyAnswerThenReadsTheBody(t *testing.T) {
 	g := NewWithT(t)
 	ps := start(t)
-	ps.Next(fault.Early, 1)
+	ps.Next(fault.EarlyResponse, 1)
 	cl := dial(t, ps)
 	fmt.Fprint(cl.conn, "POST / HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nContent-Length: 10\r\n\r\n")
 	g.Expect(cl.read().status).To(Equal(200))
