--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -319,7 +319,7 @@
 }
 
 func (cn *conn) sendSurplus(an Response, kd Kind) bool {
-	if kd != Surplus && kd != LateSurplus {
+	if kd != ExtraResponse && kd != LateSurplus {
 		return true
 	}
 	extra := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
--- a/internal/standin/fault/plan.go
+++ b/internal/standin/fault/plan.go
@@ -22,7 +22,7 @@
 	// WrongAttempt answers under the id of another attempt.
 	WrongAttempt Kind = "wrong-attempt"
 	// Surplus sends one more answer right after a whole one.
-	Surplus Kind = "surplus"
+	ExtraResponse Kind = "surplus"
 	// LateSurplus sends one more answer in place of the next one that is due on the connection.
 	LateSurplus Kind = "late-surplus"
 	// NoLength sends an answer that ends when the connection does.
