--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -319,13 +319,13 @@
 }
 
 func (cn *conn) sendSurplus(an Response, kd Kind) bool {
-	if kd != ExtraResponse && kd != LateSurplus {
+	if kd != ExtraResponse && kd != DelayedExtraResponse {
 		return true
 	}
 	extra := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
 		HeaderAttempt, an.Header.Get(HeaderAttempt), HeaderSignature, an.Header.Get(HeaderSignature),
 		len(surplusBody), surplusBody)
-	if kd == LateSurplus {
+	if kd == DelayedExtraResponse {
 		cn.owed = extra
 		return true
 	}
--- a/internal/standin/fault/plan.go
+++ b/internal/standin/fault/plan.go
@@ -24,7 +24,7 @@
 	// Surplus sends one more answer right after a whole one.
 	ExtraResponse Kind = "surplus"
 	// LateSurplus sends one more answer in place of the next one that is due on the connection.
-	LateSurplus Kind = "late-surplus"
+	DelayedExtraResponse Kind = "late-surplus"
 	// NoLength sends an answer that ends when the connection does.
 	NoLength Kind = "no-length"
 	// Early answers before the body is read, and reads it afterwards.
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -134,7 +134,7 @@
 }
 
 func TestSurplusAnswers(t *testing.T) {
-	for _, kd := range []fault.Kind{fault.ExtraResponse, fault.LateSurplus} {
+	for _, kd := range []fault.Kind{fault.ExtraResponse, fault.DelayedExtraResponse} {
 		t.Run(string(kd), func(t *testing.T) {
 			g := NewWithT(t)
 			ps := start(t)
