--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -31,7 +31,7 @@
 type Settings struct {
 	// Slots bounds the requests that run at a time, and Queue those that wait. A slot is free again shortly after the
 	// last byte of an answer was sent.
-	Slots, Queue int
+	Slots, MaxWaiting int
 	// MaxConnections bounds the open connections; those beyond it are reset.
 	MaxConnections int
 	HealthPath     string
@@ -52,7 +52,7 @@
 // DefaultSettings returns the settings of an ordinary target.
 func DefaultSettings() Settings {
 	return Settings{
-		Slots: defaultSlots, Queue: defaultQueue, MaxConnections: defaultConnections,
+		Slots: defaultSlots, MaxWaiting: defaultQueue, MaxConnections: defaultConnections,
 		HealthPath: defaultHealthPath, CutAfter: 1,
 	}
 }
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -49,7 +49,7 @@
 
 // WithSlots bounds the requests that run and those that wait.
 func WithSlots(slots, queue int) Option {
-	return func(se *Settings) { se.Slots, se.Queue = slots, queue }
+	return func(se *Settings) { se.Slots, se.MaxWaiting = slots, queue }
 }
 
 // WithMemory sets the memory, in tokens.
@@ -92,7 +92,7 @@
 		opt(&se)
 	}
 	en := &Engine{
-		settings: se, gate: fault.NewGate(se.Slots, se.Queue, se.Memory), version: firstVersion, pace: 1,
+		settings: se, gate: fault.NewGate(se.Slots, se.MaxWaiting, se.Memory), version: firstVersion, pace: 1,
 		tickets: map[string]*ticket{}, helped: map[*use]struct{}{},
 	}
 	side := map[string]func([]byte) fault.Response{ReportKey: en.report, OrderKey: en.order}
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -35,7 +35,7 @@
 
 // WithSlots bounds the requests that run and those that wait.
 func WithSlots(slots, queue int) Option {
-	return func(se *Settings) { se.Slots, se.Queue = slots, queue }
+	return func(se *Settings) { se.Slots, se.MaxWaiting = slots, queue }
 }
 
 // WithWork sets how long a request runs.
@@ -62,7 +62,7 @@
 		opt(&se)
 	}
 	ps := &Service{settings: se, work: se.Work}
-	gt := fault.NewGate(se.Slots, se.Queue, 0)
+	gt := fault.NewGate(se.Slots, se.MaxWaiting, 0)
 	sv, err := fault.Start(se.Settings, gt, fault.Work{Run: ps.run})
 	if err != nil {
 		return nil, err
