--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -60,8 +60,8 @@
 }
 
 func (cn *conn) next() (*http.Request, error) {
-	if cn.server.settings.Idle > 0 {
-		_ = cn.socket.SetReadDeadline(time.Now().Add(cn.server.settings.Idle)) // a closed socket fails in the read
+	if cn.server.settings.IdleTimeout > 0 {
+		_ = cn.socket.SetReadDeadline(time.Now().Add(cn.server.settings.IdleTimeout)) // a closed socket fails in the read
 	}
 	rq, err := http.ReadRequest(cn.reader)
 	_ = cn.socket.SetReadDeadline(time.Time{}) // as above
@@ -265,7 +265,7 @@
 	if an.Header.Get(HeaderAttempt) == "" && rq.Header.Get(HeaderAttempt) != "" {
 		an = an.WithHeader(HeaderAttempt, rq.Header.Get(HeaderAttempt))
 	}
-	if whole := int(sv.settings.Idle / time.Second); whole > 0 {
+	if whole := int(sv.settings.IdleTimeout / time.Second); whole > 0 {
 		an = an.WithHeader("Keep-Alive", "timeout="+strconv.Itoa(whole))
 	}
 	if sv.Draining() {
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -36,7 +36,7 @@
 	MaxConnections int
 	HealthPath     string
 	// Idle is the time after which a resting connection is closed; zero keeps it open. Answers name its whole seconds.
-	Idle time.Duration
+	IdleTimeout time.Duration
 	// CutAfter is the number of whole events that a Cut lets through.
 	CutAfter int
 	// Known is the host and port by which others reach the target through something in between; empty for its own.
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -250,7 +250,7 @@
 
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, func(se *plainsim.Settings) { se.Idle = time.Second })
+	ps := start(t, func(se *plainsim.Settings) { se.IdleTimeout = time.Second })
 	cl := dial(t, ps)
 	cl.send("GET /", "")
 	g.Expect(cl.read().header.Get("Keep-Alive")).To(Equal("timeout=1"))
