--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -350,7 +350,7 @@
 	chunked := an.Header.Get("Transfer-Encoding") != ""
 	count := 0
 	all := an.Body(func(pc []byte) bool {
-		cut := kd == Truncate && (an.Length != Chunked || count == cn.server.settings.CutAfter)
+		cut := kd == Truncate && (an.Length != Chunked || count == cn.server.settings.TruncateAfter)
 		if cut {
 			pc = pc[:len(pc)/2]
 		}
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -38,7 +38,7 @@
 	// Idle is the time after which a resting connection is closed; zero keeps it open. Answers name its whole seconds.
 	IdleTimeout time.Duration
 	// CutAfter is the number of whole events that a Cut lets through.
-	CutAfter int
+	TruncateAfter int
 	// Known is the host and port by which others reach the target through something in between; empty for its own.
 	Known string
 	// Fatal marks the bodies that end the target which runs them; empty for none.
@@ -53,7 +53,7 @@
 func DefaultSettings() Settings {
 	return Settings{
 		Slots: defaultSlots, MaxWaiting: defaultQueue, MaxConnections: defaultConnections,
-		HealthPath: defaultHealthPath, CutAfter: 1,
+		HealthPath: defaultHealthPath, TruncateAfter: 1,
 	}
 }
 
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -130,7 +130,7 @@
 
 func TestCutBreaksInTheMiddleOfAnEvent(t *testing.T) {
 	g := NewWithT(t)
-	en := start(t, func(se *modelsim.Settings) { se.CutAfter = 2 })
+	en := start(t, func(se *modelsim.Settings) { se.TruncateAfter = 2 })
 	en.Next(fault.Truncate, 1)
 	an := ask(t.Context(), en, nil)
 	g.Expect(an.err).To(HaveOccurred())
