--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -40,7 +40,7 @@
 	// CutAfter is the number of whole events that a Cut lets through.
 	TruncateAfter int
 	// Known is the host and port by which others reach the target through something in between; empty for its own.
-	Known string
+	AdvertisedAddress string
 	// Fatal marks the bodies that end the target which runs them; empty for none.
 	Fatal string
 	// FatalAfter is how long after its beginning such a run ends the target; zero ends it at once.
@@ -115,7 +115,7 @@
 }
 
 // Address returns the host and port by which others know the target.
-func (sv *Server) Address() string { return cmp.Or(sv.settings.Known, sv.Listener()) }
+func (sv *Server) Address() string { return cmp.Or(sv.settings.AdvertisedAddress, sv.Listener()) }
 
 // Listener returns the host and port that the target itself listens on.
 func (sv *Server) Listener() string { return sv.address }
