--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -42,7 +42,7 @@
 	// Known is the host and port by which others reach the target through something in between; empty for its own.
 	AdvertisedAddress string
 	// Fatal marks the bodies that end the target which runs them; empty for none.
-	Fatal string
+	CrashMarker string
 	// FatalAfter is how long after its beginning such a run ends the target; zero ends it at once.
 	FatalAfter time.Duration
 	// Ended is called by a goroutine of its own each time that End has ended the target; nil when nobody asks.
@@ -186,7 +186,7 @@
 
 // fatal reports whether a body ends the target.
 func (sv *Server) fatal(body []byte) bool {
-	return sv.settings.Fatal != "" && bytes.Contains(body, []byte(sv.settings.Fatal))
+	return sv.settings.CrashMarker != "" && bytes.Contains(body, []byte(sv.settings.CrashMarker))
 }
 
 // Next gives the next n requests a fault; it comes after those set before.
