--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -44,7 +44,7 @@
 	// Fatal marks the bodies that end the target which runs them; empty for none.
 	CrashMarker string
 	// FatalAfter is how long after its beginning such a run ends the target; zero ends it at once.
-	FatalAfter time.Duration
+	CrashDelay time.Duration
 	// Ended is called by a goroutine of its own each time that End has ended the target; nil when nobody asks.
 	Ended func(*Server)
 }
@@ -176,8 +176,8 @@
 // endAfter ends the target once the time of a fatal run is over; with a time of zero it has ended on return, and so has ctx, which
 // ends with the caller's connection.
 func (sv *Server) endAfter(ctx context.Context) {
-	if sv.settings.FatalAfter > 0 {
-		time.AfterFunc(sv.settings.FatalAfter, sv.End)
+	if sv.settings.CrashDelay > 0 {
+		time.AfterFunc(sv.settings.CrashDelay, sv.End)
 		return
 	}
 	sv.End()
