--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -46,7 +46,7 @@
 	// FatalAfter is how long after its beginning such a run ends the target; zero ends it at once.
 	CrashDelay time.Duration
 	// Ended is called by a goroutine of its own each time that End has ended the target; nil when nobody asks.
-	Ended func(*Server)
+	OnCrash func(*Server)
 }
 
 // DefaultSettings returns the settings of an ordinary target.
@@ -135,7 +135,7 @@
 	if !sv.takeDown() {
 		return
 	}
-	if ended := sv.settings.Ended; ended != nil {
+	if ended := sv.settings.OnCrash; ended != nil {
 		sv.wg.Go(func() { ended(sv) })
 	}
 }
