--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -58,7 +58,7 @@
 }
 
 // Work is what a concrete target does with a request.
-type Work struct {
+type Handler struct {
 	// Side answers requests that take no slot, such as reports; its keys are a method, a space and a path.
 	Side map[string]func(body []byte) Response
 	// Check returns the tokens of memory that a request needs, or a refusal. Nil refuses nothing.
@@ -71,7 +71,7 @@
 // Server is the stand-in target. Its methods may be called at any time.
 type Server struct {
 	settings Settings
-	work     Work
+	work     Handler
 	gate     *Gate
 	plan     plan
 	sides    map[string]*plan
@@ -100,7 +100,7 @@
 }
 
 // Start listens on a free port of the loopback address.
-func Start(se Settings, gt *Gate, wk Work) (*Server, error) {
+func Start(se Settings, gt *Gate, wk Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for a stand-in target")
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -63,7 +63,7 @@
 	}
 	ps := &Service{settings: se, work: se.Work}
 	gt := fault.NewGate(se.Slots, se.MaxWaiting, 0)
-	sv, err := fault.Start(se.Settings, gt, fault.Work{Run: ps.run})
+	sv, err := fault.Start(se.Settings, gt, fault.Handler{Run: ps.run})
 	if err != nil {
 		return nil, err
 	}
