--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -112,7 +112,7 @@
 
 // aside answers health checks and the requests that take no slot. The answer is nil when the body did not arrive.
 func (cn *conn) aside(rq *http.Request) (*Response, bool) {
-	side := cn.server.work.Side[sideKey(rq)]
+	side := cn.server.work.Control[sideKey(rq)]
 	health := rq.Method == http.MethodGet && rq.URL.Path == cn.server.settings.HealthPath
 	if side == nil && !health {
 		return nil, false
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -60,7 +60,7 @@
 // Work is what a concrete target does with a request.
 type Handler struct {
 	// Side answers requests that take no slot, such as reports; its keys are a method, a space and a path.
-	Side map[string]func(body []byte) Response
+	Control map[string]func(body []byte) Response
 	// Check returns the tokens of memory that a request needs, or a refusal. Nil refuses nothing.
 	Check func(rq *http.Request) (int, *Response)
 	// Run does the request and returns its answer. It calls begin once the request starts to run; an answer without
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -96,7 +96,7 @@
 		tickets: map[string]*ticket{}, helped: map[*use]struct{}{},
 	}
 	side := map[string]func([]byte) fault.Response{ReportKey: en.report, OrderKey: en.order}
-	sv, err := fault.Start(se.Settings, en.gate, fault.Handler{Side: side, Check: en.check, Run: en.run})
+	sv, err := fault.Start(se.Settings, en.gate, fault.Handler{Control: side, Check: en.check, Run: en.run})
 	if err != nil {
 		return nil, err
 	}
