--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -131,7 +131,7 @@
 }
 
 // End ends the target as a process ends: its connections are reset, and its address takes none until Return.
-func (sv *Server) End() {
+func (sv *Server) Crash() {
 	if !sv.takeDown() {
 		return
 	}
@@ -177,10 +177,10 @@
 // ends with the caller's connection.
 func (sv *Server) endAfter(ctx context.Context) {
 	if sv.settings.CrashDelay > 0 {
-		time.AfterFunc(sv.settings.CrashDelay, sv.End)
+		time.AfterFunc(sv.settings.CrashDelay, sv.Crash)
 		return
 	}
-	sv.End()
+	sv.Crash()
 	<-ctx.Done()
 }
 
