--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -155,7 +155,7 @@
 
 // Return starts another incarnation at the same address after End. It reports false when the stand-in is closed or the address
 // is taken.
-func (sv *Server) Return() bool {
+func (sv *Server) Relaunch() bool {
 	ln, err := net.Listen("tcp", sv.address)
 	if err != nil {
 		return false
