--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -209,7 +209,7 @@
 func (sv *Server) ClearFaults() { sv.plan.clear() }
 
 // Retire ends the incarnation in the middle of its work, and starts another at the same address.
-func (sv *Server) Retire() {
+func (sv *Server) Replace() {
 	sv.mu.Lock()
 	sv.instance = ident.New("i")
 	sv.draining = false
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -121,7 +121,7 @@
 // Retire ends the incarnation in the middle of its work, and starts another at the same address with no tickets.
 func (en *Engine) Retire() {
 	en.dropTickets()
-	en.Server.Retire()
+	en.Server.Replace()
 }
 
 // SetVersion sets the version of the weights; streams under way say so.
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -201,7 +201,7 @@
 	g := NewWithT(t)
 	ps := start(t, plainsim.WithErrorEvery(2))
 	old := ps.Instance()
-	ps.Retire()
+	ps.Replace()
 	get := func(path string, header ...string) answer {
 		cl := dial(t, ps)
 		fmt.Fprintf(cl.conn, "GET %s HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n", path, strings.Join(header, "\r\n"))
