--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -190,7 +190,7 @@
 }
 
 // Next gives the next n requests a fault; it comes after those set before.
-func (sv *Server) Next(kd Kind, n int) { sv.plan.add(kd, n) }
+func (sv *Server) InjectFault(kd Kind, n int) { sv.plan.add(kd, n) }
 
 // NextAside gives the next n requests of a method and path that take no slot a fault; key is the one of Work.Side.
 // The request is done in all cases.
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -131,7 +131,7 @@
 func TestCutBreaksInTheMiddleOfAnEvent(t *testing.T) {
 	g := NewWithT(t)
 	en := start(t, func(se *modelsim.Settings) { se.TruncateAfter = 2 })
-	en.Next(fault.Truncate, 1)
+	en.InjectFault(fault.Truncate, 1)
 	an := ask(t.Context(), en, nil)
 	g.Expect(an.err).To(HaveOccurred())
 	g.Expect(an.body).To(HavePrefix(events(1, 2)))
@@ -143,7 +143,7 @@
 func TestResetRunsTheWholeRequest(t *testing.T) {
 	g := NewWithT(t)
 	en := start(t)
-	en.Next(fault.Reset, 1)
+	en.InjectFault(fault.Reset, 1)
 	g.Expect(ask(t.Context(), en, nil).err).To(HaveOccurred())
 	g.Eventually(func() fault.State { return en.Runs()[0].State }).WithTimeout(generous).Should(Equal(fault.Done))
 	g.Expect(ask(t.Context(), en, nil).body).To(Equal(events(1, 5)))
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -116,7 +116,7 @@
 		t.Run(string(kd), func(t *testing.T) {
 			g := NewWithT(t)
 			ps := start(t)
-			ps.Next(kd, 1)
+			ps.InjectFault(kd, 1)
 			cl := dial(t, ps)
 			cl.send("POST /", "hello")
 			an := cl.read()
@@ -138,7 +138,7 @@
 		t.Run(string(kd), func(t *testing.T) {
 			g := NewWithT(t)
 			ps := start(t)
-			ps.Next(kd, 1)
+			ps.InjectFault(kd, 1)
 			cl := dial(t, ps)
 			cl.send("GET /one", "")
 			g.Expect(cl.read().body).To(Equal(ps.Body("GET", "/one")))
@@ -153,7 +153,7 @@
 func TestEarlyAnswerThenReadsTheBody(t *testing.T) {
 	g := NewWithT(t)
 	ps := start(t)
-	ps.Next(fault.EarlyResponse, 1)
+	ps.InjectFault(fault.EarlyResponse, 1)
 	cl := dial(t, ps)
 	fmt.Fprint(cl.conn, "POST / HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nContent-Length: 10\r\n\r\n")
 	g.Expect(cl.read().status).To(Equal(200))
@@ -167,7 +167,7 @@
 func TestHangEndsWhenTheCallerGoes(t *testing.T) {
 	g := NewWithT(t)
 	ps := start(t)
-	ps.Next(fault.Hang, 1)
+	ps.InjectFault(fault.Hang, 1)
 	cl := dial(t, ps)
 	cl.send("GET /", "")
 	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
