--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -194,7 +194,7 @@
 
 // NextAside gives the next n requests of a method and path that take no slot a fault; key is the one of Work.Side.
 // The request is done in all cases.
-func (sv *Server) NextAside(key string, kd Kind, n int) { sv.sidePlan(key).add(kd, n) }
+func (sv *Server) InjectControlFault(key string, kd Kind, n int) { sv.sidePlan(key).add(kd, n) }
 
 func (sv *Server) sidePlan(key string) *plan {
 	sv.mu.Lock()
