--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -36,7 +36,7 @@
 }
 
 // SayLeaving makes all answers say that the target leaves; it goes on serving, and its entry is not changed.
-func (sv *Server) SayLeaving(leaving bool) {
+func (sv *Server) SetLeaving(leaving bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.word.leaving = leaving
