--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -44,7 +44,7 @@
 
 // TurnAway makes the target turn all requests away and ask for a back-off, with or without the promise that they have not run; zero ends
 // that.
-func (sv *Server) TurnAway(backOff time.Duration, promise bool) {
+func (sv *Server) SetBackOff(backOff time.Duration, promise bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.word.backOff, sv.word.unpromised = backOff, !promise
