--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -241,7 +241,7 @@
 func (sv *Server) Connections() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.opened }
 
 // TurnedAway returns how many connections were reset for being too many.
-func (sv *Server) TurnedAway() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.turned }
+func (sv *Server) RejectedConnectionCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.turned }
 
 // Refused returns how many requests were not run.
 func (sv *Server) Refused() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.refused }
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -230,7 +230,7 @@
 	one.send("GET /", "")
 	g.Expect(one.read().status).To(Equal(200))
 	g.Expect(tryOnce(ps)).NotTo(Succeed())
-	g.Expect(ps.TurnedAway()).To(Equal(1))
+	g.Expect(ps.RejectedConnectionCount()).To(Equal(1))
 	g.Expect(ps.Connections()).To(Equal(1))
 	g.Expect(ps.Runs()).To(HaveLen(1))
 }
