--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -244,7 +244,7 @@
 func (sv *Server) RejectedConnectionCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.turned }
 
 // Refused returns how many requests were not run.
-func (sv *Server) Refused() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.refused }
+func (sv *Server) RefusedCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.refused }
 
 // Waiting returns how many requests wait for a slot.
 func (sv *Server) Waiting() int { return sv.gate.Waiting() }
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -123,7 +123,7 @@
 			g.Expect(an.header.Get("X-Not-Executed") == "1").To(Equal(tc.status != 421))
 			g.Expect(an.header.Get("At-Server")).NotTo(BeEmpty())
 			g.Expect(en.Runs()).To(BeEmpty())
-			g.Expect(en.Refused()).To(Equal(1))
+			g.Expect(en.RefusedCount()).To(Equal(1))
 		})
 	}
 }
