--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -266,7 +266,7 @@
 	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
 	ps.SetWork(0)
 	second.send("GET /second", "")
-	g.Eventually(ps.Waiting).WithTimeout(generous).Should(Equal(1))
+	g.Eventually(ps.WaitingCount).WithTimeout(generous).Should(Equal(1))
 	first.conn.Close()
 	g.Expect(second.read().body).To(Equal(ps.Body("GET", "/second")))
 	g.Expect(ps.Runs()[0].State).To(Equal(fault.Cancelled))
