--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -250,7 +250,7 @@
 func (sv *Server) WaitingCount() int { return sv.gate.Waiting() }
 
 // HealthChecks returns how many health checks came.
-func (sv *Server) HealthChecks() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.health }
+func (sv *Server) HealthCheckCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.health }
 
 // Runs returns the requests run so far, in the order in which they began.
 func (sv *Server) Runs() []Run {
