--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -238,7 +238,7 @@
 func (sv *Server) Draining() bool { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.draining }
 
 // Connections returns how many connections were opened since the start.
-func (sv *Server) Connections() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.opened }
+func (sv *Server) ConnectionCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.opened }
 
 // TurnedAway returns how many connections were reset for being too many.
 func (sv *Server) RejectedConnectionCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.turned }
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -84,7 +84,7 @@
 		g.Expect(an.body).To(Equal(ps.Body("POST", "/p/x?q=1")))
 		g.Expect(an.header.Get("X-Attempt-Id")).To(Equal("a1"))
 	}
-	g.Expect(ps.Connections()).To(Equal(1))
+	g.Expect(ps.ConnectionCount()).To(Equal(1))
 	rn := ps.Runs()[0]
 	g.Expect(rn.URI).To(Equal("/p/x?q=1"))
 	g.Expect(rn.BodyHash).To(Equal(fault.Hash([]byte("hello"))))
@@ -231,7 +231,7 @@
 	g.Expect(one.read().status).To(Equal(200))
 	g.Expect(tryOnce(ps)).NotTo(Succeed())
 	g.Expect(ps.RejectedConnectionCount()).To(Equal(1))
-	g.Expect(ps.Connections()).To(Equal(1))
+	g.Expect(ps.ConnectionCount()).To(Equal(1))
 	g.Expect(ps.Runs()).To(HaveLen(1))
 }
 
