--- a/internal/standin/fault/limit.go
+++ b/internal/standin/fault/limit.go
@@ -23,7 +23,7 @@
 }
 
 // LimitNamed returns when an answer first named the present limits; zero before.
-func (sv *Server) LimitNamed() time.Time { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.limit.named }
+func (sv *Server) LimitSentAt() time.Time { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.limit.named }
 
 // Arrivals returns when each request came, in order.
 func (sv *Server) Arrivals() []time.Time {
