--- a/internal/standin/fault/limit.go
+++ b/internal/standin/fault/limit.go
@@ -26,7 +26,7 @@
 func (sv *Server) LimitSentAt() time.Time { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.limit.named }
 
 // Arrivals returns when each request came, in order.
-func (sv *Server) Arrivals() []time.Time {
+func (sv *Server) ArrivalTimes() []time.Time {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return append([]time.Time(nil), sv.limit.arrivals...)
