--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -115,10 +115,10 @@
 }
 
 // Address returns the host and port by which others know the target.
-func (sv *Server) Address() string { return cmp.Or(sv.settings.AdvertisedAddress, sv.Listener()) }
+func (sv *Server) Address() string { return cmp.Or(sv.settings.AdvertisedAddress, sv.ListenAddress()) }
 
 // Listener returns the host and port that the target itself listens on.
-func (sv *Server) Listener() string { return sv.address }
+func (sv *Server) ListenAddress() string { return sv.address }
 
 // URL returns the base of all paths, without a slash at its end.
 func (sv *Server) URL() string { return "http://" + sv.Address() }
