--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -264,7 +264,7 @@
 }
 
 // Cancelled returns the runs whose caller closed the connection before their end.
-func (sv *Server) Cancelled() []Run {
+func (sv *Server) CancelledRuns() []Run {
 	return slices.DeleteFunc(sv.Runs(), func(rn Run) bool { return rn.State != Cancelled })
 }
 
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -158,7 +158,7 @@
 	g.Eventually(en.Runs).WithTimeout(generous).Should(HaveLen(1))
 	g.Expect(en.MemoryUsed()).To(Equal(150))
 	cancel()
-	g.Eventually(en.Cancelled).WithTimeout(generous).Should(HaveLen(1))
+	g.Eventually(en.CancelledRuns).WithTimeout(generous).Should(HaveLen(1))
 	g.Eventually(en.MemoryUsed).WithTimeout(generous).Should(BeZero())
 	<-done
 }
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -174,7 +174,7 @@
 	g.Expect(cl.conn.SetReadDeadline(time.Now().Add(short))).To(Succeed())
 	g.Expect(cl.read().err).To(HaveOccurred())
 	cl.conn.Close()
-	g.Eventually(ps.Cancelled).WithTimeout(generous).Should(HaveLen(1))
+	g.Eventually(ps.CancelledRuns).WithTimeout(generous).Should(HaveLen(1))
 }
 
 func TestFullRefusesAndDeadlineEndsARun(t *testing.T) {
@@ -189,7 +189,7 @@
 	g.Expect(an.status).To(Equal(503))
 	g.Expect(an.header.Get("X-Not-Executed")).To(Equal("1"))
 	busy.conn.Close()
-	g.Eventually(ps.Cancelled).WithTimeout(generous).Should(HaveLen(1))
+	g.Eventually(ps.CancelledRuns).WithTimeout(generous).Should(HaveLen(1))
 
 	late := dial(t, ps)
 	fmt.Fprint(late.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\nX-Deadline-Ms: 20\r\n\r\n")
