--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -232,7 +232,7 @@
 func (sv *Server) SetHealthy(ok bool) { sv.mu.Lock(); defer sv.mu.Unlock(); sv.unwell = !ok }
 
 // Instance returns the id of the present incarnation.
-func (sv *Server) Instance() string { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.instance }
+func (sv *Server) InstanceID() string { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.instance }
 
 // Draining reports whether the target is leaving.
 func (sv *Server) Draining() bool { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.draining }
@@ -338,7 +338,7 @@
 
 // screen returns the refusal of a request that names another instance, or no attempt.
 func (sv *Server) screen(rq *http.Request) (int, *Response) {
-	own := sv.Instance()
+	own := sv.InstanceID()
 	if id := rq.Header.Get(HeaderExpect); id != "" && id != own {
 		an := NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, own)
 		return 0, &an
@@ -366,5 +366,5 @@
 	if !well {
 		status = http.StatusServiceUnavailable
 	}
-	return NewResponse(status, nil).WithHeader(HeaderInstance, sv.Instance())
+	return NewResponse(status, nil).WithHeader(HeaderInstance, sv.InstanceID())
 }
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -167,7 +167,7 @@
 	g := NewWithT(t)
 	en := start(t, modelsim.WithTimes(0, time.Hour))
 	g.Expect(order(t, en, `{"op":"reserve","id":"t","token_count":10,"hold_ms":9000}`).status).To(Equal(200))
-	old := en.Instance()
+	old := en.InstanceID()
 	done := make(chan answer, 1)
 	go func() { done <- ask(t.Context(), en, nil) }()
 	g.Eventually(en.Runs).WithTimeout(generous).Should(HaveLen(1))
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -42,7 +42,7 @@
 func (en *Engine) check(rq *http.Request) (int, *fault.Response) {
 	want := rq.Header.Get(HeaderExpectVersion)
 	if want != "" && want != strconv.Itoa(en.Version()) {
-		an := fault.NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(fault.HeaderInstance, en.Instance())
+		an := fault.NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(fault.HeaderInstance, en.InstanceID())
 		return 0, &an
 	}
 	us, ok := usageOf(rq)
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -88,7 +88,7 @@
 	rn := ps.Runs()[0]
 	g.Expect(rn.URI).To(Equal("/p/x?q=1"))
 	g.Expect(rn.BodyHash).To(Equal(fault.Hash([]byte("hello"))))
-	g.Expect(rn.Instance).To(Equal(ps.Instance()))
+	g.Expect(rn.Instance).To(Equal(ps.InstanceID()))
 }
 
 func TestFaults(t *testing.T) {
@@ -200,7 +200,7 @@
 func TestRetireMakesAnotherInstance(t *testing.T) {
 	g := NewWithT(t)
 	ps := start(t, plainsim.WithErrorEvery(2))
-	old := ps.Instance()
+	old := ps.InstanceID()
 	ps.Replace()
 	get := func(path string, header ...string) answer {
 		cl := dial(t, ps)
@@ -209,14 +209,14 @@
 	}
 	an := get("/", "X-Attempt-Id: a", "X-Expect-Instance: "+old)
 	g.Expect(an.status).To(Equal(421))
-	g.Expect(an.header.Get("X-Instance-Id")).To(Equal(ps.Instance()))
+	g.Expect(an.header.Get("X-Instance-Id")).To(Equal(ps.InstanceID()))
 	g.Expect(get("/").status).To(Equal(400))
-	g.Expect(get("/", "X-Attempt-Id: a", "X-Expect-Instance: "+ps.Instance()).status).To(Equal(200))
+	g.Expect(get("/", "X-Attempt-Id: a", "X-Expect-Instance: "+ps.InstanceID()).status).To(Equal(200))
 	g.Expect(get("/", "X-Attempt-Id: a").status).To(Equal(500))
 	well := get("/healthz")
 	g.Expect(well.status).To(Equal(200))
 	g.Expect(well.closes).To(BeFalse())
-	g.Expect(well.header.Get("X-Instance-Id")).To(Equal(ps.Instance()))
+	g.Expect(well.header.Get("X-Instance-Id")).To(Equal(ps.InstanceID()))
 	ps.Drain()
 	g.Expect(get("/healthz").status).To(Equal(503))
 	g.Expect(get("/", "X-Attempt-Id: a").closes).To(BeTrue())
