--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -44,11 +44,11 @@
 
 // Run is the record of one request that was run.
 type Run struct {
-	Attempt  string
-	Instance string
-	Tenant   string
-	Method   string
-	Host     string
+	Attempt    string
+	InstanceID string
+	Tenant     string
+	Method     string
+	Host       string
 	// URI is the path and query as sent.
 	URI    string
 	Header http.Header
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -311,7 +311,7 @@
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	rn := newRun(rq, kd)
-	rn.Instance = sv.instance
+	rn.InstanceID = sv.instance
 	rn.Signature = fmt.Sprintf("%s.%d", sv.instance, len(sv.runs))
 	sv.runs = append(sv.runs, rn)
 	return rn
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -88,7 +88,7 @@
 	rn := ps.Runs()[0]
 	g.Expect(rn.URI).To(Equal("/p/x?q=1"))
 	g.Expect(rn.BodyHash).To(Equal(fault.Hash([]byte("hello"))))
-	g.Expect(rn.Instance).To(Equal(ps.InstanceID()))
+	g.Expect(rn.InstanceID).To(Equal(ps.InstanceID()))
 }
 
 func TestFaults(t *testing.T) {
