--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -44,7 +44,7 @@
 
 // Run is the record of one request that was run.
 type Run struct {
-	Attempt    string
+	AttemptID  string
 	InstanceID string
 	Tenant     string
 	Method     string
@@ -75,7 +75,7 @@
 
 func newRun(rq *http.Request, kd Kind) *Run {
 	return &Run{
-		Attempt: rq.Header.Get(HeaderAttempt), Tenant: rq.Header.Get(HeaderTenant),
+		AttemptID: rq.Header.Get(HeaderAttempt), Tenant: rq.Header.Get(HeaderTenant),
 		Method: rq.Method, Host: rq.Host, URI: rq.RequestURI, Header: rq.Header.Clone(),
 		Deadline: deadlineOf(rq), Helpers: rq.Header.Get(HeaderHelpers),
 		LastEventID: rq.Header.Get(HeaderLastEvent), Fault: kd, State: Running, Began: time.Now(),
