--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -64,7 +64,7 @@
 	// Signature is what the target signed with, also when a fault sent another.
 	Signature string
 	// Began is when the run was recorded, on the steady clock.
-	Began time.Time
+	StartedAt time.Time
 }
 
 // Hash returns the form in which Run holds the hash of a body.
@@ -78,7 +78,7 @@
 		AttemptID: rq.Header.Get(HeaderAttempt), Tenant: rq.Header.Get(HeaderTenant),
 		Method: rq.Method, Host: rq.Host, URI: rq.RequestURI, Header: rq.Header.Clone(),
 		Deadline: deadlineOf(rq), Helpers: rq.Header.Get(HeaderHelpers),
-		LastEventID: rq.Header.Get(HeaderLastEvent), Fault: kd, State: Running, Began: time.Now(),
+		LastEventID: rq.Header.Get(HeaderLastEvent), Fault: kd, State: Running, StartedAt: time.Now(),
 	}
 }
 
