--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -56,11 +56,11 @@
 	BodyHash string
 	BodySize int
 	// Deadline is the time that was left on arrival; zero means that the request named none.
-	Deadline    time.Duration
-	Helpers     string
-	LastEventID string
-	Fault       Kind
-	State       State
+	UntilDeadline time.Duration
+	Helpers       string
+	LastEventID   string
+	Fault         Kind
+	State         State
 	// Signature is what the target signed with, also when a fault sent another.
 	Signature string
 	// Began is when the run was recorded, on the steady clock.
@@ -77,7 +77,7 @@
 	return &Run{
 		AttemptID: rq.Header.Get(HeaderAttempt), Tenant: rq.Header.Get(HeaderTenant),
 		Method: rq.Method, Host: rq.Host, URI: rq.RequestURI, Header: rq.Header.Clone(),
-		Deadline: deadlineOf(rq), Helpers: rq.Header.Get(HeaderHelpers),
+		UntilDeadline: deadlineOf(rq), Helpers: rq.Header.Get(HeaderHelpers),
 		LastEventID: rq.Header.Get(HeaderLastEvent), Fault: kd, State: Running, StartedAt: time.Now(),
 	}
 }
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -95,7 +95,7 @@
 	g.Expect(ask(t.Context(), start(t), map[string]string{"Last-Event-Id": "3"}).body).To(Equal(events(4, 5)))
 	rn := en.Runs()[0]
 	g.Expect(rn.Tenant).To(Equal("t1"))
-	g.Expect(rn.Deadline).To(Equal(9 * time.Second))
+	g.Expect(rn.UntilDeadline).To(Equal(9 * time.Second))
 	g.Expect(rn.BodyHash).To(Equal(fault.Hash([]byte("prompt"))))
 	g.Eventually(en.MemoryUsed).WithTimeout(generous).Should(BeZero())
 }
