--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -15,7 +15,7 @@
 
 // Exchange is one request that came, run or not, and what its answer said. Requests that take no slot are left out.
 type Exchange struct {
-	Attempt string
+	AttemptID string
 	// Instance is the incarnation that answered.
 	Instance string
 	// Came is when the request came, and Answered when the head of its answer was made; zero without one.
@@ -79,7 +79,7 @@
 func (sv *Server) came(rq *http.Request) *Exchange {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	ex := &Exchange{Attempt: rq.Header.Get(HeaderAttempt), Came: time.Now()}
+	ex := &Exchange{AttemptID: rq.Header.Get(HeaderAttempt), Came: time.Now()}
 	sv.word.exchanges = append(sv.word.exchanges, ex)
 	return ex
 }
