--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -17,7 +17,7 @@
 type Exchange struct {
 	AttemptID string
 	// Instance is the incarnation that answered.
-	Instance string
+	InstanceID string
 	// Came is when the request came, and Answered when the head of its answer was made; zero without one.
 	Came, Answered time.Time
 	// Leaving and BackOff are what the answer said; zero for nothing.
@@ -94,7 +94,7 @@
 	if ex == nil {
 		return an
 	}
-	ex.Instance, ex.Answered, ex.Leaving = sv.instance, time.Now(), sv.word.leaving
+	ex.InstanceID, ex.Answered, ex.Leaving = sv.instance, time.Now(), sv.word.leaving
 	if an.Header.Get(HeaderRetryAfter) != "" {
 		ex.BackOff = sv.word.backOff
 	}
