--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -19,7 +19,7 @@
 	// Instance is the incarnation that answered.
 	InstanceID string
 	// Came is when the request came, and Answered when the head of its answer was made; zero without one.
-	Came, Answered time.Time
+	ReceivedAt, Answered time.Time
 	// Leaving and BackOff are what the answer said; zero for nothing.
 	Leaving bool
 	BackOff time.Duration
@@ -79,7 +79,7 @@
 func (sv *Server) came(rq *http.Request) *Exchange {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	ex := &Exchange{AttemptID: rq.Header.Get(HeaderAttempt), Came: time.Now()}
+	ex := &Exchange{AttemptID: rq.Header.Get(HeaderAttempt), ReceivedAt: time.Now()}
 	sv.word.exchanges = append(sv.word.exchanges, ex)
 	return ex
 }
