--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/word.go
@@ -19,7 +19,7 @@
 	// Instance is the incarnation that answered.
 	InstanceID string
 	// Came is when the request came, and Answered when the head of its answer was made; zero without one.
-	ReceivedAt, Answered time.Time
+	ReceivedAt, AnsweredAt time.Time
 	// Leaving and BackOff are what the answer said; zero for nothing.
 	Leaving bool
 	BackOff time.Duration
@@ -94,7 +94,7 @@
 	if ex == nil {
 		return an
 	}
-	ex.InstanceID, ex.Answered, ex.Leaving = sv.instance, time.Now(), sv.word.leaving
+	ex.InstanceID, ex.AnsweredAt, ex.Leaving = sv.instance, time.Now(), sv.word.leaving
 	if an.Header.Get(HeaderRetryAfter) != "" {
 		ex.BackOff = sv.word.backOff
 	}
