--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -226,13 +226,13 @@
 	case whole, kd == Reset, kd == Garbage:
 		return Done
 	case cn.broken.Load():
-		return Broken
+		return Aborted
 	case ctx.Err() != nil:
 		return Cancelled
 	case dctx.Err() != nil:
 		return Expired
 	default:
-		return Broken
+		return Aborted
 	}
 }
 
--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -39,7 +39,7 @@
 	// Expired means that the deadline passed during the run.
 	Expired State = "expired"
 	// Broken means that the target cut the run off by itself.
-	Broken State = "broken"
+	Aborted State = "broken"
 )
 
 // Run is the record of one request that was run.
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -137,7 +137,7 @@
 	g.Expect(an.body).To(HavePrefix(events(1, 2)))
 	g.Expect(events(1, 3)).To(HavePrefix(an.body))
 	g.Expect(len(an.body)).To(BeNumerically(">", len(events(1, 2))))
-	g.Eventually(func() fault.State { return en.Runs()[0].State }).WithTimeout(generous).Should(Equal(fault.Broken))
+	g.Eventually(func() fault.State { return en.Runs()[0].State }).WithTimeout(generous).Should(Equal(fault.Aborted))
 }
 
 func TestResetRunsTheWholeRequest(t *testing.T) {
@@ -257,7 +257,7 @@
 	}
 	g.Eventually(en.MemoryUsed).WithTimeout(generous).Should(BeZero())
 	for _, rn := range en.Runs() {
-		g.Expect(rn.State).To(Equal(fault.Broken))
+		g.Expect(rn.State).To(Equal(fault.Aborted))
 	}
 }
 
