--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -10,17 +10,17 @@
 
 // The headers of the protocol that all targets share.
 const (
-	HeaderAttempt     = "X-Attempt-Id"
-	HeaderDeadline    = "X-Deadline-Ms"
-	HeaderExpect      = "X-Expect-Instance"
-	HeaderInstance    = "X-Instance-Id"
-	HeaderNotExecuted = "X-Not-Executed"
-	HeaderSignature   = "X-Engine-Signature"
-	HeaderTenant      = "X-Tenant"
-	HeaderPriority    = "Priority"
-	HeaderLastEvent   = "Last-Event-Id"
-	HeaderHelpers     = "Helpers"
-	HeaderAtServer    = "At-Server"
+	HeaderAttempt        = "X-Attempt-Id"
+	HeaderDeadline       = "X-Deadline-Ms"
+	HeaderExpectInstance = "X-Expect-Instance"
+	HeaderInstance       = "X-Instance-Id"
+	HeaderNotExecuted    = "X-Not-Executed"
+	HeaderSignature      = "X-Engine-Signature"
+	HeaderTenant         = "X-Tenant"
+	HeaderPriority       = "Priority"
+	HeaderLastEvent      = "Last-Event-Id"
+	HeaderHelpers        = "Helpers"
+	HeaderAtServer       = "At-Server"
 )
 
 // defaultPriority is that of a request without HeaderPriority, from the protocol.
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -339,7 +339,7 @@
 // screen returns the refusal of a request that names another instance, or no attempt.
 func (sv *Server) screen(rq *http.Request) (int, *Response) {
 	own := sv.InstanceID()
-	if id := rq.Header.Get(HeaderExpect); id != "" && id != own {
+	if id := rq.Header.Get(HeaderExpectInstance); id != "" && id != own {
 		an := NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, own)
 		return 0, &an
 	}
