--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -18,7 +18,7 @@
 	HeaderSignature      = "X-Engine-Signature"
 	HeaderTenant         = "X-Tenant"
 	HeaderPriority       = "Priority"
-	HeaderLastEvent      = "Last-Event-Id"
+	HeaderLastEventID    = "Last-Event-Id"
 	HeaderHelpers        = "Helpers"
 	HeaderAtServer       = "At-Server"
 )
@@ -78,7 +78,7 @@
 		AttemptID: rq.Header.Get(HeaderAttempt), Tenant: rq.Header.Get(HeaderTenant),
 		Method: rq.Method, Host: rq.Host, URI: rq.RequestURI, Header: rq.Header.Clone(),
 		UntilDeadline: deadlineOf(rq), Helpers: rq.Header.Get(HeaderHelpers),
-		LastEventID: rq.Header.Get(HeaderLastEvent), Fault: kd, State: Running, StartedAt: time.Now(),
+		LastEventID: rq.Header.Get(HeaderLastEventID), Fault: kd, State: Running, StartedAt: time.Now(),
 	}
 }
 
