--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -34,8 +34,8 @@
 }
 
 // Enter waits for a slot and memory. It reports false when the queue is full, the request can never fit, or ctx ends.
-func (gt *Gate) Enter(ctx context.Context, priority, tokens int) bool {
-	wt := gt.enqueue(priority, tokens)
+func (aq *Gate) Enter(ctx context.Context, priority, tokens int) bool {
+	wt := aq.enqueue(priority, tokens)
 	if wt == nil {
 		return false
 	}
@@ -43,124 +43,124 @@
 	case <-wt.admitted:
 		return true
 	case <-ctx.Done():
-		return gt.withdraw(wt)
+		return aq.withdraw(wt)
 	}
 }
 
 // enqueue returns nil when the request is refused.
-func (gt *Gate) enqueue(priority, tokens int) *waiter {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	if gt.memory > 0 && tokens > gt.memory {
+func (aq *Gate) enqueue(priority, tokens int) *waiter {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
+	if aq.memory > 0 && tokens > aq.memory {
 		return nil
 	}
 	wt := &waiter{priority: priority, tokens: tokens, admitted: make(chan struct{})}
-	at := len(gt.requests)
-	for at > 0 && gt.requests[at-1].priority > priority {
+	at := len(aq.requests)
+	for at > 0 && aq.requests[at-1].priority > priority {
 		at--
 	}
-	gt.requests = slices.Insert(gt.requests, at, wt)
-	gt.pump()
-	if len(gt.requests) > gt.queue && !wt.in() {
-		gt.drop(wt)
+	aq.requests = slices.Insert(aq.requests, at, wt)
+	aq.pump()
+	if len(aq.requests) > aq.queue && !wt.in() {
+		aq.drop(wt)
 		return nil
 	}
 	return wt
 }
 
 // withdraw takes a waiter back and reports whether it had been admitted by then.
-func (gt *Gate) withdraw(wt *waiter) bool {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
+func (aq *Gate) withdraw(wt *waiter) bool {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
 	if wt.in() {
 		return true
 	}
-	gt.drop(wt)
-	gt.pump()
+	aq.drop(wt)
+	aq.pump()
 	return false
 }
 
 // Leave gives a slot and memory back.
-func (gt *Gate) Leave(tokens int) {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	gt.running--
-	gt.used -= tokens
-	gt.pump()
+func (aq *Gate) Leave(tokens int) {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
+	aq.running--
+	aq.used -= tokens
+	aq.pump()
 }
 
 // Reserve sets memory aside without a slot. It returns a channel that is closed once that is done, or nil when the
 // memory is not free and wait is false.
-func (gt *Gate) Reserve(tokens int, wait bool) <-chan struct{} {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
+func (aq *Gate) Reserve(tokens int, wait bool) <-chan struct{} {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
 	wt := &waiter{tokens: tokens, admitted: make(chan struct{})}
-	gt.reserves = append(gt.reserves, wt)
-	gt.pump()
+	aq.reserves = append(aq.reserves, wt)
+	aq.pump()
 	if !wt.in() && !wait {
-		gt.drop(wt)
+		aq.drop(wt)
 		return nil
 	}
 	return wt.admitted
 }
 
 // Release ends a reservation, be it granted or still waiting.
-func (gt *Gate) Release(tokens int, admitted <-chan struct{}) {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	at := slices.IndexFunc(gt.reserves, func(wt *waiter) bool { return wt.admitted == admitted })
+func (aq *Gate) Release(tokens int, admitted <-chan struct{}) {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
+	at := slices.IndexFunc(aq.reserves, func(wt *waiter) bool { return wt.admitted == admitted })
 	if at >= 0 {
-		gt.reserves = slices.Delete(gt.reserves, at, at+1)
+		aq.reserves = slices.Delete(aq.reserves, at, at+1)
 	} else {
-		gt.used -= tokens
+		aq.used -= tokens
 	}
-	gt.pump()
+	aq.pump()
 }
 
 // Running returns how many requests hold a slot.
-func (gt *Gate) Running() int { gt.mu.Lock(); defer gt.mu.Unlock(); return gt.running }
+func (aq *Gate) Running() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.running }
 
 // Waiting returns how many requests wait for a slot.
-func (gt *Gate) Waiting() int { gt.mu.Lock(); defer gt.mu.Unlock(); return len(gt.requests) }
+func (aq *Gate) Waiting() int { aq.mu.Lock(); defer aq.mu.Unlock(); return len(aq.requests) }
 
 // Used returns the memory in use and set aside, in tokens.
-func (gt *Gate) Used() int { gt.mu.Lock(); defer gt.mu.Unlock(); return gt.used }
+func (aq *Gate) Used() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
 
 // Free returns the memory that may be set aside, in tokens; it is zero while a reservation waits.
-func (gt *Gate) Free() int {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	if len(gt.reserves) > 0 {
+func (aq *Gate) Free() int {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
+	if len(aq.reserves) > 0 {
 		return 0
 	}
-	return gt.memory - gt.used
+	return aq.memory - aq.used
 }
 
-func (gt *Gate) drop(wt *waiter) {
+func (aq *Gate) drop(wt *waiter) {
 	same := func(other *waiter) bool { return other == wt }
-	gt.requests = slices.DeleteFunc(gt.requests, same)
-	gt.reserves = slices.DeleteFunc(gt.reserves, same)
+	aq.requests = slices.DeleteFunc(aq.requests, same)
+	aq.reserves = slices.DeleteFunc(aq.reserves, same)
 }
 
-func (gt *Gate) pump() {
-	for len(gt.reserves) > 0 && gt.fits(gt.reserves[0]) {
-		gt.admit(gt.reserves[0])
-		gt.reserves = gt.reserves[1:]
+func (aq *Gate) pump() {
+	for len(aq.reserves) > 0 && aq.fits(aq.reserves[0]) {
+		aq.admit(aq.reserves[0])
+		aq.reserves = aq.reserves[1:]
 	}
-	if len(gt.reserves) > 0 {
+	if len(aq.reserves) > 0 {
 		return
 	}
-	for len(gt.requests) > 0 && gt.running < gt.slots && gt.fits(gt.requests[0]) {
-		gt.running++
-		gt.admit(gt.requests[0])
-		gt.requests = gt.requests[1:]
+	for len(aq.requests) > 0 && aq.running < aq.slots && aq.fits(aq.requests[0]) {
+		aq.running++
+		aq.admit(aq.requests[0])
+		aq.requests = aq.requests[1:]
 	}
 }
 
-func (gt *Gate) fits(wt *waiter) bool { return gt.memory == 0 || gt.used+wt.tokens <= gt.memory }
+func (aq *Gate) fits(wt *waiter) bool { return aq.memory == 0 || aq.used+wt.tokens <= aq.memory }
 
-func (gt *Gate) admit(wt *waiter) {
-	gt.used += wt.tokens
+func (aq *Gate) admit(wt *waiter) {
+	aq.used += wt.tokens
 	close(wt.admitted)
 }
 
