--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -7,7 +7,7 @@
 )
 
 // Gate admits requests to a bounded number of slots and a bounded memory, the most urgent first.
-type Gate struct {
+type AdmissionQueue struct {
 	// slots and queue are counts of requests; memory is a count of tokens, and zero means that nothing bounds it.
 	slots, queue, memory int
 
@@ -29,12 +29,12 @@
 }
 
 // NewGate returns a gate.
-func NewGate(slots, queue, memory int) *Gate {
-	return &Gate{slots: slots, queue: queue, memory: memory}
+func NewGate(slots, queue, memory int) *AdmissionQueue {
+	return &AdmissionQueue{slots: slots, queue: queue, memory: memory}
 }
 
 // Enter waits for a slot and memory. It reports false when the queue is full, the request can never fit, or ctx ends.
-func (aq *Gate) Enter(ctx context.Context, priority, tokens int) bool {
+func (aq *AdmissionQueue) Enter(ctx context.Context, priority, tokens int) bool {
 	wt := aq.enqueue(priority, tokens)
 	if wt == nil {
 		return false
@@ -48,7 +48,7 @@
 }
 
 // enqueue returns nil when the request is refused.
-func (aq *Gate) enqueue(priority, tokens int) *waiter {
+func (aq *AdmissionQueue) enqueue(priority, tokens int) *waiter {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	if aq.memory > 0 && tokens > aq.memory {
@@ -69,7 +69,7 @@
 }
 
 // withdraw takes a waiter back and reports whether it had been admitted by then.
-func (aq *Gate) withdraw(wt *waiter) bool {
+func (aq *AdmissionQueue) withdraw(wt *waiter) bool {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	if wt.in() {
@@ -81,7 +81,7 @@
 }
 
 // Leave gives a slot and memory back.
-func (aq *Gate) Leave(tokens int) {
+func (aq *AdmissionQueue) Leave(tokens int) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	aq.running--
@@ -91,7 +91,7 @@
 
 // Reserve sets memory aside without a slot. It returns a channel that is closed once that is done, or nil when the
 // memory is not free and wait is false.
-func (aq *Gate) Reserve(tokens int, wait bool) <-chan struct{} {
+func (aq *AdmissionQueue) Reserve(tokens int, wait bool) <-chan struct{} {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	wt := &waiter{tokens: tokens, admitted: make(chan struct{})}
@@ -105,7 +105,7 @@
 }
 
 // Release ends a reservation, be it granted or still waiting.
-func (aq *Gate) Release(tokens int, admitted <-chan struct{}) {
+func (aq *AdmissionQueue) Release(tokens int, admitted <-chan struct{}) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	at := slices.IndexFunc(aq.reserves, func(wt *waiter) bool { return wt.admitted == admitted })
@@ -118,16 +118,16 @@
 }
 
 // Running returns how many requests hold a slot.
-func (aq *Gate) Running() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.running }
+func (aq *AdmissionQueue) Running() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.running }
 
 // Waiting returns how many requests wait for a slot.
-func (aq *Gate) Waiting() int { aq.mu.Lock(); defer aq.mu.Unlock(); return len(aq.requests) }
+func (aq *AdmissionQueue) Waiting() int { aq.mu.Lock(); defer aq.mu.Unlock(); return len(aq.requests) }
 
 // Used returns the memory in use and set aside, in tokens.
-func (aq *Gate) Used() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
+func (aq *AdmissionQueue) Used() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
 
 // Free returns the memory that may be set aside, in tokens; it is zero while a reservation waits.
-func (aq *Gate) Free() int {
+func (aq *AdmissionQueue) Free() int {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	if len(aq.reserves) > 0 {
@@ -136,13 +136,13 @@
 	return aq.memory - aq.used
 }
 
-func (aq *Gate) drop(wt *waiter) {
+func (aq *AdmissionQueue) drop(wt *waiter) {
 	same := func(other *waiter) bool { return other == wt }
 	aq.requests = slices.DeleteFunc(aq.requests, same)
 	aq.reserves = slices.DeleteFunc(aq.reserves, same)
 }
 
-func (aq *Gate) pump() {
+func (aq *AdmissionQueue) pump() {
 	for len(aq.reserves) > 0 && aq.fits(aq.reserves[0]) {
 		aq.admit(aq.reserves[0])
 		aq.reserves = aq.reserves[1:]
@@ -157,9 +157,11 @@
 	}
 }
 
-func (aq *Gate) fits(wt *waiter) bool { return aq.memory == 0 || aq.used+wt.tokens <= aq.memory }
+func (aq *AdmissionQueue) fits(wt *waiter) bool {
+	return aq.memory == 0 || aq.used+wt.tokens <= aq.memory
+}
 
-func (aq *Gate) admit(wt *waiter) {
+func (aq *AdmissionQueue) admit(wt *waiter) {
 	aq.used += wt.tokens
 	close(wt.admitted)
 }
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -72,7 +72,7 @@
 type Server struct {
 	settings Settings
 	work     Handler
-	gate     *Gate
+	gate     *AdmissionQueue
 	plan     plan
 	sides    map[string]*plan
 	// address is that of the listener, also while there is none.
@@ -100,7 +100,7 @@
 }
 
 // Start listens on a free port of the loopback address.
-func Start(se Settings, gt *Gate, wk Handler) (*Server, error) {
+func Start(se Settings, gt *AdmissionQueue, wk Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for a stand-in target")
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -67,7 +67,7 @@
 type Engine struct {
 	*fault.Server
 	settings Settings
-	gate     *fault.Gate
+	gate     *fault.AdmissionQueue
 
 	mu      sync.Mutex
 	version int
