--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -29,7 +29,7 @@
 }
 
 // NewGate returns a gate.
-func NewGate(slots, queue, memory int) *AdmissionQueue {
+func NewAdmissionQueue(slots, queue, memory int) *AdmissionQueue {
 	return &AdmissionQueue{slots: slots, queue: queue, memory: memory}
 }
 
--- a/internal/standin/fault/gate_test.go
+++ b/internal/standin/fault/gate_test.go
@@ -14,7 +14,7 @@
 
 func TestGateLetsTheMostUrgentInFirst(t *testing.T) {
 	g := NewWithT(t)
-	gt := fault.NewGate(1, 2, 0)
+	gt := fault.NewAdmissionQueue(1, 2, 0)
 	g.Expect(gt.Enter(t.Context(), 5, 0)).To(BeTrue())
 	order := make(chan int, 2)
 	for n, priority := range []int{7, 2} {
@@ -33,7 +33,7 @@
 
 func TestGateHoldsRequestsBackForAReservation(t *testing.T) {
 	g := NewWithT(t)
-	gt := fault.NewGate(4, 4, 100)
+	gt := fault.NewAdmissionQueue(4, 4, 100)
 	g.Expect(gt.Enter(t.Context(), 5, 101)).To(BeFalse(), "it never fits")
 	g.Expect(gt.Enter(t.Context(), 5, 60)).To(BeTrue())
 	g.Expect(gt.Reserve(60, false)).To(BeNil())
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -92,7 +92,7 @@
 		opt(&se)
 	}
 	en := &Engine{
-		settings: se, gate: fault.NewGate(se.Slots, se.MaxWaiting, se.Memory), version: firstVersion, pace: 1,
+		settings: se, gate: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.Memory), version: firstVersion, pace: 1,
 		tickets: map[string]*ticket{}, helped: map[*use]struct{}{},
 	}
 	side := map[string]func([]byte) fault.Response{ReportKey: en.report, OrderKey: en.order}
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -62,7 +62,7 @@
 		opt(&se)
 	}
 	ps := &Service{settings: se, work: se.Work}
-	gt := fault.NewGate(se.Slots, se.MaxWaiting, 0)
+	gt := fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
 	sv, err := fault.Start(se.Settings, gt, fault.Handler{Run: ps.run})
 	if err != nil {
 		return nil, err
