--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -105,7 +105,7 @@
 }
 
 // Release ends a reservation, be it granted or still waiting.
-func (aq *AdmissionQueue) Release(tokens int, admitted <-chan struct{}) {
+func (aq *AdmissionQueue) EndReservation(tokens int, admitted <-chan struct{}) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	at := slices.IndexFunc(aq.reserves, func(wt *waiter) bool { return wt.admitted == admitted })
--- a/internal/standin/fault/gate_test.go
+++ b/internal/standin/fault/gate_test.go
@@ -45,6 +45,6 @@
 	gt.Leave(60)
 	g.Expect(granted).To(BeClosed())
 	g.Expect(gt.Used()).To(Equal(60))
-	gt.Release(60, granted)
+	gt.EndReservation(60, granted)
 	g.Expect(gt.Free()).To(Equal(100))
 }
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -135,7 +135,7 @@
 func (en *Engine) drop(tk *ticket) {
 	tk.expiry.Stop()
 	delete(en.tickets, tk.id)
-	en.gate.Release(tk.tokens, tk.granted)
+	en.gate.EndReservation(tk.tokens, tk.granted)
 	for us := range en.helped {
 		if us.ticket == tk {
 			us.cut()
