--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -201,7 +201,7 @@
 		begun(rn)
 	})
 	if rn == nil {
-		cn.server.gate.Leave(tokens)
+		cn.server.gate.Release(tokens)
 		return cn.reply(rq, cn.server.refuse(an))
 	}
 	if dctx.Err() != nil && ctx.Err() == nil {
@@ -209,7 +209,7 @@
 	}
 	an = cn.dress(disguise(an.WithHeader(HeaderSignature, rn.Signature), kd), rq, kd)
 	whole := ctx.Err() == nil && cn.answer(ctx, an, kd)
-	cn.server.gate.Leave(tokens) // before the record says that the run has ended
+	cn.server.gate.Release(tokens) // before the record says that the run has ended
 	cn.server.end(rn, cn.outcome(ctx, dctx, whole, kd))
 	return whole && an.Header.Get("Connection") != "close"
 }
--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -81,7 +81,7 @@
 }
 
 // Leave gives a slot and memory back.
-func (aq *AdmissionQueue) Leave(tokens int) {
+func (aq *AdmissionQueue) Release(tokens int) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	aq.running--
--- a/internal/standin/fault/gate_test.go
+++ b/internal/standin/fault/gate_test.go
@@ -25,9 +25,9 @@
 		g.Eventually(gt.Waiting).WithTimeout(generous).Should(Equal(n + 1))
 	}
 	g.Expect(gt.Enter(t.Context(), 0, 0)).To(BeFalse(), "the queue is full")
-	gt.Leave(0)
+	gt.Release(0)
 	g.Eventually(order).WithTimeout(generous).Should(Receive(Equal(2)))
-	gt.Leave(0)
+	gt.Release(0)
 	g.Eventually(order).WithTimeout(generous).Should(Receive(Equal(7)))
 }
 
@@ -42,7 +42,7 @@
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	g.Expect(gt.Enter(ended, 0, 10)).To(BeFalse(), "a reservation waits")
-	gt.Leave(60)
+	gt.Release(60)
 	g.Expect(granted).To(BeClosed())
 	g.Expect(gt.Used()).To(Equal(60))
 	gt.EndReservation(60, granted)
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -361,7 +361,7 @@
 	if !sv.gate.Enter(ctx, defaultPriority, 0) {
 		return Refusal(http.StatusServiceUnavailable)
 	}
-	defer sv.gate.Leave(0)
+	defer sv.gate.Release(0)
 	status := http.StatusOK
 	if !well {
 		status = http.StatusServiceUnavailable
