--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -192,7 +192,7 @@
 func (cn *conn) run(ctx context.Context, rq *http.Request, kd Kind, tokens int, begun func(*Run)) bool {
 	dctx, cancel := withDeadline(ctx, rq)
 	defer cancel()
-	if !cn.server.gate.Enter(dctx, priorityOf(rq), tokens) {
+	if !cn.server.gate.Acquire(dctx, priorityOf(rq), tokens) {
 		return cn.reply(rq, cn.server.refuse(Refusal(http.StatusServiceUnavailable)))
 	}
 	var rn *Run
--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -34,7 +34,7 @@
 }
 
 // Enter waits for a slot and memory. It reports false when the queue is full, the request can never fit, or ctx ends.
-func (aq *AdmissionQueue) Enter(ctx context.Context, priority, tokens int) bool {
+func (aq *AdmissionQueue) Acquire(ctx context.Context, priority, tokens int) bool {
 	wt := aq.enqueue(priority, tokens)
 	if wt == nil {
 		return false
--- a/internal/standin/fault/gate_test.go
+++ b/internal/standin/fault/gate_test.go
@@ -15,16 +15,16 @@
 func TestGateLetsTheMostUrgentInFirst(t *testing.T) {
 	g := NewWithT(t)
 	gt := fault.NewAdmissionQueue(1, 2, 0)
-	g.Expect(gt.Enter(t.Context(), 5, 0)).To(BeTrue())
+	g.Expect(gt.Acquire(t.Context(), 5, 0)).To(BeTrue())
 	order := make(chan int, 2)
 	for n, priority := range []int{7, 2} {
 		go func() {
-			gt.Enter(t.Context(), priority, 0)
+			gt.Acquire(t.Context(), priority, 0)
 			order <- priority
 		}()
 		g.Eventually(gt.Waiting).WithTimeout(generous).Should(Equal(n + 1))
 	}
-	g.Expect(gt.Enter(t.Context(), 0, 0)).To(BeFalse(), "the queue is full")
+	g.Expect(gt.Acquire(t.Context(), 0, 0)).To(BeFalse(), "the queue is full")
 	gt.Release(0)
 	g.Eventually(order).WithTimeout(generous).Should(Receive(Equal(2)))
 	gt.Release(0)
@@ -34,14 +34,14 @@
 func TestGateHoldsRequestsBackForAReservation(t *testing.T) {
 	g := NewWithT(t)
 	gt := fault.NewAdmissionQueue(4, 4, 100)
-	g.Expect(gt.Enter(t.Context(), 5, 101)).To(BeFalse(), "it never fits")
-	g.Expect(gt.Enter(t.Context(), 5, 60)).To(BeTrue())
+	g.Expect(gt.Acquire(t.Context(), 5, 101)).To(BeFalse(), "it never fits")
+	g.Expect(gt.Acquire(t.Context(), 5, 60)).To(BeTrue())
 	g.Expect(gt.Reserve(60, false)).To(BeNil())
 	granted := gt.Reserve(60, true)
 	g.Expect(gt.Free()).To(BeZero())
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	g.Expect(gt.Enter(ended, 0, 10)).To(BeFalse(), "a reservation waits")
+	g.Expect(gt.Acquire(ended, 0, 10)).To(BeFalse(), "a reservation waits")
 	gt.Release(60)
 	g.Expect(granted).To(BeClosed())
 	g.Expect(gt.Used()).To(Equal(60))
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -358,7 +358,7 @@
 	sv.health++
 	well := !sv.draining && !sv.unwell
 	sv.mu.Unlock()
-	if !sv.gate.Enter(ctx, defaultPriority, 0) {
+	if !sv.gate.Acquire(ctx, defaultPriority, 0) {
 		return Refusal(http.StatusServiceUnavailable)
 	}
 	defer sv.gate.Release(0)
