--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -118,7 +118,7 @@
 }
 
 // Running returns how many requests hold a slot.
-func (aq *AdmissionQueue) Running() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.running }
+func (aq *AdmissionQueue) RunningCount() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.running }
 
 // Waiting returns how many requests wait for a slot.
 func (aq *AdmissionQueue) Waiting() int { aq.mu.Lock(); defer aq.mu.Unlock(); return len(aq.requests) }
