--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -121,7 +121,11 @@
 func (aq *AdmissionQueue) RunningCount() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.running }
 
 // Waiting returns how many requests wait for a slot.
-func (aq *AdmissionQueue) Waiting() int { aq.mu.Lock(); defer aq.mu.Unlock(); return len(aq.requests) }
+func (aq *AdmissionQueue) WaitingCount() int {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
+	return len(aq.requests)
+}
 
 // Used returns the memory in use and set aside, in tokens.
 func (aq *AdmissionQueue) Used() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
--- a/internal/standin/fault/gate_test.go
+++ b/internal/standin/fault/gate_test.go
@@ -22,7 +22,7 @@
 			gt.Acquire(t.Context(), priority, 0)
 			order <- priority
 		}()
-		g.Eventually(gt.Waiting).WithTimeout(generous).Should(Equal(n + 1))
+		g.Eventually(gt.WaitingCount).WithTimeout(generous).Should(Equal(n + 1))
 	}
 	g.Expect(gt.Acquire(t.Context(), 0, 0)).To(BeFalse(), "the queue is full")
 	gt.Release(0)
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -247,7 +247,7 @@
 func (sv *Server) RefusedCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.refused }
 
 // Waiting returns how many requests wait for a slot.
-func (sv *Server) WaitingCount() int { return sv.gate.Waiting() }
+func (sv *Server) WaitingCount() int { return sv.gate.WaitingCount() }
 
 // HealthChecks returns how many health checks came.
 func (sv *Server) HealthCheckCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.health }
