--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -128,7 +128,7 @@
 }
 
 // Used returns the memory in use and set aside, in tokens.
-func (aq *AdmissionQueue) Used() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
+func (aq *AdmissionQueue) UsedTokens() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
 
 // Free returns the memory that may be set aside, in tokens; it is zero while a reservation waits.
 func (aq *AdmissionQueue) Free() int {
--- a/internal/standin/fault/gate_test.go
+++ b/internal/standin/fault/gate_test.go
@@ -44,7 +44,7 @@
 	g.Expect(gt.Acquire(ended, 0, 10)).To(BeFalse(), "a reservation waits")
 	gt.Release(60)
 	g.Expect(granted).To(BeClosed())
-	g.Expect(gt.Used()).To(Equal(60))
+	g.Expect(gt.UsedTokens()).To(Equal(60))
 	gt.EndReservation(60, granted)
 	g.Expect(gt.Free()).To(Equal(100))
 }
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -140,7 +140,7 @@
 func (en *Engine) DoubleUses() int { en.mu.Lock(); defer en.mu.Unlock(); return en.doubleUses }
 
 // MemoryUsed returns the memory in use and set aside, in tokens.
-func (en *Engine) MemoryUsed() int { return en.gate.Used() }
+func (en *Engine) MemoryUsed() int { return en.gate.UsedTokens() }
 
 func (en *Engine) paced(d time.Duration) time.Duration {
 	en.mu.Lock()
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -224,7 +224,7 @@
 	en.reports++
 	return encode(http.StatusOK, report{
 		Stage: "both", Models: []modelReport{{Name: en.settings.Model, Version: en.version, Adapters: []string{}}},
-		Waiting: en.gate.WaitingCount(), Running: en.gate.RunningCount(), KVUsed: en.gate.Used(), KVTotal: en.settings.Memory,
+		Waiting: en.gate.WaitingCount(), Running: en.gate.RunningCount(), KVUsed: en.gate.UsedTokens(), KVTotal: en.settings.Memory,
 		Pace: en.pace, Tickets: tickets,
 	})
 }
