--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/gate.go
@@ -131,7 +131,7 @@
 func (aq *AdmissionQueue) UsedTokens() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
 
 // Free returns the memory that may be set aside, in tokens; it is zero while a reservation waits.
-func (aq *AdmissionQueue) Free() int {
+func (aq *AdmissionQueue) FreeTokens() int {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	if len(aq.reserves) > 0 {
--- a/internal/standin/fault/gate_test.go
+++ b/internal/standin/fault/gate_test.go
@@ -38,7 +38,7 @@
 	g.Expect(gt.Acquire(t.Context(), 5, 60)).To(BeTrue())
 	g.Expect(gt.Reserve(60, false)).To(BeNil())
 	granted := gt.Reserve(60, true)
-	g.Expect(gt.Free()).To(BeZero())
+	g.Expect(gt.FreeTokens()).To(BeZero())
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	g.Expect(gt.Acquire(ended, 0, 10)).To(BeFalse(), "a reservation waits")
@@ -46,5 +46,5 @@
 	g.Expect(granted).To(BeClosed())
 	g.Expect(gt.UsedTokens()).To(Equal(60))
 	gt.EndReservation(60, granted)
-	g.Expect(gt.Free()).To(Equal(100))
+	g.Expect(gt.FreeTokens()).To(Equal(100))
 }
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -71,7 +71,7 @@
 	}
 	return encode(or.Status, struct {
 		Free int `json:"free"`
-	}{en.gate.Free()})
+	}{en.gate.FreeTokens()})
 }
 
 // carryOut is called with the lock held, and returns the status of the answer.
