--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -72,17 +72,17 @@
 }
 
 // SetWork sets how long the requests to come run.
-func (ps *Service) SetWork(d time.Duration) { ps.mu.Lock(); defer ps.mu.Unlock(); ps.work = d }
+func (svc *Service) SetWork(d time.Duration) { svc.mu.Lock(); defer svc.mu.Unlock(); svc.work = d }
 
 // Body returns the body that a request for a method and URI is answered with.
-func (ps *Service) Body(method, uri string) string {
+func (svc *Service) Body(method, uri string) string {
 	text := method + " " + uri + "\n"
-	return strings.Repeat(text, ps.settings.Bytes/len(text)+1)[:ps.settings.Bytes]
+	return strings.Repeat(text, svc.settings.Bytes/len(text)+1)[:svc.settings.Bytes]
 }
 
-func (ps *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
+func (svc *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
 	begin()
-	work, failed := ps.note()
+	work, failed := svc.note()
 	select {
 	case <-time.After(work):
 	case <-ctx.Done():
@@ -90,12 +90,12 @@
 	if failed {
 		return fault.NewResponse(http.StatusInternalServerError, []byte("failed"))
 	}
-	return fault.NewResponse(http.StatusOK, []byte(ps.Body(rq.Method, rq.RequestURI)))
+	return fault.NewResponse(http.StatusOK, []byte(svc.Body(rq.Method, rq.RequestURI)))
 }
 
-func (ps *Service) note() (work time.Duration, failed bool) {
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	ps.count++
-	return ps.work, ps.settings.ErrorEvery > 0 && ps.count%ps.settings.ErrorEvery == 0
+func (svc *Service) note() (work time.Duration, failed bool) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	svc.count++
+	return svc.work, svc.settings.ErrorEvery > 0 && svc.count%svc.settings.ErrorEvery == 0
 }
