--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -23,7 +23,7 @@
 type Settings struct {
 	fault.Settings
 	// Work is how long a request runs.
-	Work time.Duration
+	ServiceTime time.Duration
 	// Bytes is the length of an answer's body.
 	Bytes int
 	// ErrorEvery makes each run of that ordinal answer 500; zero makes none do so.
@@ -39,7 +39,7 @@
 }
 
 // WithWork sets how long a request runs.
-func WithWork(d time.Duration) Option { return func(se *Settings) { se.Work = d } }
+func WithWork(d time.Duration) Option { return func(se *Settings) { se.ServiceTime = d } }
 
 // WithErrorEvery makes every nth run answer 500.
 func WithErrorEvery(n int) Option { return func(se *Settings) { se.ErrorEvery = n } }
@@ -57,11 +57,11 @@
 
 // Start starts a service on a free port of the loopback address.
 func Start(opts ...Option) (*Service, error) {
-	se := Settings{Settings: fault.DefaultSettings(), Work: defaultWork, Bytes: defaultBytes}
+	se := Settings{Settings: fault.DefaultSettings(), ServiceTime: defaultWork, Bytes: defaultBytes}
 	for _, opt := range opts {
 		opt(&se)
 	}
-	ps := &Service{settings: se, work: se.Work}
+	ps := &Service{settings: se, work: se.ServiceTime}
 	gt := fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
 	sv, err := fault.Start(se.Settings, gt, fault.Handler{Run: ps.run})
 	if err != nil {
