--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -25,7 +25,7 @@
 	// Work is how long a request runs.
 	ServiceTime time.Duration
 	// Bytes is the length of an answer's body.
-	Bytes int
+	ResponseBytes int
 	// ErrorEvery makes each run of that ordinal answer 500; zero makes none do so.
 	ErrorEvery int
 }
@@ -57,7 +57,7 @@
 
 // Start starts a service on a free port of the loopback address.
 func Start(opts ...Option) (*Service, error) {
-	se := Settings{Settings: fault.DefaultSettings(), ServiceTime: defaultWork, Bytes: defaultBytes}
+	se := Settings{Settings: fault.DefaultSettings(), ServiceTime: defaultWork, ResponseBytes: defaultBytes}
 	for _, opt := range opts {
 		opt(&se)
 	}
@@ -77,7 +77,7 @@
 // Body returns the body that a request for a method and URI is answered with.
 func (svc *Service) Body(method, uri string) string {
 	text := method + " " + uri + "\n"
-	return strings.Repeat(text, svc.settings.Bytes/len(text)+1)[:svc.settings.Bytes]
+	return strings.Repeat(text, svc.settings.ResponseBytes/len(text)+1)[:svc.settings.ResponseBytes]
 }
 
 func (svc *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
