--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -39,7 +39,7 @@
 }
 
 // WithWork sets how long a request runs.
-func WithWork(d time.Duration) Option { return func(se *Settings) { se.ServiceTime = d } }
+func WithServiceTime(d time.Duration) Option { return func(se *Settings) { se.ServiceTime = d } }
 
 // WithErrorEvery makes every nth run answer 500.
 func WithErrorEvery(n int) Option { return func(se *Settings) { se.ErrorEvery = n } }
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -179,7 +179,7 @@
 
 func TestFullRefusesAndDeadlineEndsARun(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, plainsim.WithSlots(1, 0), plainsim.WithWork(time.Hour))
+	ps := start(t, plainsim.WithSlots(1, 0), plainsim.WithServiceTime(time.Hour))
 	busy := dial(t, ps)
 	busy.send("GET /", "")
 	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
@@ -260,7 +260,7 @@
 
 func TestQueuedRequestRunsInTurn(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, plainsim.WithSlots(1, 1), plainsim.WithWork(time.Hour))
+	ps := start(t, plainsim.WithSlots(1, 1), plainsim.WithServiceTime(time.Hour))
 	first, second := dial(t, ps), dial(t, ps)
 	first.send("GET /first", "")
 	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
