--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -72,7 +72,11 @@
 }
 
 // SetWork sets how long the requests to come run.
-func (svc *Service) SetWork(d time.Duration) { svc.mu.Lock(); defer svc.mu.Unlock(); svc.work = d }
+func (svc *Service) SetServiceTime(d time.Duration) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	svc.work = d
+}
 
 // Body returns the body that a request for a method and URI is answered with.
 func (svc *Service) Body(method, uri string) string {
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -264,7 +264,7 @@
 	first, second := dial(t, ps), dial(t, ps)
 	first.send("GET /first", "")
 	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
-	ps.SetWork(0)
+	ps.SetServiceTime(0)
 	second.send("GET /second", "")
 	g.Eventually(ps.WaitingCount).WithTimeout(generous).Should(Equal(1))
 	first.conn.Close()
