--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -79,7 +79,7 @@
 }
 
 // Body returns the body that a request for a method and URI is answered with.
-func (svc *Service) Body(method, uri string) string {
+func (svc *Service) ResponseBody(method, uri string) string {
 	text := method + " " + uri + "\n"
 	return strings.Repeat(text, svc.settings.ResponseBytes/len(text)+1)[:svc.settings.ResponseBytes]
 }
@@ -94,7 +94,7 @@
 	if failed {
 		return fault.NewResponse(http.StatusInternalServerError, []byte("failed"))
 	}
-	return fault.NewResponse(http.StatusOK, []byte(svc.Body(rq.Method, rq.RequestURI)))
+	return fault.NewResponse(http.StatusOK, []byte(svc.ResponseBody(rq.Method, rq.RequestURI)))
 }
 
 func (svc *Service) note() (work time.Duration, failed bool) {
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -81,7 +81,7 @@
 		an := cl.read()
 		g.Expect(an.err).NotTo(HaveOccurred())
 		g.Expect(an.status).To(Equal(200))
-		g.Expect(an.body).To(Equal(ps.Body("POST", "/p/x?q=1")))
+		g.Expect(an.body).To(Equal(ps.ResponseBody("POST", "/p/x?q=1")))
 		g.Expect(an.header.Get("X-Attempt-Id")).To(Equal("a1"))
 	}
 	g.Expect(ps.ConnectionCount()).To(Equal(1))
@@ -141,11 +141,11 @@
 			ps.InjectFault(kd, 1)
 			cl := dial(t, ps)
 			cl.send("GET /one", "")
-			g.Expect(cl.read().body).To(Equal(ps.Body("GET", "/one")))
+			g.Expect(cl.read().body).To(Equal(ps.ResponseBody("GET", "/one")))
 			cl.send("GET /two", "")
 			extra := cl.read()
 			g.Expect(extra.body).To(Equal("surplus"))
-			g.Expect(cl.read().body).To(Equal(ps.Body("GET", "/two")))
+			g.Expect(cl.read().body).To(Equal(ps.ResponseBody("GET", "/two")))
 		})
 	}
 }
@@ -160,7 +160,7 @@
 	g.Expect(ps.Runs()[0].BodyHash).To(BeEmpty())
 	fmt.Fprint(cl.conn, "0123456789")
 	cl.send("GET /next", "")
-	g.Expect(cl.read().body).To(Equal(ps.Body("GET", "/next")))
+	g.Expect(cl.read().body).To(Equal(ps.ResponseBody("GET", "/next")))
 	g.Expect(ps.Runs()[0].BodyHash).To(Equal(fault.Hash([]byte("0123456789"))))
 }
 
@@ -268,7 +268,7 @@
 	second.send("GET /second", "")
 	g.Eventually(ps.WaitingCount).WithTimeout(generous).Should(Equal(1))
 	first.conn.Close()
-	g.Expect(second.read().body).To(Equal(ps.Body("GET", "/second")))
+	g.Expect(second.read().body).To(Equal(ps.ResponseBody("GET", "/second")))
 	g.Expect(ps.Runs()[0].State).To(Equal(fault.Cancelled))
 }
 
