--- a/internal/standin/objectsim/call.go
+++ b/internal/standin/objectsim/call.go
@@ -165,18 +165,18 @@
 }
 
 // do does any call but a watch.
-func (dr *Door) do(rc request) reply {
+func (ep *Door) do(rc request) reply {
 	switch rc.call.Type {
 	case List:
-		return reply{http.StatusOK, dr.store.list(rc.key.kind, rc.after, dr.page, rc.call.Stale)}
+		return reply{http.StatusOK, ep.store.list(rc.key.kind, rc.after, ep.page, rc.call.Stale)}
 	case Get:
-		ob, ok := dr.store.get(rc.key, rc.call.Stale)
+		ob, ok := ep.store.get(rc.key, rc.call.Stale)
 		if !ok {
 			return reply{http.StatusNotFound, nil}
 		}
 		return reply{http.StatusOK, ob}
 	default:
-		vd := dr.write(rc)
+		vd := ep.write(rc)
 		if vd.object == nil {
 			return reply{vd.status, nil}
 		}
@@ -184,20 +184,20 @@
 	}
 }
 
-func (dr *Door) write(rc request) verdict {
+func (ep *Door) write(rc request) verdict {
 	switch rc.call.Type {
 	case Create:
 		rc.object.Status = json.RawMessage("null")
-		return dr.store.create(rc.key, rc.object)
+		return ep.store.create(rc.key, rc.object)
 	case Delete:
-		return dr.store.remove(rc.key, rc.revision)
+		return ep.store.remove(rc.key, rc.revision)
 	case Status:
-		return dr.store.alter(rc.key, rc.revision, func(ob Object) Object {
+		return ep.store.alter(rc.key, rc.revision, func(ob Object) Object {
 			ob.Status = rc.object.Status
 			return ob
 		})
 	default:
-		return dr.store.alter(rc.key, rc.revision, func(ob Object) Object {
+		return ep.store.alter(rc.key, rc.revision, func(ob Object) Object {
 			ob.Spec = rc.object.Spec
 			ob.Metadata.Finalizers = rc.object.Metadata.Finalizers
 			return ob
@@ -206,13 +206,13 @@
 }
 
 // watch answers as soon as there is an event, the wait is over or history is gone; a cut closes the connection.
-func (dr *Door) watch(w http.ResponseWriter, r *http.Request, rc request) {
-	cut, stop := dr.enrol(r.Context())
+func (ep *Door) watch(w http.ResponseWriter, r *http.Request, rc request) {
+	cut, stop := ep.enrol(r.Context())
 	defer stop()
 	over := time.NewTimer(rc.wait)
 	defer over.Stop()
 	for {
-		bt, changed, ok := dr.store.since(rc.key.kind, rc.revision)
+		bt, changed, ok := ep.store.since(rc.key.kind, rc.revision)
 		tellEra(w, bt.era)
 		if !ok {
 			w.WriteHeader(http.StatusGone)
@@ -235,17 +235,17 @@
 }
 
 // enrol returns a context that ends when the watch is cut or its caller goes.
-func (dr *Door) enrol(ctx context.Context) (cut context.Context, stop func()) {
+func (ep *Door) enrol(ctx context.Context) (cut context.Context, stop func()) {
 	cut, cancel := context.WithCancel(ctx)
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	dr.watched++
-	id := dr.watched
-	dr.watches[id] = cancel
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	ep.watched++
+	id := ep.watched
+	ep.watches[id] = cancel
 	return cut, func() {
 		cancel()
-		dr.mu.Lock()
-		defer dr.mu.Unlock()
-		delete(dr.watches, id)
+		ep.mu.Lock()
+		defer ep.mu.Unlock()
+		delete(ep.watches, id)
 	}
 }
--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -79,64 +79,64 @@
 }
 
 // Address returns the host and port.
-func (dr *Door) Address() string { return dr.ln.Addr().String() }
+func (ep *Door) Address() string { return ep.ln.Addr().String() }
 
 // URL returns the base of all paths, without a slash at its end.
-func (dr *Door) URL() string { return "http://" + dr.Address() }
+func (ep *Door) URL() string { return "http://" + ep.Address() }
 
 // Close ends all calls.
-func (dr *Door) Close() {
-	dr.cancel()
-	_ = dr.server.Close() // closing a listener on loopback leaves nothing behind
-	dr.wg.Wait()
+func (ep *Door) Close() {
+	ep.cancel()
+	_ = ep.server.Close() // closing a listener on loopback leaves nothing behind
+	ep.wg.Wait()
 }
 
 // Down turns away the calls to come; Up ends it.
-func (dr *Door) Down(md Mode) { dr.change(func(fs *faults) { fs.mode = md }) }
+func (ep *Door) Down(md Mode) { ep.change(func(fs *faults) { fs.mode = md }) }
 
 // Slow makes each call take that much longer.
-func (dr *Door) Slow(d time.Duration) { dr.change(func(fs *faults) { fs.slow = d }) }
+func (ep *Door) Slow(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
 
 // LoseAnswers makes the next n writing calls be done and their connections cut without an answer.
-func (dr *Door) LoseAnswers(n int) { dr.change(func(fs *faults) { fs.lost = n }) }
+func (ep *Door) LoseAnswers(n int) { ep.change(func(fs *faults) { fs.lost = n }) }
 
 // DelayWrites cuts the connections of the next n writing calls, and does the calls after d if their condition holds
 // then.
-func (dr *Door) DelayWrites(n int, d time.Duration) {
-	dr.change(func(fs *faults) { fs.late, fs.lateBy = n, d })
+func (ep *Door) DelayWrites(n int, d time.Duration) {
+	ep.change(func(fs *faults) { fs.late, fs.lateBy = n, d })
 }
 
-func (dr *Door) change(edit func(*faults)) {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	edit(&dr.faults)
+func (ep *Door) change(edit func(*faults)) {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	edit(&ep.faults)
 }
 
 // CutWatches closes the connections of all waiting watches.
-func (dr *Door) CutWatches() {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	for _, cut := range dr.watches {
+func (ep *Door) CutWatches() {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	for _, cut := range ep.watches {
 		cut()
 	}
 }
 
 // Watches returns how many watches wait.
-func (dr *Door) Watches() int { dr.mu.Lock(); defer dr.mu.Unlock(); return len(dr.watches) }
+func (ep *Door) Watches() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
 
 // Calls returns how many calls of each sort came, with those turned away.
-func (dr *Door) Calls() map[Call]int {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	all := make(map[Call]int, len(dr.calls))
-	for cl, n := range dr.calls {
+func (ep *Door) Calls() map[Call]int {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	all := make(map[Call]int, len(ep.calls))
+	for cl, n := range ep.calls {
 		all[cl] = n
 	}
 	return all
 }
 
 // serve counts a call, lets the faults act on it, and does it.
-func (dr *Door) serve(w http.ResponseWriter, r *http.Request) {
+func (ep *Door) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // a call that did not arrive whole is not done
@@ -146,7 +146,7 @@
 		http.Error(w, "no such call", http.StatusBadRequest)
 		return
 	}
-	fs := dr.note(rc.call)
+	fs := ep.note(rc.call)
 	if !pause(r.Context(), fs.slow) {
 		return
 	}
@@ -154,42 +154,42 @@
 	case fs.mode != Up:
 		turnAway(w, r, fs.mode)
 	case rc.call.Type == Watch:
-		dr.watch(w, r, rc)
+		ep.watch(w, r, rc)
 	case fs.late > 0 && rc.writes():
-		dr.doLate(rc, fs.lateBy)
+		ep.doLate(rc, fs.lateBy)
 		reset(w)
 	case fs.lost > 0 && rc.writes():
-		dr.do(rc)
+		ep.do(rc)
 		reset(w)
 	default:
-		era := dr.store.eraNow()
-		rp := dr.do(rc)
+		era := ep.store.eraNow()
+		rp := ep.do(rc)
 		tellEra(w, rp.era(era))
 		rp.write(w)
 	}
 }
 
 // note counts a call and returns the faults that act on it.
-func (dr *Door) note(cl Call) faults {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	dr.calls[cl]++
-	fs := dr.faults
+func (ep *Door) note(cl Call) faults {
+	ep.mu.Lock()
+	defer ep.mu.Unlock()
+	ep.calls[cl]++
+	fs := ep.faults
 	if fs.mode != Up || !cl.Type.writes() {
 		return fs
 	}
 	if fs.late > 0 {
-		dr.faults.late--
+		ep.faults.late--
 	} else if fs.lost > 0 {
-		dr.faults.lost--
+		ep.faults.lost--
 	}
 	return fs
 }
 
-func (dr *Door) doLate(rc request, d time.Duration) {
-	dr.wg.Go(func() {
-		if pause(dr.ctx, d) {
-			dr.do(rc)
+func (ep *Door) doLate(rc request, d time.Duration) {
+	ep.wg.Go(func() {
+		if pause(ep.ctx, d) {
+			ep.do(rc)
 		}
 	})
 }
