--- a/internal/standin/objectsim/call.go
+++ b/internal/standin/objectsim/call.go
@@ -165,7 +165,7 @@
 }
 
 // do does any call but a watch.
-func (ep *Door) do(rc request) reply {
+func (ep *Endpoint) do(rc request) reply {
 	switch rc.call.Type {
 	case List:
 		return reply{http.StatusOK, ep.store.list(rc.key.kind, rc.after, ep.page, rc.call.Stale)}
@@ -184,7 +184,7 @@
 	}
 }
 
-func (ep *Door) write(rc request) verdict {
+func (ep *Endpoint) write(rc request) verdict {
 	switch rc.call.Type {
 	case Create:
 		rc.object.Status = json.RawMessage("null")
@@ -206,7 +206,7 @@
 }
 
 // watch answers as soon as there is an event, the wait is over or history is gone; a cut closes the connection.
-func (ep *Door) watch(w http.ResponseWriter, r *http.Request, rc request) {
+func (ep *Endpoint) watch(w http.ResponseWriter, r *http.Request, rc request) {
 	cut, stop := ep.enrol(r.Context())
 	defer stop()
 	over := time.NewTimer(rc.wait)
@@ -235,7 +235,7 @@
 }
 
 // enrol returns a context that ends when the watch is cut or its caller goes.
-func (ep *Door) enrol(ctx context.Context) (cut context.Context, stop func()) {
+func (ep *Endpoint) enrol(ctx context.Context) (cut context.Context, stop func()) {
 	cut, cancel := context.WithCancel(ctx)
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -43,7 +43,7 @@
 }
 
 // Door is one address of the store. Its faults may be set at any time.
-type Door struct {
+type Endpoint struct {
 	store  *store
 	page   int
 	ln     net.Listener
@@ -60,13 +60,13 @@
 	watched int
 }
 
-func openDoor(st *store, page int) (*Door, error) {
+func openDoor(st *store, page int) (*Endpoint, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for the stand-in store")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	dr := &Door{
+	dr := &Endpoint{
 		store: st, page: page, ln: ln, ctx: ctx, cancel: cancel,
 		calls: map[Call]int{}, watches: map[int]context.CancelFunc{},
 	}
@@ -79,41 +79,41 @@
 }
 
 // Address returns the host and port.
-func (ep *Door) Address() string { return ep.ln.Addr().String() }
+func (ep *Endpoint) Address() string { return ep.ln.Addr().String() }
 
 // URL returns the base of all paths, without a slash at its end.
-func (ep *Door) URL() string { return "http://" + ep.Address() }
+func (ep *Endpoint) URL() string { return "http://" + ep.Address() }
 
 // Close ends all calls.
-func (ep *Door) Close() {
+func (ep *Endpoint) Close() {
 	ep.cancel()
 	_ = ep.server.Close() // closing a listener on loopback leaves nothing behind
 	ep.wg.Wait()
 }
 
 // Down turns away the calls to come; Up ends it.
-func (ep *Door) Down(md Mode) { ep.change(func(fs *faults) { fs.mode = md }) }
+func (ep *Endpoint) Down(md Mode) { ep.change(func(fs *faults) { fs.mode = md }) }
 
 // Slow makes each call take that much longer.
-func (ep *Door) Slow(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
+func (ep *Endpoint) Slow(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
 
 // LoseAnswers makes the next n writing calls be done and their connections cut without an answer.
-func (ep *Door) LoseAnswers(n int) { ep.change(func(fs *faults) { fs.lost = n }) }
+func (ep *Endpoint) LoseAnswers(n int) { ep.change(func(fs *faults) { fs.lost = n }) }
 
 // DelayWrites cuts the connections of the next n writing calls, and does the calls after d if their condition holds
 // then.
-func (ep *Door) DelayWrites(n int, d time.Duration) {
+func (ep *Endpoint) DelayWrites(n int, d time.Duration) {
 	ep.change(func(fs *faults) { fs.late, fs.lateBy = n, d })
 }
 
-func (ep *Door) change(edit func(*faults)) {
+func (ep *Endpoint) change(edit func(*faults)) {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	edit(&ep.faults)
 }
 
 // CutWatches closes the connections of all waiting watches.
-func (ep *Door) CutWatches() {
+func (ep *Endpoint) CutWatches() {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	for _, cut := range ep.watches {
@@ -122,10 +122,10 @@
 }
 
 // Watches returns how many watches wait.
-func (ep *Door) Watches() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
+func (ep *Endpoint) Watches() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
 
 // Calls returns how many calls of each sort came, with those turned away.
-func (ep *Door) Calls() map[Call]int {
+func (ep *Endpoint) Calls() map[Call]int {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	all := make(map[Call]int, len(ep.calls))
@@ -136,7 +136,7 @@
 }
 
 // serve counts a call, lets the faults act on it, and does it.
-func (ep *Door) serve(w http.ResponseWriter, r *http.Request) {
+func (ep *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return // a call that did not arrive whole is not done
@@ -170,7 +170,7 @@
 }
 
 // note counts a call and returns the faults that act on it.
-func (ep *Door) note(cl Call) faults {
+func (ep *Endpoint) note(cl Call) faults {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	ep.calls[cl]++
@@ -186,7 +186,7 @@
 	return fs
 }
 
-func (ep *Door) doLate(rc request, d time.Duration) {
+func (ep *Endpoint) doLate(rc request, d time.Duration) {
 	ep.wg.Go(func() {
 		if pause(ep.ctx, d) {
 			ep.do(rc)
--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -26,7 +26,7 @@
 
 // Sim is the stand-in, and its own first door.
 type Sim struct {
-	*Door
+	*Endpoint
 	settings Settings
 	store    *store
 }
@@ -39,12 +39,12 @@
 	}
 	sm := &Sim{settings: se, store: newStore()}
 	dr, err := sm.OpenDoor()
-	sm.Door = dr
+	sm.Endpoint = dr
 	return sm, err
 }
 
 // OpenDoor returns one more address of the same store, with faults of its own. It is closed by itself.
-func (sm *Sim) OpenDoor() (*Door, error) { return openDoor(sm.store, sm.settings.Page) }
+func (sm *Sim) OpenDoor() (*Endpoint, error) { return openDoor(sm.store, sm.settings.Page) }
 
 // PutSpec makes an object or replaces its spec, and returns its revision. No fault touches it.
 func (sm *Sim) PutSpec(kind, name string, spec any) (int64, error) {
