--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -38,13 +38,13 @@
 		opt(&se)
 	}
 	sm := &Sim{settings: se, store: newStore()}
-	dr, err := sm.OpenDoor()
+	dr, err := sm.OpenEndpoint()
 	sm.Endpoint = dr
 	return sm, err
 }
 
 // OpenDoor returns one more address of the same store, with faults of its own. It is closed by itself.
-func (sm *Sim) OpenDoor() (*Endpoint, error) { return openDoor(sm.store, sm.settings.Page) }
+func (sm *Sim) OpenEndpoint() (*Endpoint, error) { return openDoor(sm.store, sm.settings.Page) }
 
 // PutSpec makes an object or replaces its spec, and returns its revision. No fault touches it.
 func (sm *Sim) PutSpec(kind, name string, spec any) (int64, error) {
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -188,7 +188,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			sm := start(t)
-			other, err := sm.OpenDoor()
+			other, err := sm.OpenEndpoint()
 			g.Expect(err).NotTo(HaveOccurred())
 			defer other.Close()
 			sm.Down(tc.mode)
