--- a/internal/standin/objectsim/call.go
+++ b/internal/standin/objectsim/call.go
@@ -11,23 +11,23 @@
 )
 
 // Type is the sort of a call.
-type Type string
+type CallType string
 
 // The types of calls.
 const (
-	List   Type = "list"
-	Get    Type = "get"
-	Watch  Type = "watch"
-	Create Type = "create"
-	Put    Type = "put"
-	Status Type = "status"
-	Delete Type = "delete"
+	List   CallType = "list"
+	Get    CallType = "get"
+	Watch  CallType = "watch"
+	Create CallType = "create"
+	Put    CallType = "put"
+	Status CallType = "status"
+	Delete CallType = "delete"
 )
 
 // Call is what calls are counted by.
 type Call struct {
 	Kind string
-	Type Type
+	Type CallType
 	// Stale is set for a read that may be old.
 	Stale bool
 }
@@ -50,7 +50,7 @@
 	object   Object
 }
 
-func (ty Type) writes() bool { return ty == Create || ty == Put || ty == Status || ty == Delete }
+func (ty CallType) writes() bool { return ty == Create || ty == Put || ty == Status || ty == Delete }
 
 func (rc request) writes() bool { return rc.call.Type.writes() }
 
@@ -74,7 +74,7 @@
 }
 
 // typeOf returns an empty type for what is no call.
-func typeOf(method string, parts []string, query url.Values) Type {
+func typeOf(method string, parts []string, query url.Values) CallType {
 	switch {
 	case method == http.MethodGet && len(parts) == 1 && query.Has("watch"):
 		return Watch
