--- a/internal/standin/objectsim/call.go
+++ b/internal/standin/objectsim/call.go
@@ -25,7 +25,7 @@
 )
 
 // Call is what calls are counted by.
-type Call struct {
+type CallKey struct {
 	Kind string
 	Type CallType
 	// Stale is set for a read that may be old.
@@ -40,7 +40,7 @@
 
 // request is a call with its arguments.
 type request struct {
-	call Call
+	call CallKey
 	key  key
 	// after is the name after which a list continues.
 	after string
@@ -66,7 +66,7 @@
 		rc.key.name = parts[1]
 	}
 	query := r.URL.Query()
-	rc.call = Call{Kind: parts[0], Type: typeOf(r.Method, parts, query), Stale: query.Get("stale") == "1"}
+	rc.call = CallKey{Kind: parts[0], Type: typeOf(r.Method, parts, query), Stale: query.Get("stale") == "1"}
 	if rc.call.Type == "" || rc.key.kind == "" {
 		return request{}, false
 	}
--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -55,7 +55,7 @@
 
 	mu      sync.Mutex
 	faults  faults
-	calls   map[Call]int
+	calls   map[CallKey]int
 	watches map[int]context.CancelFunc
 	watched int
 }
@@ -68,7 +68,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	dr := &Endpoint{
 		store: st, page: page, ln: ln, ctx: ctx, cancel: cancel,
-		calls: map[Call]int{}, watches: map[int]context.CancelFunc{},
+		calls: map[CallKey]int{}, watches: map[int]context.CancelFunc{},
 	}
 	dr.server = &http.Server{
 		Handler: http.HandlerFunc(dr.serve), ReadHeaderTimeout: headerTimeout,
@@ -125,10 +125,10 @@
 func (ep *Endpoint) Watches() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
 
 // Calls returns how many calls of each sort came, with those turned away.
-func (ep *Endpoint) Calls() map[Call]int {
+func (ep *Endpoint) Calls() map[CallKey]int {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
-	all := make(map[Call]int, len(ep.calls))
+	all := make(map[CallKey]int, len(ep.calls))
 	for cl, n := range ep.calls {
 		all[cl] = n
 	}
@@ -170,7 +170,7 @@
 }
 
 // note counts a call and returns the faults that act on it.
-func (ep *Endpoint) note(cl Call) faults {
+func (ep *Endpoint) note(cl CallKey) faults {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	ep.calls[cl]++
