--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -12,20 +12,20 @@
 )
 
 // Mode is how a door turns callers away.
-type Mode string
+type Outage string
 
 // The modes.
 const (
 	// Up serves callers.
-	Up Mode = ""
+	Up Outage = ""
 	// Silent takes calls and answers nothing, until the caller or the door closes the connection.
-	Silent Mode = "silent"
+	Silent Outage = "silent"
 	// Busy answers 503; nothing was done.
-	Busy Mode = "busy"
+	Busy Outage = "busy"
 	// Many answers 429; nothing was done.
-	Many Mode = "many"
+	Many Outage = "many"
 	// Reset resets the connection of each call; nothing was done.
-	Reset Mode = "reset"
+	Reset Outage = "reset"
 )
 
 // headerTimeout ends connections that send no call; no test waits for it.
@@ -33,7 +33,7 @@
 
 // faults are what a door does to the calls to come.
 type faults struct {
-	mode Mode
+	mode Outage
 	slow time.Duration
 	// lost counts the writing calls to come that are done without an answer.
 	lost int
@@ -92,7 +92,7 @@
 }
 
 // Down turns away the calls to come; Up ends it.
-func (ep *Endpoint) Down(md Mode) { ep.change(func(fs *faults) { fs.mode = md }) }
+func (ep *Endpoint) Down(md Outage) { ep.change(func(fs *faults) { fs.mode = md }) }
 
 // Slow makes each call take that much longer.
 func (ep *Endpoint) Slow(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
@@ -194,7 +194,7 @@
 	})
 }
 
-func turnAway(w http.ResponseWriter, r *http.Request, md Mode) {
+func turnAway(w http.ResponseWriter, r *http.Request, md Outage) {
 	switch md {
 	case Silent:
 		<-r.Context().Done()
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -176,7 +176,7 @@
 
 func TestDownTurnsCallersAway(t *testing.T) {
 	cases := map[string]struct {
-		mode   objectsim.Mode
+		mode   objectsim.Outage
 		status int
 	}{
 		"busy":   {mode: objectsim.Busy, status: 503},
