--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -17,7 +17,7 @@
 // The modes.
 const (
 	// Up serves callers.
-	Up Outage = ""
+	NoOutage Outage = ""
 	// Silent takes calls and answers nothing, until the caller or the door closes the connection.
 	Silent Outage = "silent"
 	// Busy answers 503; nothing was done.
@@ -151,7 +151,7 @@
 		return
 	}
 	switch {
-	case fs.mode != Up:
+	case fs.mode != NoOutage:
 		turnAway(w, r, fs.mode)
 	case rc.call.Type == Watch:
 		ep.watch(w, r, rc)
@@ -175,7 +175,7 @@
 	defer ep.mu.Unlock()
 	ep.calls[cl]++
 	fs := ep.faults
-	if fs.mode != Up || !cl.Type.writes() {
+	if fs.mode != NoOutage || !cl.Type.writes() {
 		return fs
 	}
 	if fs.late > 0 {
