--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -21,7 +21,7 @@
 	// Silent takes calls and answers nothing, until the caller or the door closes the connection.
 	Silent Outage = "silent"
 	// Busy answers 503; nothing was done.
-	Busy Outage = "busy"
+	Unavailable Outage = "busy"
 	// Many answers 429; nothing was done.
 	Many Outage = "many"
 	// Reset resets the connection of each call; nothing was done.
@@ -199,7 +199,7 @@
 	case Silent:
 		<-r.Context().Done()
 		reset(w)
-	case Busy:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case Many:
 		w.WriteHeader(http.StatusTooManyRequests)
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -179,7 +179,7 @@
 		mode   objectsim.Outage
 		status int
 	}{
-		"busy":   {mode: objectsim.Busy, status: 503},
+		"busy":   {mode: objectsim.Unavailable, status: 503},
 		"many":   {mode: objectsim.Many, status: 429},
 		"reset":  {mode: objectsim.Reset},
 		"silent": {mode: objectsim.Silent},
