--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -23,7 +23,7 @@
 	// Busy answers 503; nothing was done.
 	Unavailable Outage = "busy"
 	// Many answers 429; nothing was done.
-	Many Outage = "many"
+	TooManyRequests Outage = "many"
 	// Reset resets the connection of each call; nothing was done.
 	Reset Outage = "reset"
 )
@@ -201,7 +201,7 @@
 		reset(w)
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Many:
+	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
 	default:
 		reset(w)
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -180,7 +180,7 @@
 		status int
 	}{
 		"busy":   {mode: objectsim.Unavailable, status: 503},
-		"many":   {mode: objectsim.Many, status: 429},
+		"many":   {mode: objectsim.TooManyRequests, status: 429},
 		"reset":  {mode: objectsim.Reset},
 		"silent": {mode: objectsim.Silent},
 	}
