--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -25,7 +25,7 @@
 	// Many answers 429; nothing was done.
 	TooManyRequests Outage = "many"
 	// Reset resets the connection of each call; nothing was done.
-	Reset Outage = "reset"
+	ResetConnections Outage = "reset"
 )
 
 // headerTimeout ends connections that send no call; no test waits for it.
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -181,7 +181,7 @@
 	}{
 		"busy":   {mode: objectsim.Unavailable, status: 503},
 		"many":   {mode: objectsim.TooManyRequests, status: 429},
-		"reset":  {mode: objectsim.Reset},
+		"reset":  {mode: objectsim.ResetConnections},
 		"silent": {mode: objectsim.Silent},
 	}
 	for name, tc := range cases {
