--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -92,7 +92,7 @@
 }
 
 // Down turns away the calls to come; Up ends it.
-func (ep *Endpoint) Down(md Outage) { ep.change(func(fs *faults) { fs.mode = md }) }
+func (ep *Endpoint) SetOutage(md Outage) { ep.change(func(fs *faults) { fs.mode = md }) }
 
 // Slow makes each call take that much longer.
 func (ep *Endpoint) Slow(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -191,7 +191,7 @@
 			other, err := sm.OpenEndpoint()
 			g.Expect(err).NotTo(HaveOccurred())
 			defer other.Close()
-			sm.Down(tc.mode)
+			sm.SetOutage(tc.mode)
 			limit := generous
 			if tc.mode == objectsim.Silent {
 				limit = short
@@ -202,7 +202,7 @@
 			g.Expect(rs.status).To(Equal(tc.status))
 			g.Expect(rs.err != nil).To(Equal(tc.status == 0))
 			g.Expect(call(t.Context(), "GET", other.URL()+"/objects/my-jobs/x", "").status).To(Equal(404), "nothing was done")
-			sm.Down(objectsim.NoOutage)
+			sm.SetOutage(objectsim.NoOutage)
 			g.Expect(call(t.Context(), "POST", sm.URL()+"/objects/my-jobs/x", `{"spec":1}`).status).To(Equal(200))
 			g.Expect(sm.Calls()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "my-jobs", Type: objectsim.Create}, 2))
 		})
