--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -95,7 +95,7 @@
 func (ep *Endpoint) SetOutage(md Outage) { ep.change(func(fs *faults) { fs.mode = md }) }
 
 // Slow makes each call take that much longer.
-func (ep *Endpoint) Slow(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
+func (ep *Endpoint) SetDelay(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
 
 // LoseAnswers makes the next n writing calls be done and their connections cut without an answer.
 func (ep *Endpoint) LoseAnswers(n int) { ep.change(func(fs *faults) { fs.lost = n }) }
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -220,7 +220,7 @@
 	sm.DelayWrites(1, time.Millisecond)
 	g.Expect(call(t.Context(), "POST", at+"late", `{"spec":1}`).err).To(HaveOccurred())
 	g.Eventually(func() bool { _, there := sm.Get("my-jobs", "late"); return there }).WithTimeout(generous).Should(BeTrue())
-	sm.Slow(time.Millisecond)
+	sm.SetDelay(time.Millisecond)
 	g.Expect(call(t.Context(), "GET", at+"late", "").status).To(Equal(200))
 }
 
