--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -98,7 +98,7 @@
 func (ep *Endpoint) SetDelay(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
 
 // LoseAnswers makes the next n writing calls be done and their connections cut without an answer.
-func (ep *Endpoint) LoseAnswers(n int) { ep.change(func(fs *faults) { fs.lost = n }) }
+func (ep *Endpoint) LoseResponses(n int) { ep.change(func(fs *faults) { fs.lost = n }) }
 
 // DelayWrites cuts the connections of the next n writing calls, and does the calls after d if their condition holds
 // then.
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -213,7 +213,7 @@
 	g := NewWithT(t)
 	sm := start(t)
 	at := sm.URL() + "/objects/my-jobs/"
-	sm.LoseAnswers(1)
+	sm.LoseResponses(1)
 	g.Expect(call(t.Context(), "POST", at+"lost", `{"spec":1}`).err).To(HaveOccurred())
 	_, there := sm.Get("my-jobs", "lost")
 	g.Expect(there).To(BeTrue())
