--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -113,7 +113,7 @@
 }
 
 // CutWatches closes the connections of all waiting watches.
-func (ep *Endpoint) CutWatches() {
+func (ep *Endpoint) DisconnectWatches() {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	for _, cut := range ep.watches {
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -165,7 +165,7 @@
 
 	go func() { got <- call(t.Context(), "GET", url(ch.At, "30000"), "") }()
 	g.Eventually(sm.Watches).WithTimeout(generous).Should(Equal(1))
-	sm.CutWatches()
+	sm.DisconnectWatches()
 	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
 	g.Expect(rs.err).To(HaveOccurred())
 
