--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -122,7 +122,7 @@
 }
 
 // Watches returns how many watches wait.
-func (ep *Endpoint) Watches() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
+func (ep *Endpoint) WatchCount() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
 
 // Calls returns how many calls of each sort came, with those turned away.
 func (ep *Endpoint) Calls() map[CallKey]int {
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -152,7 +152,7 @@
 
 	got := make(chan result, 1)
 	go func() { got <- call(t.Context(), "GET", url(from, "30000"), "") }()
-	g.Eventually(sm.Watches).WithTimeout(generous).Should(Equal(1))
+	g.Eventually(sm.WatchCount).WithTimeout(generous).Should(Equal(1))
 	_, err = sm.PutSpec("servers", "i-1", 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(sm.Remove("config", "main")).To(BeTrue())
@@ -164,7 +164,7 @@
 	g.Expect(ch.At).To(Equal(sm.Revision()))
 
 	go func() { got <- call(t.Context(), "GET", url(ch.At, "30000"), "") }()
-	g.Eventually(sm.Watches).WithTimeout(generous).Should(Equal(1))
+	g.Eventually(sm.WatchCount).WithTimeout(generous).Should(Equal(1))
 	sm.DisconnectWatches()
 	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
 	g.Expect(rs.err).To(HaveOccurred())
