--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/door.go
@@ -125,7 +125,7 @@
 func (ep *Endpoint) WatchCount() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
 
 // Calls returns how many calls of each sort came, with those turned away.
-func (ep *Endpoint) Calls() map[CallKey]int {
+func (ep *Endpoint) CallCounts() map[CallKey]int {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	all := make(map[CallKey]int, len(ep.calls))
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -92,7 +92,7 @@
 	g.Expect(rest.Entries).To(HaveLen(1))
 	g.Expect(rest.Entries[0].Metadata.Name).To(Equal("c"))
 	g.Expect(rest.More).To(BeFalse())
-	g.Expect(sm.Calls()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "servers", Type: objectsim.List}, 2))
+	g.Expect(sm.CallCounts()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "servers", Type: objectsim.List}, 2))
 }
 
 func TestWritesKeepTheirConditions(t *testing.T) {
@@ -204,7 +204,7 @@
 			g.Expect(call(t.Context(), "GET", other.URL()+"/objects/my-jobs/x", "").status).To(Equal(404), "nothing was done")
 			sm.SetOutage(objectsim.NoOutage)
 			g.Expect(call(t.Context(), "POST", sm.URL()+"/objects/my-jobs/x", `{"spec":1}`).status).To(Equal(200))
-			g.Expect(sm.Calls()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "my-jobs", Type: objectsim.Create}, 2))
+			g.Expect(sm.CallCounts()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "my-jobs", Type: objectsim.Create}, 2))
 		})
 	}
 }
