--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -77,7 +77,7 @@
 func (sm *Sim) Revision() int64 { return sm.store.at() }
 
 // Forget drops the history, so that watches from before it are told so.
-func (sm *Sim) Forget() { sm.store.forget() }
+func (sm *Sim) CompactHistory() { sm.store.forget() }
 
 // FreezeStale makes stale reads show the present state until it is called with false.
 func (sm *Sim) FreezeStale(on bool) { sm.store.freeze(on) }
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -169,7 +169,7 @@
 	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
 	g.Expect(rs.err).To(HaveOccurred())
 
-	sm.Forget()
+	sm.CompactHistory()
 	g.Expect(call(t.Context(), "GET", url(from, "1"), "").status).To(Equal(410))
 	g.Expect(call(t.Context(), "GET", url(sm.Revision(), "1"), "").status).To(Equal(200))
 }
