--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -80,4 +80,4 @@
 func (sm *Sim) CompactHistory() { sm.store.forget() }
 
 // FreezeStale makes stale reads show the present state until it is called with false.
-func (sm *Sim) FreezeStale(on bool) { sm.store.freeze(on) }
+func (sm *Sim) FreezeStaleReads(on bool) { sm.store.freeze(on) }
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -227,11 +227,11 @@
 func TestStaleReadsShowTheFrozenState(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
-	sm.FreezeStale(true)
+	sm.FreezeStaleReads(true)
 	_, err := sm.PutSpec("servers", "i-1", 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(decode[list](t, call(t.Context(), "GET", sm.URL()+"/objects/servers?stale=1", "")).Entries).To(BeEmpty())
 	g.Expect(decode[list](t, call(t.Context(), "GET", sm.URL()+"/objects/servers", "")).Entries).To(HaveLen(1))
-	sm.FreezeStale(false)
+	sm.FreezeStaleReads(false)
 	g.Expect(decode[list](t, call(t.Context(), "GET", sm.URL()+"/objects/servers?stale=1", "")).Entries).To(HaveLen(1))
 }
