--- a/internal/standin/objectsim/copy.go
+++ b/internal/standin/objectsim/copy.go
@@ -19,7 +19,7 @@
 }
 
 // Copy returns the present state.
-func (sm *Sim) Copy() Copy { return sm.store.copy() }
+func (sm *Sim) Snapshot() Copy { return sm.store.copy() }
 
 // Restore lets the store come back from a copy: what was written since is gone, and its revisions are given out again.
 func (sm *Sim) Restore(cp Copy) { sm.store.restore(cp) }
--- a/internal/standin/objectsim/copy_test.go
+++ b/internal/standin/objectsim/copy_test.go
@@ -26,7 +26,7 @@
 		return resp.StatusCode, resp.Header.Get("Store-Era")
 	}
 	put("a")
-	cp := sm.Copy()
+	cp := sm.Snapshot()
 	lost := put("b")
 	sm.Restore(cp)
 	g.Expect(sm.Objects("things")).To(HaveLen(1))
