--- a/internal/standin/objectsim/copy.go
+++ b/internal/standin/objectsim/copy.go
@@ -11,7 +11,7 @@
 const eraHeader = "Store-Era"
 
 // Copy is the state of a store at one time.
-type Copy struct {
+type Snapshot struct {
 	objects  map[key]Object
 	history  []change
 	revision int64
@@ -19,23 +19,23 @@
 }
 
 // Copy returns the present state.
-func (sm *Sim) Snapshot() Copy { return sm.store.copy() }
+func (sm *Sim) Snapshot() Snapshot { return sm.store.copy() }
 
 // Restore lets the store come back from a copy: what was written since is gone, and its revisions are given out again.
-func (sm *Sim) Restore(cp Copy) { sm.store.restore(cp) }
+func (sm *Sim) Restore(cp Snapshot) { sm.store.restore(cp) }
 
 // Era returns how often the store came back from a copy.
 func (sm *Sim) Era() int64 { return sm.store.eraNow() }
 
 func (st *store) eraNow() int64 { st.mu.Lock(); defer st.mu.Unlock(); return st.era }
 
-func (st *store) copy() Copy {
+func (st *store) copy() Snapshot {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return Copy{objects: maps.Clone(st.objects), history: slices.Clone(st.history), revision: st.revision, floor: st.floor}
+	return Snapshot{objects: maps.Clone(st.objects), history: slices.Clone(st.history), revision: st.revision, floor: st.floor}
 }
 
-func (st *store) restore(cp Copy) {
+func (st *store) restore(cp Snapshot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.era++
