--- a/internal/standin/objectsim/object.go
+++ b/internal/standin/objectsim/object.go
@@ -12,9 +12,9 @@
 type Metadata struct {
 	Name string `json:"name"`
 	// Revision is that of the last change, and Made that of the first. In a call, zero sets no condition.
-	Revision   int64    `json:"revision"`
-	Made       int64    `json:"made"`
-	Finalizers []string `json:"finalizers"`
+	Revision       int64    `json:"revision"`
+	CreateRevision int64    `json:"made"`
+	Finalizers     []string `json:"finalizers"`
 	// Deleting is set once the object waits for its finalizers to go.
 	Deleting bool `json:"deleting"`
 }
--- a/internal/standin/objectsim/store.go
+++ b/internal/standin/objectsim/store.go
@@ -149,7 +149,7 @@
 	if old, ok := st.objects[ky]; ok {
 		return verdict{status: http.StatusConflict, object: &old}
 	}
-	ob.Metadata = Metadata{Name: ky.name, Made: st.revision + 1, Finalizers: ob.Metadata.Finalizers}
+	ob.Metadata = Metadata{Name: ky.name, CreateRevision: st.revision + 1, Finalizers: ob.Metadata.Finalizers}
 	ob = st.keep(ky, ob)
 	return verdict{status: http.StatusOK, object: &ob}
 }
