--- a/internal/standin/objectsim/object.go
+++ b/internal/standin/objectsim/object.go
@@ -29,8 +29,8 @@
 // Event is one change of an object.
 type Event struct {
 	// Gone is set when the object was removed; Object is then its last state.
-	Gone   bool   `json:"gone"`
-	Object Object `json:"object"`
+	Deleted bool   `json:"gone"`
+	Object  Object `json:"object"`
 }
 
 func (ob Object) same(other Object) bool {
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -160,7 +160,7 @@
 	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
 	ch := decode[changes](t, rs)
 	g.Expect(ch.Events).To(HaveLen(1), "only its own kind")
-	g.Expect(ch.Events[0].Gone).To(BeTrue())
+	g.Expect(ch.Events[0].Deleted).To(BeTrue())
 	g.Expect(ch.At).To(Equal(sm.Revision()))
 
 	go func() { got <- call(t.Context(), "GET", url(ch.At, "30000"), "") }()
--- a/internal/standin/objectsim/store.go
+++ b/internal/standin/objectsim/store.go
@@ -191,7 +191,7 @@
 	} else {
 		st.objects[ky] = ob
 	}
-	st.history = append(st.history, change{revision: st.revision, kind: ky.kind, event: Event{Gone: gone, Object: ob}})
+	st.history = append(st.history, change{revision: st.revision, kind: ky.kind, event: Event{Deleted: gone, Object: ob}})
 	st.signal()
 	return ob
 }
