--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -15,14 +15,14 @@
 // Settings are the sizes of a store.
 type Settings struct {
 	// Page bounds the entries of one list.
-	Page int
+	PageSize int
 }
 
 // Option changes the settings.
 type Option func(*Settings)
 
 // WithPage bounds the entries of one list.
-func WithPage(n int) Option { return func(se *Settings) { se.Page = n } }
+func WithPage(n int) Option { return func(se *Settings) { se.PageSize = n } }
 
 // Sim is the stand-in, and its own first door.
 type Sim struct {
@@ -33,7 +33,7 @@
 
 // Start starts a store on a free port of the loopback address.
 func Start(opts ...Option) (*Sim, error) {
-	se := Settings{Page: defaultPage}
+	se := Settings{PageSize: defaultPage}
 	for _, opt := range opts {
 		opt(&se)
 	}
@@ -44,7 +44,7 @@
 }
 
 // OpenDoor returns one more address of the same store, with faults of its own. It is closed by itself.
-func (sm *Sim) OpenEndpoint() (*Endpoint, error) { return openDoor(sm.store, sm.settings.Page) }
+func (sm *Sim) OpenEndpoint() (*Endpoint, error) { return openDoor(sm.store, sm.settings.PageSize) }
 
 // PutSpec makes an object or replaces its spec, and returns its revision. No fault touches it.
 func (sm *Sim) PutSpec(kind, name string, spec any) (int64, error) {
