--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -22,7 +22,7 @@
 type Option func(*Settings)
 
 // WithPage bounds the entries of one list.
-func WithPage(n int) Option { return func(se *Settings) { se.PageSize = n } }
+func WithPageSize(n int) Option { return func(se *Settings) { se.PageSize = n } }
 
 // Sim is the stand-in, and its own first door.
 type Sim struct {
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -79,7 +79,7 @@
 
 func TestListGoesOnPageByPage(t *testing.T) {
 	g := NewWithT(t)
-	sm := start(t, objectsim.WithPage(2))
+	sm := start(t, objectsim.WithPageSize(2))
 	for _, name := range []string{"c", "a", "b"} {
 		_, err := sm.PutSpec("servers", name, map[string]int{"slots": 1})
 		g.Expect(err).NotTo(HaveOccurred())
