--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -15,7 +15,7 @@
 // Params are the speeds and sizes of an engine.
 type Params struct {
 	// StepTokens bounds the prompt tokens computed in one step.
-	StepTokens int
+	MaxPromptTokensPerStep int
 	// StepBase is the fixed time of a step, PrefillToken the time of a prompt token, DecodeToken of a sequence.
 	StepBase, PrefillToken, DecodeToken time.Duration
 	// Knee is the context length at which a prompt token costs twice as much.
@@ -35,7 +35,7 @@
 // DefaultParams resemble an engine that prefills about 20,000 tokens a second.
 func DefaultParams() Params {
 	return Params{
-		StepTokens: 2048, StepBase: 8 * time.Millisecond, PrefillToken: 45 * time.Microsecond,
+		MaxPromptTokensPerStep: 2048, StepBase: 8 * time.Millisecond, PrefillToken: 45 * time.Microsecond,
 		DecodeToken: 200 * time.Microsecond, Knee: 400_000, Memory: 450_000, CacheBlocks: 256,
 		ReportLag: 200 * time.Millisecond, Scale: 1,
 	}
@@ -44,8 +44,8 @@
 // Alone returns the time to the first token of a prompt on an idle engine.
 func (pr Params) Alone(tokens int) time.Duration {
 	sum := time.Duration(0)
-	for at := 0; at < tokens; at += pr.StepTokens {
-		sum += pr.StepBase + pr.chunkTime(at, min(pr.StepTokens, tokens-at))
+	for at := 0; at < tokens; at += pr.MaxPromptTokensPerStep {
+		sum += pr.StepBase + pr.chunkTime(at, min(pr.MaxPromptTokensPerStep, tokens-at))
 	}
 	return time.Duration(float64(sum) / pr.Scale)
 }
@@ -228,7 +228,7 @@
 	order := en.ordered()
 	en.admit(order)
 	took, busy := time.Duration(0), false
-	budget := en.params.StepTokens
+	budget := en.params.MaxPromptTokensPerStep
 	for _, sq := range order {
 		if !sq.admitted {
 			continue
@@ -374,6 +374,6 @@
 }
 
 func (en *Engine) rate() float64 {
-	step := en.params.StepBase + time.Duration(en.params.StepTokens)*en.params.PrefillToken
-	return float64(en.params.StepTokens) / step.Seconds() * en.params.Scale
+	step := en.params.StepBase + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillToken
+	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Scale
 }
