--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -17,7 +17,7 @@
 	// StepTokens bounds the prompt tokens computed in one step.
 	MaxPromptTokensPerStep int
 	// StepBase is the fixed time of a step, PrefillToken the time of a prompt token, DecodeToken of a sequence.
-	StepBase, PrefillToken, DecodeToken time.Duration
+	StepOverhead, PrefillToken, DecodeToken time.Duration
 	// Knee is the context length at which a prompt token costs twice as much.
 	Knee int
 	// Memory is the KV memory in tokens.
@@ -35,7 +35,7 @@
 // DefaultParams resemble an engine that prefills about 20,000 tokens a second.
 func DefaultParams() Params {
 	return Params{
-		MaxPromptTokensPerStep: 2048, StepBase: 8 * time.Millisecond, PrefillToken: 45 * time.Microsecond,
+		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillToken: 45 * time.Microsecond,
 		DecodeToken: 200 * time.Microsecond, Knee: 400_000, Memory: 450_000, CacheBlocks: 256,
 		ReportLag: 200 * time.Millisecond, Scale: 1,
 	}
@@ -45,7 +45,7 @@
 func (pr Params) Alone(tokens int) time.Duration {
 	sum := time.Duration(0)
 	for at := 0; at < tokens; at += pr.MaxPromptTokensPerStep {
-		sum += pr.StepBase + pr.chunkTime(at, min(pr.MaxPromptTokensPerStep, tokens-at))
+		sum += pr.StepOverhead + pr.chunkTime(at, min(pr.MaxPromptTokensPerStep, tokens-at))
 	}
 	return time.Duration(float64(sum) / pr.Scale)
 }
@@ -250,7 +250,7 @@
 	if !busy {
 		return 0
 	}
-	took += en.params.StepBase
+	took += en.params.StepOverhead
 	return max(1, time.Duration(float64(took)/en.params.Scale))
 }
 
@@ -374,6 +374,6 @@
 }
 
 func (en *Engine) rate() float64 {
-	step := en.params.StepBase + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillToken
+	step := en.params.StepOverhead + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillToken
 	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Scale
 }
