--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -17,7 +17,7 @@
 	// StepTokens bounds the prompt tokens computed in one step.
 	MaxPromptTokensPerStep int
 	// StepBase is the fixed time of a step, PrefillToken the time of a prompt token, DecodeToken of a sequence.
-	StepOverhead, PrefillToken, DecodeToken time.Duration
+	StepOverhead, PrefillPerToken, DecodeToken time.Duration
 	// Knee is the context length at which a prompt token costs twice as much.
 	Knee int
 	// Memory is the KV memory in tokens.
@@ -35,7 +35,7 @@
 // DefaultParams resemble an engine that prefills about 20,000 tokens a second.
 func DefaultParams() Params {
 	return Params{
-		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillToken: 45 * time.Microsecond,
+		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillPerToken: 45 * time.Microsecond,
 		DecodeToken: 200 * time.Microsecond, Knee: 400_000, Memory: 450_000, CacheBlocks: 256,
 		ReportLag: 200 * time.Millisecond, Scale: 1,
 	}
@@ -52,7 +52,7 @@
 
 func (pr Params) chunkTime(context, chunk int) time.Duration {
 	factor := 1 + float64(context)/float64(pr.Knee)
-	return time.Duration(float64(pr.PrefillToken) * float64(chunk) * factor)
+	return time.Duration(float64(pr.PrefillPerToken) * float64(chunk) * factor)
 }
 
 type sequence struct {
@@ -374,6 +374,6 @@
 }
 
 func (en *Engine) rate() float64 {
-	step := en.params.StepOverhead + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillToken
+	step := en.params.StepOverhead + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillPerToken
 	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Scale
 }
