--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -17,7 +17,7 @@
 	// StepTokens bounds the prompt tokens computed in one step.
 	MaxPromptTokensPerStep int
 	// StepBase is the fixed time of a step, PrefillToken the time of a prompt token, DecodeToken of a sequence.
-	StepOverhead, PrefillPerToken, DecodeToken time.Duration
+	StepOverhead, PrefillPerToken, DecodePerSequence time.Duration
 	// Knee is the context length at which a prompt token costs twice as much.
 	Knee int
 	// Memory is the KV memory in tokens.
@@ -36,7 +36,7 @@
 func DefaultParams() Params {
 	return Params{
 		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillPerToken: 45 * time.Microsecond,
-		DecodeToken: 200 * time.Microsecond, Knee: 400_000, Memory: 450_000, CacheBlocks: 256,
+		DecodePerSequence: 200 * time.Microsecond, Knee: 400_000, Memory: 450_000, CacheBlocks: 256,
 		ReportLag: 200 * time.Millisecond, Scale: 1,
 	}
 }
@@ -234,7 +234,7 @@
 			continue
 		}
 		if sq.computed >= sq.prompt {
-			took += en.params.DecodeToken
+			took += en.params.DecodePerSequence
 			busy = true
 			continue
 		}
