--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -19,7 +19,7 @@
 	// StepBase is the fixed time of a step, PrefillToken the time of a prompt token, DecodeToken of a sequence.
 	StepOverhead, PrefillPerToken, DecodePerSequence time.Duration
 	// Knee is the context length at which a prompt token costs twice as much.
-	Knee int
+	CostDoublingContext int
 	// Memory is the KV memory in tokens.
 	Memory int
 	// CacheBlocks is the number of prefix blocks kept; zero keeps none.
@@ -36,7 +36,7 @@
 func DefaultParams() Params {
 	return Params{
 		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillPerToken: 45 * time.Microsecond,
-		DecodePerSequence: 200 * time.Microsecond, Knee: 400_000, Memory: 450_000, CacheBlocks: 256,
+		DecodePerSequence: 200 * time.Microsecond, CostDoublingContext: 400_000, Memory: 450_000, CacheBlocks: 256,
 		ReportLag: 200 * time.Millisecond, Scale: 1,
 	}
 }
@@ -51,7 +51,7 @@
 }
 
 func (pr Params) chunkTime(context, chunk int) time.Duration {
-	factor := 1 + float64(context)/float64(pr.Knee)
+	factor := 1 + float64(context)/float64(pr.CostDoublingContext)
 	return time.Duration(float64(pr.PrefillPerToken) * float64(chunk) * factor)
 }
 
