--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -21,7 +21,7 @@
 	// Knee is the context length at which a prompt token costs twice as much.
 	CostDoublingContext int
 	// Memory is the KV memory in tokens.
-	Memory int
+	MemoryTokens int
 	// CacheBlocks is the number of prefix blocks kept; zero keeps none.
 	CacheBlocks int
 	// ReportLag is how old a load report is when it is given out.
@@ -36,7 +36,7 @@
 func DefaultParams() Params {
 	return Params{
 		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillPerToken: 45 * time.Microsecond,
-		DecodePerSequence: 200 * time.Microsecond, CostDoublingContext: 400_000, Memory: 450_000, CacheBlocks: 256,
+		DecodePerSequence: 200 * time.Microsecond, CostDoublingContext: 400_000, MemoryTokens: 450_000, CacheBlocks: 256,
 		ReportLag: 200 * time.Millisecond, Scale: 1,
 	}
 }
@@ -279,7 +279,7 @@
 		if sq.admitted {
 			continue
 		}
-		full = full || en.used+sq.memory() > en.params.Memory
+		full = full || en.used+sq.memory() > en.params.MemoryTokens
 		if full && sq.memory() > 0 {
 			continue
 		}
@@ -352,7 +352,7 @@
 
 func (en *Engine) current() engine.Report {
 	r := engine.Report{
-		Incarnation: en.incarnation, Leaving: en.leaving, MemoryUsed: en.used, MemoryTotal: en.params.Memory,
+		Incarnation: en.incarnation, Leaving: en.leaving, MemoryUsed: en.used, MemoryTotal: en.params.MemoryTokens,
 		PrefillRate: en.rate(),
 	}
 	for m := range en.models {
--- a/internal/standin/enginesim/http.go
+++ b/internal/standin/enginesim/http.go
@@ -143,7 +143,7 @@
 		return nil, http.StatusNotFound
 	case en.leaving:
 		return nil, http.StatusServiceUnavailable
-	case sq.memory() > en.params.Memory:
+	case sq.memory() > en.params.MemoryTokens:
 		return nil, http.StatusRequestEntityTooLarge
 	case en.seqs[sq.id] != nil:
 		return nil, http.StatusConflict
@@ -280,7 +280,7 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.leaving || en.rooms[h.Attempt] != nil || en.used+h.Tokens > en.params.Memory {
+	if en.leaving || en.rooms[h.Attempt] != nil || en.used+h.Tokens > en.params.MemoryTokens {
 		refuse(w, http.StatusConflict)
 		return
 	}
