--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -78,7 +78,7 @@
 func TestOperatorsDay(t *testing.T) {
 	g := NewWithT(t)
 	params := enginesim.DefaultParams()
-	params.Scale = 200
+	params.Speedup = 200
 	lf, err := localfleet.Start(t.Context(), localfleet.Options{
 		Zones: 1, Engines: 1, Instances: 2, Params: params, Log: &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
 	})
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -36,7 +36,7 @@
 		return platformsim.New().Handler(), nil
 	case "engine":
 		p := enginesim.DefaultParams()
-		p.Scale = sc.Scale
+		p.Speedup = sc.Scale
 		return enginesim.New(p, sc.Models...).Handler(), nil
 	case "service":
 		return servicesim.New(), nil
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -57,7 +57,7 @@
 // Run runs the demo.
 func Run(ctx context.Context, o Options) error {
 	params := enginesim.DefaultParams()
-	params.Scale = scale
+	params.Speedup = scale
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: zones, Engines: engines, Instances: instances, Params: params, Log: o.Log,
 	})
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -144,7 +144,7 @@
 
 func runOne(ctx context.Context, o Options, p Preset, policy string, fault Fault, seed uint64) (Cell, error) {
 	params := enginesim.DefaultParams()
-	params.Scale = o.Scale
+	params.Speedup = o.Scale
 	// The second run sends the prompts of the first again; a cache would make it look faster than it is.
 	params.CacheBlocks = 0
 	if fault == FaultStale {
@@ -220,7 +220,7 @@
 			continue
 		}
 		idle = append(idle, float64(r.FirstToken)/float64(params.Alone(r.Tokens)))
-		real := time.Duration(float64(r.FirstToken) * params.Scale)
+		real := time.Duration(float64(r.FirstToken) * params.Speedup)
 		if r.Tokens >= longTokens {
 			long = append(long, real)
 		} else {
@@ -228,8 +228,8 @@
 		}
 	}
 	base := firstTokens(without)
-	c.RatioP95 = over(load.Quantile(short, 95), load.Quantile(base, 95), params.Scale)
-	c.RatioP99 = over(load.Quantile(short, 99), load.Quantile(base, 99), params.Scale)
+	c.RatioP95 = over(load.Quantile(short, 95), load.Quantile(base, 95), params.Speedup)
+	c.RatioP99 = over(load.Quantile(short, 99), load.Quantile(base, 99), params.Speedup)
 	c.IdleP50, c.IdleP95, _ = load.RatioQuantiles(idle)
 	c.ShortP99 = load.Quantile(short, 99)
 	c.LongP50, c.LongP95 = load.Quantile(long, 50), load.Quantile(long, 95)
--- a/internal/session/bench_test.go
+++ b/internal/session/bench_test.go
@@ -14,7 +14,7 @@
 // allocations are those of caller, instance and engine together.
 func BenchmarkCompletion(b *testing.B) {
 	params := enginesim.DefaultParams()
-	params.Scale = 1e6
+	params.Speedup = 1e6
 	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, Params: params, Log: quiet()})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -37,7 +37,7 @@
 
 func fast(scale float64) enginesim.Params {
 	p := enginesim.DefaultParams()
-	p.Scale = scale
+	p.Speedup = scale
 	return p
 }
 
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -218,7 +218,7 @@
 func requests(ctx context.Context, o Options, rate float64) (Requests, error) {
 	const instances, seconds, speed = 8, 4, 20
 	params := enginesim.DefaultParams()
-	params.Scale, params.CacheBlocks = speed, 0
+	params.Speedup, params.CacheBlocks = speed, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: 1, Engines: 20, Instances: instances, Params: params, Log: o.Log, Adjust: defaults,
 	})
@@ -246,7 +246,7 @@
 // latency compares short requests sent straight to an engine with the same by an instance.
 func latency(ctx context.Context, o Options) (Latency, error) {
 	params := enginesim.DefaultParams()
-	params.Scale, params.CacheBlocks = 100, 0
+	params.Speedup, params.CacheBlocks = 100, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: params, Log: o.Log})
 	if err != nil {
 		return Latency{}, err
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -27,7 +27,7 @@
 	// ReportLag is how old a load report is when it is given out.
 	ReportLag time.Duration
 	// Scale divides all times.
-	Scale float64
+	Speedup float64
 	// Fence makes the engine check the epoch of orders.
 	Fence bool
 }
@@ -37,7 +37,7 @@
 	return Params{
 		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillPerToken: 45 * time.Microsecond,
 		DecodePerSequence: 200 * time.Microsecond, CostDoublingContext: 400_000, MemoryTokens: 450_000, CacheBlocks: 256,
-		ReportLag: 200 * time.Millisecond, Scale: 1,
+		ReportLag: 200 * time.Millisecond, Speedup: 1,
 	}
 }
 
@@ -47,7 +47,7 @@
 	for at := 0; at < tokens; at += pr.MaxPromptTokensPerStep {
 		sum += pr.StepOverhead + pr.chunkTime(at, min(pr.MaxPromptTokensPerStep, tokens-at))
 	}
-	return time.Duration(float64(sum) / pr.Scale)
+	return time.Duration(float64(sum) / pr.Speedup)
 }
 
 func (pr Params) chunkTime(context, chunk int) time.Duration {
@@ -251,7 +251,7 @@
 		return 0
 	}
 	took += en.params.StepOverhead
-	return max(1, time.Duration(float64(took)/en.params.Scale))
+	return max(1, time.Duration(float64(took)/en.params.Speedup))
 }
 
 // ordered returns the sequences, most urgent first.
@@ -339,7 +339,7 @@
 	defer en.mu.Unlock()
 	now := time.Now()
 	en.reports = append(en.reports, timedReport{at: now, report: en.current()})
-	lag := time.Duration(float64(en.params.ReportLag) / en.params.Scale)
+	lag := time.Duration(float64(en.params.ReportLag) / en.params.Speedup)
 	i := 0
 	for i+1 < len(en.reports) && now.Sub(en.reports[i+1].at) >= lag {
 		i++
@@ -375,5 +375,5 @@
 
 func (en *Engine) rate() float64 {
 	step := en.params.StepOverhead + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillPerToken
-	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Scale
+	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Speedup
 }
--- a/internal/standin/enginesim/orders.go
+++ b/internal/standin/enginesim/orders.go
@@ -44,7 +44,7 @@
 			delete(en.models, m)
 		}
 	}
-	delay := time.Duration(float64(loadTime) / en.params.Scale)
+	delay := time.Duration(float64(loadTime) / en.params.Speedup)
 	time.AfterFunc(delay, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
