--- a/internal/session/order_test.go
+++ b/internal/session/order_test.go
@@ -18,7 +18,7 @@
 func TestBundleLoadsModels(t *testing.T) {
 	g := NewWithT(t)
 	p := fast(100)
-	p.Fence = true
+	p.FenceOrders = true
 	lf := start(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, Params: p})
 	b := localfleet.DefaultBundle()
 	b.Models = []bundle.Model{{Name: localfleet.Model, Copies: 1}, {Name: "crew", Copies: 1}}
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -29,7 +29,7 @@
 	// Scale divides all times.
 	Speedup float64
 	// Fence makes the engine check the epoch of orders.
-	Fence bool
+	FenceOrders bool
 }
 
 // DefaultParams resemble an engine that prefills about 20,000 tokens a second.
--- a/internal/standin/enginesim/orders.go
+++ b/internal/standin/enginesim/orders.go
@@ -28,7 +28,7 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.params.Fence && en.orders.older(o) {
+	if en.params.FenceOrders && en.orders.older(o) {
 		en.orders.refused++
 		w.WriteHeader(http.StatusConflict)
 		return
