--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -219,7 +219,7 @@
 		if r.FirstToken == 0 {
 			continue
 		}
-		idle = append(idle, float64(r.FirstToken)/float64(params.Alone(r.Tokens)))
+		idle = append(idle, float64(r.FirstToken)/float64(params.IdleTimeToFirstToken(r.Tokens)))
 		real := time.Duration(float64(r.FirstToken) * params.Speedup)
 		if r.Tokens >= longTokens {
 			long = append(long, real)
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -42,7 +42,7 @@
 }
 
 // Alone returns the time to the first token of a prompt on an idle engine.
-func (pr Params) Alone(tokens int) time.Duration {
+func (pr Params) IdleTimeToFirstToken(tokens int) time.Duration {
 	sum := time.Duration(0)
 	for at := 0; at < tokens; at += pr.MaxPromptTokensPerStep {
 		sum += pr.StepOverhead + pr.chunkTime(at, min(pr.MaxPromptTokensPerStep, tokens-at))
