--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -131,7 +131,7 @@
 			lf := start(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, Params: fast(100)})
 			fault(lf)
 			gone := lf.Engines[1]
-			gone.Leave()
+			gone.MarkLeaving()
 			// The sign spreads from the owner by heartbeats until every instance leaves the engine out.
 			for _, in := range lf.Instances {
 				g.Eventually(func() bool { return leaves(in, gone.Name) }, 3*time.Second, 20*time.Millisecond).Should(BeTrue())
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -143,7 +143,7 @@
 }
 
 // Leave marks the engine as leaving.
-func (en *Engine) Leave() { en.mu.Lock(); en.leaving = true; en.mu.Unlock() }
+func (en *Engine) MarkLeaving() { en.mu.Lock(); en.leaving = true; en.mu.Unlock() }
 
 // Hang makes the engine compute nothing until it is called with false.
 func (en *Engine) Hang(on bool) {
