--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -64,7 +64,7 @@
 func TestEveryRequestEndsInItsTimeAndLeavesNothing(t *testing.T) {
 	hang := func(lf *localfleet.Fleet) {
 		for _, en := range lf.Engines {
-			en.Hang(true)
+			en.SetHung(true)
 		}
 	}
 	tests := map[string]struct {
@@ -93,7 +93,7 @@
 			g.Eventually(sv.Router.Waiting).Should(BeZero())
 			lf.Store.SetSlow(0)
 			for _, en := range lf.Engines {
-				en.Hang(false)
+				en.SetHung(false)
 				g.Eventually(en.MemoryUsed, 5*time.Second).Should(BeZero())
 			}
 		})
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -105,9 +105,9 @@
 	tr.call("a ticket while the store is down, at another instance", http.MethodPost, two, valvePath, []byte("open"), ticket...)
 	tr.call("the ticket again", http.MethodPost, one, valvePath, []byte("open"), ticket...)
 	lf.Store.SetDown(false)
-	lf.Engines[0].Hang(true)
+	lf.Engines[0].SetHung(true)
 	tr.call("an engine that never answers", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderTimeout, "200ms")
-	lf.Engines[0].Hang(false)
+	lf.Engines[0].SetHung(false)
 	lf.Engines[0].Kill()
 	g.Eventually(func() string {
 		return call(t, http.MethodPost, one+"/v1/completions", completion("x", 1, false)).code
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -83,7 +83,7 @@
 		},
 	})
 	for _, en := range lf.Engines {
-		en.Hang(true)
+		en.SetHung(true)
 	}
 	rc := submit(t, lf.URLs()[0], "a deed")
 	never := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
@@ -110,7 +110,7 @@
 	}
 	lost.Store(nil)
 	for _, en := range lf.Engines {
-		en.Hang(false)
+		en.SetHung(false)
 	}
 	g.Eventually(func() job.State { return record(rc.ID).State }, 15*time.Second).Should(Equal(job.Done))
 	g.Consistently(func() job.State { return record(never.ID).State }, 500*time.Millisecond).Should(Equal(job.Unknown))
@@ -130,7 +130,7 @@
 	g := NewWithT(t)
 	lf := jobFleet(t, 200)
 	for _, en := range lf.Engines {
-		en.Hang(true)
+		en.SetHung(true)
 	}
 	rc := submit(t, lf.URLs()[0], "a deed")
 	g.Eventually(stateOf(t, lf.URLs()[0], rc.ID), 10*time.Second).Should(Equal(job.Running))
--- a/internal/session/stop_test.go
+++ b/internal/session/stop_test.go
@@ -77,10 +77,10 @@
 		},
 		"by a job that cannot be given back": func(t *testing.T, lf *localfleet.Fleet) func() {
 			en := lf.Engines[0]
-			en.Hang(true)
+			en.SetHung(true)
 			rc := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
 			NewWithT(t).Eventually(stateOf(t, lf.URLs()[0], rc.ID), patience).Should(Equal(job.Running))
-			return func() { en.Hang(false) }
+			return func() { en.SetHung(false) }
 		},
 	}
 	for name, hold := range tests {
@@ -123,7 +123,7 @@
 	lf := start(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fast(200), Adjust: func(s *config.Settings) {
 		s.Stop.Drain = config.Duration(100 * time.Millisecond)
 	}})
-	lf.Engines[0].Hang(true)
+	lf.Engines[0].SetHung(true)
 	rc := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
 	g.Eventually(stateOf(t, lf.URLs()[0], rc.ID), patience).Should(Equal(job.Running))
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
@@ -214,7 +214,7 @@
 			lf := start(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fast(200), Adjust: func(s *config.Settings) {
 				s.Stop.Drain = config.Duration(time.Second)
 			}})
-			lf.Engines[0].Hang(true)
+			lf.Engines[0].SetHung(true)
 			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			answers := make(chan reply, len(tc.prompts))
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -146,7 +146,7 @@
 func (en *Engine) MarkLeaving() { en.mu.Lock(); en.leaving = true; en.mu.Unlock() }
 
 // Hang makes the engine compute nothing until it is called with false.
-func (en *Engine) Hang(on bool) {
+func (en *Engine) SetHung(on bool) {
 	en.mu.Lock()
 	en.hang = on
 	en.mu.Unlock()
