--- a/internal/session/stream_test.go
+++ b/internal/session/stream_test.go
@@ -59,7 +59,7 @@
 			body: chat, resumed: true,
 		},
 		"an answer of another attempt is dropped": {
-			fault: func(lf *localfleet.Fleet) { lf.Engines[0].CrossAnswers(1) }, path: "/v1/completions", prompt: "hello",
+			fault: func(lf *localfleet.Fleet) { lf.Engines[0].MislabelResponses(1) }, path: "/v1/completions", prompt: "hello",
 			body: completion("hello", output, true),
 		},
 	}
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -157,7 +157,7 @@
 func (en *Engine) BreakStreams(n int) { en.mu.Lock(); en.breaks = n; en.mu.Unlock() }
 
 // CrossAnswers makes the next n answers come under the id of another attempt.
-func (en *Engine) CrossAnswers(n int) { en.mu.Lock(); en.crosses = n; en.mu.Unlock() }
+func (en *Engine) MislabelResponses(n int) { en.mu.Lock(); en.crosses = n; en.mu.Unlock() }
 
 // takes counts a seam down and reports whether it was set.
 func (en *Engine) takes(seam *int) bool {
