--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -136,11 +136,11 @@
 			for _, in := range lf.Instances {
 				g.Eventually(func() bool { return leaves(in, gone.Name) }, 3*time.Second, 20*time.Millisecond).Should(BeTrue())
 			}
-			before := gone.Started()
+			before := gone.AttemptCount()
 			for _, r := range load.Run(t.Context(), target(lf, 5), mixed(40, localfleet.ClassCall)) {
 				g.Expect(r.Right).To(BeTrue(), "%+v", r)
 			}
-			g.Expect(gone.Started()).To(Equal(before))
+			g.Expect(gone.AttemptCount()).To(Equal(before))
 		})
 	}
 }
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -182,7 +182,7 @@
 func (en *Engine) MemoryUsed() int { en.mu.Lock(); defer en.mu.Unlock(); return en.used }
 
 // Started returns how many attempts were started.
-func (en *Engine) Started() int { en.mu.Lock(); defer en.mu.Unlock(); return en.arrivals }
+func (en *Engine) AttemptCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.arrivals }
 
 func (en *Engine) poke() {
 	select {
