--- a/internal/session/order_test.go
+++ b/internal/session/order_test.go
@@ -39,7 +39,7 @@
 	ordered := lf.Engines[0]
 	cl := engine.New(ordered.URL(), http.DefaultClient, http.DefaultClient)
 	g.Expect(cl.Order(t.Context(), engine.Order{Epoch: 0, Sequence: 99})).NotTo(Succeed())
-	g.Expect(ordered.RefusedOrders()).To(Equal(1))
+	g.Expect(ordered.RefusedOrderCount()).To(Equal(1))
 	g.Expect(served("crew")()).To(Equal(http.StatusOK))
 	g.Expect(first()).To(Equal(http.StatusOK))
 }
--- a/internal/standin/enginesim/orders.go
+++ b/internal/standin/enginesim/orders.go
@@ -56,4 +56,8 @@
 }
 
 // RefusedOrders returns how many orders were refused as too old.
-func (en *Engine) RefusedOrders() int { en.mu.Lock(); defer en.mu.Unlock(); return en.orders.refused }
+func (en *Engine) RefusedOrderCount() int {
+	en.mu.Lock()
+	defer en.mu.Unlock()
+	return en.orders.refused
+}
