--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -74,7 +74,7 @@
 	}{
 		"target accepts and never answers": {fault: hang, want: "deadline_exceeded"},
 		"store hangs under a claim": {
-			fault:   func(lf *localfleet.Fleet) { lf.Store.SetSlow(time.Minute) },
+			fault:   func(lf *localfleet.Fleet) { lf.Store.SetDelay(time.Minute) },
 			headers: []string{serve.HeaderKey, "k1"}, want: "store_unavailable",
 		},
 	}
@@ -91,7 +91,7 @@
 			g.Eventually(sv.InFlight).Should(BeZero())
 			g.Expect(sv.Bodies.Used()).To(BeZero())
 			g.Eventually(sv.Router.Waiting).Should(BeZero())
-			lf.Store.SetSlow(0)
+			lf.Store.SetDelay(0)
 			for _, en := range lf.Engines {
 				en.SetHung(false)
 				g.Eventually(en.MemoryUsed, 5*time.Second).Should(BeZero())
--- a/internal/session/once_test.go
+++ b/internal/session/once_test.go
@@ -126,7 +126,7 @@
 	g := NewWithT(t)
 	lf := small(t)
 	lf.Services.SetDelay(300 * time.Millisecond)
-	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetSlow(4 * time.Second) })
+	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetDelay(4 * time.Second) })
 	done := make(chan reply, 1)
 	go func() {
 		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderKey, "valve-12", servicesim.HeaderRequest, "valve-12")
@@ -135,5 +135,5 @@
 	// The store's answers take 4 s; the record is tried for 10 s.
 	g.Eventually(done, 3*time.Second).Should(Receive(&rep))
 	g.Expect(rep.status).To(Equal(http.StatusOK), rep.body)
-	lf.Store.SetSlow(0)
+	lf.Store.SetDelay(0)
 }
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -52,7 +52,7 @@
 func (st *Store) SetDown(down bool) { st.mu.Lock(); st.down = down; st.mu.Unlock() }
 
 // SetSlow delays every answer.
-func (st *Store) SetSlow(d time.Duration) { st.mu.Lock(); st.slow = d; st.mu.Unlock() }
+func (st *Store) SetDelay(d time.Duration) { st.mu.Lock(); st.slow = d; st.mu.Unlock() }
 
 // LoseAnswers makes the next n writes take effect without an answer.
 func (st *Store) LoseAnswers(n int) { st.mu.Lock(); st.loseAnswers = n; st.mu.Unlock() }
