--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -57,7 +57,7 @@
 func TestLeaseNotHeldAfterLostResponse(t *testing.T) {
 	g := NewWithT(t)
 	a, _, _, st := newLeases(t)
-	st.LoseAnswers(1)
+	st.LoseResponses(1)
 	g.Expect(a.TryAcquireOrRenew(t.Context())).NotTo(Succeed())
 	_, ok := a.Held(0)
 	g.Expect(ok).To(BeFalse())
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -119,7 +119,7 @@
 func TestJobsAreAcceptedOnceTheStoreHasThem(t *testing.T) {
 	g := NewWithT(t)
 	lf := jobFleet(t, 200)
-	lf.Store.LoseAnswers(2)
+	lf.Store.LoseResponses(2)
 	rc := submit(t, lf.URLs()[0], "a deed")
 	g.Eventually(stateOf(t, lf.URLs()[1], rc.ID), 10*time.Second).Should(Equal(job.Done))
 	rep := call(t, http.MethodGet, lf.URLs()[1]+"/v1/jobs", nil)
--- a/internal/session/once_test.go
+++ b/internal/session/once_test.go
@@ -31,7 +31,7 @@
 	}{
 		"all well": {fault: func(*localfleet.Fleet) {}, first: 200, second: 200, runs: 1},
 		"store's answers lost": {
-			fault: func(lf *localfleet.Fleet) { lf.Store.LoseAnswers(2) }, first: 200, second: 200, runs: 1,
+			fault: func(lf *localfleet.Fleet) { lf.Store.LoseResponses(2) }, first: 200, second: 200, runs: 1,
 		},
 		"service breaks off after the run": {
 			fault: func(lf *localfleet.Fleet) { lf.Services.DropAfterRun(1) }, first: 502, second: 409, outcome: "unknown", runs: 1,
--- a/internal/signoff/signoff_test.go
+++ b/internal/signoff/signoff_test.go
@@ -65,11 +65,11 @@
 func TestLostAnswersAreTheSameSignOff(t *testing.T) {
 	g := NewWithT(t)
 	of, st := office(t)
-	st.LoseAnswers(1)
+	st.LoseResponses(1)
 	v, err := of.Push(t.Context(), withClass("a"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(v).To(Equal(int64(1)))
-	st.LoseAnswers(1)
+	st.LoseResponses(1)
 	g.Expect(of.Sign(t.Context(), v)).To(Succeed())
 	g.Expect(of.Sign(t.Context(), v)).To(Succeed())
 	again, err := of.Push(t.Context(), withClass("b"))
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -55,7 +55,7 @@
 func (st *Store) SetDelay(d time.Duration) { st.mu.Lock(); st.slow = d; st.mu.Unlock() }
 
 // LoseAnswers makes the next n writes take effect without an answer.
-func (st *Store) LoseAnswers(n int) { st.mu.Lock(); st.loseAnswers = n; st.mu.Unlock() }
+func (st *Store) LoseResponses(n int) { st.mu.Lock(); st.loseAnswers = n; st.mu.Unlock() }
 
 // Freeze makes a kind's lists and watches lag until Thaw.
 func (st *Store) Freeze(kind string) {
