--- a/internal/bundlestore/bundlestore_test.go
+++ b/internal/bundlestore/bundlestore_test.go
@@ -33,10 +33,10 @@
 	g.Expect(whole.Organisations).To(HaveLen(500))
 	b.Organisations[7].MaxConcurrent = 3
 	g.Expect(New(client).Create(t.Context(), b.WithVersion(2, 1))).To(Succeed())
-	before, _ := st.Calls()
+	before, _ := st.CallCounts()
 	whole, err = reader.Get(t.Context(), 2)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(whole.Organisations).To(ContainElement(b.Organisations[7]))
-	after, _ := st.Calls()
+	after, _ := st.CallCounts()
 	g.Expect(after-before).To(Equal(2), "the index and one part")
 }
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -68,7 +68,7 @@
 func (st *Store) Thaw(kind string) { st.mu.Lock(); delete(st.frozen, kind); st.mu.Unlock() }
 
 // Calls returns how many reads and writes were asked.
-func (st *Store) Calls() (reads, writes int) {
+func (st *Store) CallCounts() (reads, writes int) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.reads, st.writes
