--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -91,17 +91,17 @@
 	tr.call("a model that there is not", http.MethodPost, one, "/v1/completions", []byte(`{"model":"none"}`))
 	tr.call("a body that is no JSON", http.MethodPost, one, "/v1/completions", []byte(`{`))
 	tr.call("a time limit that is none", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderTimeout, "soon")
-	key := []string{serve.HeaderKey, "valve-7", servicesim.HeaderRequest, "valve-7"}
+	key := []string{serve.HeaderKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
 	tr.call("a valve record with a key", http.MethodPost, one, valvePath, []byte("open"), key...)
 	tr.call("the same again, elsewhere", http.MethodPost, two, valvePath, []byte("open"), key...)
 	tr.call("the key for another record", http.MethodPost, two, valvePath, []byte("close"), key...)
 	lf.Services.DropAfterRun(1)
-	lost := []string{serve.HeaderKey, "valve-8", servicesim.HeaderRequest, "valve-8"}
+	lost := []string{serve.HeaderKey, "valve-8", servicesim.HeaderRequestName, "valve-8"}
 	tr.call("the service runs and breaks off", http.MethodPost, one, valvePath, []byte("open"), lost...)
 	tr.call("asked again", http.MethodPost, two, valvePath, []byte("open"), lost...)
 	lf.Store.SetDown(true)
 	tr.call("a key while the store is down", http.MethodPost, one, valvePath, []byte("open"), serve.HeaderKey, "valve-9", serve.HeaderTimeout, "200ms")
-	ticket := []string{serve.HeaderTicket, ticketFrom(t, one), servicesim.HeaderRequest, "valve-10"}
+	ticket := []string{serve.HeaderTicket, ticketFrom(t, one), servicesim.HeaderRequestName, "valve-10"}
 	tr.call("a ticket while the store is down, at another instance", http.MethodPost, two, valvePath, []byte("open"), ticket...)
 	tr.call("the ticket again", http.MethodPost, one, valvePath, []byte("open"), ticket...)
 	lf.Store.SetDown(false)
--- a/internal/session/once_test.go
+++ b/internal/session/once_test.go
@@ -42,9 +42,9 @@
 			g := NewWithT(t)
 			lf := small(t)
 			// A first call leaves an idle connection, on which a transport would send a second time.
-			call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequest, "warm")
+			call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequestName, "warm")
 			tc.fault(lf)
-			headers := []string{serve.HeaderKey, "valve-7", servicesim.HeaderRequest, "valve-7"}
+			headers := []string{serve.HeaderKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
 			first := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 			g.Expect(first.status).To(Equal(tc.first), first.body)
 			second := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
@@ -62,7 +62,7 @@
 	g := NewWithT(t)
 	lf := small(t)
 	lf.Store.SetDown(true)
-	headers := []string{serve.HeaderKey, "valve-8", servicesim.HeaderRequest, "valve-8", serve.HeaderTimeout, "400ms"}
+	headers := []string{serve.HeaderKey, "valve-8", servicesim.HeaderRequestName, "valve-8", serve.HeaderTimeout, "400ms"}
 	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(rep.outcome).To(Equal("not_run"))
 	g.Expect(lf.Services.Runs("valve-8")).To(BeZero())
@@ -93,7 +93,7 @@
 	g := NewWithT(t)
 	lf := small(t)
 	lf.Store.SetDown(true)
-	headers := []string{serve.HeaderTicket, ticketFrom(t, lf.URLs()[0]), servicesim.HeaderRequest, "valve-9"}
+	headers := []string{serve.HeaderTicket, ticketFrom(t, lf.URLs()[0]), servicesim.HeaderRequestName, "valve-9"}
 	first := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
 	g.Expect(first.status).To(Equal(http.StatusOK), first.body)
 	second := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
@@ -106,7 +106,7 @@
 	lf := small(t)
 	tk := ticketFrom(t, lf.URLs()[0])
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
-	rep := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), serve.HeaderTicket, tk, servicesim.HeaderRequest, "valve-10")
+	rep := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), serve.HeaderTicket, tk, servicesim.HeaderRequestName, "valve-10")
 	g.Expect(rep.outcome).To(Equal("unknown"))
 	g.Expect(lf.Services.Runs("valve-10")).To(BeZero())
 }
@@ -114,9 +114,9 @@
 func TestPostIsNotSentTwice(t *testing.T) {
 	g := NewWithT(t)
 	lf := small(t)
-	call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequest, "warm")
+	call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequestName, "warm")
 	lf.Services.DropAfterRun(1)
-	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), servicesim.HeaderRequest, "valve-11")
+	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), servicesim.HeaderRequestName, "valve-11")
 	g.Expect(rep.outcome).To(Equal("unknown"))
 	g.Consistently(func() int { return lf.Services.Runs("valve-11") }, 200*time.Millisecond).Should(Equal(1))
 }
@@ -129,7 +129,7 @@
 	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetDelay(4 * time.Second) })
 	done := make(chan reply, 1)
 	go func() {
-		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderKey, "valve-12", servicesim.HeaderRequest, "valve-12")
+		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderKey, "valve-12", servicesim.HeaderRequestName, "valve-12")
 	}()
 	var rep reply
 	// The store's answers take 4 s; the record is tried for 10 s.
--- a/internal/session/stop_test.go
+++ b/internal/session/stop_test.go
@@ -169,7 +169,7 @@
 				}
 				fr.SetCut(true)
 			}()
-			rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderKey, "valve", servicesim.HeaderRequest, "valve")
+			rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderKey, "valve", servicesim.HeaderRequestName, "valve")
 			g.Expect(rep.status).To(Equal(tc.status), rep.body)
 			time.AfterFunc(2*time.Second, func() { fr.SetCut(false) })
 			g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
--- a/internal/standin/servicesim/servicesim.go
+++ b/internal/standin/servicesim/servicesim.go
@@ -10,7 +10,7 @@
 )
 
 // HeaderRequest carries the caller's name for a request.
-const HeaderRequest = "X-Request-Name"
+const HeaderRequestName = "X-Request-Name"
 
 // Service is the stand-in. Its seams may be set at any time.
 type Service struct {
@@ -41,7 +41,7 @@
 		return
 	}
 	sv.mu.Lock()
-	sv.runs[r.Header.Get(HeaderRequest)]++
+	sv.runs[r.Header.Get(HeaderRequestName)]++
 	drop, delay := sv.dropAfter > 0, sv.delay
 	if drop {
 		sv.dropAfter--
