--- a/internal/session/once_test.go
+++ b/internal/session/once_test.go
@@ -53,7 +53,7 @@
 			if tc.first == http.StatusOK {
 				g.Expect(second.body).To(Equal(first.body))
 			}
-			g.Expect(lf.Services.Runs("valve-7")).To(Equal(tc.runs))
+			g.Expect(lf.Services.RunCount("valve-7")).To(Equal(tc.runs))
 		})
 	}
 }
@@ -65,11 +65,11 @@
 	headers := []string{serve.HeaderKey, "valve-8", servicesim.HeaderRequestName, "valve-8", serve.HeaderTimeout, "400ms"}
 	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(rep.outcome).To(Equal("not_run"))
-	g.Expect(lf.Services.Runs("valve-8")).To(BeZero())
+	g.Expect(lf.Services.RunCount("valve-8")).To(BeZero())
 	lf.Store.SetDown(false)
 	rep = call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
 	g.Expect(rep.status).To(Equal(http.StatusOK), rep.body)
-	g.Expect(lf.Services.Runs("valve-8")).To(Equal(1))
+	g.Expect(lf.Services.RunCount("valve-8")).To(Equal(1))
 }
 
 func TestKeyOfAnotherRequestIsRefused(t *testing.T) {
@@ -98,7 +98,7 @@
 	g.Expect(first.status).To(Equal(http.StatusOK), first.body)
 	second := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(second.body).To(Equal(first.body))
-	g.Expect(lf.Services.Runs("valve-9")).To(Equal(1))
+	g.Expect(lf.Services.RunCount("valve-9")).To(Equal(1))
 }
 
 func TestTicketOfAGoneInstanceIsUnknown(t *testing.T) {
@@ -108,7 +108,7 @@
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
 	rep := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), serve.HeaderTicket, tk, servicesim.HeaderRequestName, "valve-10")
 	g.Expect(rep.outcome).To(Equal("unknown"))
-	g.Expect(lf.Services.Runs("valve-10")).To(BeZero())
+	g.Expect(lf.Services.RunCount("valve-10")).To(BeZero())
 }
 
 func TestPostIsNotSentTwice(t *testing.T) {
@@ -118,7 +118,7 @@
 	lf.Services.DropAfterRun(1)
 	rep := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), servicesim.HeaderRequestName, "valve-11")
 	g.Expect(rep.outcome).To(Equal("unknown"))
-	g.Consistently(func() int { return lf.Services.Runs("valve-11") }, 200*time.Millisecond).Should(Equal(1))
+	g.Consistently(func() int { return lf.Services.RunCount("valve-11") }, 200*time.Millisecond).Should(Equal(1))
 }
 
 // TestAnswerDoesNotWaitForItsRecord has the store hang after the claim: the caller's answer ends all the same.
--- a/internal/session/stop_test.go
+++ b/internal/session/stop_test.go
@@ -164,7 +164,7 @@
 			lf.Services.DropAfterRun(tc.drops)
 			go func() {
 				// The claim is in the store once the service runs the request.
-				for lf.Services.Runs("valve") == 0 {
+				for lf.Services.RunCount("valve") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				fr.SetCut(true)
--- a/internal/standin/servicesim/servicesim.go
+++ b/internal/standin/servicesim/servicesim.go
@@ -32,7 +32,11 @@
 func (sv *Service) SetDelay(d time.Duration) { sv.mu.Lock(); sv.delay = d; sv.mu.Unlock() }
 
 // Runs returns how often the named request ran.
-func (sv *Service) Runs(name string) int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.runs[name] }
+func (sv *Service) RunCount(name string) int {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.runs[name]
+}
 
 // ServeHTTP runs one request and answers with its body.
 func (sv *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
