--- a/internal/standin/modelsim/helper.go
+++ b/internal/standin/modelsim/helper.go
@@ -45,31 +45,31 @@
 // NewPeers returns an empty set.
 func NewPeers() *Peers { return &Peers{engines: map[string]*Engine{}} }
 
-func (ps *Peers) add(en *Engine) {
-	if ps == nil {
+func (cl *Peers) add(en *Engine) {
+	if cl == nil {
 		return
 	}
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	ps.engines[en.Address()] = en
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.engines[en.Address()] = en
 }
 
-func (ps *Peers) remove(en *Engine) {
-	if ps == nil {
+func (cl *Peers) remove(en *Engine) {
+	if cl == nil {
 		return
 	}
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	delete(ps.engines, en.Address())
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	delete(cl.engines, en.Address())
 }
 
-func (ps *Peers) find(address string) *Engine {
-	if ps == nil {
+func (cl *Peers) find(address string) *Engine {
+	if cl == nil {
 		return nil
 	}
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	return ps.engines[address]
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.engines[address]
 }
 
 // use is one request that an engine helps with.
