--- a/internal/standin/modelsim/helper.go
+++ b/internal/standin/modelsim/helper.go
@@ -36,16 +36,16 @@
 }
 
 // Peers are engines that can help each other. A nil Peers holds none.
-type Peers struct {
+type Cluster struct {
 	mu sync.Mutex
 	// engines are by address.
 	engines map[string]*Engine
 }
 
 // NewPeers returns an empty set.
-func NewPeers() *Peers { return &Peers{engines: map[string]*Engine{}} }
+func NewPeers() *Cluster { return &Cluster{engines: map[string]*Engine{}} }
 
-func (cl *Peers) add(en *Engine) {
+func (cl *Cluster) add(en *Engine) {
 	if cl == nil {
 		return
 	}
@@ -54,7 +54,7 @@
 	cl.engines[en.Address()] = en
 }
 
-func (cl *Peers) remove(en *Engine) {
+func (cl *Cluster) remove(en *Engine) {
 	if cl == nil {
 		return
 	}
@@ -63,7 +63,7 @@
 	delete(cl.engines, en.Address())
 }
 
-func (cl *Peers) find(address string) *Engine {
+func (cl *Cluster) find(address string) *Engine {
 	if cl == nil {
 		return nil
 	}
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -41,7 +41,7 @@
 	EventTokens int
 	Model       string
 	// Peers holds the engines that can help; an engine without Peers can use its own tickets only.
-	Peers *Peers
+	Peers *Cluster
 }
 
 // Option changes the settings.
@@ -61,7 +61,7 @@
 }
 
 // WithPeers lets engines help each other.
-func WithPeers(ps *Peers) Option { return func(se *Settings) { se.Peers = ps } }
+func WithPeers(ps *Cluster) Option { return func(se *Settings) { se.Peers = ps } }
 
 // Engine is the stand-in.
 type Engine struct {
