--- a/internal/standin/modelsim/helper.go
+++ b/internal/standin/modelsim/helper.go
@@ -43,7 +43,7 @@
 }
 
 // NewPeers returns an empty set.
-func NewPeers() *Cluster { return &Cluster{engines: map[string]*Engine{}} }
+func NewCluster() *Cluster { return &Cluster{engines: map[string]*Engine{}} }
 
 func (cl *Cluster) add(en *Engine) {
 	if cl == nil {
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -212,7 +212,7 @@
 
 func TestHelpersLendTheirMemory(t *testing.T) {
 	g := NewWithT(t)
-	ps := modelsim.NewPeers()
+	ps := modelsim.NewCluster()
 	first := start(t, modelsim.WithPeers(ps), modelsim.WithMemory(100))
 	helper := start(t, modelsim.WithPeers(ps))
 	header := map[string]string{"Helpers": helper.Address() + "/t1"}
@@ -263,7 +263,7 @@
 
 func TestHelperLostWhileReadingRefusesTheRequest(t *testing.T) {
 	g := NewWithT(t)
-	ps := modelsim.NewPeers()
+	ps := modelsim.NewCluster()
 	first := start(t, modelsim.WithPeers(ps), modelsim.WithTimes(time.Hour, 0))
 	helper := start(t, modelsim.WithPeers(ps))
 	order(t, helper, `{"op":"reserve","id":"t1","token_count":10,"hold_ms":20000}`)
