--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -61,7 +61,7 @@
 }
 
 // WithPeers lets engines help each other.
-func WithPeers(ps *Cluster) Option { return func(se *Settings) { se.Peers = ps } }
+func WithCluster(ps *Cluster) Option { return func(se *Settings) { se.Peers = ps } }
 
 // Engine is the stand-in.
 type Engine struct {
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -213,8 +213,8 @@
 func TestHelpersLendTheirMemory(t *testing.T) {
 	g := NewWithT(t)
 	ps := modelsim.NewCluster()
-	first := start(t, modelsim.WithPeers(ps), modelsim.WithMemory(100))
-	helper := start(t, modelsim.WithPeers(ps))
+	first := start(t, modelsim.WithCluster(ps), modelsim.WithMemory(100))
+	helper := start(t, modelsim.WithCluster(ps))
 	header := map[string]string{"Helpers": helper.Address() + "/t1"}
 	an := ask(t.Context(), first, header)
 	g.Expect(an.status).To(Equal(503), "no such ticket")
@@ -264,8 +264,8 @@
 func TestHelperLostWhileReadingRefusesTheRequest(t *testing.T) {
 	g := NewWithT(t)
 	ps := modelsim.NewCluster()
-	first := start(t, modelsim.WithPeers(ps), modelsim.WithTimes(time.Hour, 0))
-	helper := start(t, modelsim.WithPeers(ps))
+	first := start(t, modelsim.WithCluster(ps), modelsim.WithTimes(time.Hour, 0))
+	helper := start(t, modelsim.WithCluster(ps))
 	order(t, helper, `{"op":"reserve","id":"t1","token_count":10,"hold_ms":20000}`)
 	done := make(chan answer, 1)
 	go func() { done <- ask(t.Context(), first, map[string]string{"Helpers": helper.Address() + "/t1"}) }()
