--- a/internal/standin/modelsim/helper.go
+++ b/internal/standin/modelsim/helper.go
@@ -83,7 +83,7 @@
 	if address == en.Address() {
 		return en
 	}
-	return en.settings.Peers.find(address)
+	return en.settings.Cluster.find(address)
 }
 
 // lent returns the memory in the tickets of the helpers, in tokens, or the address of one that cannot help.
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -41,7 +41,7 @@
 	EventTokens int
 	Model       string
 	// Peers holds the engines that can help; an engine without Peers can use its own tickets only.
-	Peers *Cluster
+	Cluster *Cluster
 }
 
 // Option changes the settings.
@@ -61,7 +61,7 @@
 }
 
 // WithPeers lets engines help each other.
-func WithCluster(ps *Cluster) Option { return func(se *Settings) { se.Peers = ps } }
+func WithCluster(ps *Cluster) Option { return func(se *Settings) { se.Cluster = ps } }
 
 // Engine is the stand-in.
 type Engine struct {
@@ -101,13 +101,13 @@
 		return nil, err
 	}
 	en.Server = sv
-	se.Peers.add(en)
+	se.Cluster.add(en)
 	return en, nil
 }
 
 // Close ends the engine for good, in the middle of its work.
 func (en *Engine) Close() {
-	en.settings.Peers.remove(en)
+	en.settings.Cluster.remove(en)
 	en.dropTickets()
 	en.Server.Close()
 }
