--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -32,7 +32,7 @@
 type Settings struct {
 	fault.Settings
 	// Memory is in tokens.
-	Memory int
+	MemoryTokens int
 	// HoldMax is the longest time for which memory is set aside.
 	HoldMax time.Duration
 	// ReadToken is the time of a prompt token, and Event that of an event.
@@ -53,7 +53,7 @@
 }
 
 // WithMemory sets the memory, in tokens.
-func WithMemory(tokens int) Option { return func(se *Settings) { se.Memory = tokens } }
+func WithMemory(tokens int) Option { return func(se *Settings) { se.MemoryTokens = tokens } }
 
 // WithTimes sets the time of a prompt token and of an event.
 func WithTimes(readToken, event time.Duration) Option {
@@ -85,14 +85,14 @@
 // Start starts an engine on a free port of the loopback address.
 func Start(opts ...Option) (*Engine, error) {
 	se := Settings{
-		Settings: fault.DefaultSettings(), Memory: defaultMemory, HoldMax: defaultHoldMax, Event: defaultEvent,
+		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemory, HoldMax: defaultHoldMax, Event: defaultEvent,
 		EventTokens: defaultTokens, Model: defaultModel,
 	}
 	for _, opt := range opts {
 		opt(&se)
 	}
 	en := &Engine{
-		settings: se, gate: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.Memory), version: firstVersion, pace: 1,
+		settings: se, gate: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.MemoryTokens), version: firstVersion, pace: 1,
 		tickets: map[string]*ticket{}, helped: map[*use]struct{}{},
 	}
 	side := map[string]func([]byte) fault.Response{ReportKey: en.report, OrderKey: en.order}
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -90,7 +90,7 @@
 }
 
 func (en *Engine) reserve(or Order) int {
-	if or.ID == "" || or.TokenCount <= 0 || or.TokenCount > en.settings.Memory {
+	if or.ID == "" || or.TokenCount <= 0 || or.TokenCount > en.settings.MemoryTokens {
 		return http.StatusBadRequest
 	}
 	if or.hold() <= 0 || or.hold() > en.settings.HoldMax {
@@ -224,7 +224,7 @@
 	en.reports++
 	return encode(http.StatusOK, report{
 		Stage: "both", Models: []modelReport{{Name: en.settings.Model, Version: en.version, Adapters: []string{}}},
-		Waiting: en.gate.WaitingCount(), Running: en.gate.RunningCount(), KVUsed: en.gate.UsedTokens(), KVTotal: en.settings.Memory,
+		Waiting: en.gate.WaitingCount(), Running: en.gate.RunningCount(), KVUsed: en.gate.UsedTokens(), KVTotal: en.settings.MemoryTokens,
 		Pace: en.pace, Tickets: tickets,
 	})
 }
