--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -34,7 +34,7 @@
 	// Memory is in tokens.
 	MemoryTokens int
 	// HoldMax is the longest time for which memory is set aside.
-	HoldMax time.Duration
+	MaxHold time.Duration
 	// ReadToken is the time of a prompt token, and Event that of an event.
 	ReadToken, Event time.Duration
 	// EventTokens is the number of tokens in one event.
@@ -85,7 +85,7 @@
 // Start starts an engine on a free port of the loopback address.
 func Start(opts ...Option) (*Engine, error) {
 	se := Settings{
-		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemory, HoldMax: defaultHoldMax, Event: defaultEvent,
+		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemory, MaxHold: defaultHoldMax, Event: defaultEvent,
 		EventTokens: defaultTokens, Model: defaultModel,
 	}
 	for _, opt := range opts {
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -93,7 +93,7 @@
 	if or.ID == "" || or.TokenCount <= 0 || or.TokenCount > en.settings.MemoryTokens {
 		return http.StatusBadRequest
 	}
-	if or.hold() <= 0 || or.hold() > en.settings.HoldMax {
+	if or.hold() <= 0 || or.hold() > en.settings.MaxHold {
 		return http.StatusBadRequest
 	}
 	tk := en.tickets[or.ID]
