--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -36,7 +36,7 @@
 	// HoldMax is the longest time for which memory is set aside.
 	MaxHold time.Duration
 	// ReadToken is the time of a prompt token, and Event that of an event.
-	ReadToken, Event time.Duration
+	PrefillPerToken, Event time.Duration
 	// EventTokens is the number of tokens in one event.
 	EventTokens int
 	Model       string
@@ -57,7 +57,7 @@
 
 // WithTimes sets the time of a prompt token and of an event.
 func WithTimes(readToken, event time.Duration) Option {
-	return func(se *Settings) { se.ReadToken, se.Event = readToken, event }
+	return func(se *Settings) { se.PrefillPerToken, se.Event = readToken, event }
 }
 
 // WithPeers lets engines help each other.
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -74,7 +74,7 @@
 	uctx := en.useHelpers(ctx, helpers)
 	us, _ := usageOf(rq) // as above
 	readers := time.Duration(1 + len(helpers))
-	if !sleep(uctx, en.paced(time.Duration(us.prompt)*en.settings.ReadToken/readers)) {
+	if !sleep(uctx, en.paced(time.Duration(us.prompt)*en.settings.PrefillPerToken/readers)) {
 		return refusalAt(cmp.Or(lostHelper(uctx), en.Address()))
 	}
 	begin()
