--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -36,7 +36,7 @@
 	// HoldMax is the longest time for which memory is set aside.
 	MaxHold time.Duration
 	// ReadToken is the time of a prompt token, and Event that of an event.
-	PrefillPerToken, Event time.Duration
+	PrefillPerToken, EventInterval time.Duration
 	// EventTokens is the number of tokens in one event.
 	EventTokens int
 	Model       string
@@ -57,7 +57,7 @@
 
 // WithTimes sets the time of a prompt token and of an event.
 func WithTimes(readToken, event time.Duration) Option {
-	return func(se *Settings) { se.PrefillPerToken, se.Event = readToken, event }
+	return func(se *Settings) { se.PrefillPerToken, se.EventInterval = readToken, event }
 }
 
 // WithPeers lets engines help each other.
@@ -85,7 +85,7 @@
 // Start starts an engine on a free port of the loopback address.
 func Start(opts ...Option) (*Engine, error) {
 	se := Settings{
-		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemory, MaxHold: defaultHoldMax, Event: defaultEvent,
+		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemory, MaxHold: defaultHoldMax, EventInterval: defaultEvent,
 		EventTokens: defaultTokens, Model: defaultModel,
 	}
 	for _, opt := range opts {
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -91,7 +91,7 @@
 	body := func(send func([]byte) bool) bool {
 		told := version
 		for id := from + 1; id <= last; id++ {
-			if !sleep(ctx, en.paced(en.settings.Event)) {
+			if !sleep(ctx, en.paced(en.settings.EventInterval)) {
 				return false
 			}
 			now := en.Version()
