--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -38,8 +38,8 @@
 	// ReadToken is the time of a prompt token, and Event that of an event.
 	PrefillPerToken, EventInterval time.Duration
 	// EventTokens is the number of tokens in one event.
-	EventTokens int
-	Model       string
+	TokensPerEvent int
+	Model          string
 	// Peers holds the engines that can help; an engine without Peers can use its own tickets only.
 	Cluster *Cluster
 }
@@ -86,7 +86,7 @@
 func Start(opts ...Option) (*Engine, error) {
 	se := Settings{
 		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemory, MaxHold: defaultHoldMax, EventInterval: defaultEvent,
-		EventTokens: defaultTokens, Model: defaultModel,
+		TokensPerEvent: defaultTokens, Model: defaultModel,
 	}
 	for _, opt := range opts {
 		opt(&se)
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -83,7 +83,7 @@
 
 func (en *Engine) stream(ctx context.Context, rq *http.Request, us usage) fault.Response {
 	version := en.Version()
-	last := (us.answer + en.settings.EventTokens - 1) / en.settings.EventTokens
+	last := (us.answer + en.settings.TokensPerEvent - 1) / en.settings.TokensPerEvent
 	from, err := strconv.Atoi(rq.Header.Get(fault.HeaderLastEventID))
 	if err != nil {
 		from = 0 // a request without a number starts at the beginning
