--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -56,7 +56,7 @@
 func WithMemory(tokens int) Option { return func(se *Settings) { se.MemoryTokens = tokens } }
 
 // WithTimes sets the time of a prompt token and of an event.
-func WithTimes(readToken, event time.Duration) Option {
+func WithTimings(readToken, event time.Duration) Option {
 	return func(se *Settings) { se.PrefillPerToken, se.EventInterval = readToken, event }
 }
 
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -151,7 +151,7 @@
 
 func TestCancelledStreamFreesItsMemory(t *testing.T) {
 	g := NewWithT(t)
-	en := start(t, modelsim.WithTimes(0, time.Hour))
+	en := start(t, modelsim.WithTimings(0, time.Hour))
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan answer, 1)
 	go func() { done <- ask(ctx, en, nil) }()
@@ -165,7 +165,7 @@
 
 func TestRetireBreaksStreams(t *testing.T) {
 	g := NewWithT(t)
-	en := start(t, modelsim.WithTimes(0, time.Hour))
+	en := start(t, modelsim.WithTimings(0, time.Hour))
 	g.Expect(order(t, en, `{"op":"reserve","id":"t","token_count":10,"hold_ms":9000}`).status).To(Equal(200))
 	old := en.InstanceID()
 	done := make(chan answer, 1)
@@ -240,7 +240,7 @@
 
 func TestTicketThatLapsesCutsItsRequests(t *testing.T) {
 	g := NewWithT(t)
-	en := start(t, modelsim.WithTimes(0, time.Hour))
+	en := start(t, modelsim.WithTimings(0, time.Hour))
 	order(t, en, `{"op":"reserve","id":"t1","token_count":140,"hold_ms":20000}`)
 	header := map[string]string{"Helpers": en.Address() + "/t1"}
 	done := make(chan answer, 2)
@@ -264,7 +264,7 @@
 func TestHelperLostWhileReadingRefusesTheRequest(t *testing.T) {
 	g := NewWithT(t)
 	ps := modelsim.NewCluster()
-	first := start(t, modelsim.WithCluster(ps), modelsim.WithTimes(time.Hour, 0))
+	first := start(t, modelsim.WithCluster(ps), modelsim.WithTimings(time.Hour, 0))
 	helper := start(t, modelsim.WithCluster(ps))
 	order(t, helper, `{"op":"reserve","id":"t1","token_count":10,"hold_ms":20000}`)
 	done := make(chan answer, 1)
