--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -25,7 +25,7 @@
 // The requests that take no slot, as keys of NextAside.
 const (
 	ReportRoute = "GET /report"
-	OrderKey    = "POST /order"
+	OrderRoute  = "POST /order"
 )
 
 // Settings are the sizes and speeds of an engine.
@@ -95,7 +95,7 @@
 		settings: se, gate: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.MemoryTokens), version: firstVersion, pace: 1,
 		tickets: map[string]*ticket{}, helped: map[*use]struct{}{},
 	}
-	side := map[string]func([]byte) fault.Response{ReportRoute: en.report, OrderKey: en.order}
+	side := map[string]func([]byte) fault.Response{ReportRoute: en.report, OrderRoute: en.order}
 	sv, err := fault.Start(se.Settings, en.gate, fault.Handler{Control: side, Check: en.check, Run: en.run})
 	if err != nil {
 		return nil, err
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -282,7 +282,7 @@
 func TestOrderWithoutAnAnswerIsCarriedOut(t *testing.T) {
 	g := NewWithT(t)
 	en := start(t)
-	en.InjectControlFault(modelsim.OrderKey, fault.Reset, 1)
+	en.InjectControlFault(modelsim.OrderRoute, fault.Reset, 1)
 	g.Expect(order(t, en, `{"op":"reserve","id":"t","token_count":10,"hold_ms":9000}`).err).To(HaveOccurred())
 	g.Expect(en.Tickets()).To(HaveLen(1))
 }
