--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -128,7 +128,7 @@
 func (en *Engine) SetVersion(n int) { en.mu.Lock(); defer en.mu.Unlock(); en.version = n }
 
 // SetPace makes all times that many times as long.
-func (en *Engine) SetPace(x float64) { en.mu.Lock(); defer en.mu.Unlock(); en.pace = x }
+func (en *Engine) SetSlowdown(x float64) { en.mu.Lock(); defer en.mu.Unlock(); en.pace = x }
 
 // Version returns the version of the weights.
 func (en *Engine) Version() int { en.mu.Lock(); defer en.mu.Unlock(); return en.version }
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -226,7 +226,7 @@
 	// A caller that closes its connection gives the ticket back; the memory of its request is free shortly after its last byte.
 	g.Eventually(first.MemoryUsed).WithTimeout(generous).Should(BeZero())
 
-	first.SetPace(slowPace)
+	first.SetSlowdown(slowPace)
 	done := make(chan answer, 1)
 	go func() { done <- ask(t.Context(), first, header) }()
 	g.Eventually(first.Runs).WithTimeout(generous).Should(HaveLen(2))
