--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -134,7 +134,7 @@
 func (en *Engine) Version() int { en.mu.Lock(); defer en.mu.Unlock(); return en.version }
 
 // Reports returns how many reports were asked for.
-func (en *Engine) Reports() int { en.mu.Lock(); defer en.mu.Unlock(); return en.reports }
+func (en *Engine) ReportCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.reports }
 
 // DoubleUses returns how many requests used a ticket while another one did.
 func (en *Engine) DoubleUses() int { en.mu.Lock(); defer en.mu.Unlock(); return en.doubleUses }
