--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -137,7 +137,11 @@
 func (en *Engine) ReportCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.reports }
 
 // DoubleUses returns how many requests used a ticket while another one did.
-func (en *Engine) DoubleUses() int { en.mu.Lock(); defer en.mu.Unlock(); return en.doubleUses }
+func (en *Engine) ConcurrentTicketUses() int {
+	en.mu.Lock()
+	defer en.mu.Unlock()
+	return en.doubleUses
+}
 
 // MemoryUsed returns the memory in use and set aside, in tokens.
 func (en *Engine) MemoryUsed() int { return en.gate.UsedTokens() }
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -232,7 +232,7 @@
 	g.Eventually(first.Runs).WithTimeout(generous).Should(HaveLen(2))
 	g.Expect(state()).To(Equal("used"))
 	g.Expect(first.MemoryUsed()).To(Equal(10))
-	g.Expect(helper.DoubleUses()).To(BeZero())
+	g.Expect(helper.ConcurrentTicketUses()).To(BeZero())
 	order(t, helper, `{"op":"release","id":"t1"}`)
 	g.Eventually(done).WithTimeout(generous).Should(Receive(&an))
 	g.Expect(an.err).To(HaveOccurred(), "the memory is gone")
@@ -248,7 +248,7 @@
 		go func() { done <- ask(t.Context(), en, header) }()
 		g.Eventually(en.Runs).WithTimeout(generous).Should(HaveLen(n + 1))
 	}
-	g.Expect(en.DoubleUses()).To(Equal(1))
+	g.Expect(en.ConcurrentTicketUses()).To(Equal(1))
 	order(t, en, `{"op":"reserve","id":"t1","token_count":140,"hold_ms":1}`)
 	for range 2 {
 		var an answer
