--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -119,7 +119,7 @@
 }
 
 // Retire ends the incarnation in the middle of its work, and starts another at the same address with no tickets.
-func (en *Engine) Retire() {
+func (en *Engine) Replace() {
 	en.dropTickets()
 	en.Server.Replace()
 }
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -171,7 +171,7 @@
 	done := make(chan answer, 1)
 	go func() { done <- ask(t.Context(), en, nil) }()
 	g.Eventually(en.Runs).WithTimeout(generous).Should(HaveLen(1))
-	en.Retire()
+	en.Replace()
 	var an answer
 	g.Eventually(done).WithTimeout(generous).Should(Receive(&an))
 	g.Expect(an.err).To(HaveOccurred())
@@ -270,7 +270,7 @@
 	done := make(chan answer, 1)
 	go func() { done <- ask(t.Context(), first, map[string]string{"Helpers": helper.Address() + "/t1"}) }()
 	g.Eventually(func() string { return helper.Tickets()[0].State }).WithTimeout(generous).Should(Equal("used"))
-	helper.Retire()
+	helper.Replace()
 	var an answer
 	g.Eventually(done).WithTimeout(generous).Should(Receive(&an))
 	g.Expect(an.status).To(Equal(503))
