--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -76,7 +76,7 @@
 func events(from, to int) string {
 	var sb strings.Builder
 	for id := from; id <= to; id++ {
-		fmt.Fprintf(&sb, "id: %d\ndata: %s\n\n", id, modelsim.Data("/s/1", "5c:100", id))
+		fmt.Fprintf(&sb, "id: %d\ndata: %s\n\n", id, modelsim.EventData("/s/1", "5c:100", id))
 	}
 	return sb.String()
 }
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -112,12 +112,12 @@
 	if changed {
 		fmt.Fprintf(&buf, "versions: %d\n", version)
 	}
-	fmt.Fprintf(&buf, "id: %d\ndata: %s\n\n", id, Data(rq.RequestURI, rq.Header.Get(HeaderPrefix), id))
+	fmt.Fprintf(&buf, "id: %d\ndata: %s\n\n", id, EventData(rq.RequestURI, rq.Header.Get(HeaderPrefix), id))
 	return buf.Bytes()
 }
 
 // Data returns the data of an event of the answer to a request for a URI with a prompt prefix.
-func Data(uri, prefix string, id int) string {
+func EventData(uri, prefix string, id int) string {
 	const hashBytes = 16 // of the hash, in hex digits; enough to tell answers apart
 	return fmt.Sprintf("%s-%d", fault.Hash([]byte(uri + "\n" + prefix))[:hashBytes], id)
 }
