--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -15,7 +15,7 @@
 
 // The headers of the protocol that concern models.
 const (
-	HeaderUsage         = "X-Token-Usage"
+	HeaderTokenUsage    = "X-Token-Usage"
 	HeaderPrefix        = "X-Prompt-Prefix"
 	HeaderVersions      = "Versions"
 	HeaderExpectVersion = "Expect-Version"
@@ -29,7 +29,7 @@
 
 // usageOf reports false when the request does not name its size.
 func usageOf(rq *http.Request) (usage, bool) {
-	first, second, _ := strings.Cut(rq.Header.Get(HeaderUsage), ",")
+	first, second, _ := strings.Cut(rq.Header.Get(HeaderTokenUsage), ",")
 	prompt, err := strconv.Atoi(strings.TrimSpace(first))
 	if err != nil || prompt < 0 {
 		return usage{}, false
