--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -16,7 +16,7 @@
 // The headers of the protocol that concern models.
 const (
 	HeaderTokenUsage    = "X-Token-Usage"
-	HeaderPrefix        = "X-Prompt-Prefix"
+	HeaderPromptPrefix  = "X-Prompt-Prefix"
 	HeaderVersions      = "Versions"
 	HeaderExpectVersion = "Expect-Version"
 	eventStream         = "text/event-stream"
@@ -112,7 +112,7 @@
 	if changed {
 		fmt.Fprintf(&buf, "versions: %d\n", version)
 	}
-	fmt.Fprintf(&buf, "id: %d\ndata: %s\n\n", id, EventData(rq.RequestURI, rq.Header.Get(HeaderPrefix), id))
+	fmt.Fprintf(&buf, "id: %d\ndata: %s\n\n", id, EventData(rq.RequestURI, rq.Header.Get(HeaderPromptPrefix), id))
 	return buf.Bytes()
 }
 
