--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -23,10 +23,10 @@
 }
 
 // Next returns the next token, which ends in a space.
-func (ch *Chain) Next() string {
-	sum := ch.state.Sum(nil)
+func (gn *Chain) Next() string {
+	sum := gn.state.Sum(nil)
 	token := hex.EncodeToString(sum[:tokenBytes]) + " "
-	ch.state.Write([]byte(token))
+	gn.state.Write([]byte(token))
 	return token
 }
 
