--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -11,19 +11,19 @@
 const tokenBytes = 4
 
 // Chain generates tokens one by one. A chain over a prompt plus its first tokens goes on where the first stopped.
-type Chain struct {
+type Generator struct {
 	state hash.Hash
 }
 
 // New returns the chain of a prompt.
-func New(prompt string) *Chain {
+func New(prompt string) *Generator {
 	h := sha256.New()
 	h.Write([]byte(prompt))
-	return &Chain{state: h}
+	return &Generator{state: h}
 }
 
 // Next returns the next token, which ends in a space.
-func (gn *Chain) Next() string {
+func (gn *Generator) Next() string {
 	sum := gn.state.Sum(nil)
 	token := hex.EncodeToString(sum[:tokenBytes]) + " "
 	gn.state.Write([]byte(token))
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -67,7 +67,7 @@
 	borrowed int
 	computed int
 	admitted bool
-	chain    *answer.Chain
+	chain    *answer.Generator
 	tokens   []string
 	cached   []uint64
 	done     bool
