--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -61,7 +61,7 @@
 	for id, prompt := range prompts {
 		g.Eventually(stateOf(t, last, id), 30*time.Second, 50*time.Millisecond).Should(Equal(job.Done))
 		rep := call(t, http.MethodGet, last+"/v1/jobs/"+id+"/answer", nil)
-		g.Expect(rep.body).To(ContainSubstring(answer.Of(prompt, 4)))
+		g.Expect(rep.body).To(ContainSubstring(answer.Generate(prompt, 4)))
 	}
 }
 
--- a/internal/session/stream_test.go
+++ b/internal/session/stream_test.go
@@ -70,7 +70,7 @@
 			tc.fault(lf)
 			rep := call(t, http.MethodPost, lf.URLs()[0]+tc.path, tc.body)
 			g.Expect(rep.status).To(Equal(http.StatusOK), rep.body)
-			g.Expect(streamed(t, rep.body)).To(Equal(answer.Of(tc.prompt, output)))
+			g.Expect(streamed(t, rep.body)).To(Equal(answer.Generate(tc.prompt, output)))
 			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			count := sv.Metrics.GetOrCreateCounter("silvermount_streams_resumed_total").Get()
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -31,7 +31,7 @@
 }
 
 // Of returns the first n tokens for a prompt.
-func Of(prompt string, n int) string {
+func Generate(prompt string, n int) string {
 	ch := New(prompt)
 	var sb strings.Builder
 	for range n {
