--- a/internal/standin/enginesim/cache.go
+++ b/internal/standin/enginesim/cache.go
@@ -7,7 +7,7 @@
 	blockTokens = 1024
 	blockBytes  = 4 * blockTokens
 	// gapEvery drops one cache event in this many.
-	gapEvery = 7
+	dropEventEvery = 7
 )
 
 // CacheEvent says that a prefix block is kept, or no longer kept.
@@ -21,15 +21,15 @@
 }
 
 type prefixCache struct {
-	limit  int
-	blocks map[uint64]int
-	clock  int
-	events []CacheEvent
-	seq    int
+	maxBlocks int
+	blocks    map[uint64]int
+	clock     int
+	events    []CacheEvent
+	seq       int
 }
 
 func newPrefixCache(limit int) prefixCache {
-	return prefixCache{limit: limit, blocks: map[uint64]int{}}
+	return prefixCache{maxBlocks: limit, blocks: map[uint64]int{}}
 }
 
 // blockHashes returns the hash of each whole-block prefix of a prompt.
@@ -44,7 +44,7 @@
 }
 
 // match returns how many prompt tokens are cached.
-func (pc *prefixCache) match(hashes []uint64) int {
+func (pc *prefixCache) cachedTokens(hashes []uint64) int {
 	n := 0
 	for _, h := range hashes {
 		if _, ok := pc.blocks[h]; !ok {
@@ -59,17 +59,17 @@
 
 // add keeps the blocks of a prompt and drops the least recently used ones.
 func (pc *prefixCache) add(hashes []uint64) {
-	if pc.limit == 0 {
+	if pc.maxBlocks == 0 {
 		return
 	}
-	for _, h := range hashes[:min(len(hashes), pc.limit)] {
+	for _, h := range hashes[:min(len(hashes), pc.maxBlocks)] {
 		pc.clock++
 		if _, ok := pc.blocks[h]; !ok {
-			pc.note(h, true)
+			pc.recordEvent(h, true)
 		}
 		pc.blocks[h] = pc.clock
 	}
-	for len(pc.blocks) > pc.limit {
+	for len(pc.blocks) > pc.maxBlocks {
 		pc.evict()
 	}
 }
@@ -83,12 +83,12 @@
 		}
 	}
 	delete(pc.blocks, oldest)
-	pc.note(oldest, false)
+	pc.recordEvent(oldest, false)
 }
 
-func (pc *prefixCache) note(block uint64, kept bool) {
+func (pc *prefixCache) recordEvent(block uint64, kept bool) {
 	pc.seq++
-	if pc.seq%gapEvery == 0 {
+	if pc.seq%dropEventEvery == 0 {
 		return
 	}
 	pc.events = append(pc.events, CacheEvent{Seq: pc.seq, Block: block, Kept: kept})
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -58,24 +58,26 @@
 type sequence struct {
 	id, holder, model string
 	// chat is set for chat completions.
-	chat           bool
-	priority       int
-	arrived        int
-	deadline       time.Time
-	prompt, output int
+	chat                       bool
+	priority                   int
+	arrivalNumber              int
+	deadline                   time.Time
+	promptTokens, outputTokens int
 	// borrowed is memory held on other engines.
-	borrowed int
-	computed int
-	admitted bool
-	chain    *answer.Generator
-	tokens   []string
-	cached   []uint64
-	done     bool
-	broken   bool
-	changed  chan struct{}
+	borrowedTokens int
+	computedTokens int
+	admitted       bool
+	generator      *answer.Generator
+	tokens         []string
+	blockHashes    []uint64
+	done           bool
+	broken         bool
+	changed        chan struct{}
 }
 
-func (sq *sequence) memory() int { return max(0, sq.prompt+sq.output-sq.borrowed) }
+func (sq *sequence) memoryTokens() int {
+	return max(0, sq.promptTokens+sq.outputTokens-sq.borrowedTokens)
+}
 
 func (sq *sequence) signal() {
 	close(sq.changed)
@@ -92,37 +94,37 @@
 	params      Params
 	incarnation string
 
-	mu       sync.Mutex
-	wake     chan struct{}
-	stopped  chan struct{}
-	seqs     map[string]*sequence
-	rooms    map[string]*sequence
-	used     int
-	arrivals int
-	leaving  bool
-	models   map[string]bool
-	reports  []timedReport
-	cache    prefixCache
-	orders   orderBook
+	mu           sync.Mutex
+	wake         chan struct{}
+	killed       chan struct{}
+	seqs         map[string]*sequence
+	reservations map[string]*sequence
+	usedTokens   int
+	attemptCount int
+	leaving      bool
+	models       map[string]bool
+	reports      []timedReport
+	cache        prefixCache
+	orders       orderState
 	// runs counts how often each attempt was started.
 	runs map[string]int
 	// hang makes the engine accept attempts and compute nothing.
-	hang bool
+	hung bool
 	// breaks and crosses count down the streams to break and the answers to cross.
-	breaks, crosses int
+	streamsToBreak, responsesToMislabel int
 }
 
 // New starts an engine that serves the given models.
 func New(p Params, models ...string) *Engine {
 	en := &Engine{
-		params: p, incarnation: ident.New("engine"), wake: make(chan struct{}, 1), stopped: make(chan struct{}),
-		seqs: map[string]*sequence{}, rooms: map[string]*sequence{}, models: map[string]bool{},
+		params: p, incarnation: ident.New("engine"), wake: make(chan struct{}, 1), killed: make(chan struct{}),
+		seqs: map[string]*sequence{}, reservations: map[string]*sequence{}, models: map[string]bool{},
 		cache: newPrefixCache(p.CacheBlocks), runs: map[string]int{},
 	}
 	for _, m := range models {
 		en.models[m] = true
 	}
-	go en.loop()
+	go en.run()
 	return en
 }
 
@@ -131,11 +133,11 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	select {
-	case <-en.stopped:
+	case <-en.killed:
 		return
 	default:
 	}
-	close(en.stopped)
+	close(en.killed)
 	for _, sq := range en.seqs {
 		sq.broken = true
 		sq.signal()
@@ -148,19 +150,19 @@
 // Hang makes the engine compute nothing until it is called with false.
 func (en *Engine) SetHung(on bool) {
 	en.mu.Lock()
-	en.hang = on
+	en.hung = on
 	en.mu.Unlock()
-	en.poke()
+	en.wakeLoop()
 }
 
 // BreakStreams makes the next n streams lose their connection after some tokens, while the engine goes on.
-func (en *Engine) BreakStreams(n int) { en.mu.Lock(); en.breaks = n; en.mu.Unlock() }
+func (en *Engine) BreakStreams(n int) { en.mu.Lock(); en.streamsToBreak = n; en.mu.Unlock() }
 
 // CrossAnswers makes the next n answers come under the id of another attempt.
-func (en *Engine) MislabelResponses(n int) { en.mu.Lock(); en.crosses = n; en.mu.Unlock() }
+func (en *Engine) MislabelResponses(n int) { en.mu.Lock(); en.responsesToMislabel = n; en.mu.Unlock() }
 
 // takes counts a seam down and reports whether it was set.
-func (en *Engine) takes(seam *int) bool {
+func (en *Engine) consume(seam *int) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if *seam == 0 {
@@ -171,36 +173,36 @@
 }
 
 // echo returns the id that an answer comes under.
-func (en *Engine) echo(sq *sequence) string {
-	if en.takes(&en.crosses) {
+func (en *Engine) responseAttemptID(sq *sequence) string {
+	if en.consume(&en.responsesToMislabel) {
 		return "another-attempt"
 	}
 	return sq.id
 }
 
 // MemoryUsed returns the KV memory in use, in tokens.
-func (en *Engine) MemoryUsed() int { en.mu.Lock(); defer en.mu.Unlock(); return en.used }
+func (en *Engine) MemoryUsed() int { en.mu.Lock(); defer en.mu.Unlock(); return en.usedTokens }
 
 // Started returns how many attempts were started.
-func (en *Engine) AttemptCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.arrivals }
+func (en *Engine) AttemptCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.attemptCount }
 
-func (en *Engine) poke() {
+func (en *Engine) wakeLoop() {
 	select {
 	case en.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (en *Engine) loop() {
+func (en *Engine) run() {
 	next := time.Now()
 	for {
-		took := en.step()
+		took := en.planStep()
 		if took == 0 {
 			select {
 			case <-en.wake:
 				next = time.Now()
 				continue
-			case <-en.stopped:
+			case <-en.killed:
 				return
 			}
 		}
@@ -210,7 +212,7 @@
 		next = next.Add(took)
 		time.Sleep(time.Until(next))
 		select {
-		case <-en.stopped:
+		case <-en.killed:
 			return
 		default:
 			en.finishStep()
@@ -219,13 +221,13 @@
 }
 
 // step plans one step and returns how long it takes; zero means that there is nothing to do.
-func (en *Engine) step() time.Duration {
+func (en *Engine) planStep() time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.hang {
+	if en.hung {
 		return 0
 	}
-	order := en.ordered()
+	order := en.byUrgency()
 	en.admit(order)
 	took, busy := time.Duration(0), false
 	budget := en.params.MaxPromptTokensPerStep
@@ -233,19 +235,19 @@
 		if !sq.admitted {
 			continue
 		}
-		if sq.computed >= sq.prompt {
+		if sq.computedTokens >= sq.promptTokens {
 			took += en.params.DecodePerSequence
 			busy = true
 			continue
 		}
-		chunk := min(budget, sq.prompt-sq.computed)
+		chunk := min(budget, sq.promptTokens-sq.computedTokens)
 		if chunk == 0 {
 			continue
 		}
 		budget -= chunk
 		busy = true
-		took += en.params.chunkTime(sq.computed, chunk)
-		sq.computed += chunk
+		took += en.params.chunkTime(sq.computedTokens, chunk)
+		sq.computedTokens += chunk
 	}
 	if !busy {
 		return 0
@@ -255,7 +257,7 @@
 }
 
 // ordered returns the sequences, most urgent first.
-func (en *Engine) ordered() []*sequence {
+func (en *Engine) byUrgency() []*sequence {
 	order := make([]*sequence, 0, len(en.seqs))
 	for _, sq := range en.seqs {
 		if !sq.done && !sq.broken {
@@ -266,7 +268,7 @@
 		if a.priority != b.priority {
 			return b.priority - a.priority
 		}
-		return a.arrived - b.arrived
+		return a.arrivalNumber - b.arrivalNumber
 	})
 	return order
 }
@@ -279,13 +281,13 @@
 		if sq.admitted {
 			continue
 		}
-		full = full || en.used+sq.memory() > en.params.MemoryTokens
-		if full && sq.memory() > 0 {
+		full = full || en.usedTokens+sq.memoryTokens() > en.params.MemoryTokens
+		if full && sq.memoryTokens() > 0 {
 			continue
 		}
 		sq.admitted = true
-		en.used += sq.memory()
-		sq.computed = min(en.cache.match(sq.cached), max(0, sq.prompt-1))
+		en.usedTokens += sq.memoryTokens()
+		sq.computedTokens = min(en.cache.cachedTokens(sq.blockHashes), max(0, sq.promptTokens-1))
 	}
 }
 
@@ -294,16 +296,16 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, sq := range en.seqs {
-		if !sq.admitted || sq.done || sq.computed < sq.prompt {
+		if !sq.admitted || sq.done || sq.computedTokens < sq.promptTokens {
 			continue
 		}
 		if len(sq.tokens) == 0 {
-			en.cache.add(sq.cached)
+			en.cache.add(sq.blockHashes)
 		}
-		sq.tokens = append(sq.tokens, sq.chain.Next())
-		if len(sq.tokens) >= sq.output {
+		sq.tokens = append(sq.tokens, sq.generator.Next())
+		if len(sq.tokens) >= sq.outputTokens {
 			sq.done = true
-			en.used -= sq.memory()
+			en.usedTokens -= sq.memoryTokens()
 			sq.admitted = false
 		}
 		sq.signal()
@@ -314,31 +316,31 @@
 func (en *Engine) cancel(id string) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if rm, ok := en.rooms[id]; ok {
-		en.used -= rm.prompt
-		delete(en.rooms, id)
-		en.poke()
+	if rm, ok := en.reservations[id]; ok {
+		en.usedTokens -= rm.promptTokens
+		delete(en.reservations, id)
+		en.wakeLoop()
 	}
 	sq, ok := en.seqs[id]
 	if !ok {
 		return
 	}
 	if sq.admitted {
-		en.used -= sq.memory()
+		en.usedTokens -= sq.memoryTokens()
 	}
 	sq.admitted = false
 	sq.broken = sq.broken || !sq.done
 	sq.signal()
 	delete(en.seqs, id)
-	en.poke()
+	en.wakeLoop()
 }
 
 // report returns the newest load report that is at least ReportLag old, else the oldest.
-func (en *Engine) report() engine.Report {
+func (en *Engine) loadReport() engine.Report {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	now := time.Now()
-	en.reports = append(en.reports, timedReport{at: now, report: en.current()})
+	en.reports = append(en.reports, timedReport{at: now, report: en.currentLoad()})
 	lag := time.Duration(float64(en.params.ReportLag) / en.params.Speedup)
 	i := 0
 	for i+1 < len(en.reports) && now.Sub(en.reports[i+1].at) >= lag {
@@ -350,10 +352,10 @@
 	return r
 }
 
-func (en *Engine) current() engine.Report {
+func (en *Engine) currentLoad() engine.Report {
 	r := engine.Report{
-		Incarnation: en.incarnation, Leaving: en.leaving, MemoryUsed: en.used, MemoryTotal: en.params.MemoryTokens,
-		PrefillRate: en.rate(),
+		Incarnation: en.incarnation, Leaving: en.leaving, MemoryUsed: en.usedTokens, MemoryTotal: en.params.MemoryTokens,
+		PrefillRate: en.prefillRate(),
 	}
 	for m := range en.models {
 		r.Models = append(r.Models, m)
@@ -368,12 +370,12 @@
 		} else {
 			r.Queued++
 		}
-		r.PrefillTokens += sq.prompt - sq.computed
+		r.PrefillTokens += sq.promptTokens - sq.computedTokens
 	}
 	return r
 }
 
-func (en *Engine) rate() float64 {
+func (en *Engine) prefillRate() float64 {
 	step := en.params.StepOverhead + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillPerToken
 	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Speedup
 }
--- a/internal/standin/enginesim/http.go
+++ b/internal/standin/enginesim/http.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	defaultOutput = 16
+	defaultOutputTokens = 16
 	// breakAfter is the number of tokens after which a stream is broken when asked for.
-	breakAfter = 2
+	breakAfterTokens = 2
 )
 
 type message struct {
@@ -35,7 +35,7 @@
 	Stream    bool      `json:"stream"`
 }
 
-func (cr completionRequest) text() string {
+func (cr completionRequest) promptText() string {
 	var sb strings.Builder
 	sb.WriteString(cr.Prompt)
 	for _, m := range cr.Messages {
@@ -68,24 +68,24 @@
 // Handler serves the engine's protocol.
 func (en *Engine) Handler() http.Handler {
 	rt := chi.NewRouter()
-	rt.Use(en.aliveOnly)
-	rt.Post("/v1/completions", en.complete(false))
-	rt.Post("/v1/chat/completions", en.complete(true))
-	rt.Get("/control/report", func(w http.ResponseWriter, _ *http.Request) { jsonreply.Write(w, en.report()) })
-	rt.Get("/control/held", en.held)
+	rt.Use(en.abortWhenKilled)
+	rt.Post("/v1/completions", en.handleCompletion(false))
+	rt.Post("/v1/chat/completions", en.handleCompletion(true))
+	rt.Get("/control/report", func(w http.ResponseWriter, _ *http.Request) { jsonreply.Write(w, en.loadReport()) })
+	rt.Get("/control/held", en.handleHeld)
 	rt.Post("/control/cancel/{id}", func(_ http.ResponseWriter, r *http.Request) { en.cancel(chi.URLParam(r, "id")) })
-	rt.Get("/control/resume/{id}", en.resume)
-	rt.Post("/control/room", en.reserve)
-	rt.Post("/control/order", en.order)
-	rt.Get("/control/events", en.cacheEvents)
+	rt.Get("/control/resume/{id}", en.handleResume)
+	rt.Post("/control/room", en.handleReserve)
+	rt.Post("/control/order", en.handleOrder)
+	rt.Get("/control/events", en.handleCacheEvents)
 	return rt
 }
 
 // aliveOnly breaks every connection once the engine was killed.
-func (en *Engine) aliveOnly(next http.Handler) http.Handler {
+func (en *Engine) abortWhenKilled(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case <-en.stopped:
+		case <-en.killed:
 			panic(http.ErrAbortHandler)
 		default:
 			next.ServeHTTP(w, r)
@@ -93,7 +93,7 @@
 	})
 }
 
-func (en *Engine) complete(chat bool) http.HandlerFunc {
+func (en *Engine) handleCompletion(chat bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		var cr completionRequest
@@ -104,16 +104,16 @@
 			refuse(w, http.StatusBadRequest)
 			return
 		}
-		sq, status := en.begin(r.Header, cr, chat)
+		sq, status := en.startSequence(r.Header, cr, chat)
 		if status != http.StatusOK {
 			refuse(w, status)
 			return
 		}
 		if cr.Stream {
-			en.stream(w, r, sq, 0)
+			en.writeStream(w, r, sq, 0)
 			return
 		}
-		en.whole(w, r, sq)
+		en.writeCompletion(w, r, sq)
 	}
 }
 
@@ -122,19 +122,19 @@
 	w.WriteHeader(status)
 }
 
-func (en *Engine) begin(h http.Header, cr completionRequest, chat bool) (*sequence, int) {
-	prompt := cr.text()
+func (en *Engine) startSequence(h http.Header, cr completionRequest, chat bool) (*sequence, int) {
+	prompt := cr.promptText()
 	if cr.MaxTokens == 0 {
-		cr.MaxTokens = defaultOutput
+		cr.MaxTokens = defaultOutputTokens
 	}
 	left, _ := strconv.ParseInt(h.Get(engine.HeaderDeadline), 10, 64)
 	priority, _ := strconv.Atoi(h.Get(engine.HeaderPriority))
 	borrowed, _ := strconv.Atoi(h.Get(engine.HeaderBorrowed))
 	sq := &sequence{
 		id: h.Get(engine.HeaderAttempt), holder: h.Get(engine.HeaderHolder), model: cr.Model, priority: priority, chat: chat,
-		deadline: time.Now().Add(time.Duration(left) * time.Millisecond),
-		prompt:   max(1, len(prompt)/engine.BytesPerToken), output: cr.MaxTokens, borrowed: borrowed,
-		chain: answer.New(prompt), cached: blockHashes(prompt), changed: make(chan struct{}),
+		deadline:     time.Now().Add(time.Duration(left) * time.Millisecond),
+		promptTokens: max(1, len(prompt)/engine.BytesPerToken), outputTokens: cr.MaxTokens, borrowedTokens: borrowed,
+		generator: answer.New(prompt), blockHashes: blockHashes(prompt), changed: make(chan struct{}),
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -143,21 +143,21 @@
 		return nil, http.StatusNotFound
 	case en.leaving:
 		return nil, http.StatusServiceUnavailable
-	case sq.memory() > en.params.MemoryTokens:
+	case sq.memoryTokens() > en.params.MemoryTokens:
 		return nil, http.StatusRequestEntityTooLarge
 	case en.seqs[sq.id] != nil:
 		return nil, http.StatusConflict
 	}
-	en.arrivals++
+	en.attemptCount++
 	en.runs[sq.id]++
-	sq.arrived = en.arrivals
+	sq.arrivalNumber = en.attemptCount
 	en.seqs[sq.id] = sq
-	en.poke()
+	en.wakeLoop()
 	return sq, http.StatusOK
 }
 
 // wait returns the tokens after the first n; ok is false when there will be no more.
-func (en *Engine) wait(r *http.Request, sq *sequence, n int) (tokens []string, ok bool) {
+func (en *Engine) waitForTokens(r *http.Request, sq *sequence, n int) (tokens []string, ok bool) {
 	for {
 		en.mu.Lock()
 		changed, all, done, broken := sq.changed, sq.tokens, sq.done, sq.broken
@@ -179,11 +179,11 @@
 	}
 }
 
-func (en *Engine) whole(w http.ResponseWriter, r *http.Request, sq *sequence) {
+func (en *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, sq *sequence) {
 	var sb strings.Builder
 	n := 0
-	for n < sq.output {
-		tokens, ok := en.wait(r, sq, n)
+	for n < sq.outputTokens {
+		tokens, ok := en.waitForTokens(r, sq, n)
 		if !ok {
 			return
 		}
@@ -195,34 +195,34 @@
 	if sq.chat {
 		ch = choice{Message: &message{Role: "assistant", Content: sb.String()}, FinishReason: &reason}
 	}
-	w.Header().Set(engine.HeaderAttempt, en.echo(sq))
+	w.Header().Set(engine.HeaderAttempt, en.responseAttemptID(sq))
 	jsonreply.Write(w, completion{
 		ID: sq.id, Object: "completion", Model: sq.model, Choices: []choice{ch},
-		Usage: &usage{PromptTokens: sq.prompt, CompletionTokens: n},
+		Usage: &usage{PromptTokens: sq.promptTokens, CompletionTokens: n},
 	})
 	en.cancel(sq.id)
 }
 
-func (en *Engine) stream(w http.ResponseWriter, r *http.Request, sq *sequence, from int) {
+func (en *Engine) writeStream(w http.ResponseWriter, r *http.Request, sq *sequence, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
-	w.Header().Set(engine.HeaderAttempt, en.echo(sq))
+	w.Header().Set(engine.HeaderAttempt, en.responseAttemptID(sq))
 	rc := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
 	_ = rc.Flush() // a caller that has gone shows at the next write
 	n := from
-	for n < sq.output {
-		tokens, ok := en.wait(r, sq, n)
+	for n < sq.outputTokens {
+		tokens, ok := en.waitForTokens(r, sq, n)
 		if !ok {
 			return
 		}
 		for _, t := range tokens {
 			n++
-			writeEvent(w, sq, t, n == sq.output)
+			writeEvent(w, sq, t, n == sq.outputTokens)
 		}
 		if rc.Flush() != nil {
 			return
 		}
-		if n >= breakAfter && n < sq.output && en.takes(&en.breaks) {
+		if n >= breakAfterTokens && n < sq.outputTokens && en.consume(&en.streamsToBreak) {
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -245,7 +245,7 @@
 	}
 }
 
-func (en *Engine) resume(w http.ResponseWriter, r *http.Request) {
+func (en *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	en.mu.Lock()
 	sq := en.seqs[chi.URLParam(r, "id")]
@@ -254,16 +254,16 @@
 		refuse(w, http.StatusNotFound)
 		return
 	}
-	en.stream(w, r, sq, from)
+	en.writeStream(w, r, sq, from)
 }
 
-func (en *Engine) held(w http.ResponseWriter, _ *http.Request) {
+func (en *Engine) handleHeld(w http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
 	all := []engine.Held{}
-	for _, group := range []map[string]*sequence{en.seqs, en.rooms} {
+	for _, group := range []map[string]*sequence{en.seqs, en.reservations} {
 		for id, sq := range group {
 			all = append(all, engine.Held{
-				Attempt: id, Holder: sq.holder, Tokens: sq.prompt + sq.output,
+				Attempt: id, Holder: sq.holder, Tokens: sq.promptTokens + sq.outputTokens,
 				LeftMillis: time.Until(sq.deadline).Milliseconds(),
 			})
 		}
@@ -272,7 +272,7 @@
 	jsonreply.Write(w, all)
 }
 
-func (en *Engine) reserve(w http.ResponseWriter, r *http.Request) {
+func (en *Engine) handleReserve(w http.ResponseWriter, r *http.Request) {
 	var h engine.Held
 	if err := json.NewDecoder(r.Body).Decode(&h); err != nil {
 		refuse(w, http.StatusBadRequest)
@@ -280,18 +280,18 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.leaving || en.rooms[h.Attempt] != nil || en.used+h.Tokens > en.params.MemoryTokens {
+	if en.leaving || en.reservations[h.Attempt] != nil || en.usedTokens+h.Tokens > en.params.MemoryTokens {
 		refuse(w, http.StatusConflict)
 		return
 	}
-	en.used += h.Tokens
-	en.rooms[h.Attempt] = &sequence{
-		id: h.Attempt, holder: h.Holder, prompt: h.Tokens,
+	en.usedTokens += h.Tokens
+	en.reservations[h.Attempt] = &sequence{
+		id: h.Attempt, holder: h.Holder, promptTokens: h.Tokens,
 		deadline: time.Now().Add(time.Duration(h.LeftMillis) * time.Millisecond),
 	}
 }
 
-func (en *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
+func (en *Engine) handleCacheEvents(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/enginesim/orders.go
+++ b/internal/standin/enginesim/orders.go
@@ -8,19 +8,19 @@
 	"github.com/silvermount/silvermount/internal/engine"
 )
 
-type orderBook struct {
+type orderState struct {
 	epoch, sequence int64
-	refused         int
+	refusedCount    int
 }
 
-func (ob *orderBook) older(o engine.Order) bool {
+func (ob *orderState) isStale(o engine.Order) bool {
 	return o.Epoch < ob.epoch || (o.Epoch == ob.epoch && o.Sequence <= ob.sequence)
 }
 
-const loadTime = 2 * time.Second
+const modelLoadTime = 2 * time.Second
 
 // order applies an order; a fenced engine refuses one that is older than the last.
-func (en *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (en *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -28,8 +28,8 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.params.FenceOrders && en.orders.older(o) {
-		en.orders.refused++
+	if en.params.FenceOrders && en.orders.isStale(o) {
+		en.orders.refusedCount++
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -44,7 +44,7 @@
 			delete(en.models, m)
 		}
 	}
-	delay := time.Duration(float64(loadTime) / en.params.Speedup)
+	delay := time.Duration(float64(modelLoadTime) / en.params.Speedup)
 	time.AfterFunc(delay, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
@@ -59,5 +59,5 @@
 func (en *Engine) RefusedOrderCount() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.orders.refused
+	return en.orders.refusedCount
 }
--- a/internal/standin/fault/gate.go
+++ b/internal/standin/fault/admission.go
@@ -9,15 +9,15 @@
 // Gate admits requests to a bounded number of slots and a bounded memory, the most urgent first.
 type AdmissionQueue struct {
 	// slots and queue are counts of requests; memory is a count of tokens, and zero means that nothing bounds it.
-	slots, queue, memory int
+	slots, maxWaiting, memoryTokens int
 
 	mu sync.Mutex
 	// running never exceeds slots, and used never exceeds memory.
-	running, used int
+	runningCount, usedTokens int
 	// requests is in the order of admission.
-	requests []*waiter
+	waiting []*waiter
 	// reserves come before all requests, in the order of arrival.
-	reserves []*waiter
+	reservations []*waiter
 }
 
 type waiter struct {
@@ -30,7 +30,7 @@
 
 // NewGate returns a gate.
 func NewAdmissionQueue(slots, queue, memory int) *AdmissionQueue {
-	return &AdmissionQueue{slots: slots, queue: queue, memory: memory}
+	return &AdmissionQueue{slots: slots, maxWaiting: queue, memoryTokens: memory}
 }
 
 // Enter waits for a slot and memory. It reports false when the queue is full, the request can never fit, or ctx ends.
@@ -51,18 +51,18 @@
 func (aq *AdmissionQueue) enqueue(priority, tokens int) *waiter {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
-	if aq.memory > 0 && tokens > aq.memory {
+	if aq.memoryTokens > 0 && tokens > aq.memoryTokens {
 		return nil
 	}
 	wt := &waiter{priority: priority, tokens: tokens, admitted: make(chan struct{})}
-	at := len(aq.requests)
-	for at > 0 && aq.requests[at-1].priority > priority {
+	at := len(aq.waiting)
+	for at > 0 && aq.waiting[at-1].priority > priority {
 		at--
 	}
-	aq.requests = slices.Insert(aq.requests, at, wt)
-	aq.pump()
-	if len(aq.requests) > aq.queue && !wt.in() {
-		aq.drop(wt)
+	aq.waiting = slices.Insert(aq.waiting, at, wt)
+	aq.admitWaiting()
+	if len(aq.waiting) > aq.maxWaiting && !wt.isAdmitted() {
+		aq.remove(wt)
 		return nil
 	}
 	return wt
@@ -72,11 +72,11 @@
 func (aq *AdmissionQueue) withdraw(wt *waiter) bool {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
-	if wt.in() {
+	if wt.isAdmitted() {
 		return true
 	}
-	aq.drop(wt)
-	aq.pump()
+	aq.remove(wt)
+	aq.admitWaiting()
 	return false
 }
 
@@ -84,9 +84,9 @@
 func (aq *AdmissionQueue) Release(tokens int) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
-	aq.running--
-	aq.used -= tokens
-	aq.pump()
+	aq.runningCount--
+	aq.usedTokens -= tokens
+	aq.admitWaiting()
 }
 
 // Reserve sets memory aside without a slot. It returns a channel that is closed once that is done, or nil when the
@@ -95,10 +95,10 @@
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	wt := &waiter{tokens: tokens, admitted: make(chan struct{})}
-	aq.reserves = append(aq.reserves, wt)
-	aq.pump()
-	if !wt.in() && !wait {
-		aq.drop(wt)
+	aq.reservations = append(aq.reservations, wt)
+	aq.admitWaiting()
+	if !wt.isAdmitted() && !wait {
+		aq.remove(wt)
 		return nil
 	}
 	return wt.admitted
@@ -108,69 +108,73 @@
 func (aq *AdmissionQueue) EndReservation(tokens int, admitted <-chan struct{}) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
-	at := slices.IndexFunc(aq.reserves, func(wt *waiter) bool { return wt.admitted == admitted })
+	at := slices.IndexFunc(aq.reservations, func(wt *waiter) bool { return wt.admitted == admitted })
 	if at >= 0 {
-		aq.reserves = slices.Delete(aq.reserves, at, at+1)
+		aq.reservations = slices.Delete(aq.reservations, at, at+1)
 	} else {
-		aq.used -= tokens
+		aq.usedTokens -= tokens
 	}
-	aq.pump()
+	aq.admitWaiting()
 }
 
 // Running returns how many requests hold a slot.
-func (aq *AdmissionQueue) RunningCount() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.running }
+func (aq *AdmissionQueue) RunningCount() int {
+	aq.mu.Lock()
+	defer aq.mu.Unlock()
+	return aq.runningCount
+}
 
 // Waiting returns how many requests wait for a slot.
 func (aq *AdmissionQueue) WaitingCount() int {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
-	return len(aq.requests)
+	return len(aq.waiting)
 }
 
 // Used returns the memory in use and set aside, in tokens.
-func (aq *AdmissionQueue) UsedTokens() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.used }
+func (aq *AdmissionQueue) UsedTokens() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.usedTokens }
 
 // Free returns the memory that may be set aside, in tokens; it is zero while a reservation waits.
 func (aq *AdmissionQueue) FreeTokens() int {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
-	if len(aq.reserves) > 0 {
+	if len(aq.reservations) > 0 {
 		return 0
 	}
-	return aq.memory - aq.used
+	return aq.memoryTokens - aq.usedTokens
 }
 
-func (aq *AdmissionQueue) drop(wt *waiter) {
+func (aq *AdmissionQueue) remove(wt *waiter) {
 	same := func(other *waiter) bool { return other == wt }
-	aq.requests = slices.DeleteFunc(aq.requests, same)
-	aq.reserves = slices.DeleteFunc(aq.reserves, same)
+	aq.waiting = slices.DeleteFunc(aq.waiting, same)
+	aq.reservations = slices.DeleteFunc(aq.reservations, same)
 }
 
-func (aq *AdmissionQueue) pump() {
-	for len(aq.reserves) > 0 && aq.fits(aq.reserves[0]) {
-		aq.admit(aq.reserves[0])
-		aq.reserves = aq.reserves[1:]
+func (aq *AdmissionQueue) admitWaiting() {
+	for len(aq.reservations) > 0 && aq.fits(aq.reservations[0]) {
+		aq.admit(aq.reservations[0])
+		aq.reservations = aq.reservations[1:]
 	}
-	if len(aq.reserves) > 0 {
+	if len(aq.reservations) > 0 {
 		return
 	}
-	for len(aq.requests) > 0 && aq.running < aq.slots && aq.fits(aq.requests[0]) {
-		aq.running++
-		aq.admit(aq.requests[0])
-		aq.requests = aq.requests[1:]
+	for len(aq.waiting) > 0 && aq.runningCount < aq.slots && aq.fits(aq.waiting[0]) {
+		aq.runningCount++
+		aq.admit(aq.waiting[0])
+		aq.waiting = aq.waiting[1:]
 	}
 }
 
 func (aq *AdmissionQueue) fits(wt *waiter) bool {
-	return aq.memory == 0 || aq.used+wt.tokens <= aq.memory
+	return aq.memoryTokens == 0 || aq.usedTokens+wt.tokens <= aq.memoryTokens
 }
 
 func (aq *AdmissionQueue) admit(wt *waiter) {
-	aq.used += wt.tokens
+	aq.usedTokens += wt.tokens
 	close(wt.admitted)
 }
 
-func (wt *waiter) in() bool {
+func (wt *waiter) isAdmitted() bool {
 	select {
 	case <-wt.admitted:
 		return true
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -17,12 +17,12 @@
 
 // What the faults send in place of an engine's own bytes.
 const (
-	failureBody    = "failed"
-	surplusBody    = "surplus"
-	otherAttempt   = "another-attempt"
-	otherSignature = "another.signature"
-	otherEncoding  = "gzip"
-	notHTTP        = "\x00\x7fthese bytes are no answer\r\n\r\n"
+	internalErrorBody = "failed"
+	extraResponseBody = "surplus"
+	otherAttempt      = "another-attempt"
+	otherSignature    = "another.signature"
+	otherEncoding     = "gzip"
+	garbageBytes      = "\x00\x7fthese bytes are no answer\r\n\r\n"
 )
 
 const continueLine = "HTTP/1.1 100 Continue\r\n\r\n"
@@ -34,22 +34,22 @@
 	reader *bufio.Reader
 	writer *bufio.Writer
 	// owed is a surplus answer that goes out in front of the next one.
-	owed []byte
+	pendingExtra []byte
 	// exchange is the request that is being answered; nil for one that takes no slot.
 	exchange *Exchange
 	// broken is set once the server itself has reset the connection.
-	broken atomic.Bool
+	resetByServer atomic.Bool
 }
 
 func newConn(sv *Server, nc net.Conn) *conn {
 	return &conn{server: sv, socket: nc, reader: bufio.NewReader(nc), writer: bufio.NewWriter(nc)}
 }
 
-func (cn *conn) loop() {
-	defer cn.server.forget(cn)
+func (cn *conn) serve() {
+	defer cn.server.removeConn(cn)
 	defer func() { _ = cn.socket.Close() }() // a reset may have closed it before
 	for {
-		rq, err := cn.next()
+		rq, err := cn.readRequest()
 		if err != nil {
 			return // the caller has gone, rested too long or sent no request: there is nobody to tell
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-func (cn *conn) next() (*http.Request, error) {
+func (cn *conn) readRequest() (*http.Request, error) {
 	if cn.server.settings.IdleTimeout > 0 {
 		_ = cn.socket.SetReadDeadline(time.Now().Add(cn.server.settings.IdleTimeout)) // a closed socket fails in the read
 	}
@@ -70,7 +70,7 @@
 
 // reset drops the connection and all bytes still under way.
 func (cn *conn) reset() {
-	cn.broken.Store(true)
+	cn.resetByServer.Store(true)
 	if tc, ok := cn.socket.(*net.TCPConn); ok {
 		_ = tc.SetLinger(0) // without it the close is an orderly one, which is as good
 	}
@@ -80,13 +80,13 @@
 // handle answers one request and reports whether the connection can serve another.
 func (cn *conn) handle(rq *http.Request) bool {
 	cn.exchange = nil
-	if an, ok := cn.aside(rq); ok {
-		return an != nil && cn.replyAside(rq, *an)
+	if an, ok := cn.answerControl(rq); ok {
+		return an != nil && cn.replyControl(rq, *an)
 	}
-	cn.server.arrived()
-	cn.exchange = cn.server.came(rq)
-	tokens, refusal := cn.server.screen(rq)
-	if an, away := cn.server.turnedAway(); away && refusal == nil {
+	cn.server.recordArrival()
+	cn.exchange = cn.server.recordExchange(rq)
+	tokens, refusal := cn.server.checkRequest(rq)
+	if an, away := cn.server.backOffRefusal(); away && refusal == nil {
 		refusal = &an
 	}
 	kd := None
@@ -96,7 +96,7 @@
 	if kd == EarlyResponse {
 		return cn.runEarly(rq, tokens)
 	}
-	body, err := cn.body(rq)
+	body, err := cn.readBody(rq)
 	if err != nil {
 		return false // a request that did not arrive whole is not run
 	}
@@ -105,19 +105,19 @@
 		refusal = &an
 	}
 	if refusal != nil {
-		return cn.reply(rq, cn.server.refuse(*refusal))
+		return cn.reply(rq, cn.server.recordRefusal(*refusal))
 	}
 	return cn.runWatched(rq, kd, tokens, body)
 }
 
 // aside answers health checks and the requests that take no slot. The answer is nil when the body did not arrive.
-func (cn *conn) aside(rq *http.Request) (*Response, bool) {
-	side := cn.server.work.Control[sideKey(rq)]
+func (cn *conn) answerControl(rq *http.Request) (*Response, bool) {
+	side := cn.server.handler.Control[controlRoute(rq)]
 	health := rq.Method == http.MethodGet && rq.URL.Path == cn.server.settings.HealthPath
 	if side == nil && !health {
 		return nil, false
 	}
-	body, err := cn.body(rq)
+	body, err := cn.readBody(rq)
 	if err != nil {
 		return nil, true
 	}
@@ -131,7 +131,7 @@
 	return &an, true
 }
 
-func (cn *conn) body(rq *http.Request) ([]byte, error) {
+func (cn *conn) readBody(rq *http.Request) ([]byte, error) {
 	if rq.Header.Get("Expect") == "100-continue" {
 		_, _ = cn.writer.WriteString(continueLine) // the flush returns its failure
 		if err := cn.writer.Flush(); err != nil {
@@ -165,8 +165,8 @@
 	defer stop()
 	return cn.run(ctx, rq, kd, tokens, func(rn *Run) {
 		cn.server.setBody(rn, body)
-		if cn.server.fatal(body) {
-			cn.server.endAfter(ctx)
+		if cn.server.hasCrashMarker(body) {
+			cn.server.crashAfterDelay(ctx)
 		}
 	})
 }
@@ -178,7 +178,7 @@
 	if !keep {
 		return false
 	}
-	body, err := cn.body(rq)
+	body, err := cn.readBody(rq)
 	if err != nil {
 		return false // the record shows it by the hash that is missing
 	}
@@ -192,25 +192,25 @@
 func (cn *conn) run(ctx context.Context, rq *http.Request, kd Kind, tokens int, begun func(*Run)) bool {
 	dctx, cancel := withDeadline(ctx, rq)
 	defer cancel()
-	if !cn.server.gate.Acquire(dctx, priorityOf(rq), tokens) {
-		return cn.reply(rq, cn.server.refuse(Refusal(http.StatusServiceUnavailable)))
+	if !cn.server.admission.Acquire(dctx, priorityOf(rq), tokens) {
+		return cn.reply(rq, cn.server.recordRefusal(Refusal(http.StatusServiceUnavailable)))
 	}
 	var rn *Run
-	an := cn.server.work.Run(dctx, rq, func() {
-		rn = cn.server.begin(rq, kd)
+	an := cn.server.handler.Run(dctx, rq, func() {
+		rn = cn.server.recordRun(rq, kd)
 		begun(rn)
 	})
 	if rn == nil {
-		cn.server.gate.Release(tokens)
-		return cn.reply(rq, cn.server.refuse(an))
+		cn.server.admission.Release(tokens)
+		return cn.reply(rq, cn.server.recordRefusal(an))
 	}
 	if dctx.Err() != nil && ctx.Err() == nil {
 		an = NewResponse(http.StatusGatewayTimeout, nil)
 	}
-	an = cn.dress(disguise(an.WithHeader(HeaderSignature, rn.Signature), kd), rq, kd)
-	whole := ctx.Err() == nil && cn.answer(ctx, an, kd)
-	cn.server.gate.Release(tokens) // before the record says that the run has ended
-	cn.server.end(rn, cn.outcome(ctx, dctx, whole, kd))
+	an = cn.addHeaders(applyFault(an.WithHeader(HeaderSignature, rn.Signature), kd), rq, kd)
+	whole := ctx.Err() == nil && cn.respond(ctx, an, kd)
+	cn.server.admission.Release(tokens) // before the record says that the run has ended
+	cn.server.finishRun(rn, cn.outcome(ctx, dctx, whole, kd))
 	return whole && an.Header.Get("Connection") != "close"
 }
 
@@ -225,7 +225,7 @@
 	switch {
 	case whole, kd == Reset, kd == Garbage:
 		return Done
-	case cn.broken.Load():
+	case cn.resetByServer.Load():
 		return Aborted
 	case ctx.Err() != nil:
 		return Cancelled
@@ -237,10 +237,10 @@
 }
 
 // disguise returns the answer as the fault shows it.
-func disguise(an Response, kd Kind) Response {
+func applyFault(an Response, kd Kind) Response {
 	switch kd {
 	case InternalError:
-		return NewResponse(http.StatusInternalServerError, []byte(failureBody)).
+		return NewResponse(http.StatusInternalServerError, []byte(internalErrorBody)).
 			WithHeader(HeaderSignature, an.Header.Get(HeaderSignature))
 	case WrongAttempt:
 		return an.WithHeader(HeaderAttempt, otherAttempt)
@@ -249,19 +249,19 @@
 	case WrongSignature:
 		return an.WithHeader(HeaderSignature, otherSignature)
 	case NoSignature:
-		return an.without(HeaderSignature)
+		return an.withoutHeader(HeaderSignature)
 	default:
 		return an
 	}
 }
 
 // dress returns the answer with all that the target says in it.
-func (cn *conn) dress(an Response, rq *http.Request, kd Kind) Response {
-	return cn.server.dress(cn.server.say(an, cn.exchange), rq, kd)
+func (cn *conn) addHeaders(an Response, rq *http.Request, kd Kind) Response {
+	return cn.server.addCommonHeaders(cn.server.addSelfReport(an, cn.exchange), rq, kd)
 }
 
 // dress returns the answer with the headers that every answer has.
-func (sv *Server) dress(an Response, rq *http.Request, kd Kind) Response {
+func (sv *Server) addCommonHeaders(an Response, rq *http.Request, kd Kind) Response {
 	if an.Header.Get(HeaderAttempt) == "" && rq.Header.Get(HeaderAttempt) != "" {
 		an = an.WithHeader(HeaderAttempt, rq.Header.Get(HeaderAttempt))
 	}
@@ -271,62 +271,62 @@
 	if sv.Draining() {
 		an = an.WithHeader("Connection", "close")
 	}
-	an = sv.nameLimit(an)
-	return an.framed(kd)
+	an = sv.addLimits(an)
+	return an.withFraming(kd)
 }
 
 // reply sends an answer without a fault and reports whether the connection can serve another request.
 func (cn *conn) reply(rq *http.Request, an Response) bool {
-	an = cn.dress(an, rq, None)
+	an = cn.addHeaders(an, rq, None)
 	return cn.send(an, None) && an.Header.Get("Connection") != "close"
 }
 
 // replyAside is reply with the fault that is set for the request's method and path.
-func (cn *conn) replyAside(rq *http.Request, an Response) bool {
-	kd := cn.server.sidePlan(sideKey(rq)).take()
+func (cn *conn) replyControl(rq *http.Request, an Response) bool {
+	kd := cn.server.controlPlan(controlRoute(rq)).take()
 	if kd == None {
 		return cn.reply(rq, an)
 	}
 	ctx, stop := cn.watch()
 	defer stop()
-	return cn.answer(ctx, cn.dress(disguise(an, kd), rq, kd), kd)
+	return cn.respond(ctx, cn.addHeaders(applyFault(an, kd), rq, kd), kd)
 }
 
-func sideKey(rq *http.Request) string { return rq.Method + " " + rq.URL.Path }
+func controlRoute(rq *http.Request) string { return rq.Method + " " + rq.URL.Path }
 
 // answer sends an answer as its fault asks, and reports whether the run came to its end.
-func (cn *conn) answer(ctx context.Context, an Response, kd Kind) bool {
+func (cn *conn) respond(ctx context.Context, an Response, kd Kind) bool {
 	switch kd {
 	case Reset:
-		exhaust(an)
+		consumeBody(an)
 		cn.reset()
 		return false
 	case Hang:
 		<-ctx.Done()
 		return false
 	case Garbage:
-		exhaust(an)
-		_, _ = cn.socket.Write([]byte(notHTTP)) // the connection is closed in any case
+		consumeBody(an)
+		_, _ = cn.socket.Write([]byte(garbageBytes)) // the connection is closed in any case
 		return false
 	default:
-		return cn.send(an, kd) && cn.sendSurplus(an, kd)
+		return cn.send(an, kd) && cn.sendExtra(an, kd)
 	}
 }
 
 // exhaust does the work of an answer without sending it.
-func exhaust(an Response) {
+func consumeBody(an Response) {
 	an.Body(func([]byte) bool { return true })
 }
 
-func (cn *conn) sendSurplus(an Response, kd Kind) bool {
+func (cn *conn) sendExtra(an Response, kd Kind) bool {
 	if kd != ExtraResponse && kd != DelayedExtraResponse {
 		return true
 	}
 	extra := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
 		HeaderAttempt, an.Header.Get(HeaderAttempt), HeaderSignature, an.Header.Get(HeaderSignature),
-		len(surplusBody), surplusBody)
+		len(extraResponseBody), extraResponseBody)
 	if kd == DelayedExtraResponse {
-		cn.owed = extra
+		cn.pendingExtra = extra
 		return true
 	}
 	_, err := cn.socket.Write(extra)
@@ -335,8 +335,8 @@
 
 // send writes an answer and reports whether it went out whole.
 func (cn *conn) send(an Response, kd Kind) bool {
-	_, _ = cn.writer.Write(cn.owed) // the flush returns its failure, here and below
-	cn.owed = nil
+	_, _ = cn.writer.Write(cn.pendingExtra) // the flush returns its failure, here and below
+	cn.pendingExtra = nil
 	_, _ = fmt.Fprintf(cn.writer, "HTTP/1.1 %d %s\r\n", an.Status, http.StatusText(an.Status))
 	_ = an.Header.Write(cn.writer)
 	_, _ = cn.writer.WriteString("\r\n")
@@ -360,7 +360,7 @@
 	if !all || kd == Truncate {
 		return false
 	}
-	return !chunked || cn.sendLast() == nil
+	return !chunked || cn.sendFinalChunk() == nil
 }
 
 func (cn *conn) sendPiece(pc []byte, chunked bool) error {
@@ -377,7 +377,7 @@
 	return cn.writer.Flush()
 }
 
-func (cn *conn) sendLast() error {
+func (cn *conn) sendFinalChunk() error {
 	_, _ = cn.writer.WriteString("0\r\n\r\n") // the flush returns its failure
 	return cn.writer.Flush()
 }
--- a/internal/standin/fault/answer.go
+++ b/internal/standin/fault/response.go
@@ -40,14 +40,14 @@
 	return rs
 }
 
-func (rs Response) without(name string) Response {
+func (rs Response) withoutHeader(name string) Response {
 	rs.Header = rs.Header.Clone()
 	rs.Header.Del(name)
 	return rs
 }
 
 // framed returns a copy with the headers that tell where the answer ends.
-func (rs Response) framed(kd Kind) Response {
+func (rs Response) withFraming(kd Kind) Response {
 	switch {
 	case kd == NoLength:
 		return rs.WithHeader("Connection", "close")
--- a/internal/standin/fault/word.go
+++ b/internal/standin/fault/selfreport.go
@@ -26,20 +26,20 @@
 }
 
 // word is what a target says of itself in its answers.
-type word struct {
+type selfReport struct {
 	leaving bool
 	// backOff is what each request is turned away with; zero turns none away.
 	backOff time.Duration
 	// unpromised leaves out the mark that a request which is turned away has not run.
-	unpromised bool
-	exchanges  []*Exchange
+	omitNotExecuted bool
+	exchanges       []*Exchange
 }
 
 // SayLeaving makes all answers say that the target leaves; it goes on serving, and its entry is not changed.
 func (sv *Server) SetLeaving(leaving bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	sv.word.leaving = leaving
+	sv.selfReport.leaving = leaving
 }
 
 // TurnAway makes the target turn all requests away and ask for a back-off, with or without the promise that they have not run; zero ends
@@ -47,56 +47,56 @@
 func (sv *Server) SetBackOff(backOff time.Duration, promise bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	sv.word.backOff, sv.word.unpromised = backOff, !promise
+	sv.selfReport.backOff, sv.selfReport.omitNotExecuted = backOff, !promise
 }
 
 // Exchanges returns the requests that came so far, in order.
 func (sv *Server) Exchanges() []Exchange {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	all := make([]Exchange, 0, len(sv.word.exchanges))
-	for _, ex := range sv.word.exchanges {
+	all := make([]Exchange, 0, len(sv.selfReport.exchanges))
+	for _, ex := range sv.selfReport.exchanges {
 		all = append(all, *ex)
 	}
 	return all
 }
 
 // turnedAway returns the refusal of a target that asks for a back-off.
-func (sv *Server) turnedAway() (Response, bool) {
+func (sv *Server) backOffRefusal() (Response, bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.word.backOff == 0 {
+	if sv.selfReport.backOff == 0 {
 		return Response{}, false
 	}
-	an := Refusal(http.StatusServiceUnavailable).WithHeader(HeaderRetryAfter, strconv.FormatFloat(sv.word.backOff.Seconds(), 'f', -1, 64))
-	if sv.word.unpromised {
-		an = an.without(HeaderNotExecuted)
+	an := Refusal(http.StatusServiceUnavailable).WithHeader(HeaderRetryAfter, strconv.FormatFloat(sv.selfReport.backOff.Seconds(), 'f', -1, 64))
+	if sv.selfReport.omitNotExecuted {
+		an = an.withoutHeader(HeaderNotExecuted)
 	}
 	return an, true
 }
 
 // came notes a request.
-func (sv *Server) came(rq *http.Request) *Exchange {
+func (sv *Server) recordExchange(rq *http.Request) *Exchange {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	ex := &Exchange{AttemptID: rq.Header.Get(HeaderAttempt), ReceivedAt: time.Now()}
-	sv.word.exchanges = append(sv.word.exchanges, ex)
+	sv.selfReport.exchanges = append(sv.selfReport.exchanges, ex)
 	return ex
 }
 
 // say adds what the target says of itself to the answer of an exchange; nil for one that takes no slot.
-func (sv *Server) say(an Response, ex *Exchange) Response {
+func (sv *Server) addSelfReport(an Response, ex *Exchange) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.word.leaving {
+	if sv.selfReport.leaving {
 		an = an.WithHeader(HeaderLeaving, "1")
 	}
 	if ex == nil {
 		return an
 	}
-	ex.InstanceID, ex.AnsweredAt, ex.Leaving = sv.instance, time.Now(), sv.word.leaving
+	ex.InstanceID, ex.AnsweredAt, ex.Leaving = sv.instanceID, time.Now(), sv.selfReport.leaving
 	if an.Header.Get(HeaderRetryAfter) != "" {
-		ex.BackOff = sv.word.backOff
+		ex.BackOff = sv.selfReport.backOff
 	}
 	return an
 }
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -20,9 +20,9 @@
 
 const (
 	// defaultSlots, defaultQueue and defaultConnections are small enough for a test to fill.
-	defaultSlots       = 16
-	defaultQueue       = 32
-	defaultConnections = 264
+	defaultSlots          = 16
+	defaultMaxWaiting     = 32
+	defaultMaxConnections = 264
 	// defaultHealthPath is the one of the protocol's examples.
 	defaultHealthPath = "/healthz"
 )
@@ -52,7 +52,7 @@
 // DefaultSettings returns the settings of an ordinary target.
 func DefaultSettings() Settings {
 	return Settings{
-		Slots: defaultSlots, MaxWaiting: defaultQueue, MaxConnections: defaultConnections,
+		Slots: defaultSlots, MaxWaiting: defaultMaxWaiting, MaxConnections: defaultMaxConnections,
 		HealthPath: defaultHealthPath, TruncateAfter: 1,
 	}
 }
@@ -70,33 +70,33 @@
 
 // Server is the stand-in target. Its methods may be called at any time.
 type Server struct {
-	settings Settings
-	work     Handler
-	gate     *AdmissionQueue
-	plan     plan
-	sides    map[string]*plan
+	settings     Settings
+	handler      Handler
+	admission    *AdmissionQueue
+	plan         plan
+	controlPlans map[string]*plan
 	// address is that of the listener, also while there is none.
-	address string
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
+	listenAddress string
+	ctx           context.Context
+	cancel        context.CancelFunc
+	wg            sync.WaitGroup
 
 	mu sync.Mutex
 	// listener is closed while the target has ended.
 	listener net.Listener
 	// down is set from End to Return.
-	down     bool
-	instance string
-	draining bool
-	unwell   bool
-	conns    map[*conn]struct{}
-	opened   int
-	turned   int
-	refused  int
-	health   int
-	runs     []*Run
-	limit    limited
-	word     word
+	down                    bool
+	instanceID              string
+	draining                bool
+	unhealthy               bool
+	conns                   map[*conn]struct{}
+	connectionCount         int
+	rejectedConnectionCount int
+	refusedCount            int
+	healthCheckCount        int
+	runs                    []*Run
+	limits                  rateLimits
+	selfReport              selfReport
 }
 
 // Start listens on a free port of the loopback address.
@@ -107,8 +107,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	sv := &Server{
-		settings: se, work: wk, gate: gt, listener: ln, address: ln.Addr().String(), ctx: ctx, cancel: cancel,
-		instance: ident.New("i"), conns: map[*conn]struct{}{}, sides: map[string]*plan{},
+		settings: se, handler: wk, admission: gt, listener: ln, listenAddress: ln.Addr().String(), ctx: ctx, cancel: cancel,
+		instanceID: ident.New("i"), conns: map[*conn]struct{}{}, controlPlans: map[string]*plan{},
 	}
 	sv.wg.Go(func() { sv.accept(ln) })
 	return sv, nil
@@ -118,7 +118,7 @@
 func (sv *Server) Address() string { return cmp.Or(sv.settings.AdvertisedAddress, sv.ListenAddress()) }
 
 // Listener returns the host and port that the target itself listens on.
-func (sv *Server) ListenAddress() string { return sv.address }
+func (sv *Server) ListenAddress() string { return sv.listenAddress }
 
 // URL returns the base of all paths, without a slash at its end.
 func (sv *Server) URL() string { return "http://" + sv.Address() }
@@ -126,13 +126,13 @@
 // Close ends all connections and waits until every run has ended.
 func (sv *Server) Close() {
 	sv.cancel()
-	sv.takeDown()
+	sv.shutDown()
 	sv.wg.Wait()
 }
 
 // End ends the target as a process ends: its connections are reset, and its address takes none until Return.
 func (sv *Server) Crash() {
-	if !sv.takeDown() {
+	if !sv.shutDown() {
 		return
 	}
 	if ended := sv.settings.OnCrash; ended != nil {
@@ -141,7 +141,7 @@
 }
 
 // takeDown reports whether the target was not down before.
-func (sv *Server) takeDown() bool {
+func (sv *Server) shutDown() bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	before := sv.down
@@ -156,7 +156,7 @@
 // Return starts another incarnation at the same address after End. It reports false when the stand-in is closed or the address
 // is taken.
 func (sv *Server) Relaunch() bool {
-	ln, err := net.Listen("tcp", sv.address)
+	ln, err := net.Listen("tcp", sv.listenAddress)
 	if err != nil {
 		return false
 	}
@@ -167,7 +167,7 @@
 		return false
 	}
 	sv.listener, sv.down = ln, false
-	sv.instance = ident.New("i")
+	sv.instanceID = ident.New("i")
 	sv.draining = false
 	sv.wg.Go(func() { sv.accept(ln) })
 	return true
@@ -175,7 +175,7 @@
 
 // endAfter ends the target once the time of a fatal run is over; with a time of zero it has ended on return, and so has ctx, which
 // ends with the caller's connection.
-func (sv *Server) endAfter(ctx context.Context) {
+func (sv *Server) crashAfterDelay(ctx context.Context) {
 	if sv.settings.CrashDelay > 0 {
 		time.AfterFunc(sv.settings.CrashDelay, sv.Crash)
 		return
@@ -185,7 +185,7 @@
 }
 
 // fatal reports whether a body ends the target.
-func (sv *Server) fatal(body []byte) bool {
+func (sv *Server) hasCrashMarker(body []byte) bool {
 	return sv.settings.CrashMarker != "" && bytes.Contains(body, []byte(sv.settings.CrashMarker))
 }
 
@@ -194,15 +194,15 @@
 
 // NextAside gives the next n requests of a method and path that take no slot a fault; key is the one of Work.Side.
 // The request is done in all cases.
-func (sv *Server) InjectControlFault(key string, kd Kind, n int) { sv.sidePlan(key).add(kd, n) }
+func (sv *Server) InjectControlFault(key string, kd Kind, n int) { sv.controlPlan(key).add(kd, n) }
 
-func (sv *Server) sidePlan(key string) *plan {
+func (sv *Server) controlPlan(key string) *plan {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.sides[key] == nil {
-		sv.sides[key] = &plan{}
+	if sv.controlPlans[key] == nil {
+		sv.controlPlans[key] = &plan{}
 	}
-	return sv.sides[key]
+	return sv.controlPlans[key]
 }
 
 // ClearFaults takes back the faults that no request has met yet.
@@ -211,10 +211,10 @@
 // Retire ends the incarnation in the middle of its work, and starts another at the same address.
 func (sv *Server) Replace() {
 	sv.mu.Lock()
-	sv.instance = ident.New("i")
+	sv.instanceID = ident.New("i")
 	sv.draining = false
 	sv.mu.Unlock()
-	sv.resetAll()
+	sv.resetConns()
 }
 
 // Restart ends the incarnation in the middle of its work, and starts another under the same id at the same address.
@@ -222,35 +222,47 @@
 	sv.mu.Lock()
 	sv.draining = false
 	sv.mu.Unlock()
-	sv.resetAll()
+	sv.resetConns()
 }
 
 // Drain makes the target say that it is leaving; it goes on serving.
 func (sv *Server) Drain() { sv.mu.Lock(); defer sv.mu.Unlock(); sv.draining = true }
 
 // SetHealthy sets what the health check says.
-func (sv *Server) SetHealthy(ok bool) { sv.mu.Lock(); defer sv.mu.Unlock(); sv.unwell = !ok }
+func (sv *Server) SetHealthy(ok bool) { sv.mu.Lock(); defer sv.mu.Unlock(); sv.unhealthy = !ok }
 
 // Instance returns the id of the present incarnation.
-func (sv *Server) InstanceID() string { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.instance }
+func (sv *Server) InstanceID() string { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.instanceID }
 
 // Draining reports whether the target is leaving.
 func (sv *Server) Draining() bool { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.draining }
 
 // Connections returns how many connections were opened since the start.
-func (sv *Server) ConnectionCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.opened }
+func (sv *Server) ConnectionCount() int {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.connectionCount
+}
 
 // TurnedAway returns how many connections were reset for being too many.
-func (sv *Server) RejectedConnectionCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.turned }
+func (sv *Server) RejectedConnectionCount() int {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.rejectedConnectionCount
+}
 
 // Refused returns how many requests were not run.
-func (sv *Server) RefusedCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.refused }
+func (sv *Server) RefusedCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.refusedCount }
 
 // Waiting returns how many requests wait for a slot.
-func (sv *Server) WaitingCount() int { return sv.gate.WaitingCount() }
+func (sv *Server) WaitingCount() int { return sv.admission.WaitingCount() }
 
 // HealthChecks returns how many health checks came.
-func (sv *Server) HealthCheckCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.health }
+func (sv *Server) HealthCheckCount() int {
+	sv.mu.Lock()
+	defer sv.mu.Unlock()
+	return sv.healthCheckCount
+}
 
 // Runs returns the requests run so far, in the order in which they began.
 func (sv *Server) Runs() []Run {
@@ -275,30 +287,30 @@
 			return // the listener was closed
 		}
 		cn := newConn(sv, nc)
-		if !sv.enrol(cn) {
+		if !sv.addConn(cn) {
 			cn.reset()
 			continue
 		}
-		sv.wg.Go(cn.loop)
+		sv.wg.Go(cn.serve)
 	}
 }
 
 // enrol reports false when there are too many connections.
-func (sv *Server) enrol(cn *conn) bool {
+func (sv *Server) addConn(cn *conn) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if len(sv.conns) >= sv.settings.MaxConnections || sv.ctx.Err() != nil || sv.down {
-		sv.turned++
+		sv.rejectedConnectionCount++
 		return false
 	}
-	sv.opened++
+	sv.connectionCount++
 	sv.conns[cn] = struct{}{}
 	return true
 }
 
-func (sv *Server) forget(cn *conn) { sv.mu.Lock(); defer sv.mu.Unlock(); delete(sv.conns, cn) }
+func (sv *Server) removeConn(cn *conn) { sv.mu.Lock(); defer sv.mu.Unlock(); delete(sv.conns, cn) }
 
-func (sv *Server) resetAll() {
+func (sv *Server) resetConns() {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	for cn := range sv.conns {
@@ -307,12 +319,12 @@
 }
 
 // begin records a run and signs for it.
-func (sv *Server) begin(rq *http.Request, kd Kind) *Run {
+func (sv *Server) recordRun(rq *http.Request, kd Kind) *Run {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	rn := newRun(rq, kd)
-	rn.InstanceID = sv.instance
-	rn.Signature = fmt.Sprintf("%s.%d", sv.instance, len(sv.runs))
+	rn.InstanceID = sv.instanceID
+	rn.Signature = fmt.Sprintf("%s.%d", sv.instanceID, len(sv.runs))
 	sv.runs = append(sv.runs, rn)
 	return rn
 }
@@ -324,12 +336,12 @@
 	rn.BodySize = len(body)
 }
 
-func (sv *Server) end(rn *Run, st State) { sv.mu.Lock(); defer sv.mu.Unlock(); rn.State = st }
+func (sv *Server) finishRun(rn *Run, st State) { sv.mu.Lock(); defer sv.mu.Unlock(); rn.State = st }
 
-func (sv *Server) refuse(an Response) Response {
+func (sv *Server) recordRefusal(an Response) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	sv.refused++
+	sv.refusedCount++
 	if an.Header.Get(HeaderAtServer) == "" {
 		return an.WithHeader(HeaderAtServer, sv.Address())
 	}
@@ -337,7 +349,7 @@
 }
 
 // screen returns the refusal of a request that names another instance, or no attempt.
-func (sv *Server) screen(rq *http.Request) (int, *Response) {
+func (sv *Server) checkRequest(rq *http.Request) (int, *Response) {
 	own := sv.InstanceID()
 	if id := rq.Header.Get(HeaderExpectInstance); id != "" && id != own {
 		an := NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, own)
@@ -347,21 +359,21 @@
 		an := Refusal(http.StatusBadRequest)
 		return 0, &an
 	}
-	if sv.work.Check == nil {
+	if sv.handler.Check == nil {
 		return 0, nil
 	}
-	return sv.work.Check(rq)
+	return sv.handler.Check(rq)
 }
 
 func (sv *Server) checkHealth(ctx context.Context) Response {
 	sv.mu.Lock()
-	sv.health++
-	well := !sv.draining && !sv.unwell
+	sv.healthCheckCount++
+	well := !sv.draining && !sv.unhealthy
 	sv.mu.Unlock()
-	if !sv.gate.Acquire(ctx, defaultPriority, 0) {
+	if !sv.admission.Acquire(ctx, defaultPriority, 0) {
 		return Refusal(http.StatusServiceUnavailable)
 	}
-	defer sv.gate.Release(0)
+	defer sv.admission.Release(0)
 	status := http.StatusOK
 	if !well {
 		status = http.StatusServiceUnavailable
--- a/internal/standin/modelsim/helper.go
+++ b/internal/standin/modelsim/helper.go
@@ -73,13 +73,13 @@
 }
 
 // use is one request that an engine helps with.
-type use struct {
+type helperUse struct {
 	// ticket is nil when the request keeps no memory at the engine.
 	ticket *ticket
-	cut    func()
+	abort  func()
 }
 
-func (en *Engine) find(address string) *Engine {
+func (en *Engine) engineAt(address string) *Engine {
 	if address == en.Address() {
 		return en
 	}
@@ -87,9 +87,9 @@
 }
 
 // lent returns the memory in the tickets of the helpers, in tokens, or the address of one that cannot help.
-func (en *Engine) lent(helpers []Helper) (tokens int, lacking string) {
+func (en *Engine) lentTokens(helpers []Helper) (tokens int, lacking string) {
 	for _, hp := range helpers {
-		other := en.find(hp.Address)
+		other := en.engineAt(hp.Address)
 		if other == nil || !other.canHelp(hp, en) {
 			return 0, hp.Address
 		}
@@ -105,61 +105,61 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en != first && len(en.helped) >= en.settings.Slots {
+	if en != first && len(en.helping) >= en.settings.Slots {
 		return false
 	}
 	return hp.Ticket == "" || en.tickets[hp.Ticket].held()
 }
 
 // lostError is the cause of the end of a request whose helper or ticket was lost.
-type lostError struct{ address string }
+type helperLostError struct{ address string }
 
 // Error names the helper.
-func (le lostError) Error() string { return "the engine at " + le.address + " was lost" }
+func (le helperLostError) Error() string { return "the engine at " + le.address + " was lost" }
 
 // useHelpers takes the helpers into use until ctx ends. The context returned ends as well when one of them is lost.
-func (en *Engine) useHelpers(ctx context.Context, helpers []Helper) context.Context {
+func (en *Engine) engageHelpers(ctx context.Context, helpers []Helper) context.Context {
 	used, cut := context.WithCancelCause(ctx)
 	context.AfterFunc(ctx, func() { cut(nil) })
 	for _, hp := range helpers {
-		lost := func() { cut(lostError{address: hp.Address}) }
-		other := en.find(hp.Address)
+		lost := func() { cut(helperLostError{address: hp.Address}) }
+		other := en.engineAt(hp.Address)
 		if other == nil || !other.canHelp(hp, en) {
 			lost()
 			return used
 		}
-		other.help(used, hp, lost)
+		other.startHelping(used, hp, lost)
 	}
 	return used
 }
 
 // lostHelper returns the address of the helper whose loss ended the request, if one did.
-func lostHelper(ctx context.Context) string {
-	var le lostError
+func lostHelperAddress(ctx context.Context) string {
+	var le helperLostError
 	if errors.As(context.Cause(ctx), &le) {
 		return le.address
 	}
 	return ""
 }
 
-func (en *Engine) help(ctx context.Context, hp Helper, cut func()) {
+func (en *Engine) startHelping(ctx context.Context, hp Helper, cut func()) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	us := &use{ticket: en.tickets[hp.Ticket], cut: cut}
+	us := &helperUse{ticket: en.tickets[hp.Ticket], abort: cut}
 	if us.ticket != nil && en.inUse(us.ticket) {
-		en.doubleUses++
+		en.concurrentTicketUses++
 	}
-	en.helped[us] = struct{}{}
+	en.helping[us] = struct{}{}
 	context.AfterFunc(ctx, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		delete(en.helped, us)
+		delete(en.helping, us)
 	})
 }
 
 // inUse is called with the lock held.
 func (en *Engine) inUse(tk *ticket) bool {
-	for us := range en.helped {
+	for us := range en.helping {
 		if us.ticket == tk {
 			return true
 		}
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -11,15 +11,15 @@
 
 const (
 	// defaultMemory is that of the engines in the users' examples, in tokens.
-	defaultMemory = 232_000
+	defaultMemoryTokens = 232_000
 	// defaultHoldMax is the bound in the users' examples.
-	defaultHoldMax = 20 * time.Second
+	defaultMaxHold = 20 * time.Second
 	// defaultEvent keeps tests quick.
-	defaultEvent = time.Millisecond
+	defaultEventInterval = time.Millisecond
 	// defaultTokens makes an answer of the protocol's example eight events long.
-	defaultTokens = 10
-	defaultModel  = "m"
-	firstVersion  = 1
+	defaultTokensPerEvent = 10
+	defaultModel          = "m"
+	firstVersion          = 1
 )
 
 // The requests that take no slot, as keys of NextAside.
@@ -66,37 +66,37 @@
 // Engine is the stand-in.
 type Engine struct {
 	*fault.Server
-	settings Settings
-	gate     *fault.AdmissionQueue
+	settings  Settings
+	admission *fault.AdmissionQueue
 
 	mu      sync.Mutex
 	version int
 	// pace multiplies all times.
-	pace    float64
-	tickets map[string]*ticket
+	slowdown float64
+	tickets  map[string]*ticket
 	// helped holds the requests of this and other engines that this one helps with, and how to cut each.
-	helped map[*use]struct{}
+	helping map[*helperUse]struct{}
 	// doubleUses counts the requests that used a ticket while another did.
-	doubleUses int
-	orders     []Order
-	reports    int
+	concurrentTicketUses int
+	orders               []Order
+	reportCount          int
 }
 
 // Start starts an engine on a free port of the loopback address.
 func Start(opts ...Option) (*Engine, error) {
 	se := Settings{
-		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemory, MaxHold: defaultHoldMax, EventInterval: defaultEvent,
-		TokensPerEvent: defaultTokens, Model: defaultModel,
+		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemoryTokens, MaxHold: defaultMaxHold, EventInterval: defaultEventInterval,
+		TokensPerEvent: defaultTokensPerEvent, Model: defaultModel,
 	}
 	for _, opt := range opts {
 		opt(&se)
 	}
 	en := &Engine{
-		settings: se, gate: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.MemoryTokens), version: firstVersion, pace: 1,
-		tickets: map[string]*ticket{}, helped: map[*use]struct{}{},
+		settings: se, admission: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.MemoryTokens), version: firstVersion, slowdown: 1,
+		tickets: map[string]*ticket{}, helping: map[*helperUse]struct{}{},
 	}
-	side := map[string]func([]byte) fault.Response{ReportRoute: en.report, OrderRoute: en.order}
-	sv, err := fault.Start(se.Settings, en.gate, fault.Handler{Control: side, Check: en.check, Run: en.run})
+	side := map[string]func([]byte) fault.Response{ReportRoute: en.handleReport, OrderRoute: en.handleOrder}
+	sv, err := fault.Start(se.Settings, en.admission, fault.Handler{Control: side, Check: en.check, Run: en.run})
 	if err != nil {
 		return nil, err
 	}
@@ -108,19 +108,19 @@
 // Close ends the engine for good, in the middle of its work.
 func (en *Engine) Close() {
 	en.settings.Cluster.remove(en)
-	en.dropTickets()
+	en.deleteAllTickets()
 	en.Server.Close()
 }
 
 // Restart ends the incarnation in the middle of its work, and starts another under the same id with no tickets.
 func (en *Engine) Restart() {
-	en.dropTickets()
+	en.deleteAllTickets()
 	en.Server.Restart()
 }
 
 // Retire ends the incarnation in the middle of its work, and starts another at the same address with no tickets.
 func (en *Engine) Replace() {
-	en.dropTickets()
+	en.deleteAllTickets()
 	en.Server.Replace()
 }
 
@@ -128,26 +128,26 @@
 func (en *Engine) SetVersion(n int) { en.mu.Lock(); defer en.mu.Unlock(); en.version = n }
 
 // SetPace makes all times that many times as long.
-func (en *Engine) SetSlowdown(x float64) { en.mu.Lock(); defer en.mu.Unlock(); en.pace = x }
+func (en *Engine) SetSlowdown(x float64) { en.mu.Lock(); defer en.mu.Unlock(); en.slowdown = x }
 
 // Version returns the version of the weights.
 func (en *Engine) Version() int { en.mu.Lock(); defer en.mu.Unlock(); return en.version }
 
 // Reports returns how many reports were asked for.
-func (en *Engine) ReportCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.reports }
+func (en *Engine) ReportCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.reportCount }
 
 // DoubleUses returns how many requests used a ticket while another one did.
 func (en *Engine) ConcurrentTicketUses() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.doubleUses
+	return en.concurrentTicketUses
 }
 
 // MemoryUsed returns the memory in use and set aside, in tokens.
-func (en *Engine) MemoryUsed() int { return en.gate.UsedTokens() }
+func (en *Engine) MemoryUsed() int { return en.admission.UsedTokens() }
 
-func (en *Engine) paced(d time.Duration) time.Duration {
+func (en *Engine) slowed(d time.Duration) time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return time.Duration(float64(d) * en.pace)
+	return time.Duration(float64(d) * en.slowdown)
 }
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -24,7 +24,7 @@
 	Status int  `json:"-"`
 }
 
-func (or Order) hold() time.Duration { return time.Duration(or.HoldMs) * time.Millisecond }
+func (or Order) holdTime() time.Duration { return time.Duration(or.HoldMs) * time.Millisecond }
 
 // ticket is memory set aside.
 type ticket struct {
@@ -33,8 +33,8 @@
 	// granted is closed once the memory is set aside.
 	granted <-chan struct{}
 	// arrived is the time of the newest order for it, from which its hold time runs.
-	arrived time.Time
-	expiry  *time.Timer
+	renewedAt time.Time
+	expiry    *time.Timer
 }
 
 // held reports whether the memory is set aside; a nil ticket has none.
@@ -57,31 +57,31 @@
 	return slices.Clone(en.orders)
 }
 
-func (en *Engine) order(body []byte) fault.Response {
+func (en *Engine) handleOrder(body []byte) fault.Response {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	var or Order
 	or.Status = http.StatusBadRequest
 	if json.Unmarshal(body, &or) == nil {
-		or.Status = en.carryOut(or)
+		or.Status = en.applyOrder(or)
 	}
 	en.orders = append(en.orders, or)
 	if or.Status == http.StatusBadRequest {
 		return fault.NewResponse(or.Status, nil)
 	}
-	return encode(or.Status, struct {
+	return jsonResponse(or.Status, struct {
 		Free int `json:"free"`
-	}{en.gate.FreeTokens()})
+	}{en.admission.FreeTokens()})
 }
 
 // carryOut is called with the lock held, and returns the status of the answer.
-func (en *Engine) carryOut(or Order) int {
+func (en *Engine) applyOrder(or Order) int {
 	switch or.Op {
 	case "reserve":
 		return en.reserve(or)
 	case "release":
 		if tk := en.tickets[or.ID]; tk != nil {
-			en.drop(tk)
+			en.deleteTicket(tk)
 		}
 		return http.StatusOK
 	default:
@@ -93,7 +93,7 @@
 	if or.ID == "" || or.TokenCount <= 0 || or.TokenCount > en.settings.MemoryTokens {
 		return http.StatusBadRequest
 	}
-	if or.hold() <= 0 || or.hold() > en.settings.MaxHold {
+	if or.holdTime() <= 0 || or.holdTime() > en.settings.MaxHold {
 		return http.StatusBadRequest
 	}
 	tk := en.tickets[or.ID]
@@ -101,14 +101,14 @@
 		return http.StatusConflict
 	}
 	if tk == nil {
-		granted := en.gate.Reserve(or.TokenCount, or.Wait)
+		granted := en.admission.Reserve(or.TokenCount, or.Wait)
 		if granted == nil {
 			return http.StatusConflict
 		}
 		tk = &ticket{id: or.ID, tokens: or.TokenCount, granted: granted}
 		en.tickets[or.ID] = tk
 	}
-	en.renew(tk, or.hold())
+	en.renewTicket(tk, or.holdTime())
 	if !tk.held() {
 		return http.StatusAccepted
 	}
@@ -116,42 +116,42 @@
 }
 
 // renew starts the hold time anew.
-func (en *Engine) renew(tk *ticket, hold time.Duration) {
+func (en *Engine) renewTicket(tk *ticket, hold time.Duration) {
 	if tk.expiry != nil {
 		tk.expiry.Stop()
 	}
-	tk.arrived = time.Now()
-	arrived := tk.arrived
+	tk.renewedAt = time.Now()
+	arrived := tk.renewedAt
 	tk.expiry = time.AfterFunc(hold, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		if en.tickets[tk.id] == tk && tk.arrived.Equal(arrived) {
-			en.drop(tk)
+		if en.tickets[tk.id] == tk && tk.renewedAt.Equal(arrived) {
+			en.deleteTicket(tk)
 		}
 	})
 }
 
 // drop frees the memory of a ticket and cuts the requests that use it.
-func (en *Engine) drop(tk *ticket) {
+func (en *Engine) deleteTicket(tk *ticket) {
 	tk.expiry.Stop()
 	delete(en.tickets, tk.id)
-	en.gate.EndReservation(tk.tokens, tk.granted)
-	for us := range en.helped {
+	en.admission.EndReservation(tk.tokens, tk.granted)
+	for us := range en.helping {
 		if us.ticket == tk {
-			us.cut()
+			us.abort()
 		}
 	}
 }
 
 // dropTickets frees all tickets and cuts all requests that depend on this engine.
-func (en *Engine) dropTickets() {
+func (en *Engine) deleteAllTickets() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, tk := range en.tickets {
-		en.drop(tk)
+		en.deleteTicket(tk)
 	}
-	for us := range en.helped {
-		us.cut()
+	for us := range en.helping {
+		us.abort()
 	}
 }
 
@@ -179,14 +179,14 @@
 	all := make([]Ticket, 0, len(en.tickets))
 	for _, tk := range en.tickets {
 		all = append(all, Ticket{
-			ID: tk.id, TokenCount: tk.tokens, State: en.stateOf(tk), AgeMs: time.Since(tk.arrived).Milliseconds(),
+			ID: tk.id, TokenCount: tk.tokens, State: en.ticketState(tk), AgeMs: time.Since(tk.renewedAt).Milliseconds(),
 		})
 	}
 	slices.SortFunc(all, func(a, b Ticket) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (en *Engine) stateOf(tk *ticket) string {
+func (en *Engine) ticketState(tk *ticket) string {
 	switch {
 	case !tk.held():
 		return "waiting"
@@ -217,19 +217,19 @@
 	Tickets  []Ticket      `json:"tickets"`
 }
 
-func (en *Engine) report([]byte) fault.Response {
+func (en *Engine) handleReport([]byte) fault.Response {
 	tickets := en.Tickets()
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.reports++
-	return encode(http.StatusOK, report{
+	en.reportCount++
+	return jsonResponse(http.StatusOK, report{
 		Stage: "both", Models: []modelReport{{Name: en.settings.Model, Version: en.version, Adapters: []string{}}},
-		Waiting: en.gate.WaitingCount(), Running: en.gate.RunningCount(), KVUsed: en.gate.UsedTokens(), KVTotal: en.settings.MemoryTokens,
-		Pace: en.pace, Tickets: tickets,
+		Waiting: en.admission.WaitingCount(), Running: en.admission.RunningCount(), KVUsed: en.admission.UsedTokens(), KVTotal: en.settings.MemoryTokens,
+		Pace: en.slowdown, Tickets: tickets,
 	})
 }
 
-func encode(status int, v any) fault.Response {
+func jsonResponse(status int, v any) fault.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
 		return fault.NewResponse(http.StatusInternalServerError, []byte(err.Error()))
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -19,23 +19,23 @@
 	HeaderPromptPrefix  = "X-Prompt-Prefix"
 	HeaderVersions      = "Versions"
 	HeaderExpectVersion = "Expect-Version"
-	eventStream         = "text/event-stream"
+	eventStreamType     = "text/event-stream"
 )
 
 // usage is the size of a request, in tokens.
 type usage struct {
-	prompt, answer int
+	promptTokens, answerTokens int
 }
 
 // usageOf reports false when the request does not name its size.
-func usageOf(rq *http.Request) (usage, bool) {
+func parseUsage(rq *http.Request) (usage, bool) {
 	first, second, _ := strings.Cut(rq.Header.Get(HeaderTokenUsage), ",")
 	prompt, err := strconv.Atoi(strings.TrimSpace(first))
 	if err != nil || prompt < 0 {
 		return usage{}, false
 	}
 	answer, err := strconv.Atoi(strings.TrimSpace(second))
-	return usage{prompt: prompt, answer: answer}, err == nil && answer > 0
+	return usage{promptTokens: prompt, answerTokens: answer}, err == nil && answer > 0
 }
 
 // check returns the memory that a request needs at this engine, or why it is not taken.
@@ -45,7 +45,7 @@
 		an := fault.NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(fault.HeaderInstance, en.InstanceID())
 		return 0, &an
 	}
-	us, ok := usageOf(rq)
+	us, ok := parseUsage(rq)
 	if !ok {
 		an := fault.Refusal(http.StatusBadRequest)
 		return 0, &an
@@ -55,27 +55,27 @@
 		an := fault.Refusal(http.StatusBadRequest)
 		return 0, &an
 	}
-	lent, lacking := en.lent(helpers)
+	lent, lacking := en.lentTokens(helpers)
 	if lacking != "" {
-		an := refusalAt(lacking)
+		an := refusalNaming(lacking)
 		return 0, &an
 	}
-	return max(0, us.prompt+us.answer-lent), nil
+	return max(0, us.promptTokens+us.answerTokens-lent), nil
 }
 
 // refusalAt refuses a request because of the engine at that address.
-func refusalAt(address string) fault.Response {
+func refusalNaming(address string) fault.Response {
 	return fault.Refusal(http.StatusServiceUnavailable).WithHeader(fault.HeaderAtServer, address)
 }
 
 // run reads the prompt, and returns a stream that begins with the first event that the caller lacks.
 func (en *Engine) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
 	helpers, _ := parseHelpers(rq.Header.Get(fault.HeaderHelpers)) // check has refused those that do not parse
-	uctx := en.useHelpers(ctx, helpers)
-	us, _ := usageOf(rq) // as above
+	uctx := en.engageHelpers(ctx, helpers)
+	us, _ := parseUsage(rq) // as above
 	readers := time.Duration(1 + len(helpers))
-	if !sleep(uctx, en.paced(time.Duration(us.prompt)*en.settings.PrefillPerToken/readers)) {
-		return refusalAt(cmp.Or(lostHelper(uctx), en.Address()))
+	if !sleep(uctx, en.slowed(time.Duration(us.promptTokens)*en.settings.PrefillPerToken/readers)) {
+		return refusalNaming(cmp.Or(lostHelperAddress(uctx), en.Address()))
 	}
 	begin()
 	return en.stream(uctx, rq, us)
@@ -83,7 +83,7 @@
 
 func (en *Engine) stream(ctx context.Context, rq *http.Request, us usage) fault.Response {
 	version := en.Version()
-	last := (us.answer + en.settings.TokensPerEvent - 1) / en.settings.TokensPerEvent
+	last := (us.answerTokens + en.settings.TokensPerEvent - 1) / en.settings.TokensPerEvent
 	from, err := strconv.Atoi(rq.Header.Get(fault.HeaderLastEventID))
 	if err != nil {
 		from = 0 // a request without a number starts at the beginning
@@ -91,11 +91,11 @@
 	body := func(send func([]byte) bool) bool {
 		told := version
 		for id := from + 1; id <= last; id++ {
-			if !sleep(ctx, en.paced(en.settings.EventInterval)) {
+			if !sleep(ctx, en.slowed(en.settings.EventInterval)) {
 				return false
 			}
 			now := en.Version()
-			if !send(event(rq, id, now, now != told)) {
+			if !send(encodeEvent(rq, id, now, now != told)) {
 				return false
 			}
 			told = now
@@ -103,11 +103,11 @@
 		return true
 	}
 	an := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Chunked, Body: body}
-	return an.WithHeader("Content-Type", eventStream).WithHeader(HeaderVersions, strconv.Itoa(version))
+	return an.WithHeader("Content-Type", eventStreamType).WithHeader(HeaderVersions, strconv.Itoa(version))
 }
 
 // event returns one event; its data depends on the request and the id alone, so that any engine can go on.
-func event(rq *http.Request, id, version int, changed bool) []byte {
+func encodeEvent(rq *http.Request, id, version int, changed bool) []byte {
 	var buf bytes.Buffer
 	if changed {
 		fmt.Fprintf(&buf, "versions: %d\n", version)
--- a/internal/standin/objectsim/call.go
+++ b/internal/standin/objectsim/call.go
@@ -40,10 +40,10 @@
 
 // request is a call with its arguments.
 type request struct {
-	call CallKey
-	key  key
+	callKey CallKey
+	key     key
 	// after is the name after which a list continues.
-	after string
+	afterName string
 	// revision is the condition of a write, or where a watch begins.
 	revision int64
 	wait     time.Duration
@@ -52,7 +52,7 @@
 
 func (ty CallType) writes() bool { return ty == Create || ty == Put || ty == Status || ty == Delete }
 
-func (rc request) writes() bool { return rc.call.Type.writes() }
+func (rc request) writes() bool { return rc.callKey.Type.writes() }
 
 // parse reports false when the call is none of the protocol's.
 func parse(r *http.Request, body []byte) (request, bool) {
@@ -66,15 +66,15 @@
 		rc.key.name = parts[1]
 	}
 	query := r.URL.Query()
-	rc.call = CallKey{Kind: parts[0], Type: typeOf(r.Method, parts, query), Stale: query.Get("stale") == "1"}
-	if rc.call.Type == "" || rc.key.kind == "" {
+	rc.callKey = CallKey{Kind: parts[0], Type: callTypeOf(r.Method, parts, query), Stale: query.Get("stale") == "1"}
+	if rc.callKey.Type == "" || rc.key.kind == "" {
 		return request{}, false
 	}
 	return rc, rc.readQuery(query) && rc.readBody(body)
 }
 
 // typeOf returns an empty type for what is no call.
-func typeOf(method string, parts []string, query url.Values) CallType {
+func callTypeOf(method string, parts []string, query url.Values) CallType {
 	switch {
 	case method == http.MethodGet && len(parts) == 1 && query.Has("watch"):
 		return Watch
@@ -96,24 +96,24 @@
 }
 
 func (rc *request) readQuery(query url.Values) bool {
-	rc.after = query.Get("after_revision")
-	revision, ok := number(query, "revision")
+	rc.afterName = query.Get("after_revision")
+	revision, ok := parseNumber(query, "revision")
 	if !ok {
 		return false
 	}
 	rc.revision = revision
-	if rc.call.Type != Watch {
+	if rc.callKey.Type != Watch {
 		return true
 	}
-	from, okFrom := number(query, "watch")
-	ms, okWait := number(query, "wait_ms")
+	from, okFrom := parseNumber(query, "watch")
+	ms, okWait := parseNumber(query, "wait_ms")
 	rc.revision = from
 	rc.wait = time.Duration(ms) * time.Millisecond
 	return okFrom && okWait && rc.wait <= maxWait
 }
 
 // number returns zero for an argument that is absent, and false for one that is no whole number from zero.
-func number(query url.Values, name string) (int64, bool) {
+func parseNumber(query url.Values, name string) (int64, bool) {
 	if !query.Has(name) {
 		return 0, true
 	}
@@ -122,7 +122,7 @@
 }
 
 func (rc *request) readBody(body []byte) bool {
-	if !rc.writes() || rc.call.Type == Delete {
+	if !rc.writes() || rc.callKey.Type == Delete {
 		return true
 	}
 	if json.Unmarshal(body, &rc.object) != nil {
@@ -131,10 +131,10 @@
 	spec, errSpec := canonical(rc.object.Spec)
 	status, errStatus := canonical(rc.object.Status)
 	rc.object.Spec, rc.object.Status = spec, status
-	if rc.call.Type == Create && rc.key.name == "" {
+	if rc.callKey.Type == Create && rc.key.name == "" {
 		rc.key.name = rc.object.Metadata.Name
 	}
-	if rc.call.Type != Create && rc.revision == 0 {
+	if rc.callKey.Type != Create && rc.revision == 0 {
 		rc.revision = rc.object.Metadata.Revision
 	}
 	return errSpec == nil && errStatus == nil && rc.key.name != ""
@@ -148,7 +148,7 @@
 
 // era returns that of the state that the answer tells, if it was noted.
 func (rp reply) era(otherwise int64) int64 {
-	if pg, ok := rp.body.(page); ok {
+	if pg, ok := rp.body.(listPage); ok {
 		return pg.era
 	}
 	return otherwise
@@ -165,12 +165,12 @@
 }
 
 // do does any call but a watch.
-func (ep *Endpoint) do(rc request) reply {
-	switch rc.call.Type {
+func (ep *Endpoint) execute(rc request) reply {
+	switch rc.callKey.Type {
 	case List:
-		return reply{http.StatusOK, ep.store.list(rc.key.kind, rc.after, ep.page, rc.call.Stale)}
+		return reply{http.StatusOK, ep.store.list(rc.key.kind, rc.afterName, ep.pageSize, rc.callKey.Stale)}
 	case Get:
-		ob, ok := ep.store.get(rc.key, rc.call.Stale)
+		ob, ok := ep.store.get(rc.key, rc.callKey.Stale)
 		if !ok {
 			return reply{http.StatusNotFound, nil}
 		}
@@ -184,20 +184,20 @@
 	}
 }
 
-func (ep *Endpoint) write(rc request) verdict {
-	switch rc.call.Type {
+func (ep *Endpoint) write(rc request) writeResult {
+	switch rc.callKey.Type {
 	case Create:
 		rc.object.Status = json.RawMessage("null")
 		return ep.store.create(rc.key, rc.object)
 	case Delete:
 		return ep.store.remove(rc.key, rc.revision)
 	case Status:
-		return ep.store.alter(rc.key, rc.revision, func(ob Object) Object {
+		return ep.store.update(rc.key, rc.revision, func(ob Object) Object {
 			ob.Status = rc.object.Status
 			return ob
 		})
 	default:
-		return ep.store.alter(rc.key, rc.revision, func(ob Object) Object {
+		return ep.store.update(rc.key, rc.revision, func(ob Object) Object {
 			ob.Spec = rc.object.Spec
 			ob.Metadata.Finalizers = rc.object.Metadata.Finalizers
 			return ob
@@ -207,13 +207,13 @@
 
 // watch answers as soon as there is an event, the wait is over or history is gone; a cut closes the connection.
 func (ep *Endpoint) watch(w http.ResponseWriter, r *http.Request, rc request) {
-	cut, stop := ep.enrol(r.Context())
+	cut, stop := ep.addWatch(r.Context())
 	defer stop()
 	over := time.NewTimer(rc.wait)
 	defer over.Stop()
 	for {
 		bt, changed, ok := ep.store.since(rc.key.kind, rc.revision)
-		tellEra(w, bt.era)
+		setEra(w, bt.era)
 		if !ok {
 			w.WriteHeader(http.StatusGone)
 			return
@@ -228,19 +228,19 @@
 			reply{http.StatusOK, bt}.write(w)
 			return
 		case <-cut.Done():
-			reset(w)
+			resetConnection(w)
 			return
 		}
 	}
 }
 
 // enrol returns a context that ends when the watch is cut or its caller goes.
-func (ep *Endpoint) enrol(ctx context.Context) (cut context.Context, stop func()) {
+func (ep *Endpoint) addWatch(ctx context.Context) (cut context.Context, stop func()) {
 	cut, cancel := context.WithCancel(ctx)
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
-	ep.watched++
-	id := ep.watched
+	ep.lastWatchID++
+	id := ep.lastWatchID
 	ep.watches[id] = cancel
 	return cut, func() {
 		cancel()
--- a/internal/standin/objectsim/door.go
+++ b/internal/standin/objectsim/endpoint.go
@@ -33,41 +33,41 @@
 
 // faults are what a door does to the calls to come.
 type faults struct {
-	mode Outage
-	slow time.Duration
+	outage Outage
+	delay  time.Duration
 	// lost counts the writing calls to come that are done without an answer.
-	lost int
+	responsesToLose int
 	// late counts the writing calls to come that lose their connection and are done after lateBy.
-	late   int
-	lateBy time.Duration
+	writesToDelay int
+	writeDelay    time.Duration
 }
 
 // Door is one address of the store. Its faults may be set at any time.
 type Endpoint struct {
-	store  *store
-	page   int
-	ln     net.Listener
-	server *http.Server
-	ctx    context.Context
-	cancel context.CancelFunc
+	store    *store
+	pageSize int
+	listener net.Listener
+	server   *http.Server
+	ctx      context.Context
+	cancel   context.CancelFunc
 	// wg counts the writes that are done late.
 	wg sync.WaitGroup
 
-	mu      sync.Mutex
-	faults  faults
-	calls   map[CallKey]int
-	watches map[int]context.CancelFunc
-	watched int
+	mu          sync.Mutex
+	faults      faults
+	calls       map[CallKey]int
+	watches     map[int]context.CancelFunc
+	lastWatchID int
 }
 
-func openDoor(st *store, page int) (*Endpoint, error) {
+func openEndpoint(st *store, page int) (*Endpoint, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for the stand-in store")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	dr := &Endpoint{
-		store: st, page: page, ln: ln, ctx: ctx, cancel: cancel,
+		store: st, pageSize: page, listener: ln, ctx: ctx, cancel: cancel,
 		calls: map[CallKey]int{}, watches: map[int]context.CancelFunc{},
 	}
 	dr.server = &http.Server{
@@ -79,7 +79,7 @@
 }
 
 // Address returns the host and port.
-func (ep *Endpoint) Address() string { return ep.ln.Addr().String() }
+func (ep *Endpoint) Address() string { return ep.listener.Addr().String() }
 
 // URL returns the base of all paths, without a slash at its end.
 func (ep *Endpoint) URL() string { return "http://" + ep.Address() }
@@ -92,21 +92,23 @@
 }
 
 // Down turns away the calls to come; Up ends it.
-func (ep *Endpoint) SetOutage(md Outage) { ep.change(func(fs *faults) { fs.mode = md }) }
+func (ep *Endpoint) SetOutage(md Outage) { ep.updateFaults(func(fs *faults) { fs.outage = md }) }
 
 // Slow makes each call take that much longer.
-func (ep *Endpoint) SetDelay(d time.Duration) { ep.change(func(fs *faults) { fs.slow = d }) }
+func (ep *Endpoint) SetDelay(d time.Duration) { ep.updateFaults(func(fs *faults) { fs.delay = d }) }
 
 // LoseAnswers makes the next n writing calls be done and their connections cut without an answer.
-func (ep *Endpoint) LoseResponses(n int) { ep.change(func(fs *faults) { fs.lost = n }) }
+func (ep *Endpoint) LoseResponses(n int) {
+	ep.updateFaults(func(fs *faults) { fs.responsesToLose = n })
+}
 
 // DelayWrites cuts the connections of the next n writing calls, and does the calls after d if their condition holds
 // then.
 func (ep *Endpoint) DelayWrites(n int, d time.Duration) {
-	ep.change(func(fs *faults) { fs.late, fs.lateBy = n, d })
+	ep.updateFaults(func(fs *faults) { fs.writesToDelay, fs.writeDelay = n, d })
 }
 
-func (ep *Endpoint) change(edit func(*faults)) {
+func (ep *Endpoint) updateFaults(edit func(*faults)) {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	edit(&ep.faults)
@@ -146,70 +148,70 @@
 		http.Error(w, "no such call", http.StatusBadRequest)
 		return
 	}
-	fs := ep.note(rc.call)
-	if !pause(r.Context(), fs.slow) {
+	fs := ep.recordCall(rc.callKey)
+	if !sleep(r.Context(), fs.delay) {
 		return
 	}
 	switch {
-	case fs.mode != NoOutage:
-		turnAway(w, r, fs.mode)
-	case rc.call.Type == Watch:
+	case fs.outage != NoOutage:
+		failCall(w, r, fs.outage)
+	case rc.callKey.Type == Watch:
 		ep.watch(w, r, rc)
-	case fs.late > 0 && rc.writes():
-		ep.doLate(rc, fs.lateBy)
-		reset(w)
-	case fs.lost > 0 && rc.writes():
-		ep.do(rc)
-		reset(w)
+	case fs.writesToDelay > 0 && rc.writes():
+		ep.executeLate(rc, fs.writeDelay)
+		resetConnection(w)
+	case fs.responsesToLose > 0 && rc.writes():
+		ep.execute(rc)
+		resetConnection(w)
 	default:
-		era := ep.store.eraNow()
-		rp := ep.do(rc)
-		tellEra(w, rp.era(era))
+		era := ep.store.currentEra()
+		rp := ep.execute(rc)
+		setEra(w, rp.era(era))
 		rp.write(w)
 	}
 }
 
 // note counts a call and returns the faults that act on it.
-func (ep *Endpoint) note(cl CallKey) faults {
+func (ep *Endpoint) recordCall(cl CallKey) faults {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	ep.calls[cl]++
 	fs := ep.faults
-	if fs.mode != NoOutage || !cl.Type.writes() {
+	if fs.outage != NoOutage || !cl.Type.writes() {
 		return fs
 	}
-	if fs.late > 0 {
-		ep.faults.late--
-	} else if fs.lost > 0 {
-		ep.faults.lost--
+	if fs.writesToDelay > 0 {
+		ep.faults.writesToDelay--
+	} else if fs.responsesToLose > 0 {
+		ep.faults.responsesToLose--
 	}
 	return fs
 }
 
-func (ep *Endpoint) doLate(rc request, d time.Duration) {
+func (ep *Endpoint) executeLate(rc request, d time.Duration) {
 	ep.wg.Go(func() {
-		if pause(ep.ctx, d) {
-			ep.do(rc)
+		if sleep(ep.ctx, d) {
+			ep.execute(rc)
 		}
 	})
 }
 
-func turnAway(w http.ResponseWriter, r *http.Request, md Outage) {
+func failCall(w http.ResponseWriter, r *http.Request, md Outage) {
 	switch md {
 	case Silent:
 		<-r.Context().Done()
-		reset(w)
+		resetConnection(w)
 	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
 	default:
-		reset(w)
+		resetConnection(w)
 	}
 }
 
 // reset drops the connection and all bytes still under way.
-func reset(w http.ResponseWriter) {
+func resetConnection(w http.ResponseWriter) {
 	nc, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler) // the server then closes the connection
@@ -221,7 +223,7 @@
 }
 
 // pause reports false when ctx ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
--- a/internal/standin/objectsim/object.go
+++ b/internal/standin/objectsim/object.go
@@ -33,7 +33,7 @@
 	Object  Object `json:"object"`
 }
 
-func (ob Object) same(other Object) bool {
+func (ob Object) sameState(other Object) bool {
 	return bytes.Equal(ob.Spec, other.Spec) && bytes.Equal(ob.Status, other.Status) &&
 		slices.Equal(ob.Metadata.Finalizers, other.Metadata.Finalizers) &&
 		ob.Metadata.Deleting == other.Metadata.Deleting
--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -10,7 +10,7 @@
 )
 
 // defaultPage is the protocol's bound on the entries of a list.
-const defaultPage = 500
+const defaultPageSize = 500
 
 // Settings are the sizes of a store.
 type Settings struct {
@@ -33,7 +33,7 @@
 
 // Start starts a store on a free port of the loopback address.
 func Start(opts ...Option) (*Sim, error) {
-	se := Settings{PageSize: defaultPage}
+	se := Settings{PageSize: defaultPageSize}
 	for _, opt := range opts {
 		opt(&se)
 	}
@@ -44,7 +44,7 @@
 }
 
 // OpenDoor returns one more address of the same store, with faults of its own. It is closed by itself.
-func (sm *Sim) OpenEndpoint() (*Endpoint, error) { return openDoor(sm.store, sm.settings.PageSize) }
+func (sm *Sim) OpenEndpoint() (*Endpoint, error) { return openEndpoint(sm.store, sm.settings.PageSize) }
 
 // PutSpec makes an object or replaces its spec, and returns its revision. No fault touches it.
 func (sm *Sim) PutSpec(kind, name string, spec any) (int64, error) {
@@ -74,10 +74,10 @@
 }
 
 // Revision returns the store's revision.
-func (sm *Sim) Revision() int64 { return sm.store.at() }
+func (sm *Sim) Revision() int64 { return sm.store.currentRevision() }
 
 // Forget drops the history, so that watches from before it are told so.
-func (sm *Sim) CompactHistory() { sm.store.forget() }
+func (sm *Sim) CompactHistory() { sm.store.compactHistory() }
 
 // FreezeStale makes stale reads show the present state until it is called with false.
-func (sm *Sim) FreezeStaleReads(on bool) { sm.store.freeze(on) }
+func (sm *Sim) FreezeStaleReads(on bool) { sm.store.freezeStale(on) }
--- a/internal/standin/objectsim/store.go
+++ b/internal/standin/objectsim/store.go
@@ -8,11 +8,11 @@
 )
 
 // lapsingKind is the kind whose objects go whatever their finalizers.
-const lapsingKind = "servers"
+const kindIgnoringFinalizers = "servers"
 
 type key struct{ kind, name string }
 
-type change struct {
+type historyEntry struct {
 	revision int64
 	kind     string
 	event    Event
@@ -27,8 +27,8 @@
 	revision int64
 	objects  map[key]Object
 	// history holds the changes after floor, in order.
-	history []change
-	floor   int64
+	history           []historyEntry
+	compactedRevision int64
 	// stale is what stale reads see, with its revision; nil shows the present.
 	stale         map[key]Object
 	staleRevision int64
@@ -41,18 +41,18 @@
 }
 
 // page is one answer to a list.
-type page struct {
+type listPage struct {
 	Entries []Object `json:"entries"`
 	More    bool     `json:"more"`
 	At      int64    `json:"at"`
 	era     int64
 }
 
-func (st *store) list(kind, after string, size int, stale bool) page {
+func (st *store) list(kind, after string, size int, stale bool) listPage {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	objects, at := st.view(stale)
-	pg := page{Entries: []Object{}, At: at, era: st.era}
+	objects, at := st.readableState(stale)
+	pg := listPage{Entries: []Object{}, At: at, era: st.era}
 	for _, name := range namesOf(objects, kind) {
 		if name <= after {
 			continue
@@ -66,7 +66,7 @@
 	return pg
 }
 
-func (st *store) view(stale bool) (map[key]Object, int64) {
+func (st *store) readableState(stale bool) (map[key]Object, int64) {
 	if stale && st.stale != nil {
 		return st.stale, st.staleRevision
 	}
@@ -87,13 +87,13 @@
 func (st *store) get(ky key, stale bool) (Object, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	objects, _ := st.view(stale)
+	objects, _ := st.readableState(stale)
 	ob, ok := objects[ky]
 	return ob, ok
 }
 
 // batch is one answer to a watch.
-type batch struct {
+type watchResult struct {
 	Events []Event `json:"events"`
 	At     int64   `json:"at"`
 	era    int64
@@ -101,11 +101,11 @@
 
 // since returns the changes of a kind after a revision, and a channel that is closed at the next change. It reports
 // false when the history is gone, or when there is no such revision.
-func (st *store) since(kind string, after int64) (batch, <-chan struct{}, bool) {
+func (st *store) since(kind string, after int64) (watchResult, <-chan struct{}, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	bt := batch{Events: []Event{}, At: st.revision, era: st.era}
-	if after < st.floor || after > st.revision {
+	bt := watchResult{Events: []Event{}, At: st.revision, era: st.era}
+	if after < st.compactedRevision || after > st.revision {
 		return bt, nil, false
 	}
 	for _, ch := range st.history {
@@ -117,41 +117,41 @@
 }
 
 // verdict is the outcome of a writing call.
-type verdict struct {
+type writeResult struct {
 	status int
 	// object is the object as it is after the call; it is nil with 404.
 	object *Object
 }
 
 // alter replaces an object by what edit makes of it, if it is there and has the revision; zero sets no condition.
-func (st *store) alter(ky key, revision int64, edit func(Object) Object) verdict {
+func (st *store) update(ky key, revision int64, edit func(Object) Object) writeResult {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	ob, ok := st.objects[ky]
 	if !ok {
-		return verdict{status: http.StatusNotFound}
+		return writeResult{status: http.StatusNotFound}
 	}
 	if revision != 0 && revision != ob.Metadata.Revision {
-		return verdict{status: http.StatusConflict, object: &ob}
+		return writeResult{status: http.StatusConflict, object: &ob}
 	}
 	next := edit(ob)
-	if next.same(ob) {
-		return verdict{status: http.StatusOK, object: &ob}
+	if next.sameState(ob) {
+		return writeResult{status: http.StatusOK, object: &ob}
 	}
-	next = st.keep(ky, next)
-	return verdict{status: http.StatusOK, object: &next}
+	next = st.commit(ky, next)
+	return writeResult{status: http.StatusOK, object: &next}
 }
 
 // create makes an object that is not there yet.
-func (st *store) create(ky key, ob Object) verdict {
+func (st *store) create(ky key, ob Object) writeResult {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if old, ok := st.objects[ky]; ok {
-		return verdict{status: http.StatusConflict, object: &old}
+		return writeResult{status: http.StatusConflict, object: &old}
 	}
 	ob.Metadata = Metadata{Name: ky.name, CreateRevision: st.revision + 1, Finalizers: ob.Metadata.Finalizers}
-	ob = st.keep(ky, ob)
-	return verdict{status: http.StatusOK, object: &ob}
+	ob = st.commit(ky, ob)
+	return writeResult{status: http.StatusOK, object: &ob}
 }
 
 // put makes an object or replaces its spec.
@@ -160,7 +160,7 @@
 		if vd := st.create(ky, ob); vd.status == http.StatusOK {
 			return vd.object.Metadata.Revision
 		}
-		vd := st.alter(ky, 0, func(old Object) Object {
+		vd := st.update(ky, 0, func(old Object) Object {
 			old.Spec = ob.Spec
 			return old
 		})
@@ -171,27 +171,27 @@
 }
 
 // remove marks an object as deleting, and drops it when it has no finalizers.
-func (st *store) remove(ky key, revision int64) verdict {
-	return st.alter(ky, revision, func(ob Object) Object {
+func (st *store) remove(ky key, revision int64) writeResult {
+	return st.update(ky, revision, func(ob Object) Object {
 		ob.Metadata.Deleting = true
 		return ob
 	})
 }
 
 // keep stores a changed object, or drops it when it is deleting and nothing holds it; it is called with the lock held.
-func (st *store) keep(ky key, ob Object) Object {
+func (st *store) commit(ky key, ob Object) Object {
 	st.revision++
 	ob.Metadata.Revision = st.revision
 	if ob.Metadata.Finalizers == nil {
 		ob.Metadata.Finalizers = []string{}
 	}
-	gone := ob.Metadata.Deleting && (len(ob.Metadata.Finalizers) == 0 || ky.kind == lapsingKind)
+	gone := ob.Metadata.Deleting && (len(ob.Metadata.Finalizers) == 0 || ky.kind == kindIgnoringFinalizers)
 	if gone {
 		delete(st.objects, ky)
 	} else {
 		st.objects[ky] = ob
 	}
-	st.history = append(st.history, change{revision: st.revision, kind: ky.kind, event: Event{Deleted: gone, Object: ob}})
+	st.history = append(st.history, historyEntry{revision: st.revision, kind: ky.kind, event: Event{Deleted: gone, Object: ob}})
 	st.signal()
 	return ob
 }
@@ -201,15 +201,15 @@
 	st.changed = make(chan struct{})
 }
 
-func (st *store) forget() {
+func (st *store) compactHistory() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.history = nil
-	st.floor = st.revision
+	st.compactedRevision = st.revision
 	st.signal()
 }
 
-func (st *store) freeze(on bool) {
+func (st *store) freezeStale(on bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.stale = nil
@@ -219,4 +219,4 @@
 	}
 }
 
-func (st *store) at() int64 { st.mu.Lock(); defer st.mu.Unlock(); return st.revision }
+func (st *store) currentRevision() int64 { st.mu.Lock(); defer st.mu.Unlock(); return st.revision }
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -14,9 +14,9 @@
 
 const (
 	// defaultWork keeps tests quick.
-	defaultWork = time.Millisecond
+	defaultServiceTime = time.Millisecond
 	// defaultBytes is the mean length of a plain answer in the users' examples.
-	defaultBytes = 800
+	defaultResponseBytes = 800
 )
 
 // Settings are the sizes of a service.
@@ -51,17 +51,17 @@
 
 	mu sync.Mutex
 	// work is the present work time; count is the number of runs begun.
-	work  time.Duration
-	count int
+	serviceTime time.Duration
+	runCount    int
 }
 
 // Start starts a service on a free port of the loopback address.
 func Start(opts ...Option) (*Service, error) {
-	se := Settings{Settings: fault.DefaultSettings(), ServiceTime: defaultWork, ResponseBytes: defaultBytes}
+	se := Settings{Settings: fault.DefaultSettings(), ServiceTime: defaultServiceTime, ResponseBytes: defaultResponseBytes}
 	for _, opt := range opts {
 		opt(&se)
 	}
-	ps := &Service{settings: se, work: se.ServiceTime}
+	ps := &Service{settings: se, serviceTime: se.ServiceTime}
 	gt := fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
 	sv, err := fault.Start(se.Settings, gt, fault.Handler{Run: ps.run})
 	if err != nil {
@@ -75,7 +75,7 @@
 func (svc *Service) SetServiceTime(d time.Duration) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
-	svc.work = d
+	svc.serviceTime = d
 }
 
 // Body returns the body that a request for a method and URI is answered with.
@@ -86,7 +86,7 @@
 
 func (svc *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
 	begin()
-	work, failed := svc.note()
+	work, failed := svc.startRun()
 	select {
 	case <-time.After(work):
 	case <-ctx.Done():
@@ -97,9 +97,9 @@
 	return fault.NewResponse(http.StatusOK, []byte(svc.ResponseBody(rq.Method, rq.RequestURI)))
 }
 
-func (svc *Service) note() (work time.Duration, failed bool) {
+func (svc *Service) startRun() (work time.Duration, failed bool) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
-	svc.count++
-	return svc.work, svc.settings.ErrorEvery > 0 && svc.count%svc.settings.ErrorEvery == 0
+	svc.runCount++
+	return svc.serviceTime, svc.settings.ErrorEvery > 0 && svc.runCount%svc.settings.ErrorEvery == 0
 }
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -15,7 +15,7 @@
 	"github.com/silvermount/silvermount/internal/objectstore"
 )
 
-const maxWait = 30 * time.Second
+const maxWatchWait = 30 * time.Second
 
 type change struct {
 	kind   string
@@ -27,16 +27,16 @@
 	mu      sync.Mutex
 	version int64
 	objects map[string]map[string]objectstore.Object
-	log     []change
+	history []change
 	changed chan struct{}
 	down    bool
-	slow    time.Duration
+	delay   time.Duration
 	// loseAnswers counts down: that many writes take effect and then break the connection.
-	loseAnswers int
+	responsesToLose int
 	// frozen kinds answer lists and watches with what they held when frozen.
-	frozen map[string]objectstore.Listing
-	reads  int
-	writes int
+	frozen     map[string]objectstore.Listing
+	readCount  int
+	writeCount int
 }
 
 // New returns an empty store.
@@ -52,10 +52,10 @@
 func (st *Store) SetDown(down bool) { st.mu.Lock(); st.down = down; st.mu.Unlock() }
 
 // SetSlow delays every answer.
-func (st *Store) SetDelay(d time.Duration) { st.mu.Lock(); st.slow = d; st.mu.Unlock() }
+func (st *Store) SetDelay(d time.Duration) { st.mu.Lock(); st.delay = d; st.mu.Unlock() }
 
 // LoseAnswers makes the next n writes take effect without an answer.
-func (st *Store) LoseResponses(n int) { st.mu.Lock(); st.loseAnswers = n; st.mu.Unlock() }
+func (st *Store) LoseResponses(n int) { st.mu.Lock(); st.responsesToLose = n; st.mu.Unlock() }
 
 // Freeze makes a kind's lists and watches lag until Thaw.
 func (st *Store) Freeze(kind string) {
@@ -71,7 +71,7 @@
 func (st *Store) CallCounts() (reads, writes int) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return st.reads, st.writes
+	return st.readCount, st.writeCount
 }
 
 // Put writes an object as the platform itself would.
@@ -97,28 +97,28 @@
 // Handler serves the object API.
 func (st *Store) Handler() http.Handler {
 	rt := chi.NewRouter()
-	rt.Use(st.faults)
+	rt.Use(st.withFaults)
 	rt.Get("/objects/{kind}", func(w http.ResponseWriter, r *http.Request) {
 		st.mu.Lock()
 		l := st.listing(chi.URLParam(r, "kind"))
 		st.mu.Unlock()
 		jsonreply.Write(w, l)
 	})
-	rt.Get("/objects/{kind}/{name}", st.get)
-	rt.Put("/objects/{kind}/{name}", st.write)
-	rt.Delete("/objects/{kind}/{name}", st.write)
-	rt.Get("/watch/{kind}", st.watch)
+	rt.Get("/objects/{kind}/{name}", st.handleGet)
+	rt.Put("/objects/{kind}/{name}", st.handleWrite)
+	rt.Delete("/objects/{kind}/{name}", st.handleWrite)
+	rt.Get("/watch/{kind}", st.handleWatch)
 	return rt
 }
 
-func (st *Store) faults(next http.Handler) http.Handler {
+func (st *Store) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		st.mu.Lock()
-		down, slow := st.down, st.slow
+		down, slow := st.down, st.delay
 		if r.Method == http.MethodGet {
-			st.reads++
+			st.readCount++
 		} else {
-			st.writes++
+			st.writeCount++
 		}
 		st.mu.Unlock()
 		time.Sleep(slow)
@@ -130,7 +130,7 @@
 	})
 }
 
-func (st *Store) get(w http.ResponseWriter, r *http.Request) {
+func (st *Store) handleGet(w http.ResponseWriter, r *http.Request) {
 	st.mu.Lock()
 	o, ok := st.objects[chi.URLParam(r, "kind")][chi.URLParam(r, "name")]
 	st.mu.Unlock()
@@ -141,7 +141,7 @@
 	jsonreply.Write(w, o)
 }
 
-func (st *Store) write(w http.ResponseWriter, r *http.Request) {
+func (st *Store) handleWrite(w http.ResponseWriter, r *http.Request) {
 	kind, name := chi.URLParam(r, "kind"), chi.URLParam(r, "name")
 	want, _ := strconv.ParseInt(r.URL.Query().Get("if_version"), 10, 64)
 	body, err := io.ReadAll(io.LimitReader(r.Body, objectstore.MaxValueBytes+1))
@@ -159,22 +159,22 @@
 		body = nil
 	}
 	o := st.put(kind, name, body)
-	if st.loseAnswers > 0 {
-		st.loseAnswers--
+	if st.responsesToLose > 0 {
+		st.responsesToLose--
 		panic(http.ErrAbortHandler)
 	}
 	jsonreply.Write(w, o)
 }
 
-func (st *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (st *Store) handleWatch(w http.ResponseWriter, r *http.Request) {
 	kind := chi.URLParam(r, "kind")
 	since, _ := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	wait, _ := time.ParseDuration(r.URL.Query().Get("wait"))
-	timer := time.NewTimer(min(wait, maxWait))
+	timer := time.NewTimer(min(wait, maxWatchWait))
 	defer timer.Stop()
 	for {
 		st.mu.Lock()
-		l := st.since(kind, since)
+		l := st.changesSince(kind, since)
 		changed, down := st.changed, st.down
 		st.mu.Unlock()
 		if down {
@@ -208,7 +208,7 @@
 	} else {
 		st.objects[kind][name] = o
 	}
-	st.log = append(st.log, change{kind: kind, object: o})
+	st.history = append(st.history, change{kind: kind, object: o})
 	close(st.changed)
 	st.changed = make(chan struct{})
 	return o
@@ -227,12 +227,12 @@
 }
 
 // since is called with the lock held.
-func (st *Store) since(kind string, version int64) objectstore.Listing {
+func (st *Store) changesSince(kind string, version int64) objectstore.Listing {
 	l := objectstore.Listing{Version: version}
 	if _, ok := st.frozen[kind]; ok {
 		return l
 	}
-	for _, c := range st.log {
+	for _, c := range st.history {
 		if c.kind == kind && c.object.Version > version {
 			l.Items = append(l.Items, c.object)
 			l.Version = c.object.Version
--- a/internal/standin/servicesim/servicesim.go
+++ b/internal/standin/servicesim/servicesim.go
@@ -16,17 +16,17 @@
 type Service struct {
 	mu sync.Mutex
 	// runs counts by the request's name.
-	runs map[string]int
+	runCounts map[string]int
 	// dropAfter breaks that many connections after the run.
-	dropAfter int
-	delay     time.Duration
+	responsesToDrop int
+	delay           time.Duration
 }
 
 // New returns a service.
-func New() *Service { return &Service{runs: map[string]int{}} }
+func New() *Service { return &Service{runCounts: map[string]int{}} }
 
 // DropAfterRun makes the next n requests run and then break without an answer.
-func (sv *Service) DropAfterRun(n int) { sv.mu.Lock(); sv.dropAfter = n; sv.mu.Unlock() }
+func (sv *Service) DropAfterRun(n int) { sv.mu.Lock(); sv.responsesToDrop = n; sv.mu.Unlock() }
 
 // SetDelay makes each run take that long.
 func (sv *Service) SetDelay(d time.Duration) { sv.mu.Lock(); sv.delay = d; sv.mu.Unlock() }
@@ -35,7 +35,7 @@
 func (sv *Service) RunCount(name string) int {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	return sv.runs[name]
+	return sv.runCounts[name]
 }
 
 // ServeHTTP runs one request and answers with its body.
@@ -45,10 +45,10 @@
 		return
 	}
 	sv.mu.Lock()
-	sv.runs[r.Header.Get(HeaderRequestName)]++
-	drop, delay := sv.dropAfter > 0, sv.delay
+	sv.runCounts[r.Header.Get(HeaderRequestName)]++
+	drop, delay := sv.responsesToDrop > 0, sv.delay
 	if drop {
-		sv.dropAfter--
+		sv.responsesToDrop--
 	}
 	sv.mu.Unlock()
 	time.Sleep(delay)
