--- a/internal/standin/fault/admission.go
+++ b/internal/standin/fault/admission.go
@@ -6,34 +6,36 @@
 	"sync"
 )
 
-// Gate admits requests to a bounded number of slots and a bounded memory, the most urgent first.
+// AdmissionQueue admits requests, the most urgent first, to a limited number of slots and a limited memory.
 type AdmissionQueue struct {
-	// slots and queue are counts of requests; memory is a count of tokens, and zero means that nothing bounds it.
+	// slots and maxWaiting limit the number of requests. A memoryTokens of zero means unlimited memory.
 	slots, maxWaiting, memoryTokens int
 
 	mu sync.Mutex
-	// running never exceeds slots, and used never exceeds memory.
+	// runningCount never exceeds slots, and usedTokens never exceeds a memoryTokens above zero.
 	runningCount, usedTokens int
-	// requests is in the order of admission.
+	// waiting holds the waiting requests in the order of admission.
 	waiting []*waiter
-	// reserves come before all requests, in the order of arrival.
+	// reservations holds the waiting reservations in the order of arrival. They are admitted before all requests.
 	reservations []*waiter
 }
 
+// waiter is a request or reservation that waits for admission.
 type waiter struct {
-	// priority is lowest for the most urgent request.
+	// priority is lower for more urgent requests.
 	priority int
 	tokens   int
-	// admitted is closed once the waiter has what it waits for.
+	// admitted is closed once the waiter has its memory and, for a request, its slot.
 	admitted chan struct{}
 }
 
-// NewGate returns a gate.
-func NewAdmissionQueue(slots, queue, memory int) *AdmissionQueue {
-	return &AdmissionQueue{slots: slots, maxWaiting: queue, memoryTokens: memory}
+// NewAdmissionQueue returns an empty queue. A memoryTokens of zero means unlimited memory.
+func NewAdmissionQueue(slots, maxWaiting, memoryTokens int) *AdmissionQueue {
+	return &AdmissionQueue{slots: slots, maxWaiting: maxWaiting, memoryTokens: memoryTokens}
 }
 
-// Enter waits for a slot and memory. It reports false when the queue is full, the request can never fit, or ctx ends.
+// Acquire waits for a slot and memory. It reports false when the queue is full, the request needs more memory than there
+// is in total, or ctx ends.
 func (aq *AdmissionQueue) Acquire(ctx context.Context, priority, tokens int) bool {
 	wt := aq.enqueue(priority, tokens)
 	if wt == nil {
@@ -47,7 +49,7 @@
 	}
 }
 
-// enqueue returns nil when the request is refused.
+// enqueue returns nil when the request does not fit the total memory or the queue is full.
 func (aq *AdmissionQueue) enqueue(priority, tokens int) *waiter {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
@@ -68,7 +70,7 @@
 	return wt
 }
 
-// withdraw takes a waiter back and reports whether it had been admitted by then.
+// withdraw removes a waiter from the queue. It reports true when the waiter was admitted before it could be removed.
 func (aq *AdmissionQueue) withdraw(wt *waiter) bool {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
@@ -80,7 +82,7 @@
 	return false
 }
 
-// Leave gives a slot and memory back.
+// Release frees the slot and the memory of a request.
 func (aq *AdmissionQueue) Release(tokens int) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
@@ -89,8 +91,8 @@
 	aq.admitWaiting()
 }
 
-// Reserve sets memory aside without a slot. It returns a channel that is closed once that is done, or nil when the
-// memory is not free and wait is false.
+// Reserve reserves memory without a slot. It returns a channel that is closed once the memory is granted, or nil when
+// the memory is not free and wait is false.
 func (aq *AdmissionQueue) Reserve(tokens int, wait bool) <-chan struct{} {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
@@ -104,7 +106,7 @@
 	return wt.admitted
 }
 
-// Release ends a reservation, be it granted or still waiting.
+// EndReservation ends a reservation, whether it is granted or still waiting.
 func (aq *AdmissionQueue) EndReservation(tokens int, admitted <-chan struct{}) {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
@@ -117,24 +119,24 @@
 	aq.admitWaiting()
 }
 
-// Running returns how many requests hold a slot.
+// RunningCount returns how many requests hold a slot.
 func (aq *AdmissionQueue) RunningCount() int {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	return aq.runningCount
 }
 
-// Waiting returns how many requests wait for a slot.
+// WaitingCount returns how many requests wait for a slot.
 func (aq *AdmissionQueue) WaitingCount() int {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
 	return len(aq.waiting)
 }
 
-// Used returns the memory in use and set aside, in tokens.
+// UsedTokens returns the memory that requests use and reservations hold, in tokens.
 func (aq *AdmissionQueue) UsedTokens() int { aq.mu.Lock(); defer aq.mu.Unlock(); return aq.usedTokens }
 
-// Free returns the memory that may be set aside, in tokens; it is zero while a reservation waits.
+// FreeTokens returns the memory that can be reserved, in tokens. It is zero while a reservation waits.
 func (aq *AdmissionQueue) FreeTokens() int {
 	aq.mu.Lock()
 	defer aq.mu.Unlock()
@@ -150,6 +152,8 @@
 	aq.reservations = slices.DeleteFunc(aq.reservations, same)
 }
 
+// admitWaiting admits all waiters that fit. Requests are held back while a reservation waits, so that they cannot
+// starve it.
 func (aq *AdmissionQueue) admitWaiting() {
 	for len(aq.reservations) > 0 && aq.fits(aq.reservations[0]) {
 		aq.admit(aq.reservations[0])
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// What the faults send in place of an engine's own bytes.
+// The values that faults send in place of those of the target.
 const (
 	internalErrorBody = "failed"
 	extraResponseBody = "surplus"
@@ -33,11 +33,11 @@
 	socket net.Conn
 	reader *bufio.Reader
 	writer *bufio.Writer
-	// owed is a surplus answer that goes out in front of the next one.
+	// pendingExtra is an unsolicited response that is sent in front of the next one.
 	pendingExtra []byte
-	// exchange is the request that is being answered; nil for one that takes no slot.
+	// exchange records the request in progress; it is nil for health checks and control requests.
 	exchange *Exchange
-	// broken is set once the server itself has reset the connection.
+	// resetByServer is set once the server itself has reset the connection.
 	resetByServer atomic.Bool
 }
 
@@ -47,11 +47,11 @@
 
 func (cn *conn) serve() {
 	defer cn.server.removeConn(cn)
-	defer func() { _ = cn.socket.Close() }() // a reset may have closed it before
+	defer func() { _ = cn.socket.Close() }() // a reset may have closed it already
 	for {
 		rq, err := cn.readRequest()
 		if err != nil {
-			return // the caller has gone, rested too long or sent no request: there is nobody to tell
+			return // the caller has closed the connection, was idle for too long or sent no valid request
 		}
 		if !cn.handle(rq) || rq.Close {
 			return
@@ -61,33 +61,33 @@
 
 func (cn *conn) readRequest() (*http.Request, error) {
 	if cn.server.settings.IdleTimeout > 0 {
-		_ = cn.socket.SetReadDeadline(time.Now().Add(cn.server.settings.IdleTimeout)) // a closed socket fails in the read
+		_ = cn.socket.SetReadDeadline(time.Now().Add(cn.server.settings.IdleTimeout)) // the read returns the error of a closed socket
 	}
 	rq, err := http.ReadRequest(cn.reader)
-	_ = cn.socket.SetReadDeadline(time.Time{}) // as above
+	_ = cn.socket.SetReadDeadline(time.Time{}) // the next read returns the error of a closed socket
 	return rq, err
 }
 
-// reset drops the connection and all bytes still under way.
+// reset resets the connection and drops all bytes that are still in transit.
 func (cn *conn) reset() {
 	cn.resetByServer.Store(true)
 	if tc, ok := cn.socket.(*net.TCPConn); ok {
-		_ = tc.SetLinger(0) // without it the close is an orderly one, which is as good
+		_ = tc.SetLinger(0) // if this fails, the connection is closed in order, which serves as well
 	}
 	_ = cn.socket.Close() // it may be closed already
 }
 
-// handle answers one request and reports whether the connection can serve another.
+// handle serves one request and reports whether the connection can serve another.
 func (cn *conn) handle(rq *http.Request) bool {
 	cn.exchange = nil
-	if an, ok := cn.answerControl(rq); ok {
-		return an != nil && cn.replyControl(rq, *an)
+	if rs, ok := cn.answerControl(rq); ok {
+		return rs != nil && cn.replyControl(rq, *rs)
 	}
 	cn.server.recordArrival()
 	cn.exchange = cn.server.recordExchange(rq)
 	tokens, refusal := cn.server.checkRequest(rq)
-	if an, away := cn.server.backOffRefusal(); away && refusal == nil {
-		refusal = &an
+	if rs, backingOff := cn.server.backOffRefusal(); backingOff && refusal == nil {
+		refusal = &rs
 	}
 	kd := None
 	if refusal == nil {
@@ -98,11 +98,11 @@
 	}
 	body, err := cn.readBody(rq)
 	if err != nil {
-		return false // a request that did not arrive whole is not run
+		return false // an incomplete request is not run
 	}
 	if kd == Refuse {
-		an := Refusal(http.StatusServiceUnavailable)
-		refusal = &an
+		rs := Refusal(http.StatusServiceUnavailable)
+		refusal = &rs
 	}
 	if refusal != nil {
 		return cn.reply(rq, cn.server.recordRefusal(*refusal))
@@ -110,30 +110,31 @@
 	return cn.runWatched(rq, kd, tokens, body)
 }
 
-// aside answers health checks and the requests that take no slot. The answer is nil when the body did not arrive.
+// answerControl serves health checks and control requests, and reports false for all other requests. The response is nil
+// when the body did not arrive completely.
 func (cn *conn) answerControl(rq *http.Request) (*Response, bool) {
-	side := cn.server.handler.Control[controlRoute(rq)]
+	control := cn.server.handler.Control[controlRoute(rq)]
 	health := rq.Method == http.MethodGet && rq.URL.Path == cn.server.settings.HealthPath
-	if side == nil && !health {
+	if control == nil && !health {
 		return nil, false
 	}
 	body, err := cn.readBody(rq)
 	if err != nil {
 		return nil, true
 	}
-	if side != nil {
-		an := side(body)
-		return &an, true
+	if control != nil {
+		rs := control(body)
+		return &rs, true
 	}
 	ctx, stop := cn.watch()
 	defer stop()
-	an := cn.server.checkHealth(ctx)
-	return &an, true
+	rs := cn.server.checkHealth(ctx)
+	return &rs, true
 }
 
 func (cn *conn) readBody(rq *http.Request) ([]byte, error) {
 	if rq.Header.Get("Expect") == "100-continue" {
-		_, _ = cn.writer.WriteString(continueLine) // the flush returns its failure
+		_, _ = cn.writer.WriteString(continueLine) // Flush returns the error
 		if err := cn.writer.Flush(); err != nil {
 			return nil, err
 		}
@@ -141,7 +142,8 @@
 	return io.ReadAll(rq.Body)
 }
 
-// watch returns a context that ends when the caller closes the connection; stop must be called before the next read.
+// watch returns a context that ends when the caller closes the connection. stop must be called before the next read, since
+// watch itself reads from the connection to detect the close.
 func (cn *conn) watch() (ctx context.Context, stop func()) {
 	ctx, cancel := context.WithCancel(cn.server.ctx)
 	done := make(chan struct{})
@@ -153,13 +155,14 @@
 		}
 	}()
 	return ctx, func() {
-		_ = cn.socket.SetReadDeadline(time.Unix(1, 0)) // a closed socket ends the read as well
+		_ = cn.socket.SetReadDeadline(time.Unix(1, 0)) // a closed socket ends the pending read as well
 		<-done
-		_ = cn.socket.SetReadDeadline(time.Time{}) // as above
+		_ = cn.socket.SetReadDeadline(time.Time{}) // the next read returns the error of a closed socket
 		cancel()
 	}
 }
 
+// runWatched runs a request until its end or until the caller closes the connection.
 func (cn *conn) runWatched(rq *http.Request, kd Kind, tokens int, body []byte) bool {
 	ctx, stop := cn.watch()
 	defer stop()
@@ -171,7 +174,7 @@
 	})
 }
 
-// runEarly answers before it reads the body, and then reads the body from the same connection.
+// runEarly responds before it reads the body, and then reads the body from the same connection.
 func (cn *conn) runEarly(rq *http.Request, tokens int) bool {
 	var early *Run
 	keep := cn.run(cn.server.ctx, rq, EarlyResponse, tokens, func(rn *Run) { early = rn })
@@ -180,7 +183,7 @@
 	}
 	body, err := cn.readBody(rq)
 	if err != nil {
-		return false // the record shows it by the hash that is missing
+		return false // the missing hash in the record shows this
 	}
 	if early != nil {
 		cn.server.setBody(early, body)
@@ -188,42 +191,42 @@
 	return true
 }
 
-// run waits for a slot, runs the request and answers it. begun is called with the record once the run begins.
-func (cn *conn) run(ctx context.Context, rq *http.Request, kd Kind, tokens int, begun func(*Run)) bool {
+// run waits for a slot, runs the request and sends the response. onStart is called with the record once the run starts.
+func (cn *conn) run(ctx context.Context, rq *http.Request, kd Kind, tokens int, onStart func(*Run)) bool {
 	dctx, cancel := withDeadline(ctx, rq)
 	defer cancel()
 	if !cn.server.admission.Acquire(dctx, priorityOf(rq), tokens) {
 		return cn.reply(rq, cn.server.recordRefusal(Refusal(http.StatusServiceUnavailable)))
 	}
 	var rn *Run
-	an := cn.server.handler.Run(dctx, rq, func() {
+	rs := cn.server.handler.Run(dctx, rq, func() {
 		rn = cn.server.recordRun(rq, kd)
-		begun(rn)
+		onStart(rn)
 	})
 	if rn == nil {
 		cn.server.admission.Release(tokens)
-		return cn.reply(rq, cn.server.recordRefusal(an))
+		return cn.reply(rq, cn.server.recordRefusal(rs))
 	}
 	if dctx.Err() != nil && ctx.Err() == nil {
-		an = NewResponse(http.StatusGatewayTimeout, nil)
+		rs = NewResponse(http.StatusGatewayTimeout, nil)
 	}
-	an = cn.addHeaders(applyFault(an.WithHeader(HeaderSignature, rn.Signature), kd), rq, kd)
-	whole := ctx.Err() == nil && cn.respond(ctx, an, kd)
-	cn.server.admission.Release(tokens) // before the record says that the run has ended
-	cn.server.finishRun(rn, cn.outcome(ctx, dctx, whole, kd))
-	return whole && an.Header.Get("Connection") != "close"
+	rs = cn.addHeaders(applyFault(rs.WithHeader(HeaderSignature, rn.Signature), kd), rq, kd)
+	complete := ctx.Err() == nil && cn.respond(ctx, rs, kd)
+	cn.server.admission.Release(tokens) // before the record shows the end of the run, so that the slot is free by then
+	cn.server.finishRun(rn, cn.outcome(ctx, dctx, complete, kd))
+	return complete && rs.Header.Get("Connection") != "close"
 }
 
 func withDeadline(ctx context.Context, rq *http.Request) (context.Context, context.CancelFunc) {
-	if left := deadlineOf(rq); left > 0 {
-		return context.WithTimeout(ctx, left)
+	if timeout := timeoutOf(rq); timeout > 0 {
+		return context.WithTimeout(ctx, timeout)
 	}
 	return context.WithCancel(ctx)
 }
 
-func (cn *conn) outcome(ctx, dctx context.Context, whole bool, kd Kind) State {
+func (cn *conn) outcome(ctx, dctx context.Context, complete bool, kd Kind) State {
 	switch {
-	case whole, kd == Reset, kd == Garbage:
+	case complete, kd == Reset, kd == Garbage:
 		return Done
 	case cn.resetByServer.Load():
 		return Aborted
@@ -236,94 +239,95 @@
 	}
 }
 
-// disguise returns the answer as the fault shows it.
-func applyFault(an Response, kd Kind) Response {
+// applyFault returns the response as the fault changes it.
+func applyFault(rs Response, kd Kind) Response {
 	switch kd {
 	case InternalError:
 		return NewResponse(http.StatusInternalServerError, []byte(internalErrorBody)).
-			WithHeader(HeaderSignature, an.Header.Get(HeaderSignature))
+			WithHeader(HeaderSignature, rs.Header.Get(HeaderSignature))
 	case WrongAttempt:
-		return an.WithHeader(HeaderAttempt, otherAttempt)
+		return rs.WithHeader(HeaderAttempt, otherAttempt)
 	case WrongEncoding:
-		return an.WithHeader("Content-Encoding", otherEncoding)
+		return rs.WithHeader("Content-Encoding", otherEncoding)
 	case WrongSignature:
-		return an.WithHeader(HeaderSignature, otherSignature)
+		return rs.WithHeader(HeaderSignature, otherSignature)
 	case NoSignature:
-		return an.withoutHeader(HeaderSignature)
+		return rs.withoutHeader(HeaderSignature)
 	default:
-		return an
+		return rs
 	}
 }
 
-// dress returns the answer with all that the target says in it.
-func (cn *conn) addHeaders(an Response, rq *http.Request, kd Kind) Response {
-	return cn.server.addCommonHeaders(cn.server.addSelfReport(an, cn.exchange), rq, kd)
+// addHeaders returns the response with the announcements of the target and the common headers.
+func (cn *conn) addHeaders(rs Response, rq *http.Request, kd Kind) Response {
+	return cn.server.addCommonHeaders(cn.server.addSelfReport(rs, cn.exchange), rq, kd)
 }
 
-// dress returns the answer with the headers that every answer has.
-func (sv *Server) addCommonHeaders(an Response, rq *http.Request, kd Kind) Response {
-	if an.Header.Get(HeaderAttempt) == "" && rq.Header.Get(HeaderAttempt) != "" {
-		an = an.WithHeader(HeaderAttempt, rq.Header.Get(HeaderAttempt))
+// addCommonHeaders returns the response with the headers that every response has.
+func (sv *Server) addCommonHeaders(rs Response, rq *http.Request, kd Kind) Response {
+	if rs.Header.Get(HeaderAttempt) == "" && rq.Header.Get(HeaderAttempt) != "" {
+		rs = rs.WithHeader(HeaderAttempt, rq.Header.Get(HeaderAttempt))
 	}
-	if whole := int(sv.settings.IdleTimeout / time.Second); whole > 0 {
-		an = an.WithHeader("Keep-Alive", "timeout="+strconv.Itoa(whole))
+	if seconds := int(sv.settings.IdleTimeout / time.Second); seconds > 0 {
+		rs = rs.WithHeader("Keep-Alive", "timeout="+strconv.Itoa(seconds))
 	}
 	if sv.Draining() {
-		an = an.WithHeader("Connection", "close")
+		rs = rs.WithHeader("Connection", "close")
 	}
-	an = sv.addLimits(an)
-	return an.withFraming(kd)
+	rs = sv.addLimits(rs)
+	return rs.withFraming(kd)
 }
 
-// reply sends an answer without a fault and reports whether the connection can serve another request.
-func (cn *conn) reply(rq *http.Request, an Response) bool {
-	an = cn.addHeaders(an, rq, None)
-	return cn.send(an, None) && an.Header.Get("Connection") != "close"
+// reply sends a response without a fault and reports whether the connection can serve another request.
+func (cn *conn) reply(rq *http.Request, rs Response) bool {
+	rs = cn.addHeaders(rs, rq, None)
+	return cn.send(rs, None) && rs.Header.Get("Connection") != "close"
 }
 
-// replyAside is reply with the fault that is set for the request's method and path.
-func (cn *conn) replyControl(rq *http.Request, an Response) bool {
+// replyControl is like reply, but applies the next fault that is planned for the method and path of the request.
+func (cn *conn) replyControl(rq *http.Request, rs Response) bool {
 	kd := cn.server.controlPlan(controlRoute(rq)).take()
 	if kd == None {
-		return cn.reply(rq, an)
+		return cn.reply(rq, rs)
 	}
 	ctx, stop := cn.watch()
 	defer stop()
-	return cn.respond(ctx, cn.addHeaders(applyFault(an, kd), rq, kd), kd)
+	return cn.respond(ctx, cn.addHeaders(applyFault(rs, kd), rq, kd), kd)
 }
 
+// controlRoute returns the key of Handler.Control for a request.
 func controlRoute(rq *http.Request) string { return rq.Method + " " + rq.URL.Path }
 
-// answer sends an answer as its fault asks, and reports whether the run came to its end.
-func (cn *conn) respond(ctx context.Context, an Response, kd Kind) bool {
+// respond sends a response with its fault, and reports whether it was sent to its end.
+func (cn *conn) respond(ctx context.Context, rs Response, kd Kind) bool {
 	switch kd {
 	case Reset:
-		consumeBody(an)
+		consumeBody(rs)
 		cn.reset()
 		return false
 	case Hang:
 		<-ctx.Done()
 		return false
 	case Garbage:
-		consumeBody(an)
-		_, _ = cn.socket.Write([]byte(garbageBytes)) // the connection is closed in any case
+		consumeBody(rs)
+		_, _ = cn.socket.Write([]byte(garbageBytes)) // the connection is closed whether this fails or not
 		return false
 	default:
-		return cn.send(an, kd) && cn.sendExtra(an, kd)
+		return cn.send(rs, kd) && cn.sendExtra(rs, kd)
 	}
 }
 
-// exhaust does the work of an answer without sending it.
-func consumeBody(an Response) {
-	an.Body(func([]byte) bool { return true })
+// consumeBody generates the body, with all the work and time that this takes, without sending it.
+func consumeBody(rs Response) {
+	rs.Body(func([]byte) bool { return true })
 }
 
-func (cn *conn) sendExtra(an Response, kd Kind) bool {
+func (cn *conn) sendExtra(rs Response, kd Kind) bool {
 	if kd != ExtraResponse && kd != DelayedExtraResponse {
 		return true
 	}
 	extra := fmt.Appendf(nil, "HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s",
-		HeaderAttempt, an.Header.Get(HeaderAttempt), HeaderSignature, an.Header.Get(HeaderSignature),
+		HeaderAttempt, rs.Header.Get(HeaderAttempt), HeaderSignature, rs.Header.Get(HeaderSignature),
 		len(extraResponseBody), extraResponseBody)
 	if kd == DelayedExtraResponse {
 		cn.pendingExtra = extra
@@ -333,31 +337,31 @@
 	return err == nil
 }
 
-// send writes an answer and reports whether it went out whole.
-func (cn *conn) send(an Response, kd Kind) bool {
-	_, _ = cn.writer.Write(cn.pendingExtra) // the flush returns its failure, here and below
+// send writes a response and reports whether it was sent completely.
+func (cn *conn) send(rs Response, kd Kind) bool {
+	_, _ = cn.writer.Write(cn.pendingExtra) // Flush returns the error, here and below
 	cn.pendingExtra = nil
-	_, _ = fmt.Fprintf(cn.writer, "HTTP/1.1 %d %s\r\n", an.Status, http.StatusText(an.Status))
-	_ = an.Header.Write(cn.writer)
+	_, _ = fmt.Fprintf(cn.writer, "HTTP/1.1 %d %s\r\n", rs.Status, http.StatusText(rs.Status))
+	_ = rs.Header.Write(cn.writer)
 	_, _ = cn.writer.WriteString("\r\n")
 	if cn.writer.Flush() != nil {
 		return false
 	}
-	return cn.sendPieces(an, kd)
+	return cn.sendPieces(rs, kd)
 }
 
-func (cn *conn) sendPieces(an Response, kd Kind) bool {
-	chunked := an.Header.Get("Transfer-Encoding") != ""
+func (cn *conn) sendPieces(rs Response, kd Kind) bool {
+	chunked := rs.Header.Get("Transfer-Encoding") != ""
 	count := 0
-	all := an.Body(func(pc []byte) bool {
-		cut := kd == Truncate && (an.Length != Chunked || count == cn.server.settings.TruncateAfter)
-		if cut {
+	complete := rs.Body(func(pc []byte) bool {
+		truncate := kd == Truncate && (rs.Length != Chunked || count == cn.server.settings.TruncateAfter)
+		if truncate {
 			pc = pc[:len(pc)/2]
 		}
 		count++
-		return cn.sendPiece(pc, chunked) == nil && !cut
+		return cn.sendPiece(pc, chunked) == nil && !truncate
 	})
-	if !all || kd == Truncate {
+	if !complete || kd == Truncate {
 		return false
 	}
 	return !chunked || cn.sendFinalChunk() == nil
@@ -368,7 +372,7 @@
 		return nil // an empty chunk would end the body
 	}
 	if !chunked {
-		_, _ = cn.writer.Write(pc) // the flush returns its failure, here and below
+		_, _ = cn.writer.Write(pc) // Flush returns the error, here and below
 		return cn.writer.Flush()
 	}
 	_, _ = fmt.Fprintf(cn.writer, "%x\r\n", len(pc))
@@ -378,6 +382,6 @@
 }
 
 func (cn *conn) sendFinalChunk() error {
-	_, _ = cn.writer.WriteString("0\r\n\r\n") // the flush returns its failure
+	_, _ = cn.writer.WriteString("0\r\n\r\n") // Flush returns the error
 	return cn.writer.Flush()
 }
--- a/internal/standin/fault/limit.go
+++ b/internal/standin/fault/limit.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// HeaderLimit names the requests a second that a target takes from all instances together.
+// HeaderLimit holds the number of requests per second that a target accepts from all instances together.
 const HeaderLimit = "Server-Limit"
 
-// limited is what a target says of the requests that it takes, and the requests that came.
+// rateLimits holds the rate limits that a target announces, and the arrivals that show whether callers keep to them.
 type rateLimits struct {
-	// values are those of HeaderLimit in its answers.
+	// values are the values of HeaderLimit in the responses.
 	values []string
-	// named is when it first named the present limits; zero before.
+	// sentAt is the time at which a response first carried the current limits; it is zero before.
 	sentAt time.Time
-	// arrivals holds when each request came, run or not; those that take no slot are left out.
+	// arrivals holds the arrival time of each request, whether it was run or not. Health checks and control requests
+	// are left out.
 	arrivals []time.Time
 }
 
-// SetLimit makes all answers from now on name these limits; without any they name none.
+// SetLimit sets the values of HeaderLimit in all further responses; without values, the header is left out.
 func (sv *Server) SetLimit(values ...string) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.limits.values, sv.limits.sentAt = values, time.Time{}
 }
 
-// LimitNamed returns when an answer first named the present limits; zero before.
+// LimitSentAt returns the time at which a response first carried the current limits; it is zero before.
 func (sv *Server) LimitSentAt() time.Time {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.limits.sentAt
 }
 
-// Arrivals returns when each request came, in order.
+// ArrivalTimes returns the arrival times of all requests except health checks and control requests, in order.
 func (sv *Server) ArrivalTimes() []time.Time {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -42,17 +43,17 @@
 	sv.limits.arrivals = append(sv.limits.arrivals, time.Now())
 }
 
-// nameLimit adds the limits to an answer.
-func (sv *Server) addLimits(an Response) Response {
+// addLimits adds the limits to a response.
+func (sv *Server) addLimits(rs Response) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if len(sv.limits.values) == 0 {
-		return an
+		return rs
 	}
 	if sv.limits.sentAt.IsZero() {
 		sv.limits.sentAt = time.Now()
 	}
-	an.Header = an.Header.Clone()
-	an.Header[HeaderLimit] = sv.limits.values
-	return an
+	rs.Header = rs.Header.Clone()
+	rs.Header[HeaderLimit] = sv.limits.values
+	return rs
 }
--- a/internal/standin/fault/plan.go
+++ b/internal/standin/fault/plan.go
@@ -2,47 +2,47 @@
 
 import "sync"
 
-// Kind names one way in which a target misbehaves for one request.
+// Kind is a kind of fault that is injected into one request.
 type Kind string
 
-// The faults. A request is run in all of them but Refuse.
+// The kinds of faults. The request is run in all of them except Refuse.
 const (
-	// None is the ordinary case.
+	// None injects no fault.
 	None Kind = ""
-	// Reset runs the request and resets the connection in place of an answer.
+	// Reset runs the request and resets the connection instead of sending a response.
 	Reset Kind = "reset"
-	// Cut closes the connection in the middle of an event, or of a plain body.
+	// Truncate closes the connection in the middle of an event, or of a body with a known length.
 	Truncate Kind = "cut"
-	// Hang runs the request and stays silent until the caller closes the connection.
+	// Hang runs the request and sends nothing until the caller closes the connection.
 	Hang Kind = "hang"
-	// Fail answers 500.
+	// InternalError responds with status 500.
 	InternalError Kind = "fail"
-	// Refuse answers 503 and says that the request was not run.
+	// Refuse responds with status 503 and HeaderNotExecuted.
 	Refuse Kind = "refuse"
-	// WrongAttempt answers under the id of another attempt.
+	// WrongAttempt responds with the id of another attempt.
 	WrongAttempt Kind = "wrong-attempt"
-	// Surplus sends one more answer right after a whole one.
+	// ExtraResponse sends an unsolicited second response right after the complete first one.
 	ExtraResponse Kind = "surplus"
-	// LateSurplus sends one more answer in place of the next one that is due on the connection.
+	// DelayedExtraResponse sends an unsolicited response in front of the next response on the same connection.
 	DelayedExtraResponse Kind = "late-surplus"
-	// NoLength sends an answer that ends when the connection does.
+	// NoLength sends a response without a length, which ends when the connection is closed.
 	NoLength Kind = "no-length"
-	// Early answers before the body is read, and reads it afterwards.
+	// EarlyResponse responds before the request body is read, and reads the body afterwards.
 	EarlyResponse Kind = "early"
-	// Encoded names an encoding of the body.
+	// WrongEncoding sets a Content-Encoding that the body does not have.
 	WrongEncoding Kind = "encoded"
-	// WrongSignature signs as another incarnation.
+	// WrongSignature sends the signature of another incarnation.
 	WrongSignature Kind = "wrong-signature"
-	// NoSignature leaves the signature out.
+	// NoSignature omits the signature.
 	NoSignature Kind = "no-signature"
 	// Garbage sends bytes that are not HTTP and closes the connection.
 	Garbage Kind = "garbage"
 )
 
-// plan holds the faults of the requests to come.
+// plan holds the faults that are injected into the next requests.
 type plan struct {
 	mu sync.Mutex
-	// queue holds one entry for each request to come; the requests after them have no fault.
+	// queue holds one entry for each of the next requests; later requests have no fault.
 	queue []Kind
 }
 
@@ -60,6 +60,7 @@
 	pl.queue = nil
 }
 
+// take removes and returns the fault of the next request.
 func (pl *plan) take() Kind {
 	pl.mu.Lock()
 	defer pl.mu.Unlock()
--- a/internal/standin/fault/response.go
+++ b/internal/standin/fault/response.go
@@ -5,22 +5,22 @@
 	"strconv"
 )
 
-// Unbounded is the Length of an answer that is sent in chunks.
+// Chunked is the Length of a response that is sent with chunked transfer encoding.
 const Chunked = -1
 
-// Answer is what a target sends for one request.
+// Response is the HTTP response of a target to one request.
 type Response struct {
 	Status int
-	// Header is never nil and holds no framing.
+	// Header is never nil. It holds no framing headers such as Content-Length.
 	Header http.Header
-	// Length is the sum of the lengths of all pieces, or Unbounded.
+	// Length is the length of the whole body in bytes, or Chunked.
 	Length int
-	// Body sends the body piece by piece, each flushed by itself, until send reports false. It reports whether it came
-	// to its end.
+	// Body calls send for each piece of the body, which is flushed by itself, until send reports false. It reports
+	// whether the whole body was sent.
 	Body func(send func([]byte) bool) bool
 }
 
-// Whole returns an answer that is sent in one piece.
+// NewResponse returns a response whose body is sent in one piece.
 func NewResponse(status int, body []byte) Response {
 	return Response{
 		Status: status, Header: http.Header{}, Length: len(body),
@@ -28,12 +28,12 @@
 	}
 }
 
-// Refusal returns an answer which says that the request was not run.
+// Refusal returns a response with the header which says that the request was not executed.
 func Refusal(status int) Response {
 	return NewResponse(status, nil).WithHeader(HeaderNotExecuted, "1")
 }
 
-// With returns a copy with one more header.
+// WithHeader returns a copy with the header set to the value.
 func (rs Response) WithHeader(name, value string) Response {
 	rs.Header = rs.Header.Clone()
 	rs.Header.Set(name, value)
@@ -46,7 +46,7 @@
 	return rs
 }
 
-// framed returns a copy with the headers that tell where the answer ends.
+// withFraming returns a copy with the header that tells the caller where the body ends.
 func (rs Response) withFraming(kd Kind) Response {
 	switch {
 	case kd == NoLength:
--- a/internal/standin/fault/run.go
+++ b/internal/standin/fault/run.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// The headers of the protocol that all targets share.
+// The headers that the protocols of all targets share.
 const (
 	HeaderAttempt        = "X-Attempt-Id"
 	HeaderDeadline       = "X-Deadline-Ms"
@@ -23,51 +23,51 @@
 	HeaderAtServer       = "At-Server"
 )
 
-// defaultPriority is that of a request without HeaderPriority, from the protocol.
+// defaultPriority is the priority that the protocol gives to a request without HeaderPriority.
 const defaultPriority = 5
 
-// State says how far a run has come.
+// State is the state of a run.
 type State string
 
 // The states of a run.
 const (
 	Running State = "running"
-	// Done means that the target came to the end of its answer, whether the caller got it or not.
+	// Done means that the target finished its response, whether the caller received it or not.
 	Done State = "done"
-	// Cancelled means that the caller closed the connection before the end.
+	// Cancelled means that the caller closed the connection before the end of the response.
 	Cancelled State = "cancelled"
 	// Expired means that the deadline passed during the run.
 	Expired State = "expired"
-	// Broken means that the target cut the run off by itself.
+	// Aborted means that the target itself ended the run early.
 	Aborted State = "broken"
 )
 
-// Run is the record of one request that was run.
+// Run records one request that was run.
 type Run struct {
 	AttemptID  string
 	InstanceID string
 	Tenant     string
 	Method     string
 	Host       string
-	// URI is the path and query as sent.
+	// URI holds the path and query as they were sent.
 	URI    string
 	Header http.Header
-	// BodyHash is the SHA-256 of the body in hex; it is empty while the body is not read to its end.
+	// BodyHash is the SHA-256 of the body in hex; it is empty until the whole body has been read.
 	BodyHash string
 	BodySize int
-	// Deadline is the time that was left on arrival; zero means that the request named none.
+	// UntilDeadline is the time to the deadline on arrival; zero means that the request has no deadline.
 	UntilDeadline time.Duration
 	Helpers       string
 	LastEventID   string
 	Fault         Kind
 	State         State
-	// Signature is what the target signed with, also when a fault sent another.
+	// Signature is the signature that the target made for the run, also when a fault sent another one.
 	Signature string
-	// Began is when the run was recorded, on the steady clock.
+	// StartedAt is the time at which the run was recorded, with a monotonic clock reading.
 	StartedAt time.Time
 }
 
-// Hash returns the form in which Run holds the hash of a body.
+// Hash returns the hash of a body in the form of Run.BodyHash.
 func Hash(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
@@ -77,13 +77,13 @@
 	return &Run{
 		AttemptID: rq.Header.Get(HeaderAttempt), Tenant: rq.Header.Get(HeaderTenant),
 		Method: rq.Method, Host: rq.Host, URI: rq.RequestURI, Header: rq.Header.Clone(),
-		UntilDeadline: deadlineOf(rq), Helpers: rq.Header.Get(HeaderHelpers),
+		UntilDeadline: timeoutOf(rq), Helpers: rq.Header.Get(HeaderHelpers),
 		LastEventID: rq.Header.Get(HeaderLastEventID), Fault: kd, State: Running, StartedAt: time.Now(),
 	}
 }
 
-// deadlineOf returns zero when the request names no valid deadline.
-func deadlineOf(rq *http.Request) time.Duration {
+// timeoutOf returns the time to the deadline, or zero when the request has no valid deadline.
+func timeoutOf(rq *http.Request) time.Duration {
 	ms, err := strconv.ParseFloat(rq.Header.Get(HeaderDeadline), 64)
 	if err != nil {
 		return 0
--- a/internal/standin/fault/selfreport.go
+++ b/internal/standin/fault/selfreport.go
@@ -7,50 +7,52 @@
 )
 
 const (
-	// HeaderLeaving is set in all answers of a target that leaves.
+	// HeaderLeaving is set in all responses of a target that announces that it is leaving.
 	HeaderLeaving = "Server-Leaving"
-	// HeaderRetryAfter is how many seconds a target that turns a request away wants no more of them.
+	// HeaderRetryAfter holds the back-off, in seconds, that a target asks for when it refuses a request.
 	HeaderRetryAfter = "Retry-After"
 )
 
-// Exchange is one request that came, run or not, and what its answer said. Requests that take no slot are left out.
+// Exchange records one received request, whether it was run or not, and what its response announced. Health checks and
+// control requests are not recorded.
 type Exchange struct {
 	AttemptID string
-	// Instance is the incarnation that answered.
+	// InstanceID names the incarnation that responded.
 	InstanceID string
-	// Came is when the request came, and Answered when the head of its answer was made; zero without one.
+	// AnsweredAt is the time at which the headers of the response were built; it is zero without a response.
 	ReceivedAt, AnsweredAt time.Time
-	// Leaving and BackOff are what the answer said; zero for nothing.
+	// Leaving and BackOff are what the response announced; they are zero when it announced nothing.
 	Leaving bool
 	BackOff time.Duration
 }
 
-// word is what a target says of itself in its answers.
+// selfReport holds what a target announces about itself in its responses, and the exchanges recorded so far.
 type selfReport struct {
 	leaving bool
-	// backOff is what each request is turned away with; zero turns none away.
+	// backOff is the back-off with which all requests are refused; zero refuses none.
 	backOff time.Duration
-	// unpromised leaves out the mark that a request which is turned away has not run.
+	// omitNotExecuted leaves HeaderNotExecuted out of these refusals.
 	omitNotExecuted bool
 	exchanges       []*Exchange
 }
 
-// SayLeaving makes all answers say that the target leaves; it goes on serving, and its entry is not changed.
+// SetLeaving sets whether all responses announce, in HeaderLeaving, that the target is leaving. The target goes on
+// serving, and its entry in the metadata store is not changed.
 func (sv *Server) SetLeaving(leaving bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.selfReport.leaving = leaving
 }
 
-// TurnAway makes the target turn all requests away and ask for a back-off, with or without the promise that they have not run; zero ends
-// that.
-func (sv *Server) SetBackOff(backOff time.Duration, promise bool) {
+// SetBackOff makes the target refuse all requests and ask for a back-off; a back-off of zero ends this.
+// markNotExecuted sets whether the refusals carry HeaderNotExecuted.
+func (sv *Server) SetBackOff(backOff time.Duration, markNotExecuted bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	sv.selfReport.backOff, sv.selfReport.omitNotExecuted = backOff, !promise
+	sv.selfReport.backOff, sv.selfReport.omitNotExecuted = backOff, !markNotExecuted
 }
 
-// Exchanges returns the requests that came so far, in order.
+// Exchanges returns the exchanges so far, in the order in which the requests arrived.
 func (sv *Server) Exchanges() []Exchange {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -61,21 +63,20 @@
 	return all
 }
 
-// turnedAway returns the refusal of a target that asks for a back-off.
+// backOffRefusal returns the refusal that asks for a back-off; it reports false when no back-off is set.
 func (sv *Server) backOffRefusal() (Response, bool) {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.selfReport.backOff == 0 {
 		return Response{}, false
 	}
-	an := Refusal(http.StatusServiceUnavailable).WithHeader(HeaderRetryAfter, strconv.FormatFloat(sv.selfReport.backOff.Seconds(), 'f', -1, 64))
+	rs := Refusal(http.StatusServiceUnavailable).WithHeader(HeaderRetryAfter, strconv.FormatFloat(sv.selfReport.backOff.Seconds(), 'f', -1, 64))
 	if sv.selfReport.omitNotExecuted {
-		an = an.withoutHeader(HeaderNotExecuted)
+		rs = rs.withoutHeader(HeaderNotExecuted)
 	}
-	return an, true
+	return rs, true
 }
 
-// came notes a request.
 func (sv *Server) recordExchange(rq *http.Request) *Exchange {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -84,19 +85,20 @@
 	return ex
 }
 
-// say adds what the target says of itself to the answer of an exchange; nil for one that takes no slot.
-func (sv *Server) addSelfReport(an Response, ex *Exchange) Response {
+// addSelfReport adds the announcements of the target to a response and records them in its exchange. The exchange is nil
+// for health checks and control requests.
+func (sv *Server) addSelfReport(rs Response, ex *Exchange) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.selfReport.leaving {
-		an = an.WithHeader(HeaderLeaving, "1")
+		rs = rs.WithHeader(HeaderLeaving, "1")
 	}
 	if ex == nil {
-		return an
+		return rs
 	}
 	ex.InstanceID, ex.AnsweredAt, ex.Leaving = sv.instanceID, time.Now(), sv.selfReport.leaving
-	if an.Header.Get(HeaderRetryAfter) != "" {
+	if rs.Header.Get(HeaderRetryAfter) != "" {
 		ex.BackOff = sv.selfReport.backOff
 	}
-	return an
+	return rs
 }
--- a/internal/standin/fault/server.go
+++ b/internal/standin/fault/server.go
@@ -1,5 +1,5 @@
 // Package fault is the common part of the stand-in targets: a server on raw connections that speaks the targets'
-// protocol, misbehaves when told to, and records what it ran.
+// protocol, injects faults on request, and records the requests that it ran.
 package fault
 
 import (
@@ -19,37 +19,39 @@
 )
 
 const (
-	// defaultSlots, defaultQueue and defaultConnections are small enough for a test to fill.
+	// defaultSlots, defaultMaxWaiting and defaultMaxConnections are small enough for a test to exhaust them.
 	defaultSlots          = 16
 	defaultMaxWaiting     = 32
 	defaultMaxConnections = 264
-	// defaultHealthPath is the one of the protocol's examples.
+	// defaultHealthPath is the path in the protocol's examples.
 	defaultHealthPath = "/healthz"
 )
 
-// Settings are what all targets have in common.
+// Settings are the settings that all stand-in targets have in common.
 type Settings struct {
-	// Slots bounds the requests that run at a time, and Queue those that wait. A slot is free again shortly after the
-	// last byte of an answer was sent.
+	// Slots is the maximum number of requests that run at a time, and MaxWaiting of those that wait for a slot. A slot is
+	// free again shortly after the last byte of the response was sent.
 	Slots, MaxWaiting int
-	// MaxConnections bounds the open connections; those beyond it are reset.
+	// MaxConnections is the maximum number of open connections; further ones are reset.
 	MaxConnections int
 	HealthPath     string
-	// Idle is the time after which a resting connection is closed; zero keeps it open. Answers name its whole seconds.
+	// IdleTimeout is the time after which an idle connection is closed; zero keeps it open. The Keep-Alive header of the
+	// responses holds its whole seconds.
 	IdleTimeout time.Duration
-	// CutAfter is the number of whole events that a Cut lets through.
+	// TruncateAfter is the number of complete events that are sent before a Truncate fault.
 	TruncateAfter int
-	// Known is the host and port by which others reach the target through something in between; empty for its own.
+	// AdvertisedAddress is the host and port of a proxy through which others reach the target; empty means that they reach
+	// it at its own address.
 	AdvertisedAddress string
-	// Fatal marks the bodies that end the target which runs them; empty for none.
+	// CrashMarker is the text in a request body that crashes the target which runs the request; empty disables this.
 	CrashMarker string
-	// FatalAfter is how long after its beginning such a run ends the target; zero ends it at once.
+	// CrashDelay is the time from the start of such a run to the crash; zero crashes the target at once.
 	CrashDelay time.Duration
-	// Ended is called by a goroutine of its own each time that End has ended the target; nil when nobody asks.
+	// OnCrash, unless nil, is called in its own goroutine after each crash.
 	OnCrash func(*Server)
 }
 
-// DefaultSettings returns the settings of an ordinary target.
+// DefaultSettings returns the settings of a target without idle timeout and crashes.
 func DefaultSettings() Settings {
 	return Settings{
 		Slots: defaultSlots, MaxWaiting: defaultMaxWaiting, MaxConnections: defaultMaxConnections,
@@ -57,34 +59,35 @@
 	}
 }
 
-// Work is what a concrete target does with a request.
+// Handler is the part of a target that differs between the kinds of targets.
 type Handler struct {
-	// Side answers requests that take no slot, such as reports; its keys are a method, a space and a path.
+	// Control serves control requests, such as load reports, which take no slot. A key is a method, a space and a path.
 	Control map[string]func(body []byte) Response
-	// Check returns the tokens of memory that a request needs, or a refusal. Nil refuses nothing.
+	// Check returns the memory that a request needs, in tokens, or a refusal. A nil Check admits all requests without memory.
 	Check func(rq *http.Request) (int, *Response)
-	// Run does the request and returns its answer. It calls begin once the request starts to run; an answer without
-	// that is a refusal. ctx ends with the request, and early when the caller goes or the deadline passes.
+	// Run runs the request and returns its response. It calls begin once the request starts to run; a response without
+	// that call is a refusal. ctx ends with the request, or early when the caller closes the connection or the deadline
+	// passes.
 	Run func(ctx context.Context, rq *http.Request, begin func()) Response
 }
 
-// Server is the stand-in target. Its methods may be called at any time.
+// Server is a stand-in target. Its methods may be called at any time.
 type Server struct {
 	settings     Settings
 	handler      Handler
 	admission    *AdmissionQueue
 	plan         plan
 	controlPlans map[string]*plan
-	// address is that of the listener, also while there is none.
+	// listenAddress is the address of the listener, also while the target is down.
 	listenAddress string
 	ctx           context.Context
 	cancel        context.CancelFunc
 	wg            sync.WaitGroup
 
 	mu sync.Mutex
-	// listener is closed while the target has ended.
+	// listener is closed while the target is down.
 	listener net.Listener
-	// down is set from End to Return.
+	// down is set from Crash to Relaunch, and after Close.
 	down                    bool
 	instanceID              string
 	draining                bool
@@ -100,61 +103,61 @@
 }
 
 // Start listens on a free port of the loopback address.
-func Start(se Settings, gt *AdmissionQueue, wk Handler) (*Server, error) {
+func Start(se Settings, aq *AdmissionQueue, hd Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for a stand-in target")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	sv := &Server{
-		settings: se, handler: wk, admission: gt, listener: ln, listenAddress: ln.Addr().String(), ctx: ctx, cancel: cancel,
+		settings: se, handler: hd, admission: aq, listener: ln, listenAddress: ln.Addr().String(), ctx: ctx, cancel: cancel,
 		instanceID: ident.New("i"), conns: map[*conn]struct{}{}, controlPlans: map[string]*plan{},
 	}
 	sv.wg.Go(func() { sv.accept(ln) })
 	return sv, nil
 }
 
-// Address returns the host and port by which others know the target.
+// Address returns the host and port by which others reach the target.
 func (sv *Server) Address() string { return cmp.Or(sv.settings.AdvertisedAddress, sv.ListenAddress()) }
 
-// Listener returns the host and port that the target itself listens on.
+// ListenAddress returns the host and port that the target itself listens on.
 func (sv *Server) ListenAddress() string { return sv.listenAddress }
 
-// URL returns the base of all paths, without a slash at its end.
+// URL returns the base URL, without a trailing slash.
 func (sv *Server) URL() string { return "http://" + sv.Address() }
 
-// Close ends all connections and waits until every run has ended.
+// Close resets all connections and waits until all runs have ended.
 func (sv *Server) Close() {
 	sv.cancel()
 	sv.shutDown()
 	sv.wg.Wait()
 }
 
-// End ends the target as a process ends: its connections are reset, and its address takes none until Return.
+// Crash acts like the crash of a process: all connections are reset, and new ones fail until Relaunch.
 func (sv *Server) Crash() {
 	if !sv.shutDown() {
 		return
 	}
-	if ended := sv.settings.OnCrash; ended != nil {
-		sv.wg.Go(func() { ended(sv) })
+	if onCrash := sv.settings.OnCrash; onCrash != nil {
+		sv.wg.Go(func() { onCrash(sv) })
 	}
 }
 
-// takeDown reports whether the target was not down before.
+// shutDown closes the listener and resets all connections. It reports whether the target was up before.
 func (sv *Server) shutDown() bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	before := sv.down
+	wasDown := sv.down
 	sv.down = true
 	_ = sv.listener.Close() // it may be closed already
 	for cn := range sv.conns {
 		cn.reset()
 	}
-	return !before
+	return !wasDown
 }
 
-// Return starts another incarnation at the same address after End. It reports false when the stand-in is closed or the address
-// is taken.
+// Relaunch starts a new incarnation at the same address after Crash. It reports false when the stand-in is closed or the
+// address is in use.
 func (sv *Server) Relaunch() bool {
 	ln, err := net.Listen("tcp", sv.listenAddress)
 	if err != nil {
@@ -163,7 +166,7 @@
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.ctx.Err() != nil {
-		_ = ln.Close() // nothing was served on it
+		_ = ln.Close() // no request was served on it
 		return false
 	}
 	sv.listener, sv.down = ln, false
@@ -173,8 +176,8 @@
 	return true
 }
 
-// endAfter ends the target once the time of a fatal run is over; with a time of zero it has ended on return, and so has ctx, which
-// ends with the caller's connection.
+// crashAfterDelay crashes the target once CrashDelay is over. With a delay of zero, the target has crashed and ctx, which
+// ends with the caller's connection, has ended when it returns.
 func (sv *Server) crashAfterDelay(ctx context.Context) {
 	if sv.settings.CrashDelay > 0 {
 		time.AfterFunc(sv.settings.CrashDelay, sv.Crash)
@@ -184,31 +187,30 @@
 	<-ctx.Done()
 }
 
-// fatal reports whether a body ends the target.
 func (sv *Server) hasCrashMarker(body []byte) bool {
 	return sv.settings.CrashMarker != "" && bytes.Contains(body, []byte(sv.settings.CrashMarker))
 }
 
-// Next gives the next n requests a fault; it comes after those set before.
+// InjectFault injects a fault into the next n requests that have none planned yet.
 func (sv *Server) InjectFault(kd Kind, n int) { sv.plan.add(kd, n) }
 
-// NextAside gives the next n requests of a method and path that take no slot a fault; key is the one of Work.Side.
-// The request is done in all cases.
-func (sv *Server) InjectControlFault(key string, kd Kind, n int) { sv.controlPlan(key).add(kd, n) }
+// InjectControlFault injects a fault into the next n control requests of a route, which is a key of Handler.Control. The
+// requests are carried out whatever the fault.
+func (sv *Server) InjectControlFault(route string, kd Kind, n int) { sv.controlPlan(route).add(kd, n) }
 
-func (sv *Server) controlPlan(key string) *plan {
+func (sv *Server) controlPlan(route string) *plan {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	if sv.controlPlans[key] == nil {
-		sv.controlPlans[key] = &plan{}
+	if sv.controlPlans[route] == nil {
+		sv.controlPlans[route] = &plan{}
 	}
-	return sv.controlPlans[key]
+	return sv.controlPlans[route]
 }
 
-// ClearFaults takes back the faults that no request has met yet.
+// ClearFaults removes the planned faults of requests other than control requests.
 func (sv *Server) ClearFaults() { sv.plan.clear() }
 
-// Retire ends the incarnation in the middle of its work, and starts another at the same address.
+// Replace ends the incarnation, aborts its runs and starts a new incarnation with a new id at the same address.
 func (sv *Server) Replace() {
 	sv.mu.Lock()
 	sv.instanceID = ident.New("i")
@@ -217,7 +219,7 @@
 	sv.resetConns()
 }
 
-// Restart ends the incarnation in the middle of its work, and starts another under the same id at the same address.
+// Restart ends the incarnation, aborts its runs and starts a new incarnation with the same id at the same address.
 func (sv *Server) Restart() {
 	sv.mu.Lock()
 	sv.draining = false
@@ -225,46 +227,46 @@
 	sv.resetConns()
 }
 
-// Drain makes the target say that it is leaving; it goes on serving.
+// Drain makes the health check fail and all responses carry "Connection: close"; the target goes on serving.
 func (sv *Server) Drain() { sv.mu.Lock(); defer sv.mu.Unlock(); sv.draining = true }
 
-// SetHealthy sets what the health check says.
+// SetHealthy sets the result of the health check; the check of a draining target fails in any case.
 func (sv *Server) SetHealthy(ok bool) { sv.mu.Lock(); defer sv.mu.Unlock(); sv.unhealthy = !ok }
 
-// Instance returns the id of the present incarnation.
+// InstanceID returns the id of the current incarnation.
 func (sv *Server) InstanceID() string { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.instanceID }
 
-// Draining reports whether the target is leaving.
+// Draining reports whether Drain was called on the current incarnation.
 func (sv *Server) Draining() bool { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.draining }
 
-// Connections returns how many connections were opened since the start.
+// ConnectionCount returns how many connections were accepted since the start.
 func (sv *Server) ConnectionCount() int {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.connectionCount
 }
 
-// TurnedAway returns how many connections were reset for being too many.
+// RejectedConnectionCount returns how many connections were reset because there were too many or the target was down.
 func (sv *Server) RejectedConnectionCount() int {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.rejectedConnectionCount
 }
 
-// Refused returns how many requests were not run.
+// RefusedCount returns how many requests were refused without being run.
 func (sv *Server) RefusedCount() int { sv.mu.Lock(); defer sv.mu.Unlock(); return sv.refusedCount }
 
-// Waiting returns how many requests wait for a slot.
+// WaitingCount returns how many requests wait for a slot.
 func (sv *Server) WaitingCount() int { return sv.admission.WaitingCount() }
 
-// HealthChecks returns how many health checks came.
+// HealthCheckCount returns how many health checks were received.
 func (sv *Server) HealthCheckCount() int {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.healthCheckCount
 }
 
-// Runs returns the requests run so far, in the order in which they began.
+// Runs returns the records of all runs so far, in the order in which they started.
 func (sv *Server) Runs() []Run {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -275,7 +277,7 @@
 	return all
 }
 
-// Cancelled returns the runs whose caller closed the connection before their end.
+// CancelledRuns returns the runs whose caller closed the connection before their end.
 func (sv *Server) CancelledRuns() []Run {
 	return slices.DeleteFunc(sv.Runs(), func(rn Run) bool { return rn.State != Cancelled })
 }
@@ -284,7 +286,7 @@
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
-			return // the listener was closed
+			return // the listener is closed
 		}
 		cn := newConn(sv, nc)
 		if !sv.addConn(cn) {
@@ -295,7 +297,7 @@
 	}
 }
 
-// enrol reports false when there are too many connections.
+// addConn reports false when there are too many connections, or the target is down or closed.
 func (sv *Server) addConn(cn *conn) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -318,7 +320,7 @@
 	}
 }
 
-// begin records a run and signs for it.
+// recordRun records a new run and assigns it a unique signature.
 func (sv *Server) recordRun(rq *http.Request, kd Kind) *Run {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -338,26 +340,27 @@
 
 func (sv *Server) finishRun(rn *Run, st State) { sv.mu.Lock(); defer sv.mu.Unlock(); rn.State = st }
 
-func (sv *Server) recordRefusal(an Response) Response {
+func (sv *Server) recordRefusal(rs Response) Response {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	sv.refusedCount++
-	if an.Header.Get(HeaderAtServer) == "" {
-		return an.WithHeader(HeaderAtServer, sv.Address())
+	if rs.Header.Get(HeaderAtServer) == "" {
+		return rs.WithHeader(HeaderAtServer, sv.Address())
 	}
-	return an
+	return rs
 }
 
-// screen returns the refusal of a request that names another instance, or no attempt.
+// checkRequest returns the memory that a request needs, in tokens. It returns a refusal when the request expects another
+// incarnation, has no attempt id or is refused by Handler.Check.
 func (sv *Server) checkRequest(rq *http.Request) (int, *Response) {
-	own := sv.InstanceID()
-	if id := rq.Header.Get(HeaderExpectInstance); id != "" && id != own {
-		an := NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, own)
-		return 0, &an
+	ownID := sv.InstanceID()
+	if id := rq.Header.Get(HeaderExpectInstance); id != "" && id != ownID {
+		rs := NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(HeaderInstance, ownID)
+		return 0, &rs
 	}
 	if rq.Header.Get(HeaderAttempt) == "" {
-		an := Refusal(http.StatusBadRequest)
-		return 0, &an
+		rs := Refusal(http.StatusBadRequest)
+		return 0, &rs
 	}
 	if sv.handler.Check == nil {
 		return 0, nil
@@ -368,14 +371,14 @@
 func (sv *Server) checkHealth(ctx context.Context) Response {
 	sv.mu.Lock()
 	sv.healthCheckCount++
-	well := !sv.draining && !sv.unhealthy
+	healthy := !sv.draining && !sv.unhealthy
 	sv.mu.Unlock()
 	if !sv.admission.Acquire(ctx, defaultPriority, 0) {
 		return Refusal(http.StatusServiceUnavailable)
 	}
 	defer sv.admission.Release(0)
 	status := http.StatusOK
-	if !well {
+	if !healthy {
 		status = http.StatusServiceUnavailable
 	}
 	return NewResponse(status, nil).WithHeader(HeaderInstance, sv.InstanceID())
