--- a/internal/standin/objectsim/call.go
+++ b/internal/standin/objectsim/call.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Type is the sort of a call.
+// CallType is the type of an API call.
 type CallType string
 
-// The types of calls.
+// The types of API calls.
 const (
 	List   CallType = "list"
 	Get    CallType = "get"
@@ -24,56 +24,57 @@
 	Delete CallType = "delete"
 )
 
-// Call is what calls are counted by.
+// CallKey is the key by which API calls are counted.
 type CallKey struct {
 	Kind string
 	Type CallType
-	// Stale is set for a read that may be old.
+	// Stale is set for a read that may return a past state.
 	Stale bool
 }
 
 const (
 	objectsPath = "/objects/"
-	// maxWait is the protocol's bound on the time of a watch.
+	// maxWait is the maximum wait time that the protocol allows for a watch.
 	maxWait = 30 * time.Second
 )
 
-// request is a call with its arguments.
+// request is an API call with its arguments.
 type request struct {
 	callKey CallKey
 	key     key
-	// after is the name after which a list continues.
+	// afterName is the object name after which a list continues.
 	afterName string
-	// revision is the condition of a write, or where a watch begins.
+	// revision is the revision that the object of a write must have, where zero sets no condition, or the revision after
+	// which a watch begins.
 	revision int64
 	wait     time.Duration
 	object   Object
 }
 
-func (ty CallType) writes() bool { return ty == Create || ty == Put || ty == Status || ty == Delete }
+func (ct CallType) writes() bool { return ct == Create || ct == Put || ct == Status || ct == Delete }
 
-func (rc request) writes() bool { return rc.callKey.Type.writes() }
+func (rq request) writes() bool { return rq.callKey.Type.writes() }
 
-// parse reports false when the call is none of the protocol's.
+// parse reports false when the request is not a valid API call.
 func parse(r *http.Request, body []byte) (request, bool) {
 	path, ok := strings.CutPrefix(r.URL.Path, objectsPath)
 	if !ok {
 		return request{}, false
 	}
 	parts := strings.Split(strings.TrimSuffix(path, "/"), "/")
-	rc := request{key: key{kind: parts[0]}}
+	rq := request{key: key{kind: parts[0]}}
 	if len(parts) > 1 {
-		rc.key.name = parts[1]
+		rq.key.name = parts[1]
 	}
 	query := r.URL.Query()
-	rc.callKey = CallKey{Kind: parts[0], Type: callTypeOf(r.Method, parts, query), Stale: query.Get("stale") == "1"}
-	if rc.callKey.Type == "" || rc.key.kind == "" {
+	rq.callKey = CallKey{Kind: parts[0], Type: callTypeOf(r.Method, parts, query), Stale: query.Get("stale") == "1"}
+	if rq.callKey.Type == "" || rq.key.kind == "" {
 		return request{}, false
 	}
-	return rc, rc.readQuery(query) && rc.readBody(body)
+	return rq, rq.readQuery(query) && rq.readBody(body)
 }
 
-// typeOf returns an empty type for what is no call.
+// callTypeOf returns an empty type for a request that is not an API call.
 func callTypeOf(method string, parts []string, query url.Values) CallType {
 	switch {
 	case method == http.MethodGet && len(parts) == 1 && query.Has("watch"):
@@ -95,24 +96,24 @@
 	}
 }
 
-func (rc *request) readQuery(query url.Values) bool {
-	rc.afterName = query.Get("after_revision")
+func (rq *request) readQuery(query url.Values) bool {
+	rq.afterName = query.Get("after_revision")
 	revision, ok := parseNumber(query, "revision")
 	if !ok {
 		return false
 	}
-	rc.revision = revision
-	if rc.callKey.Type != Watch {
+	rq.revision = revision
+	if rq.callKey.Type != Watch {
 		return true
 	}
 	from, okFrom := parseNumber(query, "watch")
 	ms, okWait := parseNumber(query, "wait_ms")
-	rc.revision = from
-	rc.wait = time.Duration(ms) * time.Millisecond
-	return okFrom && okWait && rc.wait <= maxWait
+	rq.revision = from
+	rq.wait = time.Duration(ms) * time.Millisecond
+	return okFrom && okWait && rq.wait <= maxWait
 }
 
-// number returns zero for an argument that is absent, and false for one that is no whole number from zero.
+// parseNumber returns zero for an absent argument, and reports false for one that is not an integer of at least zero.
 func parseNumber(query url.Values, name string) (int64, bool) {
 	if !query.Has(name) {
 		return 0, true
@@ -121,37 +122,37 @@
 	return n, err == nil && n >= 0
 }
 
-func (rc *request) readBody(body []byte) bool {
-	if !rc.writes() || rc.callKey.Type == Delete {
+func (rq *request) readBody(body []byte) bool {
+	if !rq.writes() || rq.callKey.Type == Delete {
 		return true
 	}
-	if json.Unmarshal(body, &rc.object) != nil {
+	if json.Unmarshal(body, &rq.object) != nil {
 		return false
 	}
-	spec, errSpec := canonical(rc.object.Spec)
-	status, errStatus := canonical(rc.object.Status)
-	rc.object.Spec, rc.object.Status = spec, status
-	if rc.callKey.Type == Create && rc.key.name == "" {
-		rc.key.name = rc.object.Metadata.Name
+	spec, errSpec := canonical(rq.object.Spec)
+	status, errStatus := canonical(rq.object.Status)
+	rq.object.Spec, rq.object.Status = spec, status
+	if rq.callKey.Type == Create && rq.key.name == "" {
+		rq.key.name = rq.object.Metadata.Name
 	}
-	if rc.callKey.Type != Create && rc.revision == 0 {
-		rc.revision = rc.object.Metadata.Revision
+	if rq.callKey.Type != Create && rq.revision == 0 {
+		rq.revision = rq.object.Metadata.Revision
 	}
-	return errSpec == nil && errStatus == nil && rc.key.name != ""
+	return errSpec == nil && errStatus == nil && rq.key.name != ""
 }
 
-// reply is the answer to a call; a nil body is sent as none.
+// reply is the response to an API call; with a nil body, only the status is sent.
 type reply struct {
 	status int
 	body   any
 }
 
-// era returns that of the state that the answer tells, if it was noted.
-func (rp reply) era(otherwise int64) int64 {
+// era returns the era of the state that a list was read from. The other replies record none and get the fallback.
+func (rp reply) era(fallback int64) int64 {
 	if pg, ok := rp.body.(listPage); ok {
 		return pg.era
 	}
-	return otherwise
+	return fallback
 }
 
 func (rp reply) write(w http.ResponseWriter) {
@@ -161,88 +162,89 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(rp.status)
-	_ = json.NewEncoder(w).Encode(rp.body) // a caller that has gone is no concern of the store
+	_ = json.NewEncoder(w).Encode(rp.body) // it fails when the caller has closed the connection, which does not matter to the store
 }
 
-// do does any call but a watch.
-func (ep *Endpoint) execute(rc request) reply {
-	switch rc.callKey.Type {
+// execute executes any API call except a watch.
+func (ep *Endpoint) execute(rq request) reply {
+	switch rq.callKey.Type {
 	case List:
-		return reply{http.StatusOK, ep.store.list(rc.key.kind, rc.afterName, ep.pageSize, rc.callKey.Stale)}
+		return reply{http.StatusOK, ep.store.list(rq.key.kind, rq.afterName, ep.pageSize, rq.callKey.Stale)}
 	case Get:
-		ob, ok := ep.store.get(rc.key, rc.callKey.Stale)
+		ob, ok := ep.store.get(rq.key, rq.callKey.Stale)
 		if !ok {
 			return reply{http.StatusNotFound, nil}
 		}
 		return reply{http.StatusOK, ob}
 	default:
-		vd := ep.write(rc)
-		if vd.object == nil {
-			return reply{vd.status, nil}
+		wr := ep.write(rq)
+		if wr.object == nil {
+			return reply{wr.status, nil}
 		}
-		return reply{vd.status, vd.object}
+		return reply{wr.status, wr.object}
 	}
 }
 
-func (ep *Endpoint) write(rc request) writeResult {
-	switch rc.callKey.Type {
+func (ep *Endpoint) write(rq request) writeResult {
+	switch rq.callKey.Type {
 	case Create:
-		rc.object.Status = json.RawMessage("null")
-		return ep.store.create(rc.key, rc.object)
+		rq.object.Status = json.RawMessage("null")
+		return ep.store.create(rq.key, rq.object)
 	case Delete:
-		return ep.store.remove(rc.key, rc.revision)
+		return ep.store.remove(rq.key, rq.revision)
 	case Status:
-		return ep.store.update(rc.key, rc.revision, func(ob Object) Object {
-			ob.Status = rc.object.Status
+		return ep.store.update(rq.key, rq.revision, func(ob Object) Object {
+			ob.Status = rq.object.Status
 			return ob
 		})
 	default:
-		return ep.store.update(rc.key, rc.revision, func(ob Object) Object {
-			ob.Spec = rc.object.Spec
-			ob.Metadata.Finalizers = rc.object.Metadata.Finalizers
+		return ep.store.update(rq.key, rq.revision, func(ob Object) Object {
+			ob.Spec = rq.object.Spec
+			ob.Metadata.Finalizers = rq.object.Metadata.Finalizers
 			return ob
 		})
 	}
 }
 
-// watch answers as soon as there is an event, the wait is over or history is gone; a cut closes the connection.
-func (ep *Endpoint) watch(w http.ResponseWriter, r *http.Request, rc request) {
-	cut, stop := ep.addWatch(r.Context())
+// watch responds as soon as there is an event, the wait time is over or the history is compacted. It resets the connection
+// when the watch is disconnected.
+func (ep *Endpoint) watch(w http.ResponseWriter, r *http.Request, rq request) {
+	wctx, stop := ep.addWatch(r.Context())
 	defer stop()
-	over := time.NewTimer(rc.wait)
-	defer over.Stop()
+	timer := time.NewTimer(rq.wait)
+	defer timer.Stop()
 	for {
-		bt, changed, ok := ep.store.since(rc.key.kind, rc.revision)
-		setEra(w, bt.era)
+		res, changed, ok := ep.store.since(rq.key.kind, rq.revision)
+		setEra(w, res.era)
 		if !ok {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(bt.Events) > 0 {
-			reply{http.StatusOK, bt}.write(w)
+		if len(res.Events) > 0 {
+			reply{http.StatusOK, res}.write(w)
 			return
 		}
 		select {
 		case <-changed:
-		case <-over.C:
-			reply{http.StatusOK, bt}.write(w)
+		case <-timer.C:
+			reply{http.StatusOK, res}.write(w)
 			return
-		case <-cut.Done():
+		case <-wctx.Done():
 			resetConnection(w)
 			return
 		}
 	}
 }
 
-// enrol returns a context that ends when the watch is cut or its caller goes.
-func (ep *Endpoint) addWatch(ctx context.Context) (cut context.Context, stop func()) {
-	cut, cancel := context.WithCancel(ctx)
+// addWatch returns a context that ends when the watch is disconnected or its caller closes the connection.
+func (ep *Endpoint) addWatch(ctx context.Context) (wctx context.Context, stop func()) {
+	wctx, cancel := context.WithCancel(ctx)
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	ep.lastWatchID++
 	id := ep.lastWatchID
 	ep.watches[id] = cancel
-	return cut, func() {
+	return wctx, func() {
 		cancel()
 		ep.mu.Lock()
 		defer ep.mu.Unlock()
--- a/internal/standin/objectsim/endpoint.go
+++ b/internal/standin/objectsim/endpoint.go
@@ -11,38 +11,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mode is how a door turns callers away.
+// Outage is the way in which an endpoint fails all calls.
 type Outage string
 
-// The modes.
+// The kinds of outages. No call is executed during an outage.
 const (
-	// Up serves callers.
+	// NoOutage serves calls.
 	NoOutage Outage = ""
-	// Silent takes calls and answers nothing, until the caller or the door closes the connection.
+	// Silent accepts calls and sends nothing until the caller or the endpoint closes the connection.
 	Silent Outage = "silent"
-	// Busy answers 503; nothing was done.
+	// Unavailable responds with status 503.
 	Unavailable Outage = "busy"
-	// Many answers 429; nothing was done.
+	// TooManyRequests responds with status 429.
 	TooManyRequests Outage = "many"
-	// Reset resets the connection of each call; nothing was done.
+	// ResetConnections resets the connection of each call.
 	ResetConnections Outage = "reset"
 )
 
-// headerTimeout ends connections that send no call; no test waits for it.
+// headerTimeout closes connections that send no request; it is too long for any test to run into it.
 const headerTimeout = time.Minute
 
-// faults are what a door does to the calls to come.
+// faults are the faults that an endpoint injects into the next calls.
 type faults struct {
 	outage Outage
 	delay  time.Duration
-	// lost counts the writing calls to come that are done without an answer.
+	// responsesToLose is the number of next writes that are executed without a response.
 	responsesToLose int
-	// late counts the writing calls to come that lose their connection and are done after lateBy.
+	// writesToDelay is the number of next writes whose connection is reset and that are executed after writeDelay.
 	writesToDelay int
 	writeDelay    time.Duration
 }
 
-// Door is one address of the store. Its faults may be set at any time.
+// Endpoint is one address of the store. Its faults may be set at any time.
 type Endpoint struct {
 	store    *store
 	pageSize int
@@ -50,7 +50,7 @@
 	server   *http.Server
 	ctx      context.Context
 	cancel   context.CancelFunc
-	// wg counts the writes that are done late.
+	// wg counts the delayed writes that are still to be executed.
 	wg sync.WaitGroup
 
 	mu          sync.Mutex
@@ -60,50 +60,52 @@
 	lastWatchID int
 }
 
-func openEndpoint(st *store, page int) (*Endpoint, error) {
+func openEndpoint(st *store, pageSize int) (*Endpoint, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, errors.Wrap(err, "listen for the stand-in store")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	dr := &Endpoint{
-		store: st, pageSize: page, listener: ln, ctx: ctx, cancel: cancel,
+	ep := &Endpoint{
+		store: st, pageSize: pageSize, listener: ln, ctx: ctx, cancel: cancel,
 		calls: map[CallKey]int{}, watches: map[int]context.CancelFunc{},
 	}
-	dr.server = &http.Server{
-		Handler: http.HandlerFunc(dr.serve), ReadHeaderTimeout: headerTimeout,
+	ep.server = &http.Server{
+		Handler: http.HandlerFunc(ep.serve), ReadHeaderTimeout: headerTimeout,
 		BaseContext: func(net.Listener) context.Context { return ctx },
 	}
-	go func() { _ = dr.server.Serve(ln) }() // it returns when the door is closed
-	return dr, nil
+	go func() { _ = ep.server.Serve(ln) }() // it returns when the endpoint is closed
+	return ep, nil
 }
 
-// Address returns the host and port.
+// Address returns the host and port of the endpoint.
 func (ep *Endpoint) Address() string { return ep.listener.Addr().String() }
 
-// URL returns the base of all paths, without a slash at its end.
+// URL returns the base URL, without a trailing slash.
 func (ep *Endpoint) URL() string { return "http://" + ep.Address() }
 
-// Close ends all calls.
+// Close closes all connections and drops the delayed writes that are still to be executed.
 func (ep *Endpoint) Close() {
 	ep.cancel()
-	_ = ep.server.Close() // closing a listener on loopback leaves nothing behind
+	_ = ep.server.Close() // an error to close a loopback listener leaves nothing to clean up
 	ep.wg.Wait()
 }
 
-// Down turns away the calls to come; Up ends it.
-func (ep *Endpoint) SetOutage(md Outage) { ep.updateFaults(func(fs *faults) { fs.outage = md }) }
+// SetOutage starts an outage; NoOutage ends it.
+func (ep *Endpoint) SetOutage(outage Outage) {
+	ep.updateFaults(func(fs *faults) { fs.outage = outage })
+}
 
-// Slow makes each call take that much longer.
+// SetDelay delays each call by d.
 func (ep *Endpoint) SetDelay(d time.Duration) { ep.updateFaults(func(fs *faults) { fs.delay = d }) }
 
-// LoseAnswers makes the next n writing calls be done and their connections cut without an answer.
+// LoseResponses executes the next n writes, but resets their connections instead of sending a response.
 func (ep *Endpoint) LoseResponses(n int) {
 	ep.updateFaults(func(fs *faults) { fs.responsesToLose = n })
 }
 
-// DelayWrites cuts the connections of the next n writing calls, and does the calls after d if their condition holds
-// then.
+// DelayWrites resets the connections of the next n writes, and executes the writes after d if their condition holds
+// by then.
 func (ep *Endpoint) DelayWrites(n int, d time.Duration) {
 	ep.updateFaults(func(fs *faults) { fs.writesToDelay, fs.writeDelay = n, d })
 }
@@ -114,70 +116,70 @@
 	edit(&ep.faults)
 }
 
-// CutWatches closes the connections of all waiting watches.
+// DisconnectWatches resets the connections of all waiting watches.
 func (ep *Endpoint) DisconnectWatches() {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
-	for _, cut := range ep.watches {
-		cut()
+	for _, disconnect := range ep.watches {
+		disconnect()
 	}
 }
 
-// Watches returns how many watches wait.
+// WatchCount returns how many watches are waiting for an event.
 func (ep *Endpoint) WatchCount() int { ep.mu.Lock(); defer ep.mu.Unlock(); return len(ep.watches) }
 
-// Calls returns how many calls of each sort came, with those turned away.
+// CallCounts returns how many calls were received of each type, including those that failed in an outage.
 func (ep *Endpoint) CallCounts() map[CallKey]int {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
 	all := make(map[CallKey]int, len(ep.calls))
-	for cl, n := range ep.calls {
-		all[cl] = n
+	for ck, n := range ep.calls {
+		all[ck] = n
 	}
 	return all
 }
 
-// serve counts a call, lets the faults act on it, and does it.
+// serve counts a call, injects the faults and executes it.
 func (ep *Endpoint) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		return // a call that did not arrive whole is not done
+		return // an incomplete call is not executed
 	}
-	rc, ok := parse(r, body)
+	rq, ok := parse(r, body)
 	if !ok {
 		http.Error(w, "no such call", http.StatusBadRequest)
 		return
 	}
-	fs := ep.recordCall(rc.callKey)
+	fs := ep.recordCall(rq.callKey)
 	if !sleep(r.Context(), fs.delay) {
 		return
 	}
 	switch {
 	case fs.outage != NoOutage:
 		failCall(w, r, fs.outage)
-	case rc.callKey.Type == Watch:
-		ep.watch(w, r, rc)
-	case fs.writesToDelay > 0 && rc.writes():
-		ep.executeLate(rc, fs.writeDelay)
+	case rq.callKey.Type == Watch:
+		ep.watch(w, r, rq)
+	case fs.writesToDelay > 0 && rq.writes():
+		ep.executeLate(rq, fs.writeDelay)
 		resetConnection(w)
-	case fs.responsesToLose > 0 && rc.writes():
-		ep.execute(rc)
+	case fs.responsesToLose > 0 && rq.writes():
+		ep.execute(rq)
 		resetConnection(w)
 	default:
 		era := ep.store.currentEra()
-		rp := ep.execute(rc)
+		rp := ep.execute(rq)
 		setEra(w, rp.era(era))
 		rp.write(w)
 	}
 }
 
-// note counts a call and returns the faults that act on it.
-func (ep *Endpoint) recordCall(cl CallKey) faults {
+// recordCall counts a call and returns the faults to inject into it.
+func (ep *Endpoint) recordCall(ck CallKey) faults {
 	ep.mu.Lock()
 	defer ep.mu.Unlock()
-	ep.calls[cl]++
+	ep.calls[ck]++
 	fs := ep.faults
-	if fs.outage != NoOutage || !cl.Type.writes() {
+	if fs.outage != NoOutage || !ck.Type.writes() {
 		return fs
 	}
 	if fs.writesToDelay > 0 {
@@ -188,16 +190,16 @@
 	return fs
 }
 
-func (ep *Endpoint) executeLate(rc request, d time.Duration) {
+func (ep *Endpoint) executeLate(rq request, d time.Duration) {
 	ep.wg.Go(func() {
 		if sleep(ep.ctx, d) {
-			ep.execute(rc)
+			ep.execute(rq)
 		}
 	})
 }
 
-func failCall(w http.ResponseWriter, r *http.Request, md Outage) {
-	switch md {
+func failCall(w http.ResponseWriter, r *http.Request, outage Outage) {
+	switch outage {
 	case Silent:
 		<-r.Context().Done()
 		resetConnection(w)
@@ -210,19 +212,19 @@
 	}
 }
 
-// reset drops the connection and all bytes still under way.
+// resetConnection resets the connection and drops all bytes that are still in transit.
 func resetConnection(w http.ResponseWriter) {
 	nc, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		panic(http.ErrAbortHandler) // the server then closes the connection
+		panic(http.ErrAbortHandler) // this makes the server close the connection
 	}
 	if tc, ok := nc.(*net.TCPConn); ok {
-		_ = tc.SetLinger(0) // without it the close is an orderly one, which is as good
+		_ = tc.SetLinger(0) // if this fails, the connection is closed in order, which serves as well
 	}
 	_ = nc.Close() // the caller may have closed it already
 }
 
-// pause reports false when ctx ends first.
+// sleep reports false when ctx ends before d is over.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return true
--- a/internal/standin/objectsim/objectsim.go
+++ b/internal/standin/objectsim/objectsim.go
@@ -1,5 +1,5 @@
-// Package objectsim is a stand-in for the users' metadata store. Callers reach it through doors, which can be down,
-// slow or lossy one by one, so that a test can turn away some callers and serve the others.
+// Package objectsim is a stand-in for the users' metadata store. Callers reach it through endpoints, each of which can be
+// down, slow or lossy by itself, so that a test can fail the calls of some callers and serve the others.
 package objectsim
 
 import (
@@ -9,22 +9,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// defaultPage is the protocol's bound on the entries of a list.
+// defaultPageSize is the maximum number of entries that the protocol allows in one list.
 const defaultPageSize = 500
 
-// Settings are the sizes of a store.
+// Settings are the settings of a store.
 type Settings struct {
-	// Page bounds the entries of one list.
+	// PageSize is the maximum number of entries in one list.
 	PageSize int
 }
 
 // Option changes the settings.
 type Option func(*Settings)
 
-// WithPage bounds the entries of one list.
+// WithPageSize sets the maximum number of entries in one list.
 func WithPageSize(n int) Option { return func(se *Settings) { se.PageSize = n } }
 
-// Sim is the stand-in, and its own first door.
+// Sim is the stand-in store, together with its first endpoint.
 type Sim struct {
 	*Endpoint
 	settings Settings
@@ -38,15 +38,15 @@
 		opt(&se)
 	}
 	sm := &Sim{settings: se, store: newStore()}
-	dr, err := sm.OpenEndpoint()
-	sm.Endpoint = dr
+	ep, err := sm.OpenEndpoint()
+	sm.Endpoint = ep
 	return sm, err
 }
 
-// OpenDoor returns one more address of the same store, with faults of its own. It is closed by itself.
+// OpenEndpoint opens another endpoint of the same store, with faults of its own. The caller must close it.
 func (sm *Sim) OpenEndpoint() (*Endpoint, error) { return openEndpoint(sm.store, sm.settings.PageSize) }
 
-// PutSpec makes an object or replaces its spec, and returns its revision. No fault touches it.
+// PutSpec creates an object or replaces its spec, and returns its revision. No faults are injected.
 func (sm *Sim) PutSpec(kind, name string, spec any) (int64, error) {
 	raw, err := json.Marshal(spec)
 	if err != nil {
@@ -59,25 +59,25 @@
 	return sm.store.put(key{kind, name}, Object{Spec: raw, Status: json.RawMessage("null")}), nil
 }
 
-// Remove removes an object, or marks it deleting while it has finalizers. It reports whether the object was there.
+// Remove removes an object, or marks it as deleting while it has finalizers. It reports whether the object existed.
 func (sm *Sim) Remove(kind, name string) bool {
 	return sm.store.remove(key{kind, name}, 0).status == http.StatusOK
 }
 
-// Get returns an object.
+// Get returns an object, and reports false when there is none.
 func (sm *Sim) Get(kind, name string) (Object, bool) { return sm.store.get(key{kind, name}, false) }
 
-// Objects returns the objects of a kind in the order of their names.
+// Objects returns the objects of a kind, sorted by name.
 func (sm *Sim) Objects(kind string) []Object {
-	const all = -1 // no page is that small
+	const all = -1 // no page has this length, so the list is not split into pages
 	return sm.store.list(kind, "", all, false).Entries
 }
 
-// Revision returns the store's revision.
+// Revision returns the revision of the last change.
 func (sm *Sim) Revision() int64 { return sm.store.currentRevision() }
 
-// Forget drops the history, so that watches from before it are told so.
+// CompactHistory drops the history, so that watches from an earlier revision get status 410.
 func (sm *Sim) CompactHistory() { sm.store.compactHistory() }
 
-// FreezeStale makes stale reads show the present state until it is called with false.
+// FreezeStaleReads makes stale reads return the state at the time of the call, until it is called with false.
 func (sm *Sim) FreezeStaleReads(on bool) { sm.store.freezeStale(on) }
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// generous is far longer than anything here takes.
-	generous = 10 * time.Second
-	// short is long enough for a call on loopback to arrive, and is only waited for where silence is expected.
-	short = 100 * time.Millisecond
+	// testTimeout bounds the waits for conditions that normally hold within milliseconds.
+	testTimeout = 10 * time.Second
+	// silenceWait is long enough for a call on loopback to arrive. Tests wait this long only where they expect no response.
+	silenceWait = 100 * time.Millisecond
 )
 
 func start(t *testing.T, opts ...objectsim.Option) *objectsim.Sim {
@@ -77,7 +77,7 @@
 	At     int64             `json:"at"`
 }
 
-func TestListGoesOnPageByPage(t *testing.T) {
+func TestListContinuesOnTheNextPage(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t, objectsim.WithPageSize(2))
 	for _, name := range []string{"c", "a", "b"} {
@@ -95,33 +95,33 @@
 	g.Expect(sm.CallCounts()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "servers", Type: objectsim.List}, 2))
 }
 
-func TestWritesKeepTheirConditions(t *testing.T) {
+func TestWritesCheckTheirConditions(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
-	at := sm.URL() + "/objects/my-locks"
-	made := decode[objectsim.Object](t, call(t.Context(), "POST", at, `{"metadata":{"name":"leader"},"spec":{"by":"a"}}`))
+	url := sm.URL() + "/objects/my-locks"
+	made := decode[objectsim.Object](t, call(t.Context(), "POST", url, `{"metadata":{"name":"leader"},"spec":{"by":"a"}}`))
 	g.Expect(made.Metadata.Revision).To(Equal(int64(1)))
-	g.Expect(call(t.Context(), "POST", at, `{"metadata":{"name":"leader"},"spec":1}`).status).To(Equal(409))
+	g.Expect(call(t.Context(), "POST", url, `{"metadata":{"name":"leader"},"spec":1}`).status).To(Equal(409))
 
-	put := decode[objectsim.Object](t, call(t.Context(), "PUT", at+"/leader", `{"metadata":{"revision":1},"spec":{"by":"b"}}`))
+	put := decode[objectsim.Object](t, call(t.Context(), "PUT", url+"/leader", `{"metadata":{"revision":1},"spec":{"by":"b"}}`))
 	g.Expect(put.Metadata.Revision).To(Equal(int64(2)))
-	lost := call(t.Context(), "PUT", at+"/leader", `{"metadata":{"revision":1},"spec":{"by":"c"}}`)
+	lost := call(t.Context(), "PUT", url+"/leader", `{"metadata":{"revision":1},"spec":{"by":"c"}}`)
 	g.Expect(lost.status).To(Equal(409))
 	g.Expect(string(decode[objectsim.Object](t, lost).Spec)).To(Equal(`{"by":"b"}`))
-	same := decode[objectsim.Object](t, call(t.Context(), "PUT", at+"/leader", `{"spec":{ "by": "b" }}`))
-	g.Expect(same.Metadata.Revision).To(Equal(int64(2)), "nothing changed")
+	same := decode[objectsim.Object](t, call(t.Context(), "PUT", url+"/leader", `{"spec":{ "by": "b" }}`))
+	g.Expect(same.Metadata.Revision).To(Equal(int64(2)), "a write without a change keeps the revision")
 
-	st := decode[objectsim.Object](t, call(t.Context(), "PUT", at+"/leader/status", `{"metadata":{"revision":2},"status":7}`))
+	st := decode[objectsim.Object](t, call(t.Context(), "PUT", url+"/leader/status", `{"metadata":{"revision":2},"status":7}`))
 	g.Expect(string(st.Status)).To(Equal("7"))
 	g.Expect(string(st.Spec)).To(Equal(`{"by":"b"}`))
-	g.Expect(call(t.Context(), "DELETE", at+"/leader?revision=2", "").status).To(Equal(409))
-	g.Expect(call(t.Context(), "DELETE", at+"/leader?revision=3", "").status).To(Equal(200))
-	g.Expect(call(t.Context(), "GET", at+"/leader", "").status).To(Equal(404))
-	g.Expect(call(t.Context(), "PUT", at+"/leader", `{"spec":1}`).status).To(Equal(404))
-	g.Expect(call(t.Context(), "PATCH", at+"/leader", "").status).To(Equal(400))
+	g.Expect(call(t.Context(), "DELETE", url+"/leader?revision=2", "").status).To(Equal(409))
+	g.Expect(call(t.Context(), "DELETE", url+"/leader?revision=3", "").status).To(Equal(200))
+	g.Expect(call(t.Context(), "GET", url+"/leader", "").status).To(Equal(404))
+	g.Expect(call(t.Context(), "PUT", url+"/leader", `{"spec":1}`).status).To(Equal(404))
+	g.Expect(call(t.Context(), "PATCH", url+"/leader", "").status).To(Equal(400))
 }
 
-func TestFinalizersHoldAnObject(t *testing.T) {
+func TestFinalizersDelayRemoval(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
 	for _, kind := range []string{"my-jobs", "servers"} {
@@ -129,14 +129,14 @@
 		call(t.Context(), "POST", at, `{"metadata":{"name":"x","finalizers":["f"]},"spec":1}`)
 		g.Expect(call(t.Context(), "DELETE", at+"/x", "").status).To(Equal(200))
 	}
-	ob, there := sm.Get("my-jobs", "x")
-	g.Expect(there).To(BeTrue())
+	ob, exists := sm.Get("my-jobs", "x")
+	g.Expect(exists).To(BeTrue())
 	g.Expect(ob.Metadata.Deleting).To(BeTrue())
-	_, there = sm.Get("servers", "x")
-	g.Expect(there).To(BeFalse())
+	_, exists = sm.Get("servers", "x")
+	g.Expect(exists).To(BeFalse())
 	call(t.Context(), "PUT", sm.URL()+"/objects/my-jobs/x", `{"metadata":{"finalizers":[]},"spec":1}`)
-	_, there = sm.Get("my-jobs", "x")
-	g.Expect(there).To(BeFalse())
+	_, exists = sm.Get("my-jobs", "x")
+	g.Expect(exists).To(BeFalse())
 }
 
 func TestWatch(t *testing.T) {
@@ -152,21 +152,21 @@
 
 	got := make(chan result, 1)
 	go func() { got <- call(t.Context(), "GET", url(from, "30000"), "") }()
-	g.Eventually(sm.WatchCount).WithTimeout(generous).Should(Equal(1))
+	g.Eventually(sm.WatchCount).WithTimeout(testTimeout).Should(Equal(1))
 	_, err = sm.PutSpec("servers", "i-1", 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(sm.Remove("config", "main")).To(BeTrue())
 	var rs result
-	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
+	g.Eventually(got).WithTimeout(testTimeout).Should(Receive(&rs))
 	ch := decode[changes](t, rs)
-	g.Expect(ch.Events).To(HaveLen(1), "only its own kind")
+	g.Expect(ch.Events).To(HaveLen(1), "a watch reports only its own kind")
 	g.Expect(ch.Events[0].Deleted).To(BeTrue())
 	g.Expect(ch.At).To(Equal(sm.Revision()))
 
 	go func() { got <- call(t.Context(), "GET", url(ch.At, "30000"), "") }()
-	g.Eventually(sm.WatchCount).WithTimeout(generous).Should(Equal(1))
+	g.Eventually(sm.WatchCount).WithTimeout(testTimeout).Should(Equal(1))
 	sm.DisconnectWatches()
-	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
+	g.Eventually(got).WithTimeout(testTimeout).Should(Receive(&rs))
 	g.Expect(rs.err).To(HaveOccurred())
 
 	sm.CompactHistory()
@@ -174,7 +174,7 @@
 	g.Expect(call(t.Context(), "GET", url(sm.Revision(), "1"), "").status).To(Equal(200))
 }
 
-func TestDownTurnsCallersAway(t *testing.T) {
+func TestOutageFailsCallsWithoutExecutingThem(t *testing.T) {
 	cases := map[string]struct {
 		mode   objectsim.Outage
 		status int
@@ -192,16 +192,16 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			defer other.Close()
 			sm.SetOutage(tc.mode)
-			limit := generous
+			timeout := testTimeout
 			if tc.mode == objectsim.Silent {
-				limit = short
+				timeout = silenceWait
 			}
-			ctx, cancel := context.WithTimeout(t.Context(), limit)
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			rs := call(ctx, "POST", sm.URL()+"/objects/my-jobs/x", `{"spec":1}`)
 			g.Expect(rs.status).To(Equal(tc.status))
 			g.Expect(rs.err != nil).To(Equal(tc.status == 0))
-			g.Expect(call(t.Context(), "GET", other.URL()+"/objects/my-jobs/x", "").status).To(Equal(404), "nothing was done")
+			g.Expect(call(t.Context(), "GET", other.URL()+"/objects/my-jobs/x", "").status).To(Equal(404), "the failed call must not be executed")
 			sm.SetOutage(objectsim.NoOutage)
 			g.Expect(call(t.Context(), "POST", sm.URL()+"/objects/my-jobs/x", `{"spec":1}`).status).To(Equal(200))
 			g.Expect(sm.CallCounts()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "my-jobs", Type: objectsim.Create}, 2))
@@ -209,22 +209,22 @@
 	}
 }
 
-func TestLostAndLateWrites(t *testing.T) {
+func TestLostResponsesAndDelayedWrites(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
 	at := sm.URL() + "/objects/my-jobs/"
 	sm.LoseResponses(1)
 	g.Expect(call(t.Context(), "POST", at+"lost", `{"spec":1}`).err).To(HaveOccurred())
-	_, there := sm.Get("my-jobs", "lost")
-	g.Expect(there).To(BeTrue())
+	_, exists := sm.Get("my-jobs", "lost")
+	g.Expect(exists).To(BeTrue())
 	sm.DelayWrites(1, time.Millisecond)
 	g.Expect(call(t.Context(), "POST", at+"late", `{"spec":1}`).err).To(HaveOccurred())
-	g.Eventually(func() bool { _, there := sm.Get("my-jobs", "late"); return there }).WithTimeout(generous).Should(BeTrue())
+	g.Eventually(func() bool { _, exists := sm.Get("my-jobs", "late"); return exists }).WithTimeout(testTimeout).Should(BeTrue())
 	sm.SetDelay(time.Millisecond)
 	g.Expect(call(t.Context(), "GET", at+"late", "").status).To(Equal(200))
 }
 
-func TestStaleReadsShowTheFrozenState(t *testing.T) {
+func TestStaleReadsReturnTheFrozenState(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
 	sm.FreezeStaleReads(true)
--- a/internal/standin/objectsim/snapshot.go
+++ b/internal/standin/objectsim/snapshot.go
@@ -7,24 +7,24 @@
 	"strconv"
 )
 
-// eraHeader counts, in the head of all answers, how often the store came back from an older copy.
+// eraHeader holds, in all responses, how often the store was restored from a snapshot.
 const eraHeader = "Store-Era"
 
-// Copy is the state of a store at one time.
+// Snapshot is the state of a store at one time.
 type Snapshot struct {
-	objects  map[key]Object
-	history  []historyEntry
-	revision int64
-	floor    int64
+	objects           map[key]Object
+	history           []historyEntry
+	revision          int64
+	compactedRevision int64
 }
 
-// Copy returns the present state.
+// Snapshot returns the current state.
 func (sm *Sim) Snapshot() Snapshot { return sm.store.snapshot() }
 
-// Restore lets the store come back from a copy: what was written since is gone, and its revisions are given out again.
-func (sm *Sim) Restore(cp Snapshot) { sm.store.restore(cp) }
+// Restore restores the store from a snapshot: all later writes are lost, and their revisions are assigned again.
+func (sm *Sim) Restore(sn Snapshot) { sm.store.restore(sn) }
 
-// Era returns how often the store came back from a copy.
+// Era returns how often the store was restored from a snapshot.
 func (sm *Sim) Era() int64 { return sm.store.currentEra() }
 
 func (st *store) currentEra() int64 { st.mu.Lock(); defer st.mu.Unlock(); return st.era }
@@ -32,17 +32,17 @@
 func (st *store) snapshot() Snapshot {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return Snapshot{objects: maps.Clone(st.objects), history: slices.Clone(st.history), revision: st.revision, floor: st.compactedRevision}
+	return Snapshot{objects: maps.Clone(st.objects), history: slices.Clone(st.history), revision: st.revision, compactedRevision: st.compactedRevision}
 }
 
-func (st *store) restore(cp Snapshot) {
+func (st *store) restore(sn Snapshot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.era++
-	st.objects, st.history = maps.Clone(cp.objects), slices.Clone(cp.history)
-	st.revision, st.compactedRevision = cp.revision, cp.floor
+	st.objects, st.history = maps.Clone(sn.objects), slices.Clone(sn.history)
+	st.revision, st.compactedRevision = sn.revision, sn.compactedRevision
 	st.signal()
 }
 
-// tellEra writes an era into the head of an answer.
+// setEra sets the header that holds the era.
 func setEra(w http.ResponseWriter, era int64) { w.Header().Set(eraHeader, strconv.FormatInt(era, 10)) }
--- a/internal/standin/objectsim/snapshot_test.go
+++ b/internal/standin/objectsim/snapshot_test.go
@@ -9,7 +9,7 @@
 	"github.com/silvermount/silvermount/internal/standin/objectsim"
 )
 
-func TestRestoredStoreGivesItsRevisionsOutAgain(t *testing.T) {
+func TestRestoredStoreAssignsItsRevisionsAgain(t *testing.T) {
 	g := NewWithT(t)
 	sm, err := objectsim.Start()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -26,14 +26,14 @@
 		return resp.StatusCode, resp.Header.Get("Store-Era")
 	}
 	put("a")
-	cp := sm.Snapshot()
-	lost := put("b")
-	sm.Restore(cp)
+	snapshot := sm.Snapshot()
+	lostRevision := put("b")
+	sm.Restore(snapshot)
 	g.Expect(sm.Objects("things")).To(HaveLen(1))
 	code, era := status("/objects/things?watch=2&wait_ms=1")
-	g.Expect(code).To(Equal(http.StatusGone), "there is no such revision any more")
+	g.Expect(code).To(Equal(http.StatusGone), "the restore took the revision back")
 	g.Expect(era).To(Equal("1"))
-	g.Expect(put("c")).To(Equal(lost), "it is given out again")
+	g.Expect(put("c")).To(Equal(lostRevision), "the restored store assigns the revision again")
 	code, era = status("/objects/things")
 	g.Expect(code).To(Equal(http.StatusOK))
 	g.Expect(era).To(Equal("1"))
--- a/internal/standin/objectsim/store.go
+++ b/internal/standin/objectsim/store.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// lapsingKind is the kind whose objects go whatever their finalizers.
+// kindIgnoringFinalizers is the kind whose objects are removed at once even if they have finalizers.
 const kindIgnoringFinalizers = "servers"
 
 type key struct{ kind, name string }
@@ -18,21 +18,21 @@
 	event    Event
 }
 
-// store is the state behind all doors.
+// store is the state that all endpoints share.
 type store struct {
 	mu sync.Mutex
-	// era counts the returns from an older copy.
+	// era counts how often the store was restored from a snapshot.
 	era int64
-	// revision rises with each change, and goes back with a new era.
+	// revision grows by one with each change, and goes back to an earlier value at the start of an era.
 	revision int64
 	objects  map[key]Object
-	// history holds the changes after floor, in order.
+	// history holds the changes after compactedRevision, in order.
 	history           []historyEntry
 	compactedRevision int64
-	// stale is what stale reads see, with its revision; nil shows the present.
+	// stale holds the objects that stale reads return, as of staleRevision; with nil they return the current ones.
 	stale         map[key]Object
 	staleRevision int64
-	// changed is closed and replaced at each change, and when history is forgotten.
+	// changed is closed and replaced at each change, and when the history is compacted or the store restored.
 	changed chan struct{}
 }
 
@@ -40,7 +40,7 @@
 	return &store{objects: map[key]Object{}, changed: make(chan struct{})}
 }
 
-// page is one answer to a list.
+// listPage is the response to a list.
 type listPage struct {
 	Entries []Object `json:"entries"`
 	More    bool     `json:"more"`
@@ -51,8 +51,8 @@
 func (st *store) list(kind, after string, size int, stale bool) listPage {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	objects, at := st.readableState(stale)
-	pg := listPage{Entries: []Object{}, At: at, era: st.era}
+	objects, revision := st.readableState(stale)
+	pg := listPage{Entries: []Object{}, At: revision, era: st.era}
 	for _, name := range namesOf(objects, kind) {
 		if name <= after {
 			continue
@@ -92,7 +92,7 @@
 	return ob, ok
 }
 
-// batch is one answer to a watch.
+// watchResult is the response to a watch.
 type watchResult struct {
 	Events []Event `json:"events"`
 	At     int64   `json:"at"`
@@ -100,30 +100,31 @@
 }
 
 // since returns the changes of a kind after a revision, and a channel that is closed at the next change. It reports
-// false when the history is gone, or when there is no such revision.
+// false when the history no longer reaches back to the revision, or when the revision has not been assigned yet.
 func (st *store) since(kind string, after int64) (watchResult, <-chan struct{}, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	bt := watchResult{Events: []Event{}, At: st.revision, era: st.era}
+	res := watchResult{Events: []Event{}, At: st.revision, era: st.era}
 	if after < st.compactedRevision || after > st.revision {
-		return bt, nil, false
+		return res, nil, false
 	}
-	for _, ch := range st.history {
-		if ch.revision > after && ch.kind == kind {
-			bt.Events = append(bt.Events, ch.event)
+	for _, he := range st.history {
+		if he.revision > after && he.kind == kind {
+			res.Events = append(res.Events, he.event)
 		}
 	}
-	return bt, st.changed, true
+	return res, st.changed, true
 }
 
-// verdict is the outcome of a writing call.
+// writeResult is the result of a write.
 type writeResult struct {
 	status int
-	// object is the object as it is after the call; it is nil with 404.
+	// object is the state of the object after the call; it is nil with status 404.
 	object *Object
 }
 
-// alter replaces an object by what edit makes of it, if it is there and has the revision; zero sets no condition.
+// update replaces an object by the result of edit if it exists and has the given revision. A revision of zero sets no
+// condition.
 func (st *store) update(ky key, revision int64, edit func(Object) Object) writeResult {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -142,7 +143,7 @@
 	return writeResult{status: http.StatusOK, object: &next}
 }
 
-// create makes an object that is not there yet.
+// create creates an object unless it exists.
 func (st *store) create(ky key, ob Object) writeResult {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -154,23 +155,23 @@
 	return writeResult{status: http.StatusOK, object: &ob}
 }
 
-// put makes an object or replaces its spec.
+// put creates an object or replaces its spec, and returns its revision.
 func (st *store) put(ky key, ob Object) int64 {
 	for {
-		if vd := st.create(ky, ob); vd.status == http.StatusOK {
-			return vd.object.Metadata.Revision
+		if wr := st.create(ky, ob); wr.status == http.StatusOK {
+			return wr.object.Metadata.Revision
 		}
-		vd := st.update(ky, 0, func(old Object) Object {
+		wr := st.update(ky, 0, func(old Object) Object {
 			old.Spec = ob.Spec
 			return old
 		})
-		if vd.status == http.StatusOK {
-			return vd.object.Metadata.Revision
+		if wr.status == http.StatusOK {
+			return wr.object.Metadata.Revision
 		}
 	}
 }
 
-// remove marks an object as deleting, and drops it when it has no finalizers.
+// remove marks an object as deleting, and removes it when nothing holds it.
 func (st *store) remove(ky key, revision int64) writeResult {
 	return st.update(ky, revision, func(ob Object) Object {
 		ob.Metadata.Deleting = true
@@ -178,20 +179,21 @@
 	})
 }
 
-// keep stores a changed object, or drops it when it is deleting and nothing holds it; it is called with the lock held.
+// commit stores a changed object under a new revision, or removes it when it is deleting and no finalizer holds it. The
+// caller must hold the lock.
 func (st *store) commit(ky key, ob Object) Object {
 	st.revision++
 	ob.Metadata.Revision = st.revision
 	if ob.Metadata.Finalizers == nil {
 		ob.Metadata.Finalizers = []string{}
 	}
-	gone := ob.Metadata.Deleting && (len(ob.Metadata.Finalizers) == 0 || ky.kind == kindIgnoringFinalizers)
-	if gone {
+	deleted := ob.Metadata.Deleting && (len(ob.Metadata.Finalizers) == 0 || ky.kind == kindIgnoringFinalizers)
+	if deleted {
 		delete(st.objects, ky)
 	} else {
 		st.objects[ky] = ob
 	}
-	st.history = append(st.history, historyEntry{revision: st.revision, kind: ky.kind, event: Event{Deleted: gone, Object: ob}})
+	st.history = append(st.history, historyEntry{revision: st.revision, kind: ky.kind, event: Event{Deleted: deleted, Object: ob}})
 	st.signal()
 	return ob
 }
