--- a/internal/standin/answer/answer.go
+++ b/internal/standin/answer/answer.go
@@ -1,4 +1,4 @@
-// Package answer gives the text that a stand-in engine generates, which depends on the prompt alone.
+// Package answer generates the output of stand-in engines, which depends on the prompt alone.
 package answer
 
 import (
@@ -8,14 +8,16 @@
 	"strings"
 )
 
+// tokenBytes is the number of hash bytes in a token.
 const tokenBytes = 4
 
-// Chain generates tokens one by one. A chain over a prompt plus its first tokens goes on where the first stopped.
+// Generator generates tokens one by one. A generator for a prompt with its first tokens appended continues after these
+// tokens.
 type Generator struct {
 	state hash.Hash
 }
 
-// New returns the chain of a prompt.
+// New returns the generator for a prompt.
 func New(prompt string) *Generator {
 	h := sha256.New()
 	h.Write([]byte(prompt))
@@ -30,7 +32,7 @@
 	return token
 }
 
-// Of returns the first n tokens for a prompt.
+// Generate returns the first n tokens for a prompt.
 func Generate(prompt string, n int) string {
 	ch := New(prompt)
 	var sb strings.Builder
--- a/internal/standin/enginesim/cache.go
+++ b/internal/standin/enginesim/cache.go
@@ -2,24 +2,25 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// blockTokens is the length of one prefix block.
+// blockTokens and blockBytes are the length of one prefix block.
 const (
 	blockTokens = 1024
 	blockBytes  = 4 * blockTokens
-	// gapEvery drops one cache event in this many.
+	// dropEventEvery is the interval of lost cache events: one event in this many is lost.
 	dropEventEvery = 7
 )
 
-// CacheEvent says that a prefix block is kept, or no longer kept.
+// CacheEvent reports that a prefix block was cached or evicted.
 type CacheEvent struct {
-	// Seq grows by one for each event; a gap shows a lost event.
+	// Seq is the sequence number, which grows by one with each event; a gap shows that an event was lost.
 	Seq int `json:"seq"`
 	// Block is the hash of the prefix up to the end of the block.
 	Block uint64 `json:"block"`
-	// Kept is false when the block was dropped.
+	// Kept is false when the block was evicted.
 	Kept bool `json:"kept"`
 }
 
+// prefixCache is an LRU cache of prefix blocks. The value of a block is the clock at its last use.
 type prefixCache struct {
 	maxBlocks int
 	blocks    map[uint64]int
@@ -28,22 +29,22 @@
 	seq       int
 }
 
-func newPrefixCache(limit int) prefixCache {
-	return prefixCache{maxBlocks: limit, blocks: map[uint64]int{}}
+func newPrefixCache(maxBlocks int) prefixCache {
+	return prefixCache{maxBlocks: maxBlocks, blocks: map[uint64]int{}}
 }
 
-// blockHashes returns the hash of each whole-block prefix of a prompt.
+// blockHashes returns the hash of each prefix of a prompt that is a whole number of blocks long.
 func blockHashes(prompt string) []uint64 {
 	d := xxhash.New()
 	var hashes []uint64
 	for end := blockBytes; end <= len(prompt); end += blockBytes {
-		_, _ = d.WriteString(prompt[end-blockBytes : end]) // a digest takes every write
+		_, _ = d.WriteString(prompt[end-blockBytes : end]) // writing to a digest never fails
 		hashes = append(hashes, d.Sum64())
 	}
 	return hashes
 }
 
-// match returns how many prompt tokens are cached.
+// cachedTokens returns how many prompt tokens are cached, and marks their blocks as used.
 func (pc *prefixCache) cachedTokens(hashes []uint64) int {
 	n := 0
 	for _, h := range hashes {
@@ -57,7 +58,7 @@
 	return n
 }
 
-// add keeps the blocks of a prompt and drops the least recently used ones.
+// add caches the blocks of a prompt and evicts the least recently used blocks beyond maxBlocks.
 func (pc *prefixCache) add(hashes []uint64) {
 	if pc.maxBlocks == 0 {
 		return
@@ -75,15 +76,15 @@
 }
 
 func (pc *prefixCache) evict() {
-	var oldest uint64
-	age := pc.clock + 1
-	for h, c := range pc.blocks {
-		if c < age {
-			oldest, age = h, c
+	var victim uint64
+	lastUsed := pc.clock + 1
+	for h, used := range pc.blocks {
+		if used < lastUsed {
+			victim, lastUsed = h, used
 		}
 	}
-	delete(pc.blocks, oldest)
-	pc.recordEvent(oldest, false)
+	delete(pc.blocks, victim)
+	pc.recordEvent(victim, false)
 }
 
 func (pc *prefixCache) recordEvent(block uint64, kept bool) {
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -1,5 +1,5 @@
-// Package enginesim is a small stand-in for a model engine: it batches continuously, prefills in chunks,
-// honours priorities, holds limited memory and caches prefixes. Its speeds are parameters.
+// Package enginesim is a small stand-in for a model engine with continuous batching, chunked prefill, priorities, limited
+// memory and a prefix cache. Its speeds are parameters.
 package enginesim
 
 import (
@@ -14,25 +14,25 @@
 
 // Params are the speeds and sizes of an engine.
 type Params struct {
-	// StepTokens bounds the prompt tokens computed in one step.
+	// MaxPromptTokensPerStep is the maximum number of prompt tokens that are computed in one step.
 	MaxPromptTokensPerStep int
-	// StepBase is the fixed time of a step, PrefillToken the time of a prompt token, DecodeToken of a sequence.
+	// A step takes StepOverhead, plus PrefillPerToken for each prompt token and DecodePerSequence for each decoding sequence.
 	StepOverhead, PrefillPerToken, DecodePerSequence time.Duration
-	// Knee is the context length at which a prompt token costs twice as much.
+	// CostDoublingContext is the context length at which a prompt token takes twice as long as at the start of a prompt.
 	CostDoublingContext int
-	// Memory is the KV memory in tokens.
+	// MemoryTokens is the size of the KV memory in tokens.
 	MemoryTokens int
-	// CacheBlocks is the number of prefix blocks kept; zero keeps none.
+	// CacheBlocks is the maximum number of cached prefix blocks; zero disables the cache.
 	CacheBlocks int
-	// ReportLag is how old a load report is when it is given out.
+	// ReportLag is the minimum age of the load reports that are served, once there are reports that old.
 	ReportLag time.Duration
-	// Scale divides all times.
+	// Speedup divides all times.
 	Speedup float64
-	// Fence makes the engine check the epoch of orders.
+	// FenceOrders makes the engine refuse orders whose epoch and sequence number are not newer than those of the last one.
 	FenceOrders bool
 }
 
-// DefaultParams resemble an engine that prefills about 20,000 tokens a second.
+// DefaultParams returns the parameters of an engine that prefills about 20,000 tokens per second.
 func DefaultParams() Params {
 	return Params{
 		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillPerToken: 45 * time.Microsecond,
@@ -41,7 +41,7 @@
 	}
 }
 
-// Alone returns the time to the first token of a prompt on an idle engine.
+// IdleTimeToFirstToken returns the time to the first token of a prompt on an idle engine.
 func (pr Params) IdleTimeToFirstToken(tokens int) time.Duration {
 	sum := time.Duration(0)
 	for at := 0; at < tokens; at += pr.MaxPromptTokensPerStep {
@@ -55,6 +55,7 @@
 	return time.Duration(float64(pr.PrefillPerToken) * float64(chunk) * factor)
 }
 
+// sequence is an attempt in progress, or a reservation of memory.
 type sequence struct {
 	id, holder, model string
 	// chat is set for chat completions.
@@ -63,7 +64,7 @@
 	arrivalNumber              int
 	deadline                   time.Time
 	promptTokens, outputTokens int
-	// borrowed is memory held on other engines.
+	// borrowedTokens is the memory that other engines hold for the sequence, in tokens.
 	borrowedTokens int
 	computedTokens int
 	admitted       bool
@@ -71,25 +72,27 @@
 	tokens         []string
 	blockHashes    []uint64
 	done           bool
-	broken         bool
+	aborted        bool
 	changed        chan struct{}
 }
 
+// memoryTokens returns the memory that the sequence needs on this engine, in tokens.
 func (sq *sequence) memoryTokens() int {
 	return max(0, sq.promptTokens+sq.outputTokens-sq.borrowedTokens)
 }
 
+// signal wakes all readers that wait for a change of the sequence. The caller must hold the lock.
 func (sq *sequence) signal() {
 	close(sq.changed)
 	sq.changed = make(chan struct{})
 }
 
 type timedReport struct {
-	at     time.Time
-	report engine.Report
+	takenAt time.Time
+	report  engine.Report
 }
 
-// Engine is the stand-in.
+// Engine is a stand-in engine.
 type Engine struct {
 	params      Params
 	incarnation string
@@ -97,7 +100,7 @@
 	mu           sync.Mutex
 	wake         chan struct{}
 	killed       chan struct{}
-	seqs         map[string]*sequence
+	sequences    map[string]*sequence
 	reservations map[string]*sequence
 	usedTokens   int
 	attemptCount int
@@ -106,11 +109,11 @@
 	reports      []timedReport
 	cache        prefixCache
 	orders       orderState
-	// runs counts how often each attempt was started.
-	runs map[string]int
-	// hang makes the engine accept attempts and compute nothing.
+	// startsByAttempt counts how often each attempt was started.
+	startsByAttempt map[string]int
+	// hung makes the engine accept attempts and compute nothing.
 	hung bool
-	// breaks and crosses count down the streams to break and the answers to cross.
+	// streamsToBreak and responsesToMislabel are the numbers of next streams to break and next responses to mislabel.
 	streamsToBreak, responsesToMislabel int
 }
 
@@ -118,8 +121,8 @@
 func New(p Params, models ...string) *Engine {
 	en := &Engine{
 		params: p, incarnation: ident.New("engine"), wake: make(chan struct{}, 1), killed: make(chan struct{}),
-		seqs: map[string]*sequence{}, reservations: map[string]*sequence{}, models: map[string]bool{},
-		cache: newPrefixCache(p.CacheBlocks), runs: map[string]int{},
+		sequences: map[string]*sequence{}, reservations: map[string]*sequence{}, models: map[string]bool{},
+		cache: newPrefixCache(p.CacheBlocks), startsByAttempt: map[string]int{},
 	}
 	for _, m := range models {
 		en.models[m] = true
@@ -128,7 +131,7 @@
 	return en
 }
 
-// Kill stops the engine in the middle of its work; open streams break.
+// Kill stops the engine at once and breaks all open streams.
 func (en *Engine) Kill() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -138,16 +141,16 @@
 	default:
 	}
 	close(en.killed)
-	for _, sq := range en.seqs {
-		sq.broken = true
+	for _, sq := range en.sequences {
+		sq.aborted = true
 		sq.signal()
 	}
 }
 
-// Leave marks the engine as leaving.
+// MarkLeaving marks the engine as leaving: it refuses new attempts and reservations.
 func (en *Engine) MarkLeaving() { en.mu.Lock(); en.leaving = true; en.mu.Unlock() }
 
-// Hang makes the engine compute nothing until it is called with false.
+// SetHung makes the engine compute nothing until it is called with false.
 func (en *Engine) SetHung(on bool) {
 	en.mu.Lock()
 	en.hung = on
@@ -155,24 +158,24 @@
 	en.wakeLoop()
 }
 
-// BreakStreams makes the next n streams lose their connection after some tokens, while the engine goes on.
+// BreakStreams breaks the connections of the next n streams after some tokens; the engine goes on computing them.
 func (en *Engine) BreakStreams(n int) { en.mu.Lock(); en.streamsToBreak = n; en.mu.Unlock() }
 
-// CrossAnswers makes the next n answers come under the id of another attempt.
+// MislabelResponses sends the next n responses with the id of another attempt.
 func (en *Engine) MislabelResponses(n int) { en.mu.Lock(); en.responsesToMislabel = n; en.mu.Unlock() }
 
-// takes counts a seam down and reports whether it was set.
-func (en *Engine) consume(seam *int) bool {
+// consume decrements a counter of faults, and reports false when it is zero.
+func (en *Engine) consume(counter *int) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if *seam == 0 {
+	if *counter == 0 {
 		return false
 	}
-	*seam--
+	*counter--
 	return true
 }
 
-// echo returns the id that an answer comes under.
+// responseAttemptID returns the attempt id to send in the response.
 func (en *Engine) responseAttemptID(sq *sequence) string {
 	if en.consume(&en.responsesToMislabel) {
 		return "another-attempt"
@@ -180,10 +183,10 @@
 	return sq.id
 }
 
-// MemoryUsed returns the KV memory in use, in tokens.
+// MemoryUsed returns the KV memory that is in use or reserved, in tokens.
 func (en *Engine) MemoryUsed() int { en.mu.Lock(); defer en.mu.Unlock(); return en.usedTokens }
 
-// Started returns how many attempts were started.
+// AttemptCount returns how many attempts were accepted.
 func (en *Engine) AttemptCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.attemptCount }
 
 func (en *Engine) wakeLoop() {
@@ -193,11 +196,12 @@
 	}
 }
 
+// run computes steps until the engine is killed.
 func (en *Engine) run() {
 	next := time.Now()
 	for {
-		took := en.planStep()
-		if took == 0 {
+		stepTime := en.planStep()
+		if stepTime == 0 {
 			select {
 			case <-en.wake:
 				next = time.Now()
@@ -206,10 +210,10 @@
 				return
 			}
 		}
-		if now := time.Now(); next.Before(now.Add(-took)) {
+		if now := time.Now(); next.Before(now.Add(-stepTime)) {
 			next = now
 		}
-		next = next.Add(took)
+		next = next.Add(stepTime)
 		time.Sleep(time.Until(next))
 		select {
 		case <-en.killed:
@@ -220,7 +224,7 @@
 	}
 }
 
-// step plans one step and returns how long it takes; zero means that there is nothing to do.
+// planStep plans one step and returns how long it takes, or zero when there is nothing to compute.
 func (en *Engine) planStep() time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -229,14 +233,14 @@
 	}
 	order := en.byUrgency()
 	en.admit(order)
-	took, busy := time.Duration(0), false
+	stepTime, busy := time.Duration(0), false
 	budget := en.params.MaxPromptTokensPerStep
 	for _, sq := range order {
 		if !sq.admitted {
 			continue
 		}
 		if sq.computedTokens >= sq.promptTokens {
-			took += en.params.DecodePerSequence
+			stepTime += en.params.DecodePerSequence
 			busy = true
 			continue
 		}
@@ -246,21 +250,21 @@
 		}
 		budget -= chunk
 		busy = true
-		took += en.params.chunkTime(sq.computedTokens, chunk)
+		stepTime += en.params.chunkTime(sq.computedTokens, chunk)
 		sq.computedTokens += chunk
 	}
 	if !busy {
 		return 0
 	}
-	took += en.params.StepOverhead
-	return max(1, time.Duration(float64(took)/en.params.Speedup))
+	stepTime += en.params.StepOverhead
+	return max(1, time.Duration(float64(stepTime)/en.params.Speedup))
 }
 
-// ordered returns the sequences, most urgent first.
+// byUrgency returns the unfinished sequences, the most urgent first. A higher priority is more urgent.
 func (en *Engine) byUrgency() []*sequence {
-	order := make([]*sequence, 0, len(en.seqs))
-	for _, sq := range en.seqs {
-		if !sq.done && !sq.broken {
+	order := make([]*sequence, 0, len(en.sequences))
+	for _, sq := range en.sequences {
+		if !sq.done && !sq.aborted {
 			order = append(order, sq)
 		}
 	}
@@ -273,8 +277,8 @@
 	return order
 }
 
-// admit gives memory to sequences in order; one that does not fit holds back those after it, but for those whose
-// memory was reserved before.
+// admit gives memory to the sequences in order. A sequence that does not fit holds back those after it, except for
+// sequences that need no further memory because all of it was reserved before.
 func (en *Engine) admit(order []*sequence) {
 	full := false
 	for _, sq := range order {
@@ -291,11 +295,11 @@
 	}
 }
 
-// finishStep emits a token for each sequence whose prompt is computed.
+// finishStep generates a token for each sequence whose prompt is computed.
 func (en *Engine) finishStep() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	for _, sq := range en.seqs {
+	for _, sq := range en.sequences {
 		if !sq.admitted || sq.done || sq.computedTokens < sq.promptTokens {
 			continue
 		}
@@ -312,16 +316,16 @@
 	}
 }
 
-// cancel frees a sequence or room.
+// cancel removes a sequence or reservation and frees its memory.
 func (en *Engine) cancel(id string) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if rm, ok := en.reservations[id]; ok {
-		en.usedTokens -= rm.promptTokens
+	if rv, ok := en.reservations[id]; ok {
+		en.usedTokens -= rv.promptTokens
 		delete(en.reservations, id)
 		en.wakeLoop()
 	}
-	sq, ok := en.seqs[id]
+	sq, ok := en.sequences[id]
 	if !ok {
 		return
 	}
@@ -329,21 +333,21 @@
 		en.usedTokens -= sq.memoryTokens()
 	}
 	sq.admitted = false
-	sq.broken = sq.broken || !sq.done
+	sq.aborted = sq.aborted || !sq.done
 	sq.signal()
-	delete(en.seqs, id)
+	delete(en.sequences, id)
 	en.wakeLoop()
 }
 
-// report returns the newest load report that is at least ReportLag old, else the oldest.
+// loadReport returns the newest load report that is at least ReportLag old, or else the oldest one.
 func (en *Engine) loadReport() engine.Report {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	now := time.Now()
-	en.reports = append(en.reports, timedReport{at: now, report: en.currentLoad()})
+	en.reports = append(en.reports, timedReport{takenAt: now, report: en.currentLoad()})
 	lag := time.Duration(float64(en.params.ReportLag) / en.params.Speedup)
 	i := 0
-	for i+1 < len(en.reports) && now.Sub(en.reports[i+1].at) >= lag {
+	for i+1 < len(en.reports) && now.Sub(en.reports[i+1].takenAt) >= lag {
 		i++
 	}
 	en.reports = en.reports[i:]
@@ -361,8 +365,8 @@
 		r.Models = append(r.Models, m)
 	}
 	slices.Sort(r.Models)
-	for _, sq := range en.seqs {
-		if sq.done || sq.broken {
+	for _, sq := range en.sequences {
+		if sq.done || sq.aborted {
 			continue
 		}
 		if sq.admitted {
@@ -375,6 +379,7 @@
 	return r
 }
 
+// prefillRate returns the prefill rate of full steps at the start of a prompt, in tokens per second.
 func (en *Engine) prefillRate() float64 {
 	step := en.params.StepOverhead + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillPerToken
 	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Speedup
--- a/internal/standin/enginesim/http.go
+++ b/internal/standin/enginesim/http.go
@@ -18,7 +18,7 @@
 
 const (
 	defaultOutputTokens = 16
-	// breakAfter is the number of tokens after which a stream is broken when asked for.
+	// breakAfterTokens is the number of tokens after which BreakStreams breaks a stream.
 	breakAfterTokens = 2
 )
 
@@ -65,7 +65,7 @@
 	Usage   *usage   `json:"usage,omitempty"`
 }
 
-// Handler serves the engine's protocol.
+// Handler returns the HTTP handler of the engine's protocol.
 func (en *Engine) Handler() http.Handler {
 	rt := chi.NewRouter()
 	rt.Use(en.abortWhenKilled)
@@ -81,7 +81,7 @@
 	return rt
 }
 
-// aliveOnly breaks every connection once the engine was killed.
+// abortWhenKilled breaks the connections of all requests after the engine was killed.
 func (en *Engine) abortWhenKilled(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -117,22 +117,24 @@
 	}
 }
 
+// refuse responds that the attempt was not started.
 func refuse(w http.ResponseWriter, status int) {
 	w.Header().Set(engine.HeaderNotStarted, "true")
 	w.WriteHeader(status)
 }
 
+// startSequence adds the sequence of an attempt. When it refuses the attempt, the sequence is nil and the status is an error.
 func (en *Engine) startSequence(h http.Header, cr completionRequest, chat bool) (*sequence, int) {
 	prompt := cr.promptText()
 	if cr.MaxTokens == 0 {
 		cr.MaxTokens = defaultOutputTokens
 	}
-	left, _ := strconv.ParseInt(h.Get(engine.HeaderDeadline), 10, 64)
+	leftMillis, _ := strconv.ParseInt(h.Get(engine.HeaderDeadline), 10, 64)
 	priority, _ := strconv.Atoi(h.Get(engine.HeaderPriority))
 	borrowed, _ := strconv.Atoi(h.Get(engine.HeaderBorrowed))
 	sq := &sequence{
 		id: h.Get(engine.HeaderAttempt), holder: h.Get(engine.HeaderHolder), model: cr.Model, priority: priority, chat: chat,
-		deadline:     time.Now().Add(time.Duration(left) * time.Millisecond),
+		deadline:     time.Now().Add(time.Duration(leftMillis) * time.Millisecond),
 		promptTokens: max(1, len(prompt)/engine.BytesPerToken), outputTokens: cr.MaxTokens, borrowedTokens: borrowed,
 		generator: answer.New(prompt), blockHashes: blockHashes(prompt), changed: make(chan struct{}),
 	}
@@ -145,27 +147,28 @@
 		return nil, http.StatusServiceUnavailable
 	case sq.memoryTokens() > en.params.MemoryTokens:
 		return nil, http.StatusRequestEntityTooLarge
-	case en.seqs[sq.id] != nil:
+	case en.sequences[sq.id] != nil:
 		return nil, http.StatusConflict
 	}
 	en.attemptCount++
-	en.runs[sq.id]++
+	en.startsByAttempt[sq.id]++
 	sq.arrivalNumber = en.attemptCount
-	en.seqs[sq.id] = sq
+	en.sequences[sq.id] = sq
 	en.wakeLoop()
 	return sq, http.StatusOK
 }
 
-// wait returns the tokens after the first n; ok is false when there will be no more.
+// waitForTokens waits for tokens after the first n. It returns false when there will be none, and breaks the connection when
+// the sequence was aborted.
 func (en *Engine) waitForTokens(r *http.Request, sq *sequence, n int) (tokens []string, ok bool) {
 	for {
 		en.mu.Lock()
-		changed, all, done, broken := sq.changed, sq.tokens, sq.done, sq.broken
+		changed, all, done, aborted := sq.changed, sq.tokens, sq.done, sq.aborted
 		en.mu.Unlock()
 		if len(all) > n {
 			return all[n:], true
 		}
-		if broken {
+		if aborted {
 			panic(http.ErrAbortHandler)
 		}
 		if done {
@@ -203,13 +206,13 @@
 	en.cancel(sq.id)
 }
 
-func (en *Engine) writeStream(w http.ResponseWriter, r *http.Request, sq *sequence, from int) {
+func (en *Engine) writeStream(w http.ResponseWriter, r *http.Request, sq *sequence, firstToken int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set(engine.HeaderAttempt, en.responseAttemptID(sq))
 	rc := http.NewResponseController(w)
 	w.WriteHeader(http.StatusOK)
-	_ = rc.Flush() // a caller that has gone shows at the next write
-	n := from
+	_ = rc.Flush() // the flush after the first tokens fails as well when the caller has closed the connection
+	n := firstToken
 	for n < sq.outputTokens {
 		tokens, ok := en.waitForTokens(r, sq, n)
 		if !ok {
@@ -226,7 +229,7 @@
 			panic(http.ErrAbortHandler)
 		}
 	}
-	_, _ = io.WriteString(w, "data: [DONE]\n\n") // as above
+	_, _ = io.WriteString(w, "data: [DONE]\n\n") // the sequence is removed whether or not the caller receives this
 	en.cancel(sq.id)
 }
 
@@ -241,26 +244,26 @@
 	}
 	b, err := json.Marshal(completion{ID: sq.id, Object: "completion.chunk", Model: sq.model, Choices: []choice{ch}})
 	if err == nil {
-		_, _ = fmt.Fprintf(w, "data: %s\n\n", b) // the flush after it tells of a caller that has gone
+		_, _ = fmt.Fprintf(w, "data: %s\n\n", b) // the next flush returns an error when the caller has closed the connection
 	}
 }
 
 func (en *Engine) handleResume(w http.ResponseWriter, r *http.Request) {
-	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
+	firstToken, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	en.mu.Lock()
-	sq := en.seqs[chi.URLParam(r, "id")]
+	sq := en.sequences[chi.URLParam(r, "id")]
 	en.mu.Unlock()
 	if sq == nil {
 		refuse(w, http.StatusNotFound)
 		return
 	}
-	en.writeStream(w, r, sq, from)
+	en.writeStream(w, r, sq, firstToken)
 }
 
 func (en *Engine) handleHeld(w http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
 	all := []engine.Held{}
-	for _, group := range []map[string]*sequence{en.seqs, en.reservations} {
+	for _, group := range []map[string]*sequence{en.sequences, en.reservations} {
 		for id, sq := range group {
 			all = append(all, engine.Held{
 				Attempt: id, Holder: sq.holder, Tokens: sq.promptTokens + sq.outputTokens,
--- a/internal/standin/enginesim/orders.go
+++ b/internal/standin/enginesim/orders.go
@@ -8,18 +8,20 @@
 	"github.com/silvermount/silvermount/internal/engine"
 )
 
+// orderState holds the position of the last applied order, and how many stale orders were refused.
 type orderState struct {
 	epoch, sequence int64
 	refusedCount    int
 }
 
-func (ob *orderState) isStale(o engine.Order) bool {
-	return o.Epoch < ob.epoch || (o.Epoch == ob.epoch && o.Sequence <= ob.sequence)
+func (os *orderState) isStale(o engine.Order) bool {
+	return o.Epoch < os.epoch || (o.Epoch == os.epoch && o.Sequence <= os.sequence)
 }
 
+// modelLoadTime is the time to load models, before Params.Speedup divides it.
 const modelLoadTime = 2 * time.Second
 
-// order applies an order; a fenced engine refuses one that is older than the last.
+// handleOrder applies an order. With FenceOrders, the engine refuses an order that is not newer than the last one.
 func (en *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -38,7 +40,7 @@
 	for _, m := range o.Models {
 		wanted[m] = true
 	}
-	// What is not wanted any more is unloaded at once, what is wanted is there after the load.
+	// Models that are no longer wanted are unloaded at once; wanted models are available after the load time.
 	for m := range en.models {
 		if !wanted[m] {
 			delete(en.models, m)
@@ -55,7 +57,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// RefusedOrders returns how many orders were refused as too old.
+// RefusedOrderCount returns how many stale orders were refused.
 func (en *Engine) RefusedOrderCount() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -177,8 +177,8 @@
 // runEarly responds before it reads the body, and then reads the body from the same connection.
 func (cn *conn) runEarly(rq *http.Request, tokens int) bool {
 	var early *Run
-	keep := cn.run(cn.server.ctx, rq, EarlyResponse, tokens, func(rn *Run) { early = rn })
-	if !keep {
+	reusable := cn.run(cn.server.ctx, rq, EarlyResponse, tokens, func(rn *Run) { early = rn })
+	if !reusable {
 		return false
 	}
 	body, err := cn.readBody(rq)
--- a/internal/standin/modelsim/helper.go
+++ b/internal/standin/modelsim/helper.go
@@ -9,17 +9,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxHelpers is the bound of the protocol.
+// maxHelpers is the maximum number of helpers that the protocol allows for a request.
 const maxHelpers = 16
 
-// Helper names an engine that reads a part of a prompt.
+// Helper names an engine that computes a part of the prefill of a prompt.
 type Helper struct {
 	Address string
-	// Ticket is empty when the helper keeps no memory for the request.
+	// Ticket is the ticket that reserves memory for the request at the helper; it is empty without one.
 	Ticket string
 }
 
-// parseHelpers reports false when the header is malformed.
+// parseHelpers reports false when the header is malformed or names too many helpers.
 func parseHelpers(header string) ([]Helper, bool) {
 	if header == "" {
 		return nil, true
@@ -35,14 +35,14 @@
 	return all, len(all) <= maxHelpers
 }
 
-// Peers are engines that can help each other. A nil Peers holds none.
+// Cluster is a set of engines that can help each other. A nil Cluster is empty.
 type Cluster struct {
 	mu sync.Mutex
-	// engines are by address.
+	// engines holds the engines by address.
 	engines map[string]*Engine
 }
 
-// NewPeers returns an empty set.
+// NewCluster returns an empty cluster.
 func NewCluster() *Cluster { return &Cluster{engines: map[string]*Engine{}} }
 
 func (cl *Cluster) add(en *Engine) {
@@ -72,13 +72,15 @@
 	return cl.engines[address]
 }
 
-// use is one request that an engine helps with.
+// helperUse is the use of a helper by one request.
 type helperUse struct {
-	// ticket is nil when the request keeps no memory at the engine.
+	// ticket is nil when the request has no memory reserved at the helper.
 	ticket *ticket
-	abort  func()
+	// abort ends the request.
+	abort func()
 }
 
+// engineAt returns this or another engine of the cluster by its address, or nil.
 func (en *Engine) engineAt(address string) *Engine {
 	if address == en.Address() {
 		return en
@@ -86,8 +88,9 @@
 	return en.settings.Cluster.find(address)
 }
 
-// lent returns the memory in the tickets of the helpers, in tokens, or the address of one that cannot help.
-func (en *Engine) lentTokens(helpers []Helper) (tokens int, lacking string) {
+// lentTokens returns the memory that the tickets of the helpers reserve, in tokens, or the address of a helper that cannot
+// help.
+func (en *Engine) lentTokens(helpers []Helper) (tokens int, unavailable string) {
 	for _, hp := range helpers {
 		other := en.engineAt(hp.Address)
 		if other == nil || !other.canHelp(hp, en) {
@@ -98,69 +101,72 @@
 	return tokens, ""
 }
 
-// canHelp reports whether the engine would take part in a request of another one.
-func (en *Engine) canHelp(hp Helper, first *Engine) bool {
-	if en != first && en.Draining() {
+// canHelp reports whether the engine can help with a request that the leader runs. The leader may use its own tickets.
+func (en *Engine) canHelp(hp Helper, leader *Engine) bool {
+	if en != leader && en.Draining() {
 		return false
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en != first && len(en.helping) >= en.settings.Slots {
+	if en != leader && len(en.helping) >= en.settings.Slots {
 		return false
 	}
 	return hp.Ticket == "" || en.tickets[hp.Ticket].held()
 }
 
-// lostError is the cause of the end of a request whose helper or ticket was lost.
+// helperLostError is the cancellation cause of a request whose helper or ticket was lost.
 type helperLostError struct{ address string }
 
-// Error names the helper.
-func (le helperLostError) Error() string { return "the engine at " + le.address + " was lost" }
+// Error returns a message with the address of the helper.
+func (hl helperLostError) Error() string {
+	return "helper engine at " + hl.address + " or its ticket was lost"
+}
 
-// useHelpers takes the helpers into use until ctx ends. The context returned ends as well when one of them is lost.
+// engageHelpers uses the helpers until ctx ends. The returned context ends earlier when a helper or its ticket is lost.
 func (en *Engine) engageHelpers(ctx context.Context, helpers []Helper) context.Context {
-	used, cut := context.WithCancelCause(ctx)
-	context.AfterFunc(ctx, func() { cut(nil) })
+	hctx, abort := context.WithCancelCause(ctx)
+	context.AfterFunc(ctx, func() { abort(nil) })
 	for _, hp := range helpers {
-		lost := func() { cut(helperLostError{address: hp.Address}) }
+		abortLost := func() { abort(helperLostError{address: hp.Address}) }
 		other := en.engineAt(hp.Address)
 		if other == nil || !other.canHelp(hp, en) {
-			lost()
-			return used
+			abortLost()
+			return hctx
 		}
-		other.startHelping(used, hp, lost)
+		other.startHelping(hctx, hp, abortLost)
 	}
-	return used
+	return hctx
 }
 
-// lostHelper returns the address of the helper whose loss ended the request, if one did.
+// lostHelperAddress returns the address of the helper whose loss ended the request, or an empty string.
 func lostHelperAddress(ctx context.Context) string {
-	var le helperLostError
-	if errors.As(context.Cause(ctx), &le) {
-		return le.address
+	var hl helperLostError
+	if errors.As(context.Cause(ctx), &hl) {
+		return hl.address
 	}
 	return ""
 }
 
-func (en *Engine) startHelping(ctx context.Context, hp Helper, cut func()) {
+// startHelping records the use of this engine as a helper until ctx ends.
+func (en *Engine) startHelping(ctx context.Context, hp Helper, abort func()) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	us := &helperUse{ticket: en.tickets[hp.Ticket], abort: cut}
-	if us.ticket != nil && en.inUse(us.ticket) {
+	hu := &helperUse{ticket: en.tickets[hp.Ticket], abort: abort}
+	if hu.ticket != nil && en.inUse(hu.ticket) {
 		en.concurrentTicketUses++
 	}
-	en.helping[us] = struct{}{}
+	en.helping[hu] = struct{}{}
 	context.AfterFunc(ctx, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		delete(en.helping, us)
+		delete(en.helping, hu)
 	})
 }
 
-// inUse is called with the lock held.
+// inUse reports whether a request uses the ticket. The caller must hold the lock.
 func (en *Engine) inUse(tk *ticket) bool {
-	for us := range en.helping {
-		if us.ticket == tk {
+	for hu := range en.helping {
+		if hu.ticket == tk {
 			return true
 		}
 	}
--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -1,5 +1,5 @@
-// Package modelsim is a stand-in for a model engine of the users: it streams events, holds limited memory, sets memory
-// aside in tickets, reads prompts together with other engines, and misbehaves when told to.
+// Package modelsim is a stand-in for a model engine of the users: it streams events, has limited memory that tickets
+// reserve, shares the prefill of a prompt with other engines, and injects faults on request.
 package modelsim
 
 import (
@@ -10,60 +10,60 @@
 )
 
 const (
-	// defaultMemory is that of the engines in the users' examples, in tokens.
+	// defaultMemoryTokens is the memory of the engines in the users' examples.
 	defaultMemoryTokens = 232_000
-	// defaultHoldMax is the bound in the users' examples.
+	// defaultMaxHold is the maximum in the users' examples.
 	defaultMaxHold = 20 * time.Second
-	// defaultEvent keeps tests quick.
+	// defaultEventInterval is short to keep tests fast.
 	defaultEventInterval = time.Millisecond
-	// defaultTokens makes an answer of the protocol's example eight events long.
+	// defaultTokensPerEvent splits the answer in the protocol's example into eight events.
 	defaultTokensPerEvent = 10
 	defaultModel          = "m"
 	firstVersion          = 1
 )
 
-// The requests that take no slot, as keys of NextAside.
+// The routes of control requests, for InjectControlFault.
 const (
 	ReportRoute = "GET /report"
 	OrderRoute  = "POST /order"
 )
 
-// Settings are the sizes and speeds of an engine.
+// Settings are the settings of an engine.
 type Settings struct {
 	fault.Settings
-	// Memory is in tokens.
+	// MemoryTokens is the size of the memory in tokens.
 	MemoryTokens int
-	// HoldMax is the longest time for which memory is set aside.
+	// MaxHold is the maximum time for which a ticket reserves memory.
 	MaxHold time.Duration
-	// ReadToken is the time of a prompt token, and Event that of an event.
+	// PrefillPerToken is the prefill time of a prompt token, and EventInterval the time to generate an event.
 	PrefillPerToken, EventInterval time.Duration
-	// EventTokens is the number of tokens in one event.
+	// TokensPerEvent is the number of tokens in one event.
 	TokensPerEvent int
 	Model          string
-	// Peers holds the engines that can help; an engine without Peers can use its own tickets only.
+	// Cluster holds the engines that can help; an engine without a Cluster can use its own tickets only.
 	Cluster *Cluster
 }
 
 // Option changes the settings.
 type Option func(*Settings)
 
-// WithSlots bounds the requests that run and those that wait.
-func WithSlots(slots, queue int) Option {
-	return func(se *Settings) { se.Slots, se.MaxWaiting = slots, queue }
+// WithSlots sets the maximum numbers of requests that run and that wait for a slot.
+func WithSlots(slots, maxWaiting int) Option {
+	return func(se *Settings) { se.Slots, se.MaxWaiting = slots, maxWaiting }
 }
 
-// WithMemory sets the memory, in tokens.
+// WithMemory sets the size of the memory in tokens.
 func WithMemory(tokens int) Option { return func(se *Settings) { se.MemoryTokens = tokens } }
 
-// WithTimes sets the time of a prompt token and of an event.
-func WithTimings(readToken, event time.Duration) Option {
-	return func(se *Settings) { se.PrefillPerToken, se.EventInterval = readToken, event }
+// WithTimings sets the prefill time of a prompt token and the time to generate an event.
+func WithTimings(prefillPerToken, eventInterval time.Duration) Option {
+	return func(se *Settings) { se.PrefillPerToken, se.EventInterval = prefillPerToken, eventInterval }
 }
 
-// WithPeers lets engines help each other.
-func WithCluster(ps *Cluster) Option { return func(se *Settings) { se.Cluster = ps } }
+// WithCluster adds the engine to a cluster, whose engines can help each other.
+func WithCluster(cl *Cluster) Option { return func(se *Settings) { se.Cluster = cl } }
 
-// Engine is the stand-in.
+// Engine is a stand-in engine.
 type Engine struct {
 	*fault.Server
 	settings  Settings
@@ -71,12 +71,12 @@
 
 	mu      sync.Mutex
 	version int
-	// pace multiplies all times.
+	// slowdown multiplies all times.
 	slowdown float64
 	tickets  map[string]*ticket
-	// helped holds the requests of this and other engines that this one helps with, and how to cut each.
+	// helping holds one entry for each request, of this or another engine, that this engine helps with.
 	helping map[*helperUse]struct{}
-	// doubleUses counts the requests that used a ticket while another did.
+	// concurrentTicketUses counts the requests that used a ticket while another request did.
 	concurrentTicketUses int
 	orders               []Order
 	reportCount          int
@@ -95,8 +95,8 @@
 		settings: se, admission: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.MemoryTokens), version: firstVersion, slowdown: 1,
 		tickets: map[string]*ticket{}, helping: map[*helperUse]struct{}{},
 	}
-	side := map[string]func([]byte) fault.Response{ReportRoute: en.handleReport, OrderRoute: en.handleOrder}
-	sv, err := fault.Start(se.Settings, en.admission, fault.Handler{Control: side, Check: en.check, Run: en.run})
+	control := map[string]func([]byte) fault.Response{ReportRoute: en.handleReport, OrderRoute: en.handleOrder}
+	sv, err := fault.Start(se.Settings, en.admission, fault.Handler{Control: control, Check: en.check, Run: en.run})
 	if err != nil {
 		return nil, err
 	}
@@ -105,45 +105,50 @@
 	return en, nil
 }
 
-// Close ends the engine for good, in the middle of its work.
+// Close stops the engine for good and aborts its runs.
 func (en *Engine) Close() {
 	en.settings.Cluster.remove(en)
 	en.deleteAllTickets()
 	en.Server.Close()
 }
 
-// Restart ends the incarnation in the middle of its work, and starts another under the same id with no tickets.
+// Restart ends the incarnation, aborts its runs and starts a new incarnation with the same id and without tickets.
 func (en *Engine) Restart() {
 	en.deleteAllTickets()
 	en.Server.Restart()
 }
 
-// Retire ends the incarnation in the middle of its work, and starts another at the same address with no tickets.
+// Replace ends the incarnation, aborts its runs and starts a new incarnation with a new id at the same address and without
+// tickets.
 func (en *Engine) Replace() {
 	en.deleteAllTickets()
 	en.Server.Replace()
 }
 
-// SetVersion sets the version of the weights; streams under way say so.
+// SetVersion sets the version of the weights. Streams in progress announce the new version.
 func (en *Engine) SetVersion(n int) { en.mu.Lock(); defer en.mu.Unlock(); en.version = n }
 
-// SetPace makes all times that many times as long.
-func (en *Engine) SetSlowdown(x float64) { en.mu.Lock(); defer en.mu.Unlock(); en.slowdown = x }
+// SetSlowdown sets the factor by which all times are longer than in the settings.
+func (en *Engine) SetSlowdown(factor float64) {
+	en.mu.Lock()
+	defer en.mu.Unlock()
+	en.slowdown = factor
+}
 
 // Version returns the version of the weights.
 func (en *Engine) Version() int { en.mu.Lock(); defer en.mu.Unlock(); return en.version }
 
-// Reports returns how many reports were asked for.
+// ReportCount returns how many load reports were requested.
 func (en *Engine) ReportCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.reportCount }
 
-// DoubleUses returns how many requests used a ticket while another one did.
+// ConcurrentTicketUses returns how many requests used a ticket while another request did.
 func (en *Engine) ConcurrentTicketUses() int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.concurrentTicketUses
 }
 
-// MemoryUsed returns the memory in use and set aside, in tokens.
+// MemoryUsed returns the memory that is in use or reserved, in tokens.
 func (en *Engine) MemoryUsed() int { return en.admission.UsedTokens() }
 
 func (en *Engine) slowed(d time.Duration) time.Duration {
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -10,15 +10,15 @@
 	"github.com/silvermount/silvermount/internal/standin/fault"
 )
 
-// maxTickets is the bound of the protocol.
+// maxTickets is the maximum number of tickets that the protocol allows at an engine.
 const maxTickets = 64
 
-// Order is one order as it came, and the status of its answer.
+// Order is one received order, with the status of its response.
 type Order struct {
 	Op         string `json:"op"`
 	ID         string `json:"id"`
 	TokenCount int    `json:"token_count"`
-	// HoldMs is in milliseconds, as sent.
+	// HoldMs is the hold time in milliseconds, as it was sent.
 	HoldMs int  `json:"hold_ms"`
 	Wait   bool `json:"wait"`
 	Status int  `json:"-"`
@@ -26,18 +26,19 @@
 
 func (or Order) holdTime() time.Duration { return time.Duration(or.HoldMs) * time.Millisecond }
 
-// ticket is memory set aside.
+// ticket is a reservation of memory.
 type ticket struct {
 	id     string
 	tokens int
-	// granted is closed once the memory is set aside.
+	// granted is closed once the memory is reserved.
 	granted <-chan struct{}
-	// arrived is the time of the newest order for it, from which its hold time runs.
+	// renewedAt is the arrival time of the latest order for the ticket, at which its hold time starts.
 	renewedAt time.Time
-	expiry    *time.Timer
+	// expiry deletes the ticket at the end of its hold time.
+	expiry *time.Timer
 }
 
-// held reports whether the memory is set aside; a nil ticket has none.
+// held reports whether the memory is reserved; for a nil ticket it is not.
 func (tk *ticket) held() bool {
 	if tk == nil {
 		return false
@@ -50,7 +51,7 @@
 	}
 }
 
-// Orders returns the orders so far.
+// Orders returns the orders received so far, including refused ones.
 func (en *Engine) Orders() []Order {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -74,7 +75,7 @@
 	}{en.admission.FreeTokens()})
 }
 
-// carryOut is called with the lock held, and returns the status of the answer.
+// applyOrder applies an order and returns the status of the response. The caller must hold the lock.
 func (en *Engine) applyOrder(or Order) int {
 	switch or.Op {
 	case "reserve":
@@ -89,6 +90,7 @@
 	}
 }
 
+// reserve grants, queues or renews a ticket and returns the status of the response. The caller must hold the lock.
 func (en *Engine) reserve(or Order) int {
 	if or.ID == "" || or.TokenCount <= 0 || or.TokenCount > en.settings.MemoryTokens {
 		return http.StatusBadRequest
@@ -115,46 +117,47 @@
 	return http.StatusOK
 }
 
-// renew starts the hold time anew.
+// renewTicket restarts the hold time.
 func (en *Engine) renewTicket(tk *ticket, hold time.Duration) {
 	if tk.expiry != nil {
 		tk.expiry.Stop()
 	}
 	tk.renewedAt = time.Now()
-	arrived := tk.renewedAt
+	renewedAt := tk.renewedAt
 	tk.expiry = time.AfterFunc(hold, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		if en.tickets[tk.id] == tk && tk.renewedAt.Equal(arrived) {
+		if en.tickets[tk.id] == tk && tk.renewedAt.Equal(renewedAt) {
 			en.deleteTicket(tk)
 		}
 	})
 }
 
-// drop frees the memory of a ticket and cuts the requests that use it.
+// deleteTicket frees the memory of a ticket and aborts the requests that use it.
 func (en *Engine) deleteTicket(tk *ticket) {
 	tk.expiry.Stop()
 	delete(en.tickets, tk.id)
 	en.admission.EndReservation(tk.tokens, tk.granted)
-	for us := range en.helping {
-		if us.ticket == tk {
-			us.abort()
+	for hu := range en.helping {
+		if hu.ticket == tk {
+			hu.abort()
 		}
 	}
 }
 
-// dropTickets frees all tickets and cuts all requests that depend on this engine.
+// deleteAllTickets deletes all tickets and aborts all requests that this engine helps with.
 func (en *Engine) deleteAllTickets() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, tk := range en.tickets {
 		en.deleteTicket(tk)
 	}
-	for us := range en.helping {
-		us.abort()
+	for hu := range en.helping {
+		hu.abort()
 	}
 }
 
+// ticketTokens returns the memory that a ticket reserves, in tokens, or zero for an unknown ticket.
 func (en *Engine) ticketTokens(id string) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -164,7 +167,7 @@
 	return 0
 }
 
-// Ticket is the state of a ticket in a report.
+// Ticket is a ticket as a load report shows it.
 type Ticket struct {
 	ID         string `json:"id"`
 	TokenCount int    `json:"token_count"`
@@ -172,7 +175,7 @@
 	AgeMs      int64  `json:"age_ms"`
 }
 
-// Tickets returns the tickets in the order of their ids.
+// Tickets returns the tickets, sorted by id.
 func (en *Engine) Tickets() []Ticket {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -203,7 +206,7 @@
 	Adapters []string `json:"adapters"`
 }
 
-type report struct {
+type loadReport struct {
 	Stage    string        `json:"stage"`
 	Models   []modelReport `json:"models"`
 	Busy     bool          `json:"busy"`
@@ -222,7 +225,7 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.reportCount++
-	return jsonResponse(http.StatusOK, report{
+	return jsonResponse(http.StatusOK, loadReport{
 		Stage: "both", Models: []modelReport{{Name: en.settings.Model, Version: en.version, Adapters: []string{}}},
 		Waiting: en.admission.WaitingCount(), Running: en.admission.RunningCount(), KVUsed: en.admission.UsedTokens(), KVTotal: en.settings.MemoryTokens,
 		Pace: en.slowdown, Tickets: tickets,
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -22,12 +22,12 @@
 	eventStreamType     = "text/event-stream"
 )
 
-// usage is the size of a request, in tokens.
+// usage is the size of a request in tokens.
 type usage struct {
 	promptTokens, answerTokens int
 }
 
-// usageOf reports false when the request does not name its size.
+// parseUsage reports false when the request has no valid HeaderTokenUsage.
 func parseUsage(rq *http.Request) (usage, bool) {
 	first, second, _ := strings.Cut(rq.Header.Get(HeaderTokenUsage), ",")
 	prompt, err := strconv.Atoi(strings.TrimSpace(first))
@@ -38,75 +38,77 @@
 	return usage{promptTokens: prompt, answerTokens: answer}, err == nil && answer > 0
 }
 
-// check returns the memory that a request needs at this engine, or why it is not taken.
+// check returns the memory that a request needs at this engine, in tokens, or a refusal.
 func (en *Engine) check(rq *http.Request) (int, *fault.Response) {
 	want := rq.Header.Get(HeaderExpectVersion)
 	if want != "" && want != strconv.Itoa(en.Version()) {
-		an := fault.NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(fault.HeaderInstance, en.InstanceID())
-		return 0, &an
+		rs := fault.NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(fault.HeaderInstance, en.InstanceID())
+		return 0, &rs
 	}
 	us, ok := parseUsage(rq)
 	if !ok {
-		an := fault.Refusal(http.StatusBadRequest)
-		return 0, &an
+		rs := fault.Refusal(http.StatusBadRequest)
+		return 0, &rs
 	}
 	helpers, ok := parseHelpers(rq.Header.Get(fault.HeaderHelpers))
 	if !ok {
-		an := fault.Refusal(http.StatusBadRequest)
-		return 0, &an
+		rs := fault.Refusal(http.StatusBadRequest)
+		return 0, &rs
 	}
-	lent, lacking := en.lentTokens(helpers)
-	if lacking != "" {
-		an := refusalNaming(lacking)
-		return 0, &an
+	lent, unavailable := en.lentTokens(helpers)
+	if unavailable != "" {
+		rs := refusalNaming(unavailable)
+		return 0, &rs
 	}
 	return max(0, us.promptTokens+us.answerTokens-lent), nil
 }
 
-// refusalAt refuses a request because of the engine at that address.
+// refusalNaming returns the refusal of a request that the engine at the address made impossible.
 func refusalNaming(address string) fault.Response {
 	return fault.Refusal(http.StatusServiceUnavailable).WithHeader(fault.HeaderAtServer, address)
 }
 
-// run reads the prompt, and returns a stream that begins with the first event that the caller lacks.
+// run computes the prefill together with the helpers, and returns a stream that begins with the first event that the
+// caller has not received yet.
 func (en *Engine) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
-	helpers, _ := parseHelpers(rq.Header.Get(fault.HeaderHelpers)) // check has refused those that do not parse
-	uctx := en.engageHelpers(ctx, helpers)
-	us, _ := parseUsage(rq) // as above
-	readers := time.Duration(1 + len(helpers))
-	if !sleep(uctx, en.slowed(time.Duration(us.promptTokens)*en.settings.PrefillPerToken/readers)) {
-		return refusalNaming(cmp.Or(lostHelperAddress(uctx), en.Address()))
+	helpers, _ := parseHelpers(rq.Header.Get(fault.HeaderHelpers)) // check has refused requests with invalid headers
+	hctx := en.engageHelpers(ctx, helpers)
+	us, _ := parseUsage(rq) // check has refused requests with invalid headers
+	engines := time.Duration(1 + len(helpers))
+	if !sleep(hctx, en.slowed(time.Duration(us.promptTokens)*en.settings.PrefillPerToken/engines)) {
+		return refusalNaming(cmp.Or(lostHelperAddress(hctx), en.Address()))
 	}
 	begin()
-	return en.stream(uctx, rq, us)
+	return en.stream(hctx, rq, us)
 }
 
 func (en *Engine) stream(ctx context.Context, rq *http.Request, us usage) fault.Response {
 	version := en.Version()
 	last := (us.answerTokens + en.settings.TokensPerEvent - 1) / en.settings.TokensPerEvent
-	from, err := strconv.Atoi(rq.Header.Get(fault.HeaderLastEventID))
+	lastReceived, err := strconv.Atoi(rq.Header.Get(fault.HeaderLastEventID))
 	if err != nil {
-		from = 0 // a request without a number starts at the beginning
+		lastReceived = 0 // a request without a valid event id gets the stream from its start
 	}
 	body := func(send func([]byte) bool) bool {
-		told := version
-		for id := from + 1; id <= last; id++ {
+		sentVersion := version
+		for id := lastReceived + 1; id <= last; id++ {
 			if !sleep(ctx, en.slowed(en.settings.EventInterval)) {
 				return false
 			}
-			now := en.Version()
-			if !send(encodeEvent(rq, id, now, now != told)) {
+			current := en.Version()
+			if !send(encodeEvent(rq, id, current, current != sentVersion)) {
 				return false
 			}
-			told = now
+			sentVersion = current
 		}
 		return true
 	}
-	an := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Chunked, Body: body}
-	return an.WithHeader("Content-Type", eventStreamType).WithHeader(HeaderVersions, strconv.Itoa(version))
+	rs := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Chunked, Body: body}
+	return rs.WithHeader("Content-Type", eventStreamType).WithHeader(HeaderVersions, strconv.Itoa(version))
 }
 
-// event returns one event; its data depends on the request and the id alone, so that any engine can go on.
+// encodeEvent returns one event. Its data depends on the request and the event id alone, so that any engine can resume the
+// stream.
 func encodeEvent(rq *http.Request, id, version int, changed bool) []byte {
 	var buf bytes.Buffer
 	if changed {
@@ -116,13 +118,13 @@
 	return buf.Bytes()
 }
 
-// Data returns the data of an event of the answer to a request for a URI with a prompt prefix.
+// EventData returns the data of an event in the response to a request with this URI and prompt prefix.
 func EventData(uri, prefix string, id int) string {
-	const hashBytes = 16 // of the hash, in hex digits; enough to tell answers apart
-	return fmt.Sprintf("%s-%d", fault.Hash([]byte(uri + "\n" + prefix))[:hashBytes], id)
+	const hashDigits = 16 // enough digits of the hash to distinguish responses
+	return fmt.Sprintf("%s-%d", fault.Hash([]byte(uri + "\n" + prefix))[:hashDigits], id)
 }
 
-// sleep reports false when ctx ends first.
+// sleep reports false when ctx ends before d is over.
 func sleep(ctx context.Context, d time.Duration) bool {
 	tm := time.NewTimer(d)
 	defer tm.Stop()
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -1,5 +1,5 @@
-// Package plainsim is a stand-in for a plain service of the users: it answers each request with one body of known
-// length, and misbehaves when told to.
+// Package plainsim is a stand-in for a plain service of the users: it responds to each request with one body of known
+// length, and injects faults on request.
 package plainsim
 
 import (
@@ -13,44 +13,44 @@
 )
 
 const (
-	// defaultWork keeps tests quick.
+	// defaultServiceTime is short to keep tests fast.
 	defaultServiceTime = time.Millisecond
-	// defaultBytes is the mean length of a plain answer in the users' examples.
+	// defaultResponseBytes is the mean length of a plain response in the users' examples.
 	defaultResponseBytes = 800
 )
 
-// Settings are the sizes of a service.
+// Settings are the settings of a service.
 type Settings struct {
 	fault.Settings
-	// Work is how long a request runs.
+	// ServiceTime is how long a request runs.
 	ServiceTime time.Duration
-	// Bytes is the length of an answer's body.
+	// ResponseBytes is the length of a response body.
 	ResponseBytes int
-	// ErrorEvery makes each run of that ordinal answer 500; zero makes none do so.
+	// ErrorEvery makes every nth run respond with status 500; zero makes none do so.
 	ErrorEvery int
 }
 
 // Option changes the settings.
 type Option func(*Settings)
 
-// WithSlots bounds the requests that run and those that wait.
-func WithSlots(slots, queue int) Option {
-	return func(se *Settings) { se.Slots, se.MaxWaiting = slots, queue }
+// WithSlots sets the maximum numbers of requests that run and that wait for a slot.
+func WithSlots(slots, maxWaiting int) Option {
+	return func(se *Settings) { se.Slots, se.MaxWaiting = slots, maxWaiting }
 }
 
-// WithWork sets how long a request runs.
+// WithServiceTime sets how long a request runs.
 func WithServiceTime(d time.Duration) Option { return func(se *Settings) { se.ServiceTime = d } }
 
-// WithErrorEvery makes every nth run answer 500.
+// WithErrorEvery makes every nth run respond with status 500.
 func WithErrorEvery(n int) Option { return func(se *Settings) { se.ErrorEvery = n } }
 
-// Service is the stand-in.
+// Service is a stand-in service.
 type Service struct {
 	*fault.Server
 	settings Settings
 
 	mu sync.Mutex
-	// work is the present work time; count is the number of runs begun.
+	// serviceTime is the current service time, and runCount the number of runs that were started.
 	serviceTime time.Duration
 	runCount    int
 }
@@ -61,34 +61,34 @@
 	for _, opt := range opts {
 		opt(&se)
 	}
-	ps := &Service{settings: se, serviceTime: se.ServiceTime}
-	gt := fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
-	sv, err := fault.Start(se.Settings, gt, fault.Handler{Run: ps.run})
+	svc := &Service{settings: se, serviceTime: se.ServiceTime}
+	aq := fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
+	sv, err := fault.Start(se.Settings, aq, fault.Handler{Run: svc.run})
 	if err != nil {
 		return nil, err
 	}
-	ps.Server = sv
-	return ps, nil
+	svc.Server = sv
+	return svc, nil
 }
 
-// SetWork sets how long the requests to come run.
+// SetServiceTime sets how long further requests run.
 func (svc *Service) SetServiceTime(d time.Duration) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	svc.serviceTime = d
 }
 
-// Body returns the body that a request for a method and URI is answered with.
+// ResponseBody returns the body of the response to a request with this method and URI.
 func (svc *Service) ResponseBody(method, uri string) string {
-	text := method + " " + uri + "\n"
-	return strings.Repeat(text, svc.settings.ResponseBytes/len(text)+1)[:svc.settings.ResponseBytes]
+	line := method + " " + uri + "\n"
+	return strings.Repeat(line, svc.settings.ResponseBytes/len(line)+1)[:svc.settings.ResponseBytes]
 }
 
 func (svc *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
 	begin()
-	work, failed := svc.startRun()
+	serviceTime, failed := svc.startRun()
 	select {
-	case <-time.After(work):
+	case <-time.After(serviceTime):
 	case <-ctx.Done():
 	}
 	if failed {
@@ -97,7 +97,8 @@
 	return fault.NewResponse(http.StatusOK, []byte(svc.ResponseBody(rq.Method, rq.RequestURI)))
 }
 
-func (svc *Service) startRun() (work time.Duration, failed bool) {
+// startRun counts a run and returns its service time, and whether it is to fail.
+func (svc *Service) startRun() (serviceTime time.Duration, failed bool) {
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
 	svc.runCount++
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// generous is far longer than anything here takes.
-	generous = 10 * time.Second
-	// short is only waited for where silence is expected.
-	short = 100 * time.Millisecond
+	// testTimeout bounds the waits for conditions that normally hold within milliseconds.
+	testTimeout = 10 * time.Second
+	// silenceWait is how long tests wait where they expect no response.
+	silenceWait = 100 * time.Millisecond
 )
 
 func start(t *testing.T, opts ...plainsim.Option) *plainsim.Service {
 	t.Helper()
-	ps, err := plainsim.Start(opts...)
+	svc, err := plainsim.Start(opts...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(ps.Close)
-	return ps
+	t.Cleanup(svc.Close)
+	return svc
 }
 
 type caller struct {
@@ -39,9 +39,9 @@
 	reader *bufio.Reader
 }
 
-func dial(t *testing.T, ps *plainsim.Service) *caller {
+func dial(t *testing.T, svc *plainsim.Service) *caller {
 	t.Helper()
-	nc, err := net.Dial("tcp", ps.Address())
+	nc, err := net.Dial("tcp", svc.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,48 +53,48 @@
 	fmt.Fprintf(cl.conn, "%s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nContent-Length: %d\r\n\r\n%s", head, len(body), body)
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
-	// closes is set when the answer says that the connection ends; net/http takes that header out.
+	// closes is set when the response has "Connection: close"; net/http removes this header.
 	closes bool
 	err    error
 }
 
-func (cl *caller) read() answer {
+func (cl *caller) read() response {
 	rs, err := http.ReadResponse(cl.reader, nil)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer rs.Body.Close()
 	raw, err := io.ReadAll(rs.Body)
-	return answer{status: rs.StatusCode, header: rs.Header, body: string(raw), closes: rs.Close, err: err}
+	return response{status: rs.StatusCode, header: rs.Header, body: string(raw), closes: rs.Close, err: err}
 }
 
-func TestAnswersAndRecords(t *testing.T) {
+func TestResponseIsSentAndRunIsRecorded(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t)
-	cl := dial(t, ps)
+	svc := start(t)
+	cl := dial(t, svc)
 	for range 2 {
 		cl.send("POST /p/x?q=1", "hello")
-		an := cl.read()
-		g.Expect(an.err).NotTo(HaveOccurred())
-		g.Expect(an.status).To(Equal(200))
-		g.Expect(an.body).To(Equal(ps.ResponseBody("POST", "/p/x?q=1")))
-		g.Expect(an.header.Get("X-Attempt-Id")).To(Equal("a1"))
+		rs := cl.read()
+		g.Expect(rs.err).NotTo(HaveOccurred())
+		g.Expect(rs.status).To(Equal(200))
+		g.Expect(rs.body).To(Equal(svc.ResponseBody("POST", "/p/x?q=1")))
+		g.Expect(rs.header.Get("X-Attempt-Id")).To(Equal("a1"))
 	}
-	g.Expect(ps.ConnectionCount()).To(Equal(1))
-	rn := ps.Runs()[0]
+	g.Expect(svc.ConnectionCount()).To(Equal(1))
+	rn := svc.Runs()[0]
 	g.Expect(rn.URI).To(Equal("/p/x?q=1"))
 	g.Expect(rn.BodyHash).To(Equal(fault.Hash([]byte("hello"))))
-	g.Expect(rn.InstanceID).To(Equal(ps.InstanceID()))
+	g.Expect(rn.InstanceID).To(Equal(svc.InstanceID()))
 }
 
-func TestFaults(t *testing.T) {
+func TestInjectedFaultAffectsOneRequest(t *testing.T) {
 	cases := map[fault.Kind]struct {
 		status int
-		// broken is set when the answer does not arrive whole.
+		// broken is set when the response does not arrive completely.
 		broken bool
 		header string
 		value  string
@@ -115,130 +115,130 @@
 	for kd, tc := range cases {
 		t.Run(string(kd), func(t *testing.T) {
 			g := NewWithT(t)
-			ps := start(t)
-			ps.InjectFault(kd, 1)
-			cl := dial(t, ps)
+			svc := start(t)
+			svc.InjectFault(kd, 1)
+			cl := dial(t, svc)
 			cl.send("POST /", "hello")
-			an := cl.read()
-			g.Expect(an.err != nil).To(Equal(tc.broken))
-			g.Expect(an.status).To(Equal(tc.status))
+			rs := cl.read()
+			g.Expect(rs.err != nil).To(Equal(tc.broken))
+			g.Expect(rs.status).To(Equal(tc.status))
 			if tc.header != "" {
-				g.Expect(an.header.Get(tc.header)).To(Equal(tc.value))
+				g.Expect(rs.header.Get(tc.header)).To(Equal(tc.value))
 			}
-			g.Expect(ps.Runs()).To(HaveLen(tc.runs))
-			again := dial(t, ps)
+			g.Expect(svc.Runs()).To(HaveLen(tc.runs))
+			again := dial(t, svc)
 			again.send("GET /", "")
 			g.Expect(again.read().status).To(Equal(200))
 		})
 	}
 }
 
-func TestSurplusAnswers(t *testing.T) {
+func TestExtraResponseArrivesBeforeTheNextResponse(t *testing.T) {
 	for _, kd := range []fault.Kind{fault.ExtraResponse, fault.DelayedExtraResponse} {
 		t.Run(string(kd), func(t *testing.T) {
 			g := NewWithT(t)
-			ps := start(t)
-			ps.InjectFault(kd, 1)
-			cl := dial(t, ps)
+			svc := start(t)
+			svc.InjectFault(kd, 1)
+			cl := dial(t, svc)
 			cl.send("GET /one", "")
-			g.Expect(cl.read().body).To(Equal(ps.ResponseBody("GET", "/one")))
+			g.Expect(cl.read().body).To(Equal(svc.ResponseBody("GET", "/one")))
 			cl.send("GET /two", "")
 			extra := cl.read()
 			g.Expect(extra.body).To(Equal("surplus"))
-			g.Expect(cl.read().body).To(Equal(ps.ResponseBody("GET", "/two")))
+			g.Expect(cl.read().body).To(Equal(svc.ResponseBody("GET", "/two")))
 		})
 	}
 }
 
-func TestEarlyAnswerThenReadsTheBody(t *testing.T) {
+func TestEarlyResponseReadsTheBodyAfterwards(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t)
-	ps.InjectFault(fault.EarlyResponse, 1)
-	cl := dial(t, ps)
+	svc := start(t)
+	svc.InjectFault(fault.EarlyResponse, 1)
+	cl := dial(t, svc)
 	fmt.Fprint(cl.conn, "POST / HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nContent-Length: 10\r\n\r\n")
 	g.Expect(cl.read().status).To(Equal(200))
-	g.Expect(ps.Runs()[0].BodyHash).To(BeEmpty())
+	g.Expect(svc.Runs()[0].BodyHash).To(BeEmpty())
 	fmt.Fprint(cl.conn, "0123456789")
 	cl.send("GET /next", "")
-	g.Expect(cl.read().body).To(Equal(ps.ResponseBody("GET", "/next")))
-	g.Expect(ps.Runs()[0].BodyHash).To(Equal(fault.Hash([]byte("0123456789"))))
+	g.Expect(cl.read().body).To(Equal(svc.ResponseBody("GET", "/next")))
+	g.Expect(svc.Runs()[0].BodyHash).To(Equal(fault.Hash([]byte("0123456789"))))
 }
 
-func TestHangEndsWhenTheCallerGoes(t *testing.T) {
+func TestHangEndsWhenTheCallerDisconnects(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t)
-	ps.InjectFault(fault.Hang, 1)
-	cl := dial(t, ps)
+	svc := start(t)
+	svc.InjectFault(fault.Hang, 1)
+	cl := dial(t, svc)
 	cl.send("GET /", "")
-	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
-	g.Expect(cl.conn.SetReadDeadline(time.Now().Add(short))).To(Succeed())
+	g.Eventually(svc.Runs).WithTimeout(testTimeout).Should(HaveLen(1))
+	g.Expect(cl.conn.SetReadDeadline(time.Now().Add(silenceWait))).To(Succeed())
 	g.Expect(cl.read().err).To(HaveOccurred())
 	cl.conn.Close()
-	g.Eventually(ps.CancelledRuns).WithTimeout(generous).Should(HaveLen(1))
+	g.Eventually(svc.CancelledRuns).WithTimeout(testTimeout).Should(HaveLen(1))
 }
 
-func TestFullRefusesAndDeadlineEndsARun(t *testing.T) {
+func TestRequestIsRefusedWithoutFreeSlotAndEndsAtItsDeadline(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, plainsim.WithSlots(1, 0), plainsim.WithServiceTime(time.Hour))
-	busy := dial(t, ps)
+	svc := start(t, plainsim.WithSlots(1, 0), plainsim.WithServiceTime(time.Hour))
+	busy := dial(t, svc)
 	busy.send("GET /", "")
-	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
-	full := dial(t, ps)
+	g.Eventually(svc.Runs).WithTimeout(testTimeout).Should(HaveLen(1))
+	full := dial(t, svc)
 	full.send("GET /", "")
-	an := full.read()
-	g.Expect(an.status).To(Equal(503))
-	g.Expect(an.header.Get("X-Not-Executed")).To(Equal("1"))
+	rs := full.read()
+	g.Expect(rs.status).To(Equal(503))
+	g.Expect(rs.header.Get("X-Not-Executed")).To(Equal("1"))
 	busy.conn.Close()
-	g.Eventually(ps.CancelledRuns).WithTimeout(generous).Should(HaveLen(1))
+	g.Eventually(svc.CancelledRuns).WithTimeout(testTimeout).Should(HaveLen(1))
 
-	late := dial(t, ps)
+	late := dial(t, svc)
 	fmt.Fprint(late.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a2\r\nX-Deadline-Ms: 20\r\n\r\n")
 	g.Expect(late.read().status).To(Equal(504))
-	g.Expect(ps.Runs()).To(HaveLen(2))
+	g.Expect(svc.Runs()).To(HaveLen(2))
 }
 
-func TestRetireMakesAnotherInstance(t *testing.T) {
+func TestReplaceStartsNewIncarnation(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, plainsim.WithErrorEvery(2))
-	old := ps.InstanceID()
-	ps.Replace()
-	get := func(path string, header ...string) answer {
-		cl := dial(t, ps)
+	svc := start(t, plainsim.WithErrorEvery(2))
+	old := svc.InstanceID()
+	svc.Replace()
+	get := func(path string, header ...string) response {
+		cl := dial(t, svc)
 		fmt.Fprintf(cl.conn, "GET %s HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n", path, strings.Join(header, "\r\n"))
 		return cl.read()
 	}
-	an := get("/", "X-Attempt-Id: a", "X-Expect-Instance: "+old)
-	g.Expect(an.status).To(Equal(421))
-	g.Expect(an.header.Get("X-Instance-Id")).To(Equal(ps.InstanceID()))
+	rs := get("/", "X-Attempt-Id: a", "X-Expect-Instance: "+old)
+	g.Expect(rs.status).To(Equal(421))
+	g.Expect(rs.header.Get("X-Instance-Id")).To(Equal(svc.InstanceID()))
 	g.Expect(get("/").status).To(Equal(400))
-	g.Expect(get("/", "X-Attempt-Id: a", "X-Expect-Instance: "+ps.InstanceID()).status).To(Equal(200))
+	g.Expect(get("/", "X-Attempt-Id: a", "X-Expect-Instance: "+svc.InstanceID()).status).To(Equal(200))
 	g.Expect(get("/", "X-Attempt-Id: a").status).To(Equal(500))
 	well := get("/healthz")
 	g.Expect(well.status).To(Equal(200))
 	g.Expect(well.closes).To(BeFalse())
-	g.Expect(well.header.Get("X-Instance-Id")).To(Equal(ps.InstanceID()))
-	ps.Drain()
+	g.Expect(well.header.Get("X-Instance-Id")).To(Equal(svc.InstanceID()))
+	svc.Drain()
 	g.Expect(get("/healthz").status).To(Equal(503))
 	g.Expect(get("/", "X-Attempt-Id: a").closes).To(BeTrue())
-	g.Expect(ps.Runs()).To(HaveLen(3))
+	g.Expect(svc.Runs()).To(HaveLen(3))
 }
 
-func TestTooManyConnectionsAreReset(t *testing.T) {
+func TestConnectionsBeyondTheMaximumAreReset(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, func(se *plainsim.Settings) { se.MaxConnections = 1 })
-	one := dial(t, ps)
+	svc := start(t, func(se *plainsim.Settings) { se.MaxConnections = 1 })
+	one := dial(t, svc)
 	one.send("GET /", "")
 	g.Expect(one.read().status).To(Equal(200))
-	g.Expect(tryOnce(ps)).NotTo(Succeed())
-	g.Expect(ps.RejectedConnectionCount()).To(Equal(1))
-	g.Expect(ps.ConnectionCount()).To(Equal(1))
-	g.Expect(ps.Runs()).To(HaveLen(1))
+	g.Expect(requestOnNewConnection(svc)).NotTo(Succeed())
+	g.Expect(svc.RejectedConnectionCount()).To(Equal(1))
+	g.Expect(svc.ConnectionCount()).To(Equal(1))
+	g.Expect(svc.Runs()).To(HaveLen(1))
 }
 
-// tryOnce returns the failure of a request on a connection of its own. A reset meets the caller while it connects,
+// requestOnNewConnection returns the error of a request on a new connection. A reset can reach the caller while it connects,
 // sends or reads.
-func tryOnce(ps *plainsim.Service) error {
-	nc, err := net.Dial("tcp", ps.Address())
+func requestOnNewConnection(svc *plainsim.Service) error {
+	nc, err := net.Dial("tcp", svc.Address())
 	if err != nil {
 		return err
 	}
@@ -248,34 +248,34 @@
 	return cl.read().err
 }
 
-func TestIdleConnectionsAreClosed(t *testing.T) {
+func TestIdleConnectionIsClosedAfterTheIdleTimeout(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, func(se *plainsim.Settings) { se.IdleTimeout = time.Second })
-	cl := dial(t, ps)
+	svc := start(t, func(se *plainsim.Settings) { se.IdleTimeout = time.Second })
+	cl := dial(t, svc)
 	cl.send("GET /", "")
 	g.Expect(cl.read().header.Get("Keep-Alive")).To(Equal("timeout=1"))
-	g.Expect(cl.conn.SetReadDeadline(time.Now().Add(generous))).To(Succeed())
+	g.Expect(cl.conn.SetReadDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	g.Expect(cl.read().err).To(MatchError(io.ErrUnexpectedEOF))
 }
 
-func TestQueuedRequestRunsInTurn(t *testing.T) {
+func TestWaitingRequestRunsWhenASlotIsFree(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t, plainsim.WithSlots(1, 1), plainsim.WithServiceTime(time.Hour))
-	first, second := dial(t, ps), dial(t, ps)
+	svc := start(t, plainsim.WithSlots(1, 1), plainsim.WithServiceTime(time.Hour))
+	first, second := dial(t, svc), dial(t, svc)
 	first.send("GET /first", "")
-	g.Eventually(ps.Runs).WithTimeout(generous).Should(HaveLen(1))
-	ps.SetServiceTime(0)
+	g.Eventually(svc.Runs).WithTimeout(testTimeout).Should(HaveLen(1))
+	svc.SetServiceTime(0)
 	second.send("GET /second", "")
-	g.Eventually(ps.WaitingCount).WithTimeout(generous).Should(Equal(1))
+	g.Eventually(svc.WaitingCount).WithTimeout(testTimeout).Should(Equal(1))
 	first.conn.Close()
-	g.Expect(second.read().body).To(Equal(ps.ResponseBody("GET", "/second")))
-	g.Expect(ps.Runs()[0].State).To(Equal(fault.Cancelled))
+	g.Expect(second.read().body).To(Equal(svc.ResponseBody("GET", "/second")))
+	g.Expect(svc.Runs()[0].State).To(Equal(fault.Cancelled))
 }
 
-func TestServesAnOrdinaryClient(t *testing.T) {
+func TestServesTheStandardHTTPClient(t *testing.T) {
 	g := NewWithT(t)
-	ps := start(t)
-	rq, err := http.NewRequestWithContext(context.Background(), http.MethodPost, ps.URL()+"/x", strings.NewReader("b"))
+	svc := start(t)
+	rq, err := http.NewRequestWithContext(context.Background(), http.MethodPost, svc.URL()+"/x", strings.NewReader("b"))
 	g.Expect(err).NotTo(HaveOccurred())
 	rq.Header.Set("X-Attempt-Id", "a")
 	rs, err := http.DefaultClient.Do(rq)
--- a/internal/standin/platformsim/platformsim.go
+++ b/internal/standin/platformsim/platformsim.go
@@ -1,4 +1,4 @@
-// Package platformsim is a small stand-in for the platform's object API, for tests and the demo.
+// Package platformsim is a small stand-in for the object API of the platform, for tests and the demo.
 package platformsim
 
 import (
@@ -17,23 +17,23 @@
 
 const maxWatchWait = 30 * time.Second
 
-type change struct {
+type historyEntry struct {
 	kind   string
 	object objectstore.Object
 }
 
-// Store is the stand-in. Its seams may be set at any time.
+// Store is a stand-in object store. Its faults may be set at any time.
 type Store struct {
 	mu      sync.Mutex
 	version int64
 	objects map[string]map[string]objectstore.Object
-	history []change
+	history []historyEntry
 	changed chan struct{}
 	down    bool
 	delay   time.Duration
-	// loseAnswers counts down: that many writes take effect and then break the connection.
+	// responsesToLose is the number of next writes that take effect and then break the connection.
 	responsesToLose int
-	// frozen kinds answer lists and watches with what they held when frozen.
+	// frozen holds, for each frozen kind, the list at the time of Freeze.
 	frozen     map[string]objectstore.Listing
 	readCount  int
 	writeCount int
@@ -51,30 +51,30 @@
 // SetDown starts or ends an outage.
 func (st *Store) SetDown(down bool) { st.mu.Lock(); st.down = down; st.mu.Unlock() }
 
-// SetSlow delays every answer.
+// SetDelay delays each call by d.
 func (st *Store) SetDelay(d time.Duration) { st.mu.Lock(); st.delay = d; st.mu.Unlock() }
 
-// LoseAnswers makes the next n writes take effect without an answer.
+// LoseResponses makes the next n writes take effect and break the connection instead of sending a response.
 func (st *Store) LoseResponses(n int) { st.mu.Lock(); st.responsesToLose = n; st.mu.Unlock() }
 
-// Freeze makes a kind's lists and watches lag until Thaw.
+// Freeze makes lists of a kind return its current state, and watches report no changes, until Thaw.
 func (st *Store) Freeze(kind string) {
 	st.mu.Lock()
 	st.frozen[kind] = st.listing(kind)
 	st.mu.Unlock()
 }
 
-// Thaw ends a Freeze.
+// Thaw ends the effect of Freeze for a kind.
 func (st *Store) Thaw(kind string) { st.mu.Lock(); delete(st.frozen, kind); st.mu.Unlock() }
 
-// Calls returns how many reads and writes were asked.
+// CallCounts returns how many reads and writes were received.
 func (st *Store) CallCounts() (reads, writes int) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.readCount, st.writeCount
 }
 
-// Put writes an object as the platform itself would.
+// Put writes an object as the platform itself does, without faults or a version check.
 func (st *Store) Put(kind, name string, value any) error {
 	b, err := json.Marshal(value)
 	if err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// Object returns an object as the store holds it.
+// Object returns an object from the current state, even if its kind is frozen.
 func (st *Store) Object(kind, name string) (objectstore.Object, bool) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -94,15 +94,15 @@
 	return o, ok
 }
 
-// Handler serves the object API.
+// Handler returns the HTTP handler of the object API.
 func (st *Store) Handler() http.Handler {
 	rt := chi.NewRouter()
 	rt.Use(st.withFaults)
 	rt.Get("/objects/{kind}", func(w http.ResponseWriter, r *http.Request) {
 		st.mu.Lock()
-		l := st.listing(chi.URLParam(r, "kind"))
+		ls := st.listing(chi.URLParam(r, "kind"))
 		st.mu.Unlock()
-		jsonreply.Write(w, l)
+		jsonreply.Write(w, ls)
 	})
 	rt.Get("/objects/{kind}/{name}", st.handleGet)
 	rt.Put("/objects/{kind}/{name}", st.handleWrite)
@@ -111,6 +111,7 @@
 	return rt
 }
 
+// withFaults counts each call and injects outages and delays.
 func (st *Store) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		st.mu.Lock()
@@ -174,21 +175,21 @@
 	defer timer.Stop()
 	for {
 		st.mu.Lock()
-		l := st.changesSince(kind, since)
+		ls := st.changesSince(kind, since)
 		changed, down := st.changed, st.down
 		st.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		if len(l.Items) > 0 {
-			jsonreply.Write(w, l)
+		if len(ls.Items) > 0 {
+			jsonreply.Write(w, ls)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			jsonreply.Write(w, l)
+			jsonreply.Write(w, ls)
 			return
 		case <-r.Context().Done():
 			return
@@ -196,7 +197,7 @@
 	}
 }
 
-// put is called with the lock held.
+// put stores a value under a new version, or deletes the object if the value is nil. The caller must hold the lock.
 func (st *Store) put(kind, name string, value []byte) objectstore.Object {
 	st.version++
 	o := objectstore.Object{Name: name, Version: st.version, Value: value}
@@ -208,35 +209,35 @@
 	} else {
 		st.objects[kind][name] = o
 	}
-	st.history = append(st.history, change{kind: kind, object: o})
+	st.history = append(st.history, historyEntry{kind: kind, object: o})
 	close(st.changed)
 	st.changed = make(chan struct{})
 	return o
 }
 
-// listing is called with the lock held.
+// listing returns the list of a kind, or its frozen list. The caller must hold the lock.
 func (st *Store) listing(kind string) objectstore.Listing {
-	if l, ok := st.frozen[kind]; ok {
-		return l
+	if ls, ok := st.frozen[kind]; ok {
+		return ls
 	}
-	l := objectstore.Listing{Version: st.version}
+	ls := objectstore.Listing{Version: st.version}
 	for _, o := range st.objects[kind] {
-		l.Items = append(l.Items, o)
+		ls.Items = append(ls.Items, o)
 	}
-	return l
+	return ls
 }
 
-// since is called with the lock held.
+// changesSince returns the changes of a kind after a version; a frozen kind has none. The caller must hold the lock.
 func (st *Store) changesSince(kind string, version int64) objectstore.Listing {
-	l := objectstore.Listing{Version: version}
+	ls := objectstore.Listing{Version: version}
 	if _, ok := st.frozen[kind]; ok {
-		return l
+		return ls
 	}
-	for _, c := range st.history {
-		if c.kind == kind && c.object.Version > version {
-			l.Items = append(l.Items, c.object)
-			l.Version = c.object.Version
+	for _, he := range st.history {
+		if he.kind == kind && he.object.Version > version {
+			ls.Items = append(ls.Items, he.object)
+			ls.Version = he.object.Version
 		}
 	}
-	return l
+	return ls
 }
--- a/internal/standin/servicesim/servicesim.go
+++ b/internal/standin/servicesim/servicesim.go
@@ -1,4 +1,4 @@
-// Package servicesim is a small stand-in for a plain service that counts each run.
+// Package servicesim is a small stand-in for a plain service that counts how often each request ran.
 package servicesim
 
 import (
@@ -9,36 +9,36 @@
 	"time"
 )
 
-// HeaderRequest carries the caller's name for a request.
+// HeaderRequestName holds the name that the caller gives to a request.
 const HeaderRequestName = "X-Request-Name"
 
-// Service is the stand-in. Its seams may be set at any time.
+// Service is a stand-in service. Its faults may be set at any time.
 type Service struct {
 	mu sync.Mutex
-	// runs counts by the request's name.
+	// runCounts holds the number of runs by request name.
 	runCounts map[string]int
-	// dropAfter breaks that many connections after the run.
+	// responsesToDrop is the number of next requests whose connection breaks after the run.
 	responsesToDrop int
 	delay           time.Duration
 }
 
-// New returns a service.
+// New returns a service without faults.
 func New() *Service { return &Service{runCounts: map[string]int{}} }
 
-// DropAfterRun makes the next n requests run and then break without an answer.
+// DropAfterRun makes the next n requests run and then break their connection instead of sending a response.
 func (sv *Service) DropAfterRun(n int) { sv.mu.Lock(); sv.responsesToDrop = n; sv.mu.Unlock() }
 
-// SetDelay makes each run take that long.
+// SetDelay sets the time that each run takes.
 func (sv *Service) SetDelay(d time.Duration) { sv.mu.Lock(); sv.delay = d; sv.mu.Unlock() }
 
-// Runs returns how often the named request ran.
+// RunCount returns how often the named request ran.
 func (sv *Service) RunCount(name string) int {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.runCounts[name]
 }
 
-// ServeHTTP runs one request and answers with its body.
+// ServeHTTP runs one request and responds with "done" and its body.
 func (sv *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -55,5 +55,5 @@
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = fmt.Fprintf(w, "done %s", body) // a caller that has gone is no concern of the service
+	_, _ = fmt.Fprintf(w, "done %s", body) // it fails when the caller has closed the connection, which does not matter to the service
 }
