--- a/internal/standin/fault/admission.go
+++ b/internal/standin/fault/admission.go
@@ -152,8 +152,7 @@
 	aq.reservations = slices.DeleteFunc(aq.reservations, same)
 }
 
-// admitWaiting admits all waiters that fit. Requests are held back while a reservation waits, so that they cannot
-// starve it.
+// admitWaiting admits all waiters that fit. It admits no requests while a reservation waits.
 func (aq *AdmissionQueue) admitWaiting() {
 	for len(aq.reservations) > 0 && aq.fits(aq.reservations[0]) {
 		aq.admit(aq.reservations[0])
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/fault/conn.go
@@ -72,7 +72,7 @@
 func (cn *conn) reset() {
 	cn.resetByServer.Store(true)
 	if tc, ok := cn.socket.(*net.TCPConn); ok {
-		_ = tc.SetLinger(0) // if this fails, the connection is closed in order, which serves as well
+		_ = tc.SetLinger(0) // if this fails, the connection is closed gracefully, which serves as well
 	}
 	_ = cn.socket.Close() // it may be closed already
 }
--- a/internal/standin/fault/limit.go
+++ b/internal/standin/fault/limit.go
@@ -5,7 +5,7 @@
 // HeaderLimit holds the number of requests per second that a target accepts from all instances together.
 const HeaderLimit = "Server-Limit"
 
-// rateLimits holds the rate limits that a target announces, and the arrivals that show whether callers keep to them.
+// rateLimits holds the rate limits that a target announces, and the arrival times of the requests.
 type rateLimits struct {
 	// values are the values of HeaderLimit in the responses.
 	values []string
--- a/internal/standin/objectsim/endpoint.go
+++ b/internal/standin/objectsim/endpoint.go
@@ -219,7 +219,7 @@
 		panic(http.ErrAbortHandler) // this makes the server close the connection
 	}
 	if tc, ok := nc.(*net.TCPConn); ok {
-		_ = tc.SetLinger(0) // if this fails, the connection is closed in order, which serves as well
+		_ = tc.SetLinger(0) // if this fails, the connection is closed gracefully, which serves as well
 	}
 	_ = nc.Close() // the caller may have closed it already
 }
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -139,7 +139,7 @@
 	g.Expect(exists).To(BeFalse())
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchReportsChangesUntilDisconnectedOrCompacted(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
 	from, err := sm.PutSpec("config", "main", 1)
