--- a/internal/session/bench_test.go
+++ b/internal/session/bench_test.go
@@ -14,7 +14,7 @@
 // The allocations are those of caller, instance and engines together.
 func BenchmarkCompletion(b *testing.B) {
 	params := enginesim.DefaultParams()
-	params.Scale = 1e6
+	params.Speedup = 1e6
 	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, Params: params, Log: discardLogger()})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -64,7 +64,7 @@
 func TestRequestsEndByDeadlineAndReleaseResources(t *testing.T) {
 	hang := func(lf *localfleet.Fleet) {
 		for _, en := range lf.Engines {
-			en.Hang(true)
+			en.SetHung(true)
 		}
 	}
 	tests := map[string]struct {
@@ -74,7 +74,7 @@
 	}{
 		"target accepts and never responds": {fault: hang, want: "deadline_exceeded"},
 		"store hangs during a claim": {
-			fault:   func(lf *localfleet.Fleet) { lf.Store.SetSlow(time.Minute) },
+			fault:   func(lf *localfleet.Fleet) { lf.Store.SetDelay(time.Minute) },
 			headers: []string{serve.HeaderIdempotencyKey, "k1"}, want: "store_unavailable",
 		},
 	}
@@ -91,9 +91,9 @@
 			g.Eventually(sv.InFlight).Should(BeZero())
 			g.Expect(sv.Bodies.Used()).To(BeZero())
 			g.Eventually(sv.Router.QueueLength).Should(BeZero())
-			lf.Store.SetSlow(0)
+			lf.Store.SetDelay(0)
 			for _, en := range lf.Engines {
-				en.Hang(false)
+				en.SetHung(false)
 				g.Eventually(en.MemoryUsed, 5*time.Second).Should(BeZero())
 			}
 		})
@@ -131,16 +131,16 @@
 			lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(100)})
 			fault(lf)
 			leaving := lf.Engines[1]
-			leaving.Leave()
+			leaving.MarkLeaving()
 			// The owner's heartbeats spread the state until every instance excludes the engine.
 			for _, in := range lf.Instances {
 				g.Eventually(func() bool { return isLeaving(in, leaving.Name) }, 3*time.Second, 20*time.Millisecond).Should(BeTrue())
 			}
-			startedBefore := leaving.Started()
+			startedBefore := leaving.AttemptCount()
 			for _, r := range load.Run(t.Context(), loadTarget(lf, 5), mixedArrivals(40, localfleet.ClassCall)) {
 				g.Expect(r.Right).To(BeTrue(), "%+v", r)
 			}
-			g.Expect(leaving.Started()).To(Equal(startedBefore))
+			g.Expect(leaving.AttemptCount()).To(Equal(startedBefore))
 		})
 	}
 }
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -92,23 +92,23 @@
 	tr.call("unknown model", http.MethodPost, one, "/v1/completions", []byte(`{"model":"none"}`))
 	tr.call("body is not JSON", http.MethodPost, one, "/v1/completions", []byte(`{`))
 	tr.call("invalid timeout", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderTimeout, "soon")
-	key := []string{serve.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequest, "valve-7"}
+	key := []string{serve.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
 	tr.call("service request with an idempotency key", http.MethodPost, one, valvePath, []byte("open"), key...)
 	tr.call("same request at another instance", http.MethodPost, two, valvePath, []byte("open"), key...)
 	tr.call("same key with a different body", http.MethodPost, two, valvePath, []byte("close"), key...)
 	lf.Services.DropAfterRun(1)
-	lost := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequest, "valve-8"}
+	lost := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequestName, "valve-8"}
 	tr.call("service drops the connection after the run", http.MethodPost, one, valvePath, []byte("open"), lost...)
 	tr.call("same request again", http.MethodPost, two, valvePath, []byte("open"), lost...)
 	lf.Store.SetDown(true)
 	tr.call("idempotency key while the store is down", http.MethodPost, one, valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve-9", serve.HeaderTimeout, "200ms")
-	ticket := []string{serve.HeaderTicket, issueTicket(t, one), servicesim.HeaderRequest, "valve-10"}
+	ticket := []string{serve.HeaderTicket, issueTicket(t, one), servicesim.HeaderRequestName, "valve-10"}
 	tr.call("ticket at another instance while the store is down", http.MethodPost, two, valvePath, []byte("open"), ticket...)
 	tr.call("same ticket again", http.MethodPost, one, valvePath, []byte("open"), ticket...)
 	lf.Store.SetDown(false)
-	lf.Engines[0].Hang(true)
+	lf.Engines[0].SetHung(true)
 	tr.call("engine does not respond", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderTimeout, "200ms")
-	lf.Engines[0].Hang(false)
+	lf.Engines[0].SetHung(false)
 	lf.Engines[0].Kill()
 	g.Eventually(func() string {
 		return call(t, http.MethodPost, one+"/v1/completions", completion("x", 1, false)).code
--- a/internal/session/idempotency_test.go
+++ b/internal/session/idempotency_test.go
@@ -32,7 +32,7 @@
 	}{
 		"no fault": {fault: func(*localfleet.Fleet) {}, firstStatus: 200, secondStatus: 200, runs: 1},
 		"answers of the store lost": {
-			fault: func(lf *localfleet.Fleet) { lf.Store.LoseAnswers(2) }, firstStatus: 200, secondStatus: 200, runs: 1,
+			fault: func(lf *localfleet.Fleet) { lf.Store.LoseResponses(2) }, firstStatus: 200, secondStatus: 200, runs: 1,
 		},
 		"service drops the connection after the run": {
 			fault:       func(lf *localfleet.Fleet) { lf.Services.DropAfterRun(1) },
@@ -44,9 +44,9 @@
 			g := NewWithT(t)
 			lf := startSmallFleet(t)
 			// A first call could leave an idle connection, and http.Transport resends requests that fail on one.
-			call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequest, "warm")
+			call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequestName, "warm")
 			tc.fault(lf)
-			headers := []string{serve.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequest, "valve-7"}
+			headers := []string{serve.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
 			first := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 			g.Expect(first.status).To(Equal(tc.firstStatus), first.body)
 			second := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
@@ -55,7 +55,7 @@
 			if tc.firstStatus == http.StatusOK {
 				g.Expect(second.body).To(Equal(first.body))
 			}
-			g.Expect(lf.Services.Runs("valve-7")).To(Equal(tc.runs))
+			g.Expect(lf.Services.RunCount("valve-7")).To(Equal(tc.runs))
 		})
 	}
 }
@@ -64,14 +64,14 @@
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
 	lf.Store.SetDown(true)
-	headers := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequest, "valve-8", serve.HeaderTimeout, "400ms"}
+	headers := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequestName, "valve-8", serve.HeaderTimeout, "400ms"}
 	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(resp.outcome).To(Equal("not_run"))
-	g.Expect(lf.Services.Runs("valve-8")).To(BeZero())
+	g.Expect(lf.Services.RunCount("valve-8")).To(BeZero())
 	lf.Store.SetDown(false)
 	resp = call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
 	g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
-	g.Expect(lf.Services.Runs("valve-8")).To(Equal(1))
+	g.Expect(lf.Services.RunCount("valve-8")).To(Equal(1))
 }
 
 func TestKeyOfDifferentRequestIsRefused(t *testing.T) {
@@ -96,12 +96,12 @@
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
 	lf.Store.SetDown(true)
-	headers := []string{serve.HeaderTicket, issueTicket(t, lf.URLs()[0]), servicesim.HeaderRequest, "valve-9"}
+	headers := []string{serve.HeaderTicket, issueTicket(t, lf.URLs()[0]), servicesim.HeaderRequestName, "valve-9"}
 	first := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
 	g.Expect(first.status).To(Equal(http.StatusOK), first.body)
 	second := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(second.body).To(Equal(first.body))
-	g.Expect(lf.Services.Runs("valve-9")).To(Equal(1))
+	g.Expect(lf.Services.RunCount("valve-9")).To(Equal(1))
 }
 
 func TestTicketOfStoppedInstanceHasUnknownOutcome(t *testing.T) {
@@ -109,19 +109,19 @@
 	lf := startSmallFleet(t)
 	tk := issueTicket(t, lf.URLs()[0])
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
-	resp := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), serve.HeaderTicket, tk, servicesim.HeaderRequest, "valve-10")
+	resp := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), serve.HeaderTicket, tk, servicesim.HeaderRequestName, "valve-10")
 	g.Expect(resp.outcome).To(Equal("unknown"))
-	g.Expect(lf.Services.Runs("valve-10")).To(BeZero())
+	g.Expect(lf.Services.RunCount("valve-10")).To(BeZero())
 }
 
 func TestFailedPostIsNotResent(t *testing.T) {
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
-	call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequest, "warm")
+	call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequestName, "warm")
 	lf.Services.DropAfterRun(1)
-	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), servicesim.HeaderRequest, "valve-11")
+	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), servicesim.HeaderRequestName, "valve-11")
 	g.Expect(resp.outcome).To(Equal("unknown"))
-	g.Consistently(func() int { return lf.Services.Runs("valve-11") }, 200*time.Millisecond).Should(Equal(1))
+	g.Consistently(func() int { return lf.Services.RunCount("valve-11") }, 200*time.Millisecond).Should(Equal(1))
 }
 
 // TestResponseDoesNotWaitForSlowStore makes the store slow after the claim. The caller's response must end regardless of the
@@ -130,14 +130,14 @@
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
 	lf.Services.SetDelay(300 * time.Millisecond)
-	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetSlow(4 * time.Second) })
+	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetDelay(4 * time.Second) })
 	done := make(chan response, 1)
 	go func() {
-		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve-12", servicesim.HeaderRequest, "valve-12")
+		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve-12", servicesim.HeaderRequestName, "valve-12")
 	}()
 	var resp response
 	// The store responds after 4 s, and the write of the result is retried for 10 s.
 	g.Eventually(done, 3*time.Second).Should(Receive(&resp))
 	g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
-	lf.Store.SetSlow(0)
+	lf.Store.SetDelay(0)
 }
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -63,7 +63,7 @@
 	for id, prompt := range prompts {
 		g.Eventually(jobState(t, remainingURL, id), 30*time.Second, 50*time.Millisecond).Should(Equal(job.Done))
 		resp := call(t, http.MethodGet, remainingURL+"/v1/jobs/"+id+"/answer", nil)
-		g.Expect(resp.body).To(ContainSubstring(answer.Of(prompt, 4)))
+		g.Expect(resp.body).To(ContainSubstring(answer.Generate(prompt, 4)))
 	}
 }
 
@@ -85,7 +85,7 @@
 		},
 	})
 	for _, en := range lf.Engines {
-		en.Hang(true)
+		en.SetHung(true)
 	}
 	repeatable := submit(t, lf.URLs()[0], "a deed")
 	atMostOnce := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
@@ -114,7 +114,7 @@
 	}
 	partitionedZone.Store(nil)
 	for _, en := range lf.Engines {
-		en.Hang(false)
+		en.SetHung(false)
 	}
 	g.Eventually(func() job.State { return storedRecord(repeatable.ID).State }, 15*time.Second).Should(Equal(job.Done))
 	g.Consistently(func() job.State { return storedRecord(atMostOnce.ID).State }, 500*time.Millisecond).Should(Equal(job.Unknown))
@@ -123,7 +123,7 @@
 func TestJobIsCreatedOnceWhenStoreAnswersAreLost(t *testing.T) {
 	g := NewWithT(t)
 	lf := startJobFleet(t, 200)
-	lf.Store.LoseAnswers(2)
+	lf.Store.LoseResponses(2)
 	rc := submit(t, lf.URLs()[0], "a deed")
 	g.Eventually(jobState(t, lf.URLs()[1], rc.ID), 10*time.Second).Should(Equal(job.Done))
 	resp := call(t, http.MethodGet, lf.URLs()[1]+"/v1/jobs", nil)
@@ -134,7 +134,7 @@
 	g := NewWithT(t)
 	lf := startJobFleet(t, 200)
 	for _, en := range lf.Engines {
-		en.Hang(true)
+		en.SetHung(true)
 	}
 	rc := submit(t, lf.URLs()[0], "a deed")
 	g.Eventually(jobState(t, lf.URLs()[0], rc.ID), 10*time.Second).Should(Equal(job.Running))
--- a/internal/session/models_test.go
+++ b/internal/session/models_test.go
@@ -19,7 +19,7 @@
 func TestSignedBundleLoadsModels(t *testing.T) {
 	g := NewWithT(t)
 	p := fastEngines(100)
-	p.Fence = true
+	p.FenceOrders = true
 	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, Params: p})
 	b := localfleet.DefaultBundle()
 	b.Models = []bundle.Model{{Name: localfleet.Model, Copies: 1}, {Name: "crew", Copies: 1}}
@@ -40,7 +40,7 @@
 	target := lf.Engines[0]
 	cl := engine.New(target.URL(), http.DefaultClient, http.DefaultClient)
 	g.Expect(cl.Order(t.Context(), engine.Order{Epoch: 0, Sequence: 99})).NotTo(Succeed())
-	g.Expect(target.RefusedOrders()).To(Equal(1))
+	g.Expect(target.RefusedOrderCount()).To(Equal(1))
 	g.Expect(statusOf("crew")()).To(Equal(http.StatusOK))
 	g.Expect(statusOfFirst()).To(Equal(http.StatusOK))
 }
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -40,7 +40,7 @@
 // fastEngines returns the default parameters of simulated engines that run faster by a factor of scale.
 func fastEngines(scale float64) enginesim.Params {
 	p := enginesim.DefaultParams()
-	p.Scale = scale
+	p.Speedup = scale
 	return p
 }
 
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -76,10 +76,10 @@
 		},
 		"job cannot be returned to the store": func(t *testing.T, lf *localfleet.Fleet) func() {
 			en := lf.Engines[0]
-			en.Hang(true)
+			en.SetHung(true)
 			rc := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
 			NewWithT(t).Eventually(jobState(t, lf.URLs()[0], rc.ID), stepTimeout).Should(Equal(job.Running))
-			return func() { en.Hang(false) }
+			return func() { en.SetHung(false) }
 		},
 	}
 	for name, block := range tests {
@@ -122,7 +122,7 @@
 	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200), Adjust: func(s *config.Settings) {
 		s.Stop.Drain = config.Duration(100 * time.Millisecond)
 	}})
-	lf.Engines[0].Hang(true)
+	lf.Engines[0].SetHung(true)
 	rc := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
 	g.Eventually(jobState(t, lf.URLs()[0], rc.ID), stepTimeout).Should(Equal(job.Running))
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
@@ -161,12 +161,12 @@
 			lf.Services.DropAfterRun(tc.dropsAfterRun)
 			go func() {
 				// Once the service runs the request, its claim is in the store.
-				for lf.Services.Runs("valve") == 0 {
+				for lf.Services.RunCount("valve") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				storeFront.SetCut(true)
 			}()
-			resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve", servicesim.HeaderRequest, "valve")
+			resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve", servicesim.HeaderRequestName, "valve")
 			g.Expect(resp.status).To(Equal(tc.status), resp.body)
 			time.AfterFunc(2*time.Second, func() { storeFront.SetCut(false) })
 			g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
@@ -211,7 +211,7 @@
 			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200), Adjust: func(s *config.Settings) {
 				s.Stop.Drain = config.Duration(time.Second)
 			}})
-			lf.Engines[0].Hang(true)
+			lf.Engines[0].SetHung(true)
 			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			responses := make(chan response, len(tc.prompts))
--- a/internal/session/stream_test.go
+++ b/internal/session/stream_test.go
@@ -59,7 +59,7 @@
 			body: chat, resumed: true,
 		},
 		"response of another attempt, dropped": {
-			fault: func(lf *localfleet.Fleet) { lf.Engines[0].CrossAnswers(1) }, path: "/v1/completions", prompt: "hello",
+			fault: func(lf *localfleet.Fleet) { lf.Engines[0].MislabelResponses(1) }, path: "/v1/completions", prompt: "hello",
 			body: completion("hello", output, true),
 		},
 	}
@@ -70,7 +70,7 @@
 			tc.fault(lf)
 			resp := call(t, http.MethodPost, lf.URLs()[0]+tc.path, tc.body)
 			g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
-			g.Expect(streamText(t, resp.body)).To(Equal(answer.Of(tc.prompt, output)))
+			g.Expect(streamText(t, resp.body)).To(Equal(answer.Generate(tc.prompt, output)))
 			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			resumedCount := sv.Metrics.GetOrCreateCounter("silvermount_streams_resumed_total").Get()
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -158,14 +158,14 @@
 	defer closeFleet(ctx, lf)
 	time.Sleep(settle)
 	before := wire(lf)
-	beforeReads, beforeWrites := lf.Store.Calls()
+	beforeReads, beforeWrites := lf.Store.CallCounts()
 	cpu, began := processor(), time.Now()
 	time.Sleep(span)
 	took := time.Since(began).Seconds()
 	p.CoreShare = (processor() - cpu).Seconds() / took / float64(n)
 	after := wire(lf)
 	p.MessagesPerSecond, p.BytesPerSecond = after.minus(before).each(took, n)
-	reads, writes := lf.Store.Calls()
+	reads, writes := lf.Store.CallCounts()
 	p.StoreReads = float64(reads-beforeReads) / took / float64(n)
 	p.StoreWrites = float64(writes-beforeWrites) / took / float64(n)
 	runtime.GC()
@@ -218,7 +218,7 @@
 func requests(ctx context.Context, o Options, rate float64) (Requests, error) {
 	const instances, seconds, speed = 8, 4, 20
 	params := enginesim.DefaultParams()
-	params.Scale, params.CacheBlocks = speed, 0
+	params.Speedup, params.CacheBlocks = speed, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: 1, Engines: 20, Instances: instances, Params: params, Log: o.Log, Adjust: defaults,
 	})
@@ -246,7 +246,7 @@
 // latency compares short requests sent straight to an engine with the same by an instance.
 func latency(ctx context.Context, o Options) (Latency, error) {
 	params := enginesim.DefaultParams()
-	params.Scale, params.CacheBlocks = 100, 0
+	params.Speedup, params.CacheBlocks = 100, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: params, Log: o.Log})
 	if err != nil {
 		return Latency{}, err
--- a/internal/standin/enginesim/cache.go
+++ b/internal/standin/enginesim/cache.go
@@ -2,49 +2,50 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// blockTokens is the length of one prefix block.
+// blockTokens and blockBytes are the length of one prefix block.
 const (
 	blockTokens = 1024
 	blockBytes  = 4 * blockTokens
-	// gapEvery drops one cache event in this many.
-	gapEvery = 7
+	// dropEventEvery is the interval of lost cache events: one event in this many is lost.
+	dropEventEvery = 7
 )
 
-// CacheEvent says that a prefix block is kept, or no longer kept.
+// CacheEvent reports that a prefix block was cached or evicted.
 type CacheEvent struct {
-	// Seq grows by one for each event; a gap shows a lost event.
+	// Seq is the sequence number, which grows by one with each event; a gap shows that an event was lost.
 	Seq int `json:"seq"`
 	// Block is the hash of the prefix up to the end of the block.
 	Block uint64 `json:"block"`
-	// Kept is false when the block was dropped.
+	// Kept is false when the block was evicted.
 	Kept bool `json:"kept"`
 }
 
+// prefixCache is an LRU cache of prefix blocks. The value of a block is the clock at its last use.
 type prefixCache struct {
-	limit  int
-	blocks map[uint64]int
-	clock  int
-	events []CacheEvent
-	seq    int
+	maxBlocks int
+	blocks    map[uint64]int
+	clock     int
+	events    []CacheEvent
+	seq       int
 }
 
-func newPrefixCache(limit int) prefixCache {
-	return prefixCache{limit: limit, blocks: map[uint64]int{}}
+func newPrefixCache(maxBlocks int) prefixCache {
+	return prefixCache{maxBlocks: maxBlocks, blocks: map[uint64]int{}}
 }
 
-// blockHashes returns the hash of each whole-block prefix of a prompt.
+// blockHashes returns the hash of each prefix of a prompt that is a whole number of blocks long.
 func blockHashes(prompt string) []uint64 {
 	d := xxhash.New()
 	var hashes []uint64
 	for end := blockBytes; end <= len(prompt); end += blockBytes {
-		_, _ = d.WriteString(prompt[end-blockBytes : end]) // a digest takes every write
+		_, _ = d.WriteString(prompt[end-blockBytes : end]) // writing to a digest never fails
 		hashes = append(hashes, d.Sum64())
 	}
 	return hashes
 }
 
-// match returns how many prompt tokens are cached.
-func (pc *prefixCache) match(hashes []uint64) int {
+// cachedTokens returns how many prompt tokens are cached, and marks their blocks as used.
+func (pc *prefixCache) cachedTokens(hashes []uint64) int {
 	n := 0
 	for _, h := range hashes {
 		if _, ok := pc.blocks[h]; !ok {
@@ -57,38 +58,38 @@
 	return n
 }
 
-// add keeps the blocks of a prompt and drops the least recently used ones.
+// add caches the blocks of a prompt and evicts the least recently used blocks beyond maxBlocks.
 func (pc *prefixCache) add(hashes []uint64) {
-	if pc.limit == 0 {
+	if pc.maxBlocks == 0 {
 		return
 	}
-	for _, h := range hashes[:min(len(hashes), pc.limit)] {
+	for _, h := range hashes[:min(len(hashes), pc.maxBlocks)] {
 		pc.clock++
 		if _, ok := pc.blocks[h]; !ok {
-			pc.note(h, true)
+			pc.recordEvent(h, true)
 		}
 		pc.blocks[h] = pc.clock
 	}
-	for len(pc.blocks) > pc.limit {
+	for len(pc.blocks) > pc.maxBlocks {
 		pc.evict()
 	}
 }
 
 func (pc *prefixCache) evict() {
-	var oldest uint64
-	age := pc.clock + 1
-	for h, c := range pc.blocks {
-		if c < age {
-			oldest, age = h, c
+	var victim uint64
+	lastUsed := pc.clock + 1
+	for h, used := range pc.blocks {
+		if used < lastUsed {
+			victim, lastUsed = h, used
 		}
 	}
-	delete(pc.blocks, oldest)
-	pc.note(oldest, false)
+	delete(pc.blocks, victim)
+	pc.recordEvent(victim, false)
 }
 
-func (pc *prefixCache) note(block uint64, kept bool) {
+func (pc *prefixCache) recordEvent(block uint64, kept bool) {
 	pc.seq++
-	if pc.seq%gapEvery == 0 {
+	if pc.seq%dropEventEvery == 0 {
 		return
 	}
 	pc.events = append(pc.events, CacheEvent{Seq: pc.seq, Block: block, Kept: kept})
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -1,5 +1,5 @@
-// Package enginesim is a small stand-in for a model engine: it batches continuously, prefills in chunks,
-// honours priorities, holds limited memory and caches prefixes. Its speeds are parameters.
+// Package enginesim is a small stand-in for a model engine with continuous batching, chunked prefill, priorities, limited
+// memory and a prefix cache. Its speeds are parameters.
 package enginesim
 
 import (
@@ -14,203 +14,209 @@
 
 // Params are the speeds and sizes of an engine.
 type Params struct {
-	// StepTokens bounds the prompt tokens computed in one step.
-	StepTokens int
-	// StepBase is the fixed time of a step, PrefillToken the time of a prompt token, DecodeToken of a sequence.
-	StepBase, PrefillToken, DecodeToken time.Duration
-	// Knee is the context length at which a prompt token costs twice as much.
-	Knee int
-	// Memory is the KV memory in tokens.
-	Memory int
-	// CacheBlocks is the number of prefix blocks kept; zero keeps none.
+	// MaxPromptTokensPerStep is the maximum number of prompt tokens that are computed in one step.
+	MaxPromptTokensPerStep int
+	// A step takes StepOverhead, plus PrefillPerToken for each prompt token and DecodePerSequence for each decoding sequence.
+	StepOverhead, PrefillPerToken, DecodePerSequence time.Duration
+	// CostDoublingContext is the context length at which a prompt token takes twice as long as at the start of a prompt.
+	CostDoublingContext int
+	// MemoryTokens is the size of the KV memory in tokens.
+	MemoryTokens int
+	// CacheBlocks is the maximum number of cached prefix blocks; zero disables the cache.
 	CacheBlocks int
-	// ReportLag is how old a load report is when it is given out.
+	// ReportLag is the minimum age of the load reports that are served, once there are reports that old.
 	ReportLag time.Duration
-	// Scale divides all times.
-	Scale float64
-	// Fence makes the engine check the epoch of orders.
-	Fence bool
+	// Speedup divides all times.
+	Speedup float64
+	// FenceOrders makes the engine refuse orders whose epoch and sequence number are not newer than those of the last one.
+	FenceOrders bool
 }
 
-// DefaultParams resemble an engine that prefills about 20,000 tokens a second.
+// DefaultParams returns the parameters of an engine that prefills about 20,000 tokens per second.
 func DefaultParams() Params {
 	return Params{
-		StepTokens: 2048, StepBase: 8 * time.Millisecond, PrefillToken: 45 * time.Microsecond,
-		DecodeToken: 200 * time.Microsecond, Knee: 400_000, Memory: 450_000, CacheBlocks: 256,
-		ReportLag: 200 * time.Millisecond, Scale: 1,
+		MaxPromptTokensPerStep: 2048, StepOverhead: 8 * time.Millisecond, PrefillPerToken: 45 * time.Microsecond,
+		DecodePerSequence: 200 * time.Microsecond, CostDoublingContext: 400_000, MemoryTokens: 450_000, CacheBlocks: 256,
+		ReportLag: 200 * time.Millisecond, Speedup: 1,
 	}
 }
 
-// Alone returns the time to the first token of a prompt on an idle engine.
-func (pr Params) Alone(tokens int) time.Duration {
+// IdleTimeToFirstToken returns the time to the first token of a prompt on an idle engine.
+func (pr Params) IdleTimeToFirstToken(tokens int) time.Duration {
 	sum := time.Duration(0)
-	for at := 0; at < tokens; at += pr.StepTokens {
-		sum += pr.StepBase + pr.chunkTime(at, min(pr.StepTokens, tokens-at))
+	for at := 0; at < tokens; at += pr.MaxPromptTokensPerStep {
+		sum += pr.StepOverhead + pr.chunkTime(at, min(pr.MaxPromptTokensPerStep, tokens-at))
 	}
-	return time.Duration(float64(sum) / pr.Scale)
+	return time.Duration(float64(sum) / pr.Speedup)
 }
 
 func (pr Params) chunkTime(context, chunk int) time.Duration {
-	factor := 1 + float64(context)/float64(pr.Knee)
-	return time.Duration(float64(pr.PrefillToken) * float64(chunk) * factor)
+	factor := 1 + float64(context)/float64(pr.CostDoublingContext)
+	return time.Duration(float64(pr.PrefillPerToken) * float64(chunk) * factor)
 }
 
+// sequence is an attempt in progress, or a reservation of memory.
 type sequence struct {
 	id, holder, model string
 	// chat is set for chat completions.
-	chat           bool
-	priority       int
-	arrived        int
-	deadline       time.Time
-	prompt, output int
-	// borrowed is memory held on other engines.
-	borrowed int
-	computed int
-	admitted bool
-	chain    *answer.Chain
-	tokens   []string
-	cached   []uint64
-	done     bool
-	broken   bool
-	changed  chan struct{}
+	chat                       bool
+	priority                   int
+	arrivalNumber              int
+	deadline                   time.Time
+	promptTokens, outputTokens int
+	// borrowedTokens is the memory that other engines hold for the sequence, in tokens.
+	borrowedTokens int
+	computedTokens int
+	admitted       bool
+	generator      *answer.Generator
+	tokens         []string
+	blockHashes    []uint64
+	done           bool
+	aborted        bool
+	changed        chan struct{}
 }
 
-func (sq *sequence) memory() int { return max(0, sq.prompt+sq.output-sq.borrowed) }
+// memoryTokens returns the memory that the sequence needs on this engine, in tokens.
+func (sq *sequence) memoryTokens() int {
+	return max(0, sq.promptTokens+sq.outputTokens-sq.borrowedTokens)
+}
 
+// signal wakes all readers that wait for a change of the sequence. The caller must hold the lock.
 func (sq *sequence) signal() {
 	close(sq.changed)
 	sq.changed = make(chan struct{})
 }
 
 type timedReport struct {
-	at     time.Time
-	report engine.Report
+	takenAt time.Time
+	report  engine.Report
 }
 
-// Engine is the stand-in.
+// Engine is a stand-in engine.
 type Engine struct {
 	params      Params
 	incarnation string
 
-	mu       sync.Mutex
-	wake     chan struct{}
-	stopped  chan struct{}
-	seqs     map[string]*sequence
-	rooms    map[string]*sequence
-	used     int
-	arrivals int
-	leaving  bool
-	models   map[string]bool
-	reports  []timedReport
-	cache    prefixCache
-	orders   orderBook
-	// runs counts how often each attempt was started.
-	runs map[string]int
-	// hang makes the engine accept attempts and compute nothing.
-	hang bool
-	// breaks and crosses count down the streams to break and the answers to cross.
-	breaks, crosses int
+	mu           sync.Mutex
+	wake         chan struct{}
+	killed       chan struct{}
+	sequences    map[string]*sequence
+	reservations map[string]*sequence
+	usedTokens   int
+	attemptCount int
+	leaving      bool
+	models       map[string]bool
+	reports      []timedReport
+	cache        prefixCache
+	orders       orderState
+	// startsByAttempt counts how often each attempt was started.
+	startsByAttempt map[string]int
+	// hung makes the engine accept attempts and compute nothing.
+	hung bool
+	// streamsToBreak and responsesToMislabel are the numbers of next streams to break and next responses to mislabel.
+	streamsToBreak, responsesToMislabel int
 }
 
 // New starts an engine that serves the given models.
 func New(p Params, models ...string) *Engine {
 	en := &Engine{
-		params: p, incarnation: ident.New("engine"), wake: make(chan struct{}, 1), stopped: make(chan struct{}),
-		seqs: map[string]*sequence{}, rooms: map[string]*sequence{}, models: map[string]bool{},
-		cache: newPrefixCache(p.CacheBlocks), runs: map[string]int{},
+		params: p, incarnation: ident.New("engine"), wake: make(chan struct{}, 1), killed: make(chan struct{}),
+		sequences: map[string]*sequence{}, reservations: map[string]*sequence{}, models: map[string]bool{},
+		cache: newPrefixCache(p.CacheBlocks), startsByAttempt: map[string]int{},
 	}
 	for _, m := range models {
 		en.models[m] = true
 	}
-	go en.loop()
+	go en.run()
 	return en
 }
 
-// Kill stops the engine in the middle of its work; open streams break.
+// Kill stops the engine at once and breaks all open streams.
 func (en *Engine) Kill() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	select {
-	case <-en.stopped:
+	case <-en.killed:
 		return
 	default:
 	}
-	close(en.stopped)
-	for _, sq := range en.seqs {
-		sq.broken = true
+	close(en.killed)
+	for _, sq := range en.sequences {
+		sq.aborted = true
 		sq.signal()
 	}
 }
 
-// Leave marks the engine as leaving.
-func (en *Engine) Leave() { en.mu.Lock(); en.leaving = true; en.mu.Unlock() }
+// MarkLeaving marks the engine as leaving: it refuses new attempts and reservations.
+func (en *Engine) MarkLeaving() { en.mu.Lock(); en.leaving = true; en.mu.Unlock() }
 
-// Hang makes the engine compute nothing until it is called with false.
-func (en *Engine) Hang(on bool) {
+// SetHung makes the engine compute nothing until it is called with false.
+func (en *Engine) SetHung(on bool) {
 	en.mu.Lock()
-	en.hang = on
+	en.hung = on
 	en.mu.Unlock()
-	en.poke()
+	en.wakeLoop()
 }
 
-// BreakStreams makes the next n streams lose their connection after some tokens, while the engine goes on.
-func (en *Engine) BreakStreams(n int) { en.mu.Lock(); en.breaks = n; en.mu.Unlock() }
+// BreakStreams breaks the connections of the next n streams after some tokens; the engine goes on computing them.
+func (en *Engine) BreakStreams(n int) { en.mu.Lock(); en.streamsToBreak = n; en.mu.Unlock() }
 
-// CrossAnswers makes the next n answers come under the id of another attempt.
-func (en *Engine) CrossAnswers(n int) { en.mu.Lock(); en.crosses = n; en.mu.Unlock() }
+// MislabelResponses sends the next n responses with the id of another attempt.
+func (en *Engine) MislabelResponses(n int) { en.mu.Lock(); en.responsesToMislabel = n; en.mu.Unlock() }
 
-// takes counts a seam down and reports whether it was set.
-func (en *Engine) takes(seam *int) bool {
+// consume decrements a counter of faults, and reports false when it is zero.
+func (en *Engine) consume(counter *int) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if *seam == 0 {
+	if *counter == 0 {
 		return false
 	}
-	*seam--
+	*counter--
 	return true
 }
 
-// echo returns the id that an answer comes under.
-func (en *Engine) echo(sq *sequence) string {
-	if en.takes(&en.crosses) {
+// responseAttemptID returns the attempt id to send in the response.
+func (en *Engine) responseAttemptID(sq *sequence) string {
+	if en.consume(&en.responsesToMislabel) {
 		return "another-attempt"
 	}
 	return sq.id
 }
 
-// MemoryUsed returns the KV memory in use, in tokens.
-func (en *Engine) MemoryUsed() int { en.mu.Lock(); defer en.mu.Unlock(); return en.used }
+// MemoryUsed returns the KV memory that is in use or reserved, in tokens.
+func (en *Engine) MemoryUsed() int { en.mu.Lock(); defer en.mu.Unlock(); return en.usedTokens }
 
-// Started returns how many attempts were started.
-func (en *Engine) Started() int { en.mu.Lock(); defer en.mu.Unlock(); return en.arrivals }
+// AttemptCount returns how many attempts were accepted.
+func (en *Engine) AttemptCount() int { en.mu.Lock(); defer en.mu.Unlock(); return en.attemptCount }
 
-func (en *Engine) poke() {
+func (en *Engine) wakeLoop() {
 	select {
 	case en.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (en *Engine) loop() {
+// run computes steps until the engine is killed.
+func (en *Engine) run() {
 	next := time.Now()
 	for {
-		took := en.step()
-		if took == 0 {
+		stepTime := en.planStep()
+		if stepTime == 0 {
 			select {
 			case <-en.wake:
 				next = time.Now()
 				continue
-			case <-en.stopped:
+			case <-en.killed:
 				return
 			}
 		}
-		if now := time.Now(); next.Before(now.Add(-took)) {
+		if now := time.Now(); next.Before(now.Add(-stepTime)) {
 			next = now
 		}
-		next = next.Add(took)
+		next = next.Add(stepTime)
 		time.Sleep(time.Until(next))
 		select {
-		case <-en.stopped:
+		case <-en.killed:
 			return
 		default:
 			en.finishStep()
@@ -218,47 +224,47 @@
 	}
 }
 
-// step plans one step and returns how long it takes; zero means that there is nothing to do.
-func (en *Engine) step() time.Duration {
+// planStep plans one step and returns how long it takes, or zero when there is nothing to compute.
+func (en *Engine) planStep() time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.hang {
+	if en.hung {
 		return 0
 	}
-	order := en.ordered()
+	order := en.byUrgency()
 	en.admit(order)
-	took, busy := time.Duration(0), false
-	budget := en.params.StepTokens
+	stepTime, busy := time.Duration(0), false
+	budget := en.params.MaxPromptTokensPerStep
 	for _, sq := range order {
 		if !sq.admitted {
 			continue
 		}
-		if sq.computed >= sq.prompt {
-			took += en.params.DecodeToken
+		if sq.computedTokens >= sq.promptTokens {
+			stepTime += en.params.DecodePerSequence
 			busy = true
 			continue
 		}
-		chunk := min(budget, sq.prompt-sq.computed)
+		chunk := min(budget, sq.promptTokens-sq.computedTokens)
 		if chunk == 0 {
 			continue
 		}
 		budget -= chunk
 		busy = true
-		took += en.params.chunkTime(sq.computed, chunk)
-		sq.computed += chunk
+		stepTime += en.params.chunkTime(sq.computedTokens, chunk)
+		sq.computedTokens += chunk
 	}
 	if !busy {
 		return 0
 	}
-	took += en.params.StepBase
-	return max(1, time.Duration(float64(took)/en.params.Scale))
+	stepTime += en.params.StepOverhead
+	return max(1, time.Duration(float64(stepTime)/en.params.Speedup))
 }
 
-// ordered returns the sequences, most urgent first.
-func (en *Engine) ordered() []*sequence {
-	order := make([]*sequence, 0, len(en.seqs))
-	for _, sq := range en.seqs {
-		if !sq.done && !sq.broken {
+// byUrgency returns the unfinished sequences, the most urgent first. A higher priority is more urgent.
+func (en *Engine) byUrgency() []*sequence {
+	order := make([]*sequence, 0, len(en.sequences))
+	for _, sq := range en.sequences {
+		if !sq.done && !sq.aborted {
 			order = append(order, sq)
 		}
 	}
@@ -266,82 +272,82 @@
 		if a.priority != b.priority {
 			return b.priority - a.priority
 		}
-		return a.arrived - b.arrived
+		return a.arrivalNumber - b.arrivalNumber
 	})
 	return order
 }
 
-// admit gives memory to sequences in order; one that does not fit holds back those after it, but for those whose
-// memory was reserved before.
+// admit gives memory to the sequences in order. A sequence that does not fit holds back those after it, except for
+// sequences that need no further memory because all of it was reserved before.
 func (en *Engine) admit(order []*sequence) {
 	full := false
 	for _, sq := range order {
 		if sq.admitted {
 			continue
 		}
-		full = full || en.used+sq.memory() > en.params.Memory
-		if full && sq.memory() > 0 {
+		full = full || en.usedTokens+sq.memoryTokens() > en.params.MemoryTokens
+		if full && sq.memoryTokens() > 0 {
 			continue
 		}
 		sq.admitted = true
-		en.used += sq.memory()
-		sq.computed = min(en.cache.match(sq.cached), max(0, sq.prompt-1))
+		en.usedTokens += sq.memoryTokens()
+		sq.computedTokens = min(en.cache.cachedTokens(sq.blockHashes), max(0, sq.promptTokens-1))
 	}
 }
 
-// finishStep emits a token for each sequence whose prompt is computed.
+// finishStep generates a token for each sequence whose prompt is computed.
 func (en *Engine) finishStep() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	for _, sq := range en.seqs {
-		if !sq.admitted || sq.done || sq.computed < sq.prompt {
+	for _, sq := range en.sequences {
+		if !sq.admitted || sq.done || sq.computedTokens < sq.promptTokens {
 			continue
 		}
 		if len(sq.tokens) == 0 {
-			en.cache.add(sq.cached)
+			en.cache.add(sq.blockHashes)
 		}
-		sq.tokens = append(sq.tokens, sq.chain.Next())
-		if len(sq.tokens) >= sq.output {
+		sq.tokens = append(sq.tokens, sq.generator.Next())
+		if len(sq.tokens) >= sq.outputTokens {
 			sq.done = true
-			en.used -= sq.memory()
+			en.usedTokens -= sq.memoryTokens()
 			sq.admitted = false
 		}
 		sq.signal()
 	}
 }
 
-// cancel frees a sequence or room.
+// cancel removes a sequence or reservation and frees its memory.
 func (en *Engine) cancel(id string) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if rm, ok := en.rooms[id]; ok {
-		en.used -= rm.prompt
-		delete(en.rooms, id)
-		en.poke()
+	if rv, ok := en.reservations[id]; ok {
+		en.usedTokens -= rv.promptTokens
+		delete(en.reservations, id)
+		en.wakeLoop()
 	}
-	sq, ok := en.seqs[id]
+	sq, ok := en.sequences[id]
 	if !ok {
 		return
 	}
 	if sq.admitted {
-		en.used -= sq.memory()
+		en.usedTokens -= sq.memoryTokens()
 	}
 	sq.admitted = false
-	sq.broken = sq.broken || !sq.done
+	sq.aborted = sq.aborted || !sq.done
 	sq.signal()
-	delete(en.seqs, id)
-	en.poke()
+	delete(en.sequences, id)
+	en.wakeLoop()
 }
 
-// report returns the newest load report that is at least ReportLag old, else the oldest.
-func (en *Engine) report() engine.Report {
+// loadReport returns the newest load report that is at least ReportLag old, or else the oldest one.
+func (en *Engine) loadReport() engine.Report {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	now := time.Now()
-	en.reports = append(en.reports, timedReport{at: now, report: en.current()})
-	lag := time.Duration(float64(en.params.ReportLag) / en.params.Scale)
+	en.reports = append(en.reports, timedReport{takenAt: now, report: en.currentLoad()})
+	lag := time.Duration(float64(en.params.ReportLag) / en.params.Speedup)
 	i := 0
-	for i+1 < len(en.reports) && now.Sub(en.reports[i+1].at) >= lag {
+	for i+1 < len(en.reports) && now.Sub(en.reports[i+1].takenAt) >= lag {
 		i++
 	}
 	en.reports = en.reports[i:]
@@ -350,17 +356,17 @@
 	return r
 }
 
-func (en *Engine) current() engine.Report {
+func (en *Engine) currentLoad() engine.Report {
 	r := engine.Report{
-		Incarnation: en.incarnation, Leaving: en.leaving, MemoryUsed: en.used, MemoryTotal: en.params.Memory,
-		PrefillRate: en.rate(),
+		Incarnation: en.incarnation, Leaving: en.leaving, MemoryUsed: en.usedTokens, MemoryTotal: en.params.MemoryTokens,
+		PrefillRate: en.prefillRate(),
 	}
 	for m := range en.models {
 		r.Models = append(r.Models, m)
 	}
 	slices.Sort(r.Models)
-	for _, sq := range en.seqs {
-		if sq.done || sq.broken {
+	for _, sq := range en.sequences {
+		if sq.done || sq.aborted {
 			continue
 		}
 		if sq.admitted {
@@ -368,12 +374,13 @@
 		} else {
 			r.Queued++
 		}
-		r.PrefillTokens += sq.prompt - sq.computed
+		r.PrefillTokens += sq.promptTokens - sq.computedTokens
 	}
 	return r
 }
 
-func (en *Engine) rate() float64 {
-	step := en.params.StepBase + time.Duration(en.params.StepTokens)*en.params.PrefillToken
-	return float64(en.params.StepTokens) / step.Seconds() * en.params.Scale
+// prefillRate returns the prefill rate of full steps at the start of a prompt, in tokens per second.
+func (en *Engine) prefillRate() float64 {
+	step := en.params.StepOverhead + time.Duration(en.params.MaxPromptTokensPerStep)*en.params.PrefillPerToken
+	return float64(en.params.MaxPromptTokensPerStep) / step.Seconds() * en.params.Speedup
 }
--- a/internal/standin/enginesim/orders.go
+++ b/internal/standin/enginesim/orders.go
@@ -8,19 +8,21 @@
 	"github.com/silvermount/silvermount/internal/engine"
 )
 
-type orderBook struct {
+// orderState holds the position of the last applied order, and how many stale orders were refused.
+type orderState struct {
 	epoch, sequence int64
-	refused         int
+	refusedCount    int
 }
 
-func (ob *orderBook) older(o engine.Order) bool {
-	return o.Epoch < ob.epoch || (o.Epoch == ob.epoch && o.Sequence <= ob.sequence)
+func (os *orderState) isStale(o engine.Order) bool {
+	return o.Epoch < os.epoch || (o.Epoch == os.epoch && o.Sequence <= os.sequence)
 }
 
-const loadTime = 2 * time.Second
+// modelLoadTime is the time to load models, before Params.Speedup divides it.
+const modelLoadTime = 2 * time.Second
 
-// order applies an order; a fenced engine refuses one that is older than the last.
-func (en *Engine) order(w http.ResponseWriter, r *http.Request) {
+// handleOrder applies an order. With FenceOrders, the engine refuses an order that is not newer than the last one.
+func (en *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -28,8 +30,8 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.params.Fence && en.orders.older(o) {
-		en.orders.refused++
+	if en.params.FenceOrders && en.orders.isStale(o) {
+		en.orders.refusedCount++
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -38,13 +40,13 @@
 	for _, m := range o.Models {
 		wanted[m] = true
 	}
-	// What is not wanted any more is unloaded at once, what is wanted is there after the load.
+	// Models that are no longer wanted are unloaded at once; wanted models are available after the load time.
 	for m := range en.models {
 		if !wanted[m] {
 			delete(en.models, m)
 		}
 	}
-	delay := time.Duration(float64(loadTime) / en.params.Scale)
+	delay := time.Duration(float64(modelLoadTime) / en.params.Speedup)
 	time.AfterFunc(delay, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
@@ -55,5 +57,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// RefusedOrders returns how many orders were refused as too old.
-func (en *Engine) RefusedOrders() int { en.mu.Lock(); defer en.mu.Unlock(); return en.orders.refused }
+// RefusedOrderCount returns how many stale orders were refused.
+func (en *Engine) RefusedOrderCount() int {
+	en.mu.Lock()
+	defer en.mu.Unlock()
+	return en.orders.refusedCount
+}
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -10,34 +10,35 @@
 	"github.com/silvermount/silvermount/internal/standin/fault"
 )
 
-// maxTickets is the bound of the protocol.
+// maxTickets is the maximum number of tickets that the protocol allows at an engine.
 const maxTickets = 64
 
-// Order is one order as it came, and the status of its answer.
+// Order is one received order, with the status of its response.
 type Order struct {
 	Op         string `json:"op"`
 	ID         string `json:"id"`
 	TokenCount int    `json:"token_count"`
-	// HoldMs is in milliseconds, as sent.
+	// HoldMs is the hold time in milliseconds, as it was sent.
 	HoldMs int  `json:"hold_ms"`
 	Wait   bool `json:"wait"`
 	Status int  `json:"-"`
 }
 
-func (or Order) hold() time.Duration { return time.Duration(or.HoldMs) * time.Millisecond }
+func (or Order) holdTime() time.Duration { return time.Duration(or.HoldMs) * time.Millisecond }
 
-// ticket is memory set aside.
+// ticket is a reservation of memory.
 type ticket struct {
 	id     string
 	tokens int
-	// granted is closed once the memory is set aside.
+	// granted is closed once the memory is reserved.
 	granted <-chan struct{}
-	// arrived is the time of the newest order for it, from which its hold time runs.
-	arrived time.Time
-	expiry  *time.Timer
+	// renewedAt is the arrival time of the latest order for the ticket, at which its hold time starts.
+	renewedAt time.Time
+	// expiry deletes the ticket at the end of its hold time.
+	expiry *time.Timer
 }
 
-// held reports whether the memory is set aside; a nil ticket has none.
+// held reports whether the memory is reserved; for a nil ticket it is not.
 func (tk *ticket) held() bool {
 	if tk == nil {
 		return false
@@ -50,38 +51,38 @@
 	}
 }
 
-// Orders returns the orders so far.
+// Orders returns the orders received so far, including refused ones.
 func (en *Engine) Orders() []Order {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return slices.Clone(en.orders)
 }
 
-func (en *Engine) order(body []byte) fault.Answer {
+func (en *Engine) handleOrder(body []byte) fault.Response {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	var or Order
 	or.Status = http.StatusBadRequest
 	if json.Unmarshal(body, &or) == nil {
-		or.Status = en.carryOut(or)
+		or.Status = en.applyOrder(or)
 	}
 	en.orders = append(en.orders, or)
 	if or.Status == http.StatusBadRequest {
-		return fault.Whole(or.Status, nil)
+		return fault.NewResponse(or.Status, nil)
 	}
-	return encode(or.Status, struct {
+	return jsonResponse(or.Status, struct {
 		Free int `json:"free"`
-	}{en.gate.Free()})
+	}{en.admission.FreeTokens()})
 }
 
-// carryOut is called with the lock held, and returns the status of the answer.
-func (en *Engine) carryOut(or Order) int {
+// applyOrder applies an order and returns the status of the response. The caller must hold the lock.
+func (en *Engine) applyOrder(or Order) int {
 	switch or.Op {
 	case "reserve":
 		return en.reserve(or)
 	case "release":
 		if tk := en.tickets[or.ID]; tk != nil {
-			en.drop(tk)
+			en.deleteTicket(tk)
 		}
 		return http.StatusOK
 	default:
@@ -89,11 +90,12 @@
 	}
 }
 
+// reserve grants, queues or renews a ticket and returns the status of the response. The caller must hold the lock.
 func (en *Engine) reserve(or Order) int {
-	if or.ID == "" || or.TokenCount <= 0 || or.TokenCount > en.settings.Memory {
+	if or.ID == "" || or.TokenCount <= 0 || or.TokenCount > en.settings.MemoryTokens {
 		return http.StatusBadRequest
 	}
-	if or.hold() <= 0 || or.hold() > en.settings.HoldMax {
+	if or.holdTime() <= 0 || or.holdTime() > en.settings.MaxHold {
 		return http.StatusBadRequest
 	}
 	tk := en.tickets[or.ID]
@@ -101,60 +103,61 @@
 		return http.StatusConflict
 	}
 	if tk == nil {
-		granted := en.gate.Reserve(or.TokenCount, or.Wait)
+		granted := en.admission.Reserve(or.TokenCount, or.Wait)
 		if granted == nil {
 			return http.StatusConflict
 		}
 		tk = &ticket{id: or.ID, tokens: or.TokenCount, granted: granted}
 		en.tickets[or.ID] = tk
 	}
-	en.renew(tk, or.hold())
+	en.renewTicket(tk, or.holdTime())
 	if !tk.held() {
 		return http.StatusAccepted
 	}
 	return http.StatusOK
 }
 
-// renew starts the hold time anew.
-func (en *Engine) renew(tk *ticket, hold time.Duration) {
+// renewTicket restarts the hold time.
+func (en *Engine) renewTicket(tk *ticket, hold time.Duration) {
 	if tk.expiry != nil {
 		tk.expiry.Stop()
 	}
-	tk.arrived = time.Now()
-	arrived := tk.arrived
+	tk.renewedAt = time.Now()
+	renewedAt := tk.renewedAt
 	tk.expiry = time.AfterFunc(hold, func() {
 		en.mu.Lock()
 		defer en.mu.Unlock()
-		if en.tickets[tk.id] == tk && tk.arrived.Equal(arrived) {
-			en.drop(tk)
+		if en.tickets[tk.id] == tk && tk.renewedAt.Equal(renewedAt) {
+			en.deleteTicket(tk)
 		}
 	})
 }
 
-// drop frees the memory of a ticket and cuts the requests that use it.
-func (en *Engine) drop(tk *ticket) {
+// deleteTicket frees the memory of a ticket and aborts the requests that use it.
+func (en *Engine) deleteTicket(tk *ticket) {
 	tk.expiry.Stop()
 	delete(en.tickets, tk.id)
-	en.gate.Release(tk.tokens, tk.granted)
-	for us := range en.helped {
-		if us.ticket == tk {
-			us.cut()
+	en.admission.EndReservation(tk.tokens, tk.granted)
+	for hu := range en.helping {
+		if hu.ticket == tk {
+			hu.abort()
 		}
 	}
 }
 
-// dropTickets frees all tickets and cuts all requests that depend on this engine.
-func (en *Engine) dropTickets() {
+// deleteAllTickets deletes all tickets and aborts all requests that this engine helps with.
+func (en *Engine) deleteAllTickets() {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, tk := range en.tickets {
-		en.drop(tk)
+		en.deleteTicket(tk)
 	}
-	for us := range en.helped {
-		us.cut()
+	for hu := range en.helping {
+		hu.abort()
 	}
 }
 
+// ticketTokens returns the memory that a ticket reserves, in tokens, or zero for an unknown ticket.
 func (en *Engine) ticketTokens(id string) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -164,7 +167,7 @@
 	return 0
 }
 
-// Ticket is the state of a ticket in a report.
+// Ticket is a ticket as a load report shows it.
 type Ticket struct {
 	ID         string `json:"id"`
 	TokenCount int    `json:"token_count"`
@@ -172,21 +175,21 @@
 	AgeMs      int64  `json:"age_ms"`
 }
 
-// Tickets returns the tickets in the order of their ids.
+// Tickets returns the tickets, sorted by id.
 func (en *Engine) Tickets() []Ticket {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	all := make([]Ticket, 0, len(en.tickets))
 	for _, tk := range en.tickets {
 		all = append(all, Ticket{
-			ID: tk.id, TokenCount: tk.tokens, State: en.stateOf(tk), AgeMs: time.Since(tk.arrived).Milliseconds(),
+			ID: tk.id, TokenCount: tk.tokens, State: en.ticketState(tk), AgeMs: time.Since(tk.renewedAt).Milliseconds(),
 		})
 	}
 	slices.SortFunc(all, func(a, b Ticket) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
-func (en *Engine) stateOf(tk *ticket) string {
+func (en *Engine) ticketState(tk *ticket) string {
 	switch {
 	case !tk.held():
 		return "waiting"
@@ -203,7 +206,7 @@
 	Adapters []string `json:"adapters"`
 }
 
-type report struct {
+type loadReport struct {
 	Stage    string        `json:"stage"`
 	Models   []modelReport `json:"models"`
 	Busy     bool          `json:"busy"`
@@ -217,22 +220,22 @@
 	Tickets  []Ticket      `json:"tickets"`
 }
 
-func (en *Engine) report([]byte) fault.Answer {
+func (en *Engine) handleReport([]byte) fault.Response {
 	tickets := en.Tickets()
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.reports++
-	return encode(http.StatusOK, report{
+	en.reportCount++
+	return jsonResponse(http.StatusOK, loadReport{
 		Stage: "both", Models: []modelReport{{Name: en.settings.Model, Version: en.version, Adapters: []string{}}},
-		Waiting: en.gate.Waiting(), Running: en.gate.Running(), KVUsed: en.gate.Used(), KVTotal: en.settings.Memory,
-		Pace: en.pace, Tickets: tickets,
+		Waiting: en.admission.WaitingCount(), Running: en.admission.RunningCount(), KVUsed: en.admission.UsedTokens(), KVTotal: en.settings.MemoryTokens,
+		Pace: en.slowdown, Tickets: tickets,
 	})
 }
 
-func encode(status int, v any) fault.Answer {
+func jsonResponse(status int, v any) fault.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return fault.Whole(http.StatusInternalServerError, []byte(err.Error()))
+		return fault.NewResponse(http.StatusInternalServerError, []byte(err.Error()))
 	}
-	return fault.Whole(status, body).With("Content-Type", "application/json")
+	return fault.NewResponse(status, body).WithHeader("Content-Type", "application/json")
 }
--- a/internal/standin/objectsim/objectsim_test.go
+++ b/internal/standin/objectsim/objectsim_test.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// generous is far longer than anything here takes.
-	generous = 10 * time.Second
-	// short is long enough for a call on loopback to arrive, and is only waited for where silence is expected.
-	short = 100 * time.Millisecond
+	// testTimeout bounds the waits for conditions that normally hold within milliseconds.
+	testTimeout = 10 * time.Second
+	// silenceWait is long enough for a call on loopback to arrive. Tests wait this long only where they expect no response.
+	silenceWait = 100 * time.Millisecond
 )
 
 func start(t *testing.T, opts ...objectsim.Option) *objectsim.Sim {
@@ -77,9 +77,9 @@
 	At     int64             `json:"at"`
 }
 
-func TestListGoesOnPageByPage(t *testing.T) {
+func TestListContinuesOnTheNextPage(t *testing.T) {
 	g := NewWithT(t)
-	sm := start(t, objectsim.WithPage(2))
+	sm := start(t, objectsim.WithPageSize(2))
 	for _, name := range []string{"c", "a", "b"} {
 		_, err := sm.PutSpec("servers", name, map[string]int{"slots": 1})
 		g.Expect(err).NotTo(HaveOccurred())
@@ -92,36 +92,36 @@
 	g.Expect(rest.Entries).To(HaveLen(1))
 	g.Expect(rest.Entries[0].Metadata.Name).To(Equal("c"))
 	g.Expect(rest.More).To(BeFalse())
-	g.Expect(sm.Calls()).To(HaveKeyWithValue(objectsim.Call{Kind: "servers", Type: objectsim.List}, 2))
+	g.Expect(sm.CallCounts()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "servers", Type: objectsim.List}, 2))
 }
 
-func TestWritesKeepTheirConditions(t *testing.T) {
+func TestWritesCheckTheirConditions(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
-	at := sm.URL() + "/objects/my-locks"
-	made := decode[objectsim.Object](t, call(t.Context(), "POST", at, `{"metadata":{"name":"leader"},"spec":{"by":"a"}}`))
+	url := sm.URL() + "/objects/my-locks"
+	made := decode[objectsim.Object](t, call(t.Context(), "POST", url, `{"metadata":{"name":"leader"},"spec":{"by":"a"}}`))
 	g.Expect(made.Metadata.Revision).To(Equal(int64(1)))
-	g.Expect(call(t.Context(), "POST", at, `{"metadata":{"name":"leader"},"spec":1}`).status).To(Equal(409))
+	g.Expect(call(t.Context(), "POST", url, `{"metadata":{"name":"leader"},"spec":1}`).status).To(Equal(409))
 
-	put := decode[objectsim.Object](t, call(t.Context(), "PUT", at+"/leader", `{"metadata":{"revision":1},"spec":{"by":"b"}}`))
+	put := decode[objectsim.Object](t, call(t.Context(), "PUT", url+"/leader", `{"metadata":{"revision":1},"spec":{"by":"b"}}`))
 	g.Expect(put.Metadata.Revision).To(Equal(int64(2)))
-	lost := call(t.Context(), "PUT", at+"/leader", `{"metadata":{"revision":1},"spec":{"by":"c"}}`)
+	lost := call(t.Context(), "PUT", url+"/leader", `{"metadata":{"revision":1},"spec":{"by":"c"}}`)
 	g.Expect(lost.status).To(Equal(409))
 	g.Expect(string(decode[objectsim.Object](t, lost).Spec)).To(Equal(`{"by":"b"}`))
-	same := decode[objectsim.Object](t, call(t.Context(), "PUT", at+"/leader", `{"spec":{ "by": "b" }}`))
-	g.Expect(same.Metadata.Revision).To(Equal(int64(2)), "nothing changed")
+	same := decode[objectsim.Object](t, call(t.Context(), "PUT", url+"/leader", `{"spec":{ "by": "b" }}`))
+	g.Expect(same.Metadata.Revision).To(Equal(int64(2)), "a write without a change keeps the revision")
 
-	st := decode[objectsim.Object](t, call(t.Context(), "PUT", at+"/leader/status", `{"metadata":{"revision":2},"status":7}`))
+	st := decode[objectsim.Object](t, call(t.Context(), "PUT", url+"/leader/status", `{"metadata":{"revision":2},"status":7}`))
 	g.Expect(string(st.Status)).To(Equal("7"))
 	g.Expect(string(st.Spec)).To(Equal(`{"by":"b"}`))
-	g.Expect(call(t.Context(), "DELETE", at+"/leader?revision=2", "").status).To(Equal(409))
-	g.Expect(call(t.Context(), "DELETE", at+"/leader?revision=3", "").status).To(Equal(200))
-	g.Expect(call(t.Context(), "GET", at+"/leader", "").status).To(Equal(404))
-	g.Expect(call(t.Context(), "PUT", at+"/leader", `{"spec":1}`).status).To(Equal(404))
-	g.Expect(call(t.Context(), "PATCH", at+"/leader", "").status).To(Equal(400))
+	g.Expect(call(t.Context(), "DELETE", url+"/leader?revision=2", "").status).To(Equal(409))
+	g.Expect(call(t.Context(), "DELETE", url+"/leader?revision=3", "").status).To(Equal(200))
+	g.Expect(call(t.Context(), "GET", url+"/leader", "").status).To(Equal(404))
+	g.Expect(call(t.Context(), "PUT", url+"/leader", `{"spec":1}`).status).To(Equal(404))
+	g.Expect(call(t.Context(), "PATCH", url+"/leader", "").status).To(Equal(400))
 }
 
-func TestFinalizersHoldAnObject(t *testing.T) {
+func TestFinalizersDelayRemoval(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
 	for _, kind := range []string{"my-jobs", "servers"} {
@@ -129,17 +129,17 @@
 		call(t.Context(), "POST", at, `{"metadata":{"name":"x","finalizers":["f"]},"spec":1}`)
 		g.Expect(call(t.Context(), "DELETE", at+"/x", "").status).To(Equal(200))
 	}
-	ob, there := sm.Get("my-jobs", "x")
-	g.Expect(there).To(BeTrue())
+	ob, exists := sm.Get("my-jobs", "x")
+	g.Expect(exists).To(BeTrue())
 	g.Expect(ob.Metadata.Deleting).To(BeTrue())
-	_, there = sm.Get("servers", "x")
-	g.Expect(there).To(BeFalse())
+	_, exists = sm.Get("servers", "x")
+	g.Expect(exists).To(BeFalse())
 	call(t.Context(), "PUT", sm.URL()+"/objects/my-jobs/x", `{"metadata":{"finalizers":[]},"spec":1}`)
-	_, there = sm.Get("my-jobs", "x")
-	g.Expect(there).To(BeFalse())
+	_, exists = sm.Get("my-jobs", "x")
+	g.Expect(exists).To(BeFalse())
 }
 
-func TestWatch(t *testing.T) {
+func TestWatchReportsChangesUntilDisconnectedOrCompacted(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
 	from, err := sm.PutSpec("config", "main", 1)
@@ -152,86 +152,86 @@
 
 	got := make(chan result, 1)
 	go func() { got <- call(t.Context(), "GET", url(from, "30000"), "") }()
-	g.Eventually(sm.Watches).WithTimeout(generous).Should(Equal(1))
+	g.Eventually(sm.WatchCount).WithTimeout(testTimeout).Should(Equal(1))
 	_, err = sm.PutSpec("servers", "i-1", 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(sm.Remove("config", "main")).To(BeTrue())
 	var rs result
-	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
+	g.Eventually(got).WithTimeout(testTimeout).Should(Receive(&rs))
 	ch := decode[changes](t, rs)
-	g.Expect(ch.Events).To(HaveLen(1), "only its own kind")
-	g.Expect(ch.Events[0].Gone).To(BeTrue())
+	g.Expect(ch.Events).To(HaveLen(1), "a watch reports only its own kind")
+	g.Expect(ch.Events[0].Deleted).To(BeTrue())
 	g.Expect(ch.At).To(Equal(sm.Revision()))
 
 	go func() { got <- call(t.Context(), "GET", url(ch.At, "30000"), "") }()
-	g.Eventually(sm.Watches).WithTimeout(generous).Should(Equal(1))
-	sm.CutWatches()
-	g.Eventually(got).WithTimeout(generous).Should(Receive(&rs))
+	g.Eventually(sm.WatchCount).WithTimeout(testTimeout).Should(Equal(1))
+	sm.DisconnectWatches()
+	g.Eventually(got).WithTimeout(testTimeout).Should(Receive(&rs))
 	g.Expect(rs.err).To(HaveOccurred())
 
-	sm.Forget()
+	sm.CompactHistory()
 	g.Expect(call(t.Context(), "GET", url(from, "1"), "").status).To(Equal(410))
 	g.Expect(call(t.Context(), "GET", url(sm.Revision(), "1"), "").status).To(Equal(200))
 }
 
-func TestDownTurnsCallersAway(t *testing.T) {
+func TestOutageFailsCallsWithoutExecutingThem(t *testing.T) {
 	cases := map[string]struct {
-		mode   objectsim.Mode
+		mode   objectsim.Outage
 		status int
 	}{
-		"busy":   {mode: objectsim.Busy, status: 503},
-		"many":   {mode: objectsim.Many, status: 429},
-		"reset":  {mode: objectsim.Reset},
+		"busy":   {mode: objectsim.Unavailable, status: 503},
+		"many":   {mode: objectsim.TooManyRequests, status: 429},
+		"reset":  {mode: objectsim.ResetConnections},
 		"silent": {mode: objectsim.Silent},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			sm := start(t)
-			other, err := sm.OpenDoor()
+			other, err := sm.OpenEndpoint()
 			g.Expect(err).NotTo(HaveOccurred())
 			defer other.Close()
-			sm.Down(tc.mode)
-			limit := generous
+			sm.SetOutage(tc.mode)
+			timeout := testTimeout
 			if tc.mode == objectsim.Silent {
-				limit = short
+				timeout = silenceWait
 			}
-			ctx, cancel := context.WithTimeout(t.Context(), limit)
+			ctx, cancel := context.WithTimeout(t.Context(), timeout)
 			defer cancel()
 			rs := call(ctx, "POST", sm.URL()+"/objects/my-jobs/x", `{"spec":1}`)
 			g.Expect(rs.status).To(Equal(tc.status))
 			g.Expect(rs.err != nil).To(Equal(tc.status == 0))
-			g.Expect(call(t.Context(), "GET", other.URL()+"/objects/my-jobs/x", "").status).To(Equal(404), "nothing was done")
-			sm.Down(objectsim.Up)
+			g.Expect(call(t.Context(), "GET", other.URL()+"/objects/my-jobs/x", "").status).To(Equal(404), "the failed call must not be executed")
+			sm.SetOutage(objectsim.NoOutage)
 			g.Expect(call(t.Context(), "POST", sm.URL()+"/objects/my-jobs/x", `{"spec":1}`).status).To(Equal(200))
-			g.Expect(sm.Calls()).To(HaveKeyWithValue(objectsim.Call{Kind: "my-jobs", Type: objectsim.Create}, 2))
+			g.Expect(sm.CallCounts()).To(HaveKeyWithValue(objectsim.CallKey{Kind: "my-jobs", Type: objectsim.Create}, 2))
 		})
 	}
 }
 
-func TestLostAndLateWrites(t *testing.T) {
+func TestLostResponsesAndDelayedWrites(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
 	at := sm.URL() + "/objects/my-jobs/"
-	sm.LoseAnswers(1)
+	sm.LoseResponses(1)
 	g.Expect(call(t.Context(), "POST", at+"lost", `{"spec":1}`).err).To(HaveOccurred())
-	_, there := sm.Get("my-jobs", "lost")
-	g.Expect(there).To(BeTrue())
+	_, exists := sm.Get("my-jobs", "lost")
+	g.Expect(exists).To(BeTrue())
 	sm.DelayWrites(1, time.Millisecond)
 	g.Expect(call(t.Context(), "POST", at+"late", `{"spec":1}`).err).To(HaveOccurred())
-	g.Eventually(func() bool { _, there := sm.Get("my-jobs", "late"); return there }).WithTimeout(generous).Should(BeTrue())
-	sm.Slow(time.Millisecond)
+	g.Eventually(func() bool { _, exists := sm.Get("my-jobs", "late"); return exists }).WithTimeout(testTimeout).Should(BeTrue())
+	sm.SetDelay(time.Millisecond)
 	g.Expect(call(t.Context(), "GET", at+"late", "").status).To(Equal(200))
 }
 
-func TestStaleReadsShowTheFrozenState(t *testing.T) {
+func TestStaleReadsReturnTheFrozenState(t *testing.T) {
 	g := NewWithT(t)
 	sm := start(t)
-	sm.FreezeStale(true)
+	sm.FreezeStaleReads(true)
 	_, err := sm.PutSpec("servers", "i-1", 1)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(decode[list](t, call(t.Context(), "GET", sm.URL()+"/objects/servers?stale=1", "")).Entries).To(BeEmpty())
 	g.Expect(decode[list](t, call(t.Context(), "GET", sm.URL()+"/objects/servers", "")).Entries).To(HaveLen(1))
-	sm.FreezeStale(false)
+	sm.FreezeStaleReads(false)
 	g.Expect(decode[list](t, call(t.Context(), "GET", sm.URL()+"/objects/servers?stale=1", "")).Entries).To(HaveLen(1))
 }
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -1,5 +1,5 @@
-// Package plainsim is a stand-in for a plain service of the users: it answers each request with one body of known
-// length, and misbehaves when told to.
+// Package plainsim is a stand-in for a plain service of the users: it responds to each request with one body of known
+// length, and injects faults on request.
 package plainsim
 
 import (
@@ -13,89 +13,94 @@
 )
 
 const (
-	// defaultWork keeps tests quick.
-	defaultWork = time.Millisecond
-	// defaultBytes is the mean length of a plain answer in the users' examples.
-	defaultBytes = 800
+	// defaultServiceTime is short to keep tests fast.
+	defaultServiceTime = time.Millisecond
+	// defaultResponseBytes is the mean length of a plain response in the users' examples.
+	defaultResponseBytes = 800
 )
 
-// Settings are the sizes of a service.
+// Settings are the settings of a service.
 type Settings struct {
 	fault.Settings
-	// Work is how long a request runs.
-	Work time.Duration
-	// Bytes is the length of an answer's body.
-	Bytes int
-	// ErrorEvery makes each run of that ordinal answer 500; zero makes none do so.
+	// ServiceTime is how long a request runs.
+	ServiceTime time.Duration
+	// ResponseBytes is the length of a response body.
+	ResponseBytes int
+	// ErrorEvery makes every nth run respond with status 500; zero makes none do so.
 	ErrorEvery int
 }
 
 // Option changes the settings.
 type Option func(*Settings)
 
-// WithSlots bounds the requests that run and those that wait.
-func WithSlots(slots, queue int) Option {
-	return func(se *Settings) { se.Slots, se.Queue = slots, queue }
+// WithSlots sets the maximum numbers of requests that run and that wait for a slot.
+func WithSlots(slots, maxWaiting int) Option {
+	return func(se *Settings) { se.Slots, se.MaxWaiting = slots, maxWaiting }
 }
 
-// WithWork sets how long a request runs.
-func WithWork(d time.Duration) Option { return func(se *Settings) { se.Work = d } }
+// WithServiceTime sets how long a request runs.
+func WithServiceTime(d time.Duration) Option { return func(se *Settings) { se.ServiceTime = d } }
 
-// WithErrorEvery makes every nth run answer 500.
+// WithErrorEvery makes every nth run respond with status 500.
 func WithErrorEvery(n int) Option { return func(se *Settings) { se.ErrorEvery = n } }
 
-// Service is the stand-in.
+// Service is a stand-in service.
 type Service struct {
 	*fault.Server
 	settings Settings
 
 	mu sync.Mutex
-	// work is the present work time; count is the number of runs begun.
-	work  time.Duration
-	count int
+	// serviceTime is the current service time, and runCount the number of runs that were started.
+	serviceTime time.Duration
+	runCount    int
 }
 
 // Start starts a service on a free port of the loopback address.
 func Start(opts ...Option) (*Service, error) {
-	se := Settings{Settings: fault.DefaultSettings(), Work: defaultWork, Bytes: defaultBytes}
+	se := Settings{Settings: fault.DefaultSettings(), ServiceTime: defaultServiceTime, ResponseBytes: defaultResponseBytes}
 	for _, opt := range opts {
 		opt(&se)
 	}
-	ps := &Service{settings: se, work: se.Work}
-	gt := fault.NewGate(se.Slots, se.Queue, 0)
-	sv, err := fault.Start(se.Settings, gt, fault.Work{Run: ps.run})
+	svc := &Service{settings: se, serviceTime: se.ServiceTime}
+	aq := fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
+	sv, err := fault.Start(se.Settings, aq, fault.Handler{Run: svc.run})
 	if err != nil {
 		return nil, err
 	}
-	ps.Server = sv
-	return ps, nil
+	svc.Server = sv
+	return svc, nil
 }
 
-// SetWork sets how long the requests to come run.
-func (ps *Service) SetWork(d time.Duration) { ps.mu.Lock(); defer ps.mu.Unlock(); ps.work = d }
+// SetServiceTime sets how long further requests run.
+func (svc *Service) SetServiceTime(d time.Duration) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	svc.serviceTime = d
+}
 
-// Body returns the body that a request for a method and URI is answered with.
-func (ps *Service) Body(method, uri string) string {
-	text := method + " " + uri + "\n"
-	return strings.Repeat(text, ps.settings.Bytes/len(text)+1)[:ps.settings.Bytes]
+// ResponseBody returns the body of the response to a request with this method and URI.
+func (svc *Service) ResponseBody(method, uri string) string {
+	line := method + " " + uri + "\n"
+	return strings.Repeat(line, svc.settings.ResponseBytes/len(line)+1)[:svc.settings.ResponseBytes]
 }
 
-func (ps *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Answer {
+func (svc *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
 	begin()
-	work, failed := ps.note()
+	serviceTime, failed := svc.startRun()
 	select {
-	case <-time.After(work):
+	case <-time.After(serviceTime):
 	case <-ctx.Done():
 	}
 	if failed {
-		return fault.Whole(http.StatusInternalServerError, []byte("failed"))
+		return fault.NewResponse(http.StatusInternalServerError, []byte("failed"))
 	}
-	return fault.Whole(http.StatusOK, []byte(ps.Body(rq.Method, rq.RequestURI)))
+	return fault.NewResponse(http.StatusOK, []byte(svc.ResponseBody(rq.Method, rq.RequestURI)))
 }
 
-func (ps *Service) note() (work time.Duration, failed bool) {
-	ps.mu.Lock()
-	defer ps.mu.Unlock()
-	ps.count++
-	return ps.work, ps.settings.ErrorEvery > 0 && ps.count%ps.settings.ErrorEvery == 0
+// startRun counts a run and returns its service time, and whether it is to fail.
+func (svc *Service) startRun() (serviceTime time.Duration, failed bool) {
+	svc.mu.Lock()
+	defer svc.mu.Unlock()
+	svc.runCount++
+	return svc.serviceTime, svc.settings.ErrorEvery > 0 && svc.runCount%svc.settings.ErrorEvery == 0
 }
