--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -19,7 +19,7 @@
 // The sources.
 const (
 	// Request is an answer to a request, whole or not, also one that came too late for the request it belongs to.
-	Request Source = "answer"
+	RequestAnswer Source = "answer"
 	// Order is an answer to an order for memory.
 	Order Source = "order"
 )
