--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -21,7 +21,7 @@
 	// Request is an answer to a request, whole or not, also one that came too late for the request it belongs to.
 	RequestAnswer Source = "answer"
 	// Order is an answer to an order for memory.
-	Order Source = "order"
+	OrderAnswer Source = "order"
 )
 
 // Report is one answer that came.
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -141,6 +141,6 @@
 	be := newBench(t)
 	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
-	be.Record(feedback.Report{Source: feedback.Order, Target: meant, Came: be.now})
+	be.Record(feedback.Report{Source: feedback.OrderAnswer, Target: meant, Came: be.now})
 	be.Expect(be.Limits.Limit(meant.ID).Limited).To(BeTrue())
 }
