--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -28,7 +28,7 @@
 type Report struct {
 	Source Source
 	// Request is the id of the request that the exchange was for.
-	Request string
+	RequestID string
 	// Target is the incarnation that was meant.
 	Target targets.Target
 	Head   answer.Head
@@ -115,7 +115,7 @@
 // fields are those of each line about a target's word.
 func (rc *Recorder) fields(tg targets.Target, rp Report) log.Fields {
 	return log.Fields{
-		"request": rp.Request, "target": tg.ID, "service": tg.Service, "source": string(rp.Source), "age": rc.age(rp.Came),
+		"request": rp.RequestID, "target": tg.ID, "service": tg.Service, "source": string(rp.Source), "age": rc.age(rp.Came),
 	}
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -208,7 +208,7 @@
 // the request. A surplus response to an earlier request also holds valid information about the target.
 func (gw *Gateway) recordHead(rq *request, tg targets.Target, resp *http.Response) bool {
 	rp := feedback.Report{
-		Source: feedback.RequestAnswer, Request: rq.RequestID, Target: tg, Head: gw.Protocol.ReadHead(resp), Came: gw.Now(),
+		Source: feedback.RequestAnswer, RequestID: rq.RequestID, Target: tg, Head: gw.Protocol.ReadHead(resp), Came: gw.Now(),
 	}
 	matches := rp.Head.RequestID == rq.RequestID
 	if matches {
