--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -34,7 +34,7 @@
 	Head   answer.Head
 	// Sent is when the request was sent. It is zero where that is not known, and for orders: only an answer to a request shows that the target
 	// takes requests again, or that it names no limit any more.
-	Sent time.Time
+	SentAt time.Time
 	// Came is when the head came.
 	Came time.Time
 }
@@ -138,7 +138,7 @@
 	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
 		return
 	}
-	ch, changed := rc.Limits.Observe(tg.ID, li, rp.Sent, rp.Came)
+	ch, changed := rc.Limits.Observe(tg.ID, li, rp.SentAt, rp.Came)
 	if !changed {
 		return
 	}
@@ -158,7 +158,7 @@
 		}
 		return
 	}
-	if after, opened := rc.BackOffs.RecordSuccess(tg.ID, rp.Sent); opened {
+	if after, opened := rc.BackOffs.RecordSuccess(tg.ID, rp.SentAt); opened {
 		fs := rc.fields(tg, rp)
 		fs["after"] = after.Round(time.Millisecond).String()
 		rc.Log.WithFields(fs).Info("target takes requests again")
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -45,7 +45,7 @@
 }
 
 func (be *bench) record(hd answer.Head) {
-	be.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: meant, Head: hd, Sent: be.now, Came: be.now})
+	be.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: meant, Head: hd, SentAt: be.now, Came: be.now})
 }
 
 // backedOff reports whether a target is backed off from.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -213,7 +213,7 @@
 	matches := rp.Head.RequestID == rq.RequestID
 	if matches {
 		rq.head, rq.headAt = rp.Head, rp.Came
-		rp.Sent = rq.sentAt
+		rp.SentAt = rq.sentAt
 	}
 	gw.Feedback.Record(rp)
 	return matches
