--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -119,7 +119,7 @@
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
 	mg.OnAnswer = func(al reservation.Allocation, hd answer.Head) {
-		fb.Record(feedback.Report{Source: feedback.OrderAnswer, Target: dr.ByID(al.Target), Head: hd, Came: time.Now()})
+		fb.Record(feedback.Report{Source: feedback.OrderAnswer, Target: dr.ByID(al.Target), Head: hd, ReceivedAt: time.Now()})
 	}
 	ds := dispatch.New(dr, mg, dispatch.Options{
 		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, OnLoadChange: stateNotifier.Notify,
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -36,7 +36,7 @@
 	// takes requests again, or that it names no limit any more.
 	SentAt time.Time
 	// Came is when the head came.
-	Came time.Time
+	ReceivedAt time.Time
 }
 
 // maxMalformed bounds the values remembered as logged.
@@ -115,7 +115,7 @@
 // fields are those of each line about a target's word.
 func (rc *Recorder) fields(tg targets.Target, rp Report) log.Fields {
 	return log.Fields{
-		"request": rp.RequestID, "target": tg.ID, "service": tg.Service, "source": string(rp.Source), "age": rc.age(rp.Came),
+		"request": rp.RequestID, "target": tg.ID, "service": tg.Service, "source": string(rp.Source), "age": rc.age(rp.ReceivedAt),
 	}
 }
 
@@ -138,7 +138,7 @@
 	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
 		return
 	}
-	ch, changed := rc.Limits.Observe(tg.ID, li, rp.SentAt, rp.Came)
+	ch, changed := rc.Limits.Observe(tg.ID, li, rp.SentAt, rp.ReceivedAt)
 	if !changed {
 		return
 	}
@@ -151,7 +151,7 @@
 // noteBackOff takes a target's wish for no further requests, and an answer that shows that it takes some.
 func (rc *Recorder) noteBackOff(tg targets.Target, rp Report) {
 	if rp.Head.BackOff > 0 {
-		if rc.BackOffs.Begin(tg.ID, rp.Head.BackOff, rp.Came) {
+		if rc.BackOffs.Begin(tg.ID, rp.Head.BackOff, rp.ReceivedAt) {
 			fs := rc.fields(tg, rp)
 			fs["back_off"] = rp.Head.BackOff.String()
 			rc.Log.WithFields(fs).Info("target wants no requests")
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -45,7 +45,7 @@
 }
 
 func (be *bench) record(hd answer.Head) {
-	be.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: meant, Head: hd, SentAt: be.now, Came: be.now})
+	be.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: meant, Head: hd, SentAt: be.now, ReceivedAt: be.now})
 }
 
 // backedOff reports whether a target is backed off from.
@@ -141,6 +141,6 @@
 	be := newBench(t)
 	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
-	be.Record(feedback.Report{Source: feedback.OrderAnswer, Target: meant, Came: be.now})
+	be.Record(feedback.Report{Source: feedback.OrderAnswer, Target: meant, ReceivedAt: be.now})
 	be.Expect(be.Limits.Limit(meant.ID).Limited).To(BeTrue())
 }
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -323,7 +323,7 @@
 	if hd.Verdict == answer.Misdirected {
 		be.directory.MarkLeaving(meant.ID)
 	}
-	be.recorder.Record(feedback.Report{Source: feedback.RequestAnswer, Target: meant, Head: hd, SentAt: sent, Came: time.Now()})
+	be.recorder.Record(feedback.Report{Source: feedback.RequestAnswer, Target: meant, Head: hd, SentAt: sent, ReceivedAt: time.Now()})
 	be.directory.RecordReachable(meant.ID)
 	if hd.BackOff > 0 {
 		sl.RecordBackOff(hd.BackOff)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -208,11 +208,11 @@
 // the request. A surplus response to an earlier request also holds valid information about the target.
 func (gw *Gateway) recordHead(rq *request, tg targets.Target, resp *http.Response) bool {
 	rp := feedback.Report{
-		Source: feedback.RequestAnswer, RequestID: rq.RequestID, Target: tg, Head: gw.Protocol.ReadHead(resp), Came: gw.Now(),
+		Source: feedback.RequestAnswer, RequestID: rq.RequestID, Target: tg, Head: gw.Protocol.ReadHead(resp), ReceivedAt: gw.Now(),
 	}
 	matches := rp.Head.RequestID == rq.RequestID
 	if matches {
-		rq.head, rq.headAt = rp.Head, rp.Came
+		rq.head, rq.headAt = rp.Head, rp.ReceivedAt
 		rp.SentAt = rq.sentAt
 	}
 	gw.Feedback.Record(rp)
