--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -59,9 +59,9 @@
 
 // Deps are the parts that a Recorder works with. All are set.
 type Deps struct {
-	Targets  *targets.Directory
-	Limits   *ratelimit.Tracker
-	BackOffs *backoff.Tracker
+	Targets    *targets.Directory
+	RateLimits *ratelimit.Tracker
+	BackOffs   *backoff.Tracker
 	// LeavingChanged and LimitsChanged are told when peers have to hear that a target leaves, and of a rate limit.
 	LeavingChanged, LimitsChanged func()
 	Log                           log.Interface
@@ -138,7 +138,7 @@
 	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
 		return
 	}
-	ch, changed := rc.Limits.Observe(tg.ID, li, rp.SentAt, rp.ReceivedAt)
+	ch, changed := rc.RateLimits.Observe(tg.ID, li, rp.SentAt, rp.ReceivedAt)
 	if !changed {
 		return
 	}
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -38,7 +38,7 @@
 	dr := targets.New(now)
 	dr.ApplyList([]targets.Target{meant, other}, nil, position.Position{Revision: 1}, be.now)
 	be.Recorder = feedback.New(feedback.Deps{
-		Targets: dr, Limits: ratelimit.New(now), BackOffs: backoff.New(now, func() float64 { return 0 }),
+		Targets: dr, RateLimits: ratelimit.New(now), BackOffs: backoff.New(now, func() float64 { return 0 }),
 		LeavingChanged: func() { be.told++ }, LimitsChanged: func() {}, Log: &log.Logger{Handler: be.lines, Level: log.DebugLevel}, Now: now,
 	})
 	return be
@@ -87,7 +87,7 @@
 			for _, tg := range []targets.Target{meant, other} {
 				is := tc.of != nil && tc.of.ID == tg.ID
 				be.Expect(be.backedOff(tg)).To(Equal(is), tg.ID)
-				be.Expect(be.Limits.Limit(tg.ID).Limited).To(Equal(is), tg.ID)
+				be.Expect(be.RateLimits.Limit(tg.ID).Limited).To(Equal(is), tg.ID)
 			}
 		})
 	}
@@ -120,7 +120,7 @@
 	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
 	be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldRateLimit, Value: "many"}}})
-	be.Expect(be.Limits.Limit(meant.ID)).To(Equal(ratelimit.PerSecond(2)))
+	be.Expect(be.RateLimits.Limit(meant.ID)).To(Equal(ratelimit.PerSecond(2)))
 }
 
 func TestMalformedValuesAreLoggedOnceAndBounded(t *testing.T) {
@@ -142,5 +142,5 @@
 	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
 	be.Record(feedback.Report{Source: feedback.OrderAnswer, Target: meant, ReceivedAt: be.now})
-	be.Expect(be.Limits.Limit(meant.ID).Limited).To(BeTrue())
+	be.Expect(be.RateLimits.Limit(meant.ID).Limited).To(BeTrue())
 }
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -140,7 +140,7 @@
 	bk := backoff.New(time.Now, fl.float)
 	life := in.life
 	rc := feedback.New(feedback.Deps{
-		Targets: dr, Limits: ratelimit.New(time.Now), BackOffs: bk, Log: lg, Now: time.Now,
+		Targets: dr, RateLimits: ratelimit.New(time.Now), BackOffs: bk, Log: lg, Now: time.Now,
 		LeavingChanged: func() { fl.tell(in, life, dr) }, LimitsChanged: func() {},
 	})
 	ds := dispatch.New(dr, nil, dispatch.Options{Instance: strconv.Itoa(in.no), AvailabilityZone: "z", Now: time.Now, BackOffs: bk})
