--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -63,8 +63,8 @@
 	RateLimits *ratelimit.Tracker
 	BackOffs   *backoff.Tracker
 	// LeavingChanged and LimitsChanged are told when peers have to hear that a target leaves, and of a rate limit.
-	LeavingChanged, LimitsChanged func()
-	Log                           log.Interface
+	OnLeavingChange, LimitsChanged func()
+	Log                            log.Interface
 	// Now is the steady clock.
 	Now func() time.Time
 }
@@ -129,7 +129,7 @@
 		return
 	}
 	rc.Log.WithFields(rc.fields(tg, rp)).Info("target leaving")
-	rc.LeavingChanged()
+	rc.OnLeavingChange()
 }
 
 // noteLimit takes what an answer says of the rate limit of its target. One whose limits cannot be read neither sets nor lifts one.
