--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -115,7 +115,7 @@
 	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.ActiveCount()) })
 	notesNotifier := &Notifier{}
 	fb := feedback.New(feedback.Deps{
-		Targets: dr, RateLimits: limits, BackOffs: backOffs, OnLeavingChange: stateNotifier.Notify, LimitsChanged: notesNotifier.Notify,
+		Targets: dr, RateLimits: limits, BackOffs: backOffs, OnLeavingChange: stateNotifier.Notify, OnRateLimitChange: notesNotifier.Notify,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
 	mg.OnAnswer = func(al reservation.Allocation, hd answer.Head) {
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -63,8 +63,8 @@
 	RateLimits *ratelimit.Tracker
 	BackOffs   *backoff.Tracker
 	// LeavingChanged and LimitsChanged are told when peers have to hear that a target leaves, and of a rate limit.
-	OnLeavingChange, LimitsChanged func()
-	Log                            log.Interface
+	OnLeavingChange, OnRateLimitChange func()
+	Log                                log.Interface
 	// Now is the steady clock.
 	Now func() time.Time
 }
@@ -145,7 +145,7 @@
 	fs := rc.fields(tg, rp)
 	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Previous.String(), rc.age(ch.At)
 	rc.Log.WithFields(fs).Info("rate limit of target " + ch.Kind())
-	rc.LimitsChanged()
+	rc.OnRateLimitChange()
 }
 
 // noteBackOff takes a target's wish for no further requests, and an answer that shows that it takes some.
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -39,7 +39,7 @@
 	dr.ApplyList([]targets.Target{meant, other}, nil, position.Position{Revision: 1}, be.now)
 	be.Recorder = feedback.New(feedback.Deps{
 		Targets: dr, RateLimits: ratelimit.New(now), BackOffs: backoff.New(now, func() float64 { return 0 }),
-		OnLeavingChange: func() { be.told++ }, LimitsChanged: func() {}, Log: &log.Logger{Handler: be.lines, Level: log.DebugLevel}, Now: now,
+		OnLeavingChange: func() { be.told++ }, OnRateLimitChange: func() {}, Log: &log.Logger{Handler: be.lines, Level: log.DebugLevel}, Now: now,
 	})
 	return be
 }
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -141,7 +141,7 @@
 	life := in.life
 	rc := feedback.New(feedback.Deps{
 		Targets: dr, RateLimits: ratelimit.New(time.Now), BackOffs: bk, Log: lg, Now: time.Now,
-		OnLeavingChange: func() { fl.tell(in, life, dr) }, LimitsChanged: func() {},
+		OnLeavingChange: func() { fl.tell(in, life, dr) }, OnRateLimitChange: func() {},
 	})
 	ds := dispatch.New(dr, nil, dispatch.Options{Instance: strconv.Itoa(in.no), AvailabilityZone: "z", Now: time.Now, BackOffs: bk})
 	return beliefs{directory: dr, recorder: rc, dispatcher: ds}
