--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -40,10 +40,10 @@
 }
 
 // maxMalformed bounds the values remembered as logged.
-const maxMalformed = 256
+const maxLoggedValues = 256
 
 // malformed is one value that was logged.
-type malformed struct {
+type loggedValue struct {
 	target string
 	answer.MalformedError
 }
@@ -54,7 +54,7 @@
 
 	mu sync.Mutex
 	// logged holds the malformed values that were logged.
-	logged map[malformed]struct{}
+	logged map[loggedValue]struct{}
 }
 
 // Deps are the parts that a Recorder works with. All are set.
@@ -70,23 +70,23 @@
 }
 
 // New returns a recorder.
-func New(dp Deps) *Recorder { return &Recorder{Deps: dp, logged: map[malformed]struct{}{}} }
+func New(dp Deps) *Recorder { return &Recorder{Deps: dp, logged: map[loggedValue]struct{}{}} }
 
 // Record takes a report. An answer speaks for the incarnation that gave it, and for no other.
 func (rc *Recorder) Record(rp Report) {
-	tg, known := rc.speaker(rp)
+	tg, known := rc.responder(rp)
 	if !known {
 		return
 	}
 	rc.logMalformed(tg, rp.Head)
-	rc.noteLeaving(tg, rp)
-	rc.noteLimit(tg, rp)
-	rc.noteBackOff(tg, rp)
+	rc.recordLeaving(tg, rp)
+	rc.recordRateLimit(tg, rp)
+	rc.recordBackOff(tg, rp)
 }
 
 // speaker returns the incarnation that gave an answer: the one that was meant, unless the answer names another. It reports false when that
 // one is not known.
-func (rc *Recorder) speaker(rp Report) (targets.Target, bool) {
+func (rc *Recorder) responder(rp Report) (targets.Target, bool) {
 	if rp.Head.TargetName == "" || rp.Head.TargetName == rp.Target.NameOrID() {
 		return rp.Target, rp.Head.Verdict != answer.Misdirected
 	}
@@ -95,17 +95,17 @@
 
 func (rc *Recorder) logMalformed(tg targets.Target, hd answer.Head) {
 	for _, me := range hd.Malformed {
-		if rc.first(malformed{target: tg.ID, MalformedError: me}) {
+		if rc.markLogged(loggedValue{target: tg.ID, MalformedError: me}) {
 			rc.Log.WithError(&me).WithFields(log.Fields{"target": tg.ID, "service": tg.Service}).Warn("answer of target cannot be read")
 		}
 	}
 }
 
 // first reports whether a malformed value was not logged before.
-func (rc *Recorder) first(ma malformed) bool {
+func (rc *Recorder) markLogged(ma loggedValue) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
-	if _, seen := rc.logged[ma]; seen || len(rc.logged) >= maxMalformed {
+	if _, seen := rc.logged[ma]; seen || len(rc.logged) >= maxLoggedValues {
 		return false
 	}
 	rc.logged[ma] = struct{}{}
@@ -113,27 +113,27 @@
 }
 
 // fields are those of each line about a target's word.
-func (rc *Recorder) fields(tg targets.Target, rp Report) log.Fields {
+func (rc *Recorder) logFields(tg targets.Target, rp Report) log.Fields {
 	return log.Fields{
-		"request": rp.RequestID, "target": tg.ID, "service": tg.Service, "source": string(rp.Source), "age": rc.age(rp.ReceivedAt),
+		"request": rp.RequestID, "target": tg.ID, "service": tg.Service, "source": string(rp.Source), "age": rc.ageOf(rp.ReceivedAt),
 	}
 }
 
-func (rc *Recorder) age(at time.Time) string {
+func (rc *Recorder) ageOf(at time.Time) string {
 	return rc.Now().Sub(at).Round(100 * time.Microsecond).String()
 }
 
 // noteLeaving takes the word that a target leaves.
-func (rc *Recorder) noteLeaving(tg targets.Target, rp Report) {
+func (rc *Recorder) recordLeaving(tg targets.Target, rp Report) {
 	if !rp.Head.Leaving || !rc.Targets.MarkLeaving(tg.ID) {
 		return
 	}
-	rc.Log.WithFields(rc.fields(tg, rp)).Info("target leaving")
+	rc.Log.WithFields(rc.logFields(tg, rp)).Info("target leaving")
 	rc.OnLeavingChange()
 }
 
 // noteLimit takes what an answer says of the rate limit of its target. One whose limits cannot be read neither sets nor lifts one.
-func (rc *Recorder) noteLimit(tg targets.Target, rp Report) {
+func (rc *Recorder) recordRateLimit(tg targets.Target, rp Report) {
 	li := rp.Head.RateLimit
 	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
 		return
@@ -142,24 +142,24 @@
 	if !changed {
 		return
 	}
-	fs := rc.fields(tg, rp)
-	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Previous.String(), rc.age(ch.At)
+	fs := rc.logFields(tg, rp)
+	fs["limit"], fs["before"], fs["age"] = ch.Limit.String(), ch.Previous.String(), rc.ageOf(ch.At)
 	rc.Log.WithFields(fs).Info("rate limit of target " + ch.Kind())
 	rc.OnRateLimitChange()
 }
 
 // noteBackOff takes a target's wish for no further requests, and an answer that shows that it takes some.
-func (rc *Recorder) noteBackOff(tg targets.Target, rp Report) {
+func (rc *Recorder) recordBackOff(tg targets.Target, rp Report) {
 	if rp.Head.BackOff > 0 {
 		if rc.BackOffs.Begin(tg.ID, rp.Head.BackOff, rp.ReceivedAt) {
-			fs := rc.fields(tg, rp)
+			fs := rc.logFields(tg, rp)
 			fs["back_off"] = rp.Head.BackOff.String()
 			rc.Log.WithFields(fs).Info("target wants no requests")
 		}
 		return
 	}
 	if after, opened := rc.BackOffs.RecordSuccess(tg.ID, rp.SentAt); opened {
-		fs := rc.fields(tg, rp)
+		fs := rc.logFields(tg, rp)
 		fs["after"] = after.Round(time.Millisecond).String()
 		rc.Log.WithFields(fs).Info("target takes requests again")
 	}
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -17,74 +17,74 @@
 )
 
 // bench is a recorder and what it keeps.
-type bench struct {
+type fixture struct {
 	*WithT
 	*feedback.Recorder
-	lines *memory.Handler
-	now   time.Time
+	logged *memory.Handler
+	now    time.Time
 	// told counts how often peers were told of a target that leaves.
-	told int
+	leavingChanges int
 }
 
 // meant and other are listed targets.
 var (
-	meant = targets.Target{ID: "a@1", Name: "a", Service: "s", Address: "10.0.0.1:80", AvailabilityZone: "z", Slots: 1}
-	other = targets.Target{ID: "b@1", Name: "b", Service: "s", Address: "10.0.0.2:80", AvailabilityZone: "z", Slots: 1}
+	addressed   = targets.Target{ID: "a@1", Name: "a", Service: "s", Address: "10.0.0.1:80", AvailabilityZone: "z", Slots: 1}
+	otherTarget = targets.Target{ID: "b@1", Name: "b", Service: "s", Address: "10.0.0.2:80", AvailabilityZone: "z", Slots: 1}
 )
 
-func newBench(t *testing.T) *bench {
-	be := &bench{WithT: NewWithT(t), lines: memory.New(), now: time.Unix(1000, 0)}
+func newFixture(t *testing.T) *fixture {
+	be := &fixture{WithT: NewWithT(t), logged: memory.New(), now: time.Unix(1000, 0)}
 	now := func() time.Time { return be.now }
 	dr := targets.New(now)
-	dr.ApplyList([]targets.Target{meant, other}, nil, position.Position{Revision: 1}, be.now)
+	dr.ApplyList([]targets.Target{addressed, otherTarget}, nil, position.Position{Revision: 1}, be.now)
 	be.Recorder = feedback.New(feedback.Deps{
 		Targets: dr, RateLimits: ratelimit.New(now), BackOffs: backoff.New(now, func() float64 { return 0 }),
-		OnLeavingChange: func() { be.told++ }, OnRateLimitChange: func() {}, Log: &log.Logger{Handler: be.lines, Level: log.DebugLevel}, Now: now,
+		OnLeavingChange: func() { be.leavingChanges++ }, OnRateLimitChange: func() {}, Log: &log.Logger{Handler: be.logged, Level: log.DebugLevel}, Now: now,
 	})
 	return be
 }
 
-func (be *bench) record(hd answer.Head) {
-	be.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: meant, Head: hd, SentAt: be.now, ReceivedAt: be.now})
+func (fx *fixture) record(hd answer.Head) {
+	fx.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: addressed, Head: hd, SentAt: fx.now, ReceivedAt: fx.now})
 }
 
 // backedOff reports whether a target is backed off from.
-func (be *bench) backedOff(tg targets.Target) bool {
-	_, backedOff := be.BackOffs.Until(tg.ID)
+func (fx *fixture) backedOff(tg targets.Target) bool {
+	_, backedOff := fx.BackOffs.Until(tg.ID)
 	return backedOff
 }
 
-func (be *bench) messages() []string {
+func (fx *fixture) messages() []string {
 	var all []string
-	for _, e := range be.lines.Entries {
+	for _, e := range fx.logged.Entries {
 		all = append(all, e.Message)
 	}
 	return all
 }
 
-func TestAnswerSpeaksForTheIncarnationThatGaveIt(t *testing.T) {
+func TestAnswerAppliesToTheRespondingIncarnation(t *testing.T) {
 	facts := answer.Head{BackOff: time.Second, RateLimit: ratelimit.PerSecond(2)}
 	tests := map[string]struct {
 		verdict answer.Verdict
 		target  string
 		of      *targets.Target
 	}{
-		"without a name":            {of: &meant},
-		"the one that was meant":    {target: "a", of: &meant},
-		"turned away":               {verdict: answer.Shed, of: &meant},
-		"failed":                    {verdict: answer.Failed, of: &meant},
-		"not provably its own":      {verdict: answer.Unverified, of: &meant},
-		"another one":               {verdict: answer.Misdirected, target: "b", of: &other},
+		"without a name":            {of: &addressed},
+		"the one that was meant":    {target: "a", of: &addressed},
+		"turned away":               {verdict: answer.Shed, of: &addressed},
+		"failed":                    {verdict: answer.Failed, of: &addressed},
+		"not provably its own":      {verdict: answer.Unverified, of: &addressed},
+		"another one":               {verdict: answer.Misdirected, target: "b", of: &otherTarget},
 		"one that nobody knows":     {verdict: answer.Misdirected, target: "c"},
-		"another one without a 421": {target: "b", of: &other},
+		"another one without a 421": {target: "b", of: &otherTarget},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			be := newBench(t)
+			be := newFixture(t)
 			hd := facts
 			hd.Verdict, hd.TargetName = tc.verdict, tc.target
 			be.record(hd)
-			for _, tg := range []targets.Target{meant, other} {
+			for _, tg := range []targets.Target{addressed, otherTarget} {
 				is := tc.of != nil && tc.of.ID == tg.ID
 				be.Expect(be.backedOff(tg)).To(Equal(is), tg.ID)
 				be.Expect(be.RateLimits.Limit(tg.ID).Limited).To(Equal(is), tg.ID)
@@ -93,19 +93,19 @@
 	}
 }
 
-func TestLeavingIsToldOnceAndNeverTakenBack(t *testing.T) {
-	be := newBench(t)
+func TestLeavingIsAnnouncedOnceAndNeverRevoked(t *testing.T) {
+	be := newFixture(t)
 	be.record(answer.Head{Verdict: answer.Failed, Leaving: true})
 	be.record(answer.Head{Leaving: true})
 	be.record(answer.Head{})
-	be.Expect(be.Targets.TakesWork(meant.ID)).To(BeFalse())
-	be.Expect(be.Targets.TakesWork(other.ID)).To(BeTrue())
+	be.Expect(be.Targets.TakesWork(addressed.ID)).To(BeFalse())
+	be.Expect(be.Targets.TakesWork(otherTarget.ID)).To(BeTrue())
 	be.Expect(be.messages()).To(Equal([]string{"target leaving"}))
-	be.Expect(be.told).To(Equal(1))
+	be.Expect(be.leavingChanges).To(Equal(1))
 }
 
-func TestBackOffIsLoggedWhenItBeginsAndWhenItIsOver(t *testing.T) {
-	be := newBench(t)
+func TestBackOffIsLoggedWhenItStartsAndEnds(t *testing.T) {
+	be := newFixture(t)
 	be.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
 	be.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
 	be.now = be.now.Add(2 * time.Second)
@@ -115,16 +115,16 @@
 	be.Expect(be.messages()).To(Equal([]string{"target wants no requests", "target takes requests again"}))
 }
 
-func TestMalformedLimitNeitherSetsNorLiftsOne(t *testing.T) {
-	be := newBench(t)
+func TestMalformedRateLimitChangesNothing(t *testing.T) {
+	be := newFixture(t)
 	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
 	be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldRateLimit, Value: "many"}}})
-	be.Expect(be.RateLimits.Limit(meant.ID)).To(Equal(ratelimit.PerSecond(2)))
+	be.Expect(be.RateLimits.Limit(addressed.ID)).To(Equal(ratelimit.PerSecond(2)))
 }
 
-func TestMalformedValuesAreLoggedOnceAndBounded(t *testing.T) {
-	be := newBench(t)
+func TestMalformedValuesAreLoggedOnceUpToALimit(t *testing.T) {
+	be := newFixture(t)
 	say := func(value string) {
 		be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldBackOff, Value: value}}})
 	}
@@ -137,10 +137,10 @@
 	be.Expect(len(be.messages())).To(BeNumerically("<", 1000))
 }
 
-func TestOrdersLiftNothing(t *testing.T) {
-	be := newBench(t)
+func TestAnswerToOrderLiftsNoRateLimit(t *testing.T) {
+	be := newFixture(t)
 	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
 	be.now = be.now.Add(time.Second)
-	be.Record(feedback.Report{Source: feedback.OrderAnswer, Target: meant, ReceivedAt: be.now})
-	be.Expect(be.RateLimits.Limit(meant.ID).Limited).To(BeTrue())
+	be.Record(feedback.Report{Source: feedback.OrderAnswer, Target: addressed, ReceivedAt: be.now})
+	be.Expect(be.RateLimits.Limit(addressed.ID).Limited).To(BeTrue())
 }
