--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -1,4 +1,5 @@
-// Package feedback takes what targets say of themselves in their answers, and keeps the beliefs that follow from it.
+// Package feedback reads what targets state about themselves in their answers (leaving, rate limit, back-off) and updates this
+// instance's record of them.
 package feedback
 
 import (
@@ -13,66 +14,66 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// Source is what was answered.
+// Source is the kind of exchange that an answer belongs to.
 type Source string
 
 // The sources.
 const (
-	// Request is an answer to a request, whole or not, also one that came too late for the request it belongs to.
+	// RequestAnswer is an answer to a request, complete or not, including one that arrives too late for its request.
 	RequestAnswer Source = "answer"
-	// Order is an answer to an order for memory.
+	// OrderAnswer is an answer to an order for memory.
 	OrderAnswer Source = "order"
 )
 
-// Report is one answer that came.
+// Report is one answer of a target.
 type Report struct {
 	Source Source
-	// Request is the id of the request that the exchange was for.
+	// RequestID is the id of the request that the exchange was for.
 	RequestID string
-	// Target is the incarnation that was meant.
+	// Target is the incarnation that the request was addressed to.
 	Target targets.Target
 	Head   answer.Head
-	// Sent is when the request was sent. It is zero where that is not known, and for orders: only an answer to a request shows that the target
-	// takes requests again, or that it names no limit any more.
+	// SentAt is when the request was sent. It is zero if that is unknown, and for orders: only an answer to a request shows that the
+	// target accepts requests again, or that it no longer states a rate limit.
 	SentAt time.Time
-	// Came is when the head came.
+	// ReceivedAt is when the head of the answer arrived.
 	ReceivedAt time.Time
 }
 
-// maxMalformed bounds the values remembered as logged.
+// maxLoggedValues bounds the memory for logged values; once it is full, further malformed values are not logged.
 const maxLoggedValues = 256
 
-// malformed is one value that was logged.
+// loggedValue is one malformed value of a target that was logged.
 type loggedValue struct {
 	target string
 	answer.MalformedError
 }
 
-// Recorder takes reports. It is safe for use by any goroutine.
+// Recorder applies reports to the tracked state of targets. It is safe for concurrent use.
 type Recorder struct {
 	Deps
 
 	mu sync.Mutex
-	// logged holds the malformed values that were logged.
+	// logged holds the malformed values that were logged, so that each is logged once.
 	logged map[loggedValue]struct{}
 }
 
-// Deps are the parts that a Recorder works with. All are set.
+// Deps holds the dependencies of a Recorder. All must be set.
 type Deps struct {
 	Targets    *targets.Directory
 	RateLimits *ratelimit.Tracker
 	BackOffs   *backoff.Tracker
-	// LeavingChanged and LimitsChanged are told when peers have to hear that a target leaves, and of a rate limit.
+	// OnLeavingChange and OnRateLimitChange are called when peers must be told that a target is leaving, or of a changed rate limit.
 	OnLeavingChange, OnRateLimitChange func()
 	Log                                log.Interface
-	// Now is the steady clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Time
 }
 
-// New returns a recorder.
+// New returns a Recorder that has logged nothing yet.
 func New(dp Deps) *Recorder { return &Recorder{Deps: dp, logged: map[loggedValue]struct{}{}} }
 
-// Record takes a report. An answer speaks for the incarnation that gave it, and for no other.
+// Record applies a report to the incarnation that answered, which may differ from the one that the request was addressed to.
 func (rc *Recorder) Record(rp Report) {
 	tg, known := rc.responder(rp)
 	if !known {
@@ -84,8 +85,8 @@
 	rc.recordBackOff(tg, rp)
 }
 
-// speaker returns the incarnation that gave an answer: the one that was meant, unless the answer names another. It reports false when that
-// one is not known.
+// responder returns the incarnation that answered: the one that the request was addressed to, unless the answer names another. It
+// reports false if the responder is unknown.
 func (rc *Recorder) responder(rp Report) (targets.Target, bool) {
 	if rp.Head.TargetName == "" || rp.Head.TargetName == rp.Target.NameOrID() {
 		return rp.Target, rp.Head.Verdict != answer.Misdirected
@@ -96,23 +97,23 @@
 func (rc *Recorder) logMalformed(tg targets.Target, hd answer.Head) {
 	for _, me := range hd.Malformed {
 		if rc.markLogged(loggedValue{target: tg.ID, MalformedError: me}) {
-			rc.Log.WithError(&me).WithFields(log.Fields{"target": tg.ID, "service": tg.Service}).Warn("answer of target cannot be read")
+			rc.Log.WithError(&me).WithFields(log.Fields{"target": tg.ID, "service": tg.Service}).Warn("malformed value in answer of target")
 		}
 	}
 }
 
-// first reports whether a malformed value was not logged before.
-func (rc *Recorder) markLogged(ma loggedValue) bool {
+// markLogged reports whether a malformed value is to be logged now, and remembers that it was.
+func (rc *Recorder) markLogged(lv loggedValue) bool {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
-	if _, seen := rc.logged[ma]; seen || len(rc.logged) >= maxLoggedValues {
+	if _, seen := rc.logged[lv]; seen || len(rc.logged) >= maxLoggedValues {
 		return false
 	}
-	rc.logged[ma] = struct{}{}
+	rc.logged[lv] = struct{}{}
 	return true
 }
 
-// fields are those of each line about a target's word.
+// logFields returns the log fields that all lines about an answer share.
 func (rc *Recorder) logFields(tg targets.Target, rp Report) log.Fields {
 	return log.Fields{
 		"request": rp.RequestID, "target": tg.ID, "service": tg.Service, "source": string(rp.Source), "age": rc.ageOf(rp.ReceivedAt),
@@ -123,7 +124,7 @@
 	return rc.Now().Sub(at).Round(100 * time.Microsecond).String()
 }
 
-// noteLeaving takes the word that a target leaves.
+// recordLeaving marks a target as leaving if its answer says so.
 func (rc *Recorder) recordLeaving(tg targets.Target, rp Report) {
 	if !rp.Head.Leaving || !rc.Targets.MarkLeaving(tg.ID) {
 		return
@@ -132,7 +133,7 @@
 	rc.OnLeavingChange()
 }
 
-// noteLimit takes what an answer says of the rate limit of its target. One whose limits cannot be read neither sets nor lifts one.
+// recordRateLimit records the rate limit that an answer states. An answer whose limits are all malformed neither sets nor lifts one.
 func (rc *Recorder) recordRateLimit(tg targets.Target, rp Report) {
 	li := rp.Head.RateLimit
 	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
@@ -148,19 +149,19 @@
 	rc.OnRateLimitChange()
 }
 
-// noteBackOff takes a target's wish for no further requests, and an answer that shows that it takes some.
+// recordBackOff starts a back-off that an answer asks for; an answer that asks for none counts as a success.
 func (rc *Recorder) recordBackOff(tg targets.Target, rp Report) {
 	if rp.Head.BackOff > 0 {
 		if rc.BackOffs.Begin(tg.ID, rp.Head.BackOff, rp.ReceivedAt) {
 			fs := rc.logFields(tg, rp)
 			fs["back_off"] = rp.Head.BackOff.String()
-			rc.Log.WithFields(fs).Info("target wants no requests")
+			rc.Log.WithFields(fs).Info("target asked for back-off")
 		}
 		return
 	}
-	if after, opened := rc.BackOffs.RecordSuccess(tg.ID, rp.SentAt); opened {
+	if after, recovered := rc.BackOffs.RecordSuccess(tg.ID, rp.SentAt); recovered {
 		fs := rc.logFields(tg, rp)
 		fs["after"] = after.Round(time.Millisecond).String()
-		rc.Log.WithFields(fs).Info("target takes requests again")
+		rc.Log.WithFields(fs).Info("target accepts requests again")
 	}
 }
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -16,39 +16,39 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// bench is a recorder and what it keeps.
+// fixture is a Recorder with its trackers and log.
 type fixture struct {
 	*WithT
 	*feedback.Recorder
 	logged *memory.Handler
 	now    time.Time
-	// told counts how often peers were told of a target that leaves.
+	// leavingChanges counts the calls of OnLeavingChange.
 	leavingChanges int
 }
 
-// meant and other are listed targets.
+// addressed is the target that all requests are sent to. Both targets are listed.
 var (
 	addressed   = targets.Target{ID: "a@1", Name: "a", Service: "s", Address: "10.0.0.1:80", AvailabilityZone: "z", Slots: 1}
 	otherTarget = targets.Target{ID: "b@1", Name: "b", Service: "s", Address: "10.0.0.2:80", AvailabilityZone: "z", Slots: 1}
 )
 
 func newFixture(t *testing.T) *fixture {
-	be := &fixture{WithT: NewWithT(t), logged: memory.New(), now: time.Unix(1000, 0)}
-	now := func() time.Time { return be.now }
+	fx := &fixture{WithT: NewWithT(t), logged: memory.New(), now: time.Unix(1000, 0)}
+	now := func() time.Time { return fx.now }
 	dr := targets.New(now)
-	dr.ApplyList([]targets.Target{addressed, otherTarget}, nil, position.Position{Revision: 1}, be.now)
-	be.Recorder = feedback.New(feedback.Deps{
+	dr.ApplyList([]targets.Target{addressed, otherTarget}, nil, position.Position{Revision: 1}, fx.now)
+	fx.Recorder = feedback.New(feedback.Deps{
 		Targets: dr, RateLimits: ratelimit.New(now), BackOffs: backoff.New(now, func() float64 { return 0 }),
-		OnLeavingChange: func() { be.leavingChanges++ }, OnRateLimitChange: func() {}, Log: &log.Logger{Handler: be.logged, Level: log.DebugLevel}, Now: now,
+		OnLeavingChange: func() { fx.leavingChanges++ }, OnRateLimitChange: func() {}, Log: &log.Logger{Handler: fx.logged, Level: log.DebugLevel}, Now: now,
 	})
-	return be
+	return fx
 }
 
 func (fx *fixture) record(hd answer.Head) {
 	fx.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: addressed, Head: hd, SentAt: fx.now, ReceivedAt: fx.now})
 }
 
-// backedOff reports whether a target is backed off from.
+// backedOff reports whether a back-off of a target is in force.
 func (fx *fixture) backedOff(tg targets.Target) bool {
 	_, backedOff := fx.BackOffs.Until(tg.ID)
 	return backedOff
@@ -63,84 +63,84 @@
 }
 
 func TestAnswerAppliesToTheRespondingIncarnation(t *testing.T) {
-	facts := answer.Head{BackOff: time.Second, RateLimit: ratelimit.PerSecond(2)}
+	stated := answer.Head{BackOff: time.Second, RateLimit: ratelimit.PerSecond(2)}
 	tests := map[string]struct {
 		verdict answer.Verdict
 		target  string
-		of      *targets.Target
+		want    *targets.Target
 	}{
-		"without a name":            {of: &addressed},
-		"the one that was meant":    {target: "a", of: &addressed},
-		"turned away":               {verdict: answer.Shed, of: &addressed},
-		"failed":                    {verdict: answer.Failed, of: &addressed},
-		"not provably its own":      {verdict: answer.Unverified, of: &addressed},
-		"another one":               {verdict: answer.Misdirected, target: "b", of: &otherTarget},
-		"one that nobody knows":     {verdict: answer.Misdirected, target: "c"},
-		"another one without a 421": {target: "b", of: &otherTarget},
+		"no name":                          {want: &addressed},
+		"name of the addressed target":     {target: "a", want: &addressed},
+		"shed":                             {verdict: answer.Shed, want: &addressed},
+		"failed":                           {verdict: answer.Failed, want: &addressed},
+		"unverified":                       {verdict: answer.Unverified, want: &addressed},
+		"misdirected to another target":    {verdict: answer.Misdirected, target: "b", want: &otherTarget},
+		"misdirected to an unknown target": {verdict: answer.Misdirected, target: "c"},
+		"name of another target, no 421":   {target: "b", want: &otherTarget},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			be := newFixture(t)
-			hd := facts
+			fx := newFixture(t)
+			hd := stated
 			hd.Verdict, hd.TargetName = tc.verdict, tc.target
-			be.record(hd)
+			fx.record(hd)
 			for _, tg := range []targets.Target{addressed, otherTarget} {
-				is := tc.of != nil && tc.of.ID == tg.ID
-				be.Expect(be.backedOff(tg)).To(Equal(is), tg.ID)
-				be.Expect(be.RateLimits.Limit(tg.ID).Limited).To(Equal(is), tg.ID)
+				applies := tc.want != nil && tc.want.ID == tg.ID
+				fx.Expect(fx.backedOff(tg)).To(Equal(applies), tg.ID)
+				fx.Expect(fx.RateLimits.Limit(tg.ID).Limited).To(Equal(applies), tg.ID)
 			}
 		})
 	}
 }
 
 func TestLeavingIsAnnouncedOnceAndNeverRevoked(t *testing.T) {
-	be := newFixture(t)
-	be.record(answer.Head{Verdict: answer.Failed, Leaving: true})
-	be.record(answer.Head{Leaving: true})
-	be.record(answer.Head{})
-	be.Expect(be.Targets.TakesWork(addressed.ID)).To(BeFalse())
-	be.Expect(be.Targets.TakesWork(otherTarget.ID)).To(BeTrue())
-	be.Expect(be.messages()).To(Equal([]string{"target leaving"}))
-	be.Expect(be.leavingChanges).To(Equal(1))
+	fx := newFixture(t)
+	fx.record(answer.Head{Verdict: answer.Failed, Leaving: true})
+	fx.record(answer.Head{Leaving: true})
+	fx.record(answer.Head{})
+	fx.Expect(fx.Targets.TakesWork(addressed.ID)).To(BeFalse())
+	fx.Expect(fx.Targets.TakesWork(otherTarget.ID)).To(BeTrue())
+	fx.Expect(fx.messages()).To(Equal([]string{"target leaving"}))
+	fx.Expect(fx.leavingChanges).To(Equal(1))
 }
 
 func TestBackOffIsLoggedWhenItStartsAndEnds(t *testing.T) {
-	be := newFixture(t)
-	be.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
-	be.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
-	be.now = be.now.Add(2 * time.Second)
+	fx := newFixture(t)
+	fx.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
+	fx.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
+	fx.now = fx.now.Add(2 * time.Second)
 	for range 20 {
-		be.record(answer.Head{})
+		fx.record(answer.Head{})
 	}
-	be.Expect(be.messages()).To(Equal([]string{"target wants no requests", "target takes requests again"}))
+	fx.Expect(fx.messages()).To(Equal([]string{"target asked for back-off", "target accepts requests again"}))
 }
 
 func TestMalformedRateLimitChangesNothing(t *testing.T) {
-	be := newFixture(t)
-	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
-	be.now = be.now.Add(time.Second)
-	be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldRateLimit, Value: "many"}}})
-	be.Expect(be.RateLimits.Limit(addressed.ID)).To(Equal(ratelimit.PerSecond(2)))
+	fx := newFixture(t)
+	fx.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
+	fx.now = fx.now.Add(time.Second)
+	fx.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldRateLimit, Value: "many"}}})
+	fx.Expect(fx.RateLimits.Limit(addressed.ID)).To(Equal(ratelimit.PerSecond(2)))
 }
 
 func TestMalformedValuesAreLoggedOnceUpToALimit(t *testing.T) {
-	be := newFixture(t)
-	say := func(value string) {
-		be.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldBackOff, Value: value}}})
+	fx := newFixture(t)
+	recordValue := func(value string) {
+		fx.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldBackOff, Value: value}}})
 	}
-	say("many")
-	say("many")
-	be.Expect(be.messages()).To(HaveLen(1))
+	recordValue("many")
+	recordValue("many")
+	fx.Expect(fx.messages()).To(HaveLen(1))
 	for no := range 10_000 {
-		say(string(rune('a'+no%26)) + string(rune('0'+no)))
+		recordValue(string(rune('a'+no%26)) + string(rune('0'+no)))
 	}
-	be.Expect(len(be.messages())).To(BeNumerically("<", 1000))
+	fx.Expect(len(fx.messages())).To(BeNumerically("<", 1000))
 }
 
 func TestAnswerToOrderLiftsNoRateLimit(t *testing.T) {
-	be := newFixture(t)
-	be.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
-	be.now = be.now.Add(time.Second)
-	be.Record(feedback.Report{Source: feedback.OrderAnswer, Target: addressed, ReceivedAt: be.now})
-	be.Expect(be.RateLimits.Limit(addressed.ID).Limited).To(BeTrue())
+	fx := newFixture(t)
+	fx.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
+	fx.now = fx.now.Add(time.Second)
+	fx.Record(feedback.Report{Source: feedback.OrderAnswer, Target: addressed, ReceivedAt: fx.now})
+	fx.Expect(fx.RateLimits.Limit(addressed.ID).Limited).To(BeTrue())
 }
