--- a/internal/feedback/fleet_test.go
+++ b/internal/feedback/fleet_test.go
@@ -14,62 +14,65 @@
 )
 
 const (
-	// leavingBound is the time after an instance passed on that a target leaves from which its callers' requests must not go there.
+	// maxLeavingDelay is how long after an instance received an answer of a leaving target it may still accept requests of callers
+	// that it sends there.
 	maxLeavingDelay = 2 * time.Second
-	// underWay is the time after a target turned an instance away in which requests may still come, and mostInBackOff how many may after it.
+	// inFlightTime is how long after a target asked an instance for a back-off requests that were in flight may still arrive;
+	// maxRequestsInBackOff is how many may arrive in the rest of the back-off.
 	inFlightTime         = 500 * time.Millisecond
 	maxRequestsInBackOff = 2
-	// inUseAfter is the time after targets cease to speak of themselves from which they must be in use.
+	// maxRecoveryTime is how long after simStatesEnd requests must be sent to all targets again.
 	maxRecoveryTime = 5 * time.Second
 )
 
-// fleetPlay is one fleet, and what its targets say.
+// fleetScenario is the size of a fleet, its load, and its faults.
 type fleetScenario struct {
 	instances, targets int
-	// leave and away are how many targets say that they leave, and turn requests away.
+	// leavingCount targets are leaving and sheddingCount targets shed requests from simStatesBegin to simStatesEnd.
 	leavingCount, sheddingCount int
-	// perSecond is how many requests come to all instances.
+	// requestsPerSecond is the rate at all instances together.
 	requestsPerSecond int
 	disturbances
 }
 
-// calm is a play in which only targets speak.
-func newScenario(instances, count, perSecond int) fleetScenario {
-	return fleetScenario{instances: instances, targets: count, leavingCount: count / 6, sheddingCount: count / 4, requestsPerSecond: perSecond}
+// newScenario returns a scenario without disturbances, in which a sixth of the targets are leaving and a quarter shed requests.
+func newScenario(instances, targetCount, perSecond int) fleetScenario {
+	return fleetScenario{instances: instances, targets: targetCount, leavingCount: targetCount / 6, sheddingCount: targetCount / 4, requestsPerSecond: perSecond}
 }
 
-func (fs fleetScenario) withDisturbances(tr disturbances) fleetScenario {
-	fs.disturbances = tr
+func (fs fleetScenario) withDisturbances(ds disturbances) fleetScenario {
+	fs.disturbances = ds
 	return fs
 }
 
-// all makes all targets turn requests away.
+// withAllShedding makes all targets shed requests.
 func (fs fleetScenario) withAllShedding() fleetScenario {
 	fs.leavingCount, fs.sheddingCount = 0, fs.targets
 	return fs
 }
 
-// TestFleetHeedsWhatTargetsSay checks each exchange of fleets whose store lists all targets as ready.
+// TestFleetRespectsLeavingAndBackOff checks each exchange of fleets in which targets are leaving or shed requests while the store lists
+// them as ready, so that only their answers show it.
 func TestFleetRespectsLeavingAndBackOff(t *testing.T) {
 	everything := disturbances{kills: 4, freezes: 4, cuts: 4, storeSilent: true}
-	plays := map[string]fleetScenario{
+	scenarios := map[string]fleetScenario{
 		"6":                         newScenario(6, 12, 150),
-		"6, the store is away":      newScenario(6, 12, 150).withDisturbances(disturbances{storeSilent: true}),
+		"6, store silent":           newScenario(6, 12, 150).withDisturbances(disturbances{storeSilent: true}),
 		"6, kills, freezes, cuts":   newScenario(6, 12, 150).withDisturbances(everything),
-		"6, all turn away":          newScenario(6, 12, 150).withAllShedding(),
+		"6, all shed":               newScenario(6, 12, 150).withAllShedding(),
 		"72":                        newScenario(72, 60, 300),
 		"72, kills, freezes, cuts":  newScenario(72, 60, 300).withDisturbances(everything),
-		"72, all turn away":         newScenario(72, 60, 100).withAllShedding(),
+		"72, all shed":              newScenario(72, 60, 100).withAllShedding(),
 		"295, kills, freezes, cuts": newScenario(295, 120, 600).withDisturbances(everything),
 	}
-	for name, fp := range plays {
+	for name, fs := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { fp.run(t, 1) })
+			synctest.Test(t, func(t *testing.T) { fs.run(t, 1) })
 		})
 	}
 }
 
-// play runs the fleet to its end and checks it.
+// run simulates the scenario and checks all its exchanges and calls.
 func (fs fleetScenario) run(t *testing.T, seed uint64) {
 	fl := &simFleet{random: rand.New(rand.NewPCG(seed, 11)), startedAt: time.Now()}
 	for no := range fs.targets {
@@ -95,7 +98,7 @@
 	fs.check(t, fl)
 }
 
-// speak lets targets speak of themselves for a while. Those that left are replaced.
+// runTargetStates makes targets leave or shed requests for a while. Those that are leaving are then replaced by new incarnations.
 func (fs fleetScenario) runTargetStates(fl *simFleet) {
 	time.Sleep(simStatesBegin)
 	fl.mu.Lock()
@@ -105,7 +108,7 @@
 		if no < fs.leavingCount {
 			tg.setState(true, 0)
 		} else {
-			tg.setState(false, 1200*time.Millisecond+fl.within(2*time.Second))
+			tg.setState(false, 1200*time.Millisecond+fl.randomBelow(2*time.Second))
 		}
 	}
 	time.Sleep(simStatesEnd - simStatesBegin)
@@ -121,17 +124,17 @@
 	}
 }
 
-// strike spreads the troubles of the play over its time.
+// scheduleDisturbances starts the disturbances of the scenario at random times.
 func (fs fleetScenario) scheduleDisturbances(fl *simFleet) {
-	one := func() *simInstance { return fl.instances[int(fl.float()*float64(fs.instances))] }
-	at := func(blow func(in *simInstance)) {
+	randomInstance := func() *simInstance { return fl.instances[int(fl.float()*float64(fs.instances))] }
+	atRandomTime := func(disturb func(in *simInstance)) {
 		fl.wg.Go(func() {
-			time.Sleep(fl.within(simDuration - maxRecoveryTime))
-			blow(one())
+			time.Sleep(fl.randomBelow(simDuration - maxRecoveryTime))
+			disturb(randomInstance())
 		})
 	}
 	for range fs.kills {
-		at(func(in *simInstance) {
+		atRandomTime(func(in *simInstance) {
 			fl.mu.Lock()
 			in.running = false
 			for _, peer := range fl.instances {
@@ -143,7 +146,7 @@
 		})
 	}
 	for range fs.freezes {
-		at(func(in *simInstance) {
+		atRandomTime(func(in *simInstance) {
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			in.frozenUntil = time.Now().Add(2500 * time.Millisecond)
@@ -151,45 +154,45 @@
 		})
 	}
 	for range fs.cuts {
-		at(func(in *simInstance) {
+		atRandomTime(func(in *simInstance) {
 			fl.mu.Lock()
 			in.partitioned = true
 			fl.mu.Unlock()
 			time.Sleep(3 * time.Second)
 			fl.mu.Lock()
 			in.partitioned = false
-			life, be := in.process, in.components
+			process, cs := in.process, in.components
 			fl.mu.Unlock()
-			fl.announceLoads(in, life, be)
+			fl.announceLoads(in, process, cs)
 		})
 	}
 }
 
-// excused reports whether an instance was started anew or frozen since a time.
+// disturbedSince reports whether a process has ended, or its instance was frozen, since a time.
 func (fl *simFleet) disturbedSince(from simProcess, since time.Time) bool {
 	in := fl.instances[from.instance]
 	return in.process != from.number || in.disturbedAt.After(since)
 }
 
-// check looks at each exchange and at each call.
+// check checks all exchanges and calls of a simulation.
 func (fs fleetScenario) check(t *testing.T, fl *simFleet) {
 	g := NewWithT(t)
 	worst, exchanges, inUse := 0, 0, 0
 	for _, tg := range fl.targets {
 		exchanges += len(tg.exchanges)
-		g.Expect(tg.countSentAfterLeaving(fl)).To(BeZero(), "requests to %s after it said that it leaves", tg.Name)
+		g.Expect(tg.countSentAfterLeaving(fl)).To(BeZero(), "requests to %s after it reported that it is leaving", tg.Name)
 		worst = max(worst, tg.maxInOneBackOff(fl))
 		if tg.servedAfter(fl.startedAt.Add(simStatesEnd + maxRecoveryTime)) {
 			inUse++
 		}
 		for _, in := range fl.instances {
-			g.Expect(in.canSendTo(tg.ID)).To(BeTrue(), "instance %d keeps %s closed", in.index, tg.Name)
+			g.Expect(in.canSendTo(tg.ID)).To(BeTrue(), "instance %d still sends nothing to %s", in.index, tg.Name)
 		}
 	}
-	// Some may get none in a short time by chance.
+	// A tenth of the targets may get no request in this short time by chance.
 	g.Expect(inUse).To(BeNumerically(">=", 9*fs.targets/10), "targets in use again")
 	g.Expect(worst).To(BeNumerically("<=", maxRequestsInBackOff), "requests in one back-off")
-	served, unserved, unlucky := 0, 0, 0
+	served, unserved, unexpectedlyShed := 0, 0, 0
 	for _, ca := range fl.calls {
 		switch {
 		case ca.served:
@@ -198,51 +201,52 @@
 		default:
 			unserved++
 			if ca.shedUnexpectedly() {
-				unlucky++
+				unexpectedlyShed++
 			}
 		}
 	}
-	t.Logf("%d exchanges, %d served, %d not, %d of them turned away where that was not known, at most %d in one back-off", exchanges, served, unserved, unlucky, worst)
+	t.Logf("%d exchanges, %d served, %d not, %d of them shed by a target not known to shed, at most %d in one back-off", exchanges, served, unserved, unexpectedlyShed, worst)
 	if fs.leavingCount+fs.sheddingCount < fs.targets {
-		g.Expect(unserved-unlucky).To(BeZero(), "callers not served while others have room")
+		g.Expect(unserved-unexpectedlyShed).To(BeZero(), "requests not served while other targets have room")
 		g.Expect(float64(unserved)).To(BeNumerically("<=", 0.01*float64(served)))
 	}
 }
 
-// usedAfter reports whether a request came to the target after a time.
+// servedAfter reports whether a request arrived at the target after a time.
 func (tg *simTarget) servedAfter(at time.Time) bool {
 	return len(tg.exchanges) > 0 && tg.exchanges[len(tg.exchanges)-1].arrivedAt.After(at)
 }
 
-// opens reports whether an instance may send requests to a target, and sees no load there that a back-off left behind.
+// canSendTo reports whether an instance may send requests to a target and assumes no load there that is left over from a back-off.
 func (in *simInstance) canSendTo(id string) bool {
 	ph, _ := in.recorder.BackOffs.Phase(id)
 	_, loaded := in.dispatcher.OwnLoads()[id]
 	return ph != backoff.Blocked && !loaded
 }
 
-// metUnknown reports whether a call was turned away at last by a target that had not turned its instance away before.
+// shedUnexpectedly reports whether the target that last shed the call was not known by its process to shed.
 func (ca *simCall) shedUnexpectedly() bool {
 	return len(ca.refusals) > 0 && !ca.refusals[len(ca.refusals)-1].expected
 }
 
-// sentAfterWord counts requests sent later than the bound after their instance had passed on that the incarnation leaves.
+// countSentAfterLeaving counts the requests that callers sent more than maxLeavingDelay after their process had recorded that the
+// incarnation is leaving.
 func (tg *simTarget) countSentAfterLeaving(fl *simFleet) int {
-	told := map[simProcess]time.Time{}
+	recorded := map[simProcess]time.Time{}
 	late := 0
 	for _, ex := range tg.exchanges {
-		at, is := told[ex.process]
-		if is && ex.sentAt.Sub(at) > maxLeavingDelay && ex.incarnation != "" && tg.reportedLeaving(ex) && !fl.disturbedSince(ex.process, at) {
+		at, known := recorded[ex.process]
+		if known && ex.sentAt.Sub(at) > maxLeavingDelay && ex.incarnation != "" && tg.reportedLeaving(ex) && !fl.disturbedSince(ex.process, at) {
 			late++
 		}
-		if ex.leaving && !ex.recordedAt.IsZero() && !is {
-			told[ex.process] = ex.recordedAt
+		if ex.leaving && !ex.recordedAt.IsZero() && !known {
+			recorded[ex.process] = ex.recordedAt
 		}
 	}
 	return late
 }
 
-// saidBy reports whether the incarnation of an exchange is one that leaves.
+// reportedLeaving reports whether the incarnation of an exchange ever reported that it is leaving.
 func (tg *simTarget) reportedLeaving(ex simExchange) bool {
 	for _, other := range tg.exchanges {
 		if other.leaving && other.incarnation == ex.incarnation {
@@ -252,7 +256,7 @@
 	return false
 }
 
-// worstBackOff returns the most requests of one instance in one back-off, but for those under way at its beginning.
+// maxInOneBackOff returns the largest number of requests of one process in one back-off, without those in flight at its start.
 func (tg *simTarget) maxInOneBackOff(fl *simFleet) int {
 	worst := 0
 	for no, ex := range tg.exchanges {
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -22,34 +22,35 @@
 )
 
 const (
-	// simWordAt is when targets begin to speak of themselves, simOverAt when they cease, simLength the end of a play.
+	// From simStatesBegin to simStatesEnd some targets are leaving or shed requests. simDuration is the length of the simulation.
 	simStatesBegin = 2 * time.Second
 	simStatesEnd   = 9 * time.Second
 	simDuration    = 16 * time.Second
-	// simListed is how often the store is asked for its list.
+	// simListInterval is the time between two reads of the list of the store.
 	simListInterval = time.Second
-	// simObjective and simDeadline are those of every request, simAttempts the targets that it may be sent to.
+	// simObjective and simDeadline apply to every request, which may be sent to at most simMaxAttempts targets.
 	simObjective   = 500 * time.Millisecond
 	simDeadline    = 4 * time.Second
 	simMaxAttempts = 2
-	// simWork is how long a target takes, simTravel one way to it, simTold the longest time until a peer hears.
+	// simServiceTime is how long a target runs a request, simLatency the one-way network latency, and simMaxPeerDelay the longest
+	// time until a peer receives an announcement.
 	simServiceTime  = 30 * time.Millisecond
 	simLatency      = time.Millisecond
 	simMaxPeerDelay = 50 * time.Millisecond
-	// simSlots is large enough for the load on the targets that are left.
+	// simSlots is large enough for the targets that still accept work to carry the whole load.
 	simSlots = 8
 )
 
-// trouble is what happens to the fleet of a play beside the words of targets.
+// disturbances are the faults of instances and store in a scenario.
 type disturbances struct {
-	// kills, freezes and cuts each strike so many instances, at moments all over the play. A killed one starts again, one that is cut off
-	// reaches neither the store nor its peers.
+	// kills, freezes and cuts are how many instances have each fault, at random times. A killed instance starts again; one that is cut
+	// off reaches neither the store nor its peers.
 	kills, freezes, cuts int
-	// storeAway keeps the store silent from before the first word to the end.
+	// storeSilent makes the store unreachable for as long as targets are leaving or shed requests.
 	storeSilent bool
 }
 
-// simTarget is one target with the exchanges of its present incarnation.
+// simTarget is one simulated target with the exchanges of all its incarnations.
 type simTarget struct {
 	mu sync.Mutex
 	targets.Target
@@ -58,35 +59,36 @@
 	exchanges []simExchange
 }
 
-// simExchange is one request at a target.
+// simExchange is one request that reached a target, and what its answer stated.
 type simExchange struct {
 	incarnation string
 	process     simProcess
-	// sent is when the caller sent the request, came when it reached the target, answered when the target answered, and passed when the
-	// instance passed that on; zero when it never did.
+	// sentAt is when the caller sent the request, arrivedAt when it reached the target, answeredAt when the target answered, and
+	// recordedAt when the instance had recorded the answer; zero if that never happened.
 	sentAt, arrivedAt, answeredAt, recordedAt time.Time
 	leaving                                   bool
 	backOff                                   time.Duration
 }
 
-// simLife is one life of an instance's process.
+// simProcess identifies one process of an instance, which has a new one after each start.
 type simProcess struct{ instance, number int }
 
-// simInstance is one instance; all but its number is guarded by the fleet.
+// simInstance is one instance. All fields but index are guarded by simFleet.mu.
 type simInstance struct {
+	// process is the number of its latest process.
 	index, process int
 	running        bool
-	// frozen is until when its process stands still.
+	// frozenUntil is when its frozen process continues.
 	frozenUntil time.Time
 	partitioned bool
-	// disturbed is when its process last started, or woke.
+	// disturbedAt is when its process last started, or continues after a freeze.
 	disturbedAt time.Time
-	// hinting is set while peers are about to be told of loads.
+	// loadsPending is set while an announcement of its loads to peers is under way.
 	loadsPending bool
 	components
 }
 
-// beliefs are the parts of one life of an instance.
+// components are the parts of an instance under test; each process has new ones.
 type components struct {
 	directory  *targets.Directory
 	recorder   *feedback.Recorder
@@ -98,16 +100,16 @@
 	process simProcess
 	sentAt  time.Time
 	served  bool
-	// dropped is set when its instance ended under it.
+	// instanceEnded is set if the process ended before the call did.
 	instanceEnded bool
-	// met holds the exchanges that turned it away.
+	// refusals holds the answers that shed the call, in order.
 	refusals []refusal
 }
 
-// metRefusal is one refusal, and whether the instance had been turned away by the same target before.
+// refusal is an answer that sheds a request. It is expected if the process already knew that the target sheds.
 type refusal struct{ expected bool }
 
-// simFleet is the instances and targets of a play.
+// simFleet holds the instances and targets of a simulation.
 type simFleet struct {
 	randomMu sync.Mutex
 	random   *rand.Rand
@@ -129,39 +131,39 @@
 	return fl.random.Float64()
 }
 
-func (fl *simFleet) within(d time.Duration) time.Duration {
+func (fl *simFleet) randomBelow(d time.Duration) time.Duration {
 	return time.Duration(fl.float() * float64(d))
 }
 
-// newBeliefs returns what an instance that starts believes.
+// newComponents returns the components of an instance that starts.
 func (fl *simFleet) newComponents(in *simInstance) components {
 	lg := &log.Logger{Handler: discard.New()}
 	dr := targets.New(time.Now)
 	bk := backoff.New(time.Now, fl.float)
-	life := in.process
+	process := in.process
 	rc := feedback.New(feedback.Deps{
 		Targets: dr, RateLimits: ratelimit.New(time.Now), BackOffs: bk, Log: lg, Now: time.Now,
-		OnLeavingChange: func() { fl.announceLeaving(in, life, dr) }, OnRateLimitChange: func() {},
+		OnLeavingChange: func() { fl.announceLeaving(in, process, dr) }, OnRateLimitChange: func() {},
 	})
 	ds := dispatch.New(dr, nil, dispatch.Options{Instance: strconv.Itoa(in.index), AvailabilityZone: "z", Now: time.Now, BackOffs: bk})
 	return components{directory: dr, recorder: rc, dispatcher: ds}
 }
 
-// tell tells the peers which targets leave.
-func (fl *simFleet) announceLeaving(in *simInstance, life int, dr *targets.Directory) {
+// announceLeaving announces to all peers which targets are leaving.
+func (fl *simFleet) announceLeaving(in *simInstance, process int, dr *targets.Directory) {
 	leaving := dr.LeavingIDs()
 	fl.mu.Lock()
 	peers := append([]*simInstance{}, fl.instances...)
 	fl.mu.Unlock()
 	for _, peer := range peers {
 		fl.wg.Go(func() {
-			time.Sleep(fl.within(simMaxPeerDelay))
+			time.Sleep(fl.randomBelow(simMaxPeerDelay))
 			fl.mu.Lock()
-			heard := in.running && in.process == life && !in.partitioned && peer.running && !peer.partitioned
+			connected := in.running && in.process == process && !in.partitioned && peer.running && !peer.partitioned
 			at := peer.directory
 			fl.mu.Unlock()
 			for _, id := range leaving {
-				if heard {
+				if connected {
 					at.MarkLeaving(id)
 				}
 			}
@@ -169,19 +171,20 @@
 	}
 }
 
-// hint tells the peers the load that an instance sees at targets that turned it away, as an instance tells all its loads.
-func (fl *simFleet) announceLoads(in *simInstance, life int, be components) {
+// announceLoads announces to all peers the loads that an instance assumes at targets that asked it for a back-off, as an instance
+// announces all its loads.
+func (fl *simFleet) announceLoads(in *simInstance, process int, cs components) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	if in.loadsPending || in.process != life {
+	if in.loadsPending || in.process != process {
 		return
 	}
 	in.loadsPending = true
 	fl.wg.Go(func() {
-		time.Sleep(fl.within(simMaxPeerDelay))
+		time.Sleep(fl.randomBelow(simMaxPeerDelay))
 		loads := map[string]placement.Load{}
-		for id, lo := range be.dispatcher.OwnLoads() {
-			if _, backedOff := be.recorder.BackOffs.Until(id); backedOff {
+		for id, lo := range cs.dispatcher.OwnLoads() {
+			if _, backedOff := cs.recorder.BackOffs.Until(id); backedOff {
 				loads[id] = lo
 			}
 		}
@@ -189,14 +192,14 @@
 		defer fl.mu.Unlock()
 		in.loadsPending = false
 		for _, peer := range fl.instances {
-			if peer != in && in.running && in.process == life && !in.partitioned && peer.running && !peer.partitioned {
+			if peer != in && in.running && in.process == process && !in.partitioned && peer.running && !peer.partitioned {
 				peer.dispatcher.SetPeerLoads(strconv.Itoa(in.index), loads)
 			}
 		}
 	})
 }
 
-// start begins a life of an instance with the list of the store.
+// startInstance starts a new process of an instance with the list of the store.
 func (fl *simFleet) startInstance(in *simInstance) {
 	list := fl.storeList()
 	fl.mu.Lock()
@@ -204,11 +207,11 @@
 	in.process++
 	in.running, in.disturbedAt, in.frozenUntil = true, time.Now(), time.Time{}
 	in.components = fl.newComponents(in)
-	// A process that starts while the store is away gets the list of a peer.
+	// A process that starts while the store is unreachable gets the list from a peer.
 	in.directory.ApplyList(list, nil, position.Position{Revision: fl.revision}, time.Now())
 }
 
-// list returns the store's list, which says of all targets that they are ready.
+// storeList returns the list of the store, which contains all targets as ready.
 func (fl *simFleet) storeList() []targets.Target {
 	var list []targets.Target
 	for _, tg := range fl.targets {
@@ -219,7 +222,7 @@
 	return list
 }
 
-// followStore gives each instance that reaches the store its newest list, now and then with an entry missing.
+// followStore applies the newest list to each instance that reaches the store, sometimes with one entry missing.
 func (fl *simFleet) followStore() {
 	for time.Since(fl.startedAt) < simDuration {
 		time.Sleep(simListInterval)
@@ -238,50 +241,50 @@
 	}
 }
 
-// sleepAwake sleeps, and on as long as the instance is frozen. It reports false when the life has ended.
-func (fl *simFleet) sleepWhileRunning(in *simInstance, life int, d time.Duration) bool {
+// sleepWhileRunning sleeps, and continues to sleep while the instance is frozen. It reports false if the process has ended.
+func (fl *simFleet) sleepWhileRunning(in *simInstance, process int, d time.Duration) bool {
 	time.Sleep(d)
 	for {
 		fl.mu.Lock()
-		lives, frozen := in.running && in.process == life, time.Until(in.frozenUntil)
+		running, frozen := in.running && in.process == process, time.Until(in.frozenUntil)
 		fl.mu.Unlock()
-		if !lives || frozen <= 0 {
-			return lives
+		if !running || frozen <= 0 {
+			return running
 		}
 		time.Sleep(frozen)
 	}
 }
 
-// call takes one request of a caller through an instance, as a gateway does.
+// call sends one request of a caller through an instance, as the gateway does.
 func (fl *simFleet) call(in *simInstance, no int) {
 	fl.mu.Lock()
 	if !in.running {
 		fl.mu.Unlock()
 		return
 	}
-	life, be := in.process, in.components
-	ca := &simCall{process: simProcess{in.index, life}, sentAt: time.Now()}
+	process, cs := in.process, in.components
+	ca := &simCall{process: simProcess{in.index, process}, sentAt: time.Now()}
 	fl.calls = append(fl.calls, ca)
 	fl.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), simDeadline)
 	defer cancel()
 	var tried []string
 	for len(tried) < simMaxAttempts && !ca.served {
-		sl, err := be.dispatcher.Acquire(ctx, dispatch.Request{
+		sl, err := cs.dispatcher.Acquire(ctx, dispatch.Request{
 			ID: strconv.Itoa(no), Service: routes.Service{Name: "s"}, Exclude: tried, Objective: simObjective,
 			Arrived: ca.sentAt, Deadline: ca.sentAt.Add(simDeadline), CanRetry: len(tried) == 0, Retried: len(tried) > 0,
 		})
 		if err != nil {
 			return
 		}
-		if !fl.sleepWhileRunning(in, life, fl.connectTime()) {
+		if !fl.sleepWhileRunning(in, process, fl.connectTime()) {
 			ca.instanceEnded = true
 			sl.Release()
 			return
 		}
-		if fl.maySend(be, sl.Target.ID) {
-			verdict, lives := fl.exchange(in, life, be, sl, ca)
-			ca.instanceEnded = !lives
+		if fl.maySend(cs, sl.Target.ID) {
+			verdict, running := fl.exchange(in, process, cs, sl, ca)
+			ca.instanceEnded = !running
 			if verdict != answer.Misdirected {
 				tried = append(tried, sl.Target.ID)
 			}
@@ -293,7 +296,7 @@
 	}
 }
 
-// connect is how long a connection takes to come up: now and then a first packet is lost.
+// connectTime returns how long a connection takes to open: one in fifty loses its first packet.
 func (fl *simFleet) connectTime() time.Duration {
 	if fl.float() < 0.02 {
 		return time.Second
@@ -301,46 +304,46 @@
 	return simLatency
 }
 
-// mayLeave is the question that a gateway asks right before it sends a request.
-func (fl *simFleet) maySend(be components, id string) bool {
-	_, backedOff := be.recorder.BackOffs.Until(id)
-	return !backedOff && be.directory.TakesWork(id)
+// maySend is the check that the gateway does right before it sends a request.
+func (fl *simFleet) maySend(cs components, id string) bool {
+	_, backedOff := cs.recorder.BackOffs.Until(id)
+	return !backedOff && cs.directory.TakesWork(id)
 }
 
-// exchange sends a request to a target and takes its answer. It reports false when the instance ended meanwhile.
-func (fl *simFleet) exchange(in *simInstance, life int, be components, sl *dispatch.Slot, ca *simCall) (answer.Verdict, bool) {
-	meant := sl.Target
+// exchange sends a request to a target and records its answer. It reports false if the process ended meanwhile.
+func (fl *simFleet) exchange(in *simInstance, process int, cs components, sl *dispatch.Slot, ca *simCall) (answer.Verdict, bool) {
+	addressed := sl.Target
 	sent := time.Now()
 	time.Sleep(simLatency)
-	tg, at, hd := fl.handleRequest(meant, ca)
+	tg, at, hd := fl.handleRequest(addressed, ca)
 	if hd.Verdict == answer.Answered {
 		time.Sleep(simServiceTime)
 	}
 	tg.updateExchange(at, func(ex *simExchange) { ex.answeredAt = time.Now() })
-	if !fl.sleepWhileRunning(in, life, simLatency) {
+	if !fl.sleepWhileRunning(in, process, simLatency) {
 		return hd.Verdict, false
 	}
 	if hd.Verdict == answer.Misdirected {
-		be.directory.MarkLeaving(meant.ID)
+		cs.directory.MarkLeaving(addressed.ID)
 	}
-	be.recorder.Record(feedback.Report{Source: feedback.RequestAnswer, Target: meant, Head: hd, SentAt: sent, ReceivedAt: time.Now()})
-	be.directory.RecordReachable(meant.ID)
+	cs.recorder.Record(feedback.Report{Source: feedback.RequestAnswer, Target: addressed, Head: hd, SentAt: sent, ReceivedAt: time.Now()})
+	cs.directory.RecordReachable(addressed.ID)
 	if hd.BackOff > 0 {
 		sl.RecordBackOff(hd.BackOff)
-		fl.announceLoads(in, life, be)
-		time.AfterFunc(hd.BackOff, func() { fl.announceLoads(in, life, be) })
+		fl.announceLoads(in, process, cs)
+		time.AfterFunc(hd.BackOff, func() { fl.announceLoads(in, process, cs) })
 	}
 	tg.updateExchange(at, func(ex *simExchange) { ex.recordedAt = time.Now() })
 	ca.served = hd.Verdict == answer.Answered
 	return hd.Verdict, true
 }
 
-// arrive notes a request at a target, and returns where and what it is answered with.
-func (fl *simFleet) handleRequest(meant targets.Target, ca *simCall) (*simTarget, int, answer.Head) {
-	tg := fl.targetOf(meant)
+// handleRequest records a request at the target with an address. It returns the target, the index of the exchange and the answer.
+func (fl *simFleet) handleRequest(addressed targets.Target, ca *simCall) (*simTarget, int, answer.Head) {
+	tg := fl.targetOf(addressed)
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
-	if tg.ID != meant.ID {
+	if tg.ID != addressed.ID {
 		return tg, tg.appendExchange(simExchange{process: ca.process, sentAt: ca.sentAt}), answer.Head{Verdict: answer.Misdirected, TargetName: tg.NameOrID()}
 	}
 	hd := answer.Head{Leaving: tg.leaving, BackOff: tg.backOff}
@@ -353,15 +356,15 @@
 	}), hd
 }
 
-func (fl *simFleet) targetOf(meant targets.Target) *simTarget {
-	no, err := strconv.Atoi(meant.Address)
+func (fl *simFleet) targetOf(addressed targets.Target) *simTarget {
+	no, err := strconv.Atoi(addressed.Address)
 	if err != nil {
 		panic(err)
 	}
 	return fl.targets[no]
 }
 
-// turnedAway reports whether the target has turned a life of an instance away long enough ago for that to know. The lock is held.
+// hasShed reports whether the target shed a request of a process long enough ago for the process to know. Its lock must be held.
 func (tg *simTarget) hasShed(from simProcess) bool {
 	for _, ex := range tg.exchanges {
 		if ex.process == from && ex.backOff > 0 && !ex.recordedAt.IsZero() && time.Since(ex.recordedAt) > inFlightTime {
@@ -371,7 +374,7 @@
 	return false
 }
 
-// add notes an exchange and returns its place. The lock is held.
+// appendExchange records an exchange and returns its index. The lock of the target must be held.
 func (tg *simTarget) appendExchange(ex simExchange) int {
 	tg.exchanges = append(tg.exchanges, ex)
 	return len(tg.exchanges) - 1
@@ -383,7 +386,7 @@
 	edit(&tg.exchanges[at])
 }
 
-// replace starts the next incarnation of a target under its name, which owes nothing.
+// replace starts the next incarnation of a target under its name; it is not leaving and sheds nothing.
 func (tg *simTarget) replace() {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
