--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -133,7 +133,8 @@
 	rc.OnLeavingChange()
 }
 
-// recordRateLimit records the rate limit that an answer states. An answer whose limits are all malformed neither sets nor lifts one.
+// recordRateLimit records the rate limit that an answer states. An answer whose limits are all malformed neither sets nor lifts
+// one.
 func (rc *Recorder) recordRateLimit(tg targets.Target, rp Report) {
 	li := rp.Head.RateLimit
 	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
--- a/internal/feedback/fleet_test.go
+++ b/internal/feedback/fleet_test.go
@@ -51,8 +51,8 @@
 	return fs
 }
 
-// TestFleetRespectsLeavingAndBackOff checks each exchange of fleets in which targets are leaving or shed requests while the store lists
-// them as ready, so that only their answers show it.
+// TestFleetRespectsLeavingAndBackOff checks each exchange of fleets in which targets are leaving or shed requests while the store
+// lists them as ready, so that only their answers show it.
 func TestFleetRespectsLeavingAndBackOff(t *testing.T) {
 	everything := disturbances{kills: 4, freezes: 4, cuts: 4, storeSilent: true}
 	scenarios := map[string]fleetScenario{
