--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -115,11 +115,11 @@
 	ms.NewGauge("silvermount_targets_backed_off", func() float64 { return float64(backOffs.ActiveCount()) })
 	notesNotifier := &Notifier{}
 	fb := feedback.New(feedback.Deps{
-		Targets: dr, Limits: limits, BackOffs: backOffs, LeavingChanged: stateNotifier.Notify, LimitsChanged: notesNotifier.Notify,
+		Targets: dr, RateLimits: limits, BackOffs: backOffs, OnLeavingChange: stateNotifier.Notify, OnRateLimitChange: notesNotifier.Notify,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
 	mg.OnAnswer = func(al reservation.Allocation, hd answer.Head) {
-		fb.Record(feedback.Report{Source: feedback.Order, Target: dr.ByID(al.Target), Head: hd, Came: time.Now()})
+		fb.Record(feedback.Report{Source: feedback.OrderAnswer, Target: dr.ByID(al.Target), Head: hd, ReceivedAt: time.Now()})
 	}
 	ds := dispatch.New(dr, mg, dispatch.Options{
 		Instance: env.Settings.Instance, AvailabilityZone: env.Settings.AvailabilityZone, Now: time.Now, OnLoadChange: stateNotifier.Notify,
