--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -25,7 +25,7 @@
 
 // closedByBackOff reports whether a back-off closes a target to the request, in which phase it is, and when it may be tried
 // again. A half-open target may be tried at once if all other targets are closed too.
-func (ds *Dispatcher) closedByBackOff(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
+func (ds *Dispatcher) blockedByBackOff(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
 	ph, at := ds.backOffPhase(id)
 	switch ph {
 	case backoff.Blocked:
@@ -55,7 +55,7 @@
 }
 
 // recordChosen tells the back-off state that a request is about to be sent to the target.
-func (ds *Dispatcher) recordChosen(id string) {
+func (ds *Dispatcher) recordDispatch(id string) {
 	if ds.opts.BackOffs != nil {
 		ds.opts.BackOffs.RecordDispatch(id)
 	}
@@ -111,8 +111,8 @@
 
 // waitForBackOff waits until the target that reopens first may be probed. If that is after the request's wait deadline, it
 // fails at once and tells the caller when to retry.
-func (ds *Dispatcher) waitForBackOff(ctx context.Context, rq Request, first reopening) error {
-	wait := first.at.Sub(ds.opts.Now())
+func (ds *Dispatcher) waitForBackOff(ctx context.Context, rq Request, first blockedTarget) error {
+	wait := first.until.Sub(ds.opts.Now())
 	probing := !ds.isBackedOff(first.target.ID)
 	if probing {
 		// The probe is in flight, and its answer may reopen the target at any time.
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -66,7 +66,7 @@
 // Dispatcher chooses targets. It is safe for concurrent use.
 type Dispatcher struct {
 	targets              *targets.Directory
-	keeper               *reservation.Manager
+	reservations         *reservation.Manager
 	opts                 Options
 	loadTable            *loadTable
 	propagationDelayFunc atomic.Pointer[func() time.Duration]
@@ -97,7 +97,7 @@
 
 // New returns a Dispatcher without any load.
 func New(dr *targets.Directory, kp *reservation.Manager, op Options) *Dispatcher {
-	return &Dispatcher{targets: dr, keeper: kp, opts: op, loadTable: newLoadTable()}
+	return &Dispatcher{targets: dr, reservations: kp, opts: op, loadTable: newLoadTable()}
 }
 
 // OwnLoads returns the load of this instance at each target, by incarnation.
@@ -146,7 +146,7 @@
 			ds.targets.RecordDispatch(sl.Target.ID)
 			return sl, nil
 		}
-		rq, ok, err = ds.waitForReopening(ctx, rq)
+		rq, ok, err = ds.waitUntilUnblocked(ctx, rq)
 		if err != nil {
 			return nil, err
 		}
@@ -285,7 +285,7 @@
 	defer ds.loadTable.mu.Unlock()
 	best, bestCost := -1, 0.0
 	for i, tg := range tgs {
-		if _, _, closed := ds.closed(rq, tg.ID); closed {
+		if _, _, closed := ds.blocked(rq, tg.ID); closed {
 			continue
 		}
 		cost := float64(ds.loadTable.total(tg.ID).Decoding) / float64(max(1, tg.Slots))
@@ -302,7 +302,7 @@
 	}
 	sl := &Slot{ds: ds, Target: tgs[best], CandidateCount: len(tgs), ChosenAt: ds.opts.Now(), Priority: -1}
 	sl.addStageLoad(tgs[best].ID, placement.Load{Decoding: 1})
-	ds.recordChosen(tgs[best].ID)
+	ds.recordDispatch(tgs[best].ID)
 	return sl
 }
 
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -58,7 +58,7 @@
 	for _, sh := range sl.plan.MemoryShares {
 		places = append(places, reservation.Allocation{Target: sh.Target, Address: addressByID[sh.Target], Tokens: sh.Tokens})
 	}
-	rv, err := ds.keeper.Acquire(ctx, places)
+	rv, err := ds.reservations.Acquire(ctx, places)
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -24,16 +24,16 @@
 
 // closed reports whether a target is closed to the request now, and when it may be tried again. The phase is that of the
 // back-off that closes it, and Open if the target lacks permits instead.
-func (ds *Dispatcher) closed(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
-	if opens, ph, closed = ds.closedByBackOff(rq, id); closed {
+func (ds *Dispatcher) blocked(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
+	if opens, ph, closed = ds.blockedByBackOff(rq, id); closed {
 		return opens, ph, true
 	}
-	opens, closed = ds.closedByRateLimit(rq, id)
+	opens, closed = ds.blockedByRateLimit(rq, id)
 	return opens, backoff.Available, closed
 }
 
 // closedByRateLimit reports whether a target has no permit for the request now, and when it may be tried again.
-func (ds *Dispatcher) closedByRateLimit(rq Request, id string) (opens time.Time, closed bool) {
+func (ds *Dispatcher) blockedByRateLimit(rq Request, id string) (opens time.Time, closed bool) {
 	if ds.opts.Permits == nil || rq.permitTarget == id {
 		return time.Time{}, false
 	}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -56,7 +56,7 @@
 // place chooses the targets of a prompt and books its load there.
 func (ds *Dispatcher) place(ctx context.Context, rq Request, tgs []targets.Target) (*Slot, bool, error) {
 	pr := ds.newPrompt(rq)
-	sl, err := ds.chooseAndBook(rq, pr, tgs)
+	sl, err := ds.chooseAndAddLoad(rq, pr, tgs)
 	if err != nil || sl == nil {
 		return nil, false, err
 	}
@@ -94,7 +94,7 @@
 
 // chooseAndBook books the plan with the least expected loss. It holds the load table's lock throughout, so that two requests
 // are not planned into the same room. It returns nil if the prompt has to wait, and an error if it is refused.
-func (ds *Dispatcher) chooseAndBook(rq Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
+func (ds *Dispatcher) chooseAndAddLoad(rq Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
 	delay := ds.propagationDelay()
 	ds.loadTable.mu.Lock()
 	defer ds.loadTable.mu.Unlock()
@@ -118,7 +118,7 @@
 		return nil, nil
 	case decisionPlace:
 	}
-	return ds.bookPlan(rq, pr, pl, tgs), nil
+	return ds.addPlanLoad(rq, pr, pl, tgs), nil
 }
 
 // bestPlan returns the best plan for a prompt, if there is one. A short prompt goes to the short pool while it is served in
@@ -155,7 +155,7 @@
 	now := ds.opts.Now()
 	cands := make([]placement.Target, len(tgs))
 	for i, tg := range tgs {
-		_, _, closed := ds.closed(rq, tg.ID)
+		_, _, closed := ds.blocked(rq, tg.ID)
 		ph, _ := ds.backOffPhase(tg.ID)
 		cands[i] = placement.Target{
 			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loadTable.total(tg.ID), Slowdown: 1,
@@ -171,7 +171,7 @@
 }
 
 // bookPlan books the load of a plan at its targets. The caller holds the load table's lock.
-func (ds *Dispatcher) bookPlan(rq Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
+func (ds *Dispatcher) addPlanLoad(rq Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
 	byID := make(map[string]targets.Target, len(tgs))
 	for _, tg := range tgs {
 		byID[tg.ID] = tg
@@ -189,7 +189,7 @@
 		prefillLoad = prefillLoad.WithMemory(0)
 	}
 	sl.addStageLoad(pl.Main, prefillLoad)
-	ds.recordChosen(pl.Main)
+	ds.recordDispatch(pl.Main)
 	for _, id := range pl.Helpers {
 		sl.Helpers = append(sl.Helpers, Helper{ID: id, Address: byID[id].Address})
 		sl.addStageLoad(id, pr.HelperLoad(parts))
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -40,7 +40,7 @@
 // empty if it would leave fewer targets in the long pool than the largest number of parts of a prompt.
 func newPools(en *placement.Engine, cands []placement.Target, st arrivalStats) pools {
 	// Closed targets receive no short prompts now, so other targets take their place in the short pool.
-	openCount := moveOpenFirst(cands)
+	openCount := moveUnblockedFirst(cands)
 	size := shortPoolSize(en, cands[:openCount], st)
 	if size == 0 || size > openCount || len(cands)-size < placement.MaxParts {
 		return pools{long: cands}
@@ -50,7 +50,7 @@
 }
 
 // moveOpenFirst moves the targets that are not closed to the front, and returns their number.
-func moveOpenFirst(cands []placement.Target) int {
+func moveUnblockedFirst(cands []placement.Target) int {
 	count := 0
 	for i := range cands {
 		if !cands[i].Closed {
--- a/internal/dispatch/reopen.go
+++ b/internal/dispatch/reopen.go
@@ -12,22 +12,22 @@
 // This file handles requests whose targets are all closed by back-offs or for lack of permits.
 
 // reopening is when a closed target may be tried again.
-type reopening struct {
+type blockedTarget struct {
 	target targets.Target
-	at     time.Time
+	until  time.Time
 	// phase is that of the back-off that closes the target; Open if something else closes it.
 	phase backoff.Phase
 }
 
 // earliestReopening returns which of the request's targets reopens first. It reports false unless all of them are closed.
-func (ds *Dispatcher) earliestReopening(rq Request) (first reopening, allClosed bool) {
+func (ds *Dispatcher) firstToUnblock(rq Request) (first blockedTarget, allClosed bool) {
 	for i, tg := range ds.usable(rq) {
-		at, ph, closed := ds.closed(rq, tg.ID)
+		at, ph, closed := ds.blocked(rq, tg.ID)
 		if !closed {
-			return reopening{}, false
+			return blockedTarget{}, false
 		}
-		if i == 0 || at.Before(first.at) {
-			first = reopening{target: tg, at: at, phase: ph}
+		if i == 0 || at.Before(first.until) {
+			first = blockedTarget{target: tg, until: at, phase: ph}
 		}
 		allClosed = true
 	}
@@ -38,10 +38,10 @@
 // request probe that target, waits for the end of its back-off, or reserves the next permit and waits until that is due. It
 // returns the request updated accordingly. If no target reopens in time, it refuses the request at once, with the time after
 // which to retry. It reports false if a target is open.
-func (ds *Dispatcher) waitForReopening(ctx context.Context, rq Request) (Request, bool, error) {
+func (ds *Dispatcher) waitUntilUnblocked(ctx context.Context, rq Request) (Request, bool, error) {
 	rq.permitTarget = ""
 	for attempt := 0; ; attempt++ {
-		first, allClosed := ds.earliestReopening(rq)
+		first, allClosed := ds.firstToUnblock(rq)
 		switch {
 		case !allClosed:
 			return rq, false, nil
@@ -57,9 +57,9 @@
 		}
 		now := ds.opts.Now()
 		maxWait := min(maxPermitWait, rq.roomWaitDeadline().Sub(now))
-		if first.at.Sub(now) > maxWait || attempt >= maxPermitTries {
+		if first.until.Sub(now) > maxWait || attempt >= maxPermitTries {
 			return rq, false, failure.New(failure.Overloaded, failure.NotRun, "all targets name a rate limit that is used up").
-				WithRetryAfter(max(first.at.Sub(now), roomRetryAfter))
+				WithRetryAfter(max(first.until.Sub(now), roomRetryAfter))
 		}
 		an := ds.requestPermit(ctx, rq, first.target, maxWait)
 		if ctx.Err() != nil {
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -30,8 +30,8 @@
 	reservation *reservation.Reservation
 	// stageLoads are booked until the request's next stage, which follows at its first token. lifetimeLoads are booked until
 	// the slot is released.
-	stageLoads, lifetimeLoads []bookedLoad
-	generating                bool
+	stageLoads, lifetimeLoads []slotLoad
+	decoding                  bool
 	// arrived is when the request arrived, and lastEventAt when its last event was forwarded; zero before the first event.
 	arrived, lastEventAt time.Time
 	// late is set once the answer has missed a limit, so that no further delay can reduce its worth.
@@ -39,7 +39,7 @@
 }
 
 // bookedLoad is the share of the load at one target that a slot accounts for.
-type bookedLoad struct {
+type slotLoad struct {
 	id   string
 	load placement.Load
 }
@@ -57,18 +57,18 @@
 
 // addStageLoad books a load until the slot's next stage. The caller holds the load table's lock.
 func (sl *Slot) addStageLoad(id string, lo placement.Load) {
-	sl.stageLoads = append(sl.stageLoads, bookedLoad{id: id, load: lo})
+	sl.stageLoads = append(sl.stageLoads, slotLoad{id: id, load: lo})
 	sl.ds.loadTable.add(id, lo)
 	sl.ds.notifyLoadChange()
 }
 
 // addLifetimeLoad books a load until the slot is released. The caller holds the load table's lock.
 func (sl *Slot) addLifetimeLoad(id string, lo placement.Load) {
-	sl.lifetimeLoads = append(sl.lifetimeLoads, bookedLoad{id: id, load: lo})
+	sl.lifetimeLoads = append(sl.lifetimeLoads, slotLoad{id: id, load: lo})
 	sl.ds.loadTable.add(id, lo)
 }
 
-func (sl *Slot) removeLoads(loads []bookedLoad) {
+func (sl *Slot) removeLoads(loads []slotLoad) {
 	for _, bl := range loads {
 		sl.ds.loadTable.remove(bl.id, bl.load)
 	}
@@ -77,10 +77,10 @@
 // RecordFirstToken notes that the answer has begun, so that prefill is complete at all targets of the slot. Further calls
 // have no effect.
 func (sl *Slot) RecordFirstToken() {
-	if sl.prompt.Tokens == 0 || sl.generating {
+	if sl.prompt.Tokens == 0 || sl.decoding {
 		return
 	}
-	sl.generating = true
+	sl.decoding = true
 	sl.lastEventAt = sl.ds.opts.Now()
 	sl.late = sl.late || sl.lastEventAt.Sub(sl.arrived) > sl.prompt.Objective
 	sl.ds.loadTable.mu.Lock()
@@ -131,7 +131,7 @@
 // RecordEvent notes that an event was forwarded. A pause that was too long makes the answer late, and its target no longer
 // needs to be kept free for it.
 func (sl *Slot) RecordEvent() {
-	if !sl.generating || sl.late {
+	if !sl.decoding || sl.late {
 		return
 	}
 	now := sl.ds.opts.Now()
