--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// jitterFraction and maxJitter bound the random delay that is added to each back-off, so that instances which the target
-	// turned away at the same moment do not come back at the same moment.
+	// jitterFraction and maxJitter bound the random delay that is added to each back-off, so that instances whose requests
+	// the target rejected at the same moment do not retry at the same moment.
 	jitterFraction = 0.1
 	maxJitter      = 250 * time.Millisecond
 	// probeInterval is the time after which another probe may be sent while the previous one has no answer.
@@ -24,7 +24,7 @@
 	successesToRecover = 6
 	// maxTargets bounds the number of tracked targets, about 150 bytes each.
 	maxTargets = 1 << 13
-	// retention is how long after its end a back-off is kept when too few successes arrive to close it.
+	// retention is how long after its end a back-off is kept when there are too few successes for a recovery.
 	retention = time.Minute
 )
 
--- a/internal/blame/activerun.go
+++ b/internal/blame/activerun.go
@@ -15,11 +15,11 @@
 	// digest computes the fingerprint, which takes long for a long body.
 	digest func() fingerprint.Fingerprint
 	since  time.Time
-	// reported is set once peers were told of the run. They must be told of its end, too.
+	// reported is set once the run was part of a snapshot for peers, which must then be notified of its end, too.
 	reported bool
 }
 
-// ActiveRunSummary is what peers are told of an active run of a request under evidence.
+// ActiveRunSummary is what an instance sends to its peers about an active run of a request with evidence against it.
 type ActiveRunSummary struct {
 	Request fingerprint.Fingerprint
 	// Since is when the target began to answer.
@@ -52,7 +52,8 @@
 	}
 }
 
-// activeRunSummaries returns the active runs on this instance of requests that may soon be quarantined. The lock is held.
+// activeRunSummaries returns the active runs on this instance of requests that may soon be quarantined. The caller holds the
+// lock.
 func (tr *Tracker) activeRunSummaries() []ActiveRunSummary {
 	var list []ActiveRunSummary
 	for hh, runs := range tr.activeRuns {
@@ -68,7 +69,7 @@
 }
 
 // hasLongerActiveRun reports whether an active run of the suspect, on this instance or a peer, has lasted longer than those that
-// crashes interrupted. The lock is held.
+// crashes interrupted. The caller holds the lock.
 func (tr *Tracker) hasLongerActiveRun(sp suspect) bool {
 	startedBefore := tr.opts.Now().Add(-sp.maxElapsed)
 	longer := func(sm ActiveRunSummary) bool { return sm.Request == sp.request && sm.Since.Before(startedBefore) }
--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// minCrashes is the number of targets that must crash while running a request before it may be quarantined. Operators accept
+	// minCrashes is the number of targets that must crash while they run a request before it may be quarantined. Operators accept
 	// this many crashes per request.
 	minCrashes = 3
-	// settleDelay is the time between the last crash under a request and its quarantine. The request is held back meanwhile, so
-	// that instances learn of each other's crashes and of the other requests that ran on the same targets.
+	// settleDelay is the time between the last crash of a target that ran a request and the quarantine of the request. The request
+	// is delayed meanwhile, so that instances learn of each other's crashes and of the other requests that ran on the same targets.
 	settleDelay = 200 * time.Millisecond
 	// crashDetectionTimeout bounds the time between the interruption of a run and the detection of its target's crash. The entry
 	// of a target that stops sending heartbeats is removed after three heartbeats, 3.6 s.
@@ -30,8 +30,8 @@
 	// evidenceTTL is how long a crash counts against the requests that ran on the target.
 	evidenceTTL = 10 * time.Minute
 	// initialQuarantine is the duration of the first quarantine. The duration doubles, up to maxQuarantine, each time that
-	// another target crashes under the request soon after its quarantine ends, so that a request that never changes crashes ever
-	// fewer targets.
+	// another target crashes while it runs the request soon after the quarantine ends, so that a request that always crashes
+	// its target crashes ever fewer of them.
 	initialQuarantine = 5 * time.Minute
 	maxQuarantine     = 2 * time.Hour
 	// gossipDuration is how long local evidence is sent to peers. It exceeds the silence after which a peer is considered lost.
@@ -40,8 +40,8 @@
 	expiryInterval = time.Second
 )
 
-// Bounds of the state, with the maximum memory of an entry. They hold in a flood of different requests: old entries are evicted, and
-// runs beyond maxRunsPerCrash are ignored.
+// Bounds of the state, with the maximum memory of an entry. They hold in a flood of different requests: old entries are evicted,
+// and runs beyond maxRunsPerCrash are ignored.
 const (
 	// maxInterruptedRuns bounds the runs whose targets may still prove to have crashed; 100 bytes each.
 	maxInterruptedRuns = 2048
@@ -52,7 +52,7 @@
 	maxQuarantines = 256
 )
 
-// InterruptedRun is a run of a request that its target broke off: no answer came, or an incomplete one.
+// InterruptedRun is a run of a request without a complete answer of its target: none came, or only a part.
 type InterruptedRun struct {
 	Request fingerprint.Fingerprint
 	// Incarnation identifies the process of the target that ran the request.
@@ -100,8 +100,8 @@
 	quarantines map[fingerprint.Fingerprint]Quarantine
 	// tombstones holds the requests that were cleared recently.
 	tombstones map[fingerprint.Fingerprint]tombstone
-	// evidenceCounts counts the crashes held against a request; headCounts counts those crashes and the quarantines of all
-	// requests with a head hash. Entries at zero are removed.
+	// evidenceCounts counts the crashes that are evidence against a request; headCounts counts those crashes and the quarantines of
+	// all requests with a head hash. Entries at zero are removed.
 	evidenceCounts map[fingerprint.Fingerprint]int
 	headCounts     map[fingerprint.HeadHash]int
 	// probes holds the last probes that this instance sent of requests on probation.
@@ -109,7 +109,7 @@
 	// lastExpiry is the time of the last scan for expired crashes and quarantines.
 	lastExpiry time.Time
 	// activeRuns holds the runs in progress on this instance, by head hash; peerRuns holds those that each peer reports for
-	// requests under evidence.
+	// requests with evidence against them.
 	activeRuns map[fingerprint.HeadHash][]*ActiveRun
 	peerRuns   map[string][]ActiveRunSummary
 }
@@ -154,13 +154,14 @@
 	tr.evaluateAndNotify()
 }
 
-// evaluateAndNotify quarantines requests by the present evidence and notifies peers. The lock is held.
+// evaluateAndNotify quarantines requests by the present evidence and notifies peers. The caller holds the lock.
 func (tr *Tracker) evaluateAndNotify() {
 	tr.quarantineSuspects()
 	tr.opts.NotifyPeers()
 }
 
-// addCrash records the crash of a target and turns the runs that it interrupted on this instance into evidence. The lock is held.
+// addCrash records the crash of a target and turns the runs that it interrupted on this instance into evidence. The caller holds
+// the lock.
 func (tr *Tracker) addCrash(incarnation string, at time.Time) {
 	if len(tr.crashes) >= maxCrashRecords {
 		tr.evictOldestCrash()
@@ -177,7 +178,7 @@
 	tr.interrupted = kept
 }
 
-// addEvidence counts the crash of a target against the request of an interrupted run. The lock is held.
+// addEvidence counts the crash of a target against the request of an interrupted run. The caller holds the lock.
 func (tr *Tracker) addEvidence(rn InterruptedRun, localEvidence bool) {
 	cr := tr.crashes[rn.Incarnation]
 	if _, known := cr.runsByRequest[rn.Request]; known || len(cr.runsByRequest) >= maxRunsPerCrash {
@@ -219,7 +220,7 @@
 	return tr.headCounts[hh] > 0
 }
 
-// adjustCounts changes the number of crashes held against a request. The lock is held.
+// adjustCounts changes the number of crashes that are evidence against a request. The caller holds the lock.
 func (tr *Tracker) adjustCounts(fp fingerprint.Fingerprint, n int) {
 	adjustCount(tr.evidenceCounts, fp, n)
 	adjustCount(tr.headCounts, fp.HeadHash(), n)
@@ -233,7 +234,7 @@
 	}
 }
 
-// removeCrash removes the crash of a target and the evidence that it gave. The lock is held.
+// removeCrash removes the crash of a target and the evidence that it gave. The caller holds the lock.
 func (tr *Tracker) removeCrash(incarnation string) {
 	for fp := range tr.crashes[incarnation].runsByRequest {
 		tr.adjustCounts(fp, -1)
@@ -242,13 +243,13 @@
 }
 
 // detectionOverdue reports whether the crash of the target of the oldest interrupted run, if it crashed, must be visible by now.
-// The lock is held.
+// The caller holds the lock.
 func (tr *Tracker) detectionOverdue() bool {
 	return len(tr.interrupted) > 0 && tr.opts.Now().Sub(tr.interrupted[0].At) > crashDetectionTimeout
 }
 
-// expire removes what is too old. It first checks a last time whether the targets of interrupted runs have crashed. The lock is
-// held.
+// expire removes what is too old. It first checks a last time whether the targets of interrupted runs have crashed. The caller
+// holds the lock.
 func (tr *Tracker) expire() {
 	now := tr.opts.Now()
 	for tr.detectionOverdue() {
@@ -275,7 +276,7 @@
 	tr.expireProbes()
 }
 
-// evictOldestCrash removes the oldest crash. The lock is held.
+// evictOldestCrash removes the oldest crash. The caller holds the lock.
 func (tr *Tracker) evictOldestCrash() {
 	oldest := ""
 	for id, cr := range tr.crashes {
--- a/internal/blame/blame_test.go
+++ b/internal/blame/blame_test.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// afterSettleDelay is longer than a request is held back before its quarantine.
+	// afterSettleDelay is longer than a request is delayed before its quarantine.
 	afterSettleDelay = 250 * time.Millisecond
 	// shortRun is the duration of a run that crashes its target, longRun that of a long answer.
 	shortRun = 100 * time.Millisecond
@@ -55,7 +55,7 @@
 	return fingerprint.Of(fingerprint.Request{Organisation: "red", RequestURI: name})
 }
 
-// interrupt lets a target break off runs of the named requests and, if crashes is set, crash.
+// interrupt lets a target interrupt runs of the named requests and, if crashes is set, crash.
 func (in *instance) interrupt(target string, crashes bool, elapsed time.Duration, names ...string) {
 	for _, name := range names {
 		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: elapsed, At: in.ck.now})
--- a/internal/blame/check.go
+++ b/internal/blame/check.go
@@ -10,8 +10,8 @@
 	// maxProbationPValue is the p-value above which a request with enough crashes is not put on probation. It is higher than
 	// maxPValue: coincidence or other requests may well explain the crashes.
 	maxProbationPValue = 1e-2
-	// initialProbeInterval is the minimum time from a crash under a request on probation, or from its last probe, to its next
-	// probe on this instance. It doubles with each probe, up to maxProbeInterval.
+	// initialProbeInterval is the minimum time from the crash of a target that ran a request on probation, or from the last probe of
+	// the request, to its next probe on this instance. It doubles with each probe, up to maxProbeInterval.
 	initialProbeInterval = time.Second
 	maxProbeInterval     = 8 * time.Second
 )
@@ -20,7 +20,7 @@
 type probe struct {
 	// sentAt is when the request was let through.
 	sentAt time.Time
-	// interval is the minimum time from sentAt, or from a later crash under the request, to the next probe.
+	// interval is the minimum time from sentAt, or from a later crash of a target that ran the request, to the next probe.
 	interval time.Duration
 }
 
@@ -28,14 +28,14 @@
 type Decision struct {
 	// Quarantined is set when the request must not be run.
 	Quarantined bool
-	// Crashes is the number of targets that had crashed under the request.
+	// Crashes is the number of targets that had crashed while they ran the request.
 	Crashes int
 	// Delay is how long the request has to wait before it is checked again; zero when it may run.
 	Delay time.Duration
 }
 
-// Quarantined reports whether a request must not be run, and how many targets had crashed under it. Unlike Check it sends no
-// probe.
+// Quarantined reports whether a request must not be run, and how many targets had crashed while they ran it. Unlike Check
+// it sends no probe.
 func (tr *Tracker) Quarantined(fp fingerprint.Fingerprint) (crashes int, quarantined bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -44,7 +44,8 @@
 	return qu.Crashes, ok && qu.activeAt(tr.opts.Now())
 }
 
-// evaluate quarantines requests by the present evidence, and notifies peers if there is a new quarantine. The lock is held.
+// evaluate quarantines requests by the present evidence, and notifies peers if there is a new quarantine. The caller holds the
+// lock.
 func (tr *Tracker) evaluate() {
 	tr.expire()
 	if tr.quarantineSuspects() {
@@ -73,7 +74,7 @@
 //
 // While many targets crash, there is too little evidence to tell the requests that crash them from those that run beside them,
 // above all on an instance that is cut off from its peers. Run seldom, the former crash few targets, and the latter are answered
-// completely, which clears them. The lock is held.
+// completely, which clears them. The caller holds the lock.
 func (tr *Tracker) probeDelay(sp suspect) time.Duration {
 	if len(sp.runs) < minCrashes || sp.pValue > maxProbationPValue {
 		return 0
@@ -94,7 +95,7 @@
 	return 0
 }
 
-// expireProbes removes the probes of requests that are no longer on probation. The lock is held.
+// expireProbes removes the probes of requests that are no longer on probation. The caller holds the lock.
 func (tr *Tracker) expireProbes() {
 	for fp := range tr.probes {
 		if tr.evidenceCounts[fp] < minCrashes {
--- a/internal/blame/detection.go
+++ b/internal/blame/detection.go
@@ -69,9 +69,9 @@
 	return len(sp.runs) >= minCrashes && sp.pValue <= maxPValue
 }
 
-// quarantineSuspects quarantines requests by the present evidence, the strongest suspect first: the crashes under a quarantined
-// request count as explained, and no longer as evidence against other requests. It reports whether it quarantined any. The lock
-// is held.
+// quarantineSuspects quarantines requests by the present evidence, the strongest suspect first: the crashes of targets that ran a
+// quarantined request count as explained, and no longer as evidence against other requests. It reports whether it quarantined
+// any. The caller holds the lock.
 func (tr *Tracker) quarantineSuspects() bool {
 	quarantined := false
 	for {
@@ -93,7 +93,7 @@
 	}
 }
 
-// strongestSuspect returns the next request to quarantine. The lock is held.
+// strongestSuspect returns the next request to quarantine. The caller holds the lock.
 func (tr *Tracker) strongestSuspect() (suspect, bool) {
 	suspects := tr.suspects()
 	slices.SortFunc(suspects, func(a, b suspect) int {
@@ -116,7 +116,7 @@
 }
 
 // withoutSharedCrashes returns the suspect without the crashes of targets that also ran a request with more crashes. That request
-// is the likelier cause of these, whether it is quarantined or not. The lock is held.
+// is the likelier cause of these, whether it is quarantined or not. The caller holds the lock.
 func (tr *Tracker) withoutSharedCrashes(sp suspect, others []suspect) suspect {
 	unexplained := tr.unexplained()
 	unshared := slices.DeleteFunc(slices.Clone(unexplained), func(cr *crash) bool {
@@ -145,7 +145,7 @@
 	return true
 }
 
-// suspects returns the requests that may have to be quarantined. The lock is held.
+// suspects returns the requests that may have to be quarantined. The caller holds the lock.
 func (tr *Tracker) suspects() []suspect {
 	var unexplained []*crash
 	var list []suspect
@@ -163,7 +163,7 @@
 	return list
 }
 
-// unexplained returns the crashes that no quarantined request explains. The lock is held.
+// unexplained returns the crashes that no quarantined request explains. The caller holds the lock.
 func (tr *Tracker) unexplained() []*crash {
 	unexplained := make([]*crash, 0, len(tr.crashes))
 	for _, cr := range tr.crashes {
@@ -174,7 +174,8 @@
 	return unexplained
 }
 
-// explained reports whether a crash interrupted a run of a quarantined request before the end of its quarantine. The lock is held.
+// explained reports whether a crash interrupted a run of a quarantined request before the end of its quarantine. The caller holds
+// the lock.
 func (tr *Tracker) explained(cr *crash) bool {
 	if len(tr.quarantines) == 0 {
 		return false
@@ -187,7 +188,8 @@
 	return false
 }
 
-// suspect returns a request with the evidence from the given crashes, assessed against all unexplained crashes. The lock is held.
+// suspect returns a request with the evidence from the given crashes, assessed against all unexplained crashes. The caller holds
+// the lock.
 func (tr *Tracker) suspect(fp fingerprint.Fingerprint, crashes, unexplained []*crash) suspect {
 	sp := suspect{request: fp, pValue: 1}
 	for _, cr := range crashes {
@@ -224,7 +226,7 @@
 }
 
 // backgroundCrashRate returns how many times per second a target crashed for other reasons around the time of a run. It counts
-// the crashes of targets on which the request did not run. The lock is held.
+// the crashes of targets on which the request did not run. The caller holds the lock.
 func (tr *Tracker) backgroundCrashRate(rn InterruptedRun, unexplained []*crash) float64 {
 	highest := 0.0
 	for _, window := range []time.Duration{rateWindow, burstWindow} {
--- a/internal/blame/gossip.go
+++ b/internal/blame/gossip.go
@@ -29,9 +29,10 @@
 	Evidence []InterruptedRun
 	// Tombstones holds the recent tombstones of the instance itself, and those by operators on any instance.
 	Tombstones []Tombstone
-	// Quarantines holds all quarantines that the instance knows, so that a starting instance learns of them from the first peer it reaches.
+	// Quarantines holds all quarantines that the instance knows, so that a starting instance learns of them from the first peer it
+	// reaches.
 	Quarantines []Quarantine
-	// ActiveRuns holds the active runs of requests under evidence.
+	// ActiveRuns holds the active runs of requests with evidence against them.
 	ActiveRuns []ActiveRunSummary
 }
 
@@ -80,7 +81,7 @@
 	}
 }
 
-// mergeTombstone merges a tombstone from a peer. Only those by operators are forwarded to other peers. The lock is held.
+// mergeTombstone merges a tombstone from a peer. Only those by operators are forwarded to other peers. The caller holds the lock.
 func (tr *Tracker) mergeTombstone(ts Tombstone) {
 	if own, ok := tr.tombstones[ts.Request]; ok && !ts.At.After(own.at) {
 		return
@@ -92,7 +93,7 @@
 	tr.clear(ts.Request, tombstone{at: ts.At, until: ts.Until, byOperator: ts.ByOperator})
 }
 
-// mergeQuarantine merges a quarantine from a peer if it is new here or has a higher level. The lock is held.
+// mergeQuarantine merges a quarantine from a peer if it is new here or has a higher level. The caller holds the lock.
 func (tr *Tracker) mergeQuarantine(peer string, qu Quarantine) {
 	if ts, ok := tr.tombstones[qu.Request]; ok && !qu.Since.After(ts.at.Add(ageTolerance)) {
 		return
--- a/internal/blame/quarantine.go
+++ b/internal/blame/quarantine.go
@@ -14,7 +14,7 @@
 // Quarantine is the decision that a request crashes its targets and is refused for a time.
 type Quarantine struct {
 	Request fingerprint.Fingerprint
-	// Crashes is the number of targets that had crashed under the request.
+	// Crashes is the number of targets that had crashed while they ran the request.
 	Crashes int
 	// Level is the number of consecutive quarantines of the request, from 1.
 	Level int
@@ -76,7 +76,7 @@
 	return true
 }
 
-// quarantine stores a quarantine and logs it. The lock is held.
+// quarantine stores a quarantine and logs it. The caller holds the lock.
 func (tr *Tracker) quarantine(qu Quarantine, fields log.Fields) {
 	if len(tr.quarantines) >= maxQuarantines {
 		tr.evictQuarantine()
@@ -92,7 +92,7 @@
 	tr.opts.Log.WithFields(fields).Warn("request quarantined: targets crashed while they ran it")
 }
 
-// evictQuarantine removes the quarantine that ends first. The lock is held.
+// evictQuarantine removes the quarantine that ends first. The caller holds the lock.
 func (tr *Tracker) evictQuarantine() {
 	var first Quarantine
 	for _, qu := range tr.quarantines {
@@ -103,14 +103,14 @@
 	tr.removeQuarantine(first.Request)
 }
 
-// removeQuarantine removes the quarantine of a request. The lock is held.
+// removeQuarantine removes the quarantine of a request. The caller holds the lock.
 func (tr *Tracker) removeQuarantine(fp fingerprint.Fingerprint) {
 	delete(tr.quarantines, fp)
 	adjustCount(tr.headCounts, fp.HeadHash(), -1)
 }
 
 // clear voids the evidence against a request up to the time of the tombstone, and any quarantine. It reports whether there was
-// anything to void. The lock is held.
+// anything to void. The caller holds the lock.
 func (tr *Tracker) clear(fp fingerprint.Fingerprint, ts tombstone) bool {
 	cleared := tr.removeEvidence(fp, ts.at)
 	tr.localEvidence = slices.DeleteFunc(tr.localEvidence, func(rn InterruptedRun) bool {
@@ -137,7 +137,8 @@
 	return true
 }
 
-// removeEvidence removes the evidence against a request up to a time, and reports whether there was any. The lock is held.
+// removeEvidence removes the evidence against a request up to a time, and reports whether there was any. The caller holds the
+// lock.
 func (tr *Tracker) removeEvidence(fp fingerprint.Fingerprint, until time.Time) bool {
 	if tr.evidenceCounts[fp] == 0 {
 		return false
@@ -153,7 +154,7 @@
 	return removed
 }
 
-// evictOldestTombstone removes the oldest tombstone. The lock is held.
+// evictOldestTombstone removes the oldest tombstone. The caller holds the lock.
 func (tr *Tracker) evictOldestTombstone() {
 	var oldest fingerprint.Fingerprint
 	for fp, ts := range tr.tombstones {
@@ -164,7 +165,7 @@
 	delete(tr.tombstones, oldest)
 }
 
-// expireQuarantines removes quarantines and tombstones that are too old. The lock is held.
+// expireQuarantines removes quarantines and tombstones that are too old. The caller holds the lock.
 func (tr *Tracker) expireQuarantines(now time.Time) {
 	for fp, qu := range tr.quarantines {
 		if !now.Before(qu.retainedUntil()) {
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -11,8 +11,8 @@
 )
 
 // A target that rejects requests with a back-off answers faster than one that does the work, and therefore looks idle to
-// target selection. During its back-off it is closed: it is sent no requests and is not used as a helper. After the back-off
-// it is half-open: a request that can be retried elsewhere probes whether the target takes work again.
+// target selection. During its back-off it is blocked: it is sent no requests and is not used as a helper. After the back-off
+// it is half-open: a request that can be retried elsewhere probes whether the target accepts work again.
 
 // probeOnlyPeriod is how long after a back-off only a request that can be retried elsewhere may probe the target. After it,
 // any request may that no target has turned away yet, in case no such probe came along.
@@ -23,9 +23,9 @@
 	return rq.CanRetry && rq.Caution == targets.AllowProbe && !rq.isLong() && !rq.Resumed
 }
 
-// closedByBackOff reports whether a back-off closes a target to the request, in which phase it is, and when it may be tried
-// again. A half-open target may be tried at once if all other targets are closed too.
-func (ds *Dispatcher) blockedByBackOff(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
+// blockedByBackOff reports whether a back-off blocks a target for the request, in which phase it is, and when it may be tried
+// again. A half-open target may be tried at once if all other targets are blocked too.
+func (ds *Dispatcher) blockedByBackOff(rq Request, id string) (until time.Time, ph backoff.Phase, blocked bool) {
 	ph, at := ds.backOffPhase(id)
 	switch ph {
 	case backoff.Blocked:
@@ -54,7 +54,7 @@
 	return backedOff
 }
 
-// recordChosen tells the back-off state that a request is about to be sent to the target.
+// recordDispatch records in the back-off tracker that a request is about to be sent to the target.
 func (ds *Dispatcher) recordDispatch(id string) {
 	if ds.opts.BackOffs != nil {
 		ds.opts.BackOffs.RecordDispatch(id)
@@ -64,7 +64,7 @@
 // maxBackOffLoadPeriod bounds how long peers see a back-off of this instance as load on the target.
 const maxBackOffLoadPeriod = 10 * time.Second
 
-// RecordBackOff notes that the target rejected the request with a back-off. The back-off binds this instance only, and the
+// RecordBackOff records that the target rejected the request with a back-off. The back-off binds this instance only, and the
 // target may still accept requests from peers. Peers therefore see it as additional load: they prefer other targets while
 // those have room, so that not every instance has to be rejected first.
 func (sl *Slot) RecordBackOff(backOff time.Duration) {
@@ -109,13 +109,13 @@
 	return "target " + be.Target + " is backed off for another " + be.Remaining.Round(time.Millisecond).String()
 }
 
-// waitForBackOff waits until the target that reopens first may be probed. If that is after the request's wait deadline, it
-// fails at once and tells the caller when to retry.
+// waitForBackOff waits until the target whose block ends first may be probed. If that is after the request's wait deadline, it
+// fails at once with the time after which to retry.
 func (ds *Dispatcher) waitForBackOff(ctx context.Context, rq Request, first blockedTarget) error {
 	wait := first.until.Sub(ds.opts.Now())
 	probing := !ds.isBackedOff(first.target.ID)
 	if probing {
-		// The probe is in flight, and its answer may reopen the target at any time.
+		// The probe is in flight, and its answer may unblock the target at any time.
 		wait = min(wait, pollInterval)
 	}
 	if ds.opts.Now().Add(wait).After(rq.backOffWaitDeadline()) {
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -17,10 +17,10 @@
 )
 
 // runWithBackOffs runs a test with a number of targets and the state of their back-offs, in a synctest bubble.
-func runWithBackOffs(t *testing.T, count int, run func(hs *harness, bk *backoff.Tracker)) {
+func runWithBackOffs(t *testing.T, count int, run func(hs *harness, tr *backoff.Tracker)) {
 	synctest.Test(t, func(t *testing.T) {
-		bk := backoff.New(time.Now, func() float64 { return 0 })
-		run(newHarness(t, count, func(op *dispatch.Options) { op.BackOffs = bk }), bk)
+		tr := backoff.New(time.Now, func() float64 { return 0 })
+		run(newHarness(t, count, func(op *dispatch.Options) { op.BackOffs = tr }), tr)
 		time.Sleep(settleTime)
 	})
 }
@@ -39,16 +39,16 @@
 	}
 	for name, newRequest := range newRequests {
 		t.Run(name, func(t *testing.T) {
-			runWithBackOffs(t, 4, func(hs *harness, bk *backoff.Tracker) {
-				bk.Begin(id(0), time.Minute, time.Now())
-				bk.Begin(id(1), time.Minute, time.Now())
+			runWithBackOffs(t, 4, func(hs *harness, tr *backoff.Tracker) {
+				tr.Begin(id(0), time.Minute, time.Now())
+				tr.Begin(id(1), time.Minute, time.Now())
 				for range 6 {
 					sl := hs.mustAcquire(newRequest())
 					hs.Expect(sl.TargetIDs()).NotTo(ContainElements(id(0)))
 					hs.Expect(sl.TargetIDs()).NotTo(ContainElements(id(1)))
 					sl.Release()
 				}
-				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left booked")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left")
 			})
 		})
 	}
@@ -58,10 +58,10 @@
 	const shortBackOff = objective / 4
 	for name, newRequest := range map[string]func() dispatch.Request{"plain": plainRequest, "prompt": func() dispatch.Request { return promptRequest(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Tracker) {
+			runWithBackOffs(t, 2, func(hs *harness, tr *backoff.Tracker) {
 				began := time.Now()
-				bk.Begin(id(0), time.Minute, began)
-				bk.Begin(id(1), shortBackOff, began)
+				tr.Begin(id(0), time.Minute, began)
+				tr.Begin(id(1), shortBackOff, began)
 				sl := hs.mustAcquire(newRequest())
 				hs.Expect(sl.Target.ID).To(Equal(id(1)))
 				hs.Expect(time.Since(began)).To(BeNumerically(">=", shortBackOff))
@@ -74,10 +74,10 @@
 func TestRequestIsRefusedAtOnceIfBackOffsOutlastItsWaitDeadline(t *testing.T) {
 	for name, newRequest := range map[string]func() dispatch.Request{"plain": plainRequest, "prompt": func() dispatch.Request { return promptRequest(1000) }} {
 		t.Run(name, func(t *testing.T) {
-			runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Tracker) {
+			runWithBackOffs(t, 2, func(hs *harness, tr *backoff.Tracker) {
 				began := time.Now()
-				bk.Begin(id(0), time.Minute, began)
-				bk.Begin(id(1), 7*time.Second, began)
+				tr.Begin(id(0), time.Minute, began)
+				tr.Begin(id(1), 7*time.Second, began)
 				fe := hs.mustBeRefused(newRequest())
 				hs.Expect(time.Since(began)).To(BeZero())
 				hs.Expect(fe.Code).To(Equal(failure.Overloaded))
@@ -92,8 +92,8 @@
 // TestRetryAfterCoversBackOffOfExcludedTarget sends a request that was already turned away by the only target, which is in
 // back-off.
 func TestRetryAfterCoversBackOffOfExcludedTarget(t *testing.T) {
-	runWithBackOffs(t, 1, func(hs *harness, bk *backoff.Tracker) {
-		bk.Begin(id(0), 5*time.Second, time.Now())
+	runWithBackOffs(t, 1, func(hs *harness, tr *backoff.Tracker) {
+		tr.Begin(id(0), 5*time.Second, time.Now())
 		rq := plainRequest()
 		rq.Exclude = []string{id(0)}
 		hs.Expect(hs.mustBeRefused(rq).RetryAfter).To(Equal(5 * time.Second))
@@ -104,8 +104,8 @@
 // They must not all be sent at once when it does.
 func TestWaitingRequestsAreReleasedGraduallyAfterBackOff(t *testing.T) {
 	const waiters = 60
-	runWithBackOffs(t, 1, func(hs *harness, bk *backoff.Tracker) {
-		bk.Begin(id(0), objective/4, time.Now())
+	runWithBackOffs(t, 1, func(hs *harness, tr *backoff.Tracker) {
+		tr.Begin(id(0), objective/4, time.Now())
 		var mu sync.Mutex
 		var sentTimes []time.Time
 		var wg sync.WaitGroup
@@ -121,7 +121,7 @@
 				sentTimes = append(sentTimes, sent)
 				mu.Unlock()
 				time.Sleep(20 * time.Millisecond)
-				bk.RecordSuccess(id(0), sent)
+				tr.RecordSuccess(id(0), sent)
 			})
 		}
 		wg.Wait()
@@ -142,8 +142,8 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Tracker) {
-				bk.Begin(id(0), time.Second, time.Now())
+			runWithBackOffs(t, 2, func(hs *harness, tr *backoff.Tracker) {
+				tr.Begin(id(0), time.Second, time.Now())
 				// The other target is busy, so that the backed-off one would be preferred.
 				for range slots {
 					hs.mustAcquire(plainRequest())
@@ -180,8 +180,8 @@
 }
 
 func TestRetriedRequestDoesNotProbe(t *testing.T) {
-	runWithBackOffs(t, 2, func(hs *harness, bk *backoff.Tracker) {
-		bk.Begin(id(0), time.Second, time.Now())
+	runWithBackOffs(t, 2, func(hs *harness, tr *backoff.Tracker) {
+		tr.Begin(id(0), time.Second, time.Now())
 		time.Sleep(time.Minute)
 		rq := plainRequest()
 		rq.Retried = true
@@ -189,9 +189,9 @@
 	})
 }
 
-// TestRequestFallsBackToOpenTargetsIfPreferredOnesAreClosed covers requests that are limited to certain targets at first. If
-// all of these are closed, the request must be sent to one of the others.
-func TestRequestFallsBackToOpenTargetsIfPreferredOnesAreClosed(t *testing.T) {
+// TestRequestFallsBackToOtherTargetsIfPreferredOnesAreBlocked covers requests that are limited to certain targets at first. If
+// all of these are blocked, the request must be sent to one of the others.
+func TestRequestFallsBackToOtherTargetsIfPreferredOnesAreBlocked(t *testing.T) {
 	tests := map[string]func(hs *harness, rq *dispatch.Request){
 		"request that may run only once, next to a failed target": func(hs *harness, rq *dispatch.Request) {
 			rq.Caution = targets.RequireHealthy
@@ -207,13 +207,13 @@
 	}
 	for name, edit := range tests {
 		t.Run(name, func(t *testing.T) {
-			runWithBackOffs(t, 1, func(hs *harness, bk *backoff.Tracker) {
+			runWithBackOffs(t, 1, func(hs *harness, tr *backoff.Tracker) {
 				hs.putTarget(1, "far", false)
 				hs.putTarget(2, "far", false)
 				rq := plainRequest()
 				edit(hs, &rq)
 				for i := 1; i <= 2; i++ {
-					bk.Begin(id(i), time.Minute, time.Now())
+					tr.Begin(id(i), time.Minute, time.Now())
 				}
 				rq.Arrived, rq.Deadline = time.Now(), time.Now().Add(deadline)
 				hs.Expect(hs.mustAcquire(rq).Target.ID).To(Equal(id(0)))
--- a/internal/dispatch/deferral.go
+++ b/internal/dispatch/deferral.go
@@ -17,7 +17,7 @@
 const lateThreshold = 1.2
 
 // isWorthPlacing reports whether a long prompt is expected to be worth more than the loss it causes to other requests. A
-// long prompt that is already late is worth little, and when a few targets read it in long passes, every request that
+// long prompt that is already late is worth little, and when a few targets prefill it in long passes, every request that
 // arrives there becomes late as well: a single such prompt can start an overload.
 //
 // A prompt that is late because it had to wait also gets the cost of a refusal credited: there is no better moment to wait
@@ -46,7 +46,7 @@
 	return pr.CallerIdleTimeout <= 0 || pr.Elapsed+pl.TimeToFirstToken <= pr.CallerIdleTimeout
 }
 
-// withoutPrefill returns copies of the targets with all pending prefill done and none closed.
+// withoutPrefill returns copies of the targets with all pending prefill done and none blocked.
 func withoutPrefill(cands []placement.Target) []placement.Target {
 	after := slices.Clone(cands)
 	for i := range after {
@@ -75,7 +75,7 @@
 )
 
 // isBetterLater reports whether a long prompt should wait until current prefill has ended. Parts of two long prompts in one
-// engine pass make the pauses of all answers generated there too long; one after the other they do not.
+// engine pass make the pauses of all answers decoded there too long; one after the other they do not.
 func isBetterLater(pr placement.Prompt, pl, later placement.Plan) bool {
 	if float64(pr.Elapsed+later.TimeToFirstToken) > maxWaitFirstToken*float64(pr.Objective) {
 		return false
@@ -88,7 +88,7 @@
 	// worth: for a long prompt, about one short answer.
 	minDeferHarm = 0.05
 	// maxDeferral is how long a late prompt is deferred at most, in multiples of its objective. Callers give up a stream
-	// after four objectives, and reading a large prompt takes more than one.
+	// after four objectives, and the prefill of a large prompt takes more than one.
 	maxDeferral = 2.5
 )
 
--- a/internal/dispatch/deferral_test.go
+++ b/internal/dispatch/deferral_test.go
@@ -12,7 +12,7 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// longPrompt returns a request with a prompt that takes two seconds to read.
+// longPrompt returns a request with a prompt whose prefill takes two seconds.
 func (hs *clockHarness) longPrompt() dispatch.Request {
 	rq := hs.shortPrompt()
 	rq.PromptTokens = 140_000
@@ -31,21 +31,21 @@
 
 func TestLateLongPromptIsDeferredWhileItWouldHarmOthers(t *testing.T) {
 	cases := map[string]struct {
-		writers          int
+		decoding         int
 		waited           time.Duration
 		minWait, maxWait time.Duration
 	}{
 		"no other requests":            {waited: 3 * time.Second},
-		"another answer is in time":    {writers: 1, waited: 3 * time.Second, minWait: 3 * time.Second, maxWait: 4 * time.Second},
-		"maximum deferral is exceeded": {writers: 1, waited: 7 * time.Second},
-		"prompt can still be in time":  {writers: 1},
+		"another answer is in time":    {decoding: 1, waited: 3 * time.Second, minWait: 3 * time.Second, maxWait: 4 * time.Second},
+		"maximum deferral is exceeded": {decoding: 1, waited: 7 * time.Second},
+		"prompt can still be in time":  {decoding: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				hs := newClockHarness(time.Now, "t1")
-				hs.startShortAnswers(g, tc.writers)
+				hs.startShortAnswers(g, tc.decoding)
 				rq := hs.longPromptArrivedAgo(tc.waited)
 				began := time.Now()
 				sl, err := hs.dispatcher.Acquire(context.Background(), rq)
@@ -59,25 +59,25 @@
 }
 
 // TestLongPromptYieldsToShortAnswersWorthMore places a prompt worth 14.7 points next to short answers. It would make all of
-// them late, and those that arrive while it is read.
+// them late, and those that arrive during its prefill.
 func TestLongPromptYieldsToShortAnswersWorthMore(t *testing.T) {
 	cases := map[string]struct {
-		writers int
+		decoding int
 		// ends is when the short answers end; zero means never.
 		ends, maxWait time.Duration
 		refused       bool
 	}{
-		"short answers end in time":             {writers: 8, ends: time.Second, maxWait: 1200 * time.Millisecond},
-		"short answers end after the objective": {writers: 8, ends: 8 * time.Second, maxWait: 8200 * time.Millisecond},
-		"short answers do not end":              {writers: 8, maxWait: 13 * time.Second, refused: true},
-		"short answers are worth less":          {writers: 2},
+		"short answers end in time":             {decoding: 8, ends: time.Second, maxWait: 1200 * time.Millisecond},
+		"short answers end after the objective": {decoding: 8, ends: 8 * time.Second, maxWait: 8200 * time.Millisecond},
+		"short answers do not end":              {decoding: 8, maxWait: 13 * time.Second, refused: true},
+		"short answers are worth less":          {decoding: 2},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				hs := newClockHarness(time.Now, "t1")
-				slots := hs.startShortAnswers(g, tc.writers)
+				slots := hs.startShortAnswers(g, tc.decoding)
 				if tc.ends > 0 {
 					time.AfterFunc(tc.ends, func() { releaseAll(slots) })
 				}
@@ -104,11 +104,11 @@
 // retried and refused again, which costs their callers more than the wait.
 func TestLateLongPromptIsNotRefusedForMinorHarm(t *testing.T) {
 	cases := map[string]struct {
-		writers int
-		refused bool
+		decoding int
+		refused  bool
 	}{
-		"harm to three short answers": {writers: 3},
-		"harm exceeds its worth":      {writers: 7, refused: true},
+		"harm to three short answers": {decoding: 3},
+		"harm exceeds its worth":      {decoding: 7, refused: true},
 		"idle target":                 {},
 	}
 	for name, tc := range cases {
@@ -116,7 +116,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
 				hs := newClockHarness(time.Now, "t1")
-				hs.startShortAnswers(g, tc.writers)
+				hs.startShortAnswers(g, tc.decoding)
 				rq := hs.longPromptArrivedAgo(7 * time.Second)
 				began := time.Now()
 				sl, err := hs.dispatcher.Acquire(context.Background(), rq)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -39,7 +39,7 @@
 	Priority int
 	// Resumed is set if a stream that already sent events continues on another target.
 	Resumed bool
-	// Caution is how certain the request must be that its target works.
+	// Caution is how much evidence of health the request requires of its target.
 	Caution targets.Caution
 	// Authorise returns an error if the request may no longer be sent. It is called before each try, since an authorisation
 	// that held on arrival can be withdrawn while the request waits. It is nil for a request whose authorisation cannot
@@ -56,7 +56,7 @@
 	permitRefusals int
 }
 
-// Helper is a target that reads part of the prompt for the main target.
+// Helper is a target that prefills part of the prompt for the main target.
 type Helper struct {
 	ID, Address string
 	// Reservation identifies memory reserved at the helper; empty if none is.
@@ -85,9 +85,9 @@
 	// OnLoadChange is called when the load of this instance at any target changes; it may be nil. The load table's lock may
 	// be held during the call, so it must not call the Dispatcher.
 	OnLoadChange func()
-	// Permits grants requests to targets with a rate limit; nil disables rate limits.
+	// Permits acquires the permits for targets with a rate limit; nil disables rate limits.
 	Permits *permit.Client
-	// BackOffs holds the targets that asked this instance to back off; nil disables back-offs.
+	// BackOffs tracks the targets that asked this instance for a back-off; nil disables back-offs.
 	BackOffs *backoff.Tracker
 	// OnBackOffWait is called each time a request starts to wait for the end of a target's back-off; it may be nil.
 	OnBackOffWait func(request string, tg targets.Target, wait time.Duration)
@@ -96,8 +96,8 @@
 }
 
 // New returns a Dispatcher without any load.
-func New(dr *targets.Directory, kp *reservation.Manager, op Options) *Dispatcher {
-	return &Dispatcher{targets: dr, reservations: kp, opts: op, loadTable: newLoadTable()}
+func New(dr *targets.Directory, mg *reservation.Manager, op Options) *Dispatcher {
+	return &Dispatcher{targets: dr, reservations: mg, opts: op, loadTable: newLoadTable()}
 }
 
 // OwnLoads returns the load of this instance at each target, by incarnation.
@@ -117,7 +117,7 @@
 	roomRetryAfter = 300 * time.Millisecond
 )
 
-// Acquire chooses a target and books the request's load there. If there is no room, a short prompt waits for part of its
+// Acquire chooses a target and adds the request's load there. If there is no room, a short prompt waits for part of its
 // objective, and a longer one for as long as it can still be answered. The caller must release the slot.
 func (ds *Dispatcher) Acquire(ctx context.Context, rq Request) (*Slot, error) {
 	deadline := rq.roomWaitDeadline()
@@ -153,7 +153,7 @@
 		if ok {
 			continue
 		}
-		// A request probes an availability zone on its first try or not at all.
+		// A request probes an availability zone on its first attempt or not at all.
 		rq.Caution = max(rq.Caution, targets.RequireReachable)
 		if ds.opts.Now().After(deadline) {
 			return nil, failure.New(failure.Overloaded, failure.NotRun, "no target has room").WithRetryAfter(roomRetryAfter)
@@ -170,8 +170,8 @@
 	return rq.Arrived.Add(time.Duration(maxRoomWaitShare * float64(rq.Objective)))
 }
 
-// backOffWaitDeadline is the time until which a request waits for a closed target to reopen. A resumed request waits until
-// its deadline, because its caller is already reading the answer.
+// backOffWaitDeadline is the time until which a request waits for the block of a target to end. A resumed request waits
+// until its deadline, because its caller is already reading the answer.
 func (rq Request) backOffWaitDeadline() time.Time {
 	if rq.Resumed {
 		return rq.Deadline
@@ -240,7 +240,7 @@
 }
 
 // usable returns the usable targets of the service that the request does not exclude. If none match the request's caution,
-// it returns all that are proven.
+// it returns those that match targets.RequireReachable.
 func (ds *Dispatcher) usable(rq Request) []targets.Target {
 	kept := ds.usableNotExcluded(rq, rq.effectiveCaution())
 	if len(kept) == 0 {
@@ -279,13 +279,13 @@
 }
 
 // chooseLeastBusy chooses the target of a plain service with the lowest utilisation, preferring the local availability zone.
-// It returns nil if all targets are closed.
+// It returns nil if all targets are blocked.
 func (ds *Dispatcher) chooseLeastBusy(rq Request, tgs []targets.Target) *Slot {
 	ds.loadTable.mu.Lock()
 	defer ds.loadTable.mu.Unlock()
 	best, bestCost := -1, 0.0
 	for i, tg := range tgs {
-		if _, _, closed := ds.blocked(rq, tg.ID); closed {
+		if _, _, blocked := ds.blocked(rq, tg.ID); blocked {
 			continue
 		}
 		cost := float64(ds.loadTable.total(tg.ID).Decoding) / float64(max(1, tg.Slots))
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// targetCounts returns how many targets were asked to reserve memory, and how many to release it.
+// targetCounts returns how many targets reserved memory, and how many released it.
 func (fr *fakeReservations) targetCounts() (reserved, released int) {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
@@ -92,7 +92,7 @@
 		reservations: &fakeReservations{reserved: map[string]int{}, released: map[string]int{}, refusing: map[string]bool{}, silent: map[string]bool{}},
 	}
 	var ids atomic.Int64
-	kp := &reservation.Manager{
+	mg := &reservation.Manager{
 		Timeout: 400 * time.Millisecond, LeaseDuration: 3 * time.Second,
 		Reserve: hs.reservations.reserve, Release: hs.reservations.release,
 		NewID: func() string { return strconv.FormatInt(ids.Add(1), 10) },
@@ -102,7 +102,7 @@
 	for _, edit := range opts {
 		edit(&op)
 	}
-	hs.Dispatcher = dispatch.New(hs.directory, kp, op)
+	hs.Dispatcher = dispatch.New(hs.directory, mg, op)
 	for i := range count {
 		hs.putTarget(i, zone, false)
 	}
@@ -275,8 +275,8 @@
 	}
 }
 
-// TestConcurrentPromptsAreNotBookedIntoTheSameRoom sends as many prompts at the same time as there are idle targets.
-func TestConcurrentPromptsAreNotBookedIntoTheSameRoom(t *testing.T) {
+// TestConcurrentPromptsAreNotGivenTheSameMemory sends as many prompts at the same time as there are idle targets.
+func TestConcurrentPromptsAreNotGivenTheSameMemory(t *testing.T) {
 	const count = 3
 	runInBubble(t, count, func(hs *harness) {
 		var all []<-chan *dispatch.Slot
@@ -372,7 +372,7 @@
 // TestOneProbeIsSentToUnreachableAvailabilityZone makes an availability zone unreachable and waits until it may be probed.
 func TestOneProbeIsSentToUnreachableAvailabilityZone(t *testing.T) {
 	long := func() dispatch.Request { return promptRequest(20_000) }
-	proven := func() dispatch.Request {
+	reachable := func() dispatch.Request {
 		rq := promptRequest(1000)
 		rq.Caution = targets.RequireReachable
 		return rq
@@ -393,9 +393,9 @@
 		"one of several short prompts probes":                        {1, []func() dispatch.Request{short, short, short}, 1},
 		"one of several plain requests probes":                       {1, []func() dispatch.Request{plainRequest, plainRequest}, 1},
 		"long prompt does not probe":                                 {4, []func() dispatch.Request{long}, 0},
-		"request that requires proven targets does not probe":        {1, []func() dispatch.Request{proven, proven}, 0},
+		"request that requires reachable targets does not probe":     {1, []func() dispatch.Request{reachable, reachable}, 0},
 		"request that excludes the zone's targets is sent elsewhere": {1, []func() dispatch.Request{excluding}, 0},
-		"requests that do not probe leave the probe to a later one":  {2, []func() dispatch.Request{proven, proven, short}, 1},
+		"requests that do not probe leave the probe to a later one":  {2, []func() dispatch.Request{reachable, reachable, short}, 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatch/failures.go
+++ b/internal/dispatch/failures.go
@@ -20,7 +20,7 @@
 	failureLoadPeriod = 2 * time.Second
 )
 
-// RecordFailure notes that the target broke off or failed the attempt.
+// RecordFailure records that the target interrupted or failed the attempt.
 func (sl *Slot) RecordFailure() {
 	if sl.engine == nil {
 		return
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -39,12 +39,12 @@
 	lt.ownByTarget[id] = lt.ownByTarget[id].Plus(lo)
 }
 
-// remove takes a load away from this instance's load at a target. The caller holds the lock.
+// remove subtracts from this instance's load at a target. The caller holds the lock.
 func (lt *loadTable) remove(id string, lo placement.Load) {
 	subtract(lt.ownByTarget, id, lo)
 }
 
-// subtract takes a load away from one target's entry, and deletes the entry if nothing is left, since the maps hold no empty
+// subtract subtracts a load from one target's entry, and deletes the entry if nothing is left, since the maps hold no empty
 // loads.
 func subtract(loads map[string]placement.Load, id string, lo placement.Load) {
 	left := loads[id].Minus(lo)
--- a/internal/dispatch/loads_test.go
+++ b/internal/dispatch/loads_test.go
@@ -15,7 +15,7 @@
 	target := rapid.SampledFrom([]string{"a", "b", "c"})
 	load := rapid.Custom(func(rt *rapid.T) placement.Load {
 		return placement.Load{
-			Decoding: rapid.IntRange(1, 5).Draw(rt, "writers"), MemoryTokens: rapid.Int64Range(0, 1000).Draw(rt, "memory"),
+			Decoding: rapid.IntRange(1, 5).Draw(rt, "decoding"), MemoryTokens: rapid.Int64Range(0, 1000).Draw(rt, "memory"),
 		}
 	})
 	return rapid.MapOf(target, load).Draw(rt, "loads")
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -23,11 +23,11 @@
 // once, since every further plan that includes one of them would reserve memory at the others in vain. It reports whether
 // the error is a failed reservation.
 func (ds *Dispatcher) markReservationFailures(err error, tgs []targets.Target) bool {
-	var te *reservation.AcquireError
-	if !errors.As(err, &te) {
+	var ae *reservation.AcquireError
+	if !errors.As(err, &ae) {
 		return false
 	}
-	for _, cause := range te.Causes {
+	for _, cause := range ae.Causes {
 		var re *reservation.RefusedError
 		var ue *reservation.UnansweredError
 		switch {
@@ -54,11 +54,11 @@
 	for _, tg := range tgs {
 		addressByID[tg.ID] = tg.Address
 	}
-	places := make([]reservation.Allocation, 0, len(sl.plan.MemoryShares))
+	als := make([]reservation.Allocation, 0, len(sl.plan.MemoryShares))
 	for _, sh := range sl.plan.MemoryShares {
-		places = append(places, reservation.Allocation{Target: sh.Target, Address: addressByID[sh.Target], Tokens: sh.Tokens})
+		als = append(als, reservation.Allocation{Target: sh.Target, Address: addressByID[sh.Target], Tokens: sh.Tokens})
 	}
-	rv, err := ds.reservations.Acquire(ctx, places)
+	rv, err := ds.reservations.Acquire(ctx, als)
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -73,7 +73,7 @@
 				defer sl.Release()
 				for target := range 3 {
 					if held := hs.OwnLoads()[id(target)].MemoryTokens; held > memory {
-						hs.t.Errorf("%d tokens are booked at target %s", held, id(target))
+						hs.t.Errorf("%d tokens are in use at target %s", held, id(target))
 					}
 				}
 				time.Sleep(50 * time.Millisecond)
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -33,7 +33,7 @@
 	return !inTime && slotsExhausted(rq.Service.Engine, cands)
 }
 
-// slotsExhausted reports whether nearly all slots of the targets that take requests are in use.
+// slotsExhausted reports whether nearly all slots of the targets that are not blocked are in use.
 func slotsExhausted(en *placement.Engine, cands []placement.Target) bool {
 	taken, slots := 0, 0
 	for i := range cands {
@@ -46,7 +46,7 @@
 	return float64(taken) > overloadThreshold*float64(slots)
 }
 
-// inFlight returns the number of requests in prefill or generation at the given targets.
+// inFlight returns the number of requests that are prefilling or decoding at the given targets.
 func inFlight(cands []placement.Target) int {
 	sum := 0
 	for i := range cands {
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -10,31 +10,31 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// loadsWithWriters returns the loads of three targets with that many writers each.
-func loadsWithWriters(writers int) map[string]placement.Load {
+// loadsWithDecoding returns the loads of three targets with that many decoding requests each.
+func loadsWithDecoding(decoding int) map[string]placement.Load {
 	loads := map[string]placement.Load{}
 	for i := range 3 {
-		loads[id(i)] = placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, MemoryTokens: int64(writers) * 600}
+		loads[id(i)] = placement.Load{Decoding: decoding, ContextTokens: int64(decoding) * 500, MemoryTokens: int64(decoding) * 600}
 	}
 	return loads
 }
 
-// TestShortPromptIsShedWhenSlotsAreExhausted places one more prompt at three targets with a number of writers each.
+// TestShortPromptIsShedWhenSlotsAreExhausted places one more prompt at three targets with a number of decoding requests each.
 func TestShortPromptIsShedWhenSlotsAreExhausted(t *testing.T) {
 	tests := map[string]struct {
-		writers, tokens int
-		resumed         bool
-		refused         bool
+		decoding, tokens int
+		resumed          bool
+		refused          bool
 	}{
-		"slots are free":                     {writers: 1, tokens: 500},
-		"slots are taken":                    {writers: 3 * slots, tokens: 500, refused: true},
-		"slots are taken, stream is resumed": {writers: 3 * slots, tokens: 500, resumed: true},
-		"half of the slots are taken":        {writers: slots / 2, tokens: 500},
+		"slots are free":                     {decoding: 1, tokens: 500},
+		"slots are taken":                    {decoding: 3 * slots, tokens: 500, refused: true},
+		"slots are taken, stream is resumed": {decoding: 3 * slots, tokens: 500, resumed: true},
+		"half of the slots are taken":        {decoding: slots / 2, tokens: 500},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			runInBubble(t, 3, func(hs *harness) {
-				hs.SetPeerLoads("peer", loadsWithWriters(tc.writers))
+				hs.SetPeerLoads("peer", loadsWithDecoding(tc.decoding))
 				rq := promptRequest(tc.tokens)
 				rq.Service.Engine.MemoryTokens = 100_000
 				rq.Objective, rq.Resumed = 300*time.Millisecond, tc.resumed
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -9,11 +9,11 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// A target under pressure sets a limit on the requests per second that it takes from all instances together. Each request to
-// it needs a permit, so that the sum stays within the limit. A target that has no permits to give is closed, like one
-// without free slots: other targets are chosen first.
+// A target under pressure states a limit on the requests per second that it accepts from all instances together. Each request to
+// it needs a permit, so that the sum stays within the limit. A target without available permits is blocked: other targets are
+// chosen first.
 
-// noPermitError reports that the chosen target had no permit to give and is now closed.
+// noPermitError reports that no permit was available for the chosen target, which is now blocked.
 type noPermitError struct{}
 
 func (*noPermitError) Error() string { return "no permit granted for the chosen target" }
@@ -22,23 +22,23 @@
 // attempt takes a round trip to another instance; all of them together stay well within the shortest objective.
 const maxPermitTries = 8
 
-// closed reports whether a target is closed to the request now, and when it may be tried again. The phase is that of the
-// back-off that closes it, and Open if the target lacks permits instead.
-func (ds *Dispatcher) blocked(rq Request, id string) (opens time.Time, ph backoff.Phase, closed bool) {
-	if opens, ph, closed = ds.blockedByBackOff(rq, id); closed {
-		return opens, ph, true
+// blocked reports whether a target is blocked for the request now, and when it may be tried again. The phase is that of the
+// back-off that blocks it, or backoff.Available if the target lacks permits instead.
+func (ds *Dispatcher) blocked(rq Request, id string) (until time.Time, ph backoff.Phase, blocked bool) {
+	if until, ph, blocked = ds.blockedByBackOff(rq, id); blocked {
+		return until, ph, true
 	}
-	opens, closed = ds.blockedByRateLimit(rq, id)
-	return opens, backoff.Available, closed
+	until, blocked = ds.blockedByRateLimit(rq, id)
+	return until, backoff.Available, blocked
 }
 
-// closedByRateLimit reports whether a target has no permit for the request now, and when it may be tried again.
-func (ds *Dispatcher) blockedByRateLimit(rq Request, id string) (opens time.Time, closed bool) {
+// blockedByRateLimit reports whether a target has no permit for the request now, and when it may be tried again.
+func (ds *Dispatcher) blockedByRateLimit(rq Request, id string) (until time.Time, blocked bool) {
 	if ds.opts.Permits == nil || rq.permitTarget == id {
 		return time.Time{}, false
 	}
-	if opens, closed = ds.opts.Permits.BlockedUntil(id); closed {
-		return opens, true
+	if until, blocked = ds.opts.Permits.BlockedUntil(id); blocked {
+		return until, true
 	}
 	return ds.opts.Now(), rq.permitRefusals >= maxPermitTries && ds.opts.Permits.Limited(id)
 }
@@ -49,7 +49,7 @@
 	if ds.opts.Permits == nil || rq.permitTarget == sl.Target.ID {
 		return nil
 	}
-	if an := ds.requestPermit(ctx, rq, sl.Target, 0); an.Granted {
+	if dc := ds.requestPermit(ctx, rq, sl.Target, 0); dc.Granted {
 		return nil
 	}
 	sl.Release()
@@ -61,9 +61,9 @@
 
 // requestPermit asks the issuer for a permit that is due within the given wait, and reports a refusal to OnPermitRefused.
 func (ds *Dispatcher) requestPermit(ctx context.Context, rq Request, tg targets.Target, wait time.Duration) permit.Decision {
-	an := ds.opts.Permits.Acquire(ctx, tg, wait)
-	if !an.Granted && ds.opts.OnPermitRefused != nil {
-		ds.opts.OnPermitRefused(rq.ID, tg, an.Delay)
+	dc := ds.opts.Permits.Acquire(ctx, tg, wait)
+	if !dc.Granted && ds.opts.OnPermitRefused != nil {
+		ds.opts.OnPermitRefused(rq.ID, tg, dc.Delay)
 	}
-	return an
+	return dc
 }
--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -61,7 +61,7 @@
 					sl.Release()
 				}
 				hs.Expect(fi.requests.Load()).To(BeNumerically("<=", 2), "a target that refused a permit is not asked again")
-				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left booked")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left")
 			})
 		})
 	}
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -53,7 +53,7 @@
 	return max(rq.Service.Engine.StepsPerPass, expected)
 }
 
-// place chooses the targets of a prompt and books its load there.
+// place chooses the targets of a prompt and adds its load there.
 func (ds *Dispatcher) place(ctx context.Context, rq Request, tgs []targets.Target) (*Slot, bool, error) {
 	pr := ds.newPrompt(rq)
 	sl, err := ds.chooseAndAddLoad(rq, pr, tgs)
@@ -92,8 +92,8 @@
 	return true
 }
 
-// chooseAndBook books the plan with the least expected loss. It holds the load table's lock throughout, so that two requests
-// are not planned into the same room. It returns nil if the prompt has to wait, and an error if it is refused.
+// chooseAndAddLoad chooses the plan with the least expected loss and adds its load. It holds the load table's lock throughout, so
+// that two requests are not planned into the same room. It returns nil if the prompt has to wait, and an error if it is refused.
 func (ds *Dispatcher) chooseAndAddLoad(rq Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
 	delay := ds.propagationDelay()
 	ds.loadTable.mu.Lock()
@@ -155,12 +155,12 @@
 	now := ds.opts.Now()
 	cands := make([]placement.Target, len(tgs))
 	for i, tg := range tgs {
-		_, _, closed := ds.blocked(rq, tg.ID)
+		_, _, blocked := ds.blocked(rq, tg.ID)
 		ph, _ := ds.backOffPhase(tg.ID)
 		cands[i] = placement.Target{
 			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loadTable.total(tg.ID), Slowdown: 1,
 			CanHelp: ph == backoff.Available,
-			Closed:  closed,
+			Closed:  blocked,
 		}
 		if ds.loadTable.isFull(tg.ID, now) {
 			cands[i].CanHelp = false
@@ -170,7 +170,7 @@
 	return cands
 }
 
-// bookPlan books the load of a plan at its targets. The caller holds the load table's lock.
+// addPlanLoad adds the load of a plan at its targets, and returns its slot. The caller holds the load table's lock.
 func (ds *Dispatcher) addPlanLoad(rq Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
 	byID := make(map[string]targets.Target, len(tgs))
 	for _, tg := range tgs {
@@ -203,10 +203,10 @@
 // unboundedTimeLeft replaces the time left when the deadline does not apply.
 const unboundedTimeLeft = time.Hour
 
-// usualPassTime is the usual time of an engine pass that generates answers, sometimes together with prefill.
+// usualPassTime is the usual time of an engine pass that decodes answers, sometimes together with prefill.
 const usualPassTime = 90 * time.Millisecond
 
-// usualAnswerTime returns how long an engine takes to generate an answer of usual length.
+// usualAnswerTime returns how long an engine takes to decode an answer of usual length.
 func usualAnswerTime(en *placement.Engine) time.Duration {
 	passes := max(1, float64(en.MeanAnswerTokens)/float64(max(1, en.StepsPerPass)))
 	return time.Duration(passes * float64(usualPassTime))
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -8,9 +8,9 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// In a wave of long prompts, their parts reach one target after another, and each short answer that is generated there
-// pauses while a part is read. With short answers spread over all targets, nearly all of them would be late, although a few
-// targets could generate all of them. Targets are therefore divided into two pools.
+// In a wave of long prompts, their parts reach one target after another, and each short answer that is decoded there pauses
+// during the prefill of a part. With short answers spread over all targets, nearly all of them would be late, although a few
+// targets could decode all of them. Targets are therefore divided into two pools.
 
 const (
 	// shortPoolUtilisation is the share of the slots in the short pool that short answers are expected to use. The rest is
@@ -27,7 +27,7 @@
 	maxLongPauseShare = 0.8
 )
 
-// pools divides targets into those that generate short answers and those that read the parts of long prompts. All instances
+// pools divides targets into those that decode short answers and those that prefill the parts of long prompts. All instances
 // see about the same loads and order the targets alike, so that they agree without coordination. Where they disagree, a
 // prompt is merely served by a less suitable target.
 type pools struct {
@@ -39,17 +39,17 @@
 // newPools divides the targets, which it reorders, by the worth that short answers have at risk there. The short pool is
 // empty if it would leave fewer targets in the long pool than the largest number of parts of a prompt.
 func newPools(en *placement.Engine, cands []placement.Target, st arrivalStats) pools {
-	// Closed targets receive no short prompts now, so other targets take their place in the short pool.
-	openCount := moveUnblockedFirst(cands)
-	size := shortPoolSize(en, cands[:openCount], st)
-	if size == 0 || size > openCount || len(cands)-size < placement.MaxParts {
+	// Blocked targets receive no short prompts now, so other targets take their place in the short pool.
+	unblockedCount := moveUnblockedFirst(cands)
+	size := shortPoolSize(en, cands[:unblockedCount], st)
+	if size == 0 || size > unblockedCount || len(cands)-size < placement.MaxParts {
 		return pools{long: cands}
 	}
-	shortCount := moveLowestHashesFirst(cands[:openCount], size)
+	shortCount := moveLowestHashesFirst(cands[:unblockedCount], size)
 	return pools{short: cands[:shortCount], long: cands[shortCount:], maxPause: st.shortMaxPause}
 }
 
-// moveOpenFirst moves the targets that are not closed to the front, and returns their number.
+// moveUnblockedFirst moves the targets that are not blocked to the front, and returns their number.
 func moveUnblockedFirst(cands []placement.Target) int {
 	count := 0
 	for i := range cands {
--- a/internal/dispatch/pools_test.go
+++ b/internal/dispatch/pools_test.go
@@ -11,8 +11,8 @@
 	"github.com/silvermount/silvermount/internal/dispatch"
 )
 
-// readingTargets returns the targets that read a part of the slot's prompt.
-func readingTargets(sl *dispatch.Slot) []string {
+// prefillTargets returns the targets that prefill a part of the slot's prompt.
+func prefillTargets(sl *dispatch.Slot) []string {
 	ids := []string{sl.Target.ID}
 	for _, hp := range sl.Helpers {
 		ids = append(ids, hp.ID)
@@ -20,11 +20,11 @@
 	return ids
 }
 
-// TestShortPromptIsNotDelayedByLongPrompts guards against long prompts being read at all free targets. In a wave of long
-// prompts, a short prompt then found no target without a part being read, and its answer paused for as long: 25 of 192 were
-// late for that reason. Now some targets stay free of long parts, and all instances choose the same ones.
+// TestShortPromptIsNotDelayedByLongPrompts guards against the prefill of long prompts at all free targets. In a wave of long
+// prompts, a short prompt then found no target without the prefill of a part, and its answer paused for as long: 25 of 192
+// were late for that reason. Now some targets stay free of long parts, and all instances choose the same ones.
 func TestShortPromptIsNotDelayedByLongPrompts(t *testing.T) {
-	// Each long prompt is read at three targets.
+	// Each long prompt is prefilled at three targets.
 	const count, longs = 20, 6
 	ids := make([]string, count)
 	for i := range ids {
@@ -37,16 +37,16 @@
 		first, err := hs.dispatcher.Acquire(t.Context(), hs.shortPrompt())
 		g.Expect(err).NotTo(HaveOccurred())
 		first.Release()
-		var reading []string
+		var prefilling []string
 		for range longs {
 			sl, err := hs.dispatcher.Acquire(t.Context(), hs.longPrompt())
 			g.Expect(err).NotTo(HaveOccurred())
-			reading = append(reading, readingTargets(sl)...)
+			prefilling = append(prefilling, prefillTargets(sl)...)
 		}
-		g.Expect(len(reading)).To(BeNumerically(">=", count-2))
+		g.Expect(len(prefilling)).To(BeNumerically(">=", count-2))
 		next, err := hs.dispatcher.Acquire(t.Context(), hs.shortPrompt())
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(reading).NotTo(ContainElement(next.Target.ID), "the short prompt is placed where no part is read")
+		g.Expect(prefilling).NotTo(ContainElement(next.Target.ID), "the short prompt is placed where no part is prefilled")
 		pooled = append(pooled, next.Target.ID)
 	}
 	NewWithT(t).Expect(slices.Compact(pooled)).To(HaveLen(1), "all instances keep the same target free")
--- a/internal/dispatch/priority.go
+++ b/internal/dispatch/priority.go
@@ -1,7 +1,7 @@
 package dispatch
 
 // Priorities that are sent to engines; the lowest number is the most urgent. A resumed stream comes first, because its
-// caller is already reading. Prompts of different lengths share a priority, since long ones are held back before they are
+// caller is already reading. Prompts of different lengths share a priority, since long ones are delayed before they are
 // sent.
 const (
 	priorityResumed = 0
@@ -10,10 +10,10 @@
 	lowestPriority = 9
 )
 
-// maxShortTokens is the largest prompt that counts as short: it is read within one pass and never waits for other requests.
+// maxShortTokens is the largest prompt that counts as short: it is prefilled within one pass and never waits for other requests.
 const maxShortTokens = 16_000
 
-// isLong reports whether the prompt is read in parts that delay other requests.
+// isLong reports whether the prompt is prefilled in parts that delay other requests.
 func (rq Request) isLong() bool { return rq.PromptTokens > maxShortTokens }
 
 // enginePriority returns the priority that is sent to the engine, from that of the caller's organisation or route.
--- a/internal/dispatch/sampling_test.go
+++ b/internal/dispatch/sampling_test.go
@@ -29,18 +29,18 @@
 	return most
 }
 
-// fleetLoads returns the loads of 64 targets with four writers each, except one with ten, which is the best target for one
-// more prompt.
+// fleetLoads returns the loads of 64 targets with four decoding requests each, except one with ten, which is the best target
+// for one more prompt.
 func fleetLoads() map[string]placement.Load {
 	loads := map[string]placement.Load{}
 	for i := range 64 {
-		writers := 4
+		decoding := 4
 		if i == 7 {
-			writers = 10
+			decoding = 10
 		}
-		lo := placement.Load{Decoding: writers, ContextTokens: int64(writers) * 500, MemoryTokens: int64(writers) * 600}
+		lo := placement.Load{Decoding: decoding, ContextTokens: int64(decoding) * 500, MemoryTokens: int64(decoding) * 600}
 		for cl := range lo.PauseRisk {
-			lo.PauseRisk[cl] = placement.WorthOf(0.1 * float64(writers))
+			lo.PauseRisk[cl] = placement.WorthOf(0.1 * float64(decoding))
 		}
 		loads[id(i)] = lo
 	}
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestLongPromptChoosesFromAllTargets places a long prompt that needs every target to read it.
+// TestLongPromptChoosesFromAllTargets places a long prompt that needs the prefill of every target.
 func TestLongPromptChoosesFromAllTargets(t *testing.T) {
 	runInBubble(t, 17, func(hs *harness) {
 		hs.SetPropagationDelay(func() time.Duration { return time.Hour })
@@ -82,12 +82,12 @@
 		rq.Service.Engine.MemoryTokens, rq.Service.Engine.PrefillTimePerThousand = 100_000, 100*time.Millisecond
 		rq.Objective = 150 * time.Millisecond
 		sl := hs.mustAcquire(rq)
-		reading := []string{sl.Target.ID}
+		ids := []string{sl.Target.ID}
 		for _, hp := range sl.Helpers {
-			reading = append(reading, hp.ID)
+			ids = append(ids, hp.ID)
 		}
-		slices.Sort(reading)
-		hs.Expect(slices.Compact(reading)).To(HaveLen(len(sl.Helpers) + 1))
+		slices.Sort(ids)
+		hs.Expect(slices.Compact(ids)).To(HaveLen(len(sl.Helpers) + 1))
 		hs.Expect(len(sl.Helpers)).To(BeNumerically(">", sampleSize))
 	})
 }
--- a/internal/dispatch/shutdown_test.go
+++ b/internal/dispatch/shutdown_test.go
@@ -43,7 +43,7 @@
 		// memoryFull is set if the memory of all targets is taken at first. It is free from freedAt on; zero means never.
 		memoryFull bool
 		freedAt    time.Duration
-		// announcedAt is when the instance is told to stop, and stopsIn how long it has from then on.
+		// announcedAt is when the shutdown is announced to the instance, and stopsIn how long it has from then on.
 		announcedAt, stopsIn time.Duration
 		// code is empty if the prompt is placed.
 		code             failure.Code
--- a/internal/dispatch/sim_engine_test.go
+++ b/internal/dispatch/sim_engine_test.go
@@ -8,37 +8,37 @@
 	"github.com/silvermount/silvermount/internal/placement"
 )
 
-// simEngineConfig is that of an engine that reads 256,000 tokens a second and generates 52 tokens in a pass.
+// simEngineConfig is that of an engine that prefills 256,000 tokens a second and decodes 52 tokens in a pass.
 var simEngineConfig = placement.Engine{
 	Slots: 12, StepsPerPass: 52, ChunkTokens: 2048, MemoryTokens: 382_500, StepTime: 925 * time.Microsecond, StepTimePerRequest: 5 * time.Microsecond,
 	StepTimePerThousandContext: 3 * time.Microsecond, PrefillTimePerThousand: 3906 * time.Microsecond, PrefillTimePerMillionPairs: 92 * time.Microsecond,
 	HopTime: 100 * time.Microsecond, CrossZoneDelay: 500 * time.Microsecond, MeanPromptTokens: 5000, MeanAnswerTokens: 1700,
 }
 
-// prefillPart is the part of a prompt that one engine reads.
+// prefillPart is the part of a prompt that one engine prefills.
 type prefillPart struct {
 	tokens, pairs int64
-	// done is closed once the part is read.
+	// done is closed once the prefill of the part is complete.
 	done chan struct{}
 }
 
-// simAnswer is an answer that an engine generates.
+// simAnswer is an answer that an engine decodes.
 type simAnswer struct {
 	context int64
 	// events receives one value for each pass.
 	events chan struct{}
 }
 
-// simEngine simulates a batching engine on the clock of the test. Each pass reads parts in the order of their arrival, those
+// simEngine simulates a batching engine on the clock of the test. Each pass prefills parts in the order of their arrival, those
 // of split prompts first, and sends one event of each answer.
 type simEngine struct {
 	mu sync.Mutex
-	// splitParts and wholeParts are the queues of parts to read, of split prompts and of prompts read in one piece.
+	// splitParts and wholeParts are the queues of parts to prefill, of split prompts and of whole prompts.
 	splitParts, wholeParts []*prefillPart
 	answers                map[*simAnswer]bool
 	// slots holds a value for each request that is running.
 	slots chan struct{}
-	// failing is set for an engine that accepts each request and breaks it off at once.
+	// failing is set for an engine that accepts each request and interrupts it at once.
 	failing bool
 	// arrivals counts the requests received.
 	arrivals int
@@ -84,7 +84,7 @@
 		answers = append(answers, sa)
 	}
 	room := steps * simEngineConfig.ChunkTokens
-	var read []*prefillPart
+	var prefilled []*prefillPart
 	for _, queue := range []*[]*prefillPart{&en.splitParts, &en.wholeParts} {
 		for len(*queue) > 0 && room > 0 {
 			pt := (*queue)[0]
@@ -95,15 +95,15 @@
 			if pt.tokens > 0 {
 				break
 			}
-			read = append(read, pt)
+			prefilled = append(prefilled, pt)
 			*queue = (*queue)[1:]
 		}
 	}
-	return simEngineConfig.PassTime(placement.Target{Load: load, Slowdown: 1}), func() { en.finishPass(read, answers) }
+	return simEngineConfig.PassTime(placement.Target{Load: load, Slowdown: 1}), func() { en.finishPass(prefilled, answers) }
 }
 
-func (en *simEngine) finishPass(read []*prefillPart, answers []*simAnswer) {
-	for _, pt := range read {
+func (en *simEngine) finishPass(prefilled []*prefillPart, answers []*simAnswer) {
+	for _, pt := range prefilled {
 		close(pt.done)
 	}
 	en.mu.Lock()
@@ -115,7 +115,7 @@
 	}
 }
 
-// addPart queues a part of a prompt to be read.
+// addPart queues a part of a prompt for prefill.
 func (en *simEngine) addPart(tokens, pairs int64, split bool) *prefillPart {
 	pt := &prefillPart{tokens: tokens, pairs: pairs, done: make(chan struct{})}
 	en.mu.Lock()
@@ -152,7 +152,7 @@
 	}
 }
 
-// recordArrival counts a request, and reports whether the engine breaks it off.
+// recordArrival counts a request, and reports whether the engine interrupts it.
 func (en *simEngine) recordArrival() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/dispatch/sim_fleet_test.go
+++ b/internal/dispatch/sim_fleet_test.go
@@ -51,7 +51,7 @@
 type trafficPattern struct {
 	instances, targets int
 	phases             []trafficPhase
-	// failing is the number of targets that break off every request while being listed as healthy.
+	// failing is the number of targets that interrupt every request while being listed as healthy.
 	failing int
 }
 
@@ -268,7 +268,7 @@
 	return firstToken, longestPause, true
 }
 
-// waitForPrefill has a prompt read in equal parts by the targets of the slot, and waits until all are done.
+// waitForPrefill has the targets of the slot prefill equal parts of a prompt, and waits until all are done.
 func (fl *simFleet) waitForPrefill(rq dispatch.Request, sl *dispatch.Slot) {
 	// If memory is reserved, the first helper is the main target.
 	reserved := len(sl.Helpers) > 0 && sl.Helpers[0].Reservation != ""
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -8,7 +8,7 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// Slot is the booking of a request at its target and helpers, from Acquire to Release. It is not safe for concurrent use.
+// Slot holds the load of a request at its target and helpers, from Acquire to Release. It is not safe for concurrent use.
 type Slot struct {
 	Target  targets.Target
 	Helpers []Helper
@@ -28,8 +28,8 @@
 	prompt      placement.Prompt
 	plan        placement.Plan
 	reservation *reservation.Reservation
-	// stageLoads are booked until the request's next stage, which follows at its first token. lifetimeLoads are booked until
-	// the slot is released.
+	// stageLoads count until the request's next stage, which begins with its first token. lifetimeLoads count until the slot is
+	// released.
 	stageLoads, lifetimeLoads []slotLoad
 	decoding                  bool
 	// arrived is when the request arrived, and lastEventAt when its last event was forwarded; zero before the first event.
@@ -38,7 +38,7 @@
 	late bool
 }
 
-// bookedLoad is the share of the load at one target that a slot accounts for.
+// slotLoad is the part of a slot's load at one target.
 type slotLoad struct {
 	id   string
 	load placement.Load
@@ -55,26 +55,26 @@
 	return ids
 }
 
-// addStageLoad books a load until the slot's next stage. The caller holds the load table's lock.
+// addStageLoad adds a load until the slot's next stage. The caller holds the load table's lock.
 func (sl *Slot) addStageLoad(id string, lo placement.Load) {
 	sl.stageLoads = append(sl.stageLoads, slotLoad{id: id, load: lo})
 	sl.ds.loadTable.add(id, lo)
 	sl.ds.notifyLoadChange()
 }
 
-// addLifetimeLoad books a load until the slot is released. The caller holds the load table's lock.
+// addLifetimeLoad adds a load until the slot is released. The caller holds the load table's lock.
 func (sl *Slot) addLifetimeLoad(id string, lo placement.Load) {
 	sl.lifetimeLoads = append(sl.lifetimeLoads, slotLoad{id: id, load: lo})
 	sl.ds.loadTable.add(id, lo)
 }
 
 func (sl *Slot) removeLoads(loads []slotLoad) {
-	for _, bl := range loads {
-		sl.ds.loadTable.remove(bl.id, bl.load)
+	for _, sld := range loads {
+		sl.ds.loadTable.remove(sld.id, sld.load)
 	}
 }
 
-// RecordFirstToken notes that the answer has begun, so that prefill is complete at all targets of the slot. Further calls
+// RecordFirstToken records that the answer has begun, so that prefill is complete at all targets of the slot. Further calls
 // have no effect.
 func (sl *Slot) RecordFirstToken() {
 	if sl.prompt.Tokens == 0 || sl.decoding {
@@ -87,17 +87,17 @@
 	defer sl.ds.loadTable.mu.Unlock()
 	sl.removeLoads(sl.stageLoads)
 	sl.stageLoads = nil
-	generationLoad := sl.prompt.DecodeLoad()
+	decodeLoad := sl.prompt.DecodeLoad()
 	if sl.late {
-		generationLoad = sl.prompt.AsLate().DecodeLoad()
+		decodeLoad = sl.prompt.AsLate().DecodeLoad()
 	}
 	if len(sl.plan.MemoryShares) > 0 {
-		generationLoad = generationLoad.WithMemory(0).WithContext(sl.plan.MemoryShares[0].Tokens)
+		decodeLoad = decodeLoad.WithMemory(0).WithContext(sl.plan.MemoryShares[0].Tokens)
 		for _, sh := range sl.plan.MemoryShares[1:] {
 			sl.addStageLoad(sh.Target, placement.Load{ContextTokens: sh.Tokens})
 		}
 	}
-	sl.addStageLoad(sl.plan.Main, generationLoad)
+	sl.addStageLoad(sl.plan.Main, decodeLoad)
 }
 
 // silenceMargin is the factor by which a pass may exceed its prediction before the target counts as lost: predictions are
@@ -115,7 +115,7 @@
 	return time.Duration(silenceMargin * float64(sl.engine.PassTime(placement.Target{Load: load})))
 }
 
-// RecordShed notes that the target rejected the request for lack of room. If address is that of a helper, the helper caused
+// RecordShed records that the target rejected the request for lack of room. If address is that of a helper, the helper caused
 // the rejection, and is not used as one by other requests for a while either.
 func (sl *Slot) RecordShed(address string) {
 	now := sl.ds.opts.Now()
@@ -128,7 +128,7 @@
 	sl.ds.loadTable.markFull(sl.Target.ID, now.Add(fullPeriod))
 }
 
-// RecordEvent notes that an event was forwarded. A pause that was too long makes the answer late, and its target no longer
+// RecordEvent records that an event was forwarded. A pause that was too long makes the answer late, and its target no longer
 // needs to be kept free for it.
 func (sl *Slot) RecordEvent() {
 	if !sl.decoding || sl.late {
@@ -149,18 +149,18 @@
 	sl.ds.loadTable.mu.Lock()
 	defer sl.ds.loadTable.mu.Unlock()
 	for i := range sl.stageLoads {
-		bl := &sl.stageLoads[i]
-		if bl.id != sl.plan.Main {
+		sld := &sl.stageLoads[i]
+		if sld.id != sl.plan.Main {
 			continue
 		}
-		sl.ds.loadTable.remove(bl.id, bl.load)
-		bl.load = bl.load.WithPauseRisk(atRisk)
-		sl.ds.loadTable.add(bl.id, bl.load)
+		sl.ds.loadTable.remove(sld.id, sld.load)
+		sld.load = sld.load.WithPauseRisk(atRisk)
+		sl.ds.loadTable.add(sld.id, sld.load)
 	}
 	sl.ds.notifyLoadChange()
 }
 
-// Release removes the slot's load and gives back its reserved memory. Further calls have no effect.
+// Release removes the slot's load and releases its reserved memory. Further calls have no effect.
 func (sl *Slot) Release() {
 	sl.ds.loadTable.mu.Lock()
 	sl.removeLoads(sl.stageLoads)
--- a/internal/dispatch/slot_test.go
+++ b/internal/dispatch/slot_test.go
@@ -63,16 +63,16 @@
 	}
 }
 
-// worthAtRisk returns the worth that this instance's readers and writers have at risk at all targets.
+// worthAtRisk returns the worth at risk of this instance's prefilling and decoding requests at all targets.
 func (hs *clockHarness) worthAtRisk() (placement.Worth, placement.Worth) {
-	var waiting, atRisk placement.Worth
+	var firstTokenRisk, pauseRisk placement.Worth
 	for _, lo := range hs.dispatcher.OwnLoads() {
 		for cl := range lo.PauseRisk {
-			waiting += lo.FirstTokenRisk[cl]
-			atRisk += lo.PauseRisk[cl]
+			firstTokenRisk += lo.FirstTokenRisk[cl]
+			pauseRisk += lo.PauseRisk[cl]
 		}
 	}
-	return waiting, atRisk
+	return firstTokenRisk, pauseRisk
 }
 
 func TestLateAnswerHasNothingAtRisk(t *testing.T) {
@@ -92,15 +92,15 @@
 			hs := newFrozenClockHarness("t1")
 			sl, err := hs.dispatcher.Acquire(context.Background(), hs.shortPrompt())
 			g.Expect(err).NotTo(HaveOccurred())
-			waiting, _ := hs.worthAtRisk()
-			g.Expect(waiting).To(BeNumerically(">", 0))
+			firstTokenRisk, _ := hs.worthAtRisk()
+			g.Expect(firstTokenRisk).To(BeNumerically(">", 0))
 			hs.advance(tc.first)
 			sl.RecordFirstToken()
 			sl.RecordEvent()
 			hs.advance(tc.pause)
 			sl.RecordEvent()
-			_, atRisk := hs.worthAtRisk()
-			g.Expect(atRisk == 0).To(Equal(tc.late))
+			_, pauseRisk := hs.worthAtRisk()
+			g.Expect(pauseRisk == 0).To(Equal(tc.late))
 			g.Expect(hs.dispatcher.OwnLoads()["t1"].Decoding).To(Equal(1))
 			sl.Release()
 			g.Expect(hs.dispatcher.OwnLoads()).To(BeEmpty())
@@ -110,23 +110,23 @@
 
 func TestLatePromptHasNothingAtRisk(t *testing.T) {
 	cases := map[string]struct {
-		used time.Duration
-		late bool
+		elapsed time.Duration
+		late    bool
 	}{
 		"just arrived":         {},
-		"objective has passed": {used: 400 * time.Millisecond, late: true},
+		"objective has passed": {elapsed: 400 * time.Millisecond, late: true},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			hs := newFrozenClockHarness("t1")
 			rq := hs.shortPrompt()
-			hs.advance(tc.used)
+			hs.advance(tc.elapsed)
 			sl, err := hs.dispatcher.Acquire(context.Background(), rq)
 			g.Expect(err).NotTo(HaveOccurred())
 			defer sl.Release()
-			waiting, _ := hs.worthAtRisk()
-			g.Expect(waiting == 0).To(Equal(tc.late))
+			firstTokenRisk, _ := hs.worthAtRisk()
+			g.Expect(firstTokenRisk == 0).To(Equal(tc.late))
 		})
 	}
 }
@@ -140,11 +140,11 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	defer sl.Release()
 	sl.RecordFirstToken()
-	waiting, atRisk := hs.worthAtRisk()
-	g.Expect(waiting + atRisk).To(BeZero())
+	firstTokenRisk, pauseRisk := hs.worthAtRisk()
+	g.Expect(firstTokenRisk + pauseRisk).To(BeZero())
 }
 
-// TestMaxSilenceGrowsWithPendingPrefill allows a target to be silent for as long as it reads the prompts of other requests.
+// TestMaxSilenceGrowsWithPendingPrefill allows a target to be silent during the prefill of other requests.
 func TestMaxSilenceGrowsWithPendingPrefill(t *testing.T) {
 	g := NewWithT(t)
 	hs := newFrozenClockHarness("t1")
@@ -153,8 +153,8 @@
 	sl.RecordFirstToken()
 	quiet := sl.MaxSilence()
 	g.Expect(quiet).To(BeNumerically("<", 250*time.Millisecond))
-	reading := placement.Load{SplitPrefill: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
-	hs.dispatcher.SetPeerLoads("peer", map[string]placement.Load{"t1": reading})
+	prefilling := placement.Load{SplitPrefill: placement.Backlog{Tokens: 80_000, Pairs: 8_000_000_000}}
+	hs.dispatcher.SetPeerLoads("peer", map[string]placement.Load{"t1": prefilling})
 	g.Expect(sl.MaxSilence()).To(BeNumerically(">", quiet+time.Second))
 	hs.dispatcher.SetPeerLoads("peer", nil)
 	g.Expect(sl.MaxSilence()).To(Equal(quiet))
--- a/internal/outcome/outcome_test.go
+++ b/internal/outcome/outcome_test.go
@@ -26,13 +26,13 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var kn outcome.Aggregate
+			var ag outcome.Aggregate
 			for _, o := range tc.attempts {
-				kn.Add(o)
+				ag.Add(o)
 			}
-			g.Expect(kn.Outcome()).To(Equal(tc.want))
-			g.Expect(kn.MayHaveRun()).To(Equal(tc.want != failure.NotRun))
-			g.Expect(kn.Apply(failure.New(failure.NoTarget, tc.last, "late")).Outcome).To(Equal(tc.wantOf))
+			g.Expect(ag.Outcome()).To(Equal(tc.want))
+			g.Expect(ag.MayHaveRun()).To(Equal(tc.want != failure.NotRun))
+			g.Expect(ag.Apply(failure.New(failure.NoTarget, tc.last, "late")).Outcome).To(Equal(tc.wantOf))
 		})
 	}
 }
--- a/internal/permit/fleet_test.go
+++ b/internal/permit/fleet_test.go
@@ -130,7 +130,7 @@
 		rs.minUsed = min(rs.minUsed, used)
 		rs.meanUsed += used / float64(fl.limitedTargets)
 		for _, in := range fl.instances {
-			if in.book.Limit(tg.ID).Limited {
+			if in.rateLimits.Limit(tg.ID).Limited {
 				rs.staleLimits++
 			}
 		}
--- a/internal/permit/issuer.go
+++ b/internal/permit/issuer.go
@@ -1,6 +1,6 @@
 // Package permit enforces the rate limit of a target across all instances.
 //
-// For each target that declares a rate limit, one instance issues permits. All instances select this issuer from the live
+// For each target that states a rate limit, one instance issues permits. All instances select this issuer from the live
 // instances by the same rule. An instance that wants to send a request to the target first requests a permit from the issuer. The
 // limit is thus enforced in one place regardless of the number of instances, and any instance may use all of it. A new issuer
 // starts with no permits available, so that a change of issuer does not cause a burst.
@@ -17,7 +17,7 @@
 	// burst is the maximum number of permits issued at once after a pause: one more than a steady rate needs, so that a permit
 	// requested slightly late is not lost.
 	burst = 2
-	// minPerSecond is the rate applied to targets that declare a lower one, or none at all. One request in ten seconds lets an
+	// minPerSecond is the rate applied to targets that state a lower one, or none at all. One request in ten seconds lets an
 	// instance learn when the target accepts more again.
 	minPerSecond = 0.1
 	// holdDuration is how long no permits are issued after a start or a freeze of the process. Instances discover each other
@@ -27,7 +27,7 @@
 	// frozen.
 	maxTickGap = time.Second
 	// maxRetryDelay bounds the delay after which a refused instance may ask again, unless the next permit is due even later:
-	// limits change, and other refused instances may not come back.
+	// limits change, and other refused instances may not ask again.
 	maxRetryDelay = 2 * time.Second
 	// idleRetention is how long the state of a target is kept after the last request for a permit. It exceeds the interval
 	// between two permits at the minimum rate.
@@ -87,8 +87,8 @@
 	}
 }
 
-// holdAfterFreeze withholds permits if the process was frozen, since another instance took over in the meantime. The lock must be
-// held.
+// holdAfterFreeze withholds permits if the process was frozen, since another instance took over in the meantime. The caller holds
+// the lock.
 func (is *Issuer) holdAfterFreeze(now time.Time) {
 	if now.Sub(is.lastTick) > maxTickGap {
 		is.holdUntil = now.Add(holdDuration)
@@ -147,7 +147,7 @@
 	pc.tat = later(pc.tat, now)
 	delay := max(0, pc.tat.Add(-(burst-1)*pc.interval).Sub(now))
 	if delay > maxWait {
-		// Consecutive refusals get increasing delays, so that the refused instances do not all come back for the same permit.
+		// Consecutive refusals get increasing delays, so that the refused instances do not all ask again for the same permit.
 		retryDelay := delay + time.Duration(pc.refusals)*pc.interval/2
 		pc.refusals++
 		return Decision{Delay: min(retryDelay, max(delay, maxRetryDelay))}
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -25,7 +25,7 @@
 	// fault ends.
 	simRateWindow = 4 * time.Second
 	simSettleTime = 3 * time.Second
-	// Targets declare their limit from simLimitStart until simLimitEnd.
+	// Targets state their limit from simLimitStart until simLimitEnd.
 	simLimitStart = 3 * time.Second
 	simLimitEnd   = 27 * time.Second
 	simDuration   = 37 * time.Second
@@ -115,7 +115,7 @@
 	// live and knownCount are the instances considered live and the number of instances known, as of the last tick.
 	live       []permit.Candidate
 	knownCount int
-	book       *ratelimit.Tracker
+	rateLimits *ratelimit.Tracker
 	issuer     *permit.Issuer
 	client     *permit.Client
 	linkDelay  time.Duration
@@ -136,10 +136,10 @@
 	in.up, in.lastFaultEnd = true, time.Now()
 	in.lastHeard, in.issuerCache = make([]time.Time, len(fl.instances)), map[string]string{}
 	in.live, in.knownCount = []permit.Candidate{{Name: in.name, AvailabilityZone: in.zone}}, 1
-	in.book = ratelimit.New(time.Now)
+	in.rateLimits = ratelimit.New(time.Now)
 	in.issuer = permit.NewIssuer(time.Now)
-	book := in.book
-	in.client = permit.NewClient(time.Now, book.Limit, metrics.NewSet())
+	rateLimits := in.rateLimits
+	in.client = permit.NewClient(time.Now, rateLimits.Limit, metrics.NewSet())
 	in.client.SetRequestFunc(func(ctx context.Context, rq permit.Request) (permit.Decision, error) {
 		return fl.requestPermit(ctx, in, rq)
 	})
@@ -155,17 +155,17 @@
 	return fl.connectedAt(a, b, time.Now())
 }
 
-// connectedAt is connected for two distinct instances. The lock must be held.
+// connectedAt is connected for two distinct instances. The caller holds the lock.
 func (fl *simFleet) connectedAt(a, b *simInstance, now time.Time) bool {
 	return a.reachable(now) && b.reachable(now) && !fl.partitioned(a.zone, b.zone)
 }
 
-// reachable reports whether the instance is running and connected to the network. The lock must be held.
+// reachable reports whether the instance is running and connected to the network. The caller holds the lock.
 func (in *simInstance) reachable(now time.Time) bool {
 	return in.up && !in.disconnected && !now.Before(in.frozenUntil)
 }
 
-// refreshView updates the set of live instances and the number of known instances. The lock must be held.
+// refreshView updates the set of live instances and the number of known instances. The caller holds the lock.
 func (in *simInstance) refreshView(fl *simFleet) {
 	now := time.Now()
 	known := 0
@@ -234,9 +234,9 @@
 // acquirePermit reports whether the strategy lets the instance send a request to the target now.
 func (fl *simFleet) acquirePermit(in *simInstance, tg *simTarget) bool {
 	in.mu.Lock()
-	cl, is, book := in.client, in.issuer, in.book
+	cl, is, rateLimits := in.client, in.issuer, in.rateLimits
 	in.mu.Unlock()
-	li := book.Limit(tg.ID)
+	li := rateLimits.Limit(tg.ID)
 	if !li.Limited {
 		return true
 	}
@@ -307,17 +307,17 @@
 	return !fl.partitioned(in.zone, tg.AvailabilityZone)
 }
 
-// partitioned reports whether a partition separates two zones. The lock must be held.
+// partitioned reports whether a partition separates two zones. The caller holds the lock.
 func (fl *simFleet) partitioned(a, b string) bool {
 	const isolated = "zone-0"
 	return fl.zonePartitioned && a != b && (a == isolated || b == isolated)
 }
 
-// send sends a request to a target and processes the limit declared in the response.
+// send sends a request to a target and processes the limit stated in the response.
 func (fl *simFleet) send(in *simInstance, tg *simTarget) {
 	in.waitWhileFrozen()
 	in.mu.Lock()
-	up, book := in.up, in.book
+	up, rateLimits := in.up, in.rateLimits
 	nearFault := in.disconnected || time.Since(in.lastFaultEnd) < simSettleTime
 	in.mu.Unlock()
 	if !up {
@@ -330,7 +330,7 @@
 	tg.mu.Unlock()
 	time.Sleep(simServiceTime)
 	var li ratelimit.Limit
-	if elapsed := time.Since(fl.startedAt); elapsed >= simLimitStart && elapsed < simLimitEnd && fl.declaresLimit(tg) {
+	if elapsed := time.Since(fl.startedAt); elapsed >= simLimitStart && elapsed < simLimitEnd && fl.statesLimit(tg) {
 		li = ratelimit.PerSecond(fl.limitPerSecond)
 		tg.mu.Lock()
 		if tg.limitedSince.IsZero() {
@@ -339,19 +339,19 @@
 		tg.mu.Unlock()
 	}
 	time.Sleep(time.Millisecond)
-	if _, changed := book.Observe(tg.ID, li, sentAt, time.Now()); changed {
+	if _, changed := rateLimits.Observe(tg.ID, li, sentAt, time.Now()); changed {
 		fl.broadcast(in)
 	}
 }
 
-func (fl *simFleet) declaresLimit(tg *simTarget) bool {
+func (fl *simFleet) statesLimit(tg *simTarget) bool {
 	return slices.Index(fl.targets, tg) < fl.limitedTargets
 }
 
 // broadcast sends the limits observed by an instance to all others. Each receives them after the delay of the link.
 func (fl *simFleet) broadcast(in *simInstance) {
 	in.mu.Lock()
-	observations := in.book.LocalObservations()
+	observations := in.rateLimits.LocalObservations()
 	in.mu.Unlock()
 	for _, other := range fl.instances {
 		if other.no == in.no {
@@ -362,9 +362,9 @@
 				return
 			}
 			other.mu.Lock()
-			book := other.book
+			rateLimits := other.rateLimits
 			other.mu.Unlock()
-			book.Merge(observations)
+			rateLimits.Merge(observations)
 		})
 	}
 }
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -16,10 +16,10 @@
 
 // candidate is a target with the cost of placing a part of the prompt there.
 type candidate struct {
-	ta *Target
+	ta         *Target
+	slowdown   float64
+	freeMemory int64
 	// meanPromptPrefill is the nanoseconds for the prefill of a mean prompt at the target.
-	slowdown          float64
-	freeMemory        int64
 	meanPromptPrefill float64
 	canTakePart       bool
 	// baseCost is a random tie-break drawn from the seed, plus the cost of another availability zone.
--- a/internal/ratelimit/limit.go
+++ b/internal/ratelimit/limit.go
@@ -25,7 +25,7 @@
 	return Limit{Limited: true, PerSecond: max(0, min(n, maxPerSecond))}
 }
 
-// String returns the limit as a target writes it, or "none".
+// String returns the limit in the form that targets use, or "none".
 func (li Limit) String() string {
 	if !li.Limited {
 		return "none"
--- a/internal/ratelimit/tracker.go
+++ b/internal/ratelimit/tracker.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Observation is the rate limit that one instance read from an answer of a target.
+// Observation is the rate limit stated in one answer of a target, as an instance received it.
 type Observation struct {
 	// Target is the incarnation of the target.
 	Target string
@@ -72,7 +72,7 @@
 }
 
 // Observe records the limit stated in an answer whose request was sent at sentAt and whose head arrived at headAt. It reports
-// whether the known limit changed; peers must then be told.
+// whether the known limit changed; peers must then be notified.
 func (tr *Tracker) Observe(target string, li Limit, sentAt, headAt time.Time) (Change, bool) {
 	ob := Observation{Target: target, Limit: li, At: sentAt}
 	if li.Limited {
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -6,7 +6,7 @@
 	"github.com/silvermount/silvermount/internal/failure"
 )
 
-// retryable holds the failures that may not occur at another target.
+// retryable holds the failures after which an attempt at another target may succeed.
 var retryable = map[failure.Code]bool{
 	failure.TargetLost:    true,
 	failure.TargetRefused: true,
@@ -32,7 +32,7 @@
 // FailedAttempt describes a failed attempt at a request.
 type FailedAttempt struct {
 	Code failure.Code
-	// Cancelled is set when the deadline has passed or the caller has gone.
+	// Cancelled is set when the deadline has passed or the caller has disconnected.
 	Cancelled bool
 	// AtMostOnce is set when the request must not run more than once.
 	AtMostOnce bool
