--- a/internal/blame/activerun_test.go
+++ b/internal/blame/activerun_test.go
@@ -10,7 +10,7 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 )
 
-// TestLongerActiveRunPreventsQuarantine keeps a run of a request active while targets crash under other runs of it.
+// TestLongerActiveRunPreventsQuarantine keeps a run of a request active while targets crash during other runs of it.
 func TestLongerActiveRunPreventsQuarantine(t *testing.T) {
 	cases := map[string]struct {
 		// age is how long the run has been active when the first target crashes; request is the request that it runs.
--- a/internal/blame/check_test.go
+++ b/internal/blame/check_test.go
@@ -10,8 +10,8 @@
 	"github.com/silvermount/silvermount/internal/blame"
 )
 
-// crashBurst crashes three targets under a request while other targets crash too, so that the request is not shown to be the
-// cause.
+// crashBurst crashes three targets that run a request while other targets crash too, so that the evidence does not suffice for a
+// quarantine of the request.
 func crashBurst(in *instance, name string) {
 	for i := range 12 {
 		in.interrupt(fmt.Sprint("other-", i), true, longRun, fmt.Sprint("other-", i))
--- a/internal/blame/detection.go
+++ b/internal/blame/detection.go
@@ -33,7 +33,7 @@
 	// same targets. Between two similar requests the next crash decides, or the next complete answer.
 	minPValueRatio = 100
 	// tieBreakCrashes is the number of crashes from which the likelier of two similar requests is quarantined even so. Requests
-	// that always run together could otherwise never be told apart.
+	// that always run together could otherwise never be distinguished.
 	tieBreakCrashes = minCrashes + 2
 )
 
--- a/internal/blame/fleet_test.go
+++ b/internal/blame/fleet_test.go
@@ -51,7 +51,7 @@
 	sentAt, endsAt time.Time
 	fatal          bool
 	tries          int
-	running        *blame.ActiveRun
+	activeRun      *blame.ActiveRun
 }
 
 // message is a snapshot on its way from one instance to another.
@@ -73,8 +73,8 @@
 	jobs         []job
 	messages     []message
 	gossiped     []int
-	// thirdCrash is when the third target crashed under a fatal request. crashes counts the crashes under it, and lateRuns its
-	// runs after the deadline for its quarantine.
+	// thirdCrash is when the third target crashed while it ran a fatal request. crashes counts the crashes of targets that ran
+	// it, and lateRuns its runs after the deadline for its quarantine.
 	thirdCrash map[string]time.Time
 	crashes    map[string]int
 	lateRuns   map[string]int
@@ -155,7 +155,7 @@
 		}
 	}
 	fp := request(jb.name)
-	jb.running = jb.entry.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp })
+	jb.activeRun = jb.entry.BeginRun(fp.HeadHash(), func() fingerprint.Fingerprint { return fp })
 	sm.jobs = append(sm.jobs, jb)
 }
 
@@ -185,7 +185,7 @@
 		}
 		sm.jobs = slices.DeleteFunc(sm.jobs, func(other job) bool { return other == jb })
 		sm.served++
-		jb.running.End()
+		jb.activeRun.End()
 		jb.entry.RecordAnswered(request(jb.name))
 	}
 }
@@ -206,7 +206,7 @@
 		return jb.target == i
 	})
 	for _, jb := range lost {
-		jb.running.End()
+		jb.activeRun.End()
 		jb.entry.RecordInterrupted(blame.InterruptedRun{
 			Request: request(jb.name), Incarnation: incarnation, Elapsed: sm.ck.now.Sub(jb.sentAt), At: sm.ck.now,
 		})
@@ -250,7 +250,7 @@
 	})
 }
 
-// TestSimulatedFleets checks fleets in which targets crash under fatal requests and for other reasons: harmless requests are
+// TestSimulatedFleets checks fleets in which targets crash because of fatal requests and for other reasons: harmless requests are
 // never refused, and fatal ones are quarantined in time.
 func TestSimulatedFleets(t *testing.T) {
 	usual := scenario{
--- a/internal/dispatch/arrivals.go
+++ b/internal/dispatch/arrivals.go
@@ -57,7 +57,7 @@
 // perTargetPerSecond returns the expected load of the answers that start at one target within a second. By Little's law
 // their rate is the number of requests in flight divided by the time that an answer takes.
 func (st *arrivalStats) perTargetPerSecond(en *placement.Engine, cands []placement.Target) placement.Load {
-	rate := float64(inFlight(cands)) / usualAnswerTime(en).Seconds() / float64(len(cands))
+	rate := float64(inFlight(cands)) / meanAnswerTime(en).Seconds() / float64(len(cands))
 	var sum placement.Load
 	for cl := range sum.PauseRisk {
 		sum.PauseRisk[cl] = placement.Worth(rate * float64(st.atRisk[cl]))
--- a/internal/dispatch/backoff.go
+++ b/internal/dispatch/backoff.go
@@ -15,10 +15,10 @@
 // it is half-open: a request that can be retried elsewhere probes whether the target accepts work again.
 
 // probeOnlyPeriod is how long after a back-off only a request that can be retried elsewhere may probe the target. After it,
-// any request may that no target has turned away yet, in case no such probe came along.
+// any request may that no target has rejected yet, in case there was no such probe.
 const probeOnlyPeriod = time.Second
 
-// canProbe reports whether the request may probe a half-open target, because being turned away costs it nothing.
+// canProbe reports whether the request may probe a half-open target, because a rejection costs it nothing.
 func (rq Request) canProbe() bool {
 	return rq.CanRetry && rq.Caution == targets.AllowProbe && !rq.isLong() && !rq.Resumed
 }
@@ -135,7 +135,7 @@
 // target before the next looks.
 const priorityStagger = time.Millisecond
 
-// RetryAfter returns when the caller of a request that was turned away should retry: after the usual short delay, or at the
+// RetryAfter returns when the caller of a refused request should retry: after the usual short delay, or at the
 // end of the first back-off if all targets of the service are backed off.
 func (ds *Dispatcher) RetryAfter(service string) time.Duration {
 	var first time.Time
--- a/internal/dispatch/backoff_test.go
+++ b/internal/dispatch/backoff_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestRetryAfterCoversBackOffOfExcludedTarget sends a request that was already turned away by the only target, which is in
+// TestRetryAfterCoversBackOffOfExcludedTarget sends a request that was already rejected by the only target, which is in
 // back-off.
 func TestRetryAfterCoversBackOffOfExcludedTarget(t *testing.T) {
 	runWithBackOffs(t, 1, func(hs *harness, tr *backoff.Tracker) {
--- a/internal/dispatch/deferral.go
+++ b/internal/dispatch/deferral.go
@@ -84,9 +84,9 @@
 }
 
 const (
-	// minDeferHarm is the harm to other requests above which a late prompt is deferred, as a share of the prompt's in-time
+	// minDeferOthersLoss is the loss of other requests above which a late prompt is deferred, as a share of the prompt's in-time
 	// worth: for a long prompt, about one short answer.
-	minDeferHarm = 0.05
+	minDeferOthersLoss = 0.05
 	// maxDeferral is how long a late prompt is deferred at most, in multiples of its objective. Callers give up a stream
 	// after four objectives, and the prefill of a large prompt takes more than one.
 	maxDeferral = 2.5
@@ -102,5 +102,5 @@
 	if left < pr.Objective || float64(pr.Elapsed) > maxDeferral*float64(pr.Objective) {
 		return false
 	}
-	return float64(pl.OthersLoss) > minDeferHarm*float64(pr.InTimeWorth)
+	return float64(pl.OthersLoss) > minDeferOthersLoss*float64(pr.InTimeWorth)
 }
--- a/internal/dispatch/deferral_test.go
+++ b/internal/dispatch/deferral_test.go
@@ -29,7 +29,7 @@
 	return rq
 }
 
-func TestLateLongPromptIsDeferredWhileItWouldHarmOthers(t *testing.T) {
+func TestLateLongPromptIsDeferredWhileOthersWouldLoseWorth(t *testing.T) {
 	cases := map[string]struct {
 		decoding         int
 		waited           time.Duration
@@ -99,16 +99,16 @@
 	}
 }
 
-// TestLateLongPromptIsNotRefusedForMinorHarm guards against a fault in which long prompts that had become late by waiting
+// TestLateLongPromptIsNotRefusedForMinorLossOfOthers guards against a fault in which long prompts that had become late by waiting
 // were judged by their remaining worth alone. In a wave of long prompts they kept waiting until they were refused, were
 // retried and refused again, which costs their callers more than the wait.
-func TestLateLongPromptIsNotRefusedForMinorHarm(t *testing.T) {
+func TestLateLongPromptIsNotRefusedForMinorLossOfOthers(t *testing.T) {
 	cases := map[string]struct {
 		decoding int
 		refused  bool
 	}{
-		"harm to three short answers": {decoding: 3},
-		"harm exceeds its worth":      {decoding: 7, refused: true},
+		"loss of three short answers": {decoding: 3},
+		"loss exceeds its worth":      {decoding: 7, refused: true},
 		"idle target":                 {},
 	}
 	for name, tc := range cases {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -45,8 +45,8 @@
 	// that held on arrival can be withdrawn while the request waits. It is nil for a request whose authorisation cannot
 	// change.
 	Authorise func() error
-	// CanRetry is set if the request may be retried on another target when this one turns it away, Retried if it was turned
-	// away before.
+	// CanRetry is set if the request may be retried on another target when this one rejects it, Retried if a target rejected
+	// it before.
 	CanRetry, Retried bool
 	// mayProbe is set if the request may be sent to a half-open target.
 	mayProbe bool
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -15,7 +15,7 @@
 	// Peers may place prompts at the same moment that are not known yet, and one more prompt in a queue costs half the
 	// objective. With a share of 1, half of the first tokens that were predicted in time were late.
 	maxCrowdedFirstToken = 0.85
-	// minRetryShare and maxRetryShare bound when a refused short prompt may be retried, as shares of the time of a usual
+	// minRetryShare and maxRetryShare bound when a refused short prompt may be retried, as shares of the time of a mean
 	// answer. By then that share of the slots has become free, and the range spreads the retries of prompts refused at the
 	// same moment.
 	minRetryShare = 0.4
@@ -66,6 +66,6 @@
 		return failure.New(failure.Overloaded, failure.NotRun, "the prompt cannot be answered in its caller's time").WithRetryAfter(after)
 	}
 	share := minRetryShare + (maxRetryShare-minRetryShare)*hashFraction(rq.ID, ds.opts.Instance, "come back")
-	after := time.Duration(share * float64(usualAnswerTime(rq.Service.Engine)))
+	after := time.Duration(share * float64(meanAnswerTime(rq.Service.Engine)))
 	return failure.New(failure.Overloaded, failure.NotRun, "all slots are taken").WithRetryAfter(after)
 }
--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -126,7 +126,7 @@
 		rq.Objective = 30 * time.Second
 		began := time.Now()
 		hs.mustBeRefused(rq)
-		hs.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is told at once when to retry")
+		hs.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is refused at once")
 		hs.Expect(longestWait).To(BeNumerically("<=", 300*time.Millisecond), "no longer than a request with a short objective may wait")
 	})
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// expectedAnswerTokens returns how many tokens of the answer are still expected: the caller's hint or else the usual number,
+// expectedAnswerTokens returns how many tokens of the answer are still expected: the caller's hint or else the mean number,
 // at most the caller's limit, less what was already forwarded.
 func expectedAnswerTokens(rq Request) int {
 	expected := rq.AnswerTokensHint
@@ -203,11 +203,11 @@
 // unboundedTimeLeft replaces the time left when the deadline does not apply.
 const unboundedTimeLeft = time.Hour
 
-// usualPassTime is the usual time of an engine pass that decodes answers, sometimes together with prefill.
-const usualPassTime = 90 * time.Millisecond
+// typicalPassTime is the typical time of an engine pass that decodes answers, sometimes together with prefill.
+const typicalPassTime = 90 * time.Millisecond
 
-// usualAnswerTime returns how long an engine takes to decode an answer of usual length.
-func usualAnswerTime(en *placement.Engine) time.Duration {
+// meanAnswerTime returns how long an engine takes to decode an answer of mean length.
+func meanAnswerTime(en *placement.Engine) time.Duration {
 	passes := max(1, float64(en.MeanAnswerTokens)/float64(max(1, en.StepsPerPass)))
-	return time.Duration(passes * float64(usualPassTime))
+	return time.Duration(passes * float64(typicalPassTime))
 }
--- a/internal/dispatch/sampling.go
+++ b/internal/dispatch/sampling.go
@@ -62,5 +62,5 @@
 // unpropagatedPlacements returns how many prompts all instances place during a propagation delay. By Little's law their rate
 // is the number of requests in flight divided by the time that an answer takes.
 func unpropagatedPlacements(en *placement.Engine, cands []placement.Target, delay time.Duration) float64 {
-	return float64(inFlight(cands)) / usualAnswerTime(en).Seconds() * delay.Seconds()
+	return float64(inFlight(cands)) / meanAnswerTime(en).Seconds() * delay.Seconds()
 }
--- a/internal/dispatch/sampling_test.go
+++ b/internal/dispatch/sampling_test.go
@@ -22,11 +22,11 @@
 		chosen[sl.Target.ID]++
 		sl.Release()
 	}
-	most := 0
+	maxCount := 0
 	for _, count := range chosen {
-		most = max(most, count)
+		maxCount = max(maxCount, count)
 	}
-	return most
+	return maxCount
 }
 
 // fleetLoads returns the loads of 64 targets with four decoding requests each, except one with ten, which is the best target
--- a/internal/permit/client.go
+++ b/internal/permit/client.go
@@ -41,7 +41,7 @@
 	refused    *metrics.Counter
 	unanswered *metrics.Counter
 
-	// anyBlocked is set while blockedUntil has entries. It spares the lock for each target when no target of the fleet is limited.
+	// anyBlocked is set while blockedUntil has entries. It avoids locking for each target when no target of the fleet is limited.
 	anyBlocked atomic.Bool
 
 	mu      sync.Mutex
--- a/internal/permit/sim_test.go
+++ b/internal/permit/sim_test.go
@@ -16,8 +16,8 @@
 
 const (
 	simZones = 3
-	// simHeartbeatInterval is the interval at which an instance receives the heartbeats of the others. An instance that has not
-	// been heard for simFailureTimeout counts as lost.
+	// simHeartbeatInterval is the interval at which an instance receives the heartbeats of the others. An instance without
+	// a heartbeat for simFailureTimeout counts as lost.
 	simHeartbeatInterval = 250 * time.Millisecond
 	simFailureTimeout    = 2 * time.Second
 	// simRateWindow is the length of the sliding window in which arrivals are counted. simSettleTime is the time between a target
@@ -108,8 +108,8 @@
 	disconnected bool
 	// lastFaultEnd is when the last fault of the instance ended, or will end.
 	lastFaultEnd time.Time
-	// lastHeard is when a heartbeat of each other instance was last received, by instance number.
-	lastHeard []time.Time
+	// lastHeartbeats is when a heartbeat of each other instance was last received, by instance number.
+	lastHeartbeats []time.Time
 	// issuerCache holds the selected issuers by target. It is reset when the set of live instances changes.
 	issuerCache map[string]string
 	// live and knownCount are the instances considered live and the number of instances known, as of the last tick.
@@ -134,7 +134,7 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.up, in.lastFaultEnd = true, time.Now()
-	in.lastHeard, in.issuerCache = make([]time.Time, len(fl.instances)), map[string]string{}
+	in.lastHeartbeats, in.issuerCache = make([]time.Time, len(fl.instances)), map[string]string{}
 	in.live, in.knownCount = []permit.Candidate{{Name: in.name, AvailabilityZone: in.zone}}, 1
 	in.rateLimits = ratelimit.New(time.Now)
 	in.issuer = permit.NewIssuer(time.Now)
@@ -170,7 +170,7 @@
 	now := time.Now()
 	known := 0
 	var live []permit.Candidate
-	for no, at := range in.lastHeard {
+	for no, at := range in.lastHeartbeats {
 		if at.IsZero() && no != in.no {
 			continue
 		}
@@ -394,8 +394,8 @@
 		if other.no == in.no || !fl.connectedAt(in, other, now) {
 			continue
 		}
-		discovered = discovered || now.Sub(in.lastHeard[other.no]) >= simFailureTimeout
-		in.lastHeard[other.no] = now
+		discovered = discovered || now.Sub(in.lastHeartbeats[other.no]) >= simFailureTimeout
+		in.lastHeartbeats[other.no] = now
 	}
 	in.refreshView(fl)
 	return discovered
--- a/internal/targets/apply.go
+++ b/internal/targets/apply.go
@@ -20,8 +20,8 @@
 // position. Otherwise an older answer of the store could replace a newer list from a peer, and every peer's confirmation would
 // then make it look current.
 
-// ApplyList replaces the list with a whole list of the store at a position. The names in unreadable have entries that cannot be
-// decoded as targets.
+// ApplyList replaces the list with the complete list of the store at a position. The names in unreadable have entries that cannot
+// be decoded as targets.
 func (dr *Directory) ApplyList(list []Target, unreadable []string, at position.Position, asOf time.Time) []Change {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/targets/apply_test.go
+++ b/internal/targets/apply_test.go
@@ -20,8 +20,8 @@
 	return at
 }
 
-// applyPeerList calls a list of a peer as one newer than the current list. The following functions do the same with answers of
-// the store.
+// applyPeerList applies a list of a peer at a position after that of the current list. The following functions do the same with
+// answers of the store.
 func applyPeerList(dr *targets.Directory, list []targets.Target, la targets.Lapsed, asOf time.Time) []targets.Change {
 	return dr.ApplyPeerList(list, la, nextPosition(dr), asOf)
 }
@@ -127,7 +127,7 @@
 				an.apply(drs[an.to])
 				after, got := drs[an.to].Listed()
 				if before.After(after) {
-					rt.Fatalf("position went back from %+v to %+v", before, after)
+					rt.Fatalf("position decreased from %+v to %+v", before, after)
 				}
 				if want := idsOf(history.listed(after)); !slices.Equal(idsOf(got), want) && !history.mayDiffer(after) {
 					rt.Fatalf("list at %+v is %v, want %v", after, idsOf(got), want)
--- a/internal/targets/health.go
+++ b/internal/targets/health.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// RecordFailure records a failed attempt and reports whether it ejected the target. Peers are not told of ejections, because a
-// target may fail for some callers only.
+// RecordFailure records a failed attempt and reports whether it ejected the target. Peers are not notified of ejections, because
+// a target may fail for some callers only.
 func (dr *Directory) RecordFailure(id string) bool {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
--- a/internal/targets/incarnation_test.go
+++ b/internal/targets/incarnation_test.go
@@ -38,7 +38,7 @@
 		"restart without prior notice": {func(cl *clock, dr *targets.Directory) {
 			applyPut(dr, second, cl.now())
 		}, false, true},
-		"a whole list contains the new incarnation": {func(cl *clock, dr *targets.Directory) {
+		"a complete list contains the new incarnation": {func(cl *clock, dr *targets.Directory) {
 			applyList(dr, []targets.Target{second}, cl.now())
 		}, false, true},
 		"an outdated entry arrives late": {func(cl *clock, dr *targets.Directory) {
--- a/internal/targets/lapse_test.go
+++ b/internal/targets/lapse_test.go
@@ -44,14 +44,14 @@
 			applyList(dr, nil, callAt)
 			cl.advance(time.Second)
 		}, nil},
-		"an entry that goes during the grace period does not extend it": {func(cl *clock, dr *targets.Directory) {
+		"an entry that disappears during the grace period does not extend it": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
 			applyList(dr, twoZones(near, far), cl.now())
 			cl.advance(1500 * time.Millisecond)
 			applyDelete(dr, "n1", cl.now())
 			cl.advance(500 * time.Millisecond)
 		}, []string{"f1", "f2", "n2"}},
-		"an entry that goes after the grace period is gone at once": {func(cl *clock, dr *targets.Directory) {
+		"an entry that disappears after the grace period is gone at once": {func(cl *clock, dr *targets.Directory) {
 			dr.RecordStoreRecovery(cl.now())
 			applyList(dr, twoZones(near, far), cl.now())
 			cl.advance(2 * time.Second)
--- a/internal/targets/restore.go
+++ b/internal/targets/restore.go
@@ -45,9 +45,9 @@
 	return dr.lastRestore.era, dr.lastRestore.at
 }
 
-// staleAfterRestore reports whether a whole list may contain a target only because the store was restored from a copy that still
-// had its entry. A target whose entry is written after the restore arrives as a change, which is not checked. The caller holds
-// the lock.
+// staleAfterRestore reports whether a complete list may contain a target only because the store was restored from a copy that
+// still had its entry. A target whose entry is written after the restore arrives as a change, which is not checked. The caller
+// holds the lock.
 func (dr *Directory) staleAfterRestore(tg Target) bool {
 	en, known := dr.entries[tg.ID]
 	if !known || en.missingSince.IsZero() || en.takesWork(dr.now()) {
--- a/internal/targets/restore_test.go
+++ b/internal/targets/restore_test.go
@@ -12,7 +12,7 @@
 
 // TestTargetsAfterStoreRestore guards against two faults after the store is restored from a copy that is some seconds old.
 // Targets that started after the copy was made are missing from it, and were treated as gone until they wrote their entries
-// again. A target that went after the copy was made is listed again, and was sent requests that nobody answered.
+// again. A target that disappeared after the copy was made is listed again, and was sent requests that nobody answered.
 func TestTargetsAfterStoreRestore(t *testing.T) {
 	both, onlyA := []string{"a", "b"}, []string{"a"}
 	tests := map[string]struct {
