--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -52,7 +52,7 @@
 	maxQuarantines = 256
 )
 
-// InterruptedRun is a run of a request without a complete answer of its target: none came, or only a part.
+// InterruptedRun is a run of a request that its target interrupted: it sent no answer, or an incomplete one.
 type InterruptedRun struct {
 	Request fingerprint.Fingerprint
 	// Incarnation identifies the process of the target that ran the request.
--- a/internal/dispatch/permits.go
+++ b/internal/dispatch/permits.go
@@ -10,8 +10,8 @@
 )
 
 // A target under pressure states a limit on the requests per second that it accepts from all instances together. Each request to
-// it needs a permit, so that the sum stays within the limit. A target without available permits is blocked: other targets are
-// chosen first.
+// it needs a permit, so that the sum stays within the limit. A target without available permits is blocked: as with a target
+// without free slots, other targets are chosen first.
 
 // noPermitError reports that no permit was available for the chosen target, which is now blocked.
 type noPermitError struct{}
