--- a/internal/dispatch/permits_test.go
+++ b/internal/dispatch/permits_test.go
@@ -61,7 +61,7 @@
 					sl.Release()
 				}
 				hs.Expect(fi.requests.Load()).To(BeNumerically("<=", 2), "a target that refused a permit is not asked again")
-				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left booked")
+				hs.Expect(hs.OwnLoads()).To(BeEmpty(), "no load is left")
 			})
 		})
 	}
@@ -126,7 +126,7 @@
 		rq.Objective = 30 * time.Second
 		began := time.Now()
 		hs.mustBeRefused(rq)
-		hs.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is told at once when to retry")
+		hs.Expect(time.Since(began)).To(BeNumerically("<", objective/10), "it is refused at once")
 		hs.Expect(longestWait).To(BeNumerically("<=", 300*time.Millisecond), "no longer than a request with a short objective may wait")
 	})
 }
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// expectedAnswerTokens returns how many tokens of the answer are still expected: the caller's hint or else the usual number,
+// expectedAnswerTokens returns how many tokens of the answer are still expected: the caller's hint or else the mean number,
 // at most the caller's limit, less what was already forwarded.
 func expectedAnswerTokens(rq Request) int {
 	expected := rq.AnswerTokensHint
@@ -53,10 +53,10 @@
 	return max(rq.Service.Engine.StepsPerPass, expected)
 }
 
-// place chooses the targets of a prompt and books its load there.
+// place chooses the targets of a prompt and adds its load there.
 func (ds *Dispatcher) place(ctx context.Context, rq Request, tgs []targets.Target) (*Slot, bool, error) {
 	pr := ds.newPrompt(rq)
-	sl, err := ds.chooseAndBook(rq, pr, tgs)
+	sl, err := ds.chooseAndAddLoad(rq, pr, tgs)
 	if err != nil || sl == nil {
 		return nil, false, err
 	}
@@ -92,9 +92,9 @@
 	return true
 }
 
-// chooseAndBook books the plan with the least expected loss. It holds the load table's lock throughout, so that two requests
-// are not planned into the same room. It returns nil if the prompt has to wait, and an error if it is refused.
-func (ds *Dispatcher) chooseAndBook(rq Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
+// chooseAndAddLoad chooses the plan with the least expected loss and adds its load. It holds the load table's lock throughout, so
+// that two requests are not planned into the same room. It returns nil if the prompt has to wait, and an error if it is refused.
+func (ds *Dispatcher) chooseAndAddLoad(rq Request, pr placement.Prompt, tgs []targets.Target) (*Slot, error) {
 	delay := ds.propagationDelay()
 	ds.loadTable.mu.Lock()
 	defer ds.loadTable.mu.Unlock()
@@ -118,7 +118,7 @@
 		return nil, nil
 	case decisionPlace:
 	}
-	return ds.bookPlan(rq, pr, pl, tgs), nil
+	return ds.addPlanLoad(rq, pr, pl, tgs), nil
 }
 
 // bestPlan returns the best plan for a prompt, if there is one. A short prompt goes to the short pool while it is served in
@@ -155,12 +155,12 @@
 	now := ds.opts.Now()
 	cands := make([]placement.Target, len(tgs))
 	for i, tg := range tgs {
-		_, _, closed := ds.closed(rq, tg.ID)
+		_, _, blocked := ds.blocked(rq, tg.ID)
 		ph, _ := ds.backOffPhase(tg.ID)
 		cands[i] = placement.Target{
 			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loadTable.total(tg.ID), Slowdown: 1,
 			CanHelp: ph == backoff.Available,
-			Closed:  closed,
+			Closed:  blocked,
 		}
 		if ds.loadTable.isFull(tg.ID, now) {
 			cands[i].CanHelp = false
@@ -170,8 +170,8 @@
 	return cands
 }
 
-// bookPlan books the load of a plan at its targets. The caller holds the load table's lock.
-func (ds *Dispatcher) bookPlan(rq Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
+// addPlanLoad adds the load of a plan at its targets, and returns its slot. The caller holds the load table's lock.
+func (ds *Dispatcher) addPlanLoad(rq Request, pr placement.Prompt, pl placement.Plan, tgs []targets.Target) *Slot {
 	byID := make(map[string]targets.Target, len(tgs))
 	for _, tg := range tgs {
 		byID[tg.ID] = tg
@@ -189,7 +189,7 @@
 		prefillLoad = prefillLoad.WithMemory(0)
 	}
 	sl.addStageLoad(pl.Main, prefillLoad)
-	ds.recordChosen(pl.Main)
+	ds.recordDispatch(pl.Main)
 	for _, id := range pl.Helpers {
 		sl.Helpers = append(sl.Helpers, Helper{ID: id, Address: byID[id].Address})
 		sl.addStageLoad(id, pr.HelperLoad(parts))
@@ -203,11 +203,11 @@
 // unboundedTimeLeft replaces the time left when the deadline does not apply.
 const unboundedTimeLeft = time.Hour
 
-// usualPassTime is the usual time of an engine pass that generates answers, sometimes together with prefill.
-const usualPassTime = 90 * time.Millisecond
+// typicalPassTime is the typical time of an engine pass that decodes answers, sometimes together with prefill.
+const typicalPassTime = 90 * time.Millisecond
 
-// usualAnswerTime returns how long an engine takes to generate an answer of usual length.
-func usualAnswerTime(en *placement.Engine) time.Duration {
+// meanAnswerTime returns how long an engine takes to decode an answer of mean length.
+func meanAnswerTime(en *placement.Engine) time.Duration {
 	passes := max(1, float64(en.MeanAnswerTokens)/float64(max(1, en.StepsPerPass)))
-	return time.Duration(passes * float64(usualPassTime))
+	return time.Duration(passes * float64(typicalPassTime))
 }
