--- a/internal/dispatch/deferral.go
+++ b/internal/dispatch/deferral.go
@@ -51,7 +51,7 @@
 	after := slices.Clone(cands)
 	for i := range after {
 		after[i].Load.WholePrefill, after[i].Load.SplitPrefill = placement.Backlog{}, placement.Backlog{}
-		after[i].Closed = false
+		after[i].Blocked = false
 	}
 	return after
 }
@@ -61,7 +61,7 @@
 	after := slices.Clone(cands)
 	for i := range after {
 		after[i].Load = placement.Load{}
-		after[i].CanHelp, after[i].Closed = true, false
+		after[i].CanHelp, after[i].Blocked = true, false
 	}
 	return after
 }
--- a/internal/dispatch/overload.go
+++ b/internal/dispatch/overload.go
@@ -37,7 +37,7 @@
 func slotsExhausted(en *placement.Engine, cands []placement.Target) bool {
 	taken, slots := 0, 0
 	for i := range cands {
-		if cands[i].Closed {
+		if cands[i].Blocked {
 			continue
 		}
 		taken += cands[i].Load.Prefilling + cands[i].Load.Decoding
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -160,7 +160,7 @@
 		cands[i] = placement.Target{
 			Name: tg.ID, SameZone: tg.AvailabilityZone == ds.opts.AvailabilityZone, Load: ds.loadTable.total(tg.ID), Slowdown: 1,
 			CanHelp: ph == backoff.Available,
-			Closed:  blocked,
+			Blocked: blocked,
 		}
 		if ds.loadTable.isFull(tg.ID, now) {
 			cands[i].CanHelp = false
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -53,7 +53,7 @@
 func moveUnblockedFirst(cands []placement.Target) int {
 	count := 0
 	for i := range cands {
-		if !cands[i].Closed {
+		if !cands[i].Blocked {
 			cands[count], cands[i] = cands[i], cands[count]
 			count++
 		}
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -151,7 +151,7 @@
 // scoreMain sets the cost of the candidate as the main target. During the prefill of its part, decodingLoss is the loss
 // of the requests that decode there, and othersLoss that of prefilling requests and arrivals.
 func (ch *chooser) scoreMain(ca *candidate, decodingLoss, othersLoss float64) {
-	if ca.ta.Closed {
+	if ca.ta.Blocked {
 		ca.mainKey = math.Inf(1)
 		return
 	}
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -58,7 +58,7 @@
 			for seed := range uint64(20) {
 				ts := idleTargets(18)
 				for ix := range 12 {
-					ts[ix].Closed = true
+					ts[ix].Blocked = true
 				}
 				pl, ok := Choose(typicalEngine, pr, ts, Options{Seed: seed})
 				g.Expect(ok).To(BeTrue())
@@ -69,7 +69,7 @@
 			g.Expect(helped).To(Equal(pr.Tokens > 100_000))
 			all := idleTargets(18)
 			for ix := range all {
-				all[ix].Closed = true
+				all[ix].Blocked = true
 			}
 			_, ok := Choose(typicalEngine, pr, all, Options{Seed: 1})
 			g.Expect(ok).To(BeFalse())
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -14,7 +14,7 @@
 	// CanHelp is set when the target may become a helper.
 	CanHelp bool
 	// Closed is set when the target cannot be a main target at present. It may still be a helper.
-	Closed bool
+	Blocked bool
 }
 
 // slowdown returns Slowdown, but at least 1.
