--- a/internal/dispatch/arrivals.go
+++ b/internal/dispatch/arrivals.go
@@ -45,7 +45,7 @@
 
 // observeShort adds an arriving short prompt to the average of short prompts.
 func (st *arrivalStats) observeShort(pr placement.Prompt) {
-	st.shortMaxPause = pr.LongestPause
+	st.shortMaxPause = pr.MaxPause
 	worthAtRisk := pr.InTimeWorth - pr.LateWorth
 	if st.shortAtRisk == 0 {
 		st.shortAtRisk = worthAtRisk
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -33,7 +33,7 @@
 	}
 	return placement.Prompt{
 		Tokens: int64(rq.PromptTokens), AnswerTokens: int64(expectedAnswerTokens(rq)),
-		Objective: max(rq.Objective, time.Millisecond), Elapsed: now.Sub(rq.Arrived), LongestPause: pause, CallerIdleTimeout: rq.CallerIdleTimeout,
+		Objective: max(rq.Objective, time.Millisecond), Elapsed: now.Sub(rq.Arrived), MaxPause: pause, CallerIdleTimeout: rq.CallerIdleTimeout,
 		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth * lateWorthShare), UntilDeadline: ds.answerDeadline(rq).Sub(now),
 	}
 }
--- a/internal/dispatch/pools.go
+++ b/internal/dispatch/pools.go
@@ -99,7 +99,7 @@
 // pause that is too long.
 func (ps pools) servesShort(rq Request, pr placement.Prompt, pl placement.Plan) bool {
 	acceptable := float64(pl.Loss) <= maxShortPoolLoss*float64(pr.InTimeWorth)
-	return acceptable && !willBeLate(rq, pr, pl) && pl.PredictedPause <= pr.LongestPause
+	return acceptable && !willBeLate(rq, pr, pl) && pl.PredictedPause <= pr.MaxPause
 }
 
 // canKeepPauses reports whether any plan for the prompt could satisfy keepsPauses. None can if even the smallest part takes
--- a/internal/dispatch/slot.go
+++ b/internal/dispatch/slot.go
@@ -137,7 +137,7 @@
 	now := sl.ds.opts.Now()
 	pause := now.Sub(sl.lastEventAt)
 	sl.lastEventAt = now
-	if pause > sl.prompt.LongestPause {
+	if pause > sl.prompt.MaxPause {
 		sl.markLate()
 	}
 }
--- a/internal/peerstate/size_test.go
+++ b/internal/peerstate/size_test.go
@@ -63,7 +63,7 @@
 	worth := 1 + 0.1*float64(tokens)/1000
 	return placement.Prompt{
 		Tokens: tokens, AnswerTokens: 50 + rd.Int64N(500),
-		Objective: objectives[rd.IntN(len(objectives))], LongestPause: pauses[rd.IntN(len(pauses))],
+		Objective: objectives[rd.IntN(len(objectives))], MaxPause: pauses[rd.IntN(len(pauses))],
 		InTimeWorth: placement.WorthOf(worth), LateWorth: placement.WorthOf(worth / 4), UntilDeadline: time.Minute,
 	}
 }
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -75,7 +75,7 @@
 	if !ta.SameZone {
 		ca.baseCost += crossZoneShare * ch.lossModel.inTimeWorth
 	}
-	ca.interferenceLoss = ch.lossModel.interferenceLoss(ch.en.Slots, ta.Load.protection(ch.pr.LongestPause, ch.en.Slots))
+	ca.interferenceLoss = ch.lossModel.interferenceLoss(ch.en.Slots, ta.Load.protection(ch.pr.MaxPause, ch.en.Slots))
 	ca.meanPromptPrefill = ca.slowdown * ch.meanPromptPrefill
 	ca.stepTime = ch.en.stepTimeAt(ta)
 	ca.prefillPause = ch.en.prefillPause(ta, Backlog{}, ca.stepTime)
--- a/internal/placement/loss.go
+++ b/internal/placement/loss.go
@@ -70,7 +70,7 @@
 		worthAtRisk:       risk,
 		elapsed:           float64(pr.Elapsed),
 		objective:         newSoftLimit(float64(pr.Objective), predictionError),
-		longestPause:      newSoftLimit(float64(pr.LongestPause), predictionError),
+		longestPause:      newSoftLimit(float64(pr.MaxPause), predictionError),
 		lateWorth:         late,
 		callerIdleTimeout: newSoftLimit(float64(max(pr.CallerIdleTimeout, 1)), predictionError),
 		delayCost:         delayCostShare * risk / float64(pr.Objective),
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -26,21 +26,21 @@
 
 func shortPrompt() Prompt {
 	return Prompt{
-		Tokens: 5000, AnswerTokens: 600, Objective: 300 * time.Millisecond, LongestPause: 250 * time.Millisecond,
+		Tokens: 5000, AnswerTokens: 600, Objective: 300 * time.Millisecond, MaxPause: 250 * time.Millisecond,
 		InTimeWorth: WorthOf(1), LateWorth: WorthOf(0.2), UntilDeadline: 10 * time.Second,
 	}
 }
 
 func middlePrompt() Prompt {
 	return Prompt{
-		Tokens: 45_000, AnswerTokens: 1300, Objective: 1500 * time.Millisecond, LongestPause: 600 * time.Millisecond,
+		Tokens: 45_000, AnswerTokens: 1300, Objective: 1500 * time.Millisecond, MaxPause: 600 * time.Millisecond,
 		InTimeWorth: WorthOf(3), LateWorth: WorthOf(1), UntilDeadline: 20 * time.Second,
 	}
 }
 
 func longPrompt(tokens int64) Prompt {
 	return Prompt{
-		Tokens: tokens, AnswerTokens: 2000, Objective: 2500 * time.Millisecond, LongestPause: time.Second,
+		Tokens: tokens, AnswerTokens: 2000, Objective: 2500 * time.Millisecond, MaxPause: time.Second,
 		InTimeWorth: WorthOf(10), LateWorth: WorthOf(4), UntilDeadline: 40 * time.Second,
 	}
 }
@@ -78,7 +78,7 @@
 		pr := longPrompt(rapid.Int64Range(1, 600_000).Draw(t, "tokens"))
 		pr.AnswerTokens = rapid.Int64Range(1, 8000).Draw(t, "answer")
 		pr.Objective = time.Duration(rapid.IntRange(100, 5000).Draw(t, "objective")) * time.Millisecond
-		pr.LongestPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "longest pause")) * time.Millisecond
+		pr.MaxPause = time.Duration(rapid.IntRange(30, 3000).Draw(t, "longest pause")) * time.Millisecond
 		pr.Elapsed = time.Duration(rapid.IntRange(0, 3000).Draw(t, "elapsed")) * time.Millisecond
 		pr.InTimeWorth = WorthOf(rapid.Float64Range(0, 20).Draw(t, "in time"))
 		pr.LateWorth = pr.InTimeWorth / 3
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -12,8 +12,8 @@
 	// Elapsed is the time since arrival.
 	Elapsed time.Duration
 	// LongestPause is the maximum pause between events of an answer that is in time; it is above 0.
-	LongestPause time.Duration
-	InTimeWorth  Worth
+	MaxPause    time.Duration
+	InTimeWorth Worth
 	// LateWorth is at most InTimeWorth.
 	LateWorth Worth
 	// CallerIdleTimeout is the time without an event, also before the first one, after which the caller disconnects;
@@ -43,7 +43,7 @@
 // DecodeLoad returns the load at the main target from the first token on, if it holds the memory of the whole prompt.
 func (pr Prompt) DecodeLoad() Load {
 	lo := Load{Decoding: 1, ContextTokens: pr.Tokens, MemoryTokens: pr.memoryNeed()}
-	lo.PauseRisk = pr.riskByLimit(pr.LongestPause, pr.CallerIdleTimeout)
+	lo.PauseRisk = pr.riskByLimit(pr.MaxPause, pr.CallerIdleTimeout)
 	return lo
 }
 
