--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestClosedTargetIsHelperButNeverMain(t *testing.T) {
+func TestBlockedTargetIsHelperButNeverMain(t *testing.T) {
 	cases := map[string]Prompt{"short": shortPrompt(), "long": longPrompt(133_000), "larger than a target": longPrompt(400_000)}
 	for name, pr := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/prompt.go
+++ b/internal/placement/prompt.go
@@ -11,7 +11,7 @@
 	Objective time.Duration
 	// Elapsed is the time since arrival.
 	Elapsed time.Duration
-	// LongestPause is the maximum pause between events of an answer that is in time; it is above 0.
+	// MaxPause is the maximum pause between events of an answer that is in time; it is above 0.
 	MaxPause    time.Duration
 	InTimeWorth Worth
 	// LateWorth is at most InTimeWorth.
--- a/internal/placement/target.go
+++ b/internal/placement/target.go
@@ -13,7 +13,7 @@
 	HelperParts int
 	// CanHelp is set when the target may become a helper.
 	CanHelp bool
-	// Closed is set when the target cannot be a main target at present. It may still be a helper.
+	// Blocked is set when the target cannot be a main target at present. It may still be a helper.
 	Blocked bool
 }
 
