--- a/internal/duty/announce/announce.go
+++ b/internal/duty/announce/announce.go
@@ -30,11 +30,11 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	store, err := kernel.Need[*objectstore.Client](env)
+	store, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
-	fl, err := kernel.Need[*fleet.Fleet](env)
+	fl, err := kernel.Resolve[*fleet.Fleet](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -33,15 +33,15 @@
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	sy := &syncer{log: env.Logger("bundles")}
-	client, err := kernel.Need[*objectstore.Client](env)
+	client, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
 	sy.store = bundlestore.New(client)
-	if sy.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
+	if sy.mesh, err = kernel.Resolve[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if sy.holder, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if sy.holder, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ls, err := kernel.Need[*listen.Listeners](env)
+	ls, err := kernel.Resolve[*listen.Listeners](env)
 	if err != nil {
 		return nil, err
 	}
@@ -134,27 +134,27 @@
 func newDeps(env *kernel.Env) (serve.Deps, error) {
 	d := serve.Deps{Incarnation: env.Incarnation, Log: env.Logger("serve"), Stopping: env.Stopping.Load}
 	var err error
-	if d.Fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	if d.Fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return d, err
 	}
-	if d.Bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if d.Bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return d, err
 	}
-	if d.Burn, err = kernel.Need[*burn.Recorder](env); err != nil {
+	if d.Burn, err = kernel.Resolve[*burn.Recorder](env); err != nil {
 		return d, err
 	}
-	if d.Canceller, err = kernel.Need[*cancel.Canceller](env); err != nil {
+	if d.Canceller, err = kernel.Resolve[*cancel.Canceller](env); err != nil {
 		return d, err
 	}
-	if d.Metrics, err = kernel.Need[*metrics.Set](env); err != nil {
+	if d.Metrics, err = kernel.Resolve[*metrics.Set](env); err != nil {
 		return d, err
 	}
-	clients, err := kernel.Need[reports.Clients](env)
+	clients, err := kernel.Resolve[reports.Clients](env)
 	if err != nil {
 		return d, err
 	}
 	d.Engine = clients
-	store, err := kernel.Need[*objectstore.Client](env)
+	store, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return d, err
 	}
@@ -177,7 +177,7 @@
 func callService(_ fleet.Target, r *http.Request) (*http.Response, error) { return serviceClient.Do(r) }
 
 func newRouter(env *kernel.Env, d serve.Deps) (*router.Router, error) {
-	ms, err := kernel.Need[*peer.Mesh](env)
+	ms, err := kernel.Resolve[*peer.Mesh](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -51,7 +51,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Components](env)
+	pt, err := kernel.Resolve[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -95,7 +95,7 @@
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	ad, _ := adapter.Find(env.Settings.Gateway.Adapter)
-	ms, err := kernel.Need[*metrics.Set](env)
+	ms, err := kernel.Resolve[*metrics.Set](env)
 	if err != nil {
 		// The program that started the instance provides no set of metrics.
 		ms = metrics.NewSet()
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -62,11 +62,11 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Components](env)
+	pt, err := kernel.Resolve[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
-	mesh, err := kernel.Need[*gossip.Mesh](env)
+	mesh, err := kernel.Resolve[*gossip.Mesh](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -65,7 +65,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	client, err := kernel.Need[*objectstore.Client](env)
+	client, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
@@ -74,10 +74,10 @@
 		ownerTimeout: maxMissedRenewals * env.Settings.Platform.Registration.Std(),
 		records:      map[string]job.Versioned{}, running: map[string]activeRun{},
 	}
-	if mg.server, err = kernel.Need[*serve.Server](env); err != nil {
+	if mg.server, err = kernel.Resolve[*serve.Server](env); err != nil {
 		return nil, err
 	}
-	if mg.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	if mg.fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
 	mg.server.Mount("/v1/jobs", mg.handler())
--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/knowledge/knowledge.go
@@ -39,11 +39,11 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	cl, err := kernel.Need[*objectstore.Client](env)
+	cl, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
-	ls, err := kernel.Need[*listen.Listeners](env)
+	ls, err := kernel.Resolve[*listen.Listeners](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -87,7 +87,7 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Components](env)
+	pt, err := kernel.Resolve[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -96,30 +96,30 @@
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	ap := &api{env: env}
 	var err error
-	if ap.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	if ap.fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if ap.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if ap.bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
-	if ap.burn, err = kernel.Need[*burn.Recorder](env); err != nil {
+	if ap.burn, err = kernel.Resolve[*burn.Recorder](env); err != nil {
 		return nil, err
 	}
-	if ap.metrics, err = kernel.Need[*metrics.Set](env); err != nil {
+	if ap.metrics, err = kernel.Resolve[*metrics.Set](env); err != nil {
 		return nil, err
 	}
-	if ap.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
+	if ap.mesh, err = kernel.Resolve[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if ap.server, err = kernel.Need[*serve.Server](env); err != nil {
+	if ap.server, err = kernel.Resolve[*serve.Server](env); err != nil {
 		return nil, err
 	}
-	client, err := kernel.Need[*objectstore.Client](env)
+	client, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
 	ap.store = bundlestore.New(client)
-	ls, err := kernel.Need[*listen.Listeners](env)
+	ls, err := kernel.Resolve[*listen.Listeners](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -50,18 +50,18 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	store, err := kernel.Need[*objectstore.Client](env)
+	store, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
 	co := &coordinator{log: env.Logger("orders")}
-	if co.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	if co.fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if co.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if co.bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
-	if co.clients, err = kernel.Need[reports.Clients](env); err != nil {
+	if co.clients, err = kernel.Resolve[reports.Clients](env); err != nil {
 		return nil, err
 	}
 	co.lease = lease.New(store, leasePrefix+env.Settings.AvailabilityZone, env.Incarnation, leaseTTL, boottime.Now)
--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -69,15 +69,15 @@
 type ZoneBlocked func(zone string) bool
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	fl, err := kernel.Need[*fleet.Fleet](env)
+	fl, err := kernel.Resolve[*fleet.Fleet](env)
 	if err != nil {
 		return nil, err
 	}
-	holder, err := kernel.Need[*rollout.Holder](env)
+	holder, err := kernel.Resolve[*rollout.Holder](env)
 	if err != nil {
 		return nil, err
 	}
-	ls, err := kernel.Need[*listen.Listeners](env)
+	ls, err := kernel.Resolve[*listen.Listeners](env)
 	if err != nil {
 		return nil, err
 	}
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	blocked, err := kernel.Need[ZoneBlocked](env)
+	blocked, err := kernel.Resolve[ZoneBlocked](env)
 	if err != nil {
 		blocked = func(string) bool { return false }
 	}
--- a/internal/duty/reports/reports.go
+++ b/internal/duty/reports/reports.go
@@ -29,7 +29,7 @@
 type Clients func(t fleet.Target) *engine.Client
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	fl, err := kernel.Need[*fleet.Fleet](env)
+	fl, err := kernel.Resolve[*fleet.Fleet](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -26,15 +26,15 @@
 )
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	fl, err := kernel.Need[*fleet.Fleet](env)
+	fl, err := kernel.Resolve[*fleet.Fleet](env)
 	if err != nil {
 		return nil, err
 	}
-	clients, err := kernel.Need[reports.Clients](env)
+	clients, err := kernel.Resolve[reports.Clients](env)
 	if err != nil {
 		return nil, err
 	}
-	mset, err := kernel.Need[*metrics.Set](env)
+	mset, err := kernel.Resolve[*metrics.Set](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -70,7 +70,7 @@
 
 // CallersURL returns the base URL for callers.
 func (in *Instance) CallersURL() string {
-	ls, err := kernel.Need[*listen.Listeners](in.kn.Env)
+	ls, err := kernel.Resolve[*listen.Listeners](in.kn.Env)
 	if err != nil {
 		return ""
 	}
@@ -79,7 +79,7 @@
 
 // OperatorsURL returns the base URL for operators.
 func (in *Instance) OperatorsURL() string {
-	ls, err := kernel.Need[*listen.Listeners](in.kn.Env)
+	ls, err := kernel.Resolve[*listen.Listeners](in.kn.Env)
 	if err != nil {
 		return ""
 	}
@@ -88,7 +88,7 @@
 
 // PeersAddress returns the address for other instances.
 func (in *Instance) PeersAddress() string {
-	ls, err := kernel.Need[*listen.Listeners](in.kn.Env)
+	ls, err := kernel.Resolve[*listen.Listeners](in.kn.Env)
 	if err != nil {
 		return ""
 	}
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -155,7 +155,7 @@
 func Provide[T any](env *Env, part T) { env.parts[reflect.TypeFor[T]()] = part }
 
 // Need returns a part that an earlier duty provided.
-func Need[T any](env *Env) (T, error) {
+func Resolve[T any](env *Env) (T, error) {
 	part, ok := env.parts[reflect.TypeFor[T]()].(T)
 	if !ok {
 		return part, &MissingPartError{Type: reflect.TypeFor[T]().String()}
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -272,11 +272,11 @@
 
 func (lf *Fleet) settled() bool {
 	for _, in := range lf.Instances {
-		fl, err := kernel.Need[*fleet.Fleet](in.Env())
+		fl, err := kernel.Resolve[*fleet.Fleet](in.Env())
 		if err != nil {
 			return false
 		}
-		holder, err := kernel.Need[*rollout.Holder](in.Env())
+		holder, err := kernel.Resolve[*rollout.Holder](in.Env())
 		if err != nil || holder.Version() == 0 || len(fl.Targets()) != len(lf.Engines)+1 {
 			return false
 		}
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -19,7 +19,7 @@
 
 // bundleVersion returns a function that reads the bundle version in force at an instance; -1 if it has no bundle holder.
 func bundleVersion(in *instance.Instance) func() int64 {
-	holder, err := kernel.Need[*rollout.Holder](in.Env())
+	holder, err := kernel.Resolve[*rollout.Holder](in.Env())
 	if err != nil {
 		return func() int64 { return -1 }
 	}
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -86,7 +86,7 @@
 			headers := append([]string{serve.HeaderTimeout, "300ms"}, tc.headers...)
 			resp := call(t, http.MethodPost, lf.URLs()[0]+"/v1/completions", completion("hello", 4, false), headers...)
 			g.Expect(resp.code).To(Equal(tc.want))
-			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
+			sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Eventually(sv.InFlight).Should(BeZero())
 			g.Expect(sv.Bodies.Used()).To(BeZero())
@@ -147,7 +147,7 @@
 
 // isLeaving reports whether an instance knows a target as leaving.
 func isLeaving(in *instance.Instance, target string) bool {
-	sv, err := kernel.Need[*serve.Server](in.Env())
+	sv, err := kernel.Resolve[*serve.Server](in.Env())
 	if err != nil {
 		return false
 	}
@@ -177,7 +177,7 @@
 		g.Expect(old.Stop(t.Context())).To(Succeed())
 		in, err := lf.AddInstance(t.Context(), i)
 		g.Expect(err).NotTo(HaveOccurred())
-		sv, err := kernel.Need[*serve.Server](in.Env())
+		sv, err := kernel.Resolve[*serve.Server](in.Env())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Eventually(sv.Ready, 5*time.Second).Should(BeTrue())
 		extended := append(without(*liveURLs.Load(), ""), in.CallersURL())
@@ -213,7 +213,7 @@
 	}
 	partitioned.Store(false)
 	lf.Store.SetDown(false)
-	sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
+	sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(func() int {
 		live := 0
@@ -240,7 +240,7 @@
 	resp, err := io.ReadAll(conn)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(resp)).To(And(ContainSubstring("400"), ContainSubstring(`"outcome":"not_run"`)))
-	sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
+	sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(sv.InFlight).Should(BeZero())
 	g.Expect(sv.Bodies.Used()).To(BeZero())
--- a/internal/session/peer_test.go
+++ b/internal/session/peer_test.go
@@ -73,7 +73,7 @@
 // livePeers returns a function that counts the live peers an instance knows; -1 if it has no fleet.
 func livePeers(in *instance.Instance) func() int {
 	return func() int {
-		fl, err := kernel.Need[*fleet.Fleet](in.Env())
+		fl, err := kernel.Resolve[*fleet.Fleet](in.Env())
 		if err != nil {
 			return -1
 		}
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -212,7 +212,7 @@
 				s.Stop.Drain = config.Duration(time.Second)
 			}})
 			lf.Engines[0].Hang(true)
-			sv, err := kernel.Need[*serve.Server](lf.Instances[0].Env())
+			sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			responses := make(chan response, len(tc.prompts))
 			for _, prompt := range tc.prompts {
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -186,7 +186,7 @@
 func wire(lf *localfleet.Fleet) traffic {
 	var sum traffic
 	for _, in := range lf.Instances {
-		if ms, err := kernel.Need[*peer.Mesh](in.Env()); err == nil {
+		if ms, err := kernel.Resolve[*peer.Mesh](in.Env()); err == nil {
 			sum.messages += ms.FramesSent.Load()
 			sum.bytes += ms.BytesOut.Load()
 		}
