--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -79,13 +79,13 @@
 func (se *StartError) Unwrap() error { return se.Cause }
 
 // MissingPartError says that a duty needs a part that none has provided.
-type MissingPartError struct {
+type MissingDependencyError struct {
 	// Type is the type that was asked for.
 	Type string
 }
 
 // Error names the type.
-func (me *MissingPartError) Error() string { return "no duty provides " + me.Type }
+func (me *MissingDependencyError) Error() string { return "no duty provides " + me.Type }
 
 var registered []Duty
 
@@ -158,7 +158,7 @@
 func Resolve[T any](env *Env) (T, error) {
 	part, ok := env.parts[reflect.TypeFor[T]()].(T)
 	if !ok {
-		return part, &MissingPartError{Type: reflect.TypeFor[T]().String()}
+		return part, &MissingDependencyError{Type: reflect.TypeFor[T]().String()}
 	}
 	return part, nil
 }
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -219,7 +219,7 @@
 
 func TestStopReturnsTheFirstError(t *testing.T) {
 	boom := func(name string) func() error {
-		return func() error { return &MissingPartError{Type: name} }
+		return func() error { return &MissingDependencyError{Type: name} }
 	}
 	well := func() error { return nil }
 	tests := map[string]struct {
