--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -56,13 +56,13 @@
 type Stop func(ctx context.Context) error
 
 // Skip is the typed reason for which a duty does not run.
-type Skip struct {
+type SkipError struct {
 	// Reason is a short lower-case sentence.
 	Reason string
 }
 
 // Error returns the reason.
-func (sk *Skip) Error() string { return "skipped: " + sk.Reason }
+func (sk *SkipError) Error() string { return "skipped: " + sk.Reason }
 
 // StartError says which duty did not start.
 type StartError struct {
@@ -201,7 +201,7 @@
 			continue
 		}
 		stop, err := d.Start(ctx, kn.Env)
-		var sk *Skip
+		var sk *SkipError
 		if errors.As(err, &sk) {
 			kn.Env.Logger("kernel").WithField("duty", d.Name).WithField("reason", sk.Reason).Info("duty skipped")
 			continue
