--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -21,19 +21,19 @@
 const PointerName = "bundle"
 
 // InForce is a bundle with its index. It is immutable.
-type InForce struct {
+type IndexedBundle struct {
 	bundle.Bundle
 	byKey map[string]bundle.Organisation
 }
 
 // Organisation returns who a bearer key belongs to.
-func (inf *InForce) Organisation(key string) (bundle.Organisation, bool) {
+func (inf *IndexedBundle) Organisation(key string) (bundle.Organisation, bool) {
 	o, ok := inf.byKey[bundle.KeyDigest(key)]
 	return o, ok
 }
 
 // OrganisationNamed returns an organisation by its name.
-func (inf *InForce) OrganisationNamed(name string) (bundle.Organisation, bool) {
+func (inf *IndexedBundle) OrganisationNamed(name string) (bundle.Organisation, bool) {
 	i := slices.IndexFunc(inf.Organisations, func(o bundle.Organisation) bool { return o.Name == name })
 	if i < 0 {
 		return bundle.Organisation{}, false
@@ -42,13 +42,13 @@
 }
 
 // MayUse reports whether an organisation may use a model.
-func (inf *InForce) MayUse(o bundle.Organisation, model string) bool {
+func (inf *IndexedBundle) MayUse(o bundle.Organisation, model string) bool {
 	return len(o.Models) == 0 || slices.Contains(o.Models, model)
 }
 
 // Holder is safe for use by any goroutine.
 type Holder struct {
-	current atomic.Pointer[InForce]
+	current atomic.Pointer[IndexedBundle]
 	mu      sync.Mutex
 	// floor is the highest accepted version heard of from anyone; it never falls.
 	floor   int64
@@ -59,7 +59,7 @@
 func New() *Holder { return &Holder{changed: make(chan struct{})} }
 
 // Current returns the bundle in force, or nil before the first.
-func (hd *Holder) Current() *InForce { return hd.current.Load() }
+func (hd *Holder) Current() *IndexedBundle { return hd.current.Load() }
 
 // Version returns the version in force; zero before the first.
 func (hd *Holder) Version() int64 {
@@ -105,7 +105,7 @@
 		return false
 	}
 	hd.floor = max(hd.floor, b.Version)
-	inf := &InForce{Bundle: b, byKey: map[string]bundle.Organisation{}}
+	inf := &IndexedBundle{Bundle: b, byKey: map[string]bundle.Organisation{}}
 	for _, o := range b.Organisations {
 		for _, d := range o.KeyDigests {
 			inf.byKey[d] = o
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -29,7 +29,7 @@
 	path     string
 	org      bundle.Organisation
 	class    bundle.Class
-	inForce  *rollout.InForce
+	inForce  *rollout.IndexedBundle
 	arrived  time.Time
 	deadline deadline.Deadline
 	// atMostOnce is set if the request must not be sent again once it may have run.
