--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -27,22 +27,22 @@
 }
 
 // Organisation returns who a bearer key belongs to.
-func (inf *IndexedBundle) Organisation(key string) (bundle.Organisation, bool) {
-	o, ok := inf.byKey[bundle.KeyDigest(key)]
+func (ib *IndexedBundle) Organisation(key string) (bundle.Organisation, bool) {
+	o, ok := ib.byKey[bundle.KeyDigest(key)]
 	return o, ok
 }
 
 // OrganisationNamed returns an organisation by its name.
-func (inf *IndexedBundle) OrganisationNamed(name string) (bundle.Organisation, bool) {
-	i := slices.IndexFunc(inf.Organisations, func(o bundle.Organisation) bool { return o.Name == name })
+func (ib *IndexedBundle) OrganisationNamed(name string) (bundle.Organisation, bool) {
+	i := slices.IndexFunc(ib.Organisations, func(o bundle.Organisation) bool { return o.Name == name })
 	if i < 0 {
 		return bundle.Organisation{}, false
 	}
-	return inf.Organisations[i], true
+	return ib.Organisations[i], true
 }
 
 // MayUse reports whether an organisation may use a model.
-func (inf *IndexedBundle) MayUse(o bundle.Organisation, model string) bool {
+func (ib *IndexedBundle) MayUse(o bundle.Organisation, model string) bool {
 	return len(o.Models) == 0 || slices.Contains(o.Models, model)
 }
 
