--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -27,7 +27,7 @@
 }
 
 // Organisation returns who a bearer key belongs to.
-func (ib *IndexedBundle) Organisation(key string) (bundle.Organisation, bool) {
+func (ib *IndexedBundle) OrganisationByKey(key string) (bundle.Organisation, bool) {
 	o, ok := ib.byKey[bundle.KeyDigest(key)]
 	return o, ok
 }
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -76,7 +76,7 @@
 		return nil, failure.New(failure.NotReady, failure.NotRun, "no bundle is in force yet").WithRetryAfter(time.Second)
 	}
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-	org, ok := inf.Organisation(key)
+	org, ok := inf.OrganisationByKey(key)
 	if !ok {
 		return nil, failure.New(failure.Unauthorized, failure.NotRun, "the bearer key is not known")
 	}
