--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -33,7 +33,7 @@
 }
 
 // OrganisationNamed returns an organisation by its name.
-func (ib *IndexedBundle) OrganisationNamed(name string) (bundle.Organisation, bool) {
+func (ib *IndexedBundle) OrganisationByName(name string) (bundle.Organisation, bool) {
 	i := slices.IndexFunc(ib.Organisations, func(o bundle.Organisation) bool { return o.Name == name })
 	if i < 0 {
 		return bundle.Organisation{}, false
--- a/internal/serve/job.go
+++ b/internal/serve/job.go
@@ -89,7 +89,7 @@
 	if !ok {
 		return nil, failure.New(failure.BadRequest, failure.NotRun, "no class %q", j.Class)
 	}
-	org, ok := inf.OrganisationNamed(j.Organisation)
+	org, ok := inf.OrganisationByName(j.Organisation)
 	if !ok {
 		return nil, failure.New(failure.Forbidden, failure.NotRun, "no organisation %q", j.Organisation)
 	}
