--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -60,7 +60,7 @@
 	for _, o := range objects {
 		var p rollout.Pointer
 		if o.Name == rollout.PointerName && json.Unmarshal(o.Value, &p) == nil {
-			sy.holder.Hear(p.Version)
+			sy.holder.ObserveAccepted(p.Version)
 		}
 	}
 }
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -91,7 +91,7 @@
 	}
 	ms.fl.ApplyBeat(b)
 	ms.renewGrants(from.Incarnation, b.Usage)
-	ms.bundles.Hear(pb.GetBundleVersion())
+	ms.bundles.ObserveAccepted(pb.GetBundleVersion())
 }
 
 // renewGrants extends the grants that the holder's usage shows to be in use.
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -70,7 +70,7 @@
 }
 
 // Hear raises the floor to an accepted version that somebody named.
-func (hd *Holder) Hear(version int64) {
+func (hd *Holder) ObserveAccepted(version int64) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	if version > hd.floor {
