--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -70,7 +70,7 @@
 	for ctx.Err() == nil {
 		changed := sy.holder.Changed()
 		wait := time.Hour
-		if v := sy.holder.Behind(); v > 0 && !sy.fetch(ctx, v) {
+		if v := sy.holder.PendingVersion(); v > 0 && !sy.fetch(ctx, v) {
 			wait = retryDelay
 		}
 		select {
@@ -93,5 +93,5 @@
 	if sy.holder.Apply(b) {
 		sy.log.WithField("version", b.Version).Info("bundle in force")
 	}
-	return sy.holder.Behind() == 0
+	return sy.holder.PendingVersion() == 0
 }
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -209,7 +209,7 @@
 	st := Status{
 		Instance: self.Name, Incarnation: self.Incarnation, AvailabilityZone: self.AvailabilityZone,
 		Ready: ap.server.Ready(), Stopping: ap.server.Stopping(), BundleVersion: ap.bundles.Version(),
-		BundleBehind: ap.bundles.Behind(), InFlight: ap.server.InFlight(),
+		BundleBehind: ap.bundles.PendingVersion(), InFlight: ap.server.InFlight(),
 	}
 	for _, t := range ap.fleet.Targets() {
 		st.Targets = append(st.Targets, TargetStatus{Name: t.Name, Owner: ap.fleet.Owner(t)})
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -81,7 +81,7 @@
 }
 
 // Behind returns the version to fetch, or zero when the bundle in force is the newest heard of.
-func (hd *Holder) Behind() int64 {
+func (hd *Holder) PendingVersion() int64 {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	if hd.floor > hd.Version() {
