--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -31,18 +31,18 @@
 }
 
 // Office accepts bundles for operators.
-type Office struct {
+type Client struct {
 	store   *objectstore.Client
 	bundles *bundlestore.Store
 }
 
 // New returns an office on the store.
-func New(store *objectstore.Client) *Office {
-	return &Office{store: store, bundles: bundlestore.New(store)}
+func New(store *objectstore.Client) *Client {
+	return &Client{store: store, bundles: bundlestore.New(store)}
 }
 
 // current returns the accepted pointer; a zero pointer before the first bundle.
-func (of *Office) current(ctx context.Context) (rollout.Pointer, int64, error) {
+func (of *Client) current(ctx context.Context) (rollout.Pointer, int64, error) {
 	o, err := of.store.Get(ctx, objectstore.KindPointers, rollout.PointerName)
 	var missing *objectstore.NotFoundError
 	if errors.As(err, &missing) {
@@ -56,7 +56,7 @@
 }
 
 // Accepted returns the bundle that is accepted now; a zero bundle before the first.
-func (of *Office) Accepted(ctx context.Context) (bundle.Bundle, error) {
+func (of *Client) Accepted(ctx context.Context) (bundle.Bundle, error) {
 	p, _, err := of.current(ctx)
 	if err != nil || p.Version == 0 {
 		return bundle.Bundle{}, err
@@ -65,13 +65,13 @@
 }
 
 // Pushed returns a pushed bundle.
-func (of *Office) Pushed(ctx context.Context, version int64) (bundle.Bundle, error) {
+func (of *Client) Pushed(ctx context.Context, version int64) (bundle.Bundle, error) {
 	return of.bundles.Get(ctx, version)
 }
 
 // Push writes a bundle under the first free version after the accepted one. The same content pushed again after a lost
 // answer is the same push. Nothing is in force by a push alone.
-func (of *Office) Push(ctx context.Context, b bundle.Bundle) (int64, error) {
+func (of *Client) Push(ctx context.Context, b bundle.Bundle) (int64, error) {
 	digest, err := b.Digest()
 	if err != nil {
 		return 0, err
@@ -106,7 +106,7 @@
 
 // Sign accepts a pushed bundle by one conditional write. A lost answer is settled by reading the pointer back; the same
 // sign-off again is the same sign-off.
-func (of *Office) Sign(ctx context.Context, version int64) error {
+func (of *Client) Sign(ctx context.Context, version int64) error {
 	b, err := of.Pushed(ctx, version)
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 	}
 }
 
-func (of *Office) move(ctx context.Context, at int64, p rollout.Pointer) error {
+func (of *Client) move(ctx context.Context, at int64, p rollout.Pointer) error {
 	if at == 0 {
 		_, err := of.store.Create(ctx, objectstore.KindPointers, rollout.PointerName, p)
 		return err
--- a/internal/signoff/signoff_test.go
+++ b/internal/signoff/signoff_test.go
@@ -15,7 +15,7 @@
 	"github.com/silvermount/silvermount/internal/standin/platformsim"
 )
 
-func office(t *testing.T) (*Office, *platformsim.Store) {
+func office(t *testing.T) (*Client, *platformsim.Store) {
 	t.Helper()
 	st := platformsim.New()
 	sr, err := localfleet.Serve(st.Handler())
