--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -42,8 +42,8 @@
 }
 
 // current returns the accepted pointer; a zero pointer before the first bundle.
-func (of *Client) current(ctx context.Context) (rollout.Pointer, int64, error) {
-	o, err := of.store.Get(ctx, objectstore.KindPointers, rollout.PointerName)
+func (cl *Client) current(ctx context.Context) (rollout.Pointer, int64, error) {
+	o, err := cl.store.Get(ctx, objectstore.KindPointers, rollout.PointerName)
 	var missing *objectstore.NotFoundError
 	if errors.As(err, &missing) {
 		return rollout.Pointer{}, 0, nil
@@ -56,32 +56,32 @@
 }
 
 // Accepted returns the bundle that is accepted now; a zero bundle before the first.
-func (of *Client) Accepted(ctx context.Context) (bundle.Bundle, error) {
-	p, _, err := of.current(ctx)
+func (cl *Client) Accepted(ctx context.Context) (bundle.Bundle, error) {
+	p, _, err := cl.current(ctx)
 	if err != nil || p.Version == 0 {
 		return bundle.Bundle{}, err
 	}
-	return of.Pushed(ctx, p.Version)
+	return cl.Pushed(ctx, p.Version)
 }
 
 // Pushed returns a pushed bundle.
-func (of *Client) Pushed(ctx context.Context, version int64) (bundle.Bundle, error) {
-	return of.bundles.Get(ctx, version)
+func (cl *Client) Pushed(ctx context.Context, version int64) (bundle.Bundle, error) {
+	return cl.bundles.Get(ctx, version)
 }
 
 // Push writes a bundle under the first free version after the accepted one. The same content pushed again after a lost
 // answer is the same push. Nothing is in force by a push alone.
-func (of *Client) Push(ctx context.Context, b bundle.Bundle) (int64, error) {
+func (cl *Client) Push(ctx context.Context, b bundle.Bundle) (int64, error) {
 	digest, err := b.Digest()
 	if err != nil {
 		return 0, err
 	}
-	p, _, err := of.current(ctx)
+	p, _, err := cl.current(ctx)
 	if err != nil {
 		return 0, err
 	}
 	for version := p.Version + 1; ; {
-		err := of.bundles.Create(ctx, b.WithVersion(version, p.Version))
+		err := cl.bundles.Create(ctx, b.WithVersion(version, p.Version))
 		if err == nil {
 			return version, nil
 		}
@@ -90,7 +90,7 @@
 		if !errors.As(err, &conflict) && !errors.As(err, &unknown) {
 			return 0, errors.Wrap(err, "write bundle")
 		}
-		there, gerr := of.Pushed(ctx, version)
+		there, gerr := cl.Pushed(ctx, version)
 		if gerr != nil {
 			if werr := wait(ctx); werr != nil {
 				return 0, errors.Wrap(err, "write bundle")
@@ -106,8 +106,8 @@
 
 // Sign accepts a pushed bundle by one conditional write. A lost answer is settled by reading the pointer back; the same
 // sign-off again is the same sign-off.
-func (of *Client) Sign(ctx context.Context, version int64) error {
-	b, err := of.Pushed(ctx, version)
+func (cl *Client) Sign(ctx context.Context, version int64) error {
+	b, err := cl.Pushed(ctx, version)
 	if err != nil {
 		return err
 	}
@@ -117,7 +117,7 @@
 	}
 	want := rollout.Pointer{Version: version, Digest: digest}
 	for {
-		now, at, err := of.current(ctx)
+		now, at, err := cl.current(ctx)
 		if err != nil {
 			return err
 		}
@@ -127,7 +127,7 @@
 		if now.Version != b.Base {
 			return &RaceError{Winner: now.Version, Digest: now.Digest}
 		}
-		if err := of.move(ctx, at, want); err == nil {
+		if err := cl.move(ctx, at, want); err == nil {
 			return nil
 		}
 		if err := wait(ctx); err != nil {
@@ -136,12 +136,12 @@
 	}
 }
 
-func (of *Client) move(ctx context.Context, at int64, p rollout.Pointer) error {
+func (cl *Client) move(ctx context.Context, at int64, p rollout.Pointer) error {
 	if at == 0 {
-		_, err := of.store.Create(ctx, objectstore.KindPointers, rollout.PointerName, p)
+		_, err := cl.store.Create(ctx, objectstore.KindPointers, rollout.PointerName, p)
 		return err
 	}
-	_, err := of.store.Update(ctx, objectstore.KindPointers, rollout.PointerName, at, p)
+	_, err := cl.store.Update(ctx, objectstore.KindPointers, rollout.PointerName, at, p)
 	return err
 }
 
