--- a/cmd/bundle.go
+++ b/cmd/bundle.go
@@ -125,7 +125,7 @@
 	if len(faults) > 0 && !force {
 		return &NotPreparedError{Lines: faults}
 	}
-	if err := signoff.New(po.store()).Sign(ctx, version); err != nil {
+	if err := signoff.New(po.store()).Accept(ctx, version); err != nil {
 		return err
 	}
 	fmt.Fprintf(op.out, "version %d is accepted, prepared by %d of %d instances\n", version, len(replies)-len(faults), len(replies))
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -35,7 +35,7 @@
 	signer := signoff.New(objectstore.New(lf.StoreURL))
 	v, err := signer.Push(t.Context(), b)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(signer.Sign(t.Context(), v)).To(Succeed())
+	g.Expect(signer.Accept(t.Context(), v)).To(Succeed())
 }
 
 func TestSignedBundleReachesAllInstancesAndNeverReverts(t *testing.T) {
--- a/internal/session/models_test.go
+++ b/internal/session/models_test.go
@@ -26,7 +26,7 @@
 	signer := signoff.New(objectstore.New(lf.StoreURL))
 	v, err := signer.Push(t.Context(), b)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(signer.Sign(t.Context(), v)).To(Succeed())
+	g.Expect(signer.Accept(t.Context(), v)).To(Succeed())
 	statusOf := func(model string) func() int {
 		body := []byte(`{"model":"` + model + `","prompt":"x","max_tokens":1}`)
 		return func() int { return call(t, http.MethodPost, lf.URLs()[1]+"/v1/completions", body).status }
--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -106,7 +106,7 @@
 
 // Sign accepts a pushed bundle by one conditional write. A lost answer is settled by reading the pointer back; the same
 // sign-off again is the same sign-off.
-func (cl *Client) Sign(ctx context.Context, version int64) error {
+func (cl *Client) Accept(ctx context.Context, version int64) error {
 	b, err := cl.Pushed(ctx, version)
 	if err != nil {
 		return err
--- a/internal/signoff/signoff_test.go
+++ b/internal/signoff/signoff_test.go
@@ -43,7 +43,7 @@
 	var wg sync.WaitGroup
 	errs := make([]error, operators)
 	for i, v := range versions {
-		wg.Go(func() { errs[i] = of.Sign(t.Context(), v) })
+		wg.Go(func() { errs[i] = of.Accept(t.Context(), v) })
 	}
 	wg.Wait()
 	now, _, err := of.current(t.Context())
@@ -70,8 +70,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(v).To(Equal(int64(1)))
 	st.LoseAnswers(1)
-	g.Expect(of.Sign(t.Context(), v)).To(Succeed())
-	g.Expect(of.Sign(t.Context(), v)).To(Succeed())
+	g.Expect(of.Accept(t.Context(), v)).To(Succeed())
+	g.Expect(of.Accept(t.Context(), v)).To(Succeed())
 	again, err := of.Push(t.Context(), withClass("b"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(Equal(int64(2)))
