--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -21,13 +21,13 @@
 // RaceError says that another operator's bundle was accepted first.
 type RaceError struct {
 	// Winner is the version in force, Digest that of its content.
-	Winner int64
-	Digest string
+	AcceptedVersion int64
+	Digest          string
 }
 
 // Error names the winner.
 func (re *RaceError) Error() string {
-	return fmt.Sprintf("version %d (%.12s) was accepted first; push again on top of it", re.Winner, re.Digest)
+	return fmt.Sprintf("version %d (%.12s) was accepted first; push again on top of it", re.AcceptedVersion, re.Digest)
 }
 
 // Office accepts bundles for operators.
@@ -125,7 +125,7 @@
 			return nil
 		}
 		if now.Version != b.Base {
-			return &RaceError{Winner: now.Version, Digest: now.Digest}
+			return &RaceError{AcceptedVersion: now.Version, Digest: now.Digest}
 		}
 		if err := cl.move(ctx, at, want); err == nil {
 			return nil
--- a/internal/signoff/signoff_test.go
+++ b/internal/signoff/signoff_test.go
@@ -57,7 +57,7 @@
 		}
 		var race *RaceError
 		g.Expect(errors.As(err, &race)).To(BeTrue(), "%v", err)
-		g.Expect(race.Winner).To(Equal(now.Version))
+		g.Expect(race.AcceptedVersion).To(Equal(now.Version))
 	}
 	g.Expect(winners).To(Equal(1))
 }
