--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -37,7 +37,7 @@
 }
 
 // Account is what the lines tell of one request. It is not changed once Find has returned it.
-type Account struct {
+type Timeline struct {
 	// id is the request.
 	id string
 	// entries are in order of time, lines of one instance with the same time in the order read.
@@ -52,18 +52,18 @@
 }
 
 // Find reads log lines and returns the account of a request, or an UnknownRequestError.
-func Find(r io.Reader, id string) (Account, error) {
+func Find(r io.Reader, id string) (Timeline, error) {
 	rd := reader{id: id, last: map[string]time.Time{}}
 	if err := rd.read(r); err != nil {
-		return Account{}, err
+		return Timeline{}, err
 	}
 	if !slices.ContainsFunc(rd.lines, rd.about) {
-		return Account{}, &UnknownRequestError{ID: id, Lines: rd.count}
+		return Timeline{}, &UnknownRequestError{ID: id, Lines: rd.count}
 	}
 	slices.SortStableFunc(rd.lines, func(a, b *line) int { return a.at.Compare(b.at) })
 	cl := newCollector(rd.lines)
 	cl.collect(rd.about)
-	return Account{id: id, entries: cl.entries()}, nil
+	return Timeline{id: id, entries: cl.entries()}, nil
 }
 
 // reader keeps the lines that may belong to an account and drops the rest as it reads.
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -14,7 +14,7 @@
 const timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
 // Print writes the account as a table.
-func (ac Account) Print(w io.Writer) error {
+func (ac Timeline) Print(w io.Writer) error {
 	if _, err := io.WriteString(w, ac.summary()); err != nil {
 		return errors.Wrap(err, "print account")
 	}
@@ -27,7 +27,7 @@
 }
 
 // summary counts the request's own lines and says how long they lasted.
-func (ac Account) summary() string {
+func (ac Timeline) summary() string {
 	var own []entry
 	instances := map[string]bool{}
 	for _, en := range ac.entries {
