--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -14,30 +14,30 @@
 const timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
 // Print writes the account as a table.
-func (ac Timeline) Print(w io.Writer) error {
-	if _, err := io.WriteString(w, ac.summary()); err != nil {
+func (tl Timeline) Print(w io.Writer) error {
+	if _, err := io.WriteString(w, tl.summary()); err != nil {
 		return errors.Wrap(err, "print account")
 	}
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "TIME\tINSTANCE\tWHY\tPART\tEVENT")
-	for _, en := range ac.entries {
+	for _, en := range tl.entries {
 		fmt.Fprintln(tw, en.row())
 	}
 	return errors.Wrap(tw.Flush(), "print account")
 }
 
 // summary counts the request's own lines and says how long they lasted.
-func (ac Timeline) summary() string {
+func (tl Timeline) summary() string {
 	var own []entry
 	instances := map[string]bool{}
-	for _, en := range ac.entries {
+	for _, en := range tl.entries {
 		if en.why == whyRequest {
 			own = append(own, en)
 			instances[en.instance] = true
 		}
 	}
 	took := own[len(own)-1].at.Sub(own[0].at)
-	s := fmt.Sprintf("request %s: %s of %s within %s", ac.id, plural(len(own), "line"), plural(len(instances), "instance"), took)
+	s := fmt.Sprintf("request %s: %s of %s within %s", tl.id, plural(len(own), "line"), plural(len(instances), "instance"), took)
 	if len(instances) > 1 {
 		s += "; each time is the clock of its instance"
 	}
