--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -24,7 +24,7 @@
 	if in == nil {
 		in = os.Stdin
 	}
-	ac, err := explain.Find(in, ec.Args.ID)
+	ac, err := explain.ReadTimeline(in, ec.Args.ID)
 	if err != nil {
 		return err
 	}
--- a/internal/explain/beside_test.go
+++ b/internal/explain/beside_test.go
@@ -31,7 +31,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ac, err := Find(strings.NewReader(own+tc.line), "r")
+			ac, err := ReadTimeline(strings.NewReader(own+tc.line), "r")
 			g.Expect(err).NotTo(HaveOccurred())
 			taken := false
 			for _, en := range ac.entries {
@@ -51,7 +51,7 @@
 		sb.WriteString("time=2026-12-01T12:00:11Z msg=sent request=s target=t prompt_tokens=" + tokens + "\n")
 		sb.WriteString("time=2026-12-01T12:00:11Z msg=failed request=s target=t cause=reset\n")
 	}
-	ac, err := Find(strings.NewReader(sb.String()), "r")
+	ac, err := ReadTimeline(strings.NewReader(sb.String()), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	shown := map[string]int{}
 	var tally string
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -52,7 +52,7 @@
 }
 
 // Find reads log lines and returns the account of a request, or an UnknownRequestError.
-func Find(r io.Reader, id string) (Timeline, error) {
+func ReadTimeline(r io.Reader, id string) (Timeline, error) {
 	rd := reader{id: id, last: map[string]time.Time{}}
 	if err := rd.read(r); err != nil {
 		return Timeline{}, err
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -33,7 +33,7 @@
 			g := NewWithT(t)
 			logs, err := os.ReadFile(filepath.Join("testdata", tc.file+".log"))
 			g.Expect(err).NotTo(HaveOccurred())
-			ac, err := Find(bytes.NewReader(logs), tc.id)
+			ac, err := ReadTimeline(bytes.NewReader(logs), tc.id)
 			g.Expect(err).NotTo(HaveOccurred())
 			var got bytes.Buffer
 			g.Expect(ac.Print(&got)).To(Succeed())
@@ -55,7 +55,7 @@
 
 func TestUnknownRequest(t *testing.T) {
 	g := NewWithT(t)
-	_, err := Find(strings.NewReader("time=2026-12-01T12:00:00Z request=req-10\nx\n"), "req-1")
+	_, err := ReadTimeline(strings.NewReader("time=2026-12-01T12:00:00Z request=req-10\nx\n"), "req-1")
 	var ur *UnknownRequestError
 	g.Expect(errors.As(err, &ur)).To(BeTrue())
 	g.Expect(*ur).To(Equal(UnknownRequestError{ID: "req-1", Lines: 2}))
@@ -63,7 +63,7 @@
 
 func TestFailingReader(t *testing.T) {
 	g := NewWithT(t)
-	_, err := Find(iotest.ErrReader(os.ErrClosed), "req-1")
+	_, err := ReadTimeline(iotest.ErrReader(os.ErrClosed), "req-1")
 	g.Expect(err).To(MatchError(os.ErrClosed))
 }
 
@@ -97,7 +97,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ac, err := Find(strings.NewReader(tc.line+"\n"+attempt), "r")
+			ac, err := ReadTimeline(strings.NewReader(tc.line+"\n"+attempt), "r")
 			g.Expect(err).NotTo(HaveOccurred())
 			want := parse(tc.line)
 			taken := false
@@ -118,7 +118,7 @@
 		sb.WriteString("time=" + at.Add(time.Duration(i)*time.Second).Format(time.RFC3339) + " msg=" + string("abcde"[i%5]) + " target=t\n")
 	}
 	sb.WriteString("time=" + at.Add(time.Hour).Format(time.RFC3339) + " msg=z target=t request=r\n")
-	ac, err := Find(strings.NewReader(sb.String()), "r")
+	ac, err := ReadTimeline(strings.NewReader(sb.String()), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	var msgs string
 	for _, en := range ac.entries {
@@ -168,7 +168,7 @@
 func TestLineWithoutTime(t *testing.T) {
 	g := NewWithT(t)
 	logs := "i1 | time=2026-12-01T12:00:05Z msg=a request=r\ni1 | msg=b request=r\ni2 | time=2026-12-01T12:00:04Z msg=c request=r\n"
-	ac, err := Find(strings.NewReader(logs), "r")
+	ac, err := ReadTimeline(strings.NewReader(logs), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	var msgs string
 	for _, en := range ac.entries {
@@ -181,7 +181,7 @@
 func TestMissingOnce(t *testing.T) {
 	g := NewWithT(t)
 	const attempt = "time=2026-12-01T12:00:05Z instance=i1 msg=a request=r target=t config=5\n"
-	ac, err := Find(strings.NewReader(attempt+attempt), "r")
+	ac, err := ReadTimeline(strings.NewReader(attempt+attempt), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	var whys []string
 	for _, en := range ac.entries {
@@ -195,7 +195,7 @@
 	g := NewWithT(t)
 	logs := "time=2026-12-01T12:00:05Z instance=i1 part=targets msg=\"lost target\" request=r\n" +
 		"time=2026-12-01T12:00:06Z instance=i1 part=gateway msg=\"request failed\" request=r\n"
-	ac, err := Find(strings.NewReader(logs), "r")
+	ac, err := ReadTimeline(strings.NewReader(logs), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(ac.entries).To(HaveLen(2))
 	g.Expect(ac.entries[0].why).To(Equal(whyRequest))
