--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -24,7 +24,7 @@
 )
 
 // Losses is what became of all requests that log lines tell of. It is not changed once Sum has returned it.
-type Losses struct {
+type LossSummary struct {
 	// fates counts by route and by what became of the request.
 	fates map[fate]int
 	// spans counts by the span in which the request came, since the first one.
@@ -48,9 +48,9 @@
 }
 
 // Sum reads log lines and returns what became of the requests that ended in them.
-func Sum(r io.Reader) (Losses, error) {
+func Sum(r io.Reader) (LossSummary, error) {
 	sm := summer{
-		losses:  Losses{fates: map[fate]int{}, spans: map[int]span{}},
+		losses:  LossSummary{fates: map[fate]int{}, spans: map[int]span{}},
 		courses: map[string]course{},
 	}
 	br := bufio.NewReader(r)
@@ -64,14 +64,14 @@
 			return sm.losses, nil
 		}
 		if err != nil {
-			return Losses{}, errors.Wrap(err, "read log lines")
+			return LossSummary{}, errors.Wrap(err, "read log lines")
 		}
 	}
 }
 
 // summer sums while it reads.
 type summer struct {
-	losses  Losses
+	losses  LossSummary
 	courses map[string]course
 	// began is when the first request came; zero before.
 	began time.Time
@@ -143,7 +143,7 @@
 }
 
 // Print writes two tables: by route and by time.
-func (lo Losses) Print(w io.Writer) error {
+func (lo LossSummary) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "ROUTE\tWHAT BECAME OF THEM\tREQUESTS\tSHARE")
 	all := map[string]int{}
