--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -143,19 +143,19 @@
 }
 
 // Print writes two tables: by route and by time.
-func (lo LossSummary) Print(w io.Writer) error {
+func (ls LossSummary) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "ROUTE\tWHAT BECAME OF THEM\tREQUESTS\tSHARE")
 	all := map[string]int{}
-	for fa, n := range lo.fates {
+	for fa, n := range ls.fates {
 		all[fa.route] += n
 	}
-	for _, fa := range slices.SortedFunc(maps.Keys(lo.fates), fate.compare) {
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", fa.route, fa.what, lo.fates[fa], float64(lo.fates[fa])/float64(all[fa.route]))
+	for _, fa := range slices.SortedFunc(maps.Keys(ls.fates), fate.compare) {
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", fa.route, fa.what, ls.fates[fa], float64(ls.fates[fa])/float64(all[fa.route]))
 	}
 	fmt.Fprintln(tw, "\nFROM\tREQUESTS\tIN TIME\t")
-	for _, no := range slices.Sorted(maps.Keys(lo.spans)) {
-		sp := lo.spans[no]
+	for _, no := range slices.Sorted(maps.Keys(ls.spans)) {
+		sp := ls.spans[no]
 		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", time.Duration(no)*spanOfLosses, sp.all, sp.inTime)
 	}
 	return errors.Wrap(tw.Flush(), "print losses")
