--- a/cmd/losses.go
+++ b/cmd/losses.go
@@ -21,7 +21,7 @@
 	if in == nil {
 		in = os.Stdin
 	}
-	lo, err := explain.Sum(in)
+	lo, err := explain.SummariseLosses(in)
 	if err != nil {
 		return err
 	}
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -48,7 +48,7 @@
 }
 
 // Sum reads log lines and returns what became of the requests that ended in them.
-func Sum(r io.Reader) (LossSummary, error) {
+func SummariseLosses(r io.Reader) (LossSummary, error) {
 	sm := summer{
 		losses:  LossSummary{fates: map[fate]int{}, spans: map[int]span{}},
 		courses: map[string]course{},
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -18,7 +18,7 @@
 			f, err := os.Open(filepath.Join("testdata", name+".log"))
 			g.Expect(err).NotTo(HaveOccurred())
 			defer f.Close()
-			lo, err := Sum(f)
+			lo, err := SummariseLosses(f)
 			g.Expect(err).NotTo(HaveOccurred())
 			var out bytes.Buffer
 			g.Expect(lo.Print(&out)).To(Succeed())
@@ -30,6 +30,6 @@
 func TestLossesOfABrokenInput(t *testing.T) {
 	g := NewWithT(t)
 	broken := errors.New("broken")
-	_, err := Sum(iotest.ErrReader(broken))
+	_, err := SummariseLosses(iotest.ErrReader(broken))
 	g.Expect(err).To(MatchError(broken))
 }
