--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -98,7 +98,7 @@
 }
 
 // Expected returns the tokens a second of short prompts that events bring at a time.
-func (bd Bundle) Expected(now time.Time) float64 {
+func (bd Bundle) ExpectedTokensPerSecond(now time.Time) float64 {
 	sum := 0.0
 	for _, ev := range bd.Events {
 		if now.After(ev.Start.Add(-eventLead)) && now.Before(ev.Start.Add(ev.Length.Std())) {
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -195,7 +195,7 @@
 		MaxWaiting: r.MaxWaiting, Probe: newProbe(d), Grant: ms.RequestGrant, Borrow: reserver.Reserve,
 		AskShort: ms.RequestShortOffers, Expected: func() float64 {
 			if cur := d.Bundles.Current(); cur != nil {
-				return cur.Expected(time.Now())
+				return cur.ExpectedTokensPerSecond(time.Now())
 			}
 			return 0
 		},
