--- a/cmd/check.go
+++ b/cmd/check.go
@@ -69,5 +69,5 @@
 	if found.Covers("stop.drain") {
 		return nil
 	}
-	return b.FitsStop(s.Stop.Drain.Std())
+	return b.CheckDrain(s.Stop.Drain.Std())
 }
--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -193,7 +193,7 @@
 }
 
 // FitsStop returns a fault for each class that callers wait on and that may last longer than a planned stop waits.
-func (bd Bundle) FitsStop(drain time.Duration) config.Faults {
+func (bd Bundle) CheckDrain(drain time.Duration) config.Faults {
 	var fs config.Faults
 	for _, c := range bd.Classes {
 		if !c.Job && c.Deadline.Std() > drain {
