--- a/cmd/check.go
+++ b/cmd/check.go
@@ -47,7 +47,7 @@
 		return config.Settings{}, nil, err
 	}
 	s = kernel.Defaults(s)
-	return s, faults.With(kernel.Check(s)), nil
+	return s, faults.Merge(kernel.Check(s)), nil
 }
 
 // stopFaults returns what keeps an instance with the settings from stopping under a bundle, and the faults of the bundle
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -238,9 +238,9 @@
 			if tc.kept {
 				want = Faults{found[0], later[0]}
 			}
-			g.Expect(found.With(later)).To(Equal(want))
+			g.Expect(found.Merge(later)).To(Equal(want))
 			g.Expect(found).To(HaveLen(1))
-			g.Expect(Faults(nil).With(later)).To(Equal(later))
+			g.Expect(Faults(nil).Merge(later)).To(Equal(later))
 		})
 	}
 }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -51,7 +51,7 @@
 }
 
 // With returns the faults and those of a later check, but for those at paths that the faults cover.
-func (fs Faults) With(later Faults) Faults {
+func (fs Faults) Merge(later Faults) Faults {
 	all := slices.Clone(fs)
 	for _, ft := range later {
 		if !fs.Covers(ft.Path) {
