--- a/cmd/check.go
+++ b/cmd/check.go
@@ -31,7 +31,7 @@
 		}
 		faults = append(faults, more...)
 	}
-	if err := faults.OrNil(); err != nil {
+	if err := faults.ErrorOrNil(); err != nil {
 		return err
 	}
 	fmt.Fprintln(cc.out, "settings are good")
--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -122,7 +122,7 @@
 	if err := dec.Decode(&bd); err != nil {
 		return Bundle{}, config.Faults{{Path: "(document)", Value: err.Error(), Want: "a bundle"}}
 	}
-	return bd, bd.Check().OrNil()
+	return bd, bd.Check().ErrorOrNil()
 }
 
 // Digest returns the digest of the content without its versions: the same content is the same sign-off.
--- a/internal/bundle/split.go
+++ b/internal/bundle/split.go
@@ -74,7 +74,7 @@
 		}
 		whole.Organisations = append(whole.Organisations, g...)
 	}
-	return whole, whole.Check().OrNil()
+	return whole, whole.Check().ErrorOrNil()
 }
 
 func digest(b []byte) string {
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -62,7 +62,7 @@
 }
 
 // OrNil returns the faults as an error, or nil when there are none.
-func (fs Faults) OrNil() error {
+func (fs Faults) ErrorOrNil() error {
 	if len(fs) == 0 {
 		return nil
 	}
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -183,7 +183,7 @@
 	answer := PrepareResult{Version: version}
 	b, err := ap.store.Get(r.Context(), version)
 	if err == nil {
-		err = b.CheckDrain(ap.env.Settings.Stop.Drain.Std()).OrNil()
+		err = b.CheckDrain(ap.env.Settings.Stop.Drain.Std()).ErrorOrNil()
 	}
 	if err != nil {
 		answer.Fault = err.Error()
--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -182,7 +182,7 @@
 // New prepares an instance. Settings are filled with defaults and checked.
 func New(s config.Settings, incarnation string, lg log.Interface) (*Kernel, error) {
 	s = Defaults(s)
-	if err := Check(s).OrNil(); err != nil {
+	if err := Check(s).ErrorOrNil(); err != nil {
 		return nil, err
 	}
 	env := &Env{
@@ -242,7 +242,7 @@
 // Reload puts new settings in force as far as the duties can while they run. Settings that are not good change nothing.
 func (kn *Kernel) Reload(s config.Settings) error {
 	s = Defaults(s)
-	if err := Check(s).OrNil(); err != nil {
+	if err := Check(s).ErrorOrNil(); err != nil {
 		return err
 	}
 	if s.Role() != kn.Env.Settings.Role() {
