--- a/cmd/bundle.go
+++ b/cmd/bundle.go
@@ -154,13 +154,13 @@
 }
 
 // NotEverywhereError says that a bundle was accepted and is not in force everywhere yet.
-type NotEverywhereError struct {
+type RollIncompleteError struct {
 	Version int64
 	Missing []string
 }
 
 // Error lists the instances.
-func (ne *NotEverywhereError) Error() string {
+func (ne *RollIncompleteError) Error() string {
 	return "version " + strconv.FormatInt(ne.Version, 10) + " is accepted; not yet in force at " + fmt.Sprint(ne.Missing)
 }
 
@@ -181,7 +181,7 @@
 		select {
 		case <-time.After(rollPause):
 		case <-ctx.Done():
-			return &NotEverywhereError{Version: version, Missing: missing}
+			return &RollIncompleteError{Version: version, Missing: missing}
 		}
 	}
 }
