--- a/cmd/bundle.go
+++ b/cmd/bundle.go
@@ -160,8 +160,8 @@
 }
 
 // Error lists the instances.
-func (ne *RollIncompleteError) Error() string {
-	return "version " + strconv.FormatInt(ne.Version, 10) + " is accepted; not yet in force at " + fmt.Sprint(ne.Missing)
+func (ri *RollIncompleteError) Error() string {
+	return "version " + strconv.FormatInt(ri.Version, 10) + " is accepted; not yet in force at " + fmt.Sprint(ri.Missing)
 }
 
 func (br *bundleRoll) await(ctx context.Context, version int64) error {
