--- a/cmd/bundle.go
+++ b/cmd/bundle.go
@@ -101,11 +101,11 @@
 }
 
 // NotPreparedError says which instances did not prepare a bundle.
-type NotPreparedError struct{ Lines []string }
+type NotPreparedError struct{ Failures []string }
 
 // Error lists the instances.
 func (np *NotPreparedError) Error() string {
-	return fmt.Sprintf("not accepted, %d instances are not prepared: %v", len(np.Lines), np.Lines)
+	return fmt.Sprintf("not accepted, %d instances are not prepared: %v", len(np.Failures), np.Failures)
 }
 
 func sign(ctx context.Context, op *options, po *platformOptions, version int64, force bool) error {
@@ -123,7 +123,7 @@
 		}
 	}
 	if len(faults) > 0 && !force {
-		return &NotPreparedError{Lines: faults}
+		return &NotPreparedError{Failures: faults}
 	}
 	if err := signoff.New(po.store()).Accept(ctx, version); err != nil {
 		return err
