--- a/internal/config/changed.go
+++ b/internal/config/changed.go
@@ -9,13 +9,13 @@
 // Changed returns the JSON paths whose values differ between two settings, sorted.
 func Changed(before, after Settings) []string {
 	var paths []string
-	compare("", tree(before), tree(after), &paths)
+	diffTrees("", jsonTree(before), jsonTree(after), &paths)
 	slices.Sort(paths)
 	return paths
 }
 
 // tree returns settings as JSON objects.
-func tree(s Settings) any {
+func jsonTree(s Settings) any {
 	b, err := json.Marshal(s)
 	if err != nil {
 		// Settings hold nothing that JSON lacks.
@@ -29,32 +29,32 @@
 	return v
 }
 
-func compare(path string, before, after any, paths *[]string) {
+func diffTrees(path string, before, after any, paths *[]string) {
 	bm, bok := before.(map[string]any)
 	am, aok := after.(map[string]any)
 	if !bok || !aok {
-		if !equal(before, after) {
+		if !equalJSON(before, after) {
 			*paths = append(*paths, path)
 		}
 		return
 	}
 	for name := range bm {
-		compare(join(path, name), bm[name], am[name], paths)
+		diffTrees(joinPath(path, name), bm[name], am[name], paths)
 	}
 	for name := range am {
 		if _, both := bm[name]; !both {
-			*paths = append(*paths, join(path, name))
+			*paths = append(*paths, joinPath(path, name))
 		}
 	}
 }
 
-func equal(a, b any) bool {
+func equalJSON(a, b any) bool {
 	ab, aerr := json.Marshal(a)
 	bb, berr := json.Marshal(b)
 	return aerr == nil && berr == nil && bytes.Equal(ab, bb)
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/internal/config/changed_test.go
+++ b/internal/config/changed_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func full() Settings {
+func sampleSettings() Settings {
 	return Settings{
 		Instance: "a1", AvailabilityZone: "a",
 		Callers: Callers{Listen: "127.0.0.1:1", MaxBodyBytes: 5},
@@ -37,10 +37,10 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			after := full()
+			after := sampleSettings()
 			tc.edit(&after)
-			g.Expect(Changed(full(), after)).To(Equal(tc.want))
-			g.Expect(Changed(after, full())).To(Equal(tc.want))
+			g.Expect(Changed(sampleSettings(), after)).To(Equal(tc.want))
+			g.Expect(Changed(after, sampleSettings())).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -147,17 +147,17 @@
 	if len(fs) > 0 {
 		return Settings{}, fs
 	}
-	rd := &reader{}
-	sound := rd.read("", tree, reflect.TypeFor[Settings]())
+	rd := &validator{}
+	sound := rd.validate("", tree, reflect.TypeFor[Settings]())
 	if len(rd.faults) > 0 {
-		return rest(sound), rd.faults
+		return decodeValid(sound), rd.faults
 	}
-	return strict(b)
+	return decodeStrict(b)
 }
 
 // strict decodes a document in which the reader found no fault. The decoder decides in the end, so that no document
 // passes that it refuses: a tree keeps only the last of two fields with one name.
-func strict(b []byte) (Settings, error) {
+func decodeStrict(b []byte) (Settings, error) {
 	var s Settings
 	dec := json.NewDecoder(bytes.NewReader(b))
 	dec.DisallowUnknownFields()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 )
 
 // lines returns the faults as they are printed.
-func lines(fs Faults) []string {
+func messages(fs Faults) []string {
 	out := make([]string, len(fs))
 	for i, ft := range fs {
 		out[i] = ft.Error()
@@ -98,20 +98,20 @@
 			}
 			var fs Faults
 			g.Expect(errors.As(err, &fs)).To(BeTrue(), "%v", err)
-			g.Expect(lines(fs)).To(Equal(tc.want))
+			g.Expect(messages(fs)).To(Equal(tc.want))
 		})
 	}
 }
 
 // TestParseOfOneNameTwice has a fault in the first of two fields with one name: the decoder reads both.
-func TestParseOfOneNameTwice(t *testing.T) {
+func TestParseFindsFaultInDuplicateField(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Parse([]byte(`{"stop":{"drian":"5s"},"stop":{"drain":"5s"}}`))
 	g.Expect(err).To(MatchError(ContainSubstring("drian")))
 	g.Expect(err).To(BeAssignableToTypeOf(Faults{}))
 }
 
-func TestParseKeepsTheRest(t *testing.T) {
+func TestParseKeepsValidFields(t *testing.T) {
 	g := NewWithT(t)
 	s, err := Parse([]byte(`{"instance":"a1","availability_zone":5,"stop":{"drain":"soon","balancer_lag":"1s"},
 		"peers":{"seeds":["10.0.0.1:1",2,"10.0.0.3:1"]},"callers":7,"gateway":{"stor":"x","retry_floor":3}}`))
@@ -128,10 +128,10 @@
 }
 
 // TestParseAgreesWithTheDecoder compares what is refused with what the strict decoder refuses.
-func TestParseAgreesWithTheDecoder(t *testing.T) {
+func TestParseAgreesWithStrictDecoder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
-		b, err := json.Marshal(document(rt, reflect.TypeFor[Settings]()))
+		b, err := json.Marshal(drawDocument(rt, reflect.TypeFor[Settings]()))
 		g.Expect(err).NotTo(HaveOccurred())
 		var want Settings
 		dec := json.NewDecoder(bytes.NewReader(b))
@@ -148,7 +148,7 @@
 }
 
 // document draws a value that mostly fits the type; at times a part is of another type or a name is not known.
-func document(rt *rapid.T, t reflect.Type) any {
+func drawDocument(rt *rapid.T, t reflect.Type) any {
 	if rapid.IntRange(0, 19).Draw(rt, "odd") == 0 {
 		return rapid.SampledFrom([]any{nil, true, "x", "3s", 1.5, -2, 1e300, []any{}, map[string]any{}, map[string]any{"x": 1}}).Draw(rt, "value")
 	}
@@ -156,9 +156,9 @@
 	case t == reflect.TypeFor[Duration]():
 		return rapid.SampledFrom([]string{"0s", "1s", "-3m", "250ms"}).Draw(rt, "duration")
 	case t.Kind() == reflect.Pointer:
-		return document(rt, t.Elem())
+		return drawDocument(rt, t.Elem())
 	case t.Kind() == reflect.Slice:
-		return []any{document(rt, t.Elem()), document(rt, t.Elem())}
+		return []any{drawDocument(rt, t.Elem()), drawDocument(rt, t.Elem())}
 	case t.Kind() == reflect.String:
 		return rapid.String().Draw(rt, "string")
 	case t.Kind() == reflect.Float64:
@@ -169,14 +169,14 @@
 	object := map[string]any{}
 	for name, fd := range fields(t) {
 		if rapid.IntRange(0, 3).Draw(rt, "leave out") > 0 {
-			object[name] = document(rt, fd.Type)
+			object[name] = drawDocument(rt, fd.Type)
 		}
 	}
 	return object
 }
 
 // TestEveryFieldHasAName checks what the reader relies on: it knows fields by their JSON names only.
-func TestEveryFieldHasAName(t *testing.T) {
+func TestEveryFieldHasAJSONName(t *testing.T) {
 	g := NewWithT(t)
 	var walk func(t reflect.Type)
 	walk = func(t reflect.Type) {
@@ -195,7 +195,7 @@
 	walk(reflect.TypeFor[Settings]())
 }
 
-func TestDistance(t *testing.T) {
+func TestEditDistance(t *testing.T) {
 	tests := map[string]struct {
 		a, b string
 		want int
@@ -210,13 +210,13 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(distance(tc.a, tc.b)).To(Equal(tc.want))
-			g.Expect(distance(tc.b, tc.a)).To(Equal(tc.want))
+			g.Expect(editDistance(tc.a, tc.b)).To(Equal(tc.want))
+			g.Expect(editDistance(tc.b, tc.a)).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestFaultsWith(t *testing.T) {
+func TestFaultsMerge(t *testing.T) {
 	tests := map[string]struct {
 		found, later string
 		kept         bool
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -9,7 +9,7 @@
 )
 
 // jsonSpace is what JSON takes for white space.
-const jsonSpace = " \t\r\n"
+const jsonWhitespace = " \t\r\n"
 
 // wantDocument is what is wanted of a document that is not JSON or not an object.
 const wantDocument = "settings as `silvermount schema` prints them"
@@ -22,7 +22,7 @@
 	if err := dec.Decode(&v); err != nil {
 		return nil, Faults{decodeFault(b, err)}
 	}
-	if left := bytes.TrimLeft(b[dec.InputOffset():], jsonSpace); len(left) > 0 {
+	if left := bytes.TrimLeft(b[dec.InputOffset():], jsonWhitespace); len(left) > 0 {
 		at := position(b, int64(len(b)-len(left)+1))
 		return nil, Faults{{Path: documentPath, Value: "more after the settings, at " + at, Want: wantDocument}}
 	}
@@ -48,7 +48,7 @@
 }
 
 // rest decodes what is left of a tree when all that has faults is taken out.
-func rest(tree any) Settings {
+func decodeValid(tree any) Settings {
 	var s Settings
 	b, err := json.Marshal(tree)
 	if err != nil {
--- a/internal/config/field.go
+++ b/internal/config/field.go
@@ -43,18 +43,18 @@
 
 // deeper is what each object between a name and a candidate adds to their distance, in edits, so that
 // a typing mistake in a field of the same object goes before a similar name in another.
-const deeper = 2
+const nestingCost = 2
 
 // nearest returns the path, in an object of the type, of the field that is written most like the name; the first one in
 // the order of the struct among equals.
-func nearest(t reflect.Type, name string) string {
-	path, _ := search(t, strings.ToLower(name))
+func nearestPath(t reflect.Type, name string) string {
+	path, _ := searchNearest(t, strings.ToLower(name))
 	return path
 }
 
-func search(t reflect.Type, name string) (path string, least int) {
+func searchNearest(t reflect.Type, name string) (path string, least int) {
 	for known, fd := range fields(t) {
-		if far := distance(name, known); path == "" || far < least {
+		if far := editDistance(name, known); path == "" || far < least {
 			path, least = known, far
 		}
 		inner := fd.Type
@@ -64,15 +64,15 @@
 		if inner.Kind() != reflect.Struct {
 			continue
 		}
-		if below, far := search(inner, name); far+deeper < least {
-			path, least = join(known, below), far+deeper
+		if below, far := searchNearest(inner, name); far+nestingCost < least {
+			path, least = joinPath(known, below), far+nestingCost
 		}
 	}
 	return path, least
 }
 
 // distance returns how many characters must be put in, taken out or replaced to turn one name into the other.
-func distance(a, b string) int {
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
