--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -50,7 +50,7 @@
 }
 
 // serves reports whether an instance with the settings runs the duty.
-func (d Duty) serves(s config.Settings) bool { return cmp.Or(d.Role, config.RoleEntry) == s.Role() }
+func (d Duty) appliesTo(s config.Settings) bool { return cmp.Or(d.Role, config.RoleEntry) == s.Role() }
 
 // Stop ends a duty within the time of ctx.
 type Stop func(ctx context.Context) error
@@ -87,25 +87,25 @@
 // Error names the type.
 func (me *MissingDependencyError) Error() string { return "no duty provides " + me.Type }
 
-var registered []Duty
+var registry []Duty
 
 // Register adds a duty. It is called from init functions only, and panics on a name used twice.
 func Register(d Duty) {
-	for _, have := range registered {
+	for _, have := range registry {
 		if have.Name == d.Name {
 			panic(fmt.Sprintf("kernel: duty %q registered twice", d.Name))
 		}
 	}
-	registered = append(registered, d)
-	slices.SortStableFunc(registered, func(a, b Duty) int {
+	registry = append(registry, d)
+	slices.SortStableFunc(registry, func(a, b Duty) int {
 		return cmp.Or(cmp.Compare(a.Phase, b.Phase), cmp.Compare(a.Name, b.Name))
 	})
 }
 
 // Defaults fills in the defaults of every duty.
 func Defaults(s config.Settings) config.Settings {
-	for _, d := range registered {
-		if d.Defaults != nil && d.serves(s) {
+	for _, d := range registry {
+		if d.Defaults != nil && d.appliesTo(s) {
 			d.Defaults(&s)
 		}
 	}
@@ -121,8 +121,8 @@
 	if s.AvailabilityZone == "" {
 		all = append(all, &config.Fault{Path: "availability_zone", Want: "the name of an availability zone"})
 	}
-	for _, d := range registered {
-		if d.Check != nil && d.serves(s) {
+	for _, d := range registry {
+		if d.Check != nil && d.appliesTo(s) {
 			all = append(all, d.Check(s)...)
 		}
 	}
@@ -140,30 +140,30 @@
 	// Stopping is set once and never taken back.
 	Stopping atomic.Bool
 
-	parts map[reflect.Type]any
+	provided map[reflect.Type]any
 	// reloads are called with new settings, in the order of the duties.
-	reloads []func(config.Settings)
+	reloadHooks []func(config.Settings)
 }
 
 // OnReload adds a function that puts new settings in force while the instance runs. It is called by duties that start.
-func (ev *Env) OnReload(f func(config.Settings)) { ev.reloads = append(ev.reloads, f) }
+func (ev *Env) OnReload(f func(config.Settings)) { ev.reloadHooks = append(ev.reloadHooks, f) }
 
 // Logger returns a logger whose lines start with the fixed prefix of one part.
 func (ev *Env) Logger(part string) log.Interface { return ev.Log.WithField("part", part) }
 
 // Provide puts a part where later duties find it.
-func Provide[T any](env *Env, part T) { env.parts[reflect.TypeFor[T]()] = part }
+func Provide[T any](env *Env, part T) { env.provided[reflect.TypeFor[T]()] = part }
 
 // Need returns a part that an earlier duty provided.
 func Resolve[T any](env *Env) (T, error) {
-	part, ok := env.parts[reflect.TypeFor[T]()].(T)
+	part, ok := env.provided[reflect.TypeFor[T]()].(T)
 	if !ok {
 		return part, &MissingDependencyError{Type: reflect.TypeFor[T]().String()}
 	}
 	return part, nil
 }
 
-type running struct {
+type runningDuty struct {
 	name  string
 	phase Phase
 	stop  Stop
@@ -174,7 +174,7 @@
 	// Env is shared with the duties.
 	Env *Env
 	// running is in the order of start.
-	running []running
+	running []runningDuty
 	// current is what is in force after reloads; Env.Settings stay those of the start.
 	current config.Settings
 }
@@ -189,15 +189,15 @@
 		Settings:    s,
 		Incarnation: incarnation,
 		Log:         lg.WithField("instance", s.Instance),
-		parts:       map[reflect.Type]any{},
+		provided:    map[reflect.Type]any{},
 	}
 	return &Kernel{Env: env, current: s}, nil
 }
 
 // Start starts every duty in order. When one fails, those already started are stopped.
 func (kn *Kernel) Start(ctx context.Context) error {
-	for _, d := range registered {
-		if !d.serves(kn.Env.Settings) {
+	for _, d := range registry {
+		if !d.appliesTo(kn.Env.Settings) {
 			continue
 		}
 		stop, err := d.Start(ctx, kn.Env)
@@ -213,7 +213,7 @@
 			return &StartError{Duty: d.Name, Cause: err}
 		}
 		if stop != nil {
-			kn.running = append(kn.running, running{name: d.Name, phase: d.Phase, stop: stop})
+			kn.running = append(kn.running, runningDuty{name: d.Name, phase: d.Phase, stop: stop})
 		}
 	}
 	kn.logStarted()
@@ -229,7 +229,7 @@
 	}
 	if b, err := json.Marshal(kn.Env.Settings); err == nil {
 		sum := sha256.Sum256(b)
-		fs["settings"] = hex.EncodeToString(sum[:settingsDigest])
+		fs["settings"] = hex.EncodeToString(sum[:settingsDigestBytes])
 	} else {
 		fs["settings"] = err.Error()
 	}
@@ -237,7 +237,7 @@
 }
 
 // settingsDigest is how many bytes of the digest of the settings are logged; enough to tell the files of a fleet apart.
-const settingsDigest = 6
+const settingsDigestBytes = 6
 
 // Reload puts new settings in force as far as the duties can while they run. Settings that are not good change nothing.
 func (kn *Kernel) Reload(s config.Settings) error {
@@ -249,7 +249,7 @@
 		return config.Faults{{Path: "gateway", Value: string(s.Role()) + " role", Want: "the role that the instance started with"}}
 	}
 	changed := config.Changed(kn.current, s)
-	for _, reload := range kn.Env.reloads {
+	for _, reload := range kn.Env.reloadHooks {
 		reload(s)
 	}
 	kn.current = s
@@ -265,8 +265,8 @@
 	kn.Env.Stopping.Store(true)
 	var first error
 	for len(kn.running) > 0 {
-		begin := lastPhase(kn.running)
-		if err := stopAll(ctx, kn.running[begin:]); first == nil {
+		begin := lastPhaseStart(kn.running)
+		if err := stopConcurrently(ctx, kn.running[begin:]); first == nil {
 			first = err
 		}
 		kn.running = kn.running[:begin]
@@ -280,13 +280,13 @@
 }
 
 // lastPhase returns where the duties of the last phase begin; there is at least one.
-func lastPhase(rs []running) int {
+func lastPhaseStart(rs []runningDuty) int {
 	last := rs[len(rs)-1].phase
-	return slices.IndexFunc(rs, func(r running) bool { return r.phase == last })
+	return slices.IndexFunc(rs, func(r runningDuty) bool { return r.phase == last })
 }
 
 // stopAll stops duties beside each other: one that waits for somebody outside must not take the others' time to stop.
-func stopAll(ctx context.Context, rs []running) error {
+func stopConcurrently(ctx context.Context, rs []runningDuty) error {
 	errs := make([]error, len(rs))
 	var wg sync.WaitGroup
 	for i, r := range rs {
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -15,18 +15,18 @@
 )
 
 // only registers the duties for one test in place of all others.
-func only(t *testing.T, duties ...Duty) {
+func registerOnly(t *testing.T, duties ...Duty) {
 	t.Helper()
-	before := registered
-	registered = nil
-	t.Cleanup(func() { registered = before })
+	before := registry
+	registry = nil
+	t.Cleanup(func() { registry = before })
 	for _, d := range duties {
 		Register(d)
 	}
 }
 
 // limiter returns a duty that puts the bound of one body in force when settings are reloaded. It appends to told.
-func limiter(name string, role config.Role, told *[]string, inForce *[]config.Settings) Duty {
+func reloadDuty(name string, role config.Role, told *[]string, inForce *[]config.Settings) Duty {
 	return Duty{
 		Name: name, Role: role, Phase: PhaseWork,
 		Defaults: func(s *config.Settings) { s.Routing.Policy = "default of " + name },
@@ -46,7 +46,7 @@
 	}
 }
 
-func started(t *testing.T, s config.Settings) (*Kernel, *memory.Handler) {
+func startKernel(t *testing.T, s config.Settings) (*Kernel, *memory.Handler) {
 	t.Helper()
 	g := NewWithT(t)
 	mh := memory.New()
@@ -56,34 +56,34 @@
 	return kn, mh
 }
 
-func settings(bytes int64) config.Settings {
+func entrySettings(bytes int64) config.Settings {
 	return config.Settings{Instance: "a1", AvailabilityZone: "a", Callers: config.Callers{MaxBodyBytes: bytes}}
 }
 
 func gatewaySettings(bytes int64) config.Settings {
-	s := settings(bytes)
+	s := entrySettings(bytes)
 	s.Gateway = &config.Gateway{}
 	return s
 }
 
-func TestReloadPutsGoodSettingsInForce(t *testing.T) {
+func TestReloadAppliesValidSettings(t *testing.T) {
 	tests := map[string]struct {
 		before, after config.Settings
 		told          []string
 		changed       string
 	}{
-		"entry":          {settings(1), settings(2), []string{"one", "two"}, "callers.max_body_bytes"},
+		"entry":          {entrySettings(1), entrySettings(2), []string{"one", "two"}, "callers.max_body_bytes"},
 		"gateway":        {gatewaySettings(1), gatewaySettings(2), []string{"door"}, "callers.max_body_bytes"},
-		"nothing is new": {settings(1), settings(1), []string{"one", "two"}, ""},
+		"nothing is new": {entrySettings(1), entrySettings(1), []string{"one", "two"}, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			var told []string
 			var inForce []config.Settings
-			only(t, limiter("one", "", &told, &inForce), limiter("two", config.RoleEntry, &told, &inForce),
-				limiter("door", config.RoleGateway, &told, &inForce))
-			kn, mh := started(t, tc.before)
+			registerOnly(t, reloadDuty("one", "", &told, &inForce), reloadDuty("two", config.RoleEntry, &told, &inForce),
+				reloadDuty("door", config.RoleGateway, &told, &inForce))
+			kn, mh := startKernel(t, tc.before)
 			g.Expect(told).To(BeEmpty())
 			g.Expect(kn.Reload(tc.after)).To(Succeed())
 			want := Defaults(tc.after)
@@ -98,25 +98,25 @@
 	}
 }
 
-func TestReloadOfBadSettingsChangesNothing(t *testing.T) {
-	nameless := settings(2)
+func TestReloadOfInvalidSettingsChangesNothing(t *testing.T) {
+	nameless := entrySettings(2)
 	nameless.Instance = ""
 	tests := map[string]struct {
 		before, after config.Settings
 		want          []string
 	}{
 		"one duty finds a fault": {gatewaySettings(1), gatewaySettings(-1), []string{"door wants more"}},
-		"two duties do":          {settings(1), settings(-1), []string{"one wants more", "two wants more"}},
-		"the kernel does":        {settings(1), nameless, []string{"a name unique among instances"}},
+		"two duties do":          {entrySettings(1), entrySettings(-1), []string{"one wants more", "two wants more"}},
+		"the kernel does":        {entrySettings(1), nameless, []string{"a name unique among instances"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			var told []string
 			var inForce []config.Settings
-			only(t, limiter("one", "", &told, &inForce), limiter("two", config.RoleEntry, &told, &inForce),
-				limiter("door", config.RoleGateway, &told, &inForce))
-			kn, mh := started(t, tc.before)
+			registerOnly(t, reloadDuty("one", "", &told, &inForce), reloadDuty("two", config.RoleEntry, &told, &inForce),
+				reloadDuty("door", config.RoleGateway, &told, &inForce))
+			kn, mh := startKernel(t, tc.before)
 			before, lines := kn.Settings(), len(mh.Entries)
 			err := kn.Reload(tc.after)
 			var fs config.Faults
@@ -139,18 +139,18 @@
 	}
 }
 
-func TestReloadKeepsTheRole(t *testing.T) {
+func TestReloadRefusesRoleChange(t *testing.T) {
 	tests := map[string]struct{ before, after config.Settings }{
-		"a gateway": {gatewaySettings(1), settings(1)},
-		"an entry":  {settings(1), gatewaySettings(1)},
+		"a gateway": {gatewaySettings(1), entrySettings(1)},
+		"an entry":  {entrySettings(1), gatewaySettings(1)},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			var told []string
 			var inForce []config.Settings
-			only(t, limiter("one", "", &told, &inForce), limiter("door", config.RoleGateway, &told, &inForce))
-			kn, _ := started(t, tc.before)
+			registerOnly(t, reloadDuty("one", "", &told, &inForce), reloadDuty("door", config.RoleGateway, &told, &inForce))
+			kn, _ := startKernel(t, tc.before)
 			before := kn.Settings()
 			var fs config.Faults
 			g.Expect(errors.As(kn.Reload(tc.after), &fs)).To(BeTrue())
@@ -161,16 +161,16 @@
 }
 
 // TestStartedSaysWhichProcessAndWhatFrom compares the lines of three starts.
-func TestStartedSaysWhichProcessAndWhatFrom(t *testing.T) {
+func TestStartedLineIdentifiesProcessAndSettings(t *testing.T) {
 	g := NewWithT(t)
-	only(t)
+	registerOnly(t)
 	line := func(s config.Settings) log.Fields {
-		_, mh := started(t, s)
+		_, mh := startKernel(t, s)
 		last := mh.Entries[len(mh.Entries)-1]
 		g.Expect(last.Message).To(Equal("started"))
 		return last.Fields
 	}
-	first, same, other := line(settings(1)), line(settings(1)), line(settings(2))
+	first, same, other := line(entrySettings(1)), line(entrySettings(1)), line(entrySettings(2))
 	g.Expect(first).To(HaveKeyWithValue("incarnation", "i-1"))
 	g.Expect(first).To(HaveKeyWithValue("availability_zone", "a"))
 	g.Expect(first["pid"]).To(BeNumerically(">", 0))
@@ -179,10 +179,10 @@
 }
 
 // patience is far longer than a stop takes that nothing holds up.
-const patience = 10 * time.Second
+const stopTimeout = 10 * time.Second
 
 // stopper returns a duty whose stop notes its name and runs a function.
-func stopper(name string, ph Phase, stop func() error) Duty {
+func stopDuty(name string, ph Phase, stop func() error) Duty {
 	return Duty{Name: name, Phase: ph, Start: func(context.Context, *Env) (Stop, error) {
 		return func(context.Context) error { return stop() }, nil
 	}}
@@ -194,7 +194,7 @@
 // Symptom: a duty has no time left to stop in.
 // Sequence: a duty of its phase waits for somebody outside when it is stopped.
 // Cause: the duties of a phase stop one after the other.
-func TestStopOfOnePhaseRunsBesideEachOther(t *testing.T) {
+func TestDutiesOfOnePhaseStopConcurrently(t *testing.T) {
 	g := NewWithT(t)
 	one, two := make(chan struct{}), make(chan struct{})
 	var ended atomic.Int32
@@ -204,15 +204,15 @@
 			select {
 			case <-other:
 				ended.Add(1)
-			case <-time.After(patience):
+			case <-time.After(stopTimeout):
 			}
 			return nil
 		}
 	}
 	endedBefore := int32(-1)
-	only(t, stopper("one", PhaseListen, meet(one, two)), stopper("two", PhaseListen, meet(two, one)),
-		stopper("ground", PhaseStore, func() error { endedBefore = ended.Load(); return nil }))
-	kn, _ := started(t, settings(1))
+	registerOnly(t, stopDuty("one", PhaseListen, meet(one, two)), stopDuty("two", PhaseListen, meet(two, one)),
+		stopDuty("ground", PhaseStore, func() error { endedBefore = ended.Load(); return nil }))
+	kn, _ := startKernel(t, entrySettings(1))
 	g.Expect(kn.Stop(t.Context())).To(Succeed())
 	g.Expect(endedBefore).To(Equal(int32(2)))
 }
@@ -227,19 +227,19 @@
 		want   string
 	}{
 		"of the last phase": {
-			[]Duty{stopper("a", PhaseStore, boom("a")), stopper("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
+			[]Duty{stopDuty("a", PhaseStore, boom("a")), stopDuty("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
 		},
 		"of the last duty in a phase": {
-			[]Duty{stopper("a", PhaseListen, boom("a")), stopper("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
+			[]Duty{stopDuty("a", PhaseListen, boom("a")), stopDuty("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
 		},
 		"of an earlier phase": {
-			[]Duty{stopper("a", PhaseStore, boom("a")), stopper("b", PhaseListen, well)}, "stop a: no duty provides a",
+			[]Duty{stopDuty("a", PhaseStore, boom("a")), stopDuty("b", PhaseListen, well)}, "stop a: no duty provides a",
 		},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			only(t, tc.duties...)
-			kn, _ := started(t, settings(1))
+			registerOnly(t, tc.duties...)
+			kn, _ := startKernel(t, entrySettings(1))
 			NewWithT(t).Expect(kn.Stop(t.Context())).To(MatchError(tc.want))
 		})
 	}
