--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -24,9 +24,9 @@
 	defaultCapacity = 4096
 	// urgentRoom is the part of the waiting lines that only urgent ones may take, one in so many: what went well must not
 	// fill the room while the writer is slow.
-	urgentRoom = 4
+	urgentReserveDivisor = 4
 	// leftOutCounter counts the lines that were not written.
-	leftOutCounter = "silvermount_log_lines_left_out_total"
+	droppedCounterName = "silvermount_log_lines_left_out_total"
 )
 
 // Sink is an apex/log handler that formats entries as logfmt lines and writes them in batches from one goroutine.
@@ -35,20 +35,20 @@
 	// now is the clock of the lines and of the limits; never nil.
 	now func() time.Time
 	// leftOut is never nil.
-	leftOut *metrics.Counter
+	dropped *metrics.Counter
 	// waiting holds formatted lines in the order in which they were offered.
-	waiting *ring.Ring[*line]
+	queue *ring.Ring[*line]
 	// quotas decides which lines are written.
 	quotas *quotas
 	// commonMost is how many lines may wait before only urgent ones are added.
-	commonMost int
+	maxNormalQueued int
 	// instance is named in the lines that the sink writes itself; it may be empty.
 	instance string
 	// out is used by the writing goroutine only.
-	out *batch
+	batch *batch
 
 	// gate orders offers before the close: after closed is set, nothing is added to waiting.
-	gate   sync.RWMutex
+	mu     sync.RWMutex
 	closed bool
 	// closing is closed once, when no line can be added any more.
 	closing chan struct{}
@@ -97,14 +97,14 @@
 	}
 	sk := &Sink{
 		now:     op.now,
-		leftOut: op.set.GetOrCreateCounter(leftOutCounter),
-		waiting: ring.New[*line](op.capacity),
+		dropped: op.set.GetOrCreateCounter(droppedCounterName),
+		queue:   ring.New[*line](op.capacity),
 		quotas:  newQuotas(op.kindLimit, op.urgentLimit),
 
-		commonMost: op.capacity - op.capacity/urgentRoom,
-		instance:   op.instance,
+		maxNormalQueued: op.capacity - op.capacity/urgentReserveDivisor,
+		instance:        op.instance,
 
-		out:     &batch{w: w},
+		batch:   &batch{w: w},
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -116,58 +116,58 @@
 // returns nil, as apex/log would print an error elsewhere.
 func (sk *Sink) HandleLog(e *log.Entry) error {
 	now := sk.now()
-	pressing := urgent(e)
+	pressing := isUrgent(e)
 	if !sk.quotas.admit(now, e.Message, pressing) {
-		sk.leftOut.Inc()
+		sk.dropped.Inc()
 		return nil
 	}
 	ln := newLine()
 	ln.format(now, e)
 	if !sk.offer(ln, pressing) {
 		ln.free()
-		sk.quotas.leaveOut(e.Message, 1)
-		sk.leftOut.Inc()
+		sk.quotas.addDropped(e.Message, 1)
+		sk.dropped.Inc()
 	}
 	return nil
 }
 
 // offer adds a line unless the ring has no room for its kind or the sink is closed.
 func (sk *Sink) offer(ln *line, pressing bool) bool {
-	sk.gate.RLock()
-	defer sk.gate.RUnlock()
-	if sk.closed || !pressing && sk.waiting.Len() >= sk.commonMost {
+	sk.mu.RLock()
+	defer sk.mu.RUnlock()
+	if sk.closed || !pressing && sk.queue.Len() >= sk.maxNormalQueued {
 		return false
 	}
-	return sk.waiting.Offer(ln)
+	return sk.queue.Offer(ln)
 }
 
 // Close refuses further lines and waits until the waiting ones are written or ctx ends. It returns a
 // NotDrainedError when ctx ended first and a WriteError when the writer lost lines; it may be called again.
 func (sk *Sink) Close(ctx context.Context) error {
-	sk.gate.Lock()
+	sk.mu.Lock()
 	if !sk.closed {
 		sk.closed = true
 		close(sk.closing)
 	}
-	sk.gate.Unlock()
+	sk.mu.Unlock()
 	select {
 	case <-sk.done:
-		return sk.out.failure()
+		return sk.batch.err()
 	case <-ctx.Done():
 	}
 	select {
 	case <-sk.done: // Both may have ended; a drained sink is no failure.
-		return sk.out.failure()
+		return sk.batch.err()
 	default:
-		return &NotDrainedError{Lines: sk.waiting.Len(), Cause: ctx.Err()}
+		return &NotDrainedError{Lines: sk.queue.Len(), Cause: ctx.Err()}
 	}
 }
 
 // urgent reports whether a line falls under the larger limit.
-func urgent(e *log.Entry) bool {
+func isUrgent(e *log.Entry) bool {
 	if e.Level >= log.WarnLevel {
 		return true
 	}
 	v, ok := e.Fields[outcomeKey]
-	return ok && text(v) != outcomeServed
+	return ok && valueText(v) != outcomeServed
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -23,16 +23,16 @@
 func atNoon() time.Time { return noon }
 
 // writer records every write; while it is held, writes wait.
-type writer struct {
-	mu     sync.Mutex
-	writes []string
-	held   chan struct{}
-	err    error
+type stubWriter struct {
+	mu      sync.Mutex
+	writes  []string
+	blocked chan struct{}
+	err     error
 }
 
-func (wr *writer) Write(b []byte) (int, error) {
-	if wr.held != nil {
-		<-wr.held
+func (wr *stubWriter) Write(b []byte) (int, error) {
+	if wr.blocked != nil {
+		<-wr.blocked
 	}
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
@@ -43,14 +43,14 @@
 	return len(b), nil
 }
 
-func (wr *writer) lines() []string {
+func (wr *stubWriter) lines() []string {
 	wr.mu.Lock()
 	defer wr.mu.Unlock()
 	return strings.Split(strings.TrimSuffix(strings.Join(wr.writes, ""), "\n"), "\n")
 }
 
 // only returns the lines of one message.
-func (wr *writer) only(msg string) []string {
+func (wr *stubWriter) linesWithMessage(msg string) []string {
 	var kept []string
 	for _, l := range wr.lines() {
 		if strings.Contains(l, fmt.Sprintf("msg=%q", msg)) {
@@ -62,9 +62,9 @@
 
 func logger(sk *Sink) *log.Logger { return &log.Logger{Handler: sk, Level: log.DebugLevel} }
 
-type failing struct{}
+type panickingError struct{}
 
-func (*failing) Error() string { panic("no text") }
+func (*panickingError) Error() string { panic("no text") }
 
 func TestLine(t *testing.T) {
 	tests := map[string]struct {
@@ -86,8 +86,8 @@
 		"bad key":            {fields: log.Fields{"a b=\"": 1, "": 2}, want: ` _=2 a_b__=1`},
 		"taken key":          {fields: log.Fields{"time": 1, "msg": "x"}, want: ` _msg=x _time=1`},
 		"nil":                {fields: log.Fields{"a": nil}, want: ` a=<nil>`},
-		"panicking error":    {fields: log.Fields{"a": (*failing)(nil)}, want: ` a=<nil>`},
-		"long value":         {fields: log.Fields{"a": strings.Repeat("é", maxValue)}, want: ` a=` + strings.Repeat("é", maxValue/2) + `...`},
+		"panicking error":    {fields: log.Fields{"a": (*panickingError)(nil)}, want: ` a=<nil>`},
+		"long value":         {fields: log.Fields{"a": strings.Repeat("é", maxValueBytes)}, want: ` a=` + strings.Repeat("é", maxValueBytes/2) + `...`},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			set, wr := metrics.NewSet(), &writer{}
+			set, wr := metrics.NewSet(), &stubWriter{}
 			sk := New(wr, WithClock(atNoon), WithMetrics(set), WithKindLimit(2), WithUrgentLimit(5))
 			lg := logger(sk)
 			for i := range tc.lines {
@@ -129,16 +129,16 @@
 			}
 			lg.Info("another kind")
 			g.Expect(sk.Close(t.Context())).To(Succeed())
-			g.Expect(wr.only("a line")).To(HaveLen(tc.want))
-			g.Expect(wr.only("another kind")).To(HaveLen(1))
+			g.Expect(wr.linesWithMessage("a line")).To(HaveLen(tc.want))
+			g.Expect(wr.linesWithMessage("another kind")).To(HaveLen(1))
 			left := tc.lines - tc.want
-			g.Expect(set.GetOrCreateCounter(leftOutCounter).Get()).To(Equal(uint64(left)))
+			g.Expect(set.GetOrCreateCounter(droppedCounterName).Get()).To(Equal(uint64(left)))
 			if left == 0 {
-				g.Expect(wr.only("lines left out")).To(BeEmpty())
+				g.Expect(wr.linesWithMessage("lines left out")).To(BeEmpty())
 				return
 			}
 			want := fmt.Sprintf(`time=2026-12-01T12:00:00.000000Z level=warn part=eventlog msg="lines left out" count=%d kind="a line"`, left)
-			g.Expect(wr.only("lines left out")).To(Equal([]string{want}))
+			g.Expect(wr.linesWithMessage("lines left out")).To(Equal([]string{want}))
 		})
 	}
 }
@@ -152,7 +152,7 @@
 }
 
 // TestLimitsStartAnew checks the default limit over seconds, a late reading of the clock and a clock set back.
-func TestLimitsStartAnew(t *testing.T) {
+func TestLimitsResetEachSecond(t *testing.T) {
 	g := NewWithT(t)
 	qs := newQuotas(defaultKindLimit, defaultUrgentLimit)
 	admitted := func(at time.Time) (n int) {
@@ -167,57 +167,57 @@
 	g.Expect(admitted(noon.Add(time.Second))).To(Equal(50))
 	g.Expect(admitted(noon)).To(Equal(0))
 	g.Expect(admitted(noon.Add(-time.Hour))).To(Equal(50))
-	g.Expect(qs.take()).To(Equal([]leftOut{{kind: "a line", count: 4*2*defaultUrgentLimit - 150}}))
-	g.Expect(qs.take()).To(BeEmpty())
+	g.Expect(qs.takeDropped()).To(Equal([]dropCount{{kind: "a line", count: 4*2*defaultUrgentLimit - 150}}))
+	g.Expect(qs.takeDropped()).To(BeEmpty())
 }
 
-func TestKindsAreBounded(t *testing.T) {
+func TestNumberOfKindsIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	qs := newQuotas(1, 1)
 	for i := range 10 * maxKinds {
 		qs.admit(noon, fmt.Sprint("kind ", i), false)
 	}
 	g.Expect(qs.kinds).To(HaveLen(maxKinds + 1))
-	g.Expect(qs.take()).To(Equal([]leftOut{{kind: otherKinds, count: 9*maxKinds - 1}}))
+	g.Expect(qs.takeDropped()).To(Equal([]dropCount{{kind: otherKinds, count: 9*maxKinds - 1}}))
 	qs.admit(noon.Add(2*time.Second), "a line", false)
 	g.Expect(qs.kinds).To(HaveLen(1))
 }
 
 // TestTellsOnceASecond runs in fake time: what is left out is told at each full second and not twice.
-func TestTellsOnceASecond(t *testing.T) {
+func TestDroppedLinesAreReportedOncePerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		wr := &writer{}
+		wr := &stubWriter{}
 		sk := New(wr, WithKindLimit(1))
 		lg := logger(sk)
 		for range 3 {
 			lg.Info("a line")
 		}
-		time.Sleep(tellPause / 2)
+		time.Sleep(reportInterval / 2)
 		synctest.Wait()
-		g.Expect(wr.only("lines left out")).To(BeEmpty())
-		time.Sleep(3 * tellPause)
+		g.Expect(wr.linesWithMessage("lines left out")).To(BeEmpty())
+		time.Sleep(3 * reportInterval)
 		synctest.Wait()
-		g.Expect(wr.only("lines left out")).To(ConsistOf(ContainSubstring(`count=2 kind="a line"`)))
+		g.Expect(wr.linesWithMessage("lines left out")).To(ConsistOf(ContainSubstring(`count=2 kind="a line"`)))
 		lg.Info("a line")
 		lg.Info("a line")
-		time.Sleep(tellPause)
+		time.Sleep(reportInterval)
 		synctest.Wait()
-		g.Expect(wr.only("lines left out")).To(HaveLen(2))
+		g.Expect(wr.linesWithMessage("lines left out")).To(HaveLen(2))
 		g.Expect(sk.Close(t.Context())).To(Succeed())
 	})
 }
 
 // TestBatches writes many lines within one pause and expects one write.
-func TestBatches(t *testing.T) {
+func TestLinesShareOneWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		wr := &writer{}
+		wr := &stubWriter{}
 		sk := New(wr, WithKindLimit(100))
 		for i := range 100 {
 			logger(sk).WithField("i", i).Info("a line")
 		}
-		time.Sleep(2 * flushPause)
+		time.Sleep(2 * flushDelay)
 		synctest.Wait()
 		g.Expect(wr.writes).To(HaveLen(1))
 		g.Expect(wr.lines()).To(HaveLen(100))
@@ -227,41 +227,41 @@
 }
 
 // TestHeldWriter holds the writer: callers go on, the ring bounds what waits, and the rest is counted and told.
-func TestHeldWriter(t *testing.T) {
+func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	g := NewWithT(t)
-	set, wr := metrics.NewSet(), &writer{held: make(chan struct{})}
+	set, wr := metrics.NewSet(), &stubWriter{blocked: make(chan struct{})}
 	sk := New(wr, WithClock(atNoon), WithMetrics(set), WithKindLimit(1000), WithCapacity(10))
 	for range 500 {
 		logger(sk).Info("a line")
 	}
-	left := set.GetOrCreateCounter(leftOutCounter)
+	left := set.GetOrCreateCounter(droppedCounterName)
 	g.Expect(left.Get()).To(BeNumerically(">", 0))
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	var nd *NotDrainedError
 	g.Expect(errors.As(sk.Close(ended), &nd)).To(BeTrue())
 	g.Expect(nd).To(MatchError(context.Canceled))
-	close(wr.held)
+	close(wr.blocked)
 	g.Expect(sk.Close(t.Context())).To(Succeed())
-	g.Expect(len(wr.only("a line")) + int(left.Get())).To(Equal(500))
-	g.Expect(wr.only("lines left out")).To(ConsistOf(ContainSubstring(fmt.Sprintf("count=%d", left.Get()))))
+	g.Expect(len(wr.linesWithMessage("a line")) + int(left.Get())).To(Equal(500))
+	g.Expect(wr.linesWithMessage("lines left out")).To(ConsistOf(ContainSubstring(fmt.Sprintf("count=%d", left.Get()))))
 }
 
-func TestAfterClose(t *testing.T) {
+func TestLinesAfterCloseAreDropped(t *testing.T) {
 	g := NewWithT(t)
-	set, wr := metrics.NewSet(), &writer{}
+	set, wr := metrics.NewSet(), &stubWriter{}
 	sk := New(wr, WithMetrics(set))
 	logger(sk).Info("a line")
 	g.Expect(sk.Close(t.Context())).To(Succeed())
 	logger(sk).Info("a late line")
 	g.Expect(sk.Close(t.Context())).To(Succeed())
 	g.Expect(wr.lines()).To(ConsistOf(ContainSubstring("a line")))
-	g.Expect(set.GetOrCreateCounter(leftOutCounter).Get()).To(Equal(uint64(1)))
+	g.Expect(set.GetOrCreateCounter(droppedCounterName).Get()).To(Equal(uint64(1)))
 }
 
-func TestFailingWriter(t *testing.T) {
+func TestFailedWritesAreCounted(t *testing.T) {
 	g := NewWithT(t)
-	set, wr := metrics.NewSet(), &writer{err: io.ErrClosedPipe}
+	set, wr := metrics.NewSet(), &stubWriter{err: io.ErrClosedPipe}
 	sk := New(wr, WithMetrics(set))
 	logger(sk).Info("a line")
 	logger(sk).Info("a line")
@@ -271,11 +271,11 @@
 	g.Expect(err).To(MatchError(io.ErrClosedPipe))
 	// The line that tells of the two is lost as well.
 	g.Expect(we.Lines).To(Equal(3))
-	g.Expect(set.GetOrCreateCounter(leftOutCounter).Get()).To(Equal(uint64(3)))
+	g.Expect(set.GetOrCreateCounter(droppedCounterName).Get()).To(Equal(uint64(3)))
 }
 
 // TestManyCallers closes the sink while goroutines log: each line is written whole or counted.
-func TestManyCallers(t *testing.T) {
+func TestCloseWhileCallersLog(t *testing.T) {
 	g := NewWithT(t)
 	const callers, each = 8, 500
 	set := metrics.NewSet()
@@ -301,7 +301,7 @@
 			written++
 		}
 	}
-	g.Expect(written + int(set.GetOrCreateCounter(leftOutCounter).Get())).To(Equal(callers * each))
+	g.Expect(written + int(set.GetOrCreateCounter(droppedCounterName).Get())).To(Equal(callers * each))
 }
 
 func BenchmarkHandleLog(b *testing.B) {
@@ -316,24 +316,24 @@
 			for b.Loop() {
 				_ = sk.HandleLog(e)
 			}
-			b.ReportMetric(float64(sk.leftOut.Get())/float64(b.N), "left-out/op")
+			b.ReportMetric(float64(sk.dropped.Get())/float64(b.N), "left-out/op")
 		})
 	}
 }
 
 // TestFailureFindsRoomBehindWhatWentWell holds the writer until no common line finds room: a failure still does.
-func TestFailureFindsRoomBehindWhatWentWell(t *testing.T) {
+func TestQueueReservesRoomForUrgentLines(t *testing.T) {
 	g := NewWithT(t)
-	wr := &writer{held: make(chan struct{})}
+	wr := &stubWriter{blocked: make(chan struct{})}
 	sk := New(wr, WithClock(atNoon), WithKindLimit(1000), WithCapacity(16), WithInstance("i1"))
 	for range 500 {
 		logger(sk).WithField("outcome", "served").Info("a line")
 	}
-	for range 16 / urgentRoom {
+	for range 16 / urgentReserveDivisor {
 		logger(sk).WithField("outcome", "failed").Warn("a failure")
 	}
-	close(wr.held)
+	close(wr.blocked)
 	g.Expect(sk.Close(t.Context())).To(Succeed())
-	g.Expect(wr.only("a failure")).To(HaveLen(16 / urgentRoom))
-	g.Expect(wr.only("lines left out")).To(ConsistOf(And(ContainSubstring("instance=i1"), ContainSubstring(`kind="a line"`))))
+	g.Expect(wr.linesWithMessage("a failure")).To(HaveLen(16 / urgentReserveDivisor))
+	g.Expect(wr.linesWithMessage("lines left out")).To(ConsistOf(And(ContainSubstring("instance=i1"), ContainSubstring(`kind="a line"`))))
 }
--- a/internal/eventlog/line.go
+++ b/internal/eventlog/line.go
@@ -25,34 +25,34 @@
 	// timeLayout has a fixed width, so that lines sort as text.
 	timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 	// maxValue bounds one value, in bytes: longer than any error of the program.
-	maxValue = 4 << 10
+	maxValueBytes = 4 << 10
 	// cutMark ends a value that was cut.
-	cutMark = "..."
+	truncationMark = "..."
 	// maxPooled is the largest buffer kept for reuse, in bytes: several values of maxValue.
-	maxPooled = 16 << 10
+	maxPooledBytes = 16 << 10
 )
 
 // lines keeps buffers for reuse.
-var lines = sync.Pool{New: func() any { return &line{} }}
+var linePool = sync.Pool{New: func() any { return &line{} }}
 
 // line is one formatted line.
 type line struct {
 	// buf ends in the only newline of the line once format has run.
 	buf []byte
 	// names is room to sort the names of fields.
-	names []string
+	fieldNames []string
 }
 
-func newLine() *line { return lines.Get().(*line) }
+func newLine() *line { return linePool.Get().(*line) }
 
 // free gives the buffers back; the line must not be used afterwards.
 func (ln *line) free() {
-	if cap(ln.buf) > maxPooled {
+	if cap(ln.buf) > maxPooledBytes {
 		return
 	}
-	clear(ln.names)
-	ln.buf, ln.names = ln.buf[:0], ln.names[:0]
-	lines.Put(ln)
+	clear(ln.fieldNames)
+	ln.buf, ln.fieldNames = ln.buf[:0], ln.fieldNames[:0]
+	linePool.Put(ln)
 }
 
 // format writes time, level, part and message, and then the other fields by name. A field that bears the name of
@@ -60,29 +60,29 @@
 func (ln *line) format(now time.Time, e *log.Entry) {
 	ln.buf = append(ln.buf, timeKey+"="...)
 	ln.buf = now.UTC().AppendFormat(ln.buf, timeLayout)
-	ln.pair(levelKey, e.Level.String())
+	ln.appendPair(levelKey, e.Level.String())
 	if part, ok := e.Fields[partKey]; ok {
-		ln.pair(partKey, part)
+		ln.appendPair(partKey, part)
 	}
-	ln.pair(messageKey, e.Message)
+	ln.appendPair(messageKey, e.Message)
 	for name := range e.Fields {
 		if name != partKey {
-			ln.names = append(ln.names, name)
+			ln.fieldNames = append(ln.fieldNames, name)
 		}
 	}
-	slices.Sort(ln.names)
-	for _, name := range ln.names {
+	slices.Sort(ln.fieldNames)
+	for _, name := range ln.fieldNames {
 		if name == timeKey || name == levelKey || name == messageKey {
-			ln.pair("_"+name, e.Fields[name])
+			ln.appendPair("_"+name, e.Fields[name])
 			continue
 		}
-		ln.pair(name, e.Fields[name])
+		ln.appendPair(name, e.Fields[name])
 	}
 	ln.buf = append(ln.buf, '\n')
 }
 
 // pair writes a space, a key and a value.
-func (ln *line) pair(key string, value any) {
+func (ln *line) appendPair(key string, value any) {
 	ln.buf = append(ln.buf, ' ')
 	ln.buf = appendKey(ln.buf, key)
 	ln.buf = append(ln.buf, '=')
@@ -119,11 +119,11 @@
 	case time.Time:
 		return v.UTC().AppendFormat(buf, timeLayout)
 	}
-	return appendText(buf, text(value))
+	return appendText(buf, valueText(value))
 }
 
 // text returns a value as text. Formatting by fmt bears nil pointers and panics of methods.
-func text(value any) string {
+func valueText(value any) string {
 	switch v := value.(type) {
 	case string:
 		return v
@@ -135,8 +135,8 @@
 
 // appendText writes a text, cut to maxValue and in quotes when a reader would need them.
 func appendText(buf []byte, s string) []byte {
-	if len(s) > maxValue {
-		s = cut(s) + cutMark
+	if len(s) > maxValueBytes {
+		s = truncate(s) + truncationMark
 	}
 	if !needsQuotes(s) {
 		return append(buf, s...)
@@ -149,9 +149,9 @@
 }
 
 // cut shortens a text to maxValue bytes without splitting a rune.
-func cut(s string) string {
-	end := maxValue
-	for end > maxValue-utf8.UTFMax && !utf8.RuneStart(s[end]) {
+func truncate(s string) string {
+	end := maxValueBytes
+	for end > maxValueBytes-utf8.UTFMax && !utf8.RuneStart(s[end]) {
 		end--
 	}
 	return s[:end]
--- a/internal/eventlog/quotas.go
+++ b/internal/eventlog/quotas.go
@@ -17,13 +17,13 @@
 // quota counts the lines of one kind.
 type quota struct {
 	// common and urgent are the lines admitted in the current second.
-	common, urgent int
+	normal, urgent int
 	// leftOut are the lines left out since the last take.
-	leftOut int
+	dropped int
 }
 
 // leftOut is how many lines of a kind were left out.
-type leftOut struct {
+type dropCount struct {
 	kind  string
 	count int
 }
@@ -31,7 +31,7 @@
 // quotas bounds how many lines of each kind are written in a second.
 type quotas struct {
 	// common and urgent are the limits for each kind.
-	common, urgent int
+	normalLimit, urgentLimit int
 
 	mu sync.Mutex
 	// second is the Unix time of the current second.
@@ -41,80 +41,80 @@
 }
 
 func newQuotas(common, urgent int) *quotas {
-	return &quotas{common: common, urgent: urgent, kinds: map[string]quota{}}
+	return &quotas{normalLimit: common, urgentLimit: urgent, kinds: map[string]quota{}}
 }
 
 // admit counts a line and reports whether it may be written.
 func (qs *quotas) admit(now time.Time, kind string, urgent bool) bool {
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
-	qs.turn(now.Unix())
-	kind = qs.key(kind)
+	qs.startSecond(now.Unix())
+	kind = qs.boundedKind(kind)
 	q := qs.kinds[kind]
-	ok := q.add(urgent, qs.common, qs.urgent)
+	ok := q.admit(urgent, qs.normalLimit, qs.urgentLimit)
 	qs.kinds[kind] = q
 	return ok
 }
 
 // add counts a line under its limit or as left out.
-func (q *quota) add(urgent bool, commonLimit, urgentLimit int) bool {
+func (q *quota) admit(urgent bool, commonLimit, urgentLimit int) bool {
 	switch {
 	case urgent && q.urgent < urgentLimit:
 		q.urgent++
-	case !urgent && q.common < commonLimit:
-		q.common++
+	case !urgent && q.normal < commonLimit:
+		q.normal++
 	default:
-		q.leftOut++
+		q.dropped++
 		return false
 	}
 	return true
 }
 
 // leaveOut counts lines that were admitted and could not be written.
-func (qs *quotas) leaveOut(kind string, count int) {
+func (qs *quotas) addDropped(kind string, count int) {
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
-	kind = qs.key(kind)
+	kind = qs.boundedKind(kind)
 	q := qs.kinds[kind]
-	q.leftOut += count
+	q.dropped += count
 	qs.kinds[kind] = q
 }
 
 // take returns what was left out since the last call, sorted by kind.
-func (qs *quotas) take() []leftOut {
+func (qs *quotas) takeDropped() []dropCount {
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
-	var los []leftOut
+	var los []dropCount
 	for kind, q := range qs.kinds {
-		if q.leftOut == 0 {
+		if q.dropped == 0 {
 			continue
 		}
-		los = append(los, leftOut{kind: kind, count: q.leftOut})
-		q.leftOut = 0
+		los = append(los, dropCount{kind: kind, count: q.dropped})
+		q.dropped = 0
 		qs.kinds[kind] = q
 	}
-	slices.SortFunc(los, func(a, b leftOut) int { return strings.Compare(a.kind, b.kind) })
+	slices.SortFunc(los, func(a, b dropCount) int { return strings.Compare(a.kind, b.kind) })
 	return los
 }
 
 // turn starts a new second: limits start anew and kinds with nothing left to tell are forgotten. A caller that read
 // the clock just before the second ended counts in the new one; a clock set back further starts anew.
-func (qs *quotas) turn(second int64) {
+func (qs *quotas) startSecond(second int64) {
 	if second == qs.second || second == qs.second-1 {
 		return
 	}
 	qs.second = second
 	for kind, q := range qs.kinds {
-		if q.leftOut == 0 {
+		if q.dropped == 0 {
 			delete(qs.kinds, kind)
 			continue
 		}
-		qs.kinds[kind] = quota{leftOut: q.leftOut}
+		qs.kinds[kind] = quota{dropped: q.dropped}
 	}
 }
 
 // key returns the kind under which a line is counted.
-func (qs *quotas) key(kind string) string {
+func (qs *quotas) boundedKind(kind string) string {
 	if _, ok := qs.kinds[kind]; ok || len(qs.kinds) < maxKinds {
 		return kind
 	}
