--- a/internal/explain/beside_test.go
+++ b/internal/explain/concurrent_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestBeside checks what an account takes of other requests at the targets of an attempt.
-func TestBeside(t *testing.T) {
+func TestConcurrentLines(t *testing.T) {
 	const own = `time=2026-12-01T12:00:10Z instance=i1 msg="request sent" request=r target=t helpers=t,h prompt_tokens=10
 time=2026-12-01T12:00:12Z instance=i1 msg="attempt failed" request=r target=t sent=true cause=silent
 `
@@ -35,7 +35,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			taken := false
 			for _, en := range ac.entries {
-				taken = taken || en.why == whyBeside && en.get("msg") == "b"
+				taken = taken || en.reason == reasonConcurrent && en.get("msg") == "b"
 			}
 			g.Expect(taken).To(Equal(tc.want))
 		})
@@ -43,7 +43,7 @@
 }
 
 // TestBesideIsBounded gives many requests at one target: the largest prompts are shown, and all are counted.
-func TestBesideIsBounded(t *testing.T) {
+func TestConcurrentLinesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var sb strings.Builder
 	sb.WriteString("time=2026-12-01T12:00:10Z msg=a request=r target=t\ntime=2026-12-01T12:00:12Z msg=z request=r\n")
@@ -56,7 +56,7 @@
 	shown := map[string]int{}
 	var tally string
 	for _, en := range ac.entries {
-		if en.why != whyBeside {
+		if en.reason != reasonConcurrent {
 			continue
 		}
 		if en.get("targets") != "" {
@@ -65,6 +65,6 @@
 		}
 		shown[en.get("msg")+en.get("prompt_tokens")]++
 	}
-	g.Expect(shown).To(Equal(map[string]int{"sent70": 1, "sent60": 1, "sent50": 1, "sent40": 1, "failed": maxBeside}))
+	g.Expect(shown).To(Equal(map[string]int{"sent70": 1, "sent60": 1, "sent50": 1, "sent40": 1, "failed": maxConcurrent}))
 	g.Expect(tally).To(Equal("other requests at the same targets targets=t sent=7 prompt_tokens=226 failed=7"))
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -15,12 +15,12 @@
 	// dependencyWindow is how long before a line of the request a lost or regained dependency may explain it.
 	dependencyWindow = 10 * time.Second
 	// maxBeliefs bounds the belief lines given for one attempt: the states a target passes through.
-	maxBeliefs = 3
+	maxTargetStates = 3
 	// besideWindow is how long before an attempt another request may have come to the same target and still explain
 	// what happened there: a little more than the longest pass over a prompt.
-	besideWindow = 2 * time.Second
+	concurrentWindow = 2 * time.Second
 	// maxBeside bounds the lines of each kind given for what else was at the targets of an attempt.
-	maxBeside = 4
+	maxConcurrent = 4
 )
 
 // UnknownRequestError says that no line names the request.
@@ -48,7 +48,7 @@
 type entry struct {
 	*line
 	// why says why the line belongs to the account.
-	why string
+	reason string
 }
 
 // Find reads log lines and returns the account of a request, or an UnknownRequestError.
@@ -57,12 +57,12 @@
 	if err := rd.read(r); err != nil {
 		return Timeline{}, err
 	}
-	if !slices.ContainsFunc(rd.lines, rd.about) {
+	if !slices.ContainsFunc(rd.lines, rd.mentionsRequest) {
 		return Timeline{}, &UnknownRequestError{ID: id, Lines: rd.count}
 	}
 	slices.SortStableFunc(rd.lines, func(a, b *line) int { return a.at.Compare(b.at) })
 	cl := newCollector(rd.lines)
-	cl.collect(rd.about)
+	cl.collect(rd.mentionsRequest)
 	return Timeline{id: id, entries: cl.entries()}, nil
 }
 
@@ -81,7 +81,7 @@
 	for {
 		text, err := br.ReadString('\n')
 		if text != "" {
-			rd.take(text)
+			rd.add(text)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -93,31 +93,31 @@
 }
 
 // take keeps a line when it may be needed. A line without a time follows the last one of its instance.
-func (rd *reader) take(text string) {
+func (rd *reader) add(text string) {
 	rd.count++
-	ln := parse(text)
+	ln := parseLine(text)
 	if ln.at.IsZero() {
 		ln.at = rd.last[ln.instance]
 	}
 	rd.last[ln.instance] = ln.at
-	if rd.about(&ln) || ln.get("target") != "" || ln.config() || ln.dependency() {
+	if rd.mentionsRequest(&ln) || ln.get("target") != "" || ln.isConfig() || ln.isDependencyChange() {
 		rd.lines = append(rd.lines, &ln)
 	}
 }
 
 // about reports whether a line names the request.
-func (rd *reader) about(ln *line) bool { return ln.get("request") == rd.id }
+func (rd *reader) mentionsRequest(ln *line) bool { return ln.get("request") == rd.id }
 
 // belief reports whether a line says what an instance holds of a target, and belongs to no request.
-func (ln *line) belief() bool { return ln.get("target") != "" && ln.get("request") == "" }
+func (ln *line) isTargetState() bool { return ln.get("target") != "" && ln.get("request") == "" }
 
 // config reports whether a line says which version of the configuration came into force.
-func (ln *line) config() bool {
+func (ln *line) isConfig() bool {
 	return ln.get("msg") == "configuration in force"
 }
 
 // dependency reports whether a line says that something the instance needs was lost or regained.
-func (ln *line) dependency() bool {
+func (ln *line) isDependencyChange() bool {
 	switch ln.get("part") {
 	case "store", "peers", "targets":
 	default:
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -18,7 +18,7 @@
 var update = flag.Bool("update", false, "renew the golden files")
 
 // TestAccounts compares accounts with the golden files.
-func TestAccounts(t *testing.T) {
+func TestTimelinesMatchGoldenFiles(t *testing.T) {
 	tests := map[string]struct{ file, id string }{
 		"refused though targets were free": {file: "refused", id: "req-7"},
 		"a stream broken off":              {file: "broken", id: "req-8"},
@@ -61,14 +61,14 @@
 	g.Expect(*ur).To(Equal(UnknownRequestError{ID: "req-1", Lines: 2}))
 }
 
-func TestFailingReader(t *testing.T) {
+func TestTimelineReturnsReadError(t *testing.T) {
 	g := NewWithT(t)
 	_, err := ReadTimeline(iotest.ErrReader(os.ErrClosed), "req-1")
 	g.Expect(err).To(MatchError(os.ErrClosed))
 }
 
 // TestContext checks which lines an account takes beside the request's own. Line a is always expected.
-func TestContext(t *testing.T) {
+func TestContextLines(t *testing.T) {
 	const attempt = `time=2026-12-01T12:00:20Z instance=i1 msg=a request=r target=t incarnation=2 config=5 key_gone=3`
 	tests := map[string]struct {
 		line string
@@ -99,10 +99,10 @@
 			g := NewWithT(t)
 			ac, err := ReadTimeline(strings.NewReader(tc.line+"\n"+attempt), "r")
 			g.Expect(err).NotTo(HaveOccurred())
-			want := parse(tc.line)
+			want := parseLine(tc.line)
 			taken := false
 			for _, en := range ac.entries {
-				taken = taken || en.why != whyMissing && en.get("msg") == want.get("msg")
+				taken = taken || en.reason != reasonMissing && en.get("msg") == want.get("msg")
 			}
 			g.Expect(taken).To(Equal(tc.want))
 		})
@@ -110,7 +110,7 @@
 }
 
 // TestBeliefsAreBounded gives many beliefs: the newest line of each of the newest messages is taken.
-func TestBeliefsAreBounded(t *testing.T) {
+func TestTargetStatesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var sb strings.Builder
 	at := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
@@ -128,7 +128,7 @@
 	g.Expect(ac.entries[0].at).To(Equal(at.Add(17 * time.Second)))
 }
 
-func TestParse(t *testing.T) {
+func TestParseLine(t *testing.T) {
 	tests := map[string]struct {
 		text     string
 		instance string
@@ -148,7 +148,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ln := parse(tc.text)
+			ln := parseLine(tc.text)
 			g.Expect(ln.instance).To(Equal(tc.instance))
 			for k, v := range tc.want {
 				g.Expect(ln.get(k)).To(Equal(v), k)
@@ -158,14 +158,14 @@
 }
 
 // TestParseAnything feeds arbitrary text: parsing ends and does not panic.
-func TestParseAnything(t *testing.T) {
+func TestParseLineNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		parse(rapid.StringOf(rapid.RuneFrom([]rune(`ab= "\|`))).Draw(t, "text"))
+		parseLine(rapid.StringOf(rapid.RuneFrom([]rune(`ab= "\|`))).Draw(t, "text"))
 	})
 }
 
 // TestLineWithoutTime keeps such a line behind the one before it of its instance.
-func TestLineWithoutTime(t *testing.T) {
+func TestLineWithoutTimeFollowsPreviousLine(t *testing.T) {
 	g := NewWithT(t)
 	logs := "i1 | time=2026-12-01T12:00:05Z msg=a request=r\ni1 | msg=b request=r\ni2 | time=2026-12-01T12:00:04Z msg=c request=r\n"
 	ac, err := ReadTimeline(strings.NewReader(logs), "r")
@@ -178,25 +178,25 @@
 }
 
 // TestMissingOnce says once that no line tells of a target or a configuration.
-func TestMissingOnce(t *testing.T) {
+func TestMissingLineIsReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	const attempt = "time=2026-12-01T12:00:05Z instance=i1 msg=a request=r target=t config=5\n"
 	ac, err := ReadTimeline(strings.NewReader(attempt+attempt), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	var whys []string
 	for _, en := range ac.entries {
-		whys = append(whys, en.why)
+		whys = append(whys, en.reason)
 	}
-	g.Expect(whys).To(Equal([]string{whyMissing, whyMissing, whyRequest, whyRequest}))
+	g.Expect(whys).To(Equal([]string{reasonMissing, reasonMissing, reasonRequest, reasonRequest}))
 }
 
 // TestOwnLineStaysOwn keeps the reason of a request's own line that is also a lost dependency.
-func TestOwnLineStaysOwn(t *testing.T) {
+func TestRequestLineKeepsItsReason(t *testing.T) {
 	g := NewWithT(t)
 	logs := "time=2026-12-01T12:00:05Z instance=i1 part=targets msg=\"lost target\" request=r\n" +
 		"time=2026-12-01T12:00:06Z instance=i1 part=gateway msg=\"request failed\" request=r\n"
 	ac, err := ReadTimeline(strings.NewReader(logs), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(ac.entries).To(HaveLen(2))
-	g.Expect(ac.entries[0].why).To(Equal(whyRequest))
+	g.Expect(ac.entries[0].reason).To(Equal(reasonRequest))
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -37,13 +37,13 @@
 
 // parse reads a logfmt line. It never fails, since a process that is killed leaves half a line: what has no key is
 // passed over, and a quote that is not closed reaches to the end.
-func parse(text string) line {
+func parseLine(text string) line {
 	var ln line
 	prefix := ""
 	rest := strings.TrimSpace(text)
 	for rest != "" {
 		var fd field
-		fd, rest = next(rest)
+		fd, rest = nextField(rest)
 		switch {
 		case fd.key != "":
 			ln.fields = append(ln.fields, fd)
@@ -61,7 +61,7 @@
 }
 
 // next cuts the first word or pair from a text that starts with neither a space nor nothing.
-func next(text string) (fd field, rest string) {
+func nextField(text string) (fd field, rest string) {
 	end := strings.IndexAny(text, " \t=")
 	switch {
 	case end < 0:
@@ -72,7 +72,7 @@
 	fd.key = text[:end]
 	text = text[end+1:]
 	if strings.HasPrefix(text, `"`) {
-		end = closing(text)
+		end = quotedEnd(text)
 	} else if end = strings.IndexAny(text, " \t"); end < 0 {
 		end = len(text)
 	}
@@ -84,7 +84,7 @@
 func trimLeft(text string) string { return strings.TrimLeft(text, " \t") }
 
 // closing returns where a quoted value ends.
-func closing(text string) int {
+func quotedEnd(text string) int {
 	for i := 1; i < len(text); i++ {
 		switch text[i] {
 		case '\\':
--- a/internal/explain/losses_test.go
+++ b/internal/explain/losses_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestLossesOfABrokenInput(t *testing.T) {
+func TestLossesReturnReadError(t *testing.T) {
 	g := NewWithT(t)
 	broken := errors.New("broken")
 	_, err := SummariseLosses(iotest.ErrReader(broken))
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -31,7 +31,7 @@
 	var own []entry
 	instances := map[string]bool{}
 	for _, en := range tl.entries {
-		if en.why == whyRequest {
+		if en.reason == reasonRequest {
 			own = append(own, en)
 			instances[en.instance] = true
 		}
@@ -50,7 +50,7 @@
 	if !en.at.IsZero() {
 		at = en.at.UTC().Format(timeLayout)
 	}
-	cells := []string{at, orDash(en.instance), en.why, orDash(en.get("part")), en.event()}
+	cells := []string{at, orDash(en.instance), en.reason, orDash(en.get("part")), en.event()}
 	return strings.Join(cells, "\t")
 }
 
@@ -64,7 +64,7 @@
 		switch fd.key {
 		case "time", "level", "part", "msg", "instance":
 		case "request":
-			if en.why == whyBeside {
+			if en.reason == reasonConcurrent {
 				words = append(words, "request="+fd.raw)
 			}
 		default:
--- a/internal/explain/roundtrip_test.go
+++ b/internal/explain/roundtrip_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestReadsWhatIsWritten formats any message and value with eventlog and parses the line.
-func TestReadsWhatIsWritten(t *testing.T) {
+func TestParseLineReadsEventlogOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
 		msg, value := rapid.String().Draw(t, "message"), rapid.String().Draw(t, "value")
@@ -23,7 +23,7 @@
 		lg.WithFields(log.Fields{"part": "gateway", "instance": "edge-1", "cause": value}).Info(msg)
 		g.Expect(sk.Close(context.Background())).To(Succeed())
 		g.Expect(bytes.Count(buf.Bytes(), []byte{'\n'})).To(Equal(1))
-		ln := parse(buf.String())
+		ln := parseLine(buf.String())
 		g.Expect(ln.at.IsZero()).To(BeFalse())
 		g.Expect(ln.instance).To(Equal("edge-1"))
 		g.Expect(ln.get("part")).To(Equal("gateway"))
