--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -84,7 +84,7 @@
 }
 
 // eventLead is how long before its start an event counts, so that its targets are free of long prompts by then.
-const eventLead = time.Minute
+const eventLeadTime = time.Minute
 
 // Event is a known start of load, such as an outage hour or the opening of a reading room.
 type Event struct {
@@ -101,7 +101,7 @@
 func (bd Bundle) ExpectedTokensPerSecond(now time.Time) float64 {
 	sum := 0.0
 	for _, ev := range bd.Events {
-		if now.After(ev.Start.Add(-eventLead)) && now.Before(ev.Start.Add(ev.Length.Std())) {
+		if now.After(ev.Start.Add(-eventLeadTime)) && now.Before(ev.Start.Add(ev.Length.Std())) {
 			sum += ev.TokensPerSecond
 		}
 	}
--- a/internal/bundle/split.go
+++ b/internal/bundle/split.go
@@ -11,7 +11,7 @@
 
 const (
 	// splitFrom is the number of organisations from which they are stored in parts.
-	splitFrom = 64
+	minSplitOrganisations = 64
 	// partCount is the number of parts; an organisation's part is given by the hash of its name.
 	partCount = 64
 )
@@ -33,7 +33,7 @@
 // Split returns the bundle without its organisations, and these in parts, when there are many. A change of one
 // organisation changes one part only, so that the others need not be read again.
 func (bd Bundle) Split() (Bundle, []Part, error) {
-	if len(bd.Organisations) < splitFrom {
+	if len(bd.Organisations) < minSplitOrganisations {
 		return bd, nil, nil
 	}
 	groups := make([][]Organisation, partCount)
--- a/internal/bundle/split_test.go
+++ b/internal/bundle/split_test.go
@@ -10,7 +10,7 @@
 	"github.com/silvermount/silvermount/internal/config"
 )
 
-func many(n int) Bundle {
+func bundleWithOrganisations(n int) Bundle {
 	b := Bundle{Version: 3, Classes: []Class{{Name: "c", Deadline: config.Duration(time.Second), Objective: Objective{Share: 0.9}}}}
 	for i := range n {
 		b.Organisations = append(b.Organisations, Organisation{Name: fmt.Sprintf("o%d", i), KeyDigests: []string{KeyDigest(fmt.Sprint(i))}})
@@ -29,7 +29,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			index, parts, err := many(tc.organisations).Split()
+			index, parts, err := bundleWithOrganisations(tc.organisations).Split()
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(len(parts) > 0).To(Equal(tc.wantParts))
 			stored := map[string][]byte{}
@@ -38,15 +38,15 @@
 			}
 			whole, err := index.Join(func(d string) ([]byte, error) { return stored[d], nil })
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(whole.Organisations).To(ConsistOf(many(tc.organisations).Organisations))
+			g.Expect(whole.Organisations).To(ConsistOf(bundleWithOrganisations(tc.organisations).Organisations))
 		})
 	}
 }
 
-func TestOneChangeIsOnePart(t *testing.T) {
+func TestChangeOfOneOrganisationChangesOnePart(t *testing.T) {
 	g := NewWithT(t)
-	before, _, _ := many(1000).Split()
-	changed := many(1000)
+	before, _, _ := bundleWithOrganisations(1000).Split()
+	changed := bundleWithOrganisations(1000)
 	changed.Organisations[500].MaxConcurrent = 7
 	after, parts, err := changed.Split()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/bundlestore/bundlestore.go
+++ b/internal/bundlestore/bundlestore.go
@@ -22,12 +22,12 @@
 
 	mu sync.Mutex
 	// parts are those of the bundle read last.
-	parts map[string][]byte
+	cachedParts map[string][]byte
 }
 
 // New returns a store on a client.
 func New(client *objectstore.Client) *Store {
-	return &Store{client: client, parts: map[string][]byte{}}
+	return &Store{client: client, cachedParts: map[string][]byte{}}
 }
 
 // partObject is a stored part.
@@ -54,7 +54,7 @@
 // createPart writes a part that is not there yet. Its name is its content, so that a conflict means that it is there.
 func (sr *Store) createPart(ctx context.Context, p bundle.Part) error {
 	sr.mu.Lock()
-	_, known := sr.parts[p.Digest]
+	_, known := sr.cachedParts[p.Digest]
 	sr.mu.Unlock()
 	if known {
 		return nil
@@ -79,7 +79,7 @@
 	}
 	used := map[string][]byte{}
 	whole, err := index.Join(func(digest string) ([]byte, error) {
-		body, perr := sr.part(ctx, digest)
+		body, perr := sr.readPart(ctx, digest)
 		used[digest] = body
 		return body, perr
 	})
@@ -87,14 +87,14 @@
 		return bundle.Bundle{}, err
 	}
 	sr.mu.Lock()
-	sr.parts = used
+	sr.cachedParts = used
 	sr.mu.Unlock()
 	return whole, nil
 }
 
-func (sr *Store) part(ctx context.Context, digest string) ([]byte, error) {
+func (sr *Store) readPart(ctx context.Context, digest string) ([]byte, error) {
 	sr.mu.Lock()
-	body, ok := sr.parts[digest]
+	body, ok := sr.cachedParts[digest]
 	sr.mu.Unlock()
 	if ok {
 		return body, nil
--- a/internal/bundlestore/bundlestore_test.go
+++ b/internal/bundlestore/bundlestore_test.go
@@ -14,7 +14,7 @@
 	"github.com/silvermount/silvermount/internal/standin/platformsim"
 )
 
-func TestOnlyChangedPartsAreRead(t *testing.T) {
+func TestGetReadsOnlyChangedParts(t *testing.T) {
 	g := NewWithT(t)
 	st := platformsim.New()
 	sr := httptest.NewServer(st.Handler())
