--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -23,12 +23,12 @@
 // InForce is a bundle with its index. It is immutable.
 type IndexedBundle struct {
 	bundle.Bundle
-	byKey map[string]bundle.Organisation
+	byKeyDigest map[string]bundle.Organisation
 }
 
 // Organisation returns who a bearer key belongs to.
 func (ib *IndexedBundle) OrganisationByKey(key string) (bundle.Organisation, bool) {
-	o, ok := ib.byKey[bundle.KeyDigest(key)]
+	o, ok := ib.byKeyDigest[bundle.KeyDigest(key)]
 	return o, ok
 }
 
@@ -51,8 +51,8 @@
 	current atomic.Pointer[IndexedBundle]
 	mu      sync.Mutex
 	// floor is the highest accepted version heard of from anyone; it never falls.
-	floor   int64
-	changed chan struct{}
+	newestAccepted int64
+	changed        chan struct{}
 }
 
 // New returns a holder without a bundle.
@@ -73,8 +73,8 @@
 func (hd *Holder) ObserveAccepted(version int64) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	if version > hd.floor {
-		hd.floor = version
+	if version > hd.newestAccepted {
+		hd.newestAccepted = version
 		close(hd.changed)
 		hd.changed = make(chan struct{})
 	}
@@ -84,8 +84,8 @@
 func (hd *Holder) PendingVersion() int64 {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
-	if hd.floor > hd.Version() {
-		return hd.floor
+	if hd.newestAccepted > hd.Version() {
+		return hd.newestAccepted
 	}
 	return 0
 }
@@ -104,11 +104,11 @@
 	if b.Version <= hd.Version() {
 		return false
 	}
-	hd.floor = max(hd.floor, b.Version)
-	inf := &IndexedBundle{Bundle: b, byKey: map[string]bundle.Organisation{}}
+	hd.newestAccepted = max(hd.newestAccepted, b.Version)
+	inf := &IndexedBundle{Bundle: b, byKeyDigest: map[string]bundle.Organisation{}}
 	for _, o := range b.Organisations {
 		for _, d := range o.KeyDigests {
-			inf.byKey[d] = o
+			inf.byKeyDigest[d] = o
 		}
 	}
 	hd.current.Store(inf)
--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -16,7 +16,7 @@
 	"github.com/silvermount/silvermount/internal/rollout"
 )
 
-const retryEvery = 100 * time.Millisecond
+const retryInterval = 100 * time.Millisecond
 
 // RaceError says that another operator's bundle was accepted first.
 type RaceError struct {
@@ -42,7 +42,7 @@
 }
 
 // current returns the accepted pointer; a zero pointer before the first bundle.
-func (cl *Client) current(ctx context.Context) (rollout.Pointer, int64, error) {
+func (cl *Client) acceptedPointer(ctx context.Context) (rollout.Pointer, int64, error) {
 	o, err := cl.store.Get(ctx, objectstore.KindPointers, rollout.PointerName)
 	var missing *objectstore.NotFoundError
 	if errors.As(err, &missing) {
@@ -57,7 +57,7 @@
 
 // Accepted returns the bundle that is accepted now; a zero bundle before the first.
 func (cl *Client) Accepted(ctx context.Context) (bundle.Bundle, error) {
-	p, _, err := cl.current(ctx)
+	p, _, err := cl.acceptedPointer(ctx)
 	if err != nil || p.Version == 0 {
 		return bundle.Bundle{}, err
 	}
@@ -76,7 +76,7 @@
 	if err != nil {
 		return 0, err
 	}
-	p, _, err := cl.current(ctx)
+	p, _, err := cl.acceptedPointer(ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -92,7 +92,7 @@
 		}
 		there, gerr := cl.Pushed(ctx, version)
 		if gerr != nil {
-			if werr := wait(ctx); werr != nil {
+			if werr := waitRetry(ctx); werr != nil {
 				return 0, errors.Wrap(err, "write bundle")
 			}
 			continue
@@ -117,7 +117,7 @@
 	}
 	want := rollout.Pointer{Version: version, Digest: digest}
 	for {
-		now, at, err := cl.current(ctx)
+		now, at, err := cl.acceptedPointer(ctx)
 		if err != nil {
 			return err
 		}
@@ -127,16 +127,16 @@
 		if now.Version != b.Base {
 			return &RaceError{AcceptedVersion: now.Version, Digest: now.Digest}
 		}
-		if err := cl.move(ctx, at, want); err == nil {
+		if err := cl.writePointer(ctx, at, want); err == nil {
 			return nil
 		}
-		if err := wait(ctx); err != nil {
+		if err := waitRetry(ctx); err != nil {
 			return errors.Wrap(err, "accept bundle")
 		}
 	}
 }
 
-func (cl *Client) move(ctx context.Context, at int64, p rollout.Pointer) error {
+func (cl *Client) writePointer(ctx context.Context, at int64, p rollout.Pointer) error {
 	if at == 0 {
 		_, err := cl.store.Create(ctx, objectstore.KindPointers, rollout.PointerName, p)
 		return err
@@ -145,9 +145,9 @@
 	return err
 }
 
-func wait(ctx context.Context) error {
+func waitRetry(ctx context.Context) error {
 	select {
-	case <-time.After(retryEvery):
+	case <-time.After(retryInterval):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -177,20 +177,20 @@
 		was, ok := find(old, name(v))
 		switch {
 		case !ok:
-			lines = append(lines, "+ "+kind+" "+name(v)+" "+text(v))
-		case text(was) != text(v):
-			lines = append(lines, "- "+kind+" "+name(v)+" "+text(was), "+ "+kind+" "+name(v)+" "+text(v))
+			lines = append(lines, "+ "+kind+" "+name(v)+" "+jsonText(v))
+		case jsonText(was) != jsonText(v):
+			lines = append(lines, "- "+kind+" "+name(v)+" "+jsonText(was), "+ "+kind+" "+name(v)+" "+jsonText(v))
 		}
 	}
 	for _, v := range old {
 		if _, ok := find(next, name(v)); !ok {
-			lines = append(lines, "- "+kind+" "+name(v)+" "+text(v))
+			lines = append(lines, "- "+kind+" "+name(v)+" "+jsonText(v))
 		}
 	}
 	return lines
 }
 
-func text(v any) string {
+func jsonText(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return err.Error()
--- a/internal/signoff/signoff_test.go
+++ b/internal/signoff/signoff_test.go
@@ -15,7 +15,7 @@
 	"github.com/silvermount/silvermount/internal/standin/platformsim"
 )
 
-func office(t *testing.T) (*Client, *platformsim.Store) {
+func newClient(t *testing.T) (*Client, *platformsim.Store) {
 	t.Helper()
 	st := platformsim.New()
 	sr, err := localfleet.Serve(st.Handler())
@@ -24,19 +24,19 @@
 	return New(objectstore.New(sr.URL)), st
 }
 
-func withClass(name string) bundle.Bundle {
+func bundleWithClass(name string) bundle.Bundle {
 	return bundle.Bundle{Classes: []bundle.Class{{
 		Name: name, Deadline: config.Duration(time.Second), Objective: bundle.Objective{Share: 0.9},
 	}}}
 }
 
-func TestRacingOperatorsHaveOneWinner(t *testing.T) {
+func TestConcurrentAcceptsHaveOneWinner(t *testing.T) {
 	g := NewWithT(t)
-	of, _ := office(t)
+	of, _ := newClient(t)
 	const operators = 6
 	versions := make([]int64, operators)
 	for i := range operators {
-		v, err := of.Push(t.Context(), withClass(string(rune('a'+i))))
+		v, err := of.Push(t.Context(), bundleWithClass(string(rune('a'+i))))
 		g.Expect(err).NotTo(HaveOccurred())
 		versions[i] = v
 	}
@@ -46,7 +46,7 @@
 		wg.Go(func() { errs[i] = of.Accept(t.Context(), v) })
 	}
 	wg.Wait()
-	now, _, err := of.current(t.Context())
+	now, _, err := of.acceptedPointer(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	winners := 0
 	for i, err := range errs {
@@ -62,17 +62,17 @@
 	g.Expect(winners).To(Equal(1))
 }
 
-func TestLostAnswersAreTheSameSignOff(t *testing.T) {
+func TestPushAndAcceptAreIdempotentAfterLostAnswers(t *testing.T) {
 	g := NewWithT(t)
-	of, st := office(t)
+	of, st := newClient(t)
 	st.LoseAnswers(1)
-	v, err := of.Push(t.Context(), withClass("a"))
+	v, err := of.Push(t.Context(), bundleWithClass("a"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(v).To(Equal(int64(1)))
 	st.LoseAnswers(1)
 	g.Expect(of.Accept(t.Context(), v)).To(Succeed())
 	g.Expect(of.Accept(t.Context(), v)).To(Succeed())
-	again, err := of.Push(t.Context(), withClass("b"))
+	again, err := of.Push(t.Context(), bundleWithClass("b"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(Equal(int64(2)))
 }
@@ -82,9 +82,9 @@
 		old, next bundle.Bundle
 		want      int
 	}{
-		"same":    {old: withClass("a"), next: withClass("a")},
-		"added":   {next: withClass("a"), want: 1},
-		"renamed": {old: withClass("a"), next: withClass("b"), want: 2},
+		"same":    {old: bundleWithClass("a"), next: bundleWithClass("a")},
+		"added":   {next: bundleWithClass("a"), want: 1},
+		"renamed": {old: bundleWithClass("a"), next: bundleWithClass("b"), want: 2},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
