--- a/cmd/bundle.go
+++ b/cmd/bundle.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	bundleLimit = 30 * time.Second
-	rollPause   = 100 * time.Millisecond
+	bundleTimeout    = 30 * time.Second
+	rollPollInterval = 100 * time.Millisecond
 )
 
 // bundleCommand holds the subcommands.
@@ -58,13 +58,13 @@
 
 // Execute pushes the file.
 func (bp *bundlePush) Execute([]string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bundleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
-	_, err := push(ctx, bp.options, &bp.platformOptions, bp.Args.File)
+	_, err := pushBundle(ctx, bp.options, &bp.platformOptions, bp.Args.File)
 	return err
 }
 
-func push(ctx context.Context, op *options, po *platformOptions, file string) (int64, error) {
+func pushBundle(ctx context.Context, op *options, po *platformOptions, file string) (int64, error) {
 	b, err := readBundle(file)
 	if err != nil {
 		return 0, err
@@ -95,9 +95,9 @@
 
 // Execute signs the version off.
 func (bs *bundleSign) Execute([]string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bundleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
-	return sign(ctx, bs.options, &bs.platformOptions, bs.Args.Version, bs.Force)
+	return acceptBundle(ctx, bs.options, &bs.platformOptions, bs.Args.Version, bs.Force)
 }
 
 // NotPreparedError says which instances did not prepare a bundle.
@@ -108,7 +108,7 @@
 	return fmt.Sprintf("not accepted, %d instances are not prepared: %v", len(np.Failures), np.Failures)
 }
 
-func sign(ctx context.Context, op *options, po *platformOptions, version int64, force bool) error {
+func acceptBundle(ctx context.Context, op *options, po *platformOptions, version int64, force bool) error {
 	replies, err := po.ops().Prepare(ctx, version)
 	if err != nil {
 		return err
@@ -141,16 +141,16 @@
 
 // Execute rolls the file out.
 func (br *bundleRoll) Execute([]string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bundleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
-	version, err := push(ctx, br.options, &br.platformOptions, br.Args.File)
+	version, err := pushBundle(ctx, br.options, &br.platformOptions, br.Args.File)
 	if err != nil {
 		return err
 	}
-	if err := sign(ctx, br.options, &br.platformOptions, version, br.Force); err != nil {
+	if err := acceptBundle(ctx, br.options, &br.platformOptions, version, br.Force); err != nil {
 		return err
 	}
-	return br.await(ctx, version)
+	return br.waitInForce(ctx, version)
 }
 
 // NotEverywhereError says that a bundle was accepted and is not in force everywhere yet.
@@ -164,7 +164,7 @@
 	return "version " + strconv.FormatInt(ri.Version, 10) + " is accepted; not yet in force at " + fmt.Sprint(ri.Missing)
 }
 
-func (br *bundleRoll) await(ctx context.Context, version int64) error {
+func (br *bundleRoll) waitInForce(ctx context.Context, version int64) error {
 	began := time.Now()
 	for {
 		replies, err := br.ops().Statuses(ctx)
@@ -179,7 +179,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(rollPause):
+		case <-time.After(rollPollInterval):
 		case <-ctx.Done():
 			return &RollIncompleteError{Version: version, Missing: missing}
 		}
@@ -193,7 +193,7 @@
 
 // Execute prints a line for each instance.
 func (bs *bundleStatus) Execute([]string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bundleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
 	replies, err := bs.ops().Statuses(ctx)
 	if err != nil {
--- a/cmd/burn.go
+++ b/cmd/burn.go
@@ -30,7 +30,7 @@
 
 // Execute prints the report.
 func (bc *burnCommand) Execute([]string) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bundleLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
 	b, err := signoff.New(bc.store()).Accepted(ctx)
 	if err != nil {
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	if cc.Bundle != "" {
-		more, err := stopFaults(s, faults, cc.Bundle)
+		more, err := bundleFaults(s, faults, cc.Bundle)
 		if err != nil {
 			return err
 		}
@@ -52,7 +52,7 @@
 
 // stopFaults returns what keeps an instance with the settings from stopping under a bundle, and the faults of the bundle
 // itself.
-func stopFaults(s config.Settings, found config.Faults, path string) (config.Faults, error) {
+func bundleFaults(s config.Settings, found config.Faults, path string) (config.Faults, error) {
 	b, err := readBundle(path)
 	var faults config.Faults
 	if errors.As(err, &faults) {
@@ -61,11 +61,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return fitsStop(b, s, found), nil
+	return drainFaults(b, s, found), nil
 }
 
 // fitsStop compares with the drain only if that was read.
-func fitsStop(b bundle.Bundle, s config.Settings, found config.Faults) config.Faults {
+func drainFaults(b bundle.Bundle, s config.Settings, found config.Faults) config.Faults {
 	if found.Covers("stop.drain") {
 		return nil
 	}
--- a/cmd/check_test.go
+++ b/cmd/check_test.go
@@ -57,7 +57,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			code, out, errOut := run("check", writeText(t, tc.text))
+			code, out, errOut := runCommand("check", writeText(t, tc.text))
 			g.Expect(code).To(Equal(exitUsage))
 			g.Expect(out).To(BeEmpty())
 			var paths []string
@@ -85,14 +85,14 @@
 }
 
 // TestUnknownFieldAloneIsRefused checks that neither command takes settings in which all else is good.
-func TestUnknownFieldAloneIsRefused(t *testing.T) {
-	for name, s := range map[string]config.Settings{"entry": starter(), "gateway": gatewayStarter()} {
+func TestUnknownFieldIsRefused(t *testing.T) {
+	for name, s := range map[string]config.Settings{"entry": entryTemplate(), "gateway": gatewayTemplate()} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			file := writeText(t, withField(t, s, "instance_name"))
 			const want = "instance_name: found \"unknown field\", want a known one; the nearest is instance\n"
 			for _, args := range [][]string{{"check", file}, {"entry", "--settings", file}} {
-				code, out, errOut := run(args...)
+				code, out, errOut := runCommand(args...)
 				g.Expect(code).To(Equal(exitUsage))
 				g.Expect(out).To(BeEmpty())
 				g.Expect(errOut).To(Equal(want))
@@ -102,10 +102,10 @@
 }
 
 // TestCheckWithBundleAfterFaults checks what is said of a bundle beside settings that do not decode.
-func TestCheckWithBundleAfterFaults(t *testing.T) {
+func TestCheckWithBundleAfterDecodeFaults(t *testing.T) {
 	slow := localfleet.DefaultBundle()
 	slow.Classes[0].Deadline = slow.Classes[2].Deadline
-	slowFile := write(t, "slow.json", slow)
+	slowFile := writeJSON(t, "slow.json", slow)
 	broken := writeText(t, `{}`)
 	tests := map[string]struct {
 		text, bundle string
@@ -119,7 +119,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			code, _, errOut := run("check", writeText(t, tc.text), "--bundle", tc.bundle)
+			code, _, errOut := runCommand("check", writeText(t, tc.text), "--bundle", tc.bundle)
 			g.Expect(code).To(Equal(exitUsage))
 			for _, want := range tc.want {
 				g.Expect(errOut).To(ContainSubstring(want))
@@ -145,18 +145,18 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			code, out, errOut := run(tc.args...)
+			code, out, errOut := runCommand(tc.args...)
 			g.Expect(code).To(Equal(exitOK), errOut)
 			g.Expect(out).NotTo(ContainSubstring(tc.without))
 			s, err := config.Parse([]byte(out))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(s.Role()).To(Equal(tc.role))
-			code, out, errOut = run("check", writeText(t, out))
+			code, out, errOut = runCommand("check", writeText(t, out))
 			g.Expect(code).To(Equal(exitOK), errOut)
 			g.Expect(out).To(Equal("settings are good\n"))
 		})
 	}
 	g := NewWithT(t)
-	code, _, _ := run("init", "--role", "none")
+	code, _, _ := runCommand("init", "--role", "none")
 	g.Expect(code).To(Equal(exitUsage))
 }
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -17,13 +17,13 @@
 )
 
 // run runs a command line as main does.
-func run(args ...string) (code int, out, errOut string) {
+func runCommand(args ...string) (code int, out, errOut string) {
 	var o, e bytes.Buffer
 	code = Main(args, &o, &e)
 	return code, o.String(), e.String()
 }
 
-func write(t *testing.T, name string, v any) string {
+func writeJSON(t *testing.T, name string, v any) string {
 	t.Helper()
 	b, err := json.Marshal(v)
 	g := NewWithT(t)
@@ -34,15 +34,15 @@
 }
 
 func TestCommands(t *testing.T) {
-	good := write(t, "entry.json", starter())
-	bad := starter()
+	good := writeJSON(t, "entry.json", entryTemplate())
+	bad := entryTemplate()
 	bad.Callers.Listen, bad.Routing.Policy, bad.Operators.Key = "localhost", "none", "short"
-	faulty := write(t, "faulty.json", bad)
-	bundleFile := write(t, "bundle.json", localfleet.DefaultBundle())
+	faulty := writeJSON(t, "faulty.json", bad)
+	bundleFile := writeJSON(t, "bundle.json", localfleet.DefaultBundle())
 	slow := localfleet.DefaultBundle()
 	slow.Classes[0].Deadline = slow.Classes[2].Deadline
-	slowFile := write(t, "slow.json", slow)
-	broken := write(t, "broken.json", bundle.Bundle{})
+	slowFile := writeJSON(t, "slow.json", slow)
+	broken := writeJSON(t, "broken.json", bundle.Bundle{})
 	tests := map[string]struct {
 		args []string
 		code int
@@ -59,13 +59,13 @@
 		"bundle check":              {args: []string{"bundle", "check", bundleFile}, want: []string{"bundle is good"}},
 		"bundle check, faults":      {args: []string{"bundle", "check", broken}, code: exitUsage, want: []string{"classes"}},
 		"no such command":           {args: []string{"nothing"}, code: exitUsage},
-		"no such file":              {args: []string{"check", "missing.json"}, code: exitFail, want: []string{"missing.json"}},
-		"no such stand-in":          {args: []string{"standin", "moon"}, code: exitFail, want: []string{"no stand-in moon"}},
+		"no such file":              {args: []string{"check", "missing.json"}, code: exitFailure, want: []string{"missing.json"}},
+		"no such stand-in":          {args: []string{"standin", "moon"}, code: exitFailure, want: []string{"no stand-in moon"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			code, out, errOut := run(tc.args...)
+			code, out, errOut := runCommand(tc.args...)
 			g.Expect(code).To(Equal(tc.code), errOut)
 			for _, want := range tc.want {
 				g.Expect(out + errOut).To(ContainSubstring(want))
@@ -75,7 +75,7 @@
 }
 
 // TestOperatorsDay rolls bundles over a running fleet, as docs/OPERATIONS.md has it.
-func TestOperatorsDay(t *testing.T) {
+func TestOperatorCommandsAgainstRunningFleet(t *testing.T) {
 	g := NewWithT(t)
 	params := enginesim.DefaultParams()
 	params.Scale = 200
@@ -87,29 +87,29 @@
 	b := localfleet.DefaultBundle()
 	b.Services = append(b.Services, "pumps")
 	reach := []string{"--platform", lf.StoreURL, "--operator-key", localfleet.OperatorKey}
-	code, out, errOut := run(append([]string{"bundle", "roll", write(t, "b.json", b)}, reach...)...)
+	code, out, errOut := runCommand(append([]string{"bundle", "roll", writeJSON(t, "b.json", b)}, reach...)...)
 	g.Expect(code).To(Equal(exitOK), errOut)
 	g.Expect(out).To(And(ContainSubstring("+ service pumps"), ContainSubstring("in force at 2 instances")))
-	code, out, _ = run(append([]string{"bundle", "status"}, reach...)...)
+	code, out, _ = runCommand(append([]string{"bundle", "status"}, reach...)...)
 	g.Expect(code).To(Equal(exitOK))
 	g.Expect(out).To(MatchRegexp(`entry-00 +a +2 +0 +true +1 of 1`))
 	// Two bundles on top of the same version: the second sign-off is refused and names the winner.
 	for _, name := range []string{"wells", "tanks"} {
 		b.Services = []string{localfleet.Service, name}
-		code, _, errOut = run(append([]string{"bundle", "push", write(t, "b.json", b)}, reach...)...)
+		code, _, errOut = runCommand(append([]string{"bundle", "push", writeJSON(t, "b.json", b)}, reach...)...)
 		g.Expect(code).To(Equal(exitOK), errOut)
 	}
-	code, _, errOut = run(append([]string{"bundle", "sign", "4"}, reach...)...)
+	code, _, errOut = runCommand(append([]string{"bundle", "sign", "4"}, reach...)...)
 	g.Expect(code).To(Equal(exitOK), errOut)
-	code, _, errOut = run(append([]string{"bundle", "sign", "3"}, reach...)...)
-	g.Expect(code).To(Equal(exitFail))
+	code, _, errOut = runCommand(append([]string{"bundle", "sign", "3"}, reach...)...)
+	g.Expect(code).To(Equal(exitFailure))
 	g.Expect(errOut).To(ContainSubstring("version 4"))
 	results := filepath.Join(t.TempDir(), "results.json")
-	code, out, errOut = run("load", "--url", lf.URLs()[0], "--key", localfleet.Key, "--model", localfleet.Model,
+	code, out, errOut = runCommand("load", "--url", lf.URLs()[0], "--key", localfleet.Key, "--model", localfleet.Model,
 		"--rate", "20", "--length", "500ms", "--burst", "5", "--long-share", "0", "--output", "2", "--json", results)
 	g.Expect(code).To(Equal(exitOK), errOut)
 	g.Expect(out).To(ContainSubstring("first token p50"))
-	code, out, _ = run(append([]string{"burn", "--plot", filepath.Join(t.TempDir(), "burn.svg")}, reach...)...)
+	code, out, _ = runCommand(append([]string{"burn", "--plot", filepath.Join(t.TempDir(), "burn.svg")}, reach...)...)
 	g.Expect(code).To(Equal(exitOK))
 	g.Expect(out).To(MatchRegexp(`call +5m0s +\d+ +0 +0.00`))
 }
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -16,7 +16,7 @@
 
 // Execute runs the demo.
 func (dc *demoCommand) Execute([]string) error {
-	ctx, cancel := untilAskedToStop()
+	ctx, cancel := signalContext()
 	defer cancel()
 	lg := dc.logger()
 	lg.Level = max(lg.Level, log.ErrorLevel)
--- a/cmd/entry.go
+++ b/cmd/entry.go
@@ -22,14 +22,14 @@
 }
 
 // logDrain bounds the writing of the last log lines.
-const logDrain = 300 * time.Millisecond
+const logDrainTimeout = 300 * time.Millisecond
 
 // Execute runs the instance until it is asked to stop. A hang-up signal reloads the settings.
 func (ec *entryCommand) Execute([]string) error {
 	// Registered before anything else: a hang-up during the start must not end the process.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	ctx, cancel := untilAskedToStop()
+	ctx, cancel := signalContext()
 	defer cancel()
 	s, err := config.Load(ec.Settings)
 	if err != nil {
@@ -38,7 +38,7 @@
 	ms := metrics.NewSet()
 	sk := eventlog.New(ec.out, eventlog.WithMetrics(ms), eventlog.WithInstance(s.Instance))
 	defer func() {
-		ctx, cancel := context.WithTimeout(context.Background(), logDrain)
+		ctx, cancel := context.WithTimeout(context.Background(), logDrainTimeout)
 		defer cancel()
 		if err := sk.Close(ctx); err != nil {
 			// Standard output does not take the last lines.
--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -23,7 +23,7 @@
 
 // Execute runs the experiment and prints the table.
 func (ec *experimentCommand) Execute([]string) error {
-	ctx, cancel := untilAskedToStop()
+	ctx, cancel := signalContext()
 	defer cancel()
 	lg := ec.logger()
 	lg.Level = max(lg.Level, log.FatalLevel)
@@ -49,7 +49,7 @@
 }
 
 func (ec *experimentCommand) write(cells []experiment.Cell) error {
-	if err := writeFigures(ec.JSON, cells); err != nil {
+	if err := writeResults(ec.JSON, cells); err != nil {
 		return err
 	}
 	rows := experiment.Medians(cells)
--- a/cmd/explain_test.go
+++ b/cmd/explain_test.go
@@ -21,7 +21,7 @@
 		want string
 	}{
 		"known":   {id: "req-1", code: exitOK, want: "request refused reason=no_target"},
-		"unknown": {id: "req-2", code: exitFail, want: "no line of request req-2 among 1 line"},
+		"unknown": {id: "req-2", code: exitFailure, want: "no line of request req-2 among 1 line"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 			if err := ec.Execute(nil); err != nil {
 				var ur *explain.UnknownRequestError
 				g.Expect(err).To(BeAssignableToTypeOf(ur))
-				code = fail(&out, err)
+				code = reportError(&out, err)
 			}
 			g.Expect(code).To(Equal(tc.code))
 			g.Expect(out.String()).To(ContainSubstring(tc.want))
@@ -42,14 +42,14 @@
 }
 
 // documented finds a command in the pages and the lines that the page shows of its account.
-var documented = regexp.MustCompile("(?s)```sh\nsilvermount explain (\\w+) < (\\S+)\n```\n\n```\n(.*?)\n```")
+var documentedExplain = regexp.MustCompile("(?s)```sh\nsilvermount explain (\\w+) < (\\S+)\n```\n\n```\n(.*?)\n```")
 
 // TestDocumentedAccounts runs the commands of the operations page and looks for the lines it shows.
-func TestDocumentedAccounts(t *testing.T) {
+func TestDocumentedExplainOutput(t *testing.T) {
 	g := NewWithT(t)
 	page, err := os.ReadFile(filepath.Join("..", "docs", "OPERATIONS.md"))
 	g.Expect(err).NotTo(HaveOccurred())
-	found := documented.FindAllStringSubmatch(string(page), -1)
+	found := documentedExplain.FindAllStringSubmatch(string(page), -1)
 	g.Expect(found).To(HaveLen(3))
 	for _, m := range found {
 		logs, err := os.ReadFile(filepath.Join("..", m[2]))
--- a/cmd/init.go
+++ b/cmd/init.go
@@ -16,7 +16,7 @@
 }
 
 // starter returns settings that pass the check once secrets are put in.
-func starter() config.Settings {
+func entryTemplate() config.Settings {
 	return kernel.Defaults(config.Settings{
 		Instance: "entry-1", AvailabilityZone: "a",
 		Callers:   config.Callers{Listen: "127.0.0.1:8080"},
@@ -27,7 +27,7 @@
 }
 
 // gatewayStarter returns settings of a gateway that pass the check.
-func gatewayStarter() config.Settings {
+func gatewayTemplate() config.Settings {
 	return kernel.Defaults(config.Settings{
 		Instance: "gateway-1", AvailabilityZone: "a",
 		Gateway: &config.Gateway{
@@ -39,9 +39,9 @@
 
 // Execute prints the settings.
 func (ic *initCommand) Execute([]string) error {
-	s := starter()
+	s := entryTemplate()
 	if config.Role(ic.Role) == config.RoleGateway {
-		s = gatewayStarter()
+		s = gatewayTemplate()
 	}
 	b, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -30,7 +30,7 @@
 
 // Execute sends the load and prints the table.
 func (lc *loadCommand) Execute([]string) error {
-	ctx, cancel := untilAskedToStop()
+	ctx, cancel := signalContext()
 	defer cancel()
 	arrivals, err := lc.arrivals()
 	if err != nil {
--- a/cmd/figures.go
+++ b/cmd/results.go
@@ -8,7 +8,7 @@
 )
 
 // writeFigures writes figures to a JSON file; an empty name writes nothing.
-func writeFigures(name string, figures any) error {
+func writeResults(name string, figures any) error {
 	if name == "" {
 		return nil
 	}
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	exitOK    = 0
-	exitFail  = 1
-	exitUsage = 2
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
 )
 
 // options are shared by all commands.
@@ -36,14 +36,14 @@
 }
 
 // untilAskedToStop returns a context that ends when the process is asked to stop.
-func untilAskedToStop() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
 // command is one entry of the list of commands.
 type command struct {
 	name, short string
-	make        func(*options) any
+	build       func(*options) any
 }
 
 // Main runs a command line and returns the exit code.
@@ -51,16 +51,16 @@
 	op := &options{out: out, err: errOut}
 	parser := flags.NewNamedParser("silvermount", flags.HelpFlag|flags.PassDoubleDash)
 	if _, err := parser.AddGroup("Options", "", op); err != nil {
-		return fail(errOut, err)
+		return reportError(errOut, err)
 	}
 	for _, c := range commands {
-		if _, err := parser.AddCommand(c.name, c.short, c.short, c.make(op)); err != nil {
-			return fail(errOut, err)
+		if _, err := parser.AddCommand(c.name, c.short, c.short, c.build(op)); err != nil {
+			return reportError(errOut, err)
 		}
 	}
 	parser.CommandHandler = execute
 	if _, err := parser.ParseArgs(args); err != nil {
-		return fail(errOut, err)
+		return reportError(errOut, err)
 	}
 	return exitOK
 }
@@ -76,7 +76,7 @@
 	return cm.Execute(args)
 }
 
-func fail(w io.Writer, err error) int {
+func reportError(w io.Writer, err error) int {
 	fmt.Fprintln(w, err)
 	var fe *flags.Error
 	if errors.As(err, &fe) {
@@ -89,5 +89,5 @@
 	if errors.As(err, &fs) {
 		return exitUsage
 	}
-	return exitFail
+	return exitFailure
 }
--- a/cmd/slopes.go
+++ b/cmd/slopes.go
@@ -14,7 +14,7 @@
 
 // Execute measures the slopes.
 func (sc *slopesCommand) Execute([]string) error {
-	ctx, cancel := untilAskedToStop()
+	ctx, cancel := signalContext()
 	defer cancel()
 	lg := sc.logger()
 	lg.Level = max(lg.Level, log.FatalLevel)
@@ -22,5 +22,5 @@
 	if err != nil {
 		return err
 	}
-	return writeFigures(sc.JSON, rp)
+	return writeResults(sc.JSON, rp)
 }
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := untilAskedToStop()
+	ctx, cancel := signalContext()
 	defer cancel()
 	srv := &http.Server{Addr: sc.Listen, Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // the stand-in keeps nothing
