--- a/internal/kernel/kernel.go
+++ b/internal/kernel/kernel.go
@@ -1,4 +1,4 @@
-// Package kernel starts and stops the duties of one instance.
+// Package kernel registers the duties, which are the components of an instance, and starts, reloads and stops them in order.
 package kernel
 
 import (
@@ -21,10 +21,10 @@
 	"github.com/silvermount/silvermount/internal/config"
 )
 
-// Phase orders the start of duties. The phases stop in the reverse order, the duties of one phase beside each other.
+// Phase orders the start of duties. Phases stop in reverse order; the duties of one phase stop concurrently.
 type Phase int
 
-// The phases, in the order in which they start.
+// The phases, in start order.
 const (
 	PhaseStore Phase = iota
 	PhaseKnowledge
@@ -33,38 +33,38 @@
 	PhaseListen
 )
 
-// Duty is one part of an instance. Its function fields may be nil, but for Start.
+// Duty is one component of an instance. All function fields except Start may be nil.
 type Duty struct {
 	// Name is unique among registered duties.
 	Name string
-	// Role is that of the instances that run the duty; empty for config.RoleEntry.
+	// Role selects the instances that run the duty; empty means config.RoleEntry.
 	Role config.Role
 	// Phase says when the duty starts.
 	Phase Phase
-	// Defaults fills in settings that were left empty.
+	// Defaults sets default values for empty settings.
 	Defaults func(*config.Settings)
-	// Check returns what is wrong with the settings.
+	// Check returns the faults of the settings that the duty uses.
 	Check func(config.Settings) config.Faults
-	// Start returns once the duty serves; Stop is called once.
+	// Start returns once the duty is ready. The returned Stop is called once; it may be nil.
 	Start func(ctx context.Context, env *Env) (Stop, error)
 }
 
-// serves reports whether an instance with the settings runs the duty.
+// appliesTo reports whether an instance with the given settings runs the duty.
 func (d Duty) appliesTo(s config.Settings) bool { return cmp.Or(d.Role, config.RoleEntry) == s.Role() }
 
-// Stop ends a duty within the time of ctx.
+// Stop stops a duty and returns by the deadline of ctx.
 type Stop func(ctx context.Context) error
 
-// Skip is the typed reason for which a duty does not run.
+// SkipError is returned by Duty.Start when the duty decides not to run. The kernel logs the reason and starts the other duties.
 type SkipError struct {
-	// Reason is a short lower-case sentence.
+	// Reason is a short sentence in lower case.
 	Reason string
 }
 
-// Error returns the reason.
+// Error includes the reason.
 func (sk *SkipError) Error() string { return "skipped: " + sk.Reason }
 
-// StartError says which duty did not start.
+// StartError means that a duty failed to start.
 type StartError struct {
 	// Duty is the name of the duty.
 	Duty string
@@ -78,9 +78,9 @@
 // Unwrap returns the cause.
 func (se *StartError) Unwrap() error { return se.Cause }
 
-// MissingPartError says that a duty needs a part that none has provided.
+// MissingDependencyError means that a duty asked for a value of a type that no earlier duty has provided.
 type MissingDependencyError struct {
-	// Type is the type that was asked for.
+	// Type is the requested type.
 	Type string
 }
 
@@ -89,10 +89,10 @@
 
 var registry []Duty
 
-// Register adds a duty. It is called from init functions only, and panics on a name used twice.
+// Register adds a duty to the registry. It must be called from init functions only, and panics if the name is already taken.
 func Register(d Duty) {
-	for _, have := range registry {
-		if have.Name == d.Name {
+	for _, other := range registry {
+		if other.Name == d.Name {
 			panic(fmt.Sprintf("kernel: duty %q registered twice", d.Name))
 		}
 	}
@@ -102,7 +102,7 @@
 	})
 }
 
-// Defaults fills in the defaults of every duty.
+// Defaults returns the settings with the defaults of every duty that applies to them.
 func Defaults(s config.Settings) config.Settings {
 	for _, d := range registry {
 		if d.Defaults != nil && d.appliesTo(s) {
@@ -112,7 +112,7 @@
 	return s
 }
 
-// Check returns all that is wrong with the settings, over all duties.
+// Check returns all faults of the settings: those that the kernel finds and those that the duties find.
 func Check(s config.Settings) config.Faults {
 	var all config.Faults
 	if s.Instance == "" {
@@ -129,57 +129,59 @@
 	return all
 }
 
-// Env is what the duties of one instance share.
+// Env holds what the duties of one instance share.
 type Env struct {
-	// Settings are complete and checked. They stay those of the start; OnReload tells of newer ones.
+	// Settings are the settings at start, with defaults and checked. A reload does not change them; use OnReload to get newer ones.
 	Settings config.Settings
-	// Incarnation is unique to this run of the instance.
+	// Incarnation identifies this run of the instance.
 	Incarnation string
-	// Log carries the name of the instance.
+	// Log adds the instance name to every line.
 	Log log.Interface
-	// Stopping is set once and never taken back.
+	// Stopping is set when the instance starts to stop, and never reset.
 	Stopping atomic.Bool
 
+	// provided holds the values shared between duties, by their type.
 	provided map[reflect.Type]any
-	// reloads are called with new settings, in the order of the duties.
+	// reloadHooks are called with the new settings in start order of their duties.
 	reloadHooks []func(config.Settings)
 }
 
-// OnReload adds a function that puts new settings in force while the instance runs. It is called by duties that start.
+// OnReload registers a function that applies reloaded settings. Duties call OnReload in their Start.
 func (ev *Env) OnReload(f func(config.Settings)) { ev.reloadHooks = append(ev.reloadHooks, f) }
 
-// Logger returns a logger whose lines start with the fixed prefix of one part.
+// Logger returns a logger that adds the given part to every line.
 func (ev *Env) Logger(part string) log.Interface { return ev.Log.WithField("part", part) }
 
-// Provide puts a part where later duties find it.
-func Provide[T any](env *Env, part T) { env.provided[reflect.TypeFor[T]()] = part }
+// Provide shares a value with later duties, which get it from Resolve by its type.
+func Provide[T any](env *Env, value T) { env.provided[reflect.TypeFor[T]()] = value }
 
-// Need returns a part that an earlier duty provided.
+// Resolve returns the value of a type that an earlier duty provided, or a MissingDependencyError.
 func Resolve[T any](env *Env) (T, error) {
-	part, ok := env.provided[reflect.TypeFor[T]()].(T)
+	value, ok := env.provided[reflect.TypeFor[T]()].(T)
 	if !ok {
-		return part, &MissingDependencyError{Type: reflect.TypeFor[T]().String()}
+		return value, &MissingDependencyError{Type: reflect.TypeFor[T]().String()}
 	}
-	return part, nil
+	return value, nil
 }
 
+// runningDuty is a started duty that must be stopped.
 type runningDuty struct {
 	name  string
 	phase Phase
 	stop  Stop
 }
 
-// Kernel is one running instance.
+// Kernel runs the duties of one instance.
 type Kernel struct {
-	// Env is shared with the duties.
+	// Env is passed to every duty.
 	Env *Env
-	// running is in the order of start.
+	// running holds the started duties in start order.
 	running []runningDuty
-	// current is what is in force after reloads; Env.Settings stay those of the start.
+	// current are the settings in force, including reloads. Env.Settings remain those of the start.
 	current config.Settings
 }
 
-// New prepares an instance. Settings are filled with defaults and checked.
+// New returns a kernel that has not started any duty. It applies defaults to the settings and checks them.
 func New(s config.Settings, incarnation string, lg log.Interface) (*Kernel, error) {
 	s = Defaults(s)
 	if err := Check(s).ErrorOrNil(); err != nil {
@@ -194,7 +196,7 @@
 	return &Kernel{Env: env, current: s}, nil
 }
 
-// Start starts every duty in order. When one fails, those already started are stopped.
+// Start starts every duty in order. If one fails, Start stops those already started.
 func (kn *Kernel) Start(ctx context.Context) error {
 	for _, d := range registry {
 		if !d.appliesTo(kn.Env.Settings) {
@@ -207,8 +209,8 @@
 			continue
 		}
 		if err != nil {
-			if serr := kn.Stop(ctx); serr != nil {
-				kn.Env.Logger("kernel").WithError(serr).Warn("duty not stopped")
+			if stopErr := kn.Stop(ctx); stopErr != nil {
+				kn.Env.Logger("kernel").WithError(stopErr).Warn("failed to stop duties after a duty failed to start")
 			}
 			return &StartError{Duty: d.Name, Cause: err}
 		}
@@ -220,8 +222,8 @@
 	return nil
 }
 
-// logStarted tells which process this is and from what it was started: peers name the incarnation, and equal digests are
-// equal settings.
+// logStarted logs the identity of this process and a digest of its settings. Logs of peers name the incarnation, and equal
+// digests mean equal settings.
 func (kn *Kernel) logStarted() {
 	fs := log.Fields{
 		"incarnation": kn.Env.Incarnation, "pid": os.Getpid(), "role": string(kn.Env.Settings.Role()),
@@ -236,10 +238,11 @@
 	kn.Env.Logger("kernel").WithFields(fs).Info("started")
 }
 
-// settingsDigest is how many bytes of the digest of the settings are logged; enough to tell the files of a fleet apart.
+// settingsDigestBytes is the number of bytes of the settings digest that are logged: enough to distinguish the settings files of a
+// fleet.
 const settingsDigestBytes = 6
 
-// Reload puts new settings in force as far as the duties can while they run. Settings that are not good change nothing.
+// Reload applies new settings as far as running duties support it. If the settings have faults or change the role, nothing changes.
 func (kn *Kernel) Reload(s config.Settings) error {
 	s = Defaults(s)
 	if err := Check(s).ErrorOrNil(); err != nil {
@@ -257,10 +260,10 @@
 	return nil
 }
 
-// Settings returns what is in force, with what was reloaded.
+// Settings returns the settings in force, including reloads.
 func (kn *Kernel) Settings() config.Settings { return kn.current }
 
-// Stop stops the running duties, those of the last phase first, and returns the first error in the reverse order of start.
+// Stop stops the running duties, beginning with the last phase, and returns the first error in reverse start order.
 func (kn *Kernel) Stop(ctx context.Context) error {
 	kn.Env.Stopping.Store(true)
 	var first error
@@ -279,13 +282,14 @@
 	return first
 }
 
-// lastPhase returns where the duties of the last phase begin; there is at least one.
+// lastPhaseStart returns the index of the first duty of the last running phase. rs must not be empty.
 func lastPhaseStart(rs []runningDuty) int {
 	last := rs[len(rs)-1].phase
 	return slices.IndexFunc(rs, func(r runningDuty) bool { return r.phase == last })
 }
 
-// stopAll stops duties beside each other: one that waits for somebody outside must not take the others' time to stop.
+// stopConcurrently stops duties in parallel, so that a duty that waits for an external party does not use up the time that the
+// others have to stop.
 func stopConcurrently(ctx context.Context, rs []runningDuty) error {
 	errs := make([]error, len(rs))
 	var wg sync.WaitGroup
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -14,7 +14,7 @@
 	"github.com/silvermount/silvermount/internal/config"
 )
 
-// only registers the duties for one test in place of all others.
+// registerOnly replaces the registry with the given duties for the duration of a test.
 func registerOnly(t *testing.T, duties ...Duty) {
 	t.Helper()
 	before := registry
@@ -25,8 +25,9 @@
 	}
 }
 
-// limiter returns a duty that puts the bound of one body in force when settings are reloaded. It appends to told.
-func reloadDuty(name string, role config.Role, told *[]string, inForce *[]config.Settings) Duty {
+// reloadDuty returns a duty that refuses a negative body limit. On each reload it appends its name to reloaded and the new settings
+// to inForce.
+func reloadDuty(name string, role config.Role, reloaded *[]string, inForce *[]config.Settings) Duty {
 	return Duty{
 		Name: name, Role: role, Phase: PhaseWork,
 		Defaults: func(s *config.Settings) { s.Routing.Policy = "default of " + name },
@@ -38,7 +39,7 @@
 		},
 		Start: func(_ context.Context, env *Env) (Stop, error) {
 			env.OnReload(func(s config.Settings) {
-				*told = append(*told, name)
+				*reloaded = append(*reloaded, name)
 				*inForce = append(*inForce, s)
 			})
 			return nil, nil
@@ -69,31 +70,31 @@
 func TestReloadAppliesValidSettings(t *testing.T) {
 	tests := map[string]struct {
 		before, after config.Settings
-		told          []string
-		changed       string
+		wantReloaded  []string
+		wantChanged   string
 	}{
-		"entry":          {entrySettings(1), entrySettings(2), []string{"one", "two"}, "callers.max_body_bytes"},
-		"gateway":        {gatewaySettings(1), gatewaySettings(2), []string{"door"}, "callers.max_body_bytes"},
-		"nothing is new": {entrySettings(1), entrySettings(1), []string{"one", "two"}, ""},
+		"entry":     {entrySettings(1), entrySettings(2), []string{"one", "two"}, "callers.max_body_bytes"},
+		"gateway":   {gatewaySettings(1), gatewaySettings(2), []string{"gateway"}, "callers.max_body_bytes"},
+		"no change": {entrySettings(1), entrySettings(1), []string{"one", "two"}, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var told []string
+			var reloaded []string
 			var inForce []config.Settings
-			registerOnly(t, reloadDuty("one", "", &told, &inForce), reloadDuty("two", config.RoleEntry, &told, &inForce),
-				reloadDuty("door", config.RoleGateway, &told, &inForce))
+			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("two", config.RoleEntry, &reloaded, &inForce),
+				reloadDuty("gateway", config.RoleGateway, &reloaded, &inForce))
 			kn, mh := startKernel(t, tc.before)
-			g.Expect(told).To(BeEmpty())
+			g.Expect(reloaded).To(BeEmpty())
 			g.Expect(kn.Reload(tc.after)).To(Succeed())
 			want := Defaults(tc.after)
 			g.Expect(want.Routing.Policy).To(HavePrefix("default of"))
-			g.Expect(told).To(Equal(tc.told))
+			g.Expect(reloaded).To(Equal(tc.wantReloaded))
 			g.Expect(inForce).To(HaveEach(want))
 			g.Expect(kn.Settings()).To(Equal(want))
 			last := mh.Entries[len(mh.Entries)-1]
 			g.Expect(last.Message).To(Equal("settings reloaded"))
-			g.Expect(last.Fields).To(HaveKeyWithValue("changed", tc.changed))
+			g.Expect(last.Fields).To(HaveKeyWithValue("changed", tc.wantChanged))
 		})
 	}
 }
@@ -105,17 +106,17 @@
 		before, after config.Settings
 		want          []string
 	}{
-		"one duty finds a fault": {gatewaySettings(1), gatewaySettings(-1), []string{"door wants more"}},
-		"two duties do":          {entrySettings(1), entrySettings(-1), []string{"one wants more", "two wants more"}},
-		"the kernel does":        {entrySettings(1), nameless, []string{"a name unique among instances"}},
+		"fault of one duty":     {gatewaySettings(1), gatewaySettings(-1), []string{"gateway wants more"}},
+		"faults of two duties":  {entrySettings(1), entrySettings(-1), []string{"one wants more", "two wants more"}},
+		"fault found by kernel": {entrySettings(1), nameless, []string{"a name unique among instances"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var told []string
+			var reloaded []string
 			var inForce []config.Settings
-			registerOnly(t, reloadDuty("one", "", &told, &inForce), reloadDuty("two", config.RoleEntry, &told, &inForce),
-				reloadDuty("door", config.RoleGateway, &told, &inForce))
+			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("two", config.RoleEntry, &reloaded, &inForce),
+				reloadDuty("gateway", config.RoleGateway, &reloaded, &inForce))
 			kn, mh := startKernel(t, tc.before)
 			before, lines := kn.Settings(), len(mh.Entries)
 			err := kn.Reload(tc.after)
@@ -126,41 +127,41 @@
 				wants = append(wants, ft.Want)
 			}
 			g.Expect(wants).To(Equal(tc.want))
-			g.Expect(told).To(BeEmpty())
+			g.Expect(reloaded).To(BeEmpty())
 			g.Expect(kn.Settings()).To(Equal(before))
 			g.Expect(mh.Entries).To(HaveLen(lines))
-			// Good settings after bad ones are put in force.
+			// Valid settings are applied after invalid ones were refused.
 			after := tc.before
 			after.AvailabilityZone = "b"
 			g.Expect(kn.Reload(after)).To(Succeed())
 			g.Expect(kn.Settings().AvailabilityZone).To(Equal("b"))
-			g.Expect(told).NotTo(BeEmpty())
+			g.Expect(reloaded).NotTo(BeEmpty())
 		})
 	}
 }
 
 func TestReloadRefusesRoleChange(t *testing.T) {
 	tests := map[string]struct{ before, after config.Settings }{
-		"a gateway": {gatewaySettings(1), entrySettings(1)},
-		"an entry":  {entrySettings(1), gatewaySettings(1)},
+		"gateway to entry": {gatewaySettings(1), entrySettings(1)},
+		"entry to gateway": {entrySettings(1), gatewaySettings(1)},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var told []string
+			var reloaded []string
 			var inForce []config.Settings
-			registerOnly(t, reloadDuty("one", "", &told, &inForce), reloadDuty("door", config.RoleGateway, &told, &inForce))
+			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("gateway", config.RoleGateway, &reloaded, &inForce))
 			kn, _ := startKernel(t, tc.before)
 			before := kn.Settings()
 			var fs config.Faults
 			g.Expect(errors.As(kn.Reload(tc.after), &fs)).To(BeTrue())
-			g.Expect(told).To(BeEmpty())
+			g.Expect(reloaded).To(BeEmpty())
 			g.Expect(kn.Settings()).To(Equal(before))
 		})
 	}
 }
 
-// TestStartedSaysWhichProcessAndWhatFrom compares the lines of three starts.
+// TestStartedLineIdentifiesProcessAndSettings compares the log lines of three starts: equal settings have equal digests.
 func TestStartedLineIdentifiesProcessAndSettings(t *testing.T) {
 	g := NewWithT(t)
 	registerOnly(t)
@@ -178,29 +179,26 @@
 	g.Expect(first["settings"]).NotTo(Equal(other["settings"]))
 }
 
-// patience is far longer than a stop takes that nothing holds up.
+// stopTimeout is far longer than an unblocked stop takes.
 const stopTimeout = 10 * time.Second
 
-// stopper returns a duty whose stop notes its name and runs a function.
+// stopDuty returns a duty whose Stop calls the given function.
 func stopDuty(name string, ph Phase, stop func() error) Duty {
 	return Duty{Name: name, Phase: ph, Start: func(context.Context, *Env) (Stop, error) {
 		return func(context.Context) error { return stop() }, nil
 	}}
 }
 
-// TestStopOfOnePhaseRunsBesideEachOther has two duties of a phase that each wait for the other's stop, and one of an
-// earlier phase that must not be stopped before they are.
-//
-// Symptom: a duty has no time left to stop in.
-// Sequence: a duty of its phase waits for somebody outside when it is stopped.
-// Cause: the duties of a phase stop one after the other.
+// TestDutiesOfOnePhaseStopConcurrently guards against a duty that has no time left to stop because another duty of its phase, which
+// waits for an external party, is stopped before it. Two duties of one phase each wait until the other is being stopped; a duty of an
+// earlier phase must be stopped after both.
 func TestDutiesOfOnePhaseStopConcurrently(t *testing.T) {
 	g := NewWithT(t)
-	one, two := make(chan struct{}), make(chan struct{})
+	firstStopping, secondStopping := make(chan struct{}), make(chan struct{})
 	var ended atomic.Int32
-	meet := func(mine chan<- struct{}, other <-chan struct{}) func() error {
+	awaitOther := func(own chan<- struct{}, other <-chan struct{}) func() error {
 		return func() error {
-			close(mine)
+			close(own)
 			select {
 			case <-other:
 				ended.Add(1)
@@ -209,31 +207,32 @@
 			return nil
 		}
 	}
-	endedBefore := int32(-1)
-	registerOnly(t, stopDuty("one", PhaseListen, meet(one, two)), stopDuty("two", PhaseListen, meet(two, one)),
-		stopDuty("ground", PhaseStore, func() error { endedBefore = ended.Load(); return nil }))
+	endedBeforeEarlier := int32(-1)
+	registerOnly(t, stopDuty("one", PhaseListen, awaitOther(firstStopping, secondStopping)),
+		stopDuty("two", PhaseListen, awaitOther(secondStopping, firstStopping)),
+		stopDuty("earlier", PhaseStore, func() error { endedBeforeEarlier = ended.Load(); return nil }))
 	kn, _ := startKernel(t, entrySettings(1))
 	g.Expect(kn.Stop(t.Context())).To(Succeed())
-	g.Expect(endedBefore).To(Equal(int32(2)))
+	g.Expect(endedBeforeEarlier).To(Equal(int32(2)))
 }
 
 func TestStopReturnsTheFirstError(t *testing.T) {
-	boom := func(name string) func() error {
+	failing := func(name string) func() error {
 		return func() error { return &MissingDependencyError{Type: name} }
 	}
-	well := func() error { return nil }
+	succeeding := func() error { return nil }
 	tests := map[string]struct {
 		duties []Duty
 		want   string
 	}{
-		"of the last phase": {
-			[]Duty{stopDuty("a", PhaseStore, boom("a")), stopDuty("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
+		"last phase": {
+			[]Duty{stopDuty("a", PhaseStore, failing("a")), stopDuty("b", PhaseListen, failing("b"))}, "stop b: no duty provides b",
 		},
-		"of the last duty in a phase": {
-			[]Duty{stopDuty("a", PhaseListen, boom("a")), stopDuty("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
+		"last duty of a phase": {
+			[]Duty{stopDuty("a", PhaseListen, failing("a")), stopDuty("b", PhaseListen, failing("b"))}, "stop b: no duty provides b",
 		},
-		"of an earlier phase": {
-			[]Duty{stopDuty("a", PhaseStore, boom("a")), stopDuty("b", PhaseListen, well)}, "stop a: no duty provides a",
+		"earlier phase": {
+			[]Duty{stopDuty("a", PhaseStore, failing("a")), stopDuty("b", PhaseListen, succeeding)}, "stop a: no duty provides a",
 		},
 	}
 	for name, tc := range tests {
--- a/internal/kernel/loop.go
+++ b/internal/kernel/loop.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// Go runs one goroutine for a duty and returns the Stop that ends and awaits it.
+// Go runs the function in a goroutine. The returned Stop cancels its context and waits until it returns or the stop context ends.
 func Go(run func(ctx context.Context)) Stop {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
