--- a/internal/eventlog/error.go
+++ b/internal/eventlog/error.go
@@ -2,34 +2,34 @@
 
 import "strconv"
 
-// NotDrainedError says that lines still waited when the time to close was over.
+// NotDrainedError means that lines were still queued when the context of Close ended.
 type NotDrainedError struct {
-	// Lines is how many lines waited; those of the batch being written come on top.
+	// Lines is the number of queued lines, without those of the batch being written.
 	Lines int
-	// Cause is why the wait ended.
+	// Cause is the error of the context.
 	Cause error
 }
 
-// Error gives the number of lines.
+// Error includes the number of queued lines.
 func (nd *NotDrainedError) Error() string {
-	return strconv.Itoa(nd.Lines) + " log lines not written: " + nd.Cause.Error()
+	return strconv.Itoa(nd.Lines) + " log lines still queued at close: " + nd.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (nd *NotDrainedError) Unwrap() error { return nd.Cause }
 
-// WriteError says that the writer failed.
+// WriteError means that the writer failed.
 type WriteError struct {
-	// Lines is how many lines were lost over the life of the sink.
+	// Lines is the number of lines lost over the life of the sink.
 	Lines int
-	// Cause is the first failure.
+	// Cause is the first error of the writer.
 	Cause error
 }
 
-// Error gives the number of lines and the first failure.
+// Error includes the number of lost lines and the first error of the writer.
 func (we *WriteError) Error() string {
-	return strconv.Itoa(we.Lines) + " log lines lost in writing: " + we.Cause.Error()
+	return strconv.Itoa(we.Lines) + " log lines lost in failed writes: " + we.Cause.Error()
 }
 
-// Unwrap returns the first failure.
+// Unwrap returns the first error of the writer.
 func (we *WriteError) Unwrap() error { return we.Cause }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,4 +1,5 @@
-// Package eventlog writes structured log lines without ever making the caller wait for the writer.
+// Package eventlog writes structured log lines asynchronously. Callers never wait for the writer; lines that it cannot take in time
+// are dropped and counted.
 package eventlog
 
 import (
@@ -14,49 +15,49 @@
 )
 
 const (
-	// defaultKindLimit is how many lines a second each kind may write: 100 busy kinds stay
-	// near 1 MB a second.
+	// defaultKindLimit is how many lines each kind may write per second. With it, 100 busy kinds write about 1 MB per second.
 	defaultKindLimit = 50
-	// defaultUrgentLimit is the same for warnings, errors and requests that were not served: ten
-	// times defaultKindLimit, so that an outage is still told line by line.
+	// defaultUrgentLimit is the limit for warnings, errors and requests that were not served: ten times defaultKindLimit, so that an
+	// outage is still logged line by line.
 	defaultUrgentLimit = 500
-	// defaultCapacity is how many lines wait for the writer, about 1 MB of lines of 250 bytes.
+	// defaultCapacity is how many lines the queue holds: about 1 MB of lines of 250 bytes.
 	defaultCapacity = 4096
-	// urgentRoom is the part of the waiting lines that only urgent ones may take, one in so many: what went well must not
-	// fill the room while the writer is slow.
+	// urgentReserveDivisor sets the share of the queue that is reserved for urgent lines, one in urgentReserveDivisor: lines about
+	// successful requests must not fill the queue while the writer is slow.
 	urgentReserveDivisor = 4
-	// leftOutCounter counts the lines that were not written.
+	// droppedCounterName is the metric that counts lines that were not written.
 	droppedCounterName = "silvermount_log_lines_left_out_total"
 )
 
-// Sink is an apex/log handler that formats entries as logfmt lines and writes them in batches from one goroutine.
-// Its methods may be called by any goroutine. A fatal entry ends the process before its line is written.
+// Sink is an apex/log handler that formats entries as logfmt lines and writes them in batches from one goroutine. It is safe for
+// concurrent use. For limits and reports, the kind of a line is its message. A fatal entry ends the process before its line is
+// written.
 type Sink struct {
-	// now is the clock of the lines and of the limits; never nil.
+	// now is the clock for the time of lines and for the limits; never nil.
 	now func() time.Time
-	// leftOut is never nil.
+	// dropped counts the lines that were not written; never nil.
 	dropped *metrics.Counter
-	// waiting holds formatted lines in the order in which they were offered.
+	// queue holds formatted lines in the order in which they were offered.
 	queue *ring.Ring[*line]
-	// quotas decides which lines are written.
+	// quotas limits the lines of each kind.
 	quotas *quotas
-	// commonMost is how many lines may wait before only urgent ones are added.
+	// maxNormalQueued is the queue length from which only urgent lines are accepted.
 	maxNormalQueued int
-	// instance is named in the lines that the sink writes itself; it may be empty.
+	// instance is the instance name in lines that the sink writes itself; it may be empty.
 	instance string
-	// out is used by the writing goroutine only.
+	// batch is used only by the writing goroutine until done is closed.
 	batch *batch
 
-	// gate orders offers before the close: after closed is set, nothing is added to waiting.
+	// mu is held for reading while a line is queued and for writing while closed is set, so that no line is queued after that.
 	mu     sync.RWMutex
 	closed bool
-	// closing is closed once, when no line can be added any more.
+	// closing is closed once, when no more lines can be queued.
 	closing chan struct{}
 	// done is closed when the writing goroutine has ended.
 	done chan struct{}
 }
 
-// options are what New is given.
+// options hold the values that an Option can set.
 type options struct {
 	now                    func() time.Time
 	set                    *metrics.Set
@@ -65,25 +66,25 @@
 	instance               string
 }
 
-// Option changes how a Sink is made.
+// Option configures a Sink.
 type Option func(*options)
 
-// WithClock sets the clock instead of time.Now.
+// WithClock replaces time.Now as the clock.
 func WithClock(now func() time.Time) Option { return func(op *options) { op.now = now } }
 
-// WithMetrics sets the metrics set that holds the counter of lines left out.
+// WithMetrics sets the metrics set in which the counter of dropped lines is registered.
 func WithMetrics(set *metrics.Set) Option { return func(op *options) { op.set = set } }
 
-// WithKindLimit sets how many lines a second each kind may write.
+// WithKindLimit sets how many lines that are not urgent each kind may write per second.
 func WithKindLimit(lines int) Option { return func(op *options) { op.kindLimit = lines } }
 
-// WithUrgentLimit sets how many urgent lines a second each kind may write.
+// WithUrgentLimit sets how many urgent lines each kind may write per second.
 func WithUrgentLimit(lines int) Option { return func(op *options) { op.urgentLimit = lines } }
 
-// WithCapacity sets how many lines may wait for the writer.
+// WithCapacity sets how many lines the queue holds.
 func WithCapacity(lines int) Option { return func(op *options) { op.capacity = lines } }
 
-// WithInstance sets the instance that the lines of the sink itself name.
+// WithInstance sets the instance name in lines that the sink writes itself.
 func WithInstance(name string) Option { return func(op *options) { op.instance = name } }
 
 // New returns a running Sink that writes to w.
@@ -112,18 +113,18 @@
 	return sk
 }
 
-// HandleLog formats the entry and hands it to the writing goroutine, or leaves it out and counts it. It always
-// returns nil, as apex/log would print an error elsewhere.
+// HandleLog formats the entry and queues it, or drops and counts it if its kind exceeds its limit, the queue is full or the sink is
+// closed. It always returns nil, because apex/log would print an error to another writer.
 func (sk *Sink) HandleLog(e *log.Entry) error {
 	now := sk.now()
-	pressing := isUrgent(e)
-	if !sk.quotas.admit(now, e.Message, pressing) {
+	urgent := isUrgent(e)
+	if !sk.quotas.admit(now, e.Message, urgent) {
 		sk.dropped.Inc()
 		return nil
 	}
 	ln := newLine()
 	ln.format(now, e)
-	if !sk.offer(ln, pressing) {
+	if !sk.offer(ln, urgent) {
 		ln.free()
 		sk.quotas.addDropped(e.Message, 1)
 		sk.dropped.Inc()
@@ -131,18 +132,18 @@
 	return nil
 }
 
-// offer adds a line unless the ring has no room for its kind or the sink is closed.
-func (sk *Sink) offer(ln *line, pressing bool) bool {
+// offer queues a line. It returns false if the queue is too full for the urgency of the line or the sink is closed.
+func (sk *Sink) offer(ln *line, urgent bool) bool {
 	sk.mu.RLock()
 	defer sk.mu.RUnlock()
-	if sk.closed || !pressing && sk.queue.Len() >= sk.maxNormalQueued {
+	if sk.closed || !urgent && sk.queue.Len() >= sk.maxNormalQueued {
 		return false
 	}
 	return sk.queue.Offer(ln)
 }
 
-// Close refuses further lines and waits until the waiting ones are written or ctx ends. It returns a
-// NotDrainedError when ctx ended first and a WriteError when the writer lost lines; it may be called again.
+// Close refuses further lines and waits until the queued ones are written or ctx ends. It returns a NotDrainedError if ctx ends
+// first, and a WriteError if the writer lost lines. It may be called again.
 func (sk *Sink) Close(ctx context.Context) error {
 	sk.mu.Lock()
 	if !sk.closed {
@@ -156,14 +157,14 @@
 	case <-ctx.Done():
 	}
 	select {
-	case <-sk.done: // Both may have ended; a drained sink is no failure.
+	case <-sk.done: // Both may be ready; a drained sink is not an error.
 		return sk.batch.err()
 	default:
 		return &NotDrainedError{Lines: sk.queue.Len(), Cause: ctx.Err()}
 	}
 }
 
-// urgent reports whether a line falls under the larger limit.
+// isUrgent reports whether an entry is urgent: a warning, an error, or a request with another outcome than served.
 func isUrgent(e *log.Entry) bool {
 	if e.Level >= log.WarnLevel {
 		return true
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -22,7 +22,7 @@
 
 func atNoon() time.Time { return noon }
 
-// writer records every write; while it is held, writes wait.
+// stubWriter records every write. If blocked is set, writes wait until it is closed; if err is set, they fail.
 type stubWriter struct {
 	mu      sync.Mutex
 	writes  []string
@@ -49,15 +49,15 @@
 	return strings.Split(strings.TrimSuffix(strings.Join(wr.writes, ""), "\n"), "\n")
 }
 
-// only returns the lines of one message.
+// linesWithMessage returns the lines with a given message.
 func (wr *stubWriter) linesWithMessage(msg string) []string {
-	var kept []string
+	var found []string
 	for _, l := range wr.lines() {
 		if strings.Contains(l, fmt.Sprintf("msg=%q", msg)) {
-			kept = append(kept, l)
+			found = append(found, l)
 		}
 	}
-	return kept
+	return found
 }
 
 func logger(sk *Sink) *log.Logger { return &log.Logger{Handler: sk, Level: log.DebugLevel} }
@@ -71,23 +71,23 @@
 		fields log.Fields
 		want   string
 	}{
-		"no fields":          {want: ``},
-		"sorted, part first": {fields: log.Fields{"b": 1, "a": true, "part": "gateway"}, want: ` a=true b=1`},
-		"numbers":            {fields: log.Fields{"a": int64(-3), "b": uint64(4), "c": 0.25, "d": uint8(7)}, want: ` a=-3 b=4 c=0.25 d=7`},
-		"times":              {fields: log.Fields{"a": 1500 * time.Millisecond, "b": noon}, want: ` a=1.5s b=2026-12-01T12:00:00.000000Z`},
-		"error":              {fields: log.Fields{"a": io.ErrUnexpectedEOF}, want: ` a="unexpected EOF"`},
-		"empty":              {fields: log.Fields{"a": ""}, want: ` a=""`},
-		"equals sign":        {fields: log.Fields{"a": "x=y"}, want: ` a="x=y"`},
-		"quote and slash":    {fields: log.Fields{"a": `say "hi" \ bye`}, want: ` a="say \"hi\" \\ bye"`},
-		"line ends":          {fields: log.Fields{"a": "x\ny\r\tz"}, want: ` a="x\ny\r\tz"`},
-		"control bytes":      {fields: log.Fields{"a": "\x1b[0m\x7f"}, want: ` a="\u001b[0m\u007f"`},
-		"not UTF-8":          {fields: log.Fields{"a": "x\xffy"}, want: " a=\"x\ufffdy\""},
-		"letters":            {fields: log.Fields{"a": "Tŷ-gwyn"}, want: ` a=Tŷ-gwyn`},
-		"bad key":            {fields: log.Fields{"a b=\"": 1, "": 2}, want: ` _=2 a_b__=1`},
-		"taken key":          {fields: log.Fields{"time": 1, "msg": "x"}, want: ` _msg=x _time=1`},
-		"nil":                {fields: log.Fields{"a": nil}, want: ` a=<nil>`},
-		"panicking error":    {fields: log.Fields{"a": (*panickingError)(nil)}, want: ` a=<nil>`},
-		"long value":         {fields: log.Fields{"a": strings.Repeat("é", maxValueBytes)}, want: ` a=` + strings.Repeat("é", maxValueBytes/2) + `...`},
+		"no fields":           {want: ``},
+		"sorted, part first":  {fields: log.Fields{"b": 1, "a": true, "part": "gateway"}, want: ` a=true b=1`},
+		"numbers":             {fields: log.Fields{"a": int64(-3), "b": uint64(4), "c": 0.25, "d": uint8(7)}, want: ` a=-3 b=4 c=0.25 d=7`},
+		"times":               {fields: log.Fields{"a": 1500 * time.Millisecond, "b": noon}, want: ` a=1.5s b=2026-12-01T12:00:00.000000Z`},
+		"error":               {fields: log.Fields{"a": io.ErrUnexpectedEOF}, want: ` a="unexpected EOF"`},
+		"empty":               {fields: log.Fields{"a": ""}, want: ` a=""`},
+		"equals sign":         {fields: log.Fields{"a": "x=y"}, want: ` a="x=y"`},
+		"quote and backslash": {fields: log.Fields{"a": `say "hi" \ bye`}, want: ` a="say \"hi\" \\ bye"`},
+		"line breaks":         {fields: log.Fields{"a": "x\ny\r\tz"}, want: ` a="x\ny\r\tz"`},
+		"control bytes":       {fields: log.Fields{"a": "\x1b[0m\x7f"}, want: ` a="\u001b[0m\u007f"`},
+		"not UTF-8":           {fields: log.Fields{"a": "x\xffy"}, want: " a=\"x\ufffdy\""},
+		"non-ASCII letters":   {fields: log.Fields{"a": "Tŷ-gwyn"}, want: ` a=Tŷ-gwyn`},
+		"invalid key":         {fields: log.Fields{"a b=\"": 1, "": 2}, want: ` _=2 a_b__=1`},
+		"reserved key":        {fields: log.Fields{"time": 1, "msg": "x"}, want: ` _msg=x _time=1`},
+		"nil":                 {fields: log.Fields{"a": nil}, want: ` a=<nil>`},
+		"panicking error":     {fields: log.Fields{"a": (*panickingError)(nil)}, want: ` a=<nil>`},
+		"long value":          {fields: log.Fields{"a": strings.Repeat("é", maxValueBytes)}, want: ` a=` + strings.Repeat("é", maxValueBytes/2) + `...`},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -109,14 +109,14 @@
 		lines int
 		want  int
 	}{
-		"common":         {write: func(lg *log.Logger, _ int) { lg.Info("a line") }, lines: 9, want: 2},
-		"served":         {write: func(lg *log.Logger, _ int) { lg.WithField("outcome", "served").Info("a line") }, lines: 9, want: 2},
-		"not served":     {write: func(lg *log.Logger, _ int) { lg.WithField("outcome", "refused").Info("a line") }, lines: 9, want: 5},
-		"warning":        {write: func(lg *log.Logger, _ int) { lg.Warn("a line") }, lines: 9, want: 5},
-		"error":          {write: func(lg *log.Logger, _ int) { lg.Error("a line") }, lines: 4, want: 4},
-		"limits apart":   {write: func(lg *log.Logger, i int) { alternate(lg, i) }, lines: 18, want: 7},
-		"under both":     {write: func(lg *log.Logger, i int) { alternate(lg, i) }, lines: 4, want: 4},
-		"debug is lower": {write: func(lg *log.Logger, _ int) { lg.Debug("a line") }, lines: 3, want: 2},
+		"normal":            {write: func(lg *log.Logger, _ int) { lg.Info("a line") }, lines: 9, want: 2},
+		"served":            {write: func(lg *log.Logger, _ int) { lg.WithField("outcome", "served").Info("a line") }, lines: 9, want: 2},
+		"not served":        {write: func(lg *log.Logger, _ int) { lg.WithField("outcome", "refused").Info("a line") }, lines: 9, want: 5},
+		"warning":           {write: func(lg *log.Logger, _ int) { lg.Warn("a line") }, lines: 9, want: 5},
+		"error":             {write: func(lg *log.Logger, _ int) { lg.Error("a line") }, lines: 4, want: 4},
+		"separate limits":   {write: func(lg *log.Logger, i int) { alternate(lg, i) }, lines: 18, want: 7},
+		"below both limits": {write: func(lg *log.Logger, i int) { alternate(lg, i) }, lines: 4, want: 4},
+		"debug":             {write: func(lg *log.Logger, _ int) { lg.Debug("a line") }, lines: 3, want: 2},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -131,13 +131,13 @@
 			g.Expect(sk.Close(t.Context())).To(Succeed())
 			g.Expect(wr.linesWithMessage("a line")).To(HaveLen(tc.want))
 			g.Expect(wr.linesWithMessage("another kind")).To(HaveLen(1))
-			left := tc.lines - tc.want
-			g.Expect(set.GetOrCreateCounter(droppedCounterName).Get()).To(Equal(uint64(left)))
-			if left == 0 {
+			dropped := tc.lines - tc.want
+			g.Expect(set.GetOrCreateCounter(droppedCounterName).Get()).To(Equal(uint64(dropped)))
+			if dropped == 0 {
 				g.Expect(wr.linesWithMessage("lines left out")).To(BeEmpty())
 				return
 			}
-			want := fmt.Sprintf(`time=2026-12-01T12:00:00.000000Z level=warn part=eventlog msg="lines left out" count=%d kind="a line"`, left)
+			want := fmt.Sprintf(`time=2026-12-01T12:00:00.000000Z level=warn part=eventlog msg="lines left out" count=%d kind="a line"`, dropped)
 			g.Expect(wr.linesWithMessage("lines left out")).To(Equal([]string{want}))
 		})
 	}
@@ -151,7 +151,8 @@
 	lg.Warn("a line")
 }
 
-// TestLimitsStartAnew checks the default limit over seconds, a late reading of the clock and a clock set back.
+// TestLimitsResetEachSecond checks the default limit over several seconds, with a clock reading of the previous second and with a
+// clock that was set back.
 func TestLimitsResetEachSecond(t *testing.T) {
 	g := NewWithT(t)
 	qs := newQuotas(defaultKindLimit, defaultUrgentLimit)
@@ -183,7 +184,7 @@
 	g.Expect(qs.kinds).To(HaveLen(1))
 }
 
-// TestTellsOnceASecond runs in fake time: what is left out is told at each full second and not twice.
+// TestDroppedLinesAreReportedOncePerSecond uses fake time. Dropped lines are reported at the next full second, once.
 func TestDroppedLinesAreReportedOncePerSecond(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -208,7 +209,7 @@
 	})
 }
 
-// TestBatches writes many lines within one pause and expects one write.
+// TestLinesShareOneWrite logs many lines within one flush delay and expects a single write.
 func TestLinesShareOneWrite(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -226,7 +227,8 @@
 	})
 }
 
-// TestHeldWriter holds the writer: callers go on, the ring bounds what waits, and the rest is counted and told.
+// TestBlockedWriterDoesNotBlockCallers blocks the writer: callers continue, the queue stays bounded, and dropped lines are counted
+// and reported.
 func TestBlockedWriterDoesNotBlockCallers(t *testing.T) {
 	g := NewWithT(t)
 	set, wr := metrics.NewSet(), &stubWriter{blocked: make(chan struct{})}
@@ -234,17 +236,17 @@
 	for range 500 {
 		logger(sk).Info("a line")
 	}
-	left := set.GetOrCreateCounter(droppedCounterName)
-	g.Expect(left.Get()).To(BeNumerically(">", 0))
-	ended, cancel := context.WithCancel(t.Context())
+	dropped := set.GetOrCreateCounter(droppedCounterName)
+	g.Expect(dropped.Get()).To(BeNumerically(">", 0))
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
 	var nd *NotDrainedError
-	g.Expect(errors.As(sk.Close(ended), &nd)).To(BeTrue())
+	g.Expect(errors.As(sk.Close(cancelled), &nd)).To(BeTrue())
 	g.Expect(nd).To(MatchError(context.Canceled))
 	close(wr.blocked)
 	g.Expect(sk.Close(t.Context())).To(Succeed())
-	g.Expect(len(wr.linesWithMessage("a line")) + int(left.Get())).To(Equal(500))
-	g.Expect(wr.linesWithMessage("lines left out")).To(ConsistOf(ContainSubstring(fmt.Sprintf("count=%d", left.Get()))))
+	g.Expect(len(wr.linesWithMessage("a line")) + int(dropped.Get())).To(Equal(500))
+	g.Expect(wr.linesWithMessage("lines left out")).To(ConsistOf(ContainSubstring(fmt.Sprintf("count=%d", dropped.Get()))))
 }
 
 func TestLinesAfterCloseAreDropped(t *testing.T) {
@@ -269,29 +271,29 @@
 	var we *WriteError
 	g.Expect(errors.As(err, &we)).To(BeTrue())
 	g.Expect(err).To(MatchError(io.ErrClosedPipe))
-	// The line that tells of the two is lost as well.
+	// The report of the two lost lines is lost as well.
 	g.Expect(we.Lines).To(Equal(3))
 	g.Expect(set.GetOrCreateCounter(droppedCounterName).Get()).To(Equal(uint64(3)))
 }
 
-// TestManyCallers closes the sink while goroutines log: each line is written whole or counted.
+// TestCloseWhileCallersLog closes the sink while goroutines log: each line is either written whole or counted as dropped.
 func TestCloseWhileCallersLog(t *testing.T) {
 	g := NewWithT(t)
-	const callers, each = 8, 500
+	const callers, linesPerCaller = 8, 500
 	set := metrics.NewSet()
 	var buf bytes.Buffer
-	sk := New(&buf, WithMetrics(set), WithClock(atNoon), WithKindLimit(callers*each), WithCapacity(100))
+	sk := New(&buf, WithMetrics(set), WithClock(atNoon), WithKindLimit(callers*linesPerCaller), WithCapacity(100))
 	var wg sync.WaitGroup
-	var sent atomic.Int64
+	var logged atomic.Int64
 	for i := range callers {
 		wg.Go(func() {
-			for range each {
+			for range linesPerCaller {
 				logger(sk).WithField("caller", i).Info("a line")
-				sent.Add(1)
+				logged.Add(1)
 			}
 		})
 	}
-	g.Eventually(sent.Load, 10*time.Second).Should(BeNumerically(">", callers*each/2))
+	g.Eventually(logged.Load, 10*time.Second).Should(BeNumerically(">", callers*linesPerCaller/2))
 	g.Expect(sk.Close(t.Context())).To(Succeed())
 	wg.Wait()
 	written := 0
@@ -301,11 +303,11 @@
 			written++
 		}
 	}
-	g.Expect(written + int(set.GetOrCreateCounter(droppedCounterName).Get())).To(Equal(callers * each))
+	g.Expect(written + int(set.GetOrCreateCounter(droppedCounterName).Get())).To(Equal(callers * linesPerCaller))
 }
 
 func BenchmarkHandleLog(b *testing.B) {
-	tests := map[string]int{"written": 1 << 30, "left out": 0}
+	tests := map[string]int{"written": 1 << 30, "dropped": 0}
 	fields := log.Fields{"part": "gateway", "request": "req-0123456789abcdef", "target": "a-1", "status": 200, "elapsed": 1500 * time.Millisecond}
 	for name, limit := range tests {
 		b.Run(name, func(b *testing.B) {
@@ -321,7 +323,8 @@
 	}
 }
 
-// TestFailureFindsRoomBehindWhatWentWell holds the writer until no common line finds room: a failure still does.
+// TestQueueReservesRoomForUrgentLines blocks the writer and fills the queue with lines of served requests: lines of failures are
+// still queued.
 func TestQueueReservesRoomForUrgentLines(t *testing.T) {
 	g := NewWithT(t)
 	wr := &stubWriter{blocked: make(chan struct{})}
--- a/internal/eventlog/line.go
+++ b/internal/eventlog/line.go
@@ -11,7 +11,7 @@
 	"github.com/apex/log"
 )
 
-// The keys that come first in every line, and the field that makes a line urgent.
+// The keys of the first fields of every line, and the outcome field: a line with an outcome other than outcomeServed is urgent.
 const (
 	timeKey       = "time"
 	levelKey      = "level"
@@ -22,30 +22,30 @@
 )
 
 const (
-	// timeLayout has a fixed width, so that lines sort as text.
+	// timeLayout has a fixed width, so that sorting lines as text sorts them by time.
 	timeLayout = "2006-01-02T15:04:05.000000Z07:00"
-	// maxValue bounds one value, in bytes: longer than any error of the program.
+	// maxValueBytes limits the length of one value. It is longer than any error message of the program.
 	maxValueBytes = 4 << 10
-	// cutMark ends a value that was cut.
+	// truncationMark is appended to a truncated value.
 	truncationMark = "..."
-	// maxPooled is the largest buffer kept for reuse, in bytes: several values of maxValue.
+	// maxPooledBytes is the largest buffer returned to the pool: several values of maxValueBytes.
 	maxPooledBytes = 16 << 10
 )
 
-// lines keeps buffers for reuse.
+// linePool reuses line buffers.
 var linePool = sync.Pool{New: func() any { return &line{} }}
 
 // line is one formatted line.
 type line struct {
-	// buf ends in the only newline of the line once format has run.
+	// buf holds the text. After format, it contains exactly one newline, at the end.
 	buf []byte
-	// names is room to sort the names of fields.
+	// fieldNames is scratch space to sort the field names.
 	fieldNames []string
 }
 
 func newLine() *line { return linePool.Get().(*line) }
 
-// free gives the buffers back; the line must not be used afterwards.
+// free returns the line to the pool. The line must not be used afterwards.
 func (ln *line) free() {
 	if cap(ln.buf) > maxPooledBytes {
 		return
@@ -55,8 +55,8 @@
 	linePool.Put(ln)
 }
 
-// format writes time, level, part and message, and then the other fields by name. A field that bears the name of
-// one of the first three keys is written with an underscore before its name.
+// format writes time, level, part and message, followed by the other fields sorted by name. Fields named time, level or msg are
+// written with a leading underscore.
 func (ln *line) format(now time.Time, e *log.Entry) {
 	ln.buf = append(ln.buf, timeKey+"="...)
 	ln.buf = now.UTC().AppendFormat(ln.buf, timeLayout)
@@ -81,7 +81,7 @@
 	ln.buf = append(ln.buf, '\n')
 }
 
-// pair writes a space, a key and a value.
+// appendPair writes a space, a key, an equals sign and a value.
 func (ln *line) appendPair(key string, value any) {
 	ln.buf = append(ln.buf, ' ')
 	ln.buf = appendKey(ln.buf, key)
@@ -89,7 +89,8 @@
 	ln.buf = appendValue(ln.buf, value)
 }
 
-// appendKey writes a key and puts an underscore for what a key cannot hold.
+// appendKey writes a key, with an underscore in place of each character that is not allowed in a key. An empty key becomes an
+// underscore.
 func appendKey(buf []byte, key string) []byte {
 	if key == "" {
 		return append(buf, '_')
@@ -103,7 +104,7 @@
 	return buf
 }
 
-// appendValue writes a value; the kinds that need no quotes come first.
+// appendValue writes a value. Types that never need quotes are written directly.
 func appendValue(buf []byte, value any) []byte {
 	switch v := value.(type) {
 	case int:
@@ -122,7 +123,7 @@
 	return appendText(buf, valueText(value))
 }
 
-// text returns a value as text. Formatting by fmt bears nil pointers and panics of methods.
+// valueText returns a value as text. It formats with fmt, which tolerates nil pointers and panics in String and Error methods.
 func valueText(value any) string {
 	switch v := value.(type) {
 	case string:
@@ -133,7 +134,7 @@
 	return fmt.Sprint(value)
 }
 
-// appendText writes a text, cut to maxValue and in quotes when a reader would need them.
+// appendText writes a text, truncated to maxValueBytes and quoted where a logfmt reader needs quotes.
 func appendText(buf []byte, s string) []byte {
 	if len(s) > maxValueBytes {
 		s = truncate(s) + truncationMark
@@ -148,7 +149,7 @@
 	return append(buf, '"')
 }
 
-// cut shortens a text to maxValue bytes without splitting a rune.
+// truncate shortens a text that exceeds maxValueBytes to at most that length, without splitting a rune.
 func truncate(s string) string {
 	end := maxValueBytes
 	for end > maxValueBytes-utf8.UTFMax && !utf8.RuneStart(s[end]) {
@@ -166,7 +167,7 @@
 	return s == ""
 }
 
-// appendEscaped writes a rune of a quoted text with the escapes of JSON, which both Go and logfmt readers know.
+// appendEscaped writes a rune of a quoted text, escaped as in JSON, which both Go and logfmt readers understand.
 func appendEscaped(buf []byte, r rune) []byte {
 	switch {
 	case r == '"' || r == '\\':
--- a/internal/eventlog/quotas.go
+++ b/internal/eventlog/quotas.go
@@ -8,33 +8,33 @@
 )
 
 const (
-	// maxKinds bounds the kinds that are counted apart: several times the messages in the program.
+	// maxKinds limits the kinds that are counted separately. It is several times the number of different messages in the program.
 	maxKinds = 256
-	// otherKinds is the kind of all lines beyond maxKinds.
+	// otherKinds is the kind under which all lines of kinds beyond maxKinds are counted.
 	otherKinds = "other kinds"
 )
 
 // quota counts the lines of one kind.
 type quota struct {
-	// common and urgent are the lines admitted in the current second.
+	// normal and urgent are the numbers of lines admitted in the current second.
 	normal, urgent int
-	// leftOut are the lines left out since the last take.
+	// dropped is the number of lines dropped since the last takeDropped.
 	dropped int
 }
 
-// leftOut is how many lines of a kind were left out.
+// dropCount is the number of dropped lines of a kind.
 type dropCount struct {
 	kind  string
 	count int
 }
 
-// quotas bounds how many lines of each kind are written in a second.
+// quotas limits the lines of each kind per second.
 type quotas struct {
-	// common and urgent are the limits for each kind.
+	// normalLimit and urgentLimit apply to each kind separately.
 	normalLimit, urgentLimit int
 
 	mu sync.Mutex
-	// second is the Unix time of the current second.
+	// second is the Unix time of the second that is being counted.
 	second int64
 	// kinds has at most maxKinds+1 entries.
 	kinds map[string]quota
@@ -44,7 +44,7 @@
 	return &quotas{normalLimit: common, urgentLimit: urgent, kinds: map[string]quota{}}
 }
 
-// admit counts a line and reports whether it may be written.
+// admit counts a line as admitted or dropped, and reports whether it may be written.
 func (qs *quotas) admit(now time.Time, kind string, urgent bool) bool {
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
@@ -56,7 +56,7 @@
 	return ok
 }
 
-// add counts a line under its limit or as left out.
+// admit counts a line under its limit if there is room, otherwise as dropped.
 func (q *quota) admit(urgent bool, commonLimit, urgentLimit int) bool {
 	switch {
 	case urgent && q.urgent < urgentLimit:
@@ -70,7 +70,7 @@
 	return true
 }
 
-// leaveOut counts lines that were admitted and could not be written.
+// addDropped counts lines that were admitted but not written.
 func (qs *quotas) addDropped(kind string, count int) {
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
@@ -80,25 +80,25 @@
 	qs.kinds[kind] = q
 }
 
-// take returns what was left out since the last call, sorted by kind.
+// takeDropped returns and resets the counts of dropped lines, sorted by kind.
 func (qs *quotas) takeDropped() []dropCount {
 	qs.mu.Lock()
 	defer qs.mu.Unlock()
-	var los []dropCount
+	var dcs []dropCount
 	for kind, q := range qs.kinds {
 		if q.dropped == 0 {
 			continue
 		}
-		los = append(los, dropCount{kind: kind, count: q.dropped})
+		dcs = append(dcs, dropCount{kind: kind, count: q.dropped})
 		q.dropped = 0
 		qs.kinds[kind] = q
 	}
-	slices.SortFunc(los, func(a, b dropCount) int { return strings.Compare(a.kind, b.kind) })
-	return los
+	slices.SortFunc(dcs, func(a, b dropCount) int { return strings.Compare(a.kind, b.kind) })
+	return dcs
 }
 
-// turn starts a new second: limits start anew and kinds with nothing left to tell are forgotten. A caller that read
-// the clock just before the second ended counts in the new one; a clock set back further starts anew.
+// startSecond resets the limits when a new second starts, and deletes kinds without dropped lines to report. A caller that read the
+// clock just before the new second is counted in it. A clock that was set back by more than a second also resets the limits.
 func (qs *quotas) startSecond(second int64) {
 	if second == qs.second || second == qs.second-1 {
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-// key returns the kind under which a line is counted.
+// boundedKind returns the kind under which a line is counted: its own, or otherKinds if maxKinds are in use.
 func (qs *quotas) boundedKind(kind string) string {
 	if _, ok := qs.kinds[kind]; ok || len(qs.kinds) < maxKinds {
 		return kind
--- a/internal/eventlog/write.go
+++ b/internal/eventlog/write.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// flushPause is how long the first line of a batch waits for more: short for a reader and long
-	// enough to join the lines of many requests.
+	// flushDelay is how long the first line of a batch waits for further lines: short for a reader of the log, and long enough to
+	// batch the lines of many requests.
 	flushDelay = 20 * time.Millisecond
-	// batchSize is the size at which a batch is written, in bytes; the capacity of a Linux pipe.
+	// minBatchBytes is the size at which a batch is written without further delay: the capacity of a Linux pipe.
 	minBatchBytes = 64 << 10
-	// tellPause is how often lines left out are told.
+	// reportInterval is the time between two reports of dropped lines.
 	reportInterval = time.Second
-	// lostKind is the kind of the lines that the writer failed to write.
+	// writeFailureKind is the kind under which lines lost in failed writes are reported.
 	writeFailureKind = "lines of a failed write"
 )
 
-// batch gathers lines and writes them in one call.
+// batch collects lines and writes them in one call.
 type batch struct {
 	w   io.Writer
 	buf []byte
-	// lost is how many lines failed writes lost.
+	// lostLines is the number of lines lost in failed writes so far.
 	lostLines int
-	// cause is the first failure of the writer.
+	// firstErr is the first error of the writer.
 	firstErr error
 }
 
-// flush writes the gathered lines and returns how many of them were lost.
+// flush writes the collected lines and returns how many of them were lost. Lines of a partial write that are cut off count as lost.
 func (bt *batch) flush() int {
 	if len(bt.buf) == 0 {
 		return 0
@@ -51,7 +51,7 @@
 	return lost
 }
 
-// failure returns what the writer lost, or nil.
+// err returns a WriteError if any write failed, or nil.
 func (bt *batch) err() error {
 	if bt.firstErr == nil {
 		return nil
@@ -59,18 +59,18 @@
 	return &WriteError{Lines: bt.lostLines, Cause: bt.firstErr}
 }
 
-// run writes lines until the sink is closed and its ring is empty.
+// run writes queued lines until the sink is closed and its queue is empty.
 func (sk *Sink) run() {
 	defer close(sk.done)
-	tk := time.NewTicker(reportInterval)
-	defer tk.Stop()
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case ln := <-sk.queue.Items():
 			sk.addToBatch(ln)
 			sk.awaitMoreLines()
 			sk.writeQueued()
-		case <-tk.C:
+		case <-ticker.C:
 			sk.reportDropped()
 		case <-sk.closing:
 			sk.writeQueued()
@@ -80,17 +80,17 @@
 	}
 }
 
-// pause lets further lines come, so that they share a write.
+// awaitMoreLines waits for flushDelay or until the sink closes, so that further lines share a write.
 func (sk *Sink) awaitMoreLines() {
-	tm := time.NewTimer(flushDelay)
-	defer tm.Stop()
+	timer := time.NewTimer(flushDelay)
+	defer timer.Stop()
 	select {
-	case <-tm.C:
+	case <-timer.C:
 	case <-sk.closing:
 	}
 }
 
-// drain writes the lines that wait now; those that come meanwhile are left for the next batch.
+// writeQueued writes the lines that are queued when it is called. Lines queued later are left for the next batch.
 func (sk *Sink) writeQueued() {
 	for range sk.queue.Len() {
 		sk.addToBatch(<-sk.queue.Items())
@@ -98,7 +98,7 @@
 	sk.flush()
 }
 
-// add gathers a line and writes the batch when it is large enough.
+// addToBatch adds a line to the batch and writes the batch once it has minBatchBytes.
 func (sk *Sink) addToBatch(ln *line) {
 	sk.batch.buf = append(sk.batch.buf, ln.buf...)
 	ln.free()
@@ -107,7 +107,7 @@
 	}
 }
 
-// flush writes the batch; the next tell reports lines that the writer lost, as there is nowhere else to log them.
+// flush writes the batch. Lines lost in a failed write are reported by the next reportDropped: there is nowhere else to log them.
 func (sk *Sink) flush() {
 	lost := sk.batch.flush()
 	if lost == 0 {
@@ -117,11 +117,11 @@
 	sk.quotas.addDropped(writeFailureKind, lost)
 }
 
-// tell writes how many lines of each kind were left out since the last call.
+// reportDropped writes one line for each kind with the number of lines dropped since the last call.
 func (sk *Sink) reportDropped() {
 	now := sk.now()
-	for _, lo := range sk.quotas.takeDropped() {
-		fs := log.Fields{partKey: "eventlog", "kind": lo.kind, "count": lo.count}
+	for _, dc := range sk.quotas.takeDropped() {
+		fs := log.Fields{partKey: "eventlog", "kind": dc.kind, "count": dc.count}
 		if sk.instance != "" {
 			fs["instance"] = sk.instance
 		}
