--- a/internal/explain/collect.go
+++ b/internal/explain/collect.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The reasons for which a line belongs to an account.
+// The reasons for which a line is in a timeline. They are printed.
 const (
 	reasonRequest     = "request"
 	reasonTargetState = "belief"
@@ -12,13 +12,13 @@
 	reasonMissing     = "missing"
 )
 
-// collector chooses the lines of an account.
+// collector selects the lines of a timeline.
 type collector struct {
-	// lines are all lines kept, in order of time.
+	// lines are all lines that the reader kept, sorted by time.
 	lines []*line
-	// why has the lines that belong to the account.
+	// reasons holds the selected lines and why each was selected.
 	reasons map[*line]string
-	// made are lines that no instance wrote, each before the line that needed it.
+	// synthetic holds lines that no instance wrote, by the line before which they are inserted.
 	synthetic map[*line][]entry
 }
 
@@ -26,11 +26,11 @@
 	return &collector{lines: lines, reasons: map[*line]string{}, synthetic: map[*line][]entry{}}
 }
 
-// collect marks the lines of the request and those that explain them.
-func (cl *collector) collect(about func(*line) bool) {
+// collect selects the lines of the request and those that may explain them.
+func (cl *collector) collect(mentionsRequest func(*line) bool) {
 	var own []*line
 	for i, ln := range cl.lines {
-		if !about(ln) {
+		if !mentionsRequest(ln) {
 			continue
 		}
 		own = append(own, ln)
@@ -41,19 +41,19 @@
 		cl.markConfig(ln, earlier, "config")
 		cl.markConfig(ln, earlier, "key_gone")
 	}
-	for _, vs := range attemptsOf(own) {
-		cl.markConcurrent(vs)
+	for _, att := range attemptsOf(own) {
+		cl.markConcurrent(att)
 	}
 }
 
-// mark gives a line a reason unless it has one.
-func (cl *collector) mark(ln *line, why string) {
+// mark selects a line for a reason. A line that is already selected keeps its first reason.
+func (cl *collector) mark(ln *line, reason string) {
 	if cl.reasons[ln] == "" {
-		cl.reasons[ln] = why
+		cl.reasons[ln] = reason
 	}
 }
 
-// dependencies marks what the instance lost or regained shortly before.
+// markDependencies selects the lines about dependencies that the instance lost or regained within dependencyWindow before a line.
 func (cl *collector) markDependencies(of *line, earlier []*line) {
 	for _, ln := range slices.Backward(earlier) {
 		if of.at.Sub(ln.at) > dependencyWindow {
@@ -65,7 +65,7 @@
 	}
 }
 
-// beliefs marks the newest line of each message about the target of an attempt, at most maxBeliefs of them.
+// markTargetStates selects the newest line with each message about the target of a line, at most maxTargetStates of them.
 func (cl *collector) markTargetStates(of *line, earlier []*line) {
 	target := of.get("target")
 	if target == "" {
@@ -86,8 +86,8 @@
 	}
 }
 
-// believes reports whether a line says what the instance of an attempt held of its target. Incarnations are
-// compared when both lines have one.
+// isTargetStateFor reports whether a line describes the state of the target of another line, as seen by the same instance. The
+// incarnations must be equal if both lines have one.
 func (ln *line) isTargetStateFor(of *line) bool {
 	if !ln.isTargetState() || ln.instance != of.instance || ln.get("target") != of.get("target") {
 		return false
@@ -96,7 +96,7 @@
 	return a == "" || b == "" || a == b
 }
 
-// config marks where the version that a field of a line names came into force.
+// markConfig selects the line that says when the configuration version in the field key of a line came into force.
 func (cl *collector) markConfig(of *line, earlier []*line, key string) {
 	version := of.get(key)
 	if version == "" {
@@ -111,29 +111,29 @@
 	cl.addMissing(of, "no earlier line about the configuration", field{key: "version", raw: version, value: version})
 }
 
-// miss says that a line was not found, once for each thing that is missing at an instance.
-func (cl *collector) addMissing(of *line, msg string, what field) {
-	for _, made := range cl.synthetic {
-		for _, ln := range made {
-			if ln.instance == of.instance && ln.get("msg") == msg && ln.get(what.key) == what.value {
+// addMissing inserts a line saying that no expected line was found, once for each missing value and instance.
+func (cl *collector) addMissing(of *line, msg string, missing field) {
+	for _, inserted := range cl.synthetic {
+		for _, ln := range inserted {
+			if ln.instance == of.instance && ln.get("msg") == msg && ln.get(missing.key) == missing.value {
 				return
 			}
 		}
 	}
-	ln := &line{instance: of.instance, at: of.at, fields: []field{{key: "msg", raw: msg, value: msg}, what}}
+	ln := &line{instance: of.instance, at: of.at, fields: []field{{key: "msg", raw: msg, value: msg}, missing}}
 	cl.synthetic[of] = append(cl.synthetic[of], entry{line: ln, reason: reasonMissing})
 }
 
-// entries returns the marked lines in order of time.
+// entries returns the selected and inserted lines, sorted by time.
 func (cl *collector) entries() []entry {
 	var es []entry
 	for _, ln := range cl.lines {
-		why := cl.reasons[ln]
-		if why == "" {
+		reason := cl.reasons[ln]
+		if reason == "" {
 			continue
 		}
 		es = append(es, cl.synthetic[ln]...)
-		es = append(es, entry{line: ln, reason: why})
+		es = append(es, entry{line: ln, reason: reason})
 	}
 	return es
 }
--- a/internal/explain/concurrent.go
+++ b/internal/explain/concurrent.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// visit is the time that the request spent at the targets of one attempt.
+// attempt is the time that the request spent at the targets of one attempt.
 type attempt struct {
-	// begin says where the request was sent; end is its next line, nil when there is none.
+	// begin is the line about sending the request; end is the next line of the request, or nil.
 	begin, end *line
-	// targets are the target and those that helped it.
+	// targets are the target and its helpers.
 	targets []string
 }
 
-// visits returns the attempts that the request's own lines tell of.
+// attemptsOf returns the attempts in the lines of a request.
 func attemptsOf(own []*line) []attempt {
-	var vs []attempt
+	var atts []attempt
 	for i, ln := range own {
 		if !ln.isSend() {
 			continue
 		}
-		vi := attempt{begin: ln, targets: ln.targets()}
+		att := attempt{begin: ln, targets: ln.targets()}
 		if i+1 < len(own) {
-			vi.end = own[i+1]
+			att.end = own[i+1]
 		}
-		vs = append(vs, vi)
+		atts = append(atts, att)
 	}
-	return vs
+	return atts
 }
 
-// covers reports whether a time is within the visit or shortly before. A visit whose end is not known explains nothing
-// after its begin.
+// covers reports whether a time is within the attempt or at most concurrentWindow before it. An attempt without a known end covers
+// nothing after its begin.
 func (att attempt) covers(at time.Time) bool {
 	until := att.begin.at
 	if att.end != nil {
@@ -42,12 +42,12 @@
 	return !at.Before(att.begin.at.Add(-concurrentWindow)) && !at.After(until)
 }
 
-// meets reports whether a line is about one of the targets.
+// involves reports whether a line names one of the targets of the attempt.
 func (att attempt) involves(ln *line) bool {
 	return slices.ContainsFunc(ln.targets(), func(id string) bool { return slices.Contains(att.targets, id) })
 }
 
-// targets returns the target that a line names and those that help it.
+// targets returns the target that a line names and its helpers, without duplicates.
 func (ln *line) targets() []string {
 	var ids []string
 	for _, id := range append([]string{ln.get("target")}, strings.Split(ln.get("helpers"), ",")...) {
@@ -58,22 +58,22 @@
 	return ids
 }
 
-// sends reports whether a line tells that a request is sent to a target.
+// isSend reports whether a line says that a request is sent to a target.
 func (ln *line) isSend() bool {
 	return ln.get("target") != "" && ln.get("request") != "" && ln.get("cause") == "" && ln.get("outcome") == ""
 }
 
-// tokens returns the prompt that a line names; zero when it names none.
+// promptTokens returns the prompt length in a line, or zero if it has none.
 func (ln *line) promptTokens() int {
 	n, err := strconv.Atoi(ln.get("prompt_tokens"))
 	if err != nil {
-		// A line without a prompt is of a plain service, or was cut off.
+		// Lines about plain services have no prompt length, and truncated lines may lack it.
 		return 0
 	}
 	return n
 }
 
-// distance is the time between a line and the end of the visit.
+// timeToEnd returns the time from a line to the end of the attempt, or to its begin if it has no known end.
 func (att attempt) timeToEnd(ln *line) time.Duration {
 	if att.end == nil {
 		return att.begin.at.Sub(ln.at)
@@ -81,37 +81,37 @@
 	return att.end.at.Sub(ln.at)
 }
 
-// beside tells what else the targets of an attempt had to do: how many other requests were sent there or failed there,
-// the largest prompts and the nearest failures of them, and what instances came to hold of the targets meanwhile.
-func (cl *collector) markConcurrent(vi attempt) {
-	var sent, failed, beliefs []*line
+// markConcurrent adds the concurrent activity at the targets of an attempt: the number of other requests sent there or failed there,
+// those with the largest prompts, the failures closest to the end of the attempt, and the target states that instances logged.
+func (cl *collector) markConcurrent(att attempt) {
+	var sent, failed, states []*line
 	for _, ln := range cl.lines {
 		switch {
-		case !vi.covers(ln.at) || !vi.involves(ln) || cl.reasons[ln] == reasonRequest:
+		case !att.covers(ln.at) || !att.involves(ln) || cl.reasons[ln] == reasonRequest:
 		case ln.isSend():
 			sent = append(sent, ln)
 		case ln.get("cause") != "" && ln.get("request") != "":
 			failed = append(failed, ln)
 		case ln.get("request") != "":
-			// A request that was served tells nothing against its target.
-		case ln.instance != vi.begin.instance || ln.at.After(vi.begin.at):
-			beliefs = append(beliefs, ln)
+			// A served request does not explain a problem at its target.
+		case ln.instance != att.begin.instance || ln.at.After(att.begin.at):
+			states = append(states, ln)
 		}
 	}
-	cl.addTally(vi, sent, failed)
-	byTime := func(a, b *line) int { return cmp.Compare(vi.timeToEnd(a), vi.timeToEnd(b)) }
+	cl.addTally(att, sent, failed)
+	byTime := func(a, b *line) int { return cmp.Compare(att.timeToEnd(a), att.timeToEnd(b)) }
 	slices.SortStableFunc(sent, func(a, b *line) int { return cmp.Or(cmp.Compare(b.promptTokens(), a.promptTokens()), byTime(a, b)) })
 	slices.SortStableFunc(failed, byTime)
-	slices.SortStableFunc(beliefs, byTime)
-	for _, lns := range [][]*line{sent, failed, beliefs} {
+	slices.SortStableFunc(states, byTime)
+	for _, lns := range [][]*line{sent, failed, states} {
 		for _, ln := range lns[:min(len(lns), maxConcurrent)] {
 			cl.mark(ln, reasonConcurrent)
 		}
 	}
 }
 
-// tally adds a line with the counts of other requests before the line that ends an attempt.
-func (cl *collector) addTally(vi attempt, sent, failed []*line) {
+// addTally inserts a line with the counts of other requests before the line that ends an attempt.
+func (cl *collector) addTally(att attempt, sent, failed []*line) {
 	if len(sent)+len(failed) == 0 {
 		return
 	}
@@ -119,13 +119,13 @@
 	for _, ln := range sent {
 		tokens += ln.promptTokens()
 	}
-	before := vi.end
+	before := att.end
 	if before == nil {
-		before = vi.begin
+		before = att.begin
 	}
-	ln := &line{instance: vi.begin.instance, at: before.at, fields: []field{
+	ln := &line{instance: att.begin.instance, at: before.at, fields: []field{
 		plainField("msg", "other requests at the same targets"),
-		plainField("targets", strings.Join(vi.targets, ",")),
+		plainField("targets", strings.Join(att.targets, ",")),
 		plainField("sent", strconv.Itoa(len(sent))),
 		plainField("prompt_tokens", strconv.Itoa(tokens)),
 		plainField("failed", strconv.Itoa(len(failed))),
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,5 @@
-// Package explain tells from log lines of several instances what happened to one request.
+// Package explain reconstructs from the log lines of several instances what happened to one request, and summarises the outcomes of
+// all requests.
 package explain
 
 import (
@@ -12,46 +13,46 @@
 )
 
 const (
-	// dependencyWindow is how long before a line of the request a lost or regained dependency may explain it.
+	// dependencyWindow is the time before a line of the request within which a lost or regained dependency may explain it.
 	dependencyWindow = 10 * time.Second
-	// maxBeliefs bounds the belief lines given for one attempt: the states a target passes through.
+	// maxTargetStates limits the target state lines per line of the request. It is the number of states that a target passes through.
 	maxTargetStates = 3
-	// besideWindow is how long before an attempt another request may have come to the same target and still explain
-	// what happened there: a little more than the longest pass over a prompt.
+	// concurrentWindow is the time before an attempt within which another request to the same target may still explain what happened
+	// there: slightly more than the longest prefill pass over a prompt.
 	concurrentWindow = 2 * time.Second
-	// maxBeside bounds the lines of each kind given for what else was at the targets of an attempt.
+	// maxConcurrent limits the lines of each kind about concurrent activity at the targets of an attempt.
 	maxConcurrent = 4
 )
 
-// UnknownRequestError says that no line names the request.
+// UnknownRequestError means that no line names the request.
 type UnknownRequestError struct {
-	// ID is the request asked for.
+	// ID is the id of the request.
 	ID string
-	// Lines is how many lines were read.
+	// Lines is the number of lines read.
 	Lines int
 }
 
-// Error names the request.
+// Error includes the id and the number of lines.
 func (ur *UnknownRequestError) Error() string {
 	return "no line of request " + ur.ID + " among " + plural(ur.Lines, "line")
 }
 
-// Account is what the lines tell of one request. It is not changed once Find has returned it.
+// Timeline holds the log lines that concern one request or may explain what happened to it. It is immutable.
 type Timeline struct {
-	// id is the request.
+	// id is the id of the request.
 	id string
-	// entries are in order of time, lines of one instance with the same time in the order read.
+	// entries are sorted by time; lines with equal times are in the order in which they were read.
 	entries []entry
 }
 
-// entry is one line of an account.
+// entry is one line of a timeline.
 type entry struct {
 	*line
-	// why says why the line belongs to the account.
+	// reason says why the line is in the timeline.
 	reason string
 }
 
-// Find reads log lines and returns the account of a request, or an UnknownRequestError.
+// ReadTimeline reads log lines and returns the timeline of a request, or an UnknownRequestError.
 func ReadTimeline(r io.Reader, id string) (Timeline, error) {
 	rd := reader{id: id, last: map[string]time.Time{}}
 	if err := rd.read(r); err != nil {
@@ -66,13 +67,13 @@
 	return Timeline{id: id, entries: cl.entries()}, nil
 }
 
-// reader keeps the lines that may belong to an account and drops the rest as it reads.
+// reader reads log lines and keeps those that may belong to the timeline.
 type reader struct {
 	id    string
 	lines []*line
-	// last is the newest time read of each instance.
+	// last is the time of the last line read from each instance.
 	last map[string]time.Time
-	// count is how many lines were read.
+	// count is the number of lines read.
 	count int
 }
 
@@ -92,7 +93,7 @@
 	}
 }
 
-// take keeps a line when it may be needed. A line without a time follows the last one of its instance.
+// add keeps a line if the timeline may need it. A line without a time gets the time of the previous line of its instance.
 func (rd *reader) add(text string) {
 	rd.count++
 	ln := parseLine(text)
@@ -105,18 +106,18 @@
 	}
 }
 
-// about reports whether a line names the request.
+// mentionsRequest reports whether a line names the request.
 func (rd *reader) mentionsRequest(ln *line) bool { return ln.get("request") == rd.id }
 
-// belief reports whether a line says what an instance holds of a target, and belongs to no request.
+// isTargetState reports whether a line describes the state of a target as seen by an instance, independent of a request.
 func (ln *line) isTargetState() bool { return ln.get("target") != "" && ln.get("request") == "" }
 
-// config reports whether a line says which version of the configuration came into force.
+// isConfig reports whether a line says that a version of the configuration came into force.
 func (ln *line) isConfig() bool {
 	return ln.get("msg") == "configuration in force"
 }
 
-// dependency reports whether a line says that something the instance needs was lost or regained.
+// isDependencyChange reports whether a line says that the instance lost or regained the store, peers or targets.
 func (ln *line) isDependencyChange() bool {
 	switch ln.get("part") {
 	case "store", "peers", "targets":
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -15,34 +15,34 @@
 	"pgregory.net/rapid"
 )
 
-var update = flag.Bool("update", false, "renew the golden files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// TestAccounts compares accounts with the golden files.
+// TestTimelinesMatchGoldenFiles compares printed timelines with the golden files.
 func TestTimelinesMatchGoldenFiles(t *testing.T) {
 	tests := map[string]struct{ file, id string }{
-		"refused though targets were free": {file: "refused", id: "req-7"},
-		"a stream broken off":              {file: "broken", id: "req-8"},
-		"may not be repeated":              {file: "unrepeatable", id: "req-9"},
-		// Lines of played days, trimmed to the account and a sample of the others of the same seconds.
-		"a day: engines were free": {file: "day-refused", id: "8715079fbc637bf1"},
-		"a day: zone cut off":      {file: "day-broken", id: "13a5882fce4b6aef"},
-		"a day: runs once":         {file: "day-unrepeatable", id: "af213770d36a37c5"},
+		"refused although targets were free": {file: "refused", id: "req-7"},
+		"stream broken off":                  {file: "broken", id: "req-8"},
+		"must not be retried":                {file: "unrepeatable", id: "req-9"},
+		// Logs of simulated days, reduced to the lines of the timeline and a sample of the others from the same seconds.
+		"simulated day: engines were free": {file: "day-refused", id: "8715079fbc637bf1"},
+		"simulated day: zone cut off":      {file: "day-broken", id: "13a5882fce4b6aef"},
+		"simulated day: runs once":         {file: "day-unrepeatable", id: "af213770d36a37c5"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			logs, err := os.ReadFile(filepath.Join("testdata", tc.file+".log"))
 			g.Expect(err).NotTo(HaveOccurred())
-			ac, err := ReadTimeline(bytes.NewReader(logs), tc.id)
+			tl, err := ReadTimeline(bytes.NewReader(logs), tc.id)
 			g.Expect(err).NotTo(HaveOccurred())
 			var got bytes.Buffer
-			g.Expect(ac.Print(&got)).To(Succeed())
+			g.Expect(tl.Print(&got)).To(Succeed())
 			golden(g, tc.file, got.Bytes())
 		})
 	}
 }
 
-// golden compares with a golden file, or renews it.
+// golden compares output with a golden file, which it rewrites first if -update is set.
 func golden(g *WithT, name string, got []byte) {
 	file := filepath.Join("testdata", name+".golden")
 	if *update {
@@ -67,49 +67,50 @@
 	g.Expect(err).To(MatchError(os.ErrClosed))
 }
 
-// TestContext checks which lines an account takes beside the request's own. Line a is always expected.
+// TestContextLines checks which lines a timeline contains besides those of the request itself.
 func TestContextLines(t *testing.T) {
 	const attempt = `time=2026-12-01T12:00:20Z instance=i1 msg=a request=r target=t incarnation=2 config=5 key_gone=3`
 	tests := map[string]struct {
 		line string
 		want bool
 	}{
-		"belief":                      {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=t incarnation=2`, want: true},
-		"belief without incarnation":  {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=t`, want: true},
-		"belief of the same time":     {line: `time=2026-12-01T12:00:20Z instance=i1 part=targets msg=b target=t`, want: true},
-		"belief later":                {line: `time=2026-12-01T12:00:21Z instance=i1 part=targets msg=b target=t`},
-		"another incarnation":         {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=t incarnation=1`},
-		"another target":              {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=u incarnation=2`},
-		"another instance":            {line: `time=2026-12-01T12:00:01Z instance=i2 part=targets msg=b target=t incarnation=2`},
-		"another request":             {line: `time=2026-12-01T12:00:01Z instance=i1 msg=b request=s target=t incarnation=2`},
-		"configuration":               {line: `time=2026-12-01T12:00:01Z instance=i1 part=routes msg="configuration in force" version=5`, want: true},
-		"another version":             {line: `time=2026-12-01T12:00:01Z instance=i1 part=routes msg="configuration in force" version=4`},
-		"configuration elsewhere":     {line: `time=2026-12-01T12:00:01Z instance=i2 part=routes msg="configuration in force" version=5`},
-		"lost store in the window":    {line: `time=2026-12-01T12:00:10Z instance=i1 part=store msg="lost store"`, want: true},
-		"regained peer in the window": {line: `time=2026-12-01T12:00:12Z instance=i1 part=peers msg="regained peer"`, want: true},
-		"lost store before it":        {line: `time=2026-12-01T12:00:09.9Z instance=i1 part=store msg="lost store"`},
-		"lost store elsewhere":        {line: `time=2026-12-01T12:00:10Z instance=i2 part=store msg="lost store"`},
-		"lost store later":            {line: `time=2026-12-01T12:00:21Z instance=i1 part=store msg="lost store"`},
-		"store, other message":        {line: `time=2026-12-01T12:00:10Z instance=i1 part=store msg="slow store"`},
-		"key gone":                    {line: `time=2026-12-01T12:00:01Z instance=i1 part=facts msg="configuration in force" version=3`, want: true},
-		"other part":                  {line: `time=2026-12-01T12:00:10Z instance=i1 part=gateway msg="lost caller"`},
+		"target state":                       {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=t incarnation=2`, want: true},
+		"target state without incarnation":   {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=t`, want: true},
+		"target state at the same time":      {line: `time=2026-12-01T12:00:20Z instance=i1 part=targets msg=b target=t`, want: true},
+		"later target state":                 {line: `time=2026-12-01T12:00:21Z instance=i1 part=targets msg=b target=t`},
+		"another incarnation":                {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=t incarnation=1`},
+		"another target":                     {line: `time=2026-12-01T12:00:01Z instance=i1 part=targets msg=b target=u incarnation=2`},
+		"another instance":                   {line: `time=2026-12-01T12:00:01Z instance=i2 part=targets msg=b target=t incarnation=2`},
+		"another request":                    {line: `time=2026-12-01T12:00:01Z instance=i1 msg=b request=s target=t incarnation=2`},
+		"configuration":                      {line: `time=2026-12-01T12:00:01Z instance=i1 part=routes msg="configuration in force" version=5`, want: true},
+		"another version":                    {line: `time=2026-12-01T12:00:01Z instance=i1 part=routes msg="configuration in force" version=4`},
+		"configuration of another instance":  {line: `time=2026-12-01T12:00:01Z instance=i2 part=routes msg="configuration in force" version=5`},
+		"lost store within the window":       {line: `time=2026-12-01T12:00:10Z instance=i1 part=store msg="lost store"`, want: true},
+		"regained peer within the window":    {line: `time=2026-12-01T12:00:12Z instance=i1 part=peers msg="regained peer"`, want: true},
+		"lost store before the window":       {line: `time=2026-12-01T12:00:09.9Z instance=i1 part=store msg="lost store"`},
+		"lost store of another instance":     {line: `time=2026-12-01T12:00:10Z instance=i2 part=store msg="lost store"`},
+		"later lost store":                   {line: `time=2026-12-01T12:00:21Z instance=i1 part=store msg="lost store"`},
+		"other message about the store":      {line: `time=2026-12-01T12:00:10Z instance=i1 part=store msg="slow store"`},
+		"configuration that removed the key": {line: `time=2026-12-01T12:00:01Z instance=i1 part=facts msg="configuration in force" version=3`, want: true},
+		"lost message of another part":       {line: `time=2026-12-01T12:00:10Z instance=i1 part=gateway msg="lost caller"`},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			ac, err := ReadTimeline(strings.NewReader(tc.line+"\n"+attempt), "r")
+			tl, err := ReadTimeline(strings.NewReader(tc.line+"\n"+attempt), "r")
 			g.Expect(err).NotTo(HaveOccurred())
 			want := parseLine(tc.line)
-			taken := false
-			for _, en := range ac.entries {
-				taken = taken || en.reason != reasonMissing && en.get("msg") == want.get("msg")
+			included := false
+			for _, en := range tl.entries {
+				included = included || en.reason != reasonMissing && en.get("msg") == want.get("msg")
 			}
-			g.Expect(taken).To(Equal(tc.want))
+			g.Expect(included).To(Equal(tc.want))
 		})
 	}
 }
 
-// TestBeliefsAreBounded gives many beliefs: the newest line of each of the newest messages is taken.
+// TestTargetStatesAreBounded has many lines about the state of a target: the timeline takes the newest line of each of the newest
+// messages.
 func TestTargetStatesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	var sb strings.Builder
@@ -118,14 +119,14 @@
 		sb.WriteString("time=" + at.Add(time.Duration(i)*time.Second).Format(time.RFC3339) + " msg=" + string("abcde"[i%5]) + " target=t\n")
 	}
 	sb.WriteString("time=" + at.Add(time.Hour).Format(time.RFC3339) + " msg=z target=t request=r\n")
-	ac, err := ReadTimeline(strings.NewReader(sb.String()), "r")
+	tl, err := ReadTimeline(strings.NewReader(sb.String()), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	var msgs string
-	for _, en := range ac.entries {
+	for _, en := range tl.entries {
 		msgs += en.get("msg")
 	}
 	g.Expect(msgs).To(Equal("cdez"))
-	g.Expect(ac.entries[0].at).To(Equal(at.Add(17 * time.Second)))
+	g.Expect(tl.entries[0].at).To(Equal(at.Add(17 * time.Second)))
 }
 
 func TestParseLine(t *testing.T) {
@@ -134,16 +135,16 @@
 		instance string
 		want     map[string]string
 	}{
-		"plain":                {text: `a=1 b=two`, want: map[string]string{"a": "1", "b": "two"}},
-		"quotes":               {text: `a="x \"y\" = z\n" b=2`, want: map[string]string{"a": "x \"y\" = z\n", "b": "2"}},
-		"empty values":         {text: `a= b="" c=3`, want: map[string]string{"a": "", "b": "", "c": "3"}},
-		"prefix":               {text: `edge-1 12.345 | a=1`, instance: "edge-1", want: map[string]string{"a": "1"}},
-		"prefix in brackets":   {text: `[edge-1] a=1`, instance: "edge-1", want: map[string]string{"a": "1"}},
-		"field before prefix":  {text: `edge-1 | instance=edge-2`, instance: "edge-2", want: map[string]string{}},
-		"word after a pair":    {text: `a=1 word b=2`, want: map[string]string{"a": "1", "b": "2"}},
-		"cut off in a quote":   {text: `a=1 b="half a li`, want: map[string]string{"a": "1", "b": "half a li"}},
-		"cut off at an escape": {text: `a=1 b="half\`, want: map[string]string{"a": "1", "b": `half\`}},
-		"nothing":              {text: "  \n", want: map[string]string{}},
+		"plain":                  {text: `a=1 b=two`, want: map[string]string{"a": "1", "b": "two"}},
+		"quotes":                 {text: `a="x \"y\" = z\n" b=2`, want: map[string]string{"a": "x \"y\" = z\n", "b": "2"}},
+		"empty values":           {text: `a= b="" c=3`, want: map[string]string{"a": "", "b": "", "c": "3"}},
+		"prefix":                 {text: `edge-1 12.345 | a=1`, instance: "edge-1", want: map[string]string{"a": "1"}},
+		"prefix in brackets":     {text: `[edge-1] a=1`, instance: "edge-1", want: map[string]string{"a": "1"}},
+		"field before prefix":    {text: `edge-1 | instance=edge-2`, instance: "edge-2", want: map[string]string{}},
+		"word after a field":     {text: `a=1 word b=2`, want: map[string]string{"a": "1", "b": "2"}},
+		"truncated in a quote":   {text: `a=1 b="half a li`, want: map[string]string{"a": "1", "b": "half a li"}},
+		"truncated at an escape": {text: `a=1 b="half\`, want: map[string]string{"a": "1", "b": `half\`}},
+		"blank":                  {text: "  \n", want: map[string]string{}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -157,46 +158,46 @@
 	}
 }
 
-// TestParseAnything feeds arbitrary text: parsing ends and does not panic.
+// TestParseLineNeverPanics parses arbitrary text: parsing must terminate without a panic.
 func TestParseLineNeverPanics(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		parseLine(rapid.StringOf(rapid.RuneFrom([]rune(`ab= "\|`))).Draw(t, "text"))
 	})
 }
 
-// TestLineWithoutTime keeps such a line behind the one before it of its instance.
+// TestLineWithoutTimeFollowsPreviousLine checks that a line without a time is placed after the previous line of its instance.
 func TestLineWithoutTimeFollowsPreviousLine(t *testing.T) {
 	g := NewWithT(t)
 	logs := "i1 | time=2026-12-01T12:00:05Z msg=a request=r\ni1 | msg=b request=r\ni2 | time=2026-12-01T12:00:04Z msg=c request=r\n"
-	ac, err := ReadTimeline(strings.NewReader(logs), "r")
+	tl, err := ReadTimeline(strings.NewReader(logs), "r")
 	g.Expect(err).NotTo(HaveOccurred())
 	var msgs string
-	for _, en := range ac.entries {
+	for _, en := range tl.entries {
 		msgs += en.get("msg")
 	}
 	g.Expect(msgs).To(Equal("cab"))
 }
 
-// TestMissingOnce says once that no line tells of a target or a configuration.
+// TestMissingLineIsReportedOnce checks that a missing target state or configuration is reported once for several attempts.
 func TestMissingLineIsReportedOnce(t *testing.T) {
 	g := NewWithT(t)
 	const attempt = "time=2026-12-01T12:00:05Z instance=i1 msg=a request=r target=t config=5\n"
-	ac, err := ReadTimeline(strings.NewReader(attempt+attempt), "r")
+	tl, err := ReadTimeline(strings.NewReader(attempt+attempt), "r")
 	g.Expect(err).NotTo(HaveOccurred())
-	var whys []string
-	for _, en := range ac.entries {
-		whys = append(whys, en.reason)
+	var reasons []string
+	for _, en := range tl.entries {
+		reasons = append(reasons, en.reason)
 	}
-	g.Expect(whys).To(Equal([]string{reasonMissing, reasonMissing, reasonRequest, reasonRequest}))
+	g.Expect(reasons).To(Equal([]string{reasonMissing, reasonMissing, reasonRequest, reasonRequest}))
 }
 
-// TestOwnLineStaysOwn keeps the reason of a request's own line that is also a lost dependency.
+// TestRequestLineKeepsItsReason has a line of the request that is also about a lost dependency: its reason stays the request.
 func TestRequestLineKeepsItsReason(t *testing.T) {
 	g := NewWithT(t)
 	logs := "time=2026-12-01T12:00:05Z instance=i1 part=targets msg=\"lost target\" request=r\n" +
 		"time=2026-12-01T12:00:06Z instance=i1 part=gateway msg=\"request failed\" request=r\n"
-	ac, err := ReadTimeline(strings.NewReader(logs), "r")
+	tl, err := ReadTimeline(strings.NewReader(logs), "r")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(ac.entries).To(HaveLen(2))
-	g.Expect(ac.entries[0].reason).To(Equal(reasonRequest))
+	g.Expect(tl.entries).To(HaveLen(2))
+	g.Expect(tl.entries[0].reason).To(Equal(reasonRequest))
 }
--- a/internal/explain/line.go
+++ b/internal/explain/line.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// field is one key with its value.
+// field is a key and its value.
 type field struct {
 	key string
-	// raw is the value as it stands in the line, quotes included.
+	// raw is the value as written in the line, including quotes.
 	raw string
 	// value is the value without quotes and escapes.
 	value string
@@ -17,15 +17,15 @@
 
 // line is one log line of an instance.
 type line struct {
-	// instance is empty when neither a field nor a prefix names it.
+	// instance is empty if neither a field nor a prefix names it.
 	instance string
-	// at is the instance's own clock; zero when the line has none.
+	// at is the time by the clock of the instance; zero if the line has none.
 	at time.Time
 	// fields are in the order of the line.
 	fields []field
 }
 
-// get returns the value of a key, or nothing.
+// get returns the value of a key, or an empty string.
 func (ln *line) get(key string) string {
 	for i := range ln.fields {
 		if ln.fields[i].key == key {
@@ -35,8 +35,8 @@
 	return ""
 }
 
-// parse reads a logfmt line. It never fails, since a process that is killed leaves half a line: what has no key is
-// passed over, and a quote that is not closed reaches to the end.
+// parseLine parses a logfmt line. It never fails, because a killed process may leave a truncated line: words without a key are
+// skipped, and an unclosed quote extends to the end of the line. A word before the first field is a prefix that names the instance.
 func parseLine(text string) line {
 	var ln line
 	prefix := ""
@@ -55,12 +55,12 @@
 	if ln.instance == "" {
 		ln.instance = prefix
 	}
-	// A time that cannot be read stays zero, and the reader puts the line after the one before it.
+	// A time that cannot be parsed stays zero, and reader.add places the line after the previous one of its instance.
 	ln.at, _ = time.Parse(time.RFC3339Nano, ln.get("time"))
 	return ln
 }
 
-// next cuts the first word or pair from a text that starts with neither a space nor nothing.
+// nextField cuts the first word or key=value pair from a text. The text must not be empty or start with a space.
 func nextField(text string) (fd field, rest string) {
 	end := strings.IndexAny(text, " \t=")
 	switch {
@@ -83,7 +83,7 @@
 
 func trimLeft(text string) string { return strings.TrimLeft(text, " \t") }
 
-// closing returns where a quoted value ends.
+// quotedEnd returns the index after the closing quote of a quoted value, or the length of the text if there is none.
 func quotedEnd(text string) int {
 	for i := 1; i < len(text); i++ {
 		switch text[i] {
@@ -96,7 +96,7 @@
 	return len(text)
 }
 
-// unquote returns a quoted value without quotes, and any other as it is.
+// unquote returns a value without its quotes and escapes. A value with an unclosed quote loses only its quotes.
 func unquote(raw string) string {
 	if s, err := strconv.Unquote(raw); err == nil && raw[0] == '"' {
 		return s
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -15,39 +15,40 @@
 )
 
 const (
-	// spanOfLosses is the width of the rows over time: about the time of an answer.
+	// bucketWidth is the time covered by one row of the table over time: about the duration of an answer.
 	bucketWidth = 2 * time.Second
-	// heldShare is the share of the time to the first event from which a late answer counts as held before it was sent.
-	minHeldShare = 0.5
-	// inTime is what becomes of a request that loses nothing.
-	outcomeInTime = "in time"
+	// minTimeToSendShare is the share of the time to the first event that a request must have spent before it was first sent for a late
+	// answer to be attributed to that wait.
+	minTimeToSendShare = 0.5
+	// resultInTime is the result of a request that was answered in time.
+	resultInTime = "in time"
 )
 
-// Losses is what became of all requests that log lines tell of. It is not changed once Sum has returned it.
+// LossSummary counts the requests that ended in the log lines by their outcomes. It is immutable.
 type LossSummary struct {
-	// fates counts by route and by what became of the request.
+	// outcomes counts requests by route and result.
 	outcomes map[outcome]int
-	// spans counts by the span in which the request came, since the first one.
+	// buckets counts requests by time of arrival. The key is the number of bucketWidths since summariser.origin.
 	buckets map[int]bucket
 }
 
-// fate is what became of the requests of a route.
+// outcome is a route and the result of a request on it, as printed.
 type outcome struct{ route, result string }
 
-// span is what became of the requests of some seconds.
+// bucket counts the requests that arrived within one bucketWidth.
 type bucket struct {
-	// all is at least inTime.
-	all, inTime int
+	// total includes inTime.
+	total, inTime int
 }
 
-// course is what is known so far of one request.
+// progress is what is known about a request that has not ended.
 type progress struct {
-	// held is how long it was held before it was first sent; sent is set once it was.
+	// timeToSend is the time from arrival until the request was first sent. It is valid if sent is set.
 	timeToSend time.Duration
 	sent       bool
 }
 
-// Sum reads log lines and returns what became of the requests that ended in them.
+// SummariseLosses reads log lines and counts the outcomes of the requests that ended in them.
 func SummariseLosses(r io.Reader) (LossSummary, error) {
 	sm := summariser{
 		losses:   LossSummary{outcomes: map[outcome]int{}, buckets: map[int]bucket{}},
@@ -69,12 +70,13 @@
 	}
 }
 
-// summer sums while it reads.
+// summariser counts outcomes while lines are read.
 type summariser struct {
 	losses   LossSummary
 	inFlight map[string]progress
-	// began is when the first request came; zero before.
-	firstArrival time.Time
+	// origin is the time of arrival of the first request that ended, and the start of the first bucket. Earlier arrivals also count in
+	// the first bucket. It is zero before the first request ends.
+	origin time.Time
 }
 
 func (sm *summariser) add(ln *line) {
@@ -84,7 +86,7 @@
 	case ln.get("msg") == "request sent":
 		sm.recordSent(id, ln)
 	case ln.get("msg") == "request served":
-		sm.recordEnd(id, ln, servedOutcome(ln, sm.inFlight[id]))
+		sm.recordEnd(id, ln, servedResult(ln, sm.inFlight[id]))
 	case ln.get("msg") == "request refused":
 		sm.recordEnd(id, ln, "refused: "+ln.get("reason"))
 	case ln.get("msg") == "request failed":
@@ -98,42 +100,42 @@
 	}
 }
 
-// end counts a request under what became of it.
-func (sm *summariser) recordEnd(id string, ln *line, what string) {
+// recordEnd counts a request under its result.
+func (sm *summariser) recordEnd(id string, ln *line, result string) {
 	delete(sm.inFlight, id)
-	sm.losses.outcomes[outcome{route: orDash(ln.get("route")), result: what}]++
-	came := ln.at.Add(-ln.duration("elapsed"))
-	if sm.firstArrival.IsZero() || came.Before(sm.firstArrival) && len(sm.losses.buckets) == 0 {
-		sm.firstArrival = came
+	sm.losses.outcomes[outcome{route: orDash(ln.get("route")), result: result}]++
+	arrival := ln.at.Add(-ln.duration("elapsed"))
+	if sm.origin.IsZero() || arrival.Before(sm.origin) && len(sm.losses.buckets) == 0 {
+		sm.origin = arrival
 	}
-	no := int(max(0, came.Sub(sm.firstArrival)) / bucketWidth)
-	sp := sm.losses.buckets[no]
-	sp.all++
-	if what == outcomeInTime {
-		sp.inTime++
+	index := int(max(0, arrival.Sub(sm.origin)) / bucketWidth)
+	bk := sm.losses.buckets[index]
+	bk.total++
+	if result == resultInTime {
+		bk.inTime++
 	}
-	sm.losses.buckets[no] = sp
+	sm.losses.buckets[index] = bk
 }
 
-// servedFate says whether an answer was in time, and what made it late.
-func servedOutcome(ln *line, cu progress) string {
-	first := ln.duration("first")
+// servedResult returns the result of a served request: in time, or the cause of its lateness.
+func servedResult(ln *line, pr progress) string {
+	timeToFirst := ln.duration("first")
 	attempts, err := strconv.Atoi(ln.get("attempts"))
 	switch {
 	case ln.get("in_time") == "true":
-		return outcomeInTime
+		return resultInTime
 	case err == nil && attempts > 1:
 		return "late: asked elsewhere"
 	case ln.get("late_by") == "pause":
 		return "late: pause"
-	case cu.sent && float64(cu.timeToSend) >= minHeldShare*float64(first):
+	case pr.sent && float64(pr.timeToSend) >= minTimeToSendShare*float64(timeToFirst):
 		return "late: held before it was sent"
 	default:
 		return "late: first event"
 	}
 }
 
-// span returns a duration that a line tells; zero when it tells none.
+// duration returns the duration in a field of a line, or zero if it has none.
 func (ln *line) duration(key string) time.Duration {
 	d, err := time.ParseDuration(ln.get(key))
 	if err != nil {
@@ -142,25 +144,25 @@
 	return d
 }
 
-// Print writes two tables: by route and by time.
+// Print writes two tables: outcomes by route and requests by time of arrival.
 func (ls LossSummary) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "ROUTE\tWHAT BECAME OF THEM\tREQUESTS\tSHARE")
-	all := map[string]int{}
-	for fa, n := range ls.outcomes {
-		all[fa.route] += n
+	routeTotals := map[string]int{}
+	for oc, n := range ls.outcomes {
+		routeTotals[oc.route] += n
 	}
-	for _, fa := range slices.SortedFunc(maps.Keys(ls.outcomes), outcome.compare) {
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", fa.route, fa.result, ls.outcomes[fa], float64(ls.outcomes[fa])/float64(all[fa.route]))
+	for _, oc := range slices.SortedFunc(maps.Keys(ls.outcomes), outcome.compare) {
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", oc.route, oc.result, ls.outcomes[oc], float64(ls.outcomes[oc])/float64(routeTotals[oc.route]))
 	}
 	fmt.Fprintln(tw, "\nFROM\tREQUESTS\tIN TIME\t")
-	for _, no := range slices.Sorted(maps.Keys(ls.buckets)) {
-		sp := ls.buckets[no]
-		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", time.Duration(no)*bucketWidth, sp.all, sp.inTime)
+	for _, index := range slices.Sorted(maps.Keys(ls.buckets)) {
+		bk := ls.buckets[index]
+		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", time.Duration(index)*bucketWidth, bk.total, bk.inTime)
 	}
 	return errors.Wrap(tw.Flush(), "print losses")
 }
 
-func (oc outcome) compare(ot outcome) int {
-	return cmp.Or(cmp.Compare(oc.route, ot.route), cmp.Compare(oc.result, ot.result))
+func (oc outcome) compare(other outcome) int {
+	return cmp.Or(cmp.Compare(oc.route, other.route), cmp.Compare(oc.result, other.result))
 }
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-// timeLayout has a fixed width, so that the columns of an account stay in line.
+// timeLayout has a fixed width, so that the columns stay aligned.
 const timeLayout = "2006-01-02T15:04:05.000000Z07:00"
 
-// Print writes the account as a table.
+// Print writes a summary line and the log lines as a table.
 func (tl Timeline) Print(w io.Writer) error {
 	if _, err := io.WriteString(w, tl.summary()); err != nil {
 		return errors.Wrap(err, "print account")
@@ -26,7 +26,7 @@
 	return errors.Wrap(tw.Flush(), "print account")
 }
 
-// summary counts the request's own lines and says how long they lasted.
+// summary returns the number of lines of the request itself, the number of instances that wrote them and their time span.
 func (tl Timeline) summary() string {
 	var own []entry
 	instances := map[string]bool{}
@@ -44,7 +44,7 @@
 	return s + "\n"
 }
 
-// row returns the columns of a line.
+// row returns the table row of a line.
 func (en entry) row() string {
 	at := "-"
 	if !en.at.IsZero() {
@@ -54,7 +54,7 @@
 	return strings.Join(cells, "\t")
 }
 
-// event returns the message and the fields that have no column.
+// event returns the message and the fields that have no column of their own.
 func (en entry) event() string {
 	words := []string{en.get("msg")}
 	if level := en.get("level"); level != "" && level != "info" {
@@ -81,7 +81,7 @@
 	return s
 }
 
-// plural returns a count with its noun.
+// plural returns a count with its noun in the singular or plural.
 func plural(n int, noun string) string {
 	if n == 1 {
 		return "1 " + noun
--- a/internal/explain/roundtrip_test.go
+++ b/internal/explain/roundtrip_test.go
@@ -12,7 +12,7 @@
 	"github.com/silvermount/silvermount/internal/eventlog"
 )
 
-// TestReadsWhatIsWritten formats any message and value with eventlog and parses the line.
+// TestParseLineReadsEventlogOutput formats arbitrary messages and values with eventlog and parses the resulting lines.
 func TestParseLineReadsEventlogOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := NewWithT(t)
