--- a/internal/config/changed.go
+++ b/internal/config/changed.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// Changed returns the JSON paths whose values differ between two settings, sorted.
+// Changed returns the sorted JSON paths whose values differ between two settings. For a section that only one of them has, it returns
+// the path of the section.
 func Changed(before, after Settings) []string {
 	var paths []string
 	diffTrees("", jsonTree(before), jsonTree(after), &paths)
@@ -14,11 +15,11 @@
 	return paths
 }
 
-// tree returns settings as JSON objects.
+// jsonTree returns settings as a tree of decoded JSON values.
 func jsonTree(s Settings) any {
 	b, err := json.Marshal(s)
 	if err != nil {
-		// Settings hold nothing that JSON lacks.
+		// Cannot happen: all types in Settings can be encoded as JSON.
 		return nil
 	}
 	var v any
@@ -30,28 +31,28 @@
 }
 
 func diffTrees(path string, before, after any, paths *[]string) {
-	bm, bok := before.(map[string]any)
-	am, aok := after.(map[string]any)
-	if !bok || !aok {
+	beforeObject, beforeOK := before.(map[string]any)
+	afterObject, afterOK := after.(map[string]any)
+	if !beforeOK || !afterOK {
 		if !equalJSON(before, after) {
 			*paths = append(*paths, path)
 		}
 		return
 	}
-	for name := range bm {
-		diffTrees(joinPath(path, name), bm[name], am[name], paths)
+	for name := range beforeObject {
+		diffTrees(joinPath(path, name), beforeObject[name], afterObject[name], paths)
 	}
-	for name := range am {
-		if _, both := bm[name]; !both {
+	for name := range afterObject {
+		if _, both := beforeObject[name]; !both {
 			*paths = append(*paths, joinPath(path, name))
 		}
 	}
 }
 
 func equalJSON(a, b any) bool {
-	ab, aerr := json.Marshal(a)
-	bb, berr := json.Marshal(b)
-	return aerr == nil && berr == nil && bytes.Equal(ab, bb)
+	aJSON, aErr := json.Marshal(a)
+	bJSON, bErr := json.Marshal(b)
+	return aErr == nil && bErr == nil && bytes.Equal(aJSON, bJSON)
 }
 
 func joinPath(path, name string) string {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// lines returns the faults as they are printed.
+// messages returns the error text of each fault.
 func messages(fs Faults) []string {
 	out := make([]string, len(fs))
 	for i, ft := range fs {
@@ -28,15 +28,15 @@
 		in   string
 		want []string
 	}{
-		"good":           {in: `{"instance":"a1","stop":{"drain":"5s"}}`},
-		"good gateway":   {in: `{"instance":"a1","gateway":{"seeds":["10.0.0.1:1"],"retry_share":0.5,"grace":"8s"}}`},
-		"null":           {in: `{"instance":null,"stop":null,"gateway":null,"peers":{"seeds":[null]}}`},
-		"case of a name": {in: `{"Instance":"a1"}`},
-		"unknown field":  {in: `{"instant":"a1"}`, want: []string{"instant: " + unknown + "instance"}},
+		"valid":                {in: `{"instance":"a1","stop":{"drain":"5s"}}`},
+		"valid gateway":        {in: `{"instance":"a1","gateway":{"seeds":["10.0.0.1:1"],"retry_share":0.5,"grace":"8s"}}`},
+		"null":                 {in: `{"instance":null,"stop":null,"gateway":null,"peers":{"seeds":[null]}}`},
+		"name in another case": {in: `{"Instance":"a1"}`},
+		"unknown field":        {in: `{"instant":"a1"}`, want: []string{"instant: " + unknown + "instance"}},
 		"unknown in a section": {
 			in: `{"stop":{"drian":"5s"}}`, want: []string{"stop.drian: " + unknown + "stop.drain"},
 		},
-		"unknown, known further in": {
+		"unknown, known in a section": {
 			in: `{"max_body_bytes":5}`, want: []string{"max_body_bytes: " + unknown + "callers.max_body_bytes"},
 		},
 		"unknown in the gateway": {
@@ -61,24 +61,24 @@
 			in:   `{"callers":{"max_body_bytes":9223372036854775808},"routing":{"long_share":1e999}}`,
 			want: []string{`callers.max_body_bytes: found "9223372036854775808", want a whole number of 64 bits`, `routing.long_share: found "1e999", want a number`},
 		},
-		"a secret is not shown": {
+		"secret is not shown": {
 			in: `{"operators":{"key":1234567890}}`, want: []string{`operators.key: found "a number", want a string`},
 		},
 		"entry of a list": {
 			in: `{"peers":{"seeds":["a",1,{}]}}`, want: []string{`peers.seeds[1]: found "a number", want a string`, `peers.seeds[2]: found "an object", want a string`},
 		},
-		"no list":    {in: `{"gateway":{"seeds":"a"}}`, want: []string{`gateway.seeds: found "a string", want a list`}},
-		"no section": {in: `{"gateway":true}`, want: []string{`gateway: found "true or false", want an object`}},
-		"no object":  {in: `[]`, want: []string{`(document): found "a list", want an object`}},
-		"no JSON": {
+		"not a list":    {in: `{"gateway":{"seeds":"a"}}`, want: []string{`gateway.seeds: found "a string", want a list`}},
+		"not a section": {in: `{"gateway":true}`, want: []string{`gateway: found "true or false", want an object`}},
+		"not an object": {in: `[]`, want: []string{`(document): found "a list", want an object`}},
+		"not JSON": {
 			in: "{\n \"stop\": {]", want: []string{`(document): found "invalid character ']' looking for beginning of object key string, at line 2, column 11"` + document},
 		},
 		"empty":     {in: " ", want: []string{`(document): found "EOF"` + document}},
-		"cut short": {in: `{"stop":{`, want: []string{`(document): found "unexpected EOF"` + document}},
-		"more after the end": {
+		"truncated": {in: `{"stop":{`, want: []string{`(document): found "unexpected EOF"` + document}},
+		"trailing data": {
 			in: "{}\n}", want: []string{`(document): found "more after the settings, at line 2, column 1"` + document},
 		},
-		"all at once": {
+		"several faults": {
 			in: `{"stop":{"drain":"soon","lag":1},"zone":"a","routing":{"policy":7}}`,
 			want: []string{
 				`routing.policy: found "a number", want a string`,
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestParseOfOneNameTwice has a fault in the first of two fields with one name: the decoder reads both.
+// TestParseFindsFaultInDuplicateField has a fault in the first of two fields with the same name. The tree contains only the second, so
+// that only the strict decoder finds the fault.
 func TestParseFindsFaultInDuplicateField(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Parse([]byte(`{"stop":{"drian":"5s"},"stop":{"drain":"5s"}}`))
@@ -127,7 +128,7 @@
 	g.Expect(s.Role()).To(Equal(RoleGateway))
 }
 
-// TestParseAgreesWithTheDecoder compares what is refused with what the strict decoder refuses.
+// TestParseAgreesWithStrictDecoder checks that Parse refuses exactly the documents that the strict JSON decoder refuses.
 func TestParseAgreesWithStrictDecoder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
@@ -136,9 +137,9 @@
 		var want Settings
 		dec := json.NewDecoder(bytes.NewReader(b))
 		dec.DisallowUnknownFields()
-		refused := dec.Decode(&want)
+		decodeErr := dec.Decode(&want)
 		s, err := Parse(b)
-		if refused != nil {
+		if decodeErr != nil {
 			g.Expect(err).To(BeAssignableToTypeOf(Faults{}), string(b))
 			return
 		}
@@ -147,7 +148,7 @@
 	})
 }
 
-// document draws a value that mostly fits the type; at times a part is of another type or a name is not known.
+// drawDocument draws a value that mostly fits the type. Some parts are of another type, and some names are unknown.
 func drawDocument(rt *rapid.T, t reflect.Type) any {
 	if rapid.IntRange(0, 19).Draw(rt, "odd") == 0 {
 		return rapid.SampledFrom([]any{nil, true, "x", "3s", 1.5, -2, 1e300, []any{}, map[string]any{}, map[string]any{"x": 1}}).Draw(rt, "value")
@@ -175,7 +176,7 @@
 	return object
 }
 
-// TestEveryFieldHasAName checks what the reader relies on: it knows fields by their JSON names only.
+// TestEveryFieldHasAJSONName checks an assumption of the validator, which finds fields by their JSON names only.
 func TestEveryFieldHasAJSONName(t *testing.T) {
 	g := NewWithT(t)
 	var walk func(t reflect.Type)
@@ -203,9 +204,9 @@
 		"equal":        {"drain", "drain", 0},
 		"empty":        {"", "drain", 5},
 		"one replaced": {"drain", "drawn", 1},
-		"one left out": {"stor", "store", 1},
+		"one missing":  {"stor", "store", 1},
 		"swapped":      {"drian", "drain", 2},
-		"unlike":       {"abc", "xyz", 3},
+		"different":    {"abc", "xyz", 3},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -219,23 +220,23 @@
 func TestFaultsMerge(t *testing.T) {
 	tests := map[string]struct {
 		found, later string
-		kept         bool
+		wantLater    bool
 	}{
-		"another path":         {found: "stop.drain", later: "stop.balancer_lag", kept: true},
-		"same path":            {found: "stop.drain", later: "stop.drain"},
-		"in the section":       {found: "peers", later: "peers.lost"},
-		"entry of the list":    {found: "gateway.seeds", later: "gateway.seeds[0]"},
-		"another entry":        {found: "gateway.seeds[1]", later: "gateway.seeds[0]", kept: true},
-		"name that starts so":  {found: "peers", later: "peers_lost", kept: true},
-		"section of the fault": {found: "peers.lost", later: "peers", kept: true},
-		"whole document":       {found: documentPath, later: "instance"},
+		"another path":                    {found: "stop.drain", later: "stop.balancer_lag", wantLater: true},
+		"same path":                       {found: "stop.drain", later: "stop.drain"},
+		"within the section":              {found: "peers", later: "peers.lost"},
+		"entry of the list":               {found: "gateway.seeds", later: "gateway.seeds[0]"},
+		"another entry":                   {found: "gateway.seeds[1]", later: "gateway.seeds[0]", wantLater: true},
+		"path with the same prefix":       {found: "peers", later: "peers_lost", wantLater: true},
+		"section that contains the fault": {found: "peers.lost", later: "peers", wantLater: true},
+		"whole document":                  {found: documentPath, later: "instance"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			found, later := Faults{{Path: tc.found, Want: "x"}}, Faults{{Path: tc.later, Want: "y"}}
 			want := found
-			if tc.kept {
+			if tc.wantLater {
 				want = Faults{found[0], later[0]}
 			}
 			g.Expect(found.Merge(later)).To(Equal(want))
@@ -245,7 +246,7 @@
 	}
 }
 
-// TestSchema compares the schema with the fields of the settings, and what it requires with what has no default.
+// TestSchema checks that the schema lists all fields of the settings, and requires those that have no default.
 func TestSchema(t *testing.T) {
 	type object struct {
 		Properties map[string]any `json:"properties"`
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -8,13 +8,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// jsonSpace is what JSON takes for white space.
+// jsonWhitespace holds the characters that JSON treats as white space.
 const jsonWhitespace = " \t\r\n"
 
-// wantDocument is what is wanted of a document that is not JSON or not an object.
+// wantDocument is the Want of faults that concern the whole document.
 const wantDocument = "settings as `silvermount schema` prints them"
 
-// decodeTree returns the only value of a JSON document. Numbers are kept as they are written.
+// decodeTree decodes a JSON document, which must contain exactly one value. Numbers are kept as written.
 func decodeTree(b []byte) (any, Faults) {
 	var v any
 	dec := json.NewDecoder(bytes.NewReader(b))
@@ -22,14 +22,14 @@
 	if err := dec.Decode(&v); err != nil {
 		return nil, Faults{decodeFault(b, err)}
 	}
-	if left := bytes.TrimLeft(b[dec.InputOffset():], jsonWhitespace); len(left) > 0 {
-		at := position(b, int64(len(b)-len(left)+1))
+	if trailing := bytes.TrimLeft(b[dec.InputOffset():], jsonWhitespace); len(trailing) > 0 {
+		at := position(b, int64(len(b)-len(trailing)+1))
 		return nil, Faults{{Path: documentPath, Value: "more after the settings, at " + at, Want: wantDocument}}
 	}
 	return v, nil
 }
 
-// decodeFault returns the fault of a whole document that does not decode.
+// decodeFault returns the fault for a document that cannot be decoded.
 func decodeFault(b []byte, err error) *Fault {
 	ft := &Fault{Path: documentPath, Value: err.Error(), Want: wantDocument}
 	var se *json.SyntaxError
@@ -39,7 +39,7 @@
 	return ft
 }
 
-// position returns the line and column of the last of the first bytes of a document.
+// position returns the line and column of the last byte read, given the number of bytes read from the start of the document.
 func position(b []byte, bytesRead int64) string {
 	before := b[:min(max(0, bytesRead-1), int64(len(b)))]
 	line := 1 + bytes.Count(before, []byte("\n"))
@@ -47,16 +47,16 @@
 	return fmt.Sprintf("line %d, column %d", line, column)
 }
 
-// rest decodes what is left of a tree when all that has faults is taken out.
+// decodeValid decodes a tree from which everything with faults was removed.
 func decodeValid(tree any) Settings {
 	var s Settings
 	b, err := json.Marshal(tree)
 	if err != nil {
-		// A tree that was decoded holds nothing that JSON lacks.
+		// Cannot happen: a tree decoded from JSON can be encoded again.
 		return Settings{}
 	}
 	if json.Unmarshal(b, &s) != nil {
-		// Every value was decoded by itself before, so this does not happen; the faults are reported in any case.
+		// Cannot happen, because every value was decoded separately before. The faults are reported in any case.
 		return Settings{}
 	}
 	return s
--- a/internal/config/duration.go
+++ b/internal/config/duration.go
@@ -12,15 +12,15 @@
 // Std returns the value as a time.Duration.
 func (dn Duration) Std() time.Duration { return time.Duration(dn) }
 
-// MarshalText returns the string form.
+// MarshalText formats the duration as time.Duration does.
 func (dn Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(dn).String()), nil
 }
 
-// wantDuration is what is wanted of a duration.
+// wantDuration is the Want of faults at durations.
 const wantDuration = "a duration such as 500ms"
 
-// UnmarshalText reads the string form.
+// UnmarshalText parses the format of time.ParseDuration. Its error is a Fault without a path.
 func (dn *Duration) UnmarshalText(b []byte) error {
 	d, err := time.ParseDuration(string(b))
 	if err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// JSONSchema describes the string form.
+// JSONSchema returns the schema of the string format.
 func (Duration) JSONSchema() *jsonschema.Schema {
 	return &jsonschema.Schema{Type: "string", Pattern: `^([0-9.]+(ns|us|ms|s|m|h))+$`}
 }
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -6,28 +6,28 @@
 	"strings"
 )
 
-// documentPath is the path of a fault of the whole document.
+// documentPath is the path of faults that concern the whole document.
 const documentPath = "(document)"
 
-// Fault is one thing wrong with the settings.
+// Fault is a validation error of one value of the settings or of a bundle.
 type Fault struct {
 	// Path is the JSON path of the value, such as callers.listen.
 	Path string
-	// Value is what was found.
+	// Value describes the value that was found.
 	Value string
-	// Want is what was expected.
+	// Want describes the values that are valid.
 	Want string
 }
 
-// Error returns the fault on one line.
+// Error returns the path, the value found and what is expected, on one line.
 func (ft *Fault) Error() string {
 	return fmt.Sprintf("%s: found %q, want %s", ft.Path, ft.Value, ft.Want)
 }
 
-// Faults is all that is wrong with the settings. It is never empty when used as an error.
+// Faults is a list of all faults found. It is never empty when used as an error.
 type Faults []*Fault
 
-// Error returns the faults, one a line.
+// Error returns the faults, one per line.
 func (fs Faults) Error() string {
 	lines := make([]string, len(fs))
 	for i, f := range fs {
@@ -36,8 +36,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Covers reports whether a fault was found at the path or at a part of the settings that holds it. What a check says of
-// such a path is not to be relied on.
+// Covers reports whether there is a fault at the path or at a section or list that contains it. Checks of such a path are not
+// meaningful, because its value may be missing.
 func (fs Faults) Covers(path string) bool {
 	return slices.ContainsFunc(fs, func(ft *Fault) bool { return ft.covers(path) })
 }
@@ -50,7 +50,7 @@
 	return ok && strings.ContainsAny(below[:1], ".[")
 }
 
-// With returns the faults and those of a later check, but for those at paths that the faults cover.
+// Merge returns the faults and those of a later check, except later ones at paths that the earlier faults cover.
 func (fs Faults) Merge(later Faults) Faults {
 	all := slices.Clone(fs)
 	for _, ft := range later {
@@ -61,7 +61,7 @@
 	return all
 }
 
-// OrNil returns the faults as an error, or nil when there are none.
+// ErrorOrNil returns the faults as an error, or nil if there are none.
 func (fs Faults) ErrorOrNil() error {
 	if len(fs) == 0 {
 		return nil
--- a/internal/config/field.go
+++ b/internal/config/field.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// fields yields the JSON names and the fields of a struct type.
+// fields yields the fields of a struct type with their JSON names.
 func fields(t reflect.Type) iter.Seq2[string, reflect.StructField] {
 	return func(yield func(string, reflect.StructField) bool) {
 		for i := range t.NumField() {
@@ -23,39 +23,39 @@
 	return name
 }
 
-// findField returns the field of a JSON name. As in the decoder, a name that differs only in case is known, and the
-// exact one goes first.
+// findField returns the field with a JSON name. Like encoding/json, it accepts names that differ only in case and prefers an exact
+// match.
 func findField(t reflect.Type, name string) (reflect.StructField, bool) {
-	var folded *reflect.StructField
+	var caseInsensitive *reflect.StructField
 	for known, fd := range fields(t) {
 		if known == name {
 			return fd, true
 		}
-		if folded == nil && strings.EqualFold(known, name) {
-			folded = &fd
+		if caseInsensitive == nil && strings.EqualFold(known, name) {
+			caseInsensitive = &fd
 		}
 	}
-	if folded == nil {
+	if caseInsensitive == nil {
 		return reflect.StructField{}, false
 	}
-	return *folded, true
+	return *caseInsensitive, true
 }
 
-// deeper is what each object between a name and a candidate adds to their distance, in edits, so that
-// a typing mistake in a field of the same object goes before a similar name in another.
+// nestingCost is added to the edit distance of a candidate for each level of nesting, so that a mistyped field of the same object is
+// preferred to a similar name in a nested object.
 const nestingCost = 2
 
-// nearest returns the path, in an object of the type, of the field that is written most like the name; the first one in
-// the order of the struct among equals.
+// nearestPath returns the path, relative to an object of the type, of the field whose name is most similar to the given one. Of equally
+// similar fields, the first in struct order is returned.
 func nearestPath(t reflect.Type, name string) string {
 	path, _ := searchNearest(t, strings.ToLower(name))
 	return path
 }
 
-func searchNearest(t reflect.Type, name string) (path string, least int) {
+func searchNearest(t reflect.Type, name string) (path string, minDistance int) {
 	for known, fd := range fields(t) {
-		if far := editDistance(name, known); path == "" || far < least {
-			path, least = known, far
+		if dist := editDistance(name, known); path == "" || dist < minDistance {
+			path, minDistance = known, dist
 		}
 		inner := fd.Type
 		if inner.Kind() == reflect.Pointer {
@@ -64,14 +64,14 @@
 		if inner.Kind() != reflect.Struct {
 			continue
 		}
-		if below, far := searchNearest(inner, name); far+nestingCost < least {
-			path, least = joinPath(known, below), far+nestingCost
+		if below, dist := searchNearest(inner, name); dist+nestingCost < minDistance {
+			path, minDistance = joinPath(known, below), dist+nestingCost
 		}
 	}
-	return path, least
+	return path, minDistance
 }
 
-// distance returns how many characters must be put in, taken out or replaced to turn one name into the other.
+// editDistance returns the Levenshtein distance of two names, in bytes.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/config/gateway.go
+++ b/internal/config/gateway.go
@@ -1,6 +1,6 @@
 package config
 
-// Role says which duties an instance runs.
+// Role determines which duties an instance runs.
 type Role string
 
 // The roles.
@@ -11,7 +11,7 @@
 	RoleGateway Role = "gateway"
 )
 
-// Role returns which duties the settings ask for.
+// Role returns RoleGateway if the gateway section is present, otherwise RoleEntry.
 func (s Settings) Role() Role {
 	if s.Gateway != nil {
 		return RoleGateway
@@ -21,45 +21,45 @@
 
 // Gateway holds the settings of an instance that serves the protocol of an adapter.
 type Gateway struct {
-	// Adapter names the registered adapter.
+	// Adapter is the name of a registered adapter.
 	Adapter string `json:"adapter" jsonschema:"required"`
 	// Callers, Readiness, Peers and Metrics are the IP addresses and ports of the listeners.
 	Callers   string `json:"callers" jsonschema:"required"`
 	Readiness string `json:"readiness" jsonschema:"required"`
 	Peers     string `json:"peers" jsonschema:"required"`
 	Metrics   string `json:"metrics" jsonschema:"required"`
-	// Seeds are addresses of peers to try at the start; they may be stale.
+	// Seeds are addresses of peers to contact at the start. They may be stale.
 	Seeds []string `json:"seeds,omitempty"`
-	// FirstStart says that the whole fleet starts for the first time, before any caller comes: instances then meet each
-	// other before they ask the store.
+	// FirstStart is set while the whole fleet starts for the first time, before any caller connects. Instances then connect to each
+	// other before they call the store.
 	FirstStart bool `json:"first_start,omitempty"`
-	// Megabits is the instance's share of the network, in Mbit/s; zero when it is not known. In a large fleet instances
-	// with more of it pass on what the others have in flight.
+	// Megabits is the network bandwidth of the instance in Mbit/s, or zero if it is unknown. In a large fleet, instances with more
+	// bandwidth relay the gossip about requests in flight for the others.
 	Megabits float64 `json:"megabits,omitempty"`
-	// Store is the IP address and port of the platform's object store.
+	// Store is the IP address and port of the object store of the platform.
 	Store string `json:"store" jsonschema:"required"`
-	// RevocationBound is the time after which a key that was taken away must not work, whatever is cut off; zero for
-	// none.
+	// RevocationBound is the time after which a revoked key must no longer be accepted, even during a network partition. Zero means no
+	// limit.
 	RevocationBound Duration `json:"revocation_bound,omitempty"`
-	// LeavingBound is the time after which a target that is leaving, or gone, by the store must get no request from an instance
-	// that the store answers. ConfigurationBound is the same for what only an older configuration allows. How often the store
-	// is asked follows from both.
+	// LeavingBound is the maximum staleness of the list of targets: after this time, an instance that can reach the store must not send
+	// requests to a target that is leaving or gone according to the store. ConfigurationBound is the same limit for requests that only
+	// an older configuration allows. The polling interval of the store is derived from both.
 	LeavingBound       Duration `json:"leaving_bound"`
 	ConfigurationBound Duration `json:"configuration_bound"`
-	// Grace is the time between the request to stop and the end of the process by force.
+	// Grace is the time between the request to stop and the forced end of the process.
 	Grace Duration `json:"grace"`
-	// RetryShare bounds attempts beyond the first, over all instances, as a share of requests; RetryFloor is what is
-	// allowed above that in each RetryWindow. It may be a fraction, since platforms derive it from the traffic.
+	// RetryShare and RetryFloor define the retry budget over all instances. In each RetryWindow, the attempts beyond the first may be
+	// RetryShare of the requests plus RetryFloor. RetryFloor may be a fraction, because platforms derive it from the traffic.
 	RetryShare  float64  `json:"retry_share"`
 	RetryFloor  float64  `json:"retry_floor"`
 	RetryWindow Duration `json:"retry_window"`
-	// DialTimeout bounds the opening of a connection to a target; another target is tried after it.
+	// DialTimeout limits the time to connect to a target. After it, another target is tried.
 	DialTimeout Duration `json:"dial_timeout"`
-	// OrderTimeout bounds one order to a target that sets memory aside or gives it back.
+	// OrderTimeout limits the duration of one order that reserves or releases memory at a target.
 	OrderTimeout Duration `json:"order_timeout"`
-	// MemoryHold is how long memory set aside at a target stays so after the last renewal.
+	// MemoryHold is how long a memory reservation at a target remains valid after its last renewal.
 	MemoryHold Duration `json:"memory_hold"`
-	// MaxBodyBytes bounds one body, BodyBudgetBytes all bodies held at once.
+	// MaxBodyBytes limits the size of one body, BodyBudgetBytes the total size of all bodies held at the same time.
 	MaxBodyBytes    int64 `json:"max_body_bytes"`
 	BodyBudgetBytes int64 `json:"body_budget_bytes"`
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// reader compares a decoded JSON tree with the types of the settings and collects every fault.
+// validator compares a decoded JSON tree with the types of the settings and collects all faults.
 type validator struct {
 	faults Faults
 }
@@ -22,10 +22,10 @@
 	vd.faults = append(vd.faults, &Fault{Path: path, Value: value, Want: want})
 }
 
-// read returns what of a value decodes as the type.
+// validate returns the parts of a value that can be decoded as the type.
 func (vd *validator) validate(path string, v any, t reflect.Type) any {
 	if v == nil {
-		// The decoder takes null for a field that is left out.
+		// The JSON decoder treats null as an absent field.
 		return nil
 	}
 	switch t.Kind() {
@@ -40,42 +40,42 @@
 	}
 }
 
-// object returns the fields that decode. It returns an empty object in place of another value: that a section is there
-// may say more than what is in it, as the gateway's section gives the role.
+// object returns the fields that can be decoded. If the value is not an object, it returns an empty object, because the presence of a
+// section can matter by itself: the gateway section determines the role.
 func (vd *validator) object(path string, v any, t reflect.Type) any {
-	sound := map[string]any{}
+	valid := map[string]any{}
 	found, ok := v.(map[string]any)
 	if !ok {
 		vd.addFault(path, kindOf(v), expectedOf(t))
-		return sound
+		return valid
 	}
 	for _, name := range slices.Sorted(maps.Keys(found)) {
-		fd, ok := findField(t, name)
+		field, ok := findField(t, name)
 		if !ok {
 			vd.addFault(joinPath(path, name), "unknown field", "a known one; the nearest is "+joinPath(path, nearestPath(t, name)))
 			continue
 		}
-		// Paths hold the known name, as those of the checks do, also where the document's differs in case.
-		sound[name] = vd.validate(joinPath(path, nameOf(fd)), found[name], fd.Type)
+		// Paths contain the known name, as those of later checks do, even if the name in the document differs in case.
+		valid[name] = vd.validate(joinPath(path, nameOf(field)), found[name], field.Type)
 	}
-	return sound
+	return valid
 }
 
-// list returns the entries, with null in place of those that do not decode: the others keep their places.
+// list returns the entries with null in place of those that cannot be decoded, so that the others keep their indices.
 func (vd *validator) list(path string, v any, entry reflect.Type) any {
 	found, ok := v.([]any)
 	if !ok {
 		vd.addFault(path, kindOf(v), "a list")
 		return nil
 	}
-	sound := make([]any, len(found))
+	valid := make([]any, len(found))
 	for i, e := range found {
-		sound[i] = vd.validate(path+"["+strconv.Itoa(i)+"]", e, entry)
+		valid[i] = vd.validate(path+"["+strconv.Itoa(i)+"]", e, entry)
 	}
-	return sound
+	return valid
 }
 
-// leaf returns a value if the decoder takes it for the type.
+// scalar returns a value if it can be decoded as the type, and nil otherwise.
 func (vd *validator) scalar(path string, v any, t reflect.Type) any {
 	b, err := json.Marshal(v)
 	if err == nil {
@@ -84,17 +84,17 @@
 	if err == nil {
 		return v
 	}
-	var own *Fault
-	if errors.As(err, &own) {
-		vd.addFault(path, own.Value, own.Want)
+	var fault *Fault
+	if errors.As(err, &fault) {
+		vd.addFault(path, fault.Value, fault.Want)
 		return nil
 	}
 	vd.addFault(path, foundOf(v, t), expectedOf(t))
 	return nil
 }
 
-// valueOf describes a value of the wrong type. It shows numbers only where numbers are wanted: the settings hold
-// secrets, and one may be written without its quotes.
+// foundOf describes a value of the wrong type for a fault. It shows numbers only where a number is expected, because the settings
+// contain secrets, and one consisting of digits may have been written without quotes.
 func foundOf(v any, t reflect.Type) string {
 	number, ok := v.(json.Number)
 	if ok && (isInteger(t) || isFloat(t)) && t != reflect.TypeFor[Duration]() {
@@ -103,7 +103,7 @@
 	return kindOf(v)
 }
 
-// kindOf names the kind of a JSON value that is not null.
+// kindOf returns the name of the kind of a JSON value other than null.
 func kindOf(v any) string {
 	switch v.(type) {
 	case map[string]any:
@@ -119,7 +119,7 @@
 	}
 }
 
-// wantOf says what is wanted of the type.
+// expectedOf describes the values that a type accepts.
 func expectedOf(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[Duration]():
