--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -1,4 +1,5 @@
-// Package bundle defines the versioned document that operators sign off.
+// Package bundle defines the versioned configuration document of the fleet that operators accept: organisations, classes of work,
+// models, events and services.
 package bundle
 
 import (
@@ -15,13 +16,13 @@
 	"github.com/silvermount/silvermount/internal/config"
 )
 
-// Bundle states who may use what, and what each class of work may claim. It is immutable once signed.
+// Bundle defines what each organisation may use and what each class of work may claim. It is immutable once accepted.
 type Bundle struct {
-	// Version is positive and grows with every accepted bundle.
+	// Version is positive and increases with every accepted bundle.
 	Version int64 `json:"version"`
-	// Base is the accepted version on top of which this one was pushed.
+	// Base is the version that was accepted when this one was pushed.
 	Base int64 `json:"base,omitempty"`
-	// Parts are the digests of stored parts with the organisations; empty in a whole bundle.
+	// Parts are the digests of the stored parts that contain the organisations. It is empty in a bundle that is not split.
 	Parts []string `json:"parts,omitempty"`
 	// Organisations have unique names.
 	Organisations []Organisation `json:"organisations"`
@@ -31,7 +32,7 @@
 	Models []Model `json:"models"`
 	// Events have unique names.
 	Events []Event `json:"events,omitempty"`
-	// Services are the plain services that callers may reach.
+	// Services are the names of the plain services that callers may use.
 	Services []string `json:"services,omitempty"`
 }
 
@@ -39,65 +40,66 @@
 type Organisation struct {
 	// Name is unique.
 	Name string `json:"name"`
-	// KeyDigests are SHA-256 digests of bearer keys, in hex.
+	// KeyDigests are the SHA-256 digests of its bearer keys, in hex.
 	KeyDigests []string `json:"key_digests"`
-	// MaxConcurrent bounds requests at once on one instance; zero means no bound.
+	// MaxConcurrent limits the concurrent requests on one instance; zero means no limit.
 	MaxConcurrent int `json:"max_concurrent,omitempty"`
-	// Models are those it may use; empty means all.
+	// Models are the names of the models it may use; empty means all.
 	Models []string `json:"models,omitempty"`
 }
 
-// Class is one kind of work.
+// Class is a class of work, with its deadline, priority and objective.
 type Class struct {
 	// Name is unique.
 	Name string `json:"name"`
-	// Deadline is the longest time a request may take.
+	// Deadline is the maximum duration of a request.
 	Deadline config.Duration `json:"deadline"`
 	// Priority is higher for more urgent work.
 	Priority int `json:"priority"`
-	// Job is set for work that nobody waits for; it is kept in the store until done.
+	// Job is set for work that no caller waits for. It is kept in the store until it is done.
 	Job bool `json:"job,omitempty"`
-	// Yields is set for work that is refused first under load.
+	// Yields is set for work that is shed first under load.
 	Yields bool `json:"yields,omitempty"`
-	// ContinueElsewhere allows a broken stream to go on at another target.
+	// ContinueElsewhere allows a stream that broke off to be continued at another target.
 	ContinueElsewhere bool `json:"continue_elsewhere,omitempty"`
-	// Objective is what burn is reported against.
+	// Objective is the service level objective, against which the burn rate is reported.
 	Objective Objective `json:"objective"`
 }
 
-// Objective is a service level.
+// Objective is a service level objective for the time to the first token.
 type Objective struct {
-	// FirstToken is the time within which the first token is due.
+	// FirstToken is the maximum time to the first token.
 	FirstToken config.Duration `json:"first_token"`
-	// Share is the share of requests that must meet it, above 0 and below 1.
+	// Share is the share of requests that must meet FirstToken, above 0 and below 1.
 	Share float64 `json:"share"`
 }
 
-// Model is one model that engines serve.
+// Model is a model that engines serve.
 type Model struct {
 	// Name is unique.
 	Name string `json:"name"`
-	// MaxTokens bounds one prompt.
+	// MaxTokens limits the length of a prompt.
 	MaxTokens int `json:"max_tokens"`
-	// Copies is the number of engines in each availability zone that are to serve it; zero leaves engines as they are.
+	// Copies is the desired number of engines per availability zone that serve the model; zero leaves the engines unchanged.
 	Copies int `json:"copies,omitempty"`
 }
 
-// eventLead is how long before its start an event counts, so that its targets are free of long prompts by then.
+// eventLeadTime is the time before the start of an event from which its load is expected, so that its targets are free of long prompts
+// at the start.
 const eventLeadTime = time.Minute
 
-// Event is a known start of load, such as an outage hour or the opening of a reading room.
+// Event is a period of known additional load, such as the hour of an outage or the opening of a reading room.
 type Event struct {
 	// Name is unique.
 	Name string `json:"name"`
-	// Start is when it begins, Length how long it lasts.
+	// Start is the time at which the event begins, Length its duration.
 	Start  time.Time       `json:"start"`
 	Length config.Duration `json:"length"`
-	// TokensPerSecond is the expected load of short prompts over the fleet.
+	// TokensPerSecond is the expected load of short prompts on the whole fleet.
 	TokensPerSecond float64 `json:"tokens_per_second"`
 }
 
-// Expected returns the tokens a second of short prompts that events bring at a time.
+// ExpectedTokensPerSecond returns the load of short prompts expected at a time from all events.
 func (bd Bundle) ExpectedTokensPerSecond(now time.Time) float64 {
 	sum := 0.0
 	for _, ev := range bd.Events {
@@ -108,13 +110,13 @@
 	return sum
 }
 
-// KeyDigest returns the digest under which a bearer key stands in a bundle.
+// KeyDigest returns the digest of a bearer key as used in Organisation.KeyDigests.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Parse reads a bundle and checks it as a whole.
+// Parse decodes a bundle and checks it. The error is of type config.Faults.
 func Parse(b []byte) (Bundle, error) {
 	var bd Bundle
 	dec := json.NewDecoder(bytes.NewReader(b))
@@ -125,7 +127,7 @@
 	return bd, bd.Check().ErrorOrNil()
 }
 
-// Digest returns the digest of the content without its versions: the same content is the same sign-off.
+// Digest returns the digest of the content without Version and Base, so that equal content has the same digest in every version.
 func (bd Bundle) Digest() (string, error) {
 	bd.Version, bd.Base = 0, 0
 	b, err := json.Marshal(bd)
@@ -136,24 +138,24 @@
 	return hex.EncodeToString(sum[:]), nil
 }
 
-// WithVersion returns a copy at another version on top of a base.
+// WithVersion returns a copy with another version and base.
 func (bd Bundle) WithVersion(v, base int64) Bundle {
 	bd.Version, bd.Base = v, base
 	return bd
 }
 
-// Check returns all that is wrong with the bundle.
+// Check returns all faults of the bundle.
 func (bd Bundle) Check() config.Faults {
 	var fs config.Faults
 	names := map[string]bool{}
-	unique := func(path, name string) {
+	checkUnique := func(path, name string) {
 		if name == "" || names[path+name] {
 			fs = append(fs, &config.Fault{Path: path, Value: name, Want: "a name used once"})
 		}
 		names[path+name] = true
 	}
 	for _, o := range bd.Organisations {
-		unique("organisations.name", o.Name)
+		checkUnique("organisations.name", o.Name)
 		for _, d := range o.KeyDigests {
 			if len(d) != 2*sha256.Size {
 				fs = append(fs, &config.Fault{Path: "organisations.key_digests", Value: d, Want: "a SHA-256 digest in hex"})
@@ -161,14 +163,14 @@
 		}
 	}
 	for _, c := range bd.Classes {
-		unique("classes.name", c.Name)
+		checkUnique("classes.name", c.Name)
 		fs = append(fs, c.check()...)
 	}
 	for _, m := range bd.Models {
-		unique("models.name", m.Name)
+		checkUnique("models.name", m.Name)
 	}
 	for _, ev := range bd.Events {
-		unique("events.name", ev.Name)
+		checkUnique("events.name", ev.Name)
 		if ev.Length <= 0 || ev.TokensPerSecond < 0 {
 			fs = append(fs, &config.Fault{Path: "events.length", Value: ev.Length.Std().String(), Want: "a positive duration and load"})
 		}
@@ -192,7 +194,7 @@
 	return fs
 }
 
-// FitsStop returns a fault for each class that callers wait on and that may last longer than a planned stop waits.
+// CheckDrain returns a fault for each class that callers wait for whose deadline exceeds the drain time of a planned stop.
 func (bd Bundle) CheckDrain(drain time.Duration) config.Faults {
 	var fs config.Faults
 	for _, c := range bd.Classes {
@@ -206,7 +208,7 @@
 	return fs
 }
 
-// Class returns the named class; an empty name means the first.
+// Class returns the class with a name. An empty name selects the first class.
 func (bd Bundle) Class(name string) (Class, bool) {
 	if name == "" && len(bd.Classes) > 0 {
 		return bd.Classes[0], true
@@ -218,7 +220,7 @@
 	return bd.Classes[i], true
 }
 
-// Model returns the named model.
+// Model returns the model with a name.
 func (bd Bundle) Model(name string) (Model, bool) {
 	i := slices.IndexFunc(bd.Models, func(m Model) bool { return m.Name == name })
 	if i < 0 {
--- a/internal/bundle/split.go
+++ b/internal/bundle/split.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// splitFrom is the number of organisations from which they are stored in parts.
+	// minSplitOrganisations is the number of organisations from which a bundle is split into parts.
 	minSplitOrganisations = 64
-	// partCount is the number of parts; an organisation's part is given by the hash of its name.
+	// partCount is the maximum number of parts. The hash of its name determines the part of an organisation.
 	partCount = 64
 )
 
-// Part is some organisations of a bundle, stored under the digest of its content.
+// Part contains some of the organisations of a bundle. It is stored under the digest of its content.
 type Part struct {
-	// Digest is that of Body.
+	// Digest is the SHA-256 digest of Body in hex.
 	Digest string
-	// Body is the organisations in JSON.
+	// Body is the JSON list of the organisations.
 	Body []byte
 }
 
-// MissingPartError says that a part of a bundle is not there, or not what its digest says.
+// MissingPartError means that a part of a bundle is missing or does not match its digest.
 type MissingPartError struct{ Digest string }
 
-// Error names the part.
+// Error includes the digest of the part.
 func (mp *MissingPartError) Error() string { return "bundle part " + mp.Digest + " is missing" }
 
-// Split returns the bundle without its organisations, and these in parts, when there are many. A change of one
-// organisation changes one part only, so that the others need not be read again.
+// Split returns an index, which is the bundle with its organisations replaced by the digests of parts, and these parts. A change of one
+// organisation changes only one part, so that the others need not be read again. A bundle with fewer than minSplitOrganisations is
+// returned unchanged.
 func (bd Bundle) Split() (Bundle, []Part, error) {
 	if len(bd.Organisations) < minSplitOrganisations {
 		return bd, nil, nil
@@ -59,12 +60,12 @@
 	return index, parts, nil
 }
 
-// Join returns the whole bundle of an index. part returns the body of a part.
-func (bd Bundle) Join(part func(digest string) ([]byte, error)) (Bundle, error) {
+// Join returns the whole bundle of an index. The readPart function returns the body of a part.
+func (bd Bundle) Join(readPart func(digest string) ([]byte, error)) (Bundle, error) {
 	whole := bd
 	whole.Parts = nil
 	for _, d := range bd.Parts {
-		body, err := part(d)
+		body, err := readPart(d)
 		if err != nil {
 			return Bundle{}, err
 		}
--- a/internal/bundle/split_test.go
+++ b/internal/bundle/split_test.go
@@ -23,8 +23,8 @@
 		organisations int
 		wantParts     bool
 	}{
-		"few stay whole": {organisations: 10},
-		"many in parts":  {organisations: 1000, wantParts: true},
+		"few are not split": {organisations: 10},
+		"many are split":    {organisations: 1000, wantParts: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,14 +50,14 @@
 	changed.Organisations[500].MaxConcurrent = 7
 	after, parts, err := changed.Split()
 	g.Expect(err).NotTo(HaveOccurred())
-	differ := 0
+	changedParts := 0
 	for i := range after.Parts {
 		if after.Parts[i] != before.Parts[i] {
-			differ++
+			changedParts++
 		}
 	}
-	g.Expect(differ).To(Equal(1))
+	g.Expect(changedParts).To(Equal(1))
 	_, err = after.Join(func(string) ([]byte, error) { return parts[0].Body, nil })
 	var missing *MissingPartError
-	g.Expect(err).To(BeAssignableToTypeOf(missing), "a part that is not what its digest says is refused")
+	g.Expect(err).To(BeAssignableToTypeOf(missing), "a part that does not match its digest must be refused")
 }
--- a/internal/bundlestore/bundlestore.go
+++ b/internal/bundlestore/bundlestore.go
@@ -1,4 +1,4 @@
-// Package bundlestore keeps bundles in the platform's store, large ones in parts.
+// Package bundlestore reads and writes bundles in the store of the platform. Large bundles are split into parts.
 package bundlestore
 
 import (
@@ -13,30 +13,30 @@
 	"github.com/silvermount/silvermount/internal/objectstore"
 )
 
-// kindParts holds the parts of large bundles, under their digests.
+// kindParts is the object kind of the parts of large bundles. Their names are their digests.
 const kindParts = "bundleparts"
 
-// Store reads and writes bundles. It is safe for use by any goroutine.
+// Store reads and writes bundles. It is safe for concurrent use.
 type Store struct {
 	client *objectstore.Client
 
 	mu sync.Mutex
-	// parts are those of the bundle read last.
+	// cachedParts holds the parts of the last bundle read, by digest.
 	cachedParts map[string][]byte
 }
 
-// New returns a store on a client.
+// New returns a Store that uses the client.
 func New(client *objectstore.Client) *Store {
 	return &Store{client: client, cachedParts: map[string][]byte{}}
 }
 
-// partObject is a stored part.
+// partObject is the stored form of a part.
 type partObject struct {
 	Body []byte `json:"body"`
 }
 
-// Create writes a bundle under its version: first its parts, then the object that names them. A conflict means that the
-// version is taken.
+// Create writes a bundle under its version: first its parts, then the index that lists them. An objectstore.ConflictError means that
+// the version already exists.
 func (sr *Store) Create(ctx context.Context, b bundle.Bundle) error {
 	index, parts, err := b.Split()
 	if err != nil {
@@ -51,7 +51,7 @@
 	return err
 }
 
-// createPart writes a part that is not there yet. Its name is its content, so that a conflict means that it is there.
+// createPart writes a part unless it exists. Its name is the digest of its content, so that a conflict means that the same part exists.
 func (sr *Store) createPart(ctx context.Context, p bundle.Part) error {
 	sr.mu.Lock()
 	_, known := sr.cachedParts[p.Digest]
@@ -67,7 +67,7 @@
 	return err
 }
 
-// Get reads a bundle. Parts that the bundle read before had too are not read again.
+// Get reads a bundle. It does not read parts again that the previously read bundle also had.
 func (sr *Store) Get(ctx context.Context, version int64) (bundle.Bundle, error) {
 	o, err := sr.client.Get(ctx, objectstore.KindBundles, strconv.FormatInt(version, 10))
 	if err != nil {
@@ -79,9 +79,9 @@
 	}
 	used := map[string][]byte{}
 	whole, err := index.Join(func(digest string) ([]byte, error) {
-		body, perr := sr.readPart(ctx, digest)
+		body, partErr := sr.readPart(ctx, digest)
 		used[digest] = body
-		return body, perr
+		return body, partErr
 	})
 	if err != nil {
 		return bundle.Bundle{}, err
--- a/internal/bundlestore/bundlestore_test.go
+++ b/internal/bundlestore/bundlestore_test.go
@@ -16,10 +16,10 @@
 
 func TestGetReadsOnlyChangedParts(t *testing.T) {
 	g := NewWithT(t)
-	st := platformsim.New()
-	sr := httptest.NewServer(st.Handler())
-	defer sr.Close()
-	client := objectstore.New(sr.URL, objectstore.WithRates(1000, 1000))
+	store := platformsim.New()
+	srv := httptest.NewServer(store.Handler())
+	defer srv.Close()
+	client := objectstore.New(srv.URL, objectstore.WithRates(1000, 1000))
 	b := bundle.Bundle{Version: 1, Classes: []bundle.Class{{
 		Name: "c", Deadline: config.Duration(time.Second), Objective: bundle.Objective{Share: 0.9},
 	}}}
@@ -33,10 +33,10 @@
 	g.Expect(whole.Organisations).To(HaveLen(500))
 	b.Organisations[7].MaxConcurrent = 3
 	g.Expect(New(client).Create(t.Context(), b.WithVersion(2, 1))).To(Succeed())
-	before, _ := st.Calls()
+	before, _ := store.Calls()
 	whole, err = reader.Get(t.Context(), 2)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(whole.Organisations).To(ContainElement(b.Organisations[7]))
-	after, _ := st.Calls()
+	after, _ := store.Calls()
 	g.Expect(after-before).To(Equal(2), "the index and one part")
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,4 +1,5 @@
-// Package rollout holds the bundle in force at one instance. Its version never goes back.
+// Package rollout tracks the bundle in force at one instance and the newest accepted version known. The version in force never
+// decreases.
 package rollout
 
 import (
@@ -9,30 +10,31 @@
 	"github.com/silvermount/silvermount/internal/bundle"
 )
 
-// Pointer is the object whose conditional update accepts a bundle.
+// Pointer is the object in the store that names the accepted bundle. A bundle is accepted by a conditional update of it.
 type Pointer struct {
-	// Version is the accepted bundle's version.
+	// Version is the version of the accepted bundle.
 	Version int64 `json:"version"`
-	// Digest is that of its content.
+	// Digest is the digest of its content.
 	Digest string `json:"digest"`
 }
 
-// PointerName is the name of the pointer object.
+// PointerName is the name of the Pointer object in the store.
 const PointerName = "bundle"
 
-// InForce is a bundle with its index. It is immutable.
+// IndexedBundle is a bundle with an index of its keys. It is immutable.
 type IndexedBundle struct {
 	bundle.Bundle
+	// byKeyDigest holds the organisations by the digests of their keys.
 	byKeyDigest map[string]bundle.Organisation
 }
 
-// Organisation returns who a bearer key belongs to.
+// OrganisationByKey returns the organisation that owns a bearer key.
 func (ib *IndexedBundle) OrganisationByKey(key string) (bundle.Organisation, bool) {
 	o, ok := ib.byKeyDigest[bundle.KeyDigest(key)]
 	return o, ok
 }
 
-// OrganisationNamed returns an organisation by its name.
+// OrganisationByName returns the organisation with a name.
 func (ib *IndexedBundle) OrganisationByName(name string) (bundle.Organisation, bool) {
 	i := slices.IndexFunc(ib.Organisations, func(o bundle.Organisation) bool { return o.Name == name })
 	if i < 0 {
@@ -46,22 +48,23 @@
 	return len(o.Models) == 0 || slices.Contains(o.Models, model)
 }
 
-// Holder is safe for use by any goroutine.
+// Holder holds the bundle in force and the newest accepted version known. It is safe for concurrent use.
 type Holder struct {
 	current atomic.Pointer[IndexedBundle]
 	mu      sync.Mutex
-	// floor is the highest accepted version heard of from anyone; it never falls.
+	// newestAccepted is the highest accepted version known, from any source. It never decreases.
 	newestAccepted int64
-	changed        chan struct{}
+	// changed is closed and replaced when ObserveAccepted raises newestAccepted.
+	changed chan struct{}
 }
 
-// New returns a holder without a bundle.
+// New returns a Holder without a bundle.
 func New() *Holder { return &Holder{changed: make(chan struct{})} }
 
-// Current returns the bundle in force, or nil before the first.
+// Current returns the bundle in force, or nil if there is none yet.
 func (hd *Holder) Current() *IndexedBundle { return hd.current.Load() }
 
-// Version returns the version in force; zero before the first.
+// Version returns the version in force, or zero if there is none yet.
 func (hd *Holder) Version() int64 {
 	if c := hd.current.Load(); c != nil {
 		return c.Version
@@ -69,7 +72,7 @@
 	return 0
 }
 
-// Hear raises the floor to an accepted version that somebody named.
+// ObserveAccepted records that a version is accepted, as learned from the store or a peer.
 func (hd *Holder) ObserveAccepted(version int64) {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
@@ -80,7 +83,7 @@
 	}
 }
 
-// Behind returns the version to fetch, or zero when the bundle in force is the newest heard of.
+// PendingVersion returns the version to fetch, or zero if the bundle in force is the newest one known.
 func (hd *Holder) PendingVersion() int64 {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
@@ -90,14 +93,14 @@
 	return 0
 }
 
-// Changed returns a channel that is closed when the floor rises.
+// Changed returns a channel that is closed when a newer accepted version is observed.
 func (hd *Holder) Changed() <-chan struct{} {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
 	return hd.changed
 }
 
-// Apply puts an accepted bundle in force, unless the one in force is as new. It reports whether it did.
+// Apply puts an accepted bundle in force, unless its version is not newer than the one in force. It reports whether it did.
 func (hd *Holder) Apply(b bundle.Bundle) bool {
 	hd.mu.Lock()
 	defer hd.mu.Unlock()
--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -1,4 +1,4 @@
-// Package signoff pushes bundles to the store and accepts them.
+// Package signoff implements how operators push bundles to the store and accept one of them for the fleet.
 package signoff
 
 import (
@@ -16,32 +16,34 @@
 	"github.com/silvermount/silvermount/internal/rollout"
 )
 
+// retryInterval is the time between two attempts of a call with an unknown or failed result.
 const retryInterval = 100 * time.Millisecond
 
-// RaceError says that another operator's bundle was accepted first.
+// RaceError means that another bundle was accepted since the bundle was pushed.
 type RaceError struct {
-	// Winner is the version in force, Digest that of its content.
+	// AcceptedVersion is the version that is accepted now, Digest the digest of its content.
 	AcceptedVersion int64
 	Digest          string
 }
 
-// Error names the winner.
+// Error includes the accepted version.
 func (re *RaceError) Error() string {
 	return fmt.Sprintf("version %d (%.12s) was accepted first; push again on top of it", re.AcceptedVersion, re.Digest)
 }
 
-// Office accepts bundles for operators.
+// Client pushes and accepts bundles on behalf of an operator.
 type Client struct {
 	store   *objectstore.Client
 	bundles *bundlestore.Store
 }
 
-// New returns an office on the store.
+// New returns a Client that uses the store.
 func New(store *objectstore.Client) *Client {
 	return &Client{store: store, bundles: bundlestore.New(store)}
 }
 
-// current returns the accepted pointer; a zero pointer before the first bundle.
+// acceptedPointer returns the pointer to the accepted bundle and its object version in the store. Both are zero before the first bundle
+// is accepted.
 func (cl *Client) acceptedPointer(ctx context.Context) (rollout.Pointer, int64, error) {
 	o, err := cl.store.Get(ctx, objectstore.KindPointers, rollout.PointerName)
 	var missing *objectstore.NotFoundError
@@ -55,7 +57,7 @@
 	return p, o.Version, errors.Wrap(json.Unmarshal(o.Value, &p), "decode pointer")
 }
 
-// Accepted returns the bundle that is accepted now; a zero bundle before the first.
+// Accepted returns the accepted bundle, or a zero Bundle before the first is accepted.
 func (cl *Client) Accepted(ctx context.Context) (bundle.Bundle, error) {
 	p, _, err := cl.acceptedPointer(ctx)
 	if err != nil || p.Version == 0 {
@@ -64,13 +66,14 @@
 	return cl.Pushed(ctx, p.Version)
 }
 
-// Pushed returns a pushed bundle.
+// Pushed returns a bundle that was pushed, accepted or not.
 func (cl *Client) Pushed(ctx context.Context, version int64) (bundle.Bundle, error) {
 	return cl.bundles.Get(ctx, version)
 }
 
-// Push writes a bundle under the first free version after the accepted one. The same content pushed again after a lost
-// answer is the same push. Nothing is in force by a push alone.
+// Push writes a bundle under the first free version after the accepted one. If a version after the accepted one already has the same
+// content, for instance because the response to an earlier push was lost, Push returns that version with its earlier base. A pushed
+// bundle is not in force until it is accepted.
 func (cl *Client) Push(ctx context.Context, b bundle.Bundle) (int64, error) {
 	digest, err := b.Digest()
 	if err != nil {
@@ -90,22 +93,22 @@
 		if !errors.As(err, &conflict) && !errors.As(err, &unknown) {
 			return 0, errors.Wrap(err, "write bundle")
 		}
-		there, gerr := cl.Pushed(ctx, version)
-		if gerr != nil {
-			if werr := waitRetry(ctx); werr != nil {
+		existing, readErr := cl.Pushed(ctx, version)
+		if readErr != nil {
+			if waitErr := waitRetry(ctx); waitErr != nil {
 				return 0, errors.Wrap(err, "write bundle")
 			}
 			continue
 		}
-		if d, derr := there.Digest(); derr == nil && d == digest {
+		if d, digestErr := existing.Digest(); digestErr == nil && d == digest {
 			return version, nil
 		}
 		version++
 	}
 }
 
-// Sign accepts a pushed bundle by one conditional write. A lost answer is settled by reading the pointer back; the same
-// sign-off again is the same sign-off.
+// Accept accepts a pushed bundle by one conditional write of the pointer. If the response is lost, it reads the pointer to learn the
+// result. Accepting the same bundle again has no effect.
 func (cl *Client) Accept(ctx context.Context, version int64) error {
 	b, err := cl.Pushed(ctx, version)
 	if err != nil {
@@ -117,17 +120,17 @@
 	}
 	want := rollout.Pointer{Version: version, Digest: digest}
 	for {
-		now, at, err := cl.acceptedPointer(ctx)
+		accepted, objectVersion, err := cl.acceptedPointer(ctx)
 		if err != nil {
 			return err
 		}
-		if now == want {
+		if accepted == want {
 			return nil
 		}
-		if now.Version != b.Base {
-			return &RaceError{AcceptedVersion: now.Version, Digest: now.Digest}
+		if accepted.Version != b.Base {
+			return &RaceError{AcceptedVersion: accepted.Version, Digest: accepted.Digest}
 		}
-		if err := cl.writePointer(ctx, at, want); err == nil {
+		if err := cl.writePointer(ctx, objectVersion, want); err == nil {
 			return nil
 		}
 		if err := waitRetry(ctx); err != nil {
@@ -136,12 +139,13 @@
 	}
 }
 
-func (cl *Client) writePointer(ctx context.Context, at int64, p rollout.Pointer) error {
-	if at == 0 {
+// writePointer creates the pointer if objectVersion is zero, and otherwise updates it if it still has that version.
+func (cl *Client) writePointer(ctx context.Context, objectVersion int64, p rollout.Pointer) error {
+	if objectVersion == 0 {
 		_, err := cl.store.Create(ctx, objectstore.KindPointers, rollout.PointerName, p)
 		return err
 	}
-	_, err := cl.store.Update(ctx, objectstore.KindPointers, rollout.PointerName, at, p)
+	_, err := cl.store.Update(ctx, objectstore.KindPointers, rollout.PointerName, objectVersion, p)
 	return err
 }
 
@@ -154,7 +158,8 @@
 	}
 }
 
-// Diff returns a line for each part that differs between two bundles.
+// Diff returns the differences between two bundles: a line beginning with - for each removed entry and with + for each added one. A
+// changed entry has both.
 func Diff(old, next bundle.Bundle) []string {
 	var lines []string
 	lines = append(lines, diff("organisation", old.Organisations, next.Organisations, func(o bundle.Organisation) string { return o.Name })...)
@@ -174,12 +179,12 @@
 		return all[i], true
 	}
 	for _, v := range next {
-		was, ok := find(old, name(v))
+		previous, ok := find(old, name(v))
 		switch {
 		case !ok:
 			lines = append(lines, "+ "+kind+" "+name(v)+" "+jsonText(v))
-		case jsonText(was) != jsonText(v):
-			lines = append(lines, "- "+kind+" "+name(v)+" "+jsonText(was), "+ "+kind+" "+name(v)+" "+jsonText(v))
+		case jsonText(previous) != jsonText(v):
+			lines = append(lines, "- "+kind+" "+name(v)+" "+jsonText(previous), "+ "+kind+" "+name(v)+" "+jsonText(v))
 		}
 	}
 	for _, v := range old {
--- a/internal/signoff/signoff_test.go
+++ b/internal/signoff/signoff_test.go
@@ -17,11 +17,11 @@
 
 func newClient(t *testing.T) (*Client, *platformsim.Store) {
 	t.Helper()
-	st := platformsim.New()
-	sr, err := localfleet.Serve(st.Handler())
+	store := platformsim.New()
+	srv, err := localfleet.Serve(store.Handler())
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(sr.Close)
-	return New(objectstore.New(sr.URL)), st
+	t.Cleanup(srv.Close)
+	return New(objectstore.New(srv.URL)), store
 }
 
 func bundleWithClass(name string) bundle.Bundle {
@@ -32,47 +32,47 @@
 
 func TestConcurrentAcceptsHaveOneWinner(t *testing.T) {
 	g := NewWithT(t)
-	of, _ := newClient(t)
+	cl, _ := newClient(t)
 	const operators = 6
 	versions := make([]int64, operators)
 	for i := range operators {
-		v, err := of.Push(t.Context(), bundleWithClass(string(rune('a'+i))))
+		v, err := cl.Push(t.Context(), bundleWithClass(string(rune('a'+i))))
 		g.Expect(err).NotTo(HaveOccurred())
 		versions[i] = v
 	}
 	var wg sync.WaitGroup
 	errs := make([]error, operators)
 	for i, v := range versions {
-		wg.Go(func() { errs[i] = of.Accept(t.Context(), v) })
+		wg.Go(func() { errs[i] = cl.Accept(t.Context(), v) })
 	}
 	wg.Wait()
-	now, _, err := of.acceptedPointer(t.Context())
+	accepted, _, err := cl.acceptedPointer(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	winners := 0
 	for i, err := range errs {
 		if err == nil {
 			winners++
-			g.Expect(now.Version).To(Equal(versions[i]))
+			g.Expect(accepted.Version).To(Equal(versions[i]))
 			continue
 		}
 		var race *RaceError
 		g.Expect(errors.As(err, &race)).To(BeTrue(), "%v", err)
-		g.Expect(race.AcceptedVersion).To(Equal(now.Version))
+		g.Expect(race.AcceptedVersion).To(Equal(accepted.Version))
 	}
 	g.Expect(winners).To(Equal(1))
 }
 
 func TestPushAndAcceptAreIdempotentAfterLostAnswers(t *testing.T) {
 	g := NewWithT(t)
-	of, st := newClient(t)
-	st.LoseAnswers(1)
-	v, err := of.Push(t.Context(), bundleWithClass("a"))
+	cl, store := newClient(t)
+	store.LoseAnswers(1)
+	v, err := cl.Push(t.Context(), bundleWithClass("a"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(v).To(Equal(int64(1)))
-	st.LoseAnswers(1)
-	g.Expect(of.Accept(t.Context(), v)).To(Succeed())
-	g.Expect(of.Accept(t.Context(), v)).To(Succeed())
-	again, err := of.Push(t.Context(), bundleWithClass("b"))
+	store.LoseAnswers(1)
+	g.Expect(cl.Accept(t.Context(), v)).To(Succeed())
+	g.Expect(cl.Accept(t.Context(), v)).To(Succeed())
+	again, err := cl.Push(t.Context(), bundleWithClass("b"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(Equal(int64(2)))
 }
