--- a/cmd/bundle.go
+++ b/cmd/bundle.go
@@ -11,11 +11,13 @@
 )
 
 const (
-	bundleTimeout    = 30 * time.Second
+	// bundleTimeout limits the duration of each bundle command and of burn.
+	bundleTimeout = 30 * time.Second
+	// rollPollInterval is the interval at which roll polls the instances.
 	rollPollInterval = 100 * time.Millisecond
 )
 
-// bundleCommand holds the subcommands.
+// bundleCommand groups the subcommands that operate on bundles.
 type bundleCommand struct {
 	Check  bundleCheck  `command:"check" description:"check a bundle file"`
 	Push   bundlePush   `command:"push" description:"write a bundle to the store and show what it changes"`
@@ -31,7 +33,7 @@
 	}
 }
 
-// fileArg is the bundle file.
+// fileArg is the positional argument that names a bundle file.
 type fileArg struct {
 	File string `positional-arg-name:"FILE" required:"true"`
 }
@@ -41,7 +43,7 @@
 	Args     fileArg `positional-args:"true" required:"true"`
 }
 
-// Execute checks the file.
+// Execute checks the bundle file.
 func (bc *bundleCheck) Execute([]string) error {
 	if _, err := readBundle(bc.Args.File); err != nil {
 		return err
@@ -56,7 +58,7 @@
 	Args fileArg `positional-args:"true" required:"true"`
 }
 
-// Execute pushes the file.
+// Execute pushes the bundle file.
 func (bp *bundlePush) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
@@ -64,22 +66,23 @@
 	return err
 }
 
+// pushBundle writes a bundle file to the store, prints the differences from the accepted bundle, and returns the version.
 func pushBundle(ctx context.Context, op *options, po *platformOptions, file string) (int64, error) {
 	b, err := readBundle(file)
 	if err != nil {
 		return 0, err
 	}
-	office := signoff.New(po.store())
-	old, err := office.Accepted(ctx)
+	client := signoff.New(po.store())
+	accepted, err := client.Accepted(ctx)
 	if err != nil {
 		return 0, err
 	}
-	for _, line := range signoff.Diff(old, b) {
+	for _, line := range signoff.Diff(accepted, b) {
 		fmt.Fprintln(op.out, line)
 	}
-	version, err := office.Push(ctx, b)
+	version, err := client.Push(ctx, b)
 	if err == nil {
-		fmt.Fprintf(op.out, "pushed as version %d on top of %d\n", version, old.Version)
+		fmt.Fprintf(op.out, "pushed as version %d on top of %d\n", version, accepted.Version)
 	}
 	return version, err
 }
@@ -93,42 +96,47 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute signs the version off.
+// Execute accepts the version.
 func (bs *bundleSign) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
 	return acceptBundle(ctx, bs.options, &bs.platformOptions, bs.Args.Version, bs.Force)
 }
 
-// NotPreparedError says which instances did not prepare a bundle.
-type NotPreparedError struct{ Failures []string }
+// NotPreparedError means that a bundle was not accepted because some instances did not prepare it.
+type NotPreparedError struct {
+	// Failures are the names of these instances with their errors.
+	Failures []string
+}
 
-// Error lists the instances.
+// Error lists the failures.
 func (np *NotPreparedError) Error() string {
-	return fmt.Sprintf("not accepted, %d instances are not prepared: %v", len(np.Failures), np.Failures)
+	return fmt.Sprintf("bundle not accepted: %d instances are not prepared: %v", len(np.Failures), np.Failures)
 }
 
+// acceptBundle asks every instance to prepare a pushed bundle and then accepts it. If some instances fail to prepare it, the bundle is
+// accepted only with force.
 func acceptBundle(ctx context.Context, op *options, po *platformOptions, version int64, force bool) error {
 	replies, err := po.ops().Prepare(ctx, version)
 	if err != nil {
 		return err
 	}
-	var faults []string
+	var failures []string
 	for _, r := range replies {
 		switch {
 		case r.Err != nil:
-			faults = append(faults, r.Instance.Name+": "+r.Err.Error())
+			failures = append(failures, r.Instance.Name+": "+r.Err.Error())
 		case r.Value.Fault != "":
-			faults = append(faults, r.Instance.Name+": "+r.Value.Fault)
+			failures = append(failures, r.Instance.Name+": "+r.Value.Fault)
 		}
 	}
-	if len(faults) > 0 && !force {
-		return &NotPreparedError{Failures: faults}
+	if len(failures) > 0 && !force {
+		return &NotPreparedError{Failures: failures}
 	}
 	if err := signoff.New(po.store()).Accept(ctx, version); err != nil {
 		return err
 	}
-	fmt.Fprintf(op.out, "version %d is accepted, prepared by %d of %d instances\n", version, len(replies)-len(faults), len(replies))
+	fmt.Fprintf(op.out, "version %d is accepted, prepared by %d of %d instances\n", version, len(replies)-len(failures), len(replies))
 	return nil
 }
 
@@ -139,7 +147,7 @@
 	Args  fileArg `positional-args:"true" required:"true"`
 }
 
-// Execute rolls the file out.
+// Execute pushes and accepts the bundle file, and waits until it is in force at all instances.
 func (br *bundleRoll) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
@@ -153,19 +161,22 @@
 	return br.waitInForce(ctx, version)
 }
 
-// NotEverywhereError says that a bundle was accepted and is not in force everywhere yet.
+// RollIncompleteError means that a bundle was accepted but not in force at all instances before the timeout.
 type RollIncompleteError struct {
+	// Version is the accepted version.
 	Version int64
+	// Missing are the names of the instances at which it is not in force.
 	Missing []string
 }
 
 // Error lists the instances.
 func (ri *RollIncompleteError) Error() string {
-	return "version " + strconv.FormatInt(ri.Version, 10) + " is accepted; not yet in force at " + fmt.Sprint(ri.Missing)
+	return "version " + strconv.FormatInt(ri.Version, 10) + " is accepted but not yet in force at " + fmt.Sprint(ri.Missing)
 }
 
+// waitInForce polls the instances until the version or a newer one is in force at all of them.
 func (br *bundleRoll) waitInForce(ctx context.Context, version int64) error {
-	began := time.Now()
+	start := time.Now()
 	for {
 		replies, err := br.ops().Statuses(ctx)
 		var missing []string
@@ -175,7 +186,7 @@
 			}
 		}
 		if err == nil && len(missing) == 0 {
-			fmt.Fprintf(br.out, "in force at %d instances after %s\n", len(replies), time.Since(began).Round(time.Millisecond))
+			fmt.Fprintf(br.out, "in force at %d instances after %s\n", len(replies), time.Since(start).Round(time.Millisecond))
 			return nil
 		}
 		select {
@@ -191,7 +202,7 @@
 	platformOptions
 }
 
-// Execute prints a line for each instance.
+// Execute prints the status of each instance as a table.
 func (bs *bundleStatus) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
@@ -203,7 +214,7 @@
 	fmt.Fprintln(tw, "INSTANCE\tZONE\tVERSION\tBEHIND\tREADY\tPEERS LIVE\tNOTE")
 	for _, r := range replies {
 		if r.Err != nil {
-			fmt.Fprintf(tw, "%s\t%s\t?\t?\t?\t?\tcannot be asked: %v\n", r.Instance.Name, r.Instance.AvailabilityZone, r.Err)
+			fmt.Fprintf(tw, "%s\t%s\t?\t?\t?\t?\tno reply: %v\n", r.Instance.Name, r.Instance.AvailabilityZone, r.Err)
 			continue
 		}
 		live := 0
--- a/cmd/burn.go
+++ b/cmd/burn.go
@@ -20,15 +20,15 @@
 	Plot string `long:"plot" description:"file for a plot, SVG or PNG"`
 }
 
-// burnReport is the JSON form.
+// burnReport is the JSON output.
 type burnReport struct {
 	Rows   []burn.Row   `json:"rows"`
 	Alerts []burn.Alert `json:"alerts"`
-	// Missing are instances that could not be asked.
+	// Missing are the names of instances that did not reply.
 	Missing []string `json:"missing"`
 }
 
-// Execute prints the report.
+// Execute collects the request counts of all instances and prints the burn rates and alerts.
 func (bc *burnCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), bundleTimeout)
 	defer cancel()
@@ -40,43 +40,43 @@
 	if err != nil {
 		return err
 	}
-	var rp burnReport
-	var all [][]burn.Window
+	var report burnReport
+	var windows [][]burn.Window
 	for _, r := range replies {
 		if r.Err != nil {
-			rp.Missing = append(rp.Missing, r.Instance.Name)
+			report.Missing = append(report.Missing, r.Instance.Name)
 			continue
 		}
-		all = append(all, r.Value)
+		windows = append(windows, r.Value)
 	}
-	rp.Rows, rp.Alerts = burn.Report(burn.Merge(all...), b.Classes)
+	report.Rows, report.Alerts = burn.Report(burn.Merge(windows...), b.Classes)
 	if bc.Plot != "" {
-		if err := burn.Plot(bc.Plot, rp.Rows); err != nil {
+		if err := burn.Plot(bc.Plot, report.Rows); err != nil {
 			return err
 		}
 	}
-	return bc.print(rp)
+	return bc.print(report)
 }
 
-func (bc *burnCommand) print(rp burnReport) error {
+func (bc *burnCommand) print(report burnReport) error {
 	if bc.JSON {
 		enc := json.NewEncoder(bc.out)
 		enc.SetIndent("", "  ")
-		return errors.Wrap(enc.Encode(rp), "encode report")
+		return errors.Wrap(enc.Encode(report), "encode report")
 	}
 	tw := tabwriter.NewWriter(bc.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "CLASS\tWINDOW\tREQUESTS\tMISSED\tBURN RATE")
-	for _, r := range rp.Rows {
+	for _, r := range report.Rows {
 		fmt.Fprintf(tw, "%s\t%s\t%d\t%d\t%.2f\n", r.Class, r.Length, r.Count.Total, r.Count.Missed, r.Rate)
 	}
 	if err := tw.Flush(); err != nil {
 		return errors.Wrap(err, "print table")
 	}
-	for _, a := range rp.Alerts {
+	for _, a := range report.Alerts {
 		fmt.Fprintf(bc.out, "ALERT class %s burns at %.1f times its budget; a full budget ends in %s\n", a.Class, a.Rate, a.EndsIn.Round(time.Minute))
 	}
-	for _, m := range rp.Missing {
-		fmt.Fprintf(bc.out, "instance %s could not be asked and is not counted\n", m)
+	for _, m := range report.Missing {
+		fmt.Fprintf(bc.out, "instance %s did not reply and is not counted\n", m)
 	}
 	return nil
 }
--- a/cmd/check.go
+++ b/cmd/check.go
@@ -12,13 +12,13 @@
 
 type checkCommand struct {
 	*options `no-flag:"true"`
-	Bundle   string `long:"bundle" description:"bundle that the settings must be able to stop under"`
+	Bundle   string `long:"bundle" description:"bundle whose class deadlines must not exceed stop.drain"`
 	Args     struct {
 		File string `positional-arg-name:"FILE" required:"true"`
 	} `positional-args:"true" required:"true"`
 }
 
-// Execute checks the file and reports all faults.
+// Execute checks the settings file, and the bundle if one is given, and returns all faults.
 func (cc *checkCommand) Execute([]string) error {
 	s, faults, err := readSettings(cc.Args.File)
 	if err != nil {
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// readSettings returns the settings of a file with their defaults, and all their faults: what does not decode, and what
-// the duties find in the rest. The error is for a file that cannot be read.
+// readSettings returns the settings of a file with defaults and all their faults: those found in decoding and those that the duties find
+// in the fields that decode. It returns an error only if the file cannot be read.
 func readSettings(path string) (config.Settings, config.Faults, error) {
 	s, err := config.Load(path)
 	var faults config.Faults
@@ -50,9 +50,9 @@
 	return s, faults.Merge(kernel.Check(s)), nil
 }
 
-// stopFaults returns what keeps an instance with the settings from stopping under a bundle, and the faults of the bundle
-// itself.
-func bundleFaults(s config.Settings, found config.Faults, path string) (config.Faults, error) {
+// bundleFaults returns the faults of a bundle file. If it has none, it returns the deadlines in it that are longer than the drain time
+// of the settings.
+func bundleFaults(s config.Settings, settingsFaults config.Faults, path string) (config.Faults, error) {
 	b, err := readBundle(path)
 	var faults config.Faults
 	if errors.As(err, &faults) {
@@ -61,12 +61,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return drainFaults(b, s, found), nil
+	return drainFaults(b, s, settingsFaults), nil
 }
 
-// fitsStop compares with the drain only if that was read.
-func drainFaults(b bundle.Bundle, s config.Settings, found config.Faults) config.Faults {
-	if found.Covers("stop.drain") {
+// drainFaults compares the bundle with stop.drain, unless one of the given faults covers that setting.
+func drainFaults(b bundle.Bundle, s config.Settings, settingsFaults config.Faults) config.Faults {
+	if settingsFaults.Covers("stop.drain") {
 		return nil
 	}
 	return b.CheckDrain(s.Stop.Drain.Std())
--- a/cmd/check_test.go
+++ b/cmd/check_test.go
@@ -13,7 +13,7 @@
 	"github.com/silvermount/silvermount/internal/localfleet"
 )
 
-// writeText writes a settings file word for word.
+// writeText writes a settings file with the given content and returns its path.
 func writeText(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.json")
@@ -21,11 +21,11 @@
 	return file
 }
 
-// TestCheckReportsAllFaults checks files in which some faults are found in decoding and others by the duties.
+// TestCheckReportsAllFaults checks files with faults that are found in decoding and faults that the duties find.
 func TestCheckReportsAllFaults(t *testing.T) {
 	tests := map[string]struct {
 		text string
-		// want are the paths of all faults, in the order of the lines.
+		// want are the paths of all faults, in the order in which they are printed.
 		want []string
 	}{
 		"entry": {
@@ -48,11 +48,11 @@
 				"availability_zone", "gateway.store", "gateway.seeds[2]", "gateway.retry_share", "gateway.body_budget_bytes",
 			},
 		},
-		"gateway that is no object": {
+		"gateway that is not an object": {
 			text: `{"instance":"gateway-1","availability_zone":"a","gateway":"platform"}`, want: []string{"gateway"},
 		},
-		"no JSON": {text: `{"instance":`, want: []string{"(document)"}},
-		"a list":  {text: `[]`, want: []string{"(document)"}},
+		"not JSON": {text: `{"instance":`, want: []string{"(document)"}},
+		"a list":   {text: `[]`, want: []string{"(document)"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 	return string(b)
 }
 
-// TestUnknownFieldAloneIsRefused checks that neither command takes settings in which all else is good.
+// TestUnknownFieldIsRefused checks that both commands refuse settings whose only fault is an unknown field.
 func TestUnknownFieldIsRefused(t *testing.T) {
 	for name, s := range map[string]config.Settings{"entry": entryTemplate(), "gateway": gatewayTemplate()} {
 		t.Run(name, func(t *testing.T) {
@@ -101,19 +101,19 @@
 	}
 }
 
-// TestCheckWithBundleAfterFaults checks what is said of a bundle beside settings that do not decode.
+// TestCheckWithBundleAfterDecodeFaults checks which faults of a bundle are reported with settings that do not decode.
 func TestCheckWithBundleAfterDecodeFaults(t *testing.T) {
-	slow := localfleet.DefaultBundle()
-	slow.Classes[0].Deadline = slow.Classes[2].Deadline
-	slowFile := writeJSON(t, "slow.json", slow)
+	slowBundle := localfleet.DefaultBundle()
+	slowBundle.Classes[0].Deadline = slowBundle.Classes[2].Deadline
+	slowFile := writeJSON(t, "slow.json", slowBundle)
 	broken := writeText(t, `{}`)
 	tests := map[string]struct {
 		text, bundle string
 		want         []string
 		without      string
 	}{
-		"drain was read":     {text: `{"lag":1}`, bundle: slowFile, want: []string{"lag: ", "classes.call.deadline: "}},
-		"drain was not read": {text: `{"stop":{"drain":5}}`, bundle: slowFile, want: []string{"stop.drain: "}, without: "classes"},
+		"valid drain":        {text: `{"lag":1}`, bundle: slowFile, want: []string{"lag: ", "classes.call.deadline: "}},
+		"invalid drain":      {text: `{"stop":{"drain":5}}`, bundle: slowFile, want: []string{"stop.drain: "}, without: "classes"},
 		"bundle with faults": {text: `{"lag":1}`, bundle: broken, want: []string{"lag: ", "classes"}},
 	}
 	for name, tc := range tests {
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestInitPassesTheCheck checks what init prints for each role.
+// TestInitPassesTheCheck checks the settings that init prints for each role.
 func TestInitPassesTheCheck(t *testing.T) {
 	tests := map[string]struct {
 		args    []string
--- a/cmd/commands.go
+++ b/cmd/commands.go
@@ -1,10 +1,10 @@
 package cmd
 
-// commands is the list of all commands.
+// commands are all subcommands, in the order of registration.
 var commands = []command{
 	{"entry", "run an entry instance", func(op *options) any { return &entryCommand{options: op} }},
 	{"bundle", "check, push, sign, roll and show bundles", func(op *options) any { return newBundleCommand(op) }},
-	{"burn", "show how fast each class burns its service level", func(op *options) any { return &burnCommand{options: op} }},
+	{"burn", "show how fast each class consumes its error budget", func(op *options) any { return &burnCommand{options: op} }},
 	{"demo", "run a small fleet in one process and send it a burst", func(op *options) any { return &demoCommand{options: op} }},
 	{"init", "print settings to start from", func(op *options) any { return &initCommand{options: op} }},
 	{"check", "check a settings file", func(op *options) any { return &checkCommand{options: op} }},
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -11,22 +11,22 @@
 
 type demoCommand struct {
 	*options `no-flag:"true"`
-	Keep     bool `long:"keep" description:"stay up after the burst and print a line to try"`
+	Keep     bool `long:"keep" description:"keep running after the burst and print a command to try"`
 }
 
-// Execute runs the demo.
+// Execute runs the demo fleet and its burst. With Keep, the fleet then runs until SIGTERM or SIGINT.
 func (dc *demoCommand) Execute([]string) error {
 	ctx, cancel := signalContext()
 	defer cancel()
 	lg := dc.logger()
 	lg.Level = max(lg.Level, log.ErrorLevel)
-	o := demo.Options{Out: dc.out, Log: lg}
+	opts := demo.Options{Out: dc.out, Log: lg}
 	if dc.Keep {
-		o.Keep = func(url string) {
+		opts.Keep = func(url string) {
 			fmt.Fprintf(dc.out, "curl -N %s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"prompt\":\"hello\",\"stream\":true}'\n",
 				url, localfleet.Key, localfleet.Model)
 			<-ctx.Done()
 		}
 	}
-	return demo.Run(ctx, o)
+	return demo.Run(ctx, opts)
 }
--- a/cmd/entry.go
+++ b/cmd/entry.go
@@ -21,53 +21,53 @@
 	Settings string `long:"settings" required:"true" description:"settings file"`
 }
 
-// logDrain bounds the writing of the last log lines.
+// logDrainTimeout limits the time to write the remaining log lines at exit.
 const logDrainTimeout = 300 * time.Millisecond
 
-// Execute runs the instance until it is asked to stop. A hang-up signal reloads the settings.
+// Execute runs the instance until SIGTERM or SIGINT. SIGHUP reloads the settings.
 func (ec *entryCommand) Execute([]string) error {
-	// Registered before anything else: a hang-up during the start must not end the process.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	// SIGHUP is registered first, because one received during the start must not end the process.
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
 	ctx, cancel := signalContext()
 	defer cancel()
 	s, err := config.Load(ec.Settings)
 	if err != nil {
 		return err
 	}
-	ms := metrics.NewSet()
-	sk := eventlog.New(ec.out, eventlog.WithMetrics(ms), eventlog.WithInstance(s.Instance))
+	metricsSet := metrics.NewSet()
+	sink := eventlog.New(ec.out, eventlog.WithMetrics(metricsSet), eventlog.WithInstance(s.Instance))
 	defer func() {
 		ctx, cancel := context.WithTimeout(context.Background(), logDrainTimeout)
 		defer cancel()
-		if err := sk.Close(ctx); err != nil {
-			// Standard output does not take the last lines.
+		if err := sink.Close(ctx); err != nil {
+			// Standard output does not accept the remaining lines, so that the error is printed to standard error.
 			fmt.Fprintln(ec.err, "log:", err)
 		}
 	}()
-	lg := &log.Logger{Handler: sk, Level: log.MustParseLevel(ec.LogLevel)}
-	in, err := instance.Start(ctx, s, lg, instance.WithMetrics(ms))
+	lg := &log.Logger{Handler: sink, Level: log.MustParseLevel(ec.LogLevel)}
+	inst, err := instance.Start(ctx, s, lg, instance.WithMetrics(metricsSet))
 	if err != nil {
-		lg.WithField("part", "kernel").WithField("instance", s.Instance).WithError(err).Error("not started")
+		lg.WithField("part", "kernel").WithField("instance", s.Instance).WithError(err).Error("instance not started")
 		return err
 	}
 	for {
 		select {
 		case <-ctx.Done():
-			return in.Stop(context.Background())
-		case <-hangups:
-			ec.reload(in, lg.WithField("instance", s.Instance))
+			return inst.Stop(context.Background())
+		case <-reloads:
+			ec.reload(inst, lg.WithField("instance", s.Instance))
 		}
 	}
 }
 
-// reload reads the settings again; those that are not good change nothing.
-func (ec *entryCommand) reload(in *instance.Instance, lg log.Interface) {
+// reload reads the settings file again. Settings with faults are not applied.
+func (ec *entryCommand) reload(inst *instance.Instance, lg log.Interface) {
 	s, err := config.Load(ec.Settings)
 	if err == nil {
-		err = in.Reload(s)
+		err = inst.Reload(s)
 	}
 	if err != nil {
-		lg.WithField("part", "settings").WithError(err).Error("settings not reloaded; the present ones stay in force")
+		lg.WithField("part", "settings").WithError(err).Error("settings not reloaded; the previous settings stay in force")
 	}
 }
--- a/cmd/entry_test.go
+++ b/cmd/entry_test.go
@@ -14,13 +14,13 @@
 	"github.com/silvermount/silvermount/internal/config"
 )
 
-// lines is a writer that may be read while it is written.
+// syncBuffer is a buffer for concurrent use.
 type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-// Write appends.
+// Write implements io.Writer.
 func (sb *syncBuffer) Write(b []byte) (int, error) {
 	sb.mu.Lock()
 	defer sb.mu.Unlock()
@@ -33,10 +33,10 @@
 	return sb.buf.String()
 }
 
-// generous bounds each wait; it is long so that a busy machine passes.
+// waitTimeout limits each wait. It is long, so that the test also passes on a busy machine.
 const waitTimeout = 30 * time.Second
 
-// TestHangUpReloadsSettings runs an instance and sends this process the signals.
+// TestHangUpSignalReloadsSettings runs an instance in this process and sends signals to the process.
 func TestHangUpSignalReloadsSettings(t *testing.T) {
 	g := NewWithT(t)
 	s := gatewayTemplate()
@@ -47,26 +47,26 @@
 	}
 	gw.Store, gw.Grace = "127.0.0.1:1", config.Duration(time.Second)
 	file := writeJSON(t, "settings.json", s)
-	put := func(s config.Settings) {
+	writeAndReload := func(s config.Settings) {
 		b, err := json.Marshal(s)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(os.WriteFile(file, b, 0o600)).To(Succeed())
 		g.Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
 	}
 	var out, errOut syncBuffer
-	ended := make(chan int, 1)
-	go func() { ended <- Main([]string{"entry", "--settings", file}, &out, &errOut) }()
-	// Signals are sent only to an instance that has started: before, they would end the tests.
+	exitCode := make(chan int, 1)
+	go func() { exitCode <- Main([]string{"entry", "--settings", file}, &out, &errOut) }()
+	// Signals are sent only after the instance has started. Before that, they would end the test process.
 	g.Eventually(out.text, waitTimeout).Should(ContainSubstring("started"))
 	gw.MaxBodyBytes = -1
-	put(s)
-	g.Eventually(out.text, waitTimeout).Should(ContainSubstring("settings not reloaded; the present ones stay in force"))
+	writeAndReload(s)
+	g.Eventually(out.text, waitTimeout).Should(ContainSubstring("settings not reloaded; the previous settings stay in force"))
 	g.Expect(out.text()).To(ContainSubstring("gateway.max_body_bytes"))
 	g.Expect(out.text()).To(MatchRegexp(`settings not reloaded.* instance=` + s.Instance + `\s`))
 	g.Expect(out.text()).NotTo(ContainSubstring("settings reloaded"))
 	gw.MaxBodyBytes = 1 << 20
-	put(s)
+	writeAndReload(s)
 	g.Eventually(out.text, waitTimeout).Should(MatchRegexp(`settings reloaded.*changed=gateway.max_body_bytes`))
 	g.Expect(syscall.Kill(os.Getpid(), syscall.SIGTERM)).To(Succeed())
-	g.Eventually(ended, waitTimeout).Should(Receive(Equal(exitOK)), errOut.text())
+	g.Eventually(exitCode, waitTimeout).Should(Receive(Equal(exitOK)), errOut.text())
 }
--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -16,32 +16,32 @@
 	Scale     float64  `long:"scale" default:"8" description:"times are divided by this"`
 	Instances int      `long:"instances" description:"number of instances instead of the fleet's"`
 	LongShare float64  `long:"long-share" description:"share of targets for long prompts instead of the default"`
-	Events    bool     `long:"events" description:"let the bundle tell of the event that the arrivals are"`
+	Events    bool     `long:"events" description:"announce the event that the arrivals represent in the bundle"`
 	JSON      string   `long:"json" description:"file for the figures of every run"`
 	Plot      string   `long:"plot" description:"file for a plot, SVG or PNG"`
 }
 
-// Execute runs the experiment and prints the table.
+// Execute runs the experiment and prints a table of medians.
 func (ec *experimentCommand) Execute([]string) error {
 	ctx, cancel := signalContext()
 	defer cancel()
 	lg := ec.logger()
 	lg.Level = max(lg.Level, log.FatalLevel)
-	o := experiment.Options{
+	opts := experiment.Options{
 		Fleets: ec.Fleets, Policies: ec.Policies, Seeds: ec.Seeds, Scale: ec.Scale, Instances: ec.Instances,
 		LongShare: ec.LongShare, Events: ec.Events, Progress: ec.err, Log: lg,
 	}
-	if len(o.Policies) == 0 {
-		o.Policies = policy.Names()
+	if len(opts.Policies) == 0 {
+		opts.Policies = policy.Names()
 	}
 	for _, f := range ec.Faults {
 		if f == "all" {
-			o.Faults = experiment.Faults
+			opts.Faults = experiment.Faults
 			break
 		}
-		o.Faults = append(o.Faults, experiment.Fault(f))
+		opts.Faults = append(opts.Faults, experiment.Fault(f))
 	}
-	cells, err := experiment.Run(ctx, o)
+	cells, err := experiment.Run(ctx, opts)
 	if err != nil {
 		return err
 	}
--- a/cmd/explain.go
+++ b/cmd/explain.go
@@ -7,26 +7,26 @@
 	"github.com/silvermount/silvermount/internal/explain"
 )
 
-// explainCommand prints what log lines tell of a request.
+// explainCommand prints what happened to a request, according to log lines.
 type explainCommand struct {
 	*options `no-flag:"true"`
 	Args     struct {
 		ID string `positional-arg-name:"ID" required:"true"`
 	} `positional-args:"true" required:"true"`
 
-	// in is where log lines are read; standard input when nil.
+	// in is the source of log lines; nil means standard input.
 	in io.Reader
 }
 
-// Execute reads the lines and prints the account.
+// Execute reads the log lines and prints the timeline of the request.
 func (ec *explainCommand) Execute([]string) error {
 	in := ec.in
 	if in == nil {
 		in = os.Stdin
 	}
-	ac, err := explain.ReadTimeline(in, ec.Args.ID)
+	timeline, err := explain.ReadTimeline(in, ec.Args.ID)
 	if err != nil {
 		return err
 	}
-	return ac.Print(ec.out)
+	return timeline.Print(ec.out)
 }
--- a/cmd/explain_test.go
+++ b/cmd/explain_test.go
@@ -41,10 +41,10 @@
 	}
 }
 
-// documented finds a command in the pages and the lines that the page shows of its account.
+// documentedExplain matches an explain command on a page and the output lines shown after it.
 var documentedExplain = regexp.MustCompile("(?s)```sh\nsilvermount explain (\\w+) < (\\S+)\n```\n\n```\n(.*?)\n```")
 
-// TestDocumentedAccounts runs the commands of the operations page and looks for the lines it shows.
+// TestDocumentedExplainOutput runs the explain commands on the operations page and checks that the output contains the lines shown.
 func TestDocumentedExplainOutput(t *testing.T) {
 	g := NewWithT(t)
 	page, err := os.ReadFile(filepath.Join("..", "docs", "OPERATIONS.md"))
--- a/cmd/init.go
+++ b/cmd/init.go
@@ -15,7 +15,7 @@
 	Role     string `long:"role" default:"entry" choice:"entry" choice:"gateway" description:"role of the instance"`
 }
 
-// starter returns settings that pass the check once secrets are put in.
+// entryTemplate returns valid settings of an entry instance. The secrets in them are placeholders that must be replaced.
 func entryTemplate() config.Settings {
 	return kernel.Defaults(config.Settings{
 		Instance: "entry-1", AvailabilityZone: "a",
@@ -26,7 +26,7 @@
 	})
 }
 
-// gatewayStarter returns settings of a gateway that pass the check.
+// gatewayTemplate returns valid settings of a gateway.
 func gatewayTemplate() config.Settings {
 	return kernel.Defaults(config.Settings{
 		Instance: "gateway-1", AvailabilityZone: "a",
@@ -37,7 +37,7 @@
 	})
 }
 
-// Execute prints the settings.
+// Execute prints template settings for the role.
 func (ic *initCommand) Execute([]string) error {
 	s := entryTemplate()
 	if config.Role(ic.Role) == config.RoleGateway {
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -20,7 +20,7 @@
 	Seed      uint64        `long:"seed" default:"1" description:"seed of arrivals and prompts"`
 	Rate      float64       `long:"rate" default:"10" description:"requests a second"`
 	Length    time.Duration `long:"length" default:"10s" description:"time over which requests come"`
-	Burst     int           `long:"burst" default:"20" description:"requests in the first tenth of a second besides"`
+	Burst     int           `long:"burst" default:"20" description:"additional requests in the first tenth of a second"`
 	LongShare float64       `long:"long-share" default:"0.02" description:"share of prompts over 100,000 tokens"`
 	Class     string        `long:"class" description:"class of short prompts"`
 	LongClass string        `long:"long-class" description:"class of long prompts"`
@@ -28,7 +28,7 @@
 	JSON      string        `long:"json" description:"file for every result"`
 }
 
-// Execute sends the load and prints the table.
+// Execute sends the requests and prints a table of the results.
 func (lc *loadCommand) Execute([]string) error {
 	ctx, cancel := signalContext()
 	defer cancel()
--- a/cmd/losses.go
+++ b/cmd/losses.go
@@ -7,23 +7,23 @@
 	"github.com/silvermount/silvermount/internal/explain"
 )
 
-// lossesCommand prints what became of the requests that log lines tell of.
+// lossesCommand prints a summary of the outcomes of all requests in log lines.
 type lossesCommand struct {
 	*options `no-flag:"true"`
 
-	// in is where log lines are read; standard input when nil.
+	// in is the source of log lines; nil means standard input.
 	in io.Reader
 }
 
-// Execute reads the lines and prints the tables.
+// Execute reads the log lines and prints the summary.
 func (lc *lossesCommand) Execute([]string) error {
 	in := lc.in
 	if in == nil {
 		in = os.Stdin
 	}
-	lo, err := explain.SummariseLosses(in)
+	summary, err := explain.SummariseLosses(in)
 	if err != nil {
 		return err
 	}
-	return lo.Print(lc.out)
+	return summary.Print(lc.out)
 }
--- a/cmd/results.go
+++ b/cmd/results.go
@@ -7,14 +7,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// writeFigures writes figures to a JSON file; an empty name writes nothing.
-func writeResults(name string, figures any) error {
+// writeResults writes measurement results to a JSON file. It does nothing if name is empty.
+func writeResults(name string, results any) error {
 	if name == "" {
 		return nil
 	}
-	b, err := json.MarshalIndent(figures, "", " ")
+	b, err := json.MarshalIndent(results, "", " ")
 	if err != nil {
-		return errors.Wrap(err, "encode figures")
+		return errors.Wrap(err, "encode results")
 	}
-	return errors.Wrap(os.WriteFile(name, b, 0o644), "write figures")
+	return errors.Wrap(os.WriteFile(name, b, 0o644), "write results")
 }
--- a/cmd/root.go
+++ b/cmd/root.go
@@ -1,4 +1,4 @@
-// Package cmd holds the commands, one file each.
+// Package cmd implements the subcommands of silvermount, one per file.
 package cmd
 
 import (
@@ -23,9 +23,9 @@
 	exitUsage   = 2
 )
 
-// options are shared by all commands.
+// options are the flags and output writers that all commands share.
 type options struct {
-	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"least level logged"`
+	LogLevel string `long:"log-level" default:"info" choice:"debug" choice:"info" choice:"warn" choice:"error" description:"minimum level to log"`
 
 	out io.Writer
 	err io.Writer
@@ -35,18 +35,18 @@
 	return &log.Logger{Handler: logfmt.New(op.err), Level: log.MustParseLevel(op.LogLevel)}
 }
 
-// untilAskedToStop returns a context that ends when the process is asked to stop.
+// signalContext returns a context that is cancelled when the process receives SIGTERM or SIGINT.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 }
 
-// command is one entry of the list of commands.
+// command describes a subcommand and how to create it.
 type command struct {
 	name, short string
 	build       func(*options) any
 }
 
-// Main runs a command line and returns the exit code.
+// Main runs the command that args name and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	op := &options{out: out, err: errOut}
 	parser := flags.NewNamedParser("silvermount", flags.HelpFlag|flags.PassDoubleDash)
@@ -65,7 +65,7 @@
 	return exitOK
 }
 
-// execute runs a command. A hang-up ends all but an instance.
+// execute runs a command. SIGHUP ends every command except entry, which reloads its settings.
 func execute(cm flags.Commander, args []string) error {
 	if cm == nil {
 		return nil
@@ -76,17 +76,18 @@
 	return cm.Execute(args)
 }
 
+// reportError prints an error and returns the exit code for it.
 func reportError(w io.Writer, err error) int {
 	fmt.Fprintln(w, err)
-	var fe *flags.Error
-	if errors.As(err, &fe) {
-		if fe.Type == flags.ErrHelp {
+	var flagsErr *flags.Error
+	if errors.As(err, &flagsErr) {
+		if flagsErr.Type == flags.ErrHelp {
 			return exitOK
 		}
 		return exitUsage
 	}
-	var fs config.Faults
-	if errors.As(err, &fs) {
+	var faults config.Faults
+	if errors.As(err, &faults) {
 		return exitUsage
 	}
 	return exitFailure
--- a/cmd/schema.go
+++ b/cmd/schema.go
@@ -10,7 +10,7 @@
 	*options `no-flag:"true"`
 }
 
-// Execute prints the schema.
+// Execute prints the JSON schema of the settings.
 func (sc *schemaCommand) Execute([]string) error {
 	b, err := config.Schema()
 	if err != nil {
--- a/cmd/slopes.go
+++ b/cmd/slopes.go
@@ -12,15 +12,15 @@
 	JSON      string `long:"json" description:"file for the figures"`
 }
 
-// Execute measures the slopes.
+// Execute measures the cost of control for each fleet size.
 func (sc *slopesCommand) Execute([]string) error {
 	ctx, cancel := signalContext()
 	defer cancel()
 	lg := sc.logger()
 	lg.Level = max(lg.Level, log.FatalLevel)
-	rp, err := slopes.Run(ctx, slopes.Options{Instances: sc.Instances, Progress: sc.out, Log: lg})
+	report, err := slopes.Run(ctx, slopes.Options{Instances: sc.Instances, Progress: sc.out, Log: lg})
 	if err != nil {
 		return err
 	}
-	return writeResults(sc.JSON, rp)
+	return writeResults(sc.JSON, report)
 }
--- a/cmd/standin.go
+++ b/cmd/standin.go
@@ -22,10 +22,10 @@
 	} `positional-args:"true" required:"true"`
 }
 
-// UnknownKindError says that there is no such stand-in.
+// UnknownKindError means that there is no stand-in of the requested kind.
 type UnknownKindError struct{ Kind string }
 
-// Error names the kind.
+// Error includes the kind and lists the valid ones.
 func (ue *UnknownKindError) Error() string {
 	return "no stand-in " + ue.Kind + "; there are platform, engine and service"
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// Execute serves the stand-in until it is asked to stop.
+// Execute serves the stand-in until SIGTERM or SIGINT.
 func (sc *standinCommand) Execute([]string) error {
 	h, err := sc.handler()
 	if err != nil {
@@ -54,7 +54,7 @@
 	ctx, cancel := signalContext()
 	defer cancel()
 	srv := &http.Server{Addr: sc.Listen, Handler: h, ReadHeaderTimeout: 10 * time.Second}
-	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // the stand-in keeps nothing
+	stop := context.AfterFunc(ctx, func() { _ = srv.Close() }) // The stand-in has no state to save.
 	defer stop()
 	if err := srv.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "serve stand-in")
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Package main starts silvermount.
+// Package main is the silvermount command.
 package main
 
 import (
