--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -45,8 +45,8 @@
 	maxNormalQueued int
 	// instance is the instance name in lines that the sink writes itself; it may be empty.
 	instance string
-	// batch is used only by the writing goroutine until done is closed.
-	batch *batch
+	// pending is the batch being collected; it is used only by the writing goroutine until done is closed.
+	pending *batch
 
 	// mu is held for reading while a line is queued and for writing while closed is set, so that no line is queued after that.
 	mu     sync.RWMutex
@@ -105,7 +105,7 @@
 		maxNormalQueued: op.capacity - op.capacity/urgentReserveDivisor,
 		instance:        op.instance,
 
-		batch:   &batch{w: w},
+		pending: &batch{w: w},
 		closing: make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -153,12 +153,12 @@
 	sk.mu.Unlock()
 	select {
 	case <-sk.done:
-		return sk.batch.err()
+		return sk.pending.err()
 	case <-ctx.Done():
 	}
 	select {
 	case <-sk.done: // Both may be ready; a drained sink is not an error.
-		return sk.batch.err()
+		return sk.pending.err()
 	default:
 		return &NotDrainedError{Lines: sk.queue.Len(), Cause: ctx.Err()}
 	}
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -307,7 +307,7 @@
 }
 
 func BenchmarkHandleLog(b *testing.B) {
-	tests := map[string]int{"written": 1 << 30, "dropped": 0}
+	tests := map[string]int{"written": 1 << 30, "left out": 0}
 	fields := log.Fields{"part": "gateway", "request": "req-0123456789abcdef", "target": "a-1", "status": 200, "elapsed": 1500 * time.Millisecond}
 	for name, limit := range tests {
 		b.Run(name, func(b *testing.B) {
--- a/internal/eventlog/quotas.go
+++ b/internal/eventlog/quotas.go
@@ -40,8 +40,8 @@
 	kinds map[string]quota
 }
 
-func newQuotas(common, urgent int) *quotas {
-	return &quotas{normalLimit: common, urgentLimit: urgent, kinds: map[string]quota{}}
+func newQuotas(normalLimit, urgentLimit int) *quotas {
+	return &quotas{normalLimit: normalLimit, urgentLimit: urgentLimit, kinds: map[string]quota{}}
 }
 
 // admit counts a line as admitted or dropped, and reports whether it may be written.
--- a/internal/eventlog/write.go
+++ b/internal/eventlog/write.go
@@ -39,16 +39,16 @@
 	if err == nil && n < len(bt.buf) {
 		err = io.ErrShortWrite
 	}
-	lost := 0
+	lostLines := 0
 	if err != nil {
-		lost = bytes.Count(bt.buf[max(n, 0):], []byte{'\n'})
-		bt.lostLines += lost
+		lostLines = bytes.Count(bt.buf[max(n, 0):], []byte{'\n'})
+		bt.lostLines += lostLines
 		if bt.firstErr == nil {
 			bt.firstErr = err
 		}
 	}
 	bt.buf = bt.buf[:0]
-	return lost
+	return lostLines
 }
 
 // err returns a WriteError if any write failed, or nil.
@@ -100,16 +100,16 @@
 
 // addToBatch adds a line to the batch and writes the batch once it has minBatchBytes.
 func (sk *Sink) addToBatch(ln *line) {
-	sk.batch.buf = append(sk.batch.buf, ln.buf...)
+	sk.pending.buf = append(sk.pending.buf, ln.buf...)
 	ln.free()
-	if len(sk.batch.buf) >= minBatchBytes {
+	if len(sk.pending.buf) >= minBatchBytes {
 		sk.flush()
 	}
 }
 
 // flush writes the batch. Lines lost in a failed write are reported by the next reportDropped: there is nowhere else to log them.
 func (sk *Sink) flush() {
-	lost := sk.batch.flush()
+	lost := sk.pending.flush()
 	if lost == 0 {
 		return
 	}
--- a/internal/explain/collect.go
+++ b/internal/explain/collect.go
@@ -16,14 +16,14 @@
 type collector struct {
 	// lines are all lines that the reader kept, sorted by time.
 	lines []*line
-	// reasons holds the selected lines and why each was selected.
-	reasons map[*line]string
+	// reason holds the selected lines and why each was selected.
+	reason map[*line]string
 	// synthetic holds lines that no instance wrote, by the line before which they are inserted.
 	synthetic map[*line][]entry
 }
 
 func newCollector(lines []*line) *collector {
-	return &collector{lines: lines, reasons: map[*line]string{}, synthetic: map[*line][]entry{}}
+	return &collector{lines: lines, reason: map[*line]string{}, synthetic: map[*line][]entry{}}
 }
 
 // collect selects the lines of the request and those that may explain them.
@@ -34,7 +34,7 @@
 			continue
 		}
 		own = append(own, ln)
-		cl.reasons[ln] = reasonRequest
+		cl.reason[ln] = reasonRequest
 		earlier := cl.lines[:i]
 		cl.markDependencies(ln, earlier)
 		cl.markTargetStates(ln, earlier)
@@ -48,8 +48,8 @@
 
 // mark selects a line for a reason. A line that is already selected keeps its first reason.
 func (cl *collector) mark(ln *line, reason string) {
-	if cl.reasons[ln] == "" {
-		cl.reasons[ln] = reason
+	if cl.reason[ln] == "" {
+		cl.reason[ln] = reason
 	}
 }
 
@@ -113,8 +113,8 @@
 
 // addMissing inserts a line saying that no expected line was found, once for each missing value and instance.
 func (cl *collector) addMissing(of *line, msg string, missing field) {
-	for _, inserted := range cl.synthetic {
-		for _, ln := range inserted {
+	for _, synthetic := range cl.synthetic {
+		for _, ln := range synthetic {
 			if ln.instance == of.instance && ln.get("msg") == msg && ln.get(missing.key) == missing.value {
 				return
 			}
@@ -128,7 +128,7 @@
 func (cl *collector) entries() []entry {
 	var es []entry
 	for _, ln := range cl.lines {
-		reason := cl.reasons[ln]
+		reason := cl.reason[ln]
 		if reason == "" {
 			continue
 		}
--- a/internal/explain/concurrent.go
+++ b/internal/explain/concurrent.go
@@ -87,7 +87,7 @@
 	var sent, failed, states []*line
 	for _, ln := range cl.lines {
 		switch {
-		case !att.covers(ln.at) || !att.involves(ln) || cl.reasons[ln] == reasonRequest:
+		case !att.covers(ln.at) || !att.involves(ln) || cl.reason[ln] == reasonRequest:
 		case ln.isSend():
 			sent = append(sent, ln)
 		case ln.get("cause") != "" && ln.get("request") != "":
@@ -115,9 +115,9 @@
 	if len(sent)+len(failed) == 0 {
 		return
 	}
-	tokens := 0
+	promptTokens := 0
 	for _, ln := range sent {
-		tokens += ln.promptTokens()
+		promptTokens += ln.promptTokens()
 	}
 	before := att.end
 	if before == nil {
@@ -127,7 +127,7 @@
 		plainField("msg", "other requests at the same targets"),
 		plainField("targets", strings.Join(att.targets, ",")),
 		plainField("sent", strconv.Itoa(len(sent))),
-		plainField("prompt_tokens", strconv.Itoa(tokens)),
+		plainField("prompt_tokens", strconv.Itoa(promptTokens)),
 		plainField("failed", strconv.Itoa(len(failed))),
 	}}
 	cl.synthetic[before] = append(cl.synthetic[before], entry{line: ln, reason: reasonConcurrent})
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -148,12 +148,12 @@
 func (ls LossSummary) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "ROUTE\tWHAT BECAME OF THEM\tREQUESTS\tSHARE")
-	routeTotals := map[string]int{}
+	total := map[string]int{}
 	for oc, n := range ls.outcomes {
-		routeTotals[oc.route] += n
+		total[oc.route] += n
 	}
 	for _, oc := range slices.SortedFunc(maps.Keys(ls.outcomes), outcome.compare) {
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", oc.route, oc.result, ls.outcomes[oc], float64(ls.outcomes[oc])/float64(routeTotals[oc.route]))
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", oc.route, oc.result, ls.outcomes[oc], float64(ls.outcomes[oc])/float64(total[oc.route]))
 	}
 	fmt.Fprintln(tw, "\nFROM\tREQUESTS\tIN TIME\t")
 	for _, index := range slices.Sorted(maps.Keys(ls.buckets)) {
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -70,11 +70,11 @@
 func TestReloadAppliesValidSettings(t *testing.T) {
 	tests := map[string]struct {
 		before, after config.Settings
-		wantReloaded  []string
-		wantChanged   string
+		reloaded      []string
+		changed       string
 	}{
 		"entry":     {entrySettings(1), entrySettings(2), []string{"one", "two"}, "callers.max_body_bytes"},
-		"gateway":   {gatewaySettings(1), gatewaySettings(2), []string{"gateway"}, "callers.max_body_bytes"},
+		"gateway":   {gatewaySettings(1), gatewaySettings(2), []string{"door"}, "callers.max_body_bytes"},
 		"no change": {entrySettings(1), entrySettings(1), []string{"one", "two"}, ""},
 	}
 	for name, tc := range tests {
@@ -83,18 +83,18 @@
 			var reloaded []string
 			var inForce []config.Settings
 			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("two", config.RoleEntry, &reloaded, &inForce),
-				reloadDuty("gateway", config.RoleGateway, &reloaded, &inForce))
+				reloadDuty("door", config.RoleGateway, &reloaded, &inForce))
 			kn, mh := startKernel(t, tc.before)
 			g.Expect(reloaded).To(BeEmpty())
 			g.Expect(kn.Reload(tc.after)).To(Succeed())
 			want := Defaults(tc.after)
 			g.Expect(want.Routing.Policy).To(HavePrefix("default of"))
-			g.Expect(reloaded).To(Equal(tc.wantReloaded))
+			g.Expect(reloaded).To(Equal(tc.reloaded))
 			g.Expect(inForce).To(HaveEach(want))
 			g.Expect(kn.Settings()).To(Equal(want))
 			last := mh.Entries[len(mh.Entries)-1]
 			g.Expect(last.Message).To(Equal("settings reloaded"))
-			g.Expect(last.Fields).To(HaveKeyWithValue("changed", tc.wantChanged))
+			g.Expect(last.Fields).To(HaveKeyWithValue("changed", tc.changed))
 		})
 	}
 }
@@ -106,7 +106,7 @@
 		before, after config.Settings
 		want          []string
 	}{
-		"fault of one duty":     {gatewaySettings(1), gatewaySettings(-1), []string{"gateway wants more"}},
+		"fault of one duty":     {gatewaySettings(1), gatewaySettings(-1), []string{"door wants more"}},
 		"faults of two duties":  {entrySettings(1), entrySettings(-1), []string{"one wants more", "two wants more"}},
 		"fault found by kernel": {entrySettings(1), nameless, []string{"a name unique among instances"}},
 	}
@@ -116,7 +116,7 @@
 			var reloaded []string
 			var inForce []config.Settings
 			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("two", config.RoleEntry, &reloaded, &inForce),
-				reloadDuty("gateway", config.RoleGateway, &reloaded, &inForce))
+				reloadDuty("door", config.RoleGateway, &reloaded, &inForce))
 			kn, mh := startKernel(t, tc.before)
 			before, lines := kn.Settings(), len(mh.Entries)
 			err := kn.Reload(tc.after)
@@ -150,7 +150,7 @@
 			g := NewWithT(t)
 			var reloaded []string
 			var inForce []config.Settings
-			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("gateway", config.RoleGateway, &reloaded, &inForce))
+			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("door", config.RoleGateway, &reloaded, &inForce))
 			kn, _ := startKernel(t, tc.before)
 			before := kn.Settings()
 			var fs config.Faults
@@ -210,7 +210,7 @@
 	endedBeforeEarlier := int32(-1)
 	registerOnly(t, stopDuty("one", PhaseListen, awaitOther(firstStopping, secondStopping)),
 		stopDuty("two", PhaseListen, awaitOther(secondStopping, firstStopping)),
-		stopDuty("earlier", PhaseStore, func() error { endedBeforeEarlier = ended.Load(); return nil }))
+		stopDuty("ground", PhaseStore, func() error { endedBeforeEarlier = ended.Load(); return nil }))
 	kn, _ := startKernel(t, entrySettings(1))
 	g.Expect(kn.Stop(t.Context())).To(Succeed())
 	g.Expect(endedBeforeEarlier).To(Equal(int32(2)))
