--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -67,7 +67,8 @@
 	g.Expect(err).To(MatchError(os.ErrClosed))
 }
 
-// TestContextLines checks which lines a timeline contains besides those of the request itself.
+// TestContextLines checks which lines a timeline contains besides those of the request itself. The line of the
+// request, with message a, is always included.
 func TestContextLines(t *testing.T) {
 	const attempt = `time=2026-12-01T12:00:20Z instance=i1 msg=a request=r target=t incarnation=2 config=5 key_gone=3`
 	tests := map[string]struct {
--- a/internal/explain/print.go
+++ b/internal/explain/print.go
@@ -16,14 +16,14 @@
 // Print writes a summary line and the log lines as a table.
 func (tl Timeline) Print(w io.Writer) error {
 	if _, err := io.WriteString(w, tl.summary()); err != nil {
-		return errors.Wrap(err, "print account")
+		return errors.Wrap(err, "print timeline")
 	}
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "TIME\tINSTANCE\tWHY\tPART\tEVENT")
 	for _, en := range tl.entries {
 		fmt.Fprintln(tw, en.row())
 	}
-	return errors.Wrap(tw.Flush(), "print account")
+	return errors.Wrap(tw.Flush(), "print timeline")
 }
 
 // summary returns the number of lines of the request itself, the number of instances that wrote them and their time span.
