--- a/cmd/check_test.go
+++ b/cmd/check_test.go
@@ -13,7 +13,7 @@
 	"github.com/silvermount/silvermount/internal/localfleet"
 )
 
-// writeText writes a settings file word for word.
+// writeText writes a settings file with the given content and returns its path.
 func writeText(t *testing.T, text string) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "settings.json")
@@ -21,11 +21,11 @@
 	return file
 }
 
-// TestCheckReportsAllFaults checks files in which some faults are found in decoding and others by the duties.
+// TestCheckReportsAllFaults checks files with faults that are found in decoding and faults that the duties find.
 func TestCheckReportsAllFaults(t *testing.T) {
 	tests := map[string]struct {
 		text string
-		// want are the paths of all faults, in the order of the lines.
+		// want are the paths of all faults, in the order in which they are printed.
 		want []string
 	}{
 		"entry": {
@@ -48,16 +48,16 @@
 				"availability_zone", "gateway.store", "gateway.seeds[2]", "gateway.retry_share", "gateway.body_budget_bytes",
 			},
 		},
-		"gateway that is no object": {
+		"gateway that is not an object": {
 			text: `{"instance":"gateway-1","availability_zone":"a","gateway":"platform"}`, want: []string{"gateway"},
 		},
-		"no JSON": {text: `{"instance":`, want: []string{"(document)"}},
-		"a list":  {text: `[]`, want: []string{"(document)"}},
+		"not JSON": {text: `{"instance":`, want: []string{"(document)"}},
+		"a list":   {text: `[]`, want: []string{"(document)"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			code, out, errOut := run("check", writeText(t, tc.text))
+			code, out, errOut := runCommand("check", writeText(t, tc.text))
 			g.Expect(code).To(Equal(exitUsage))
 			g.Expect(out).To(BeEmpty())
 			var paths []string
@@ -84,15 +84,15 @@
 	return string(b)
 }
 
-// TestUnknownFieldAloneIsRefused checks that neither command takes settings in which all else is good.
-func TestUnknownFieldAloneIsRefused(t *testing.T) {
-	for name, s := range map[string]config.Settings{"entry": starter(), "gateway": gatewayStarter()} {
+// TestUnknownFieldIsRefused checks that both commands refuse settings whose only fault is an unknown field.
+func TestUnknownFieldIsRefused(t *testing.T) {
+	for name, s := range map[string]config.Settings{"entry": entryTemplate(), "gateway": gatewayTemplate()} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			file := writeText(t, withField(t, s, "instance_name"))
 			const want = "instance_name: found \"unknown field\", want a known one; the nearest is instance\n"
 			for _, args := range [][]string{{"check", file}, {"entry", "--settings", file}} {
-				code, out, errOut := run(args...)
+				code, out, errOut := runCommand(args...)
 				g.Expect(code).To(Equal(exitUsage))
 				g.Expect(out).To(BeEmpty())
 				g.Expect(errOut).To(Equal(want))
@@ -101,25 +101,25 @@
 	}
 }
 
-// TestCheckWithBundleAfterFaults checks what is said of a bundle beside settings that do not decode.
-func TestCheckWithBundleAfterFaults(t *testing.T) {
-	slow := localfleet.DefaultBundle()
-	slow.Classes[0].Deadline = slow.Classes[2].Deadline
-	slowFile := write(t, "slow.json", slow)
+// TestCheckWithBundleAfterDecodeFaults checks which faults of a bundle are reported with settings that do not decode.
+func TestCheckWithBundleAfterDecodeFaults(t *testing.T) {
+	slowBundle := localfleet.DefaultBundle()
+	slowBundle.Classes[0].Deadline = slowBundle.Classes[2].Deadline
+	slowFile := writeJSON(t, "slow.json", slowBundle)
 	broken := writeText(t, `{}`)
 	tests := map[string]struct {
 		text, bundle string
 		want         []string
 		without      string
 	}{
-		"drain was read":     {text: `{"lag":1}`, bundle: slowFile, want: []string{"lag: ", "classes.call.deadline: "}},
-		"drain was not read": {text: `{"stop":{"drain":5}}`, bundle: slowFile, want: []string{"stop.drain: "}, without: "classes"},
+		"valid drain":        {text: `{"lag":1}`, bundle: slowFile, want: []string{"lag: ", "classes.call.deadline: "}},
+		"invalid drain":      {text: `{"stop":{"drain":5}}`, bundle: slowFile, want: []string{"stop.drain: "}, without: "classes"},
 		"bundle with faults": {text: `{"lag":1}`, bundle: broken, want: []string{"lag: ", "classes"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			code, _, errOut := run("check", writeText(t, tc.text), "--bundle", tc.bundle)
+			code, _, errOut := runCommand("check", writeText(t, tc.text), "--bundle", tc.bundle)
 			g.Expect(code).To(Equal(exitUsage))
 			for _, want := range tc.want {
 				g.Expect(errOut).To(ContainSubstring(want))
@@ -131,7 +131,7 @@
 	}
 }
 
-// TestInitPassesTheCheck checks what init prints for each role.
+// TestInitPassesTheCheck checks the settings that init prints for each role.
 func TestInitPassesTheCheck(t *testing.T) {
 	tests := map[string]struct {
 		args    []string
@@ -145,18 +145,18 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			code, out, errOut := run(tc.args...)
+			code, out, errOut := runCommand(tc.args...)
 			g.Expect(code).To(Equal(exitOK), errOut)
 			g.Expect(out).NotTo(ContainSubstring(tc.without))
 			s, err := config.Parse([]byte(out))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(s.Role()).To(Equal(tc.role))
-			code, out, errOut = run("check", writeText(t, out))
+			code, out, errOut = runCommand("check", writeText(t, out))
 			g.Expect(code).To(Equal(exitOK), errOut)
 			g.Expect(out).To(Equal("settings are good\n"))
 		})
 	}
 	g := NewWithT(t)
-	code, _, _ := run("init", "--role", "none")
+	code, _, _ := runCommand("init", "--role", "none")
 	g.Expect(code).To(Equal(exitUsage))
 }
--- a/cmd/init.go
+++ b/cmd/init.go
@@ -15,8 +15,8 @@
 	Role     string `long:"role" default:"entry" choice:"entry" choice:"gateway" description:"role of the instance"`
 }
 
-// starter returns settings that pass the check once secrets are put in.
-func starter() config.Settings {
+// entryTemplate returns valid settings of an entry instance. The secrets in them are placeholders that must be replaced.
+func entryTemplate() config.Settings {
 	return kernel.Defaults(config.Settings{
 		Instance: "entry-1", AvailabilityZone: "a",
 		Callers:   config.Callers{Listen: "127.0.0.1:8080"},
@@ -26,8 +26,8 @@
 	})
 }
 
-// gatewayStarter returns settings of a gateway that pass the check.
-func gatewayStarter() config.Settings {
+// gatewayTemplate returns valid settings of a gateway.
+func gatewayTemplate() config.Settings {
 	return kernel.Defaults(config.Settings{
 		Instance: "gateway-1", AvailabilityZone: "a",
 		Gateway: &config.Gateway{
@@ -37,11 +37,11 @@
 	})
 }
 
-// Execute prints the settings.
+// Execute prints template settings for the role.
 func (ic *initCommand) Execute([]string) error {
-	s := starter()
+	s := entryTemplate()
 	if config.Role(ic.Role) == config.RoleGateway {
-		s = gatewayStarter()
+		s = gatewayTemplate()
 	}
 	b, err := json.MarshalIndent(s, "", "  ")
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// lines returns the faults as they are printed.
-func lines(fs Faults) []string {
+// messages returns the error text of each fault.
+func messages(fs Faults) []string {
 	out := make([]string, len(fs))
 	for i, ft := range fs {
 		out[i] = ft.Error()
@@ -28,15 +28,15 @@
 		in   string
 		want []string
 	}{
-		"good":           {in: `{"instance":"a1","stop":{"drain":"5s"}}`},
-		"good gateway":   {in: `{"instance":"a1","gateway":{"seeds":["10.0.0.1:1"],"retry_share":0.5,"grace":"8s"}}`},
-		"null":           {in: `{"instance":null,"stop":null,"gateway":null,"peers":{"seeds":[null]}}`},
-		"case of a name": {in: `{"Instance":"a1"}`},
-		"unknown field":  {in: `{"instant":"a1"}`, want: []string{"instant: " + unknown + "instance"}},
+		"valid":                {in: `{"instance":"a1","stop":{"drain":"5s"}}`},
+		"valid gateway":        {in: `{"instance":"a1","gateway":{"seeds":["10.0.0.1:1"],"retry_share":0.5,"grace":"8s"}}`},
+		"null":                 {in: `{"instance":null,"stop":null,"gateway":null,"peers":{"seeds":[null]}}`},
+		"name in another case": {in: `{"Instance":"a1"}`},
+		"unknown field":        {in: `{"instant":"a1"}`, want: []string{"instant: " + unknown + "instance"}},
 		"unknown in a section": {
 			in: `{"stop":{"drian":"5s"}}`, want: []string{"stop.drian: " + unknown + "stop.drain"},
 		},
-		"unknown, known further in": {
+		"unknown, known in a section": {
 			in: `{"max_body_bytes":5}`, want: []string{"max_body_bytes: " + unknown + "callers.max_body_bytes"},
 		},
 		"unknown in the gateway": {
@@ -61,24 +61,24 @@
 			in:   `{"callers":{"max_body_bytes":9223372036854775808},"routing":{"long_share":1e999}}`,
 			want: []string{`callers.max_body_bytes: found "9223372036854775808", want a whole number of 64 bits`, `routing.long_share: found "1e999", want a number`},
 		},
-		"a secret is not shown": {
+		"secret is not shown": {
 			in: `{"operators":{"key":1234567890}}`, want: []string{`operators.key: found "a number", want a string`},
 		},
 		"entry of a list": {
 			in: `{"peers":{"seeds":["a",1,{}]}}`, want: []string{`peers.seeds[1]: found "a number", want a string`, `peers.seeds[2]: found "an object", want a string`},
 		},
-		"no list":    {in: `{"gateway":{"seeds":"a"}}`, want: []string{`gateway.seeds: found "a string", want a list`}},
-		"no section": {in: `{"gateway":true}`, want: []string{`gateway: found "true or false", want an object`}},
-		"no object":  {in: `[]`, want: []string{`(document): found "a list", want an object`}},
-		"no JSON": {
+		"not a list":    {in: `{"gateway":{"seeds":"a"}}`, want: []string{`gateway.seeds: found "a string", want a list`}},
+		"not a section": {in: `{"gateway":true}`, want: []string{`gateway: found "true or false", want an object`}},
+		"not an object": {in: `[]`, want: []string{`(document): found "a list", want an object`}},
+		"not JSON": {
 			in: "{\n \"stop\": {]", want: []string{`(document): found "invalid character ']' looking for beginning of object key string, at line 2, column 11"` + document},
 		},
 		"empty":     {in: " ", want: []string{`(document): found "EOF"` + document}},
-		"cut short": {in: `{"stop":{`, want: []string{`(document): found "unexpected EOF"` + document}},
-		"more after the end": {
+		"truncated": {in: `{"stop":{`, want: []string{`(document): found "unexpected EOF"` + document}},
+		"trailing data": {
 			in: "{}\n}", want: []string{`(document): found "more after the settings, at line 2, column 1"` + document},
 		},
-		"all at once": {
+		"several faults": {
 			in: `{"stop":{"drain":"soon","lag":1},"zone":"a","routing":{"policy":7}}`,
 			want: []string{
 				`routing.policy: found "a number", want a string`,
@@ -98,20 +98,21 @@
 			}
 			var fs Faults
 			g.Expect(errors.As(err, &fs)).To(BeTrue(), "%v", err)
-			g.Expect(lines(fs)).To(Equal(tc.want))
+			g.Expect(messages(fs)).To(Equal(tc.want))
 		})
 	}
 }
 
-// TestParseOfOneNameTwice has a fault in the first of two fields with one name: the decoder reads both.
-func TestParseOfOneNameTwice(t *testing.T) {
+// TestParseFindsFaultInDuplicateField has a fault in the first of two fields with the same name. The tree contains only the second, so
+// that only the strict decoder finds the fault.
+func TestParseFindsFaultInDuplicateField(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Parse([]byte(`{"stop":{"drian":"5s"},"stop":{"drain":"5s"}}`))
 	g.Expect(err).To(MatchError(ContainSubstring("drian")))
 	g.Expect(err).To(BeAssignableToTypeOf(Faults{}))
 }
 
-func TestParseKeepsTheRest(t *testing.T) {
+func TestParseKeepsValidFields(t *testing.T) {
 	g := NewWithT(t)
 	s, err := Parse([]byte(`{"instance":"a1","availability_zone":5,"stop":{"drain":"soon","balancer_lag":"1s"},
 		"peers":{"seeds":["10.0.0.1:1",2,"10.0.0.3:1"]},"callers":7,"gateway":{"stor":"x","retry_floor":3}}`))
@@ -127,18 +128,18 @@
 	g.Expect(s.Role()).To(Equal(RoleGateway))
 }
 
-// TestParseAgreesWithTheDecoder compares what is refused with what the strict decoder refuses.
-func TestParseAgreesWithTheDecoder(t *testing.T) {
+// TestParseAgreesWithStrictDecoder checks that Parse refuses exactly the documents that the strict JSON decoder refuses.
+func TestParseAgreesWithStrictDecoder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
-		b, err := json.Marshal(document(rt, reflect.TypeFor[Settings]()))
+		b, err := json.Marshal(drawDocument(rt, reflect.TypeFor[Settings]()))
 		g.Expect(err).NotTo(HaveOccurred())
 		var want Settings
 		dec := json.NewDecoder(bytes.NewReader(b))
 		dec.DisallowUnknownFields()
-		refused := dec.Decode(&want)
+		decodeErr := dec.Decode(&want)
 		s, err := Parse(b)
-		if refused != nil {
+		if decodeErr != nil {
 			g.Expect(err).To(BeAssignableToTypeOf(Faults{}), string(b))
 			return
 		}
@@ -147,8 +148,8 @@
 	})
 }
 
-// document draws a value that mostly fits the type; at times a part is of another type or a name is not known.
-func document(rt *rapid.T, t reflect.Type) any {
+// drawDocument draws a value that mostly fits the type. Some parts are of another type, and some names are unknown.
+func drawDocument(rt *rapid.T, t reflect.Type) any {
 	if rapid.IntRange(0, 19).Draw(rt, "odd") == 0 {
 		return rapid.SampledFrom([]any{nil, true, "x", "3s", 1.5, -2, 1e300, []any{}, map[string]any{}, map[string]any{"x": 1}}).Draw(rt, "value")
 	}
@@ -156,9 +157,9 @@
 	case t == reflect.TypeFor[Duration]():
 		return rapid.SampledFrom([]string{"0s", "1s", "-3m", "250ms"}).Draw(rt, "duration")
 	case t.Kind() == reflect.Pointer:
-		return document(rt, t.Elem())
+		return drawDocument(rt, t.Elem())
 	case t.Kind() == reflect.Slice:
-		return []any{document(rt, t.Elem()), document(rt, t.Elem())}
+		return []any{drawDocument(rt, t.Elem()), drawDocument(rt, t.Elem())}
 	case t.Kind() == reflect.String:
 		return rapid.String().Draw(rt, "string")
 	case t.Kind() == reflect.Float64:
@@ -169,14 +170,14 @@
 	object := map[string]any{}
 	for name, fd := range fields(t) {
 		if rapid.IntRange(0, 3).Draw(rt, "leave out") > 0 {
-			object[name] = document(rt, fd.Type)
+			object[name] = drawDocument(rt, fd.Type)
 		}
 	}
 	return object
 }
 
-// TestEveryFieldHasAName checks what the reader relies on: it knows fields by their JSON names only.
-func TestEveryFieldHasAName(t *testing.T) {
+// TestEveryFieldHasAJSONName checks an assumption of the validator, which finds fields by their JSON names only.
+func TestEveryFieldHasAJSONName(t *testing.T) {
 	g := NewWithT(t)
 	var walk func(t reflect.Type)
 	walk = func(t reflect.Type) {
@@ -195,7 +196,7 @@
 	walk(reflect.TypeFor[Settings]())
 }
 
-func TestDistance(t *testing.T) {
+func TestEditDistance(t *testing.T) {
 	tests := map[string]struct {
 		a, b string
 		want int
@@ -203,49 +204,49 @@
 		"equal":        {"drain", "drain", 0},
 		"empty":        {"", "drain", 5},
 		"one replaced": {"drain", "drawn", 1},
-		"one left out": {"stor", "store", 1},
+		"one missing":  {"stor", "store", 1},
 		"swapped":      {"drian", "drain", 2},
-		"unlike":       {"abc", "xyz", 3},
+		"different":    {"abc", "xyz", 3},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			g.Expect(distance(tc.a, tc.b)).To(Equal(tc.want))
-			g.Expect(distance(tc.b, tc.a)).To(Equal(tc.want))
+			g.Expect(editDistance(tc.a, tc.b)).To(Equal(tc.want))
+			g.Expect(editDistance(tc.b, tc.a)).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestFaultsWith(t *testing.T) {
+func TestFaultsMerge(t *testing.T) {
 	tests := map[string]struct {
 		found, later string
-		kept         bool
+		wantLater    bool
 	}{
-		"another path":         {found: "stop.drain", later: "stop.balancer_lag", kept: true},
-		"same path":            {found: "stop.drain", later: "stop.drain"},
-		"in the section":       {found: "peers", later: "peers.lost"},
-		"entry of the list":    {found: "gateway.seeds", later: "gateway.seeds[0]"},
-		"another entry":        {found: "gateway.seeds[1]", later: "gateway.seeds[0]", kept: true},
-		"name that starts so":  {found: "peers", later: "peers_lost", kept: true},
-		"section of the fault": {found: "peers.lost", later: "peers", kept: true},
-		"whole document":       {found: documentPath, later: "instance"},
+		"another path":                    {found: "stop.drain", later: "stop.balancer_lag", wantLater: true},
+		"same path":                       {found: "stop.drain", later: "stop.drain"},
+		"within the section":              {found: "peers", later: "peers.lost"},
+		"entry of the list":               {found: "gateway.seeds", later: "gateway.seeds[0]"},
+		"another entry":                   {found: "gateway.seeds[1]", later: "gateway.seeds[0]", wantLater: true},
+		"path with the same prefix":       {found: "peers", later: "peers_lost", wantLater: true},
+		"section that contains the fault": {found: "peers.lost", later: "peers", wantLater: true},
+		"whole document":                  {found: documentPath, later: "instance"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			found, later := Faults{{Path: tc.found, Want: "x"}}, Faults{{Path: tc.later, Want: "y"}}
 			want := found
-			if tc.kept {
+			if tc.wantLater {
 				want = Faults{found[0], later[0]}
 			}
-			g.Expect(found.With(later)).To(Equal(want))
+			g.Expect(found.Merge(later)).To(Equal(want))
 			g.Expect(found).To(HaveLen(1))
-			g.Expect(Faults(nil).With(later)).To(Equal(later))
+			g.Expect(Faults(nil).Merge(later)).To(Equal(later))
 		})
 	}
 }
 
-// TestSchema compares the schema with the fields of the settings, and what it requires with what has no default.
+// TestSchema checks that the schema lists all fields of the settings, and requires those that have no default.
 func TestSchema(t *testing.T) {
 	type object struct {
 		Properties map[string]any `json:"properties"`
--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -33,15 +33,15 @@
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	sy := &syncer{log: env.Logger("bundles")}
-	client, err := kernel.Need[*objectstore.Client](env)
+	client, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
 	sy.store = bundlestore.New(client)
-	if sy.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
+	if sy.mesh, err = kernel.Resolve[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if sy.holder, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if sy.holder, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
@@ -60,7 +60,7 @@
 	for _, o := range objects {
 		var p rollout.Pointer
 		if o.Name == rollout.PointerName && json.Unmarshal(o.Value, &p) == nil {
-			sy.holder.Hear(p.Version)
+			sy.holder.ObserveAccepted(p.Version)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	for ctx.Err() == nil {
 		changed := sy.holder.Changed()
 		wait := time.Hour
-		if v := sy.holder.Behind(); v > 0 && !sy.fetch(ctx, v) {
+		if v := sy.holder.PendingVersion(); v > 0 && !sy.fetch(ctx, v) {
 			wait = retryDelay
 		}
 		select {
@@ -93,5 +93,5 @@
 	if sy.holder.Apply(b) {
 		sy.log.WithField("version", b.Version).Info("bundle in force")
 	}
-	return sy.holder.Behind() == 0
+	return sy.holder.PendingVersion() == 0
 }
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -96,30 +96,30 @@
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
 	ap := &api{env: env}
 	var err error
-	if ap.fleet, err = kernel.Need[*fleet.Fleet](env); err != nil {
+	if ap.fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if ap.bundles, err = kernel.Need[*rollout.Holder](env); err != nil {
+	if ap.bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
-	if ap.burn, err = kernel.Need[*burn.Recorder](env); err != nil {
+	if ap.burn, err = kernel.Resolve[*burn.Recorder](env); err != nil {
 		return nil, err
 	}
-	if ap.metrics, err = kernel.Need[*metrics.Set](env); err != nil {
+	if ap.metrics, err = kernel.Resolve[*metrics.Set](env); err != nil {
 		return nil, err
 	}
-	if ap.mesh, err = kernel.Need[*peer.Mesh](env); err != nil {
+	if ap.mesh, err = kernel.Resolve[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if ap.server, err = kernel.Need[*serve.Server](env); err != nil {
+	if ap.server, err = kernel.Resolve[*serve.Server](env); err != nil {
 		return nil, err
 	}
-	client, err := kernel.Need[*objectstore.Client](env)
+	client, err := kernel.Resolve[*objectstore.Client](env)
 	if err != nil {
 		return nil, err
 	}
 	ap.store = bundlestore.New(client)
-	ls, err := kernel.Need[*listen.Listeners](env)
+	ls, err := kernel.Resolve[*listen.Listeners](env)
 	if err != nil {
 		return nil, err
 	}
@@ -183,7 +183,7 @@
 	answer := PrepareResult{Version: version}
 	b, err := ap.store.Get(r.Context(), version)
 	if err == nil {
-		err = b.FitsStop(ap.env.Settings.Stop.Drain.Std()).OrNil()
+		err = b.CheckDrain(ap.env.Settings.Stop.Drain.Std()).ErrorOrNil()
 	}
 	if err != nil {
 		answer.Fault = err.Error()
@@ -209,7 +209,7 @@
 	st := Status{
 		Instance: self.Name, Incarnation: self.Incarnation, AvailabilityZone: self.AvailabilityZone,
 		Ready: ap.server.Ready(), Stopping: ap.server.Stopping(), BundleVersion: ap.bundles.Version(),
-		BundleBehind: ap.bundles.Behind(), InFlight: ap.server.InFlight(),
+		BundleBehind: ap.bundles.PendingVersion(), InFlight: ap.server.InFlight(),
 	}
 	for _, t := range ap.fleet.Targets() {
 		st.Targets = append(st.Targets, TargetStatus{Name: t.Name, Owner: ap.fleet.Owner(t)})
--- a/internal/eventlog/line.go
+++ b/internal/eventlog/line.go
@@ -11,7 +11,7 @@
 	"github.com/apex/log"
 )
 
-// The keys that come first in every line, and the field that makes a line urgent.
+// The keys of the first fields of every line, and the outcome field: a line with an outcome other than outcomeServed is urgent.
 const (
 	timeKey       = "time"
 	levelKey      = "level"
@@ -22,74 +22,75 @@
 )
 
 const (
-	// timeLayout has a fixed width, so that lines sort as text.
+	// timeLayout has a fixed width, so that sorting lines as text sorts them by time.
 	timeLayout = "2006-01-02T15:04:05.000000Z07:00"
-	// maxValue bounds one value, in bytes: longer than any error of the program.
-	maxValue = 4 << 10
-	// cutMark ends a value that was cut.
-	cutMark = "..."
-	// maxPooled is the largest buffer kept for reuse, in bytes: several values of maxValue.
-	maxPooled = 16 << 10
+	// maxValueBytes limits the length of one value. It is longer than any error message of the program.
+	maxValueBytes = 4 << 10
+	// truncationMark is appended to a truncated value.
+	truncationMark = "..."
+	// maxPooledBytes is the largest buffer returned to the pool: several values of maxValueBytes.
+	maxPooledBytes = 16 << 10
 )
 
-// lines keeps buffers for reuse.
-var lines = sync.Pool{New: func() any { return &line{} }}
+// linePool reuses line buffers.
+var linePool = sync.Pool{New: func() any { return &line{} }}
 
 // line is one formatted line.
 type line struct {
-	// buf ends in the only newline of the line once format has run.
+	// buf holds the text. After format, it contains exactly one newline, at the end.
 	buf []byte
-	// names is room to sort the names of fields.
-	names []string
+	// fieldNames is scratch space to sort the field names.
+	fieldNames []string
 }
 
-func newLine() *line { return lines.Get().(*line) }
+func newLine() *line { return linePool.Get().(*line) }
 
-// free gives the buffers back; the line must not be used afterwards.
+// free returns the line to the pool. The line must not be used afterwards.
 func (ln *line) free() {
-	if cap(ln.buf) > maxPooled {
+	if cap(ln.buf) > maxPooledBytes {
 		return
 	}
-	clear(ln.names)
-	ln.buf, ln.names = ln.buf[:0], ln.names[:0]
-	lines.Put(ln)
+	clear(ln.fieldNames)
+	ln.buf, ln.fieldNames = ln.buf[:0], ln.fieldNames[:0]
+	linePool.Put(ln)
 }
 
-// format writes time, level, part and message, and then the other fields by name. A field that bears the name of
-// one of the first three keys is written with an underscore before its name.
+// format writes time, level, part and message, followed by the other fields sorted by name. Fields named time, level or msg are
+// written with a leading underscore.
 func (ln *line) format(now time.Time, e *log.Entry) {
 	ln.buf = append(ln.buf, timeKey+"="...)
 	ln.buf = now.UTC().AppendFormat(ln.buf, timeLayout)
-	ln.pair(levelKey, e.Level.String())
+	ln.appendPair(levelKey, e.Level.String())
 	if part, ok := e.Fields[partKey]; ok {
-		ln.pair(partKey, part)
+		ln.appendPair(partKey, part)
 	}
-	ln.pair(messageKey, e.Message)
+	ln.appendPair(messageKey, e.Message)
 	for name := range e.Fields {
 		if name != partKey {
-			ln.names = append(ln.names, name)
+			ln.fieldNames = append(ln.fieldNames, name)
 		}
 	}
-	slices.Sort(ln.names)
-	for _, name := range ln.names {
+	slices.Sort(ln.fieldNames)
+	for _, name := range ln.fieldNames {
 		if name == timeKey || name == levelKey || name == messageKey {
-			ln.pair("_"+name, e.Fields[name])
+			ln.appendPair("_"+name, e.Fields[name])
 			continue
 		}
-		ln.pair(name, e.Fields[name])
+		ln.appendPair(name, e.Fields[name])
 	}
 	ln.buf = append(ln.buf, '\n')
 }
 
-// pair writes a space, a key and a value.
-func (ln *line) pair(key string, value any) {
+// appendPair writes a space, a key, an equals sign and a value.
+func (ln *line) appendPair(key string, value any) {
 	ln.buf = append(ln.buf, ' ')
 	ln.buf = appendKey(ln.buf, key)
 	ln.buf = append(ln.buf, '=')
 	ln.buf = appendValue(ln.buf, value)
 }
 
-// appendKey writes a key and puts an underscore for what a key cannot hold.
+// appendKey writes a key, with an underscore in place of each character that is not allowed in a key. An empty key becomes an
+// underscore.
 func appendKey(buf []byte, key string) []byte {
 	if key == "" {
 		return append(buf, '_')
@@ -103,7 +104,7 @@
 	return buf
 }
 
-// appendValue writes a value; the kinds that need no quotes come first.
+// appendValue writes a value. Types that never need quotes are written directly.
 func appendValue(buf []byte, value any) []byte {
 	switch v := value.(type) {
 	case int:
@@ -119,11 +120,11 @@
 	case time.Time:
 		return v.UTC().AppendFormat(buf, timeLayout)
 	}
-	return appendText(buf, text(value))
+	return appendText(buf, valueText(value))
 }
 
-// text returns a value as text. Formatting by fmt bears nil pointers and panics of methods.
-func text(value any) string {
+// valueText returns a value as text. It formats with fmt, which tolerates nil pointers and panics in String and Error methods.
+func valueText(value any) string {
 	switch v := value.(type) {
 	case string:
 		return v
@@ -133,10 +134,10 @@
 	return fmt.Sprint(value)
 }
 
-// appendText writes a text, cut to maxValue and in quotes when a reader would need them.
+// appendText writes a text, truncated to maxValueBytes and quoted where a logfmt reader needs quotes.
 func appendText(buf []byte, s string) []byte {
-	if len(s) > maxValue {
-		s = cut(s) + cutMark
+	if len(s) > maxValueBytes {
+		s = truncate(s) + truncationMark
 	}
 	if !needsQuotes(s) {
 		return append(buf, s...)
@@ -148,10 +149,10 @@
 	return append(buf, '"')
 }
 
-// cut shortens a text to maxValue bytes without splitting a rune.
-func cut(s string) string {
-	end := maxValue
-	for end > maxValue-utf8.UTFMax && !utf8.RuneStart(s[end]) {
+// truncate shortens a text that exceeds maxValueBytes to at most that length, without splitting a rune.
+func truncate(s string) string {
+	end := maxValueBytes
+	for end > maxValueBytes-utf8.UTFMax && !utf8.RuneStart(s[end]) {
 		end--
 	}
 	return s[:end]
@@ -166,7 +167,7 @@
 	return s == ""
 }
 
-// appendEscaped writes a rune of a quoted text with the escapes of JSON, which both Go and logfmt readers know.
+// appendEscaped writes a rune of a quoted text, escaped as in JSON, which both Go and logfmt readers understand.
 func appendEscaped(buf []byte, r rune) []byte {
 	switch {
 	case r == '"' || r == '\\':
--- a/internal/eventlog/write.go
+++ b/internal/eventlog/write.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// flushPause is how long the first line of a batch waits for more: short for a reader and long
-	// enough to join the lines of many requests.
-	flushPause = 20 * time.Millisecond
-	// batchSize is the size at which a batch is written, in bytes; the capacity of a Linux pipe.
-	batchSize = 64 << 10
-	// tellPause is how often lines left out are told.
-	tellPause = time.Second
-	// lostKind is the kind of the lines that the writer failed to write.
-	lostKind = "lines of a failed write"
+	// flushDelay is how long the first line of a batch waits for further lines: short for a reader of the log, and long enough to
+	// batch the lines of many requests.
+	flushDelay = 20 * time.Millisecond
+	// minBatchBytes is the size at which a batch is written without further delay: the capacity of a Linux pipe.
+	minBatchBytes = 64 << 10
+	// reportInterval is the time between two reports of dropped lines.
+	reportInterval = time.Second
+	// writeFailureKind is the kind under which lines lost in failed writes are reported.
+	writeFailureKind = "lines of a failed write"
 )
 
-// batch gathers lines and writes them in one call.
+// batch collects lines and writes them in one call.
 type batch struct {
 	w   io.Writer
 	buf []byte
-	// lost is how many lines failed writes lost.
-	lost int
-	// cause is the first failure of the writer.
-	cause error
+	// lostLines is the number of lines lost in failed writes so far.
+	lostLines int
+	// firstErr is the first error of the writer.
+	firstErr error
 }
 
-// flush writes the gathered lines and returns how many of them were lost.
+// flush writes the collected lines and returns how many of them were lost. Lines of a partial write that are cut off count as lost.
 func (bt *batch) flush() int {
 	if len(bt.buf) == 0 {
 		return 0
@@ -39,95 +39,95 @@
 	if err == nil && n < len(bt.buf) {
 		err = io.ErrShortWrite
 	}
-	lost := 0
+	lostLines := 0
 	if err != nil {
-		lost = bytes.Count(bt.buf[max(n, 0):], []byte{'\n'})
-		bt.lost += lost
-		if bt.cause == nil {
-			bt.cause = err
+		lostLines = bytes.Count(bt.buf[max(n, 0):], []byte{'\n'})
+		bt.lostLines += lostLines
+		if bt.firstErr == nil {
+			bt.firstErr = err
 		}
 	}
 	bt.buf = bt.buf[:0]
-	return lost
+	return lostLines
 }
 
-// failure returns what the writer lost, or nil.
-func (bt *batch) failure() error {
-	if bt.cause == nil {
+// err returns a WriteError if any write failed, or nil.
+func (bt *batch) err() error {
+	if bt.firstErr == nil {
 		return nil
 	}
-	return &WriteError{Lines: bt.lost, Cause: bt.cause}
+	return &WriteError{Lines: bt.lostLines, Cause: bt.firstErr}
 }
 
-// run writes lines until the sink is closed and its ring is empty.
+// run writes queued lines until the sink is closed and its queue is empty.
 func (sk *Sink) run() {
 	defer close(sk.done)
-	tk := time.NewTicker(tellPause)
-	defer tk.Stop()
+	ticker := time.NewTicker(reportInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case ln := <-sk.waiting.Items():
-			sk.add(ln)
-			sk.pause()
-			sk.drain()
-		case <-tk.C:
-			sk.tell()
+		case ln := <-sk.queue.Items():
+			sk.addToBatch(ln)
+			sk.awaitMoreLines()
+			sk.writeQueued()
+		case <-ticker.C:
+			sk.reportDropped()
 		case <-sk.closing:
-			sk.drain()
-			sk.tell()
+			sk.writeQueued()
+			sk.reportDropped()
 			return
 		}
 	}
 }
 
-// pause lets further lines come, so that they share a write.
-func (sk *Sink) pause() {
-	tm := time.NewTimer(flushPause)
-	defer tm.Stop()
+// awaitMoreLines waits for flushDelay or until the sink closes, so that further lines share a write.
+func (sk *Sink) awaitMoreLines() {
+	timer := time.NewTimer(flushDelay)
+	defer timer.Stop()
 	select {
-	case <-tm.C:
+	case <-timer.C:
 	case <-sk.closing:
 	}
 }
 
-// drain writes the lines that wait now; those that come meanwhile are left for the next batch.
-func (sk *Sink) drain() {
-	for range sk.waiting.Len() {
-		sk.add(<-sk.waiting.Items())
+// writeQueued writes the lines that are queued when it is called. Lines queued later are left for the next batch.
+func (sk *Sink) writeQueued() {
+	for range sk.queue.Len() {
+		sk.addToBatch(<-sk.queue.Items())
 	}
 	sk.flush()
 }
 
-// add gathers a line and writes the batch when it is large enough.
-func (sk *Sink) add(ln *line) {
-	sk.out.buf = append(sk.out.buf, ln.buf...)
+// addToBatch adds a line to the batch and writes the batch once it has minBatchBytes.
+func (sk *Sink) addToBatch(ln *line) {
+	sk.pending.buf = append(sk.pending.buf, ln.buf...)
 	ln.free()
-	if len(sk.out.buf) >= batchSize {
+	if len(sk.pending.buf) >= minBatchBytes {
 		sk.flush()
 	}
 }
 
-// flush writes the batch; the next tell reports lines that the writer lost, as there is nowhere else to log them.
+// flush writes the batch. Lines lost in a failed write are reported by the next reportDropped: there is nowhere else to log them.
 func (sk *Sink) flush() {
-	lost := sk.out.flush()
+	lost := sk.pending.flush()
 	if lost == 0 {
 		return
 	}
-	sk.leftOut.Add(lost)
-	sk.quotas.leaveOut(lostKind, lost)
+	sk.dropped.Add(lost)
+	sk.quotas.addDropped(writeFailureKind, lost)
 }
 
-// tell writes how many lines of each kind were left out since the last call.
-func (sk *Sink) tell() {
+// reportDropped writes one line for each kind with the number of lines dropped since the last call.
+func (sk *Sink) reportDropped() {
 	now := sk.now()
-	for _, lo := range sk.quotas.take() {
-		fs := log.Fields{partKey: "eventlog", "kind": lo.kind, "count": lo.count}
+	for _, dc := range sk.quotas.takeDropped() {
+		fs := log.Fields{partKey: "eventlog", "kind": dc.kind, "count": dc.count}
 		if sk.instance != "" {
 			fs["instance"] = sk.instance
 		}
 		ln := newLine()
 		ln.format(now, &log.Entry{Level: log.WarnLevel, Message: "lines left out", Fields: fs})
-		sk.add(ln)
+		sk.addToBatch(ln)
 	}
 	sk.flush()
 }
--- a/internal/explain/losses.go
+++ b/internal/explain/losses.go
@@ -15,126 +15,128 @@
 )
 
 const (
-	// spanOfLosses is the width of the rows over time: about the time of an answer.
-	spanOfLosses = 2 * time.Second
-	// heldShare is the share of the time to the first event from which a late answer counts as held before it was sent.
-	heldShare = 0.5
-	// inTime is what becomes of a request that loses nothing.
-	inTime = "in time"
+	// bucketWidth is the time covered by one row of the table over time: about the duration of an answer.
+	bucketWidth = 2 * time.Second
+	// minTimeToSendShare is the share of the time to the first event that a request must have spent before it was first sent for a late
+	// answer to be attributed to that wait.
+	minTimeToSendShare = 0.5
+	// resultInTime is the result of a request that was answered in time.
+	resultInTime = "in time"
 )
 
-// Losses is what became of all requests that log lines tell of. It is not changed once Sum has returned it.
-type Losses struct {
-	// fates counts by route and by what became of the request.
-	fates map[fate]int
-	// spans counts by the span in which the request came, since the first one.
-	spans map[int]span
+// LossSummary counts the requests that ended in the log lines by their outcomes. It is immutable.
+type LossSummary struct {
+	// outcomes counts requests by route and result.
+	outcomes map[outcome]int
+	// buckets counts requests by time of arrival. The key is the number of bucketWidths since summariser.origin.
+	buckets map[int]bucket
 }
 
-// fate is what became of the requests of a route.
-type fate struct{ route, what string }
+// outcome is a route and the result of a request on it, as printed.
+type outcome struct{ route, result string }
 
-// span is what became of the requests of some seconds.
-type span struct {
-	// all is at least inTime.
-	all, inTime int
+// bucket counts the requests that arrived within one bucketWidth.
+type bucket struct {
+	// total includes inTime.
+	total, inTime int
 }
 
-// course is what is known so far of one request.
-type course struct {
-	// held is how long it was held before it was first sent; sent is set once it was.
-	held time.Duration
-	sent bool
+// progress is what is known about a request that has not ended.
+type progress struct {
+	// timeToSend is the time from arrival until the request was first sent. It is valid if sent is set.
+	timeToSend time.Duration
+	sent       bool
 }
 
-// Sum reads log lines and returns what became of the requests that ended in them.
-func Sum(r io.Reader) (Losses, error) {
-	sm := summer{
-		losses:  Losses{fates: map[fate]int{}, spans: map[int]span{}},
-		courses: map[string]course{},
+// SummariseLosses reads log lines and counts the outcomes of the requests that ended in them.
+func SummariseLosses(r io.Reader) (LossSummary, error) {
+	sm := summariser{
+		losses:   LossSummary{outcomes: map[outcome]int{}, buckets: map[int]bucket{}},
+		inFlight: map[string]progress{},
 	}
 	br := bufio.NewReader(r)
 	for {
 		text, err := br.ReadString('\n')
 		if text != "" {
-			ln := parse(text)
-			sm.take(&ln)
+			ln := parseLine(text)
+			sm.add(&ln)
 		}
 		if errors.Is(err, io.EOF) {
 			return sm.losses, nil
 		}
 		if err != nil {
-			return Losses{}, errors.Wrap(err, "read log lines")
+			return LossSummary{}, errors.Wrap(err, "read log lines")
 		}
 	}
 }
 
-// summer sums while it reads.
-type summer struct {
-	losses  Losses
-	courses map[string]course
-	// began is when the first request came; zero before.
-	began time.Time
+// summariser counts outcomes while lines are read.
+type summariser struct {
+	losses   LossSummary
+	inFlight map[string]progress
+	// origin is the time of arrival of the first request that ended, and the start of the first bucket. Earlier arrivals also count in
+	// the first bucket. It is zero before the first request ends.
+	origin time.Time
 }
 
-func (sm *summer) take(ln *line) {
+func (sm *summariser) add(ln *line) {
 	id := ln.get("request")
 	switch {
 	case id == "":
 	case ln.get("msg") == "request sent":
-		sm.sent(id, ln)
+		sm.recordSent(id, ln)
 	case ln.get("msg") == "request served":
-		sm.end(id, ln, servedFate(ln, sm.courses[id]))
+		sm.recordEnd(id, ln, servedResult(ln, sm.inFlight[id]))
 	case ln.get("msg") == "request refused":
-		sm.end(id, ln, "refused: "+ln.get("reason"))
+		sm.recordEnd(id, ln, "refused: "+ln.get("reason"))
 	case ln.get("msg") == "request failed":
-		sm.end(id, ln, "failed: "+ln.get("reason"))
+		sm.recordEnd(id, ln, "failed: "+ln.get("reason"))
 	}
 }
 
-func (sm *summer) sent(id string, ln *line) {
-	if !sm.courses[id].sent {
-		sm.courses[id] = course{held: ln.span("elapsed"), sent: true}
+func (sm *summariser) recordSent(id string, ln *line) {
+	if !sm.inFlight[id].sent {
+		sm.inFlight[id] = progress{timeToSend: ln.duration("elapsed"), sent: true}
 	}
 }
 
-// end counts a request under what became of it.
-func (sm *summer) end(id string, ln *line, what string) {
-	delete(sm.courses, id)
-	sm.losses.fates[fate{route: orDash(ln.get("route")), what: what}]++
-	came := ln.at.Add(-ln.span("elapsed"))
-	if sm.began.IsZero() || came.Before(sm.began) && len(sm.losses.spans) == 0 {
-		sm.began = came
+// recordEnd counts a request under its result.
+func (sm *summariser) recordEnd(id string, ln *line, result string) {
+	delete(sm.inFlight, id)
+	sm.losses.outcomes[outcome{route: orDash(ln.get("route")), result: result}]++
+	arrival := ln.at.Add(-ln.duration("elapsed"))
+	if sm.origin.IsZero() || arrival.Before(sm.origin) && len(sm.losses.buckets) == 0 {
+		sm.origin = arrival
 	}
-	no := int(max(0, came.Sub(sm.began)) / spanOfLosses)
-	sp := sm.losses.spans[no]
-	sp.all++
-	if what == inTime {
-		sp.inTime++
+	index := int(max(0, arrival.Sub(sm.origin)) / bucketWidth)
+	bk := sm.losses.buckets[index]
+	bk.total++
+	if result == resultInTime {
+		bk.inTime++
 	}
-	sm.losses.spans[no] = sp
+	sm.losses.buckets[index] = bk
 }
 
-// servedFate says whether an answer was in time, and what made it late.
-func servedFate(ln *line, cu course) string {
-	first := ln.span("first")
+// servedResult returns the result of a served request: in time, or the cause of its lateness.
+func servedResult(ln *line, pr progress) string {
+	timeToFirst := ln.duration("first")
 	attempts, err := strconv.Atoi(ln.get("attempts"))
 	switch {
 	case ln.get("in_time") == "true":
-		return inTime
+		return resultInTime
 	case err == nil && attempts > 1:
 		return "late: asked elsewhere"
 	case ln.get("late_by") == "pause":
 		return "late: pause"
-	case cu.sent && float64(cu.held) >= heldShare*float64(first):
+	case pr.sent && float64(pr.timeToSend) >= minTimeToSendShare*float64(timeToFirst):
 		return "late: held before it was sent"
 	default:
 		return "late: first event"
 	}
 }
 
-// span returns a duration that a line tells; zero when it tells none.
-func (ln *line) span(key string) time.Duration {
+// duration returns the duration in a field of a line, or zero if it has none.
+func (ln *line) duration(key string) time.Duration {
 	d, err := time.ParseDuration(ln.get(key))
 	if err != nil {
 		return 0
@@ -142,25 +144,25 @@
 	return d
 }
 
-// Print writes two tables: by route and by time.
-func (lo Losses) Print(w io.Writer) error {
+// Print writes two tables: outcomes by route and requests by time of arrival.
+func (ls LossSummary) Print(w io.Writer) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "ROUTE\tWHAT BECAME OF THEM\tREQUESTS\tSHARE")
-	all := map[string]int{}
-	for fa, n := range lo.fates {
-		all[fa.route] += n
+	total := map[string]int{}
+	for oc, n := range ls.outcomes {
+		total[oc.route] += n
 	}
-	for _, fa := range slices.SortedFunc(maps.Keys(lo.fates), fate.compare) {
-		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", fa.route, fa.what, lo.fates[fa], float64(lo.fates[fa])/float64(all[fa.route]))
+	for _, oc := range slices.SortedFunc(maps.Keys(ls.outcomes), outcome.compare) {
+		fmt.Fprintf(tw, "%s\t%s\t%d\t%.3f\n", oc.route, oc.result, ls.outcomes[oc], float64(ls.outcomes[oc])/float64(total[oc.route]))
 	}
 	fmt.Fprintln(tw, "\nFROM\tREQUESTS\tIN TIME\t")
-	for _, no := range slices.Sorted(maps.Keys(lo.spans)) {
-		sp := lo.spans[no]
-		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", time.Duration(no)*spanOfLosses, sp.all, sp.inTime)
+	for _, index := range slices.Sorted(maps.Keys(ls.buckets)) {
+		bk := ls.buckets[index]
+		fmt.Fprintf(tw, "%s\t%d\t%d\t\n", time.Duration(index)*bucketWidth, bk.total, bk.inTime)
 	}
 	return errors.Wrap(tw.Flush(), "print losses")
 }
 
-func (fa fate) compare(ot fate) int {
-	return cmp.Or(cmp.Compare(fa.route, ot.route), cmp.Compare(fa.what, ot.what))
+func (oc outcome) compare(other outcome) int {
+	return cmp.Or(cmp.Compare(oc.route, other.route), cmp.Compare(oc.result, other.result))
 }
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -14,19 +14,20 @@
 	"github.com/silvermount/silvermount/internal/config"
 )
 
-// only registers the duties for one test in place of all others.
-func only(t *testing.T, duties ...Duty) {
+// registerOnly replaces the registry with the given duties for the duration of a test.
+func registerOnly(t *testing.T, duties ...Duty) {
 	t.Helper()
-	before := registered
-	registered = nil
-	t.Cleanup(func() { registered = before })
+	before := registry
+	registry = nil
+	t.Cleanup(func() { registry = before })
 	for _, d := range duties {
 		Register(d)
 	}
 }
 
-// limiter returns a duty that puts the bound of one body in force when settings are reloaded. It appends to told.
-func limiter(name string, role config.Role, told *[]string, inForce *[]config.Settings) Duty {
+// reloadDuty returns a duty that refuses a negative body limit. On each reload it appends its name to reloaded and the new settings
+// to inForce.
+func reloadDuty(name string, role config.Role, reloaded *[]string, inForce *[]config.Settings) Duty {
 	return Duty{
 		Name: name, Role: role, Phase: PhaseWork,
 		Defaults: func(s *config.Settings) { s.Routing.Policy = "default of " + name },
@@ -38,7 +39,7 @@
 		},
 		Start: func(_ context.Context, env *Env) (Stop, error) {
 			env.OnReload(func(s config.Settings) {
-				*told = append(*told, name)
+				*reloaded = append(*reloaded, name)
 				*inForce = append(*inForce, s)
 			})
 			return nil, nil
@@ -46,7 +47,7 @@
 	}
 }
 
-func started(t *testing.T, s config.Settings) (*Kernel, *memory.Handler) {
+func startKernel(t *testing.T, s config.Settings) (*Kernel, *memory.Handler) {
 	t.Helper()
 	g := NewWithT(t)
 	mh := memory.New()
@@ -56,39 +57,39 @@
 	return kn, mh
 }
 
-func settings(bytes int64) config.Settings {
+func entrySettings(bytes int64) config.Settings {
 	return config.Settings{Instance: "a1", AvailabilityZone: "a", Callers: config.Callers{MaxBodyBytes: bytes}}
 }
 
 func gatewaySettings(bytes int64) config.Settings {
-	s := settings(bytes)
+	s := entrySettings(bytes)
 	s.Gateway = &config.Gateway{}
 	return s
 }
 
-func TestReloadPutsGoodSettingsInForce(t *testing.T) {
+func TestReloadAppliesValidSettings(t *testing.T) {
 	tests := map[string]struct {
 		before, after config.Settings
-		told          []string
+		reloaded      []string
 		changed       string
 	}{
-		"entry":          {settings(1), settings(2), []string{"one", "two"}, "callers.max_body_bytes"},
-		"gateway":        {gatewaySettings(1), gatewaySettings(2), []string{"door"}, "callers.max_body_bytes"},
-		"nothing is new": {settings(1), settings(1), []string{"one", "two"}, ""},
+		"entry":     {entrySettings(1), entrySettings(2), []string{"one", "two"}, "callers.max_body_bytes"},
+		"gateway":   {gatewaySettings(1), gatewaySettings(2), []string{"door"}, "callers.max_body_bytes"},
+		"no change": {entrySettings(1), entrySettings(1), []string{"one", "two"}, ""},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var told []string
+			var reloaded []string
 			var inForce []config.Settings
-			only(t, limiter("one", "", &told, &inForce), limiter("two", config.RoleEntry, &told, &inForce),
-				limiter("door", config.RoleGateway, &told, &inForce))
-			kn, mh := started(t, tc.before)
-			g.Expect(told).To(BeEmpty())
+			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("two", config.RoleEntry, &reloaded, &inForce),
+				reloadDuty("door", config.RoleGateway, &reloaded, &inForce))
+			kn, mh := startKernel(t, tc.before)
+			g.Expect(reloaded).To(BeEmpty())
 			g.Expect(kn.Reload(tc.after)).To(Succeed())
 			want := Defaults(tc.after)
 			g.Expect(want.Routing.Policy).To(HavePrefix("default of"))
-			g.Expect(told).To(Equal(tc.told))
+			g.Expect(reloaded).To(Equal(tc.reloaded))
 			g.Expect(inForce).To(HaveEach(want))
 			g.Expect(kn.Settings()).To(Equal(want))
 			last := mh.Entries[len(mh.Entries)-1]
@@ -98,25 +99,25 @@
 	}
 }
 
-func TestReloadOfBadSettingsChangesNothing(t *testing.T) {
-	nameless := settings(2)
+func TestReloadOfInvalidSettingsChangesNothing(t *testing.T) {
+	nameless := entrySettings(2)
 	nameless.Instance = ""
 	tests := map[string]struct {
 		before, after config.Settings
 		want          []string
 	}{
-		"one duty finds a fault": {gatewaySettings(1), gatewaySettings(-1), []string{"door wants more"}},
-		"two duties do":          {settings(1), settings(-1), []string{"one wants more", "two wants more"}},
-		"the kernel does":        {settings(1), nameless, []string{"a name unique among instances"}},
+		"fault of one duty":     {gatewaySettings(1), gatewaySettings(-1), []string{"door wants more"}},
+		"faults of two duties":  {entrySettings(1), entrySettings(-1), []string{"one wants more", "two wants more"}},
+		"fault found by kernel": {entrySettings(1), nameless, []string{"a name unique among instances"}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var told []string
+			var reloaded []string
 			var inForce []config.Settings
-			only(t, limiter("one", "", &told, &inForce), limiter("two", config.RoleEntry, &told, &inForce),
-				limiter("door", config.RoleGateway, &told, &inForce))
-			kn, mh := started(t, tc.before)
+			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("two", config.RoleEntry, &reloaded, &inForce),
+				reloadDuty("door", config.RoleGateway, &reloaded, &inForce))
+			kn, mh := startKernel(t, tc.before)
 			before, lines := kn.Settings(), len(mh.Entries)
 			err := kn.Reload(tc.after)
 			var fs config.Faults
@@ -126,51 +127,51 @@
 				wants = append(wants, ft.Want)
 			}
 			g.Expect(wants).To(Equal(tc.want))
-			g.Expect(told).To(BeEmpty())
+			g.Expect(reloaded).To(BeEmpty())
 			g.Expect(kn.Settings()).To(Equal(before))
 			g.Expect(mh.Entries).To(HaveLen(lines))
-			// Good settings after bad ones are put in force.
+			// Valid settings are applied after invalid ones were refused.
 			after := tc.before
 			after.AvailabilityZone = "b"
 			g.Expect(kn.Reload(after)).To(Succeed())
 			g.Expect(kn.Settings().AvailabilityZone).To(Equal("b"))
-			g.Expect(told).NotTo(BeEmpty())
+			g.Expect(reloaded).NotTo(BeEmpty())
 		})
 	}
 }
 
-func TestReloadKeepsTheRole(t *testing.T) {
+func TestReloadRefusesRoleChange(t *testing.T) {
 	tests := map[string]struct{ before, after config.Settings }{
-		"a gateway": {gatewaySettings(1), settings(1)},
-		"an entry":  {settings(1), gatewaySettings(1)},
+		"gateway to entry": {gatewaySettings(1), entrySettings(1)},
+		"entry to gateway": {entrySettings(1), gatewaySettings(1)},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var told []string
+			var reloaded []string
 			var inForce []config.Settings
-			only(t, limiter("one", "", &told, &inForce), limiter("door", config.RoleGateway, &told, &inForce))
-			kn, _ := started(t, tc.before)
+			registerOnly(t, reloadDuty("one", "", &reloaded, &inForce), reloadDuty("door", config.RoleGateway, &reloaded, &inForce))
+			kn, _ := startKernel(t, tc.before)
 			before := kn.Settings()
 			var fs config.Faults
 			g.Expect(errors.As(kn.Reload(tc.after), &fs)).To(BeTrue())
-			g.Expect(told).To(BeEmpty())
+			g.Expect(reloaded).To(BeEmpty())
 			g.Expect(kn.Settings()).To(Equal(before))
 		})
 	}
 }
 
-// TestStartedSaysWhichProcessAndWhatFrom compares the lines of three starts.
-func TestStartedSaysWhichProcessAndWhatFrom(t *testing.T) {
+// TestStartedLineIdentifiesProcessAndSettings compares the log lines of three starts: equal settings have equal digests.
+func TestStartedLineIdentifiesProcessAndSettings(t *testing.T) {
 	g := NewWithT(t)
-	only(t)
+	registerOnly(t)
 	line := func(s config.Settings) log.Fields {
-		_, mh := started(t, s)
+		_, mh := startKernel(t, s)
 		last := mh.Entries[len(mh.Entries)-1]
 		g.Expect(last.Message).To(Equal("started"))
 		return last.Fields
 	}
-	first, same, other := line(settings(1)), line(settings(1)), line(settings(2))
+	first, same, other := line(entrySettings(1)), line(entrySettings(1)), line(entrySettings(2))
 	g.Expect(first).To(HaveKeyWithValue("incarnation", "i-1"))
 	g.Expect(first).To(HaveKeyWithValue("availability_zone", "a"))
 	g.Expect(first["pid"]).To(BeNumerically(">", 0))
@@ -178,68 +179,66 @@
 	g.Expect(first["settings"]).NotTo(Equal(other["settings"]))
 }
 
-// patience is far longer than a stop takes that nothing holds up.
-const patience = 10 * time.Second
+// stopTimeout is far longer than an unblocked stop takes.
+const stopTimeout = 10 * time.Second
 
-// stopper returns a duty whose stop notes its name and runs a function.
-func stopper(name string, ph Phase, stop func() error) Duty {
+// stopDuty returns a duty whose Stop calls the given function.
+func stopDuty(name string, ph Phase, stop func() error) Duty {
 	return Duty{Name: name, Phase: ph, Start: func(context.Context, *Env) (Stop, error) {
 		return func(context.Context) error { return stop() }, nil
 	}}
 }
 
-// TestStopOfOnePhaseRunsBesideEachOther has two duties of a phase that each wait for the other's stop, and one of an
-// earlier phase that must not be stopped before they are.
-//
-// Symptom: a duty has no time left to stop in.
-// Sequence: a duty of its phase waits for somebody outside when it is stopped.
-// Cause: the duties of a phase stop one after the other.
-func TestStopOfOnePhaseRunsBesideEachOther(t *testing.T) {
+// TestDutiesOfOnePhaseStopConcurrently guards against a duty that has no time left to stop because another duty of its phase, which
+// waits for an external party, is stopped before it. Two duties of one phase each wait until the other is being stopped; a duty of an
+// earlier phase must be stopped after both.
+func TestDutiesOfOnePhaseStopConcurrently(t *testing.T) {
 	g := NewWithT(t)
-	one, two := make(chan struct{}), make(chan struct{})
+	firstStopping, secondStopping := make(chan struct{}), make(chan struct{})
 	var ended atomic.Int32
-	meet := func(mine chan<- struct{}, other <-chan struct{}) func() error {
+	awaitOther := func(own chan<- struct{}, other <-chan struct{}) func() error {
 		return func() error {
-			close(mine)
+			close(own)
 			select {
 			case <-other:
 				ended.Add(1)
-			case <-time.After(patience):
+			case <-time.After(stopTimeout):
 			}
 			return nil
 		}
 	}
-	endedBefore := int32(-1)
-	only(t, stopper("one", PhaseListen, meet(one, two)), stopper("two", PhaseListen, meet(two, one)),
-		stopper("ground", PhaseStore, func() error { endedBefore = ended.Load(); return nil }))
-	kn, _ := started(t, settings(1))
+	endedBeforeEarlier := int32(-1)
+	registerOnly(t, stopDuty("one", PhaseListen, awaitOther(firstStopping, secondStopping)),
+		stopDuty("two", PhaseListen, awaitOther(secondStopping, firstStopping)),
+		stopDuty("ground", PhaseStore, func() error { endedBeforeEarlier = ended.Load(); return nil }))
+	kn, _ := startKernel(t, entrySettings(1))
 	g.Expect(kn.Stop(t.Context())).To(Succeed())
-	g.Expect(endedBefore).To(Equal(int32(2)))
+	g.Expect(endedBeforeEarlier).To(Equal(int32(2)))
 }
 
 func TestStopReturnsTheFirstError(t *testing.T) {
-	boom := func(name string) func() error {
-		return func() error { return &MissingPartError{Type: name} }
+	failing := func(name string) func() error {
+		return func() error { return &MissingDependencyError{Type: name} }
 	}
-	well := func() error { return nil }
+	succeeding := func() error { return nil }
 	tests := map[string]struct {
 		duties []Duty
 		want   string
 	}{
-		"of the last phase": {
-			[]Duty{stopper("a", PhaseStore, boom("a")), stopper("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
+		"last phase": {
+			[]Duty{stopDuty("a", PhaseStore, failing("a")), stopDuty("b", PhaseListen, failing("b"))}, "stop b: no duty provides b",
 		},
-		"of the last duty in a phase": {
-			[]Duty{stopper("a", PhaseListen, boom("a")), stopper("b", PhaseListen, boom("b"))}, "stop b: no duty provides b",
+		"last duty of a phase": {
+			[]Duty{stopDuty("a", PhaseListen, failing("a")), stopDuty("b", PhaseListen, failing("b"))}, "stop b: no duty provides b",
 		},
-		"of an earlier phase": {
-			[]Duty{stopper("a", PhaseStore, boom("a")), stopper("b", PhaseListen, well)}, "stop a: no duty provides a",
+		"earlier phase": {
+			[]Duty{stopDuty("a", PhaseStore, failing("a")), stopDuty("b", PhaseListen, succeeding)}, "stop a: no duty provides a",
 		},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			only(t, tc.duties...)
-			kn, _ := started(t, settings(1))
+			registerOnly(t, tc.duties...)
+			kn, _ := startKernel(t, entrySettings(1))
 			NewWithT(t).Expect(kn.Stop(t.Context())).To(MatchError(tc.want))
 		})
 	}
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -19,7 +19,7 @@
 
 // bundleVersion returns a function that reads the bundle version in force at an instance; -1 if it has no bundle holder.
 func bundleVersion(in *instance.Instance) func() int64 {
-	holder, err := kernel.Need[*rollout.Holder](in.Env())
+	holder, err := kernel.Resolve[*rollout.Holder](in.Env())
 	if err != nil {
 		return func() int64 { return -1 }
 	}
@@ -35,7 +35,7 @@
 	signer := signoff.New(objectstore.New(lf.StoreURL))
 	v, err := signer.Push(t.Context(), b)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(signer.Sign(t.Context(), v)).To(Succeed())
+	g.Expect(signer.Accept(t.Context(), v)).To(Succeed())
 }
 
 func TestSignedBundleReachesAllInstancesAndNeverReverts(t *testing.T) {
--- a/internal/signoff/signoff_test.go
+++ b/internal/signoff/signoff_test.go
@@ -15,64 +15,64 @@
 	"github.com/silvermount/silvermount/internal/standin/platformsim"
 )
 
-func office(t *testing.T) (*Office, *platformsim.Store) {
+func newClient(t *testing.T) (*Client, *platformsim.Store) {
 	t.Helper()
-	st := platformsim.New()
-	sr, err := localfleet.Serve(st.Handler())
+	store := platformsim.New()
+	srv, err := localfleet.Serve(store.Handler())
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(sr.Close)
-	return New(objectstore.New(sr.URL)), st
+	t.Cleanup(srv.Close)
+	return New(objectstore.New(srv.URL)), store
 }
 
-func withClass(name string) bundle.Bundle {
+func bundleWithClass(name string) bundle.Bundle {
 	return bundle.Bundle{Classes: []bundle.Class{{
 		Name: name, Deadline: config.Duration(time.Second), Objective: bundle.Objective{Share: 0.9},
 	}}}
 }
 
-func TestRacingOperatorsHaveOneWinner(t *testing.T) {
+func TestConcurrentAcceptsHaveOneWinner(t *testing.T) {
 	g := NewWithT(t)
-	of, _ := office(t)
+	cl, _ := newClient(t)
 	const operators = 6
 	versions := make([]int64, operators)
 	for i := range operators {
-		v, err := of.Push(t.Context(), withClass(string(rune('a'+i))))
+		v, err := cl.Push(t.Context(), bundleWithClass(string(rune('a'+i))))
 		g.Expect(err).NotTo(HaveOccurred())
 		versions[i] = v
 	}
 	var wg sync.WaitGroup
 	errs := make([]error, operators)
 	for i, v := range versions {
-		wg.Go(func() { errs[i] = of.Sign(t.Context(), v) })
+		wg.Go(func() { errs[i] = cl.Accept(t.Context(), v) })
 	}
 	wg.Wait()
-	now, _, err := of.current(t.Context())
+	accepted, _, err := cl.acceptedPointer(t.Context())
 	g.Expect(err).NotTo(HaveOccurred())
 	winners := 0
 	for i, err := range errs {
 		if err == nil {
 			winners++
-			g.Expect(now.Version).To(Equal(versions[i]))
+			g.Expect(accepted.Version).To(Equal(versions[i]))
 			continue
 		}
 		var race *RaceError
 		g.Expect(errors.As(err, &race)).To(BeTrue(), "%v", err)
-		g.Expect(race.Winner).To(Equal(now.Version))
+		g.Expect(race.AcceptedVersion).To(Equal(accepted.Version))
 	}
 	g.Expect(winners).To(Equal(1))
 }
 
-func TestLostAnswersAreTheSameSignOff(t *testing.T) {
+func TestPushAndAcceptAreIdempotentAfterLostAnswers(t *testing.T) {
 	g := NewWithT(t)
-	of, st := office(t)
-	st.LoseResponses(1)
-	v, err := of.Push(t.Context(), withClass("a"))
+	cl, store := newClient(t)
+	store.LoseResponses(1)
+	v, err := cl.Push(t.Context(), bundleWithClass("a"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(v).To(Equal(int64(1)))
-	st.LoseResponses(1)
-	g.Expect(of.Sign(t.Context(), v)).To(Succeed())
-	g.Expect(of.Sign(t.Context(), v)).To(Succeed())
-	again, err := of.Push(t.Context(), withClass("b"))
+	store.LoseResponses(1)
+	g.Expect(cl.Accept(t.Context(), v)).To(Succeed())
+	g.Expect(cl.Accept(t.Context(), v)).To(Succeed())
+	again, err := cl.Push(t.Context(), bundleWithClass("b"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(again).To(Equal(int64(2)))
 }
@@ -82,9 +82,9 @@
 		old, next bundle.Bundle
 		want      int
 	}{
-		"same":    {old: withClass("a"), next: withClass("a")},
-		"added":   {next: withClass("a"), want: 1},
-		"renamed": {old: withClass("a"), next: withClass("b"), want: 2},
+		"same":    {old: bundleWithClass("a"), next: bundleWithClass("a")},
+		"added":   {next: bundleWithClass("a"), want: 1},
+		"renamed": {old: bundleWithClass("a"), next: bundleWithClass("b"), want: 2},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
