--- a/internal/localfleet/front.go
+++ b/internal/localfleet/front.go
@@ -7,23 +7,23 @@
 )
 
 // Front stands between one instance and the platform's stand-in, so that the instance can be cut off from it.
-type Front struct {
+type StoreProxy struct {
 	*Server
 	cut atomic.Bool
 }
 
 // NewFront returns a front before a base URL.
-func NewFront(base string) (*Front, error) {
-	fr := &Front{}
+func NewFront(base string) (*StoreProxy, error) {
+	fr := &StoreProxy{}
 	sr, err := Serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fr.pass(w, r, base) }))
 	fr.Server = sr
 	return fr, err
 }
 
 // SetCut cuts the instance off, or lets it through again.
-func (fr *Front) SetCut(cut bool) { fr.cut.Store(cut) }
+func (fr *StoreProxy) SetCut(cut bool) { fr.cut.Store(cut) }
 
-func (fr *Front) pass(w http.ResponseWriter, r *http.Request, base string) {
+func (fr *StoreProxy) pass(w http.ResponseWriter, r *http.Request, base string) {
 	if fr.cut.Load() {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -40,7 +40,7 @@
 
 func TestSignedBundleReachesAllInstancesAndNeverReverts(t *testing.T) {
 	g := NewWithT(t)
-	storeFronts := map[string]*localfleet.Front{}
+	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
 		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
 		Adjust: func(s *config.Settings) {
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -72,7 +72,7 @@
 func TestJobOfPartitionedInstanceIsTakenOver(t *testing.T) {
 	g := NewWithT(t)
 	var partitionedZone atomic.Pointer[string]
-	storeFronts := map[string]*localfleet.Front{}
+	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
 		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
 		Blocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -150,7 +150,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var storeFront *localfleet.Front
+			var storeFront *localfleet.StoreProxy
 			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200), Adjust: func(s *config.Settings) {
 				var err error
 				storeFront, err = localfleet.NewFront(s.Platform.URL)
