--- a/internal/localfleet/front.go
+++ b/internal/localfleet/front.go
@@ -13,7 +13,7 @@
 }
 
 // NewFront returns a front before a base URL.
-func NewFront(base string) (*StoreProxy, error) {
+func NewStoreProxy(base string) (*StoreProxy, error) {
 	fr := &StoreProxy{}
 	sr, err := Serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fr.pass(w, r, base) }))
 	fr.Server = sr
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -44,7 +44,7 @@
 	lf := startFleet(t, localfleet.Options{
 		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
 		Adjust: func(s *config.Settings) {
-			fr, err := localfleet.NewFront(s.Platform.URL)
+			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
 			storeFronts[s.Instance] = fr
 			s.Platform.URL = fr.URL
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -78,7 +78,7 @@
 		Blocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
 		Adjust: func(s *config.Settings) {
 			s.Platform.Registration = config.Duration(300 * time.Millisecond)
-			fr, err := localfleet.NewFront(s.Platform.URL)
+			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
 			storeFronts[s.AvailabilityZone] = fr
 			s.Platform.URL = fr.URL
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -153,7 +153,7 @@
 			var storeFront *localfleet.StoreProxy
 			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200), Adjust: func(s *config.Settings) {
 				var err error
-				storeFront, err = localfleet.NewFront(s.Platform.URL)
+				storeFront, err = localfleet.NewStoreProxy(s.Platform.URL)
 				g.Expect(err).NotTo(HaveOccurred())
 				s.Platform.URL = storeFront.URL
 			}})
