--- a/internal/localfleet/front.go
+++ b/internal/localfleet/front.go
@@ -21,7 +21,7 @@
 }
 
 // SetCut cuts the instance off, or lets it through again.
-func (fr *StoreProxy) SetCut(cut bool) { fr.cut.Store(cut) }
+func (fr *StoreProxy) SetBlocked(cut bool) { fr.cut.Store(cut) }
 
 func (fr *StoreProxy) pass(w http.ResponseWriter, r *http.Request, base string) {
 	if fr.cut.Load() {
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -52,7 +52,7 @@
 		},
 	})
 	// One instance cannot reach the platform, so it gets the bundle from its peers.
-	storeFronts["entry-01"].SetCut(true)
+	storeFronts["entry-01"].SetBlocked(true)
 	signBundleWithKey(t, lf, "second-key")
 	for _, in := range lf.Instances {
 		g.Eventually(bundleVersion(in), 2*time.Second, 10*time.Millisecond).Should(Equal(int64(2)))
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -104,13 +104,13 @@
 	for _, in := range lf.Instances {
 		if in.Env().Incarnation == owner {
 			zone := in.Env().Settings.AvailabilityZone
-			storeFronts[zone].SetCut(true)
+			storeFronts[zone].SetBlocked(true)
 			partitionedZone.Store(&zone)
 		}
 	}
 	g.Eventually(func() job.State { return storedRecord(atMostOnce.ID).State }, 15*time.Second).Should(Equal(job.Unknown))
 	for _, fr := range storeFronts {
-		fr.SetCut(false)
+		fr.SetBlocked(false)
 	}
 	partitionedZone.Store(nil)
 	for _, en := range lf.Engines {
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -164,11 +164,11 @@
 				for lf.Services.Runs("valve") == 0 {
 					time.Sleep(time.Millisecond)
 				}
-				storeFront.SetCut(true)
+				storeFront.SetBlocked(true)
 			}()
 			resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve", servicesim.HeaderRequest, "valve")
 			g.Expect(resp.status).To(Equal(tc.status), resp.body)
-			time.AfterFunc(2*time.Second, func() { storeFront.SetCut(false) })
+			time.AfterFunc(2*time.Second, func() { storeFront.SetBlocked(false) })
 			g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
 			g.Expect(readClaim(t, lf, "valve").State).To(Equal(tc.want))
 		})
