--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -80,7 +80,7 @@
 	params := enginesim.DefaultParams()
 	params.Scale = 200
 	lf, err := localfleet.Start(t.Context(), localfleet.Options{
-		Zones: 1, Engines: 1, Instances: 2, Params: params, Log: &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
+		Zones: 1, Engines: 1, Instances: 2, EngineParams: params, Log: &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer lf.Close(t.Context())
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -59,7 +59,7 @@
 	params := enginesim.DefaultParams()
 	params.Scale = scale
 	lf, err := localfleet.Start(ctx, localfleet.Options{
-		Zones: zones, Engines: engines, Instances: instances, Params: params, Log: o.Log,
+		Zones: zones, Engines: engines, Instances: instances, EngineParams: params, Log: o.Log,
 	})
 	if err != nil {
 		return err
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -163,7 +163,7 @@
 		b.Events = []bundle.Event{event(all)}
 	}
 	lf, err := localfleet.Start(ctx, localfleet.Options{
-		Zones: p.Zones, Engines: p.Engines, Instances: instances, Params: params, Policy: policy, Log: o.Log,
+		Zones: p.Zones, Engines: p.Engines, Instances: instances, EngineParams: params, Policy: policy, Log: o.Log,
 		Blocked: cut.blocked, Bundle: &b,
 		Adjust: func(s *config.Settings) {
 			if o.LongShare > 0 {
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -44,7 +44,7 @@
 	// Zones, Engines and Instances are counts; engines and instances are spread over the zones.
 	Zones, Engines, Instances int
 	// Params are those of every engine.
-	Params enginesim.Params
+	EngineParams enginesim.Params
 	// Policy is the routing policy; empty takes the default.
 	Policy string
 	// Adjust may change an instance's settings.
@@ -185,7 +185,7 @@
 
 // AddEngine starts an engine and lists it.
 func (lf *Fleet) AddEngine(name, zone string) (*Engine, error) {
-	en := &Engine{Engine: enginesim.New(lf.opts.Params, Model), Name: name}
+	en := &Engine{Engine: enginesim.New(lf.opts.EngineParams, Model), Name: name}
 	sr, err := lf.serve(en.Handler())
 	if err != nil {
 		return nil, err
--- a/internal/session/bench_test.go
+++ b/internal/session/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkCompletion(b *testing.B) {
 	params := enginesim.DefaultParams()
 	params.Scale = 1e6
-	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, Params: params, Log: discardLogger()})
+	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, EngineParams: params, Log: discardLogger()})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -42,7 +42,7 @@
 	g := NewWithT(t)
 	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
-		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
+		Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(200),
 		Adjust: func(s *config.Settings) {
 			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -70,7 +70,7 @@
 // instance that has the bundle.
 func TestNewInstanceGetsBundleFromPeerDuringOutage(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200)})
 	signBundleWithKey(t, lf, "second-key")
 	g.Eventually(bundleVersion(lf.Instances[0]), 2*time.Second).Should(Equal(int64(2)))
 	lf.Store.SetDown(true)
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -37,7 +37,7 @@
 
 func TestConcurrentResponsesMatchTheirRequests(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(200)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(200)})
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 2), mixedArrivals(200, localfleet.ClassCall)) {
 		g.Expect(r.Right).To(BeTrue(), "%+v", r)
 	}
@@ -45,7 +45,7 @@
 
 func TestIncompleteResponsesAreReportedWhenEnginesDie(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(100)})
 	kill := func(i int, after time.Duration) { time.AfterFunc(after, lf.Engines[i].Kill) }
 	kill(0, 40*time.Millisecond)
 	kill(3, 90*time.Millisecond)
@@ -81,7 +81,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 2, Instances: 1, Params: fastEngines(100)})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 2, Instances: 1, EngineParams: fastEngines(100)})
 			tc.fault(lf)
 			headers := append([]string{serve.HeaderTimeout, "300ms"}, tc.headers...)
 			resp := call(t, http.MethodPost, lf.URLs()[0]+"/v1/completions", completion("hello", 4, false), headers...)
@@ -102,7 +102,7 @@
 
 func TestEngineMemoryIsFreedAfterCallersDisconnect(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, Params: fastEngines(10)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, EngineParams: fastEngines(10)})
 	client := &http.Client{Timeout: 60 * time.Millisecond}
 	for i := range 30 {
 		body := completion(load.Prompt(9, load.Arrival{Tokens: 20_000, Index: i}), 500, true)
@@ -128,7 +128,7 @@
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(100)})
+			lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(100)})
 			fault(lf)
 			leaving := lf.Engines[1]
 			leaving.Leave()
@@ -157,7 +157,7 @@
 
 func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(100)})
 	var liveURLs atomic.Pointer[[]string]
 	urls := lf.URLs()
 	liveURLs.Store(&urls)
@@ -203,7 +203,7 @@
 	g := NewWithT(t)
 	var partitioned atomic.Bool
 	lf := startFleet(t, localfleet.Options{
-		Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100),
+		Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(100),
 		Blocked: func(from, to string) bool { return partitioned.Load() && (from == "a") != (to == "a") },
 	})
 	partitioned.Store(true)
@@ -229,7 +229,7 @@
 // TestIncompleteBodyIsRefusedAtDeadline sends only the beginning of a body of 1000 bytes, and then nothing more.
 func TestIncompleteBodyIsRefusedAtDeadline(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(100)})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(lf.URLs()[0], "http://"))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -79,7 +79,7 @@
 // TestCallerTranscript compares the responses to a sequence of requests, some with injected faults, with a golden file.
 func TestCallerTranscript(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, Params: fastEngines(400)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, EngineParams: fastEngines(400)})
 	one, two := lf.URLs()[0], lf.URLs()[1]
 	tr := &transcript{t: t}
 	tr.call("models", http.MethodGet, one, "/v1/models", nil)
--- a/internal/session/idempotency_test.go
+++ b/internal/session/idempotency_test.go
@@ -17,7 +17,7 @@
 
 func startSmallFleet(t *testing.T) *localfleet.Fleet {
 	t.Helper()
-	return startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, Params: fastEngines(200)})
+	return startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, EngineParams: fastEngines(200)})
 }
 
 // TestRequestWithKeyRunsAtMostOnce sends a request with the same key to two instances, under each fault.
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -21,7 +21,7 @@
 func startJobFleet(t *testing.T, scale float64) *localfleet.Fleet {
 	t.Helper()
 	return startFleet(t, localfleet.Options{
-		Zones: 1, Engines: 2, Instances: 3, Params: fastEngines(scale),
+		Zones: 1, Engines: 2, Instances: 3, EngineParams: fastEngines(scale),
 		Adjust: func(s *config.Settings) { s.Platform.Registration = config.Duration(300 * time.Millisecond) },
 	})
 }
@@ -74,7 +74,7 @@
 	var partitionedZone atomic.Pointer[string]
 	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
-		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
+		Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(200),
 		Blocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
 		Adjust: func(s *config.Settings) {
 			s.Platform.Registration = config.Duration(300 * time.Millisecond)
--- a/internal/session/models_test.go
+++ b/internal/session/models_test.go
@@ -20,7 +20,7 @@
 	g := NewWithT(t)
 	p := fastEngines(100)
 	p.Fence = true
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, Params: p})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, EngineParams: p})
 	b := localfleet.DefaultBundle()
 	b.Models = []bundle.Model{{Name: localfleet.Model, Copies: 1}, {Name: "crew", Copies: 1}}
 	signer := signoff.New(objectstore.New(lf.StoreURL))
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -60,7 +60,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: tc.engines, Instances: 2, Params: fastEngines(400), Policy: tc.policy})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: tc.engines, Instances: 2, EngineParams: fastEngines(400), Policy: tc.policy})
 			var hugePrompts []load.Arrival
 			for i := range tc.hugePrompts {
 				hugePrompts = append(hugePrompts,
@@ -80,7 +80,7 @@
 // TestLargePromptCompletesDespiteDeadEngine kills the engine whose memory would be reserved first.
 func TestLargePromptCompletesDespiteDeadEngine(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 7, Instances: 3, Params: fastEngines(400)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 7, Instances: 3, EngineParams: fastEngines(400)})
 	lf.Engines[0].Kill()
 	// Index 1 goes to an instance in another availability zone, which the engine's owner does not notify of its failure.
 	hugePrompts := []load.Arrival{{Class: localfleet.ClassBatch, Tokens: 900_000, Output: 4, Index: 1}}
--- a/internal/session/stream_test.go
+++ b/internal/session/stream_test.go
@@ -66,7 +66,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(50)})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(50)})
 			tc.fault(lf)
 			resp := call(t, http.MethodPost, lf.URLs()[0]+tc.path, tc.body)
 			g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
