--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -48,7 +48,7 @@
 	// Policy is the routing policy; empty takes the default.
 	Policy string
 	// Adjust may change an instance's settings.
-	Adjust func(*config.Settings)
+	AdjustSettings func(*config.Settings)
 	// Log is used by the instances.
 	Log log.Interface
 	// Bundle is the first accepted bundle; nil takes DefaultBundle.
@@ -219,8 +219,8 @@
 		Routing:   config.Routing{Policy: lf.opts.Policy, ReportEvery: config.Duration(100 * time.Millisecond)},
 		Stop:      config.Stop{BalancerLag: config.Duration(50 * time.Millisecond)},
 	}
-	if lf.opts.Adjust != nil {
-		lf.opts.Adjust(&s)
+	if lf.opts.AdjustSettings != nil {
+		lf.opts.AdjustSettings(&s)
 	}
 	return s
 }
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -43,7 +43,7 @@
 	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
 		Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(200),
-		Adjust: func(s *config.Settings) {
+		AdjustSettings: func(s *config.Settings) {
 			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
 			storeFronts[s.Instance] = fr
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	return startFleet(t, localfleet.Options{
 		Zones: 1, Engines: 2, Instances: 3, EngineParams: fastEngines(scale),
-		Adjust: func(s *config.Settings) { s.Platform.Registration = config.Duration(300 * time.Millisecond) },
+		AdjustSettings: func(s *config.Settings) { s.Platform.Registration = config.Duration(300 * time.Millisecond) },
 	})
 }
 
@@ -76,7 +76,7 @@
 	lf := startFleet(t, localfleet.Options{
 		Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(200),
 		Blocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
-		Adjust: func(s *config.Settings) {
+		AdjustSettings: func(s *config.Settings) {
 			s.Platform.Registration = config.Duration(300 * time.Millisecond)
 			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/session/peer_test.go
+++ b/internal/session/peer_test.go
@@ -109,7 +109,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, EngineParams: fastEngines(200), Adjust: tc.fleet(t)})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, EngineParams: fastEngines(200), AdjustSettings: tc.fleet(t)})
 			g.Expect(livePeers(lf.Instances[0])()).To(Equal(1))
 			s := lf.Settings(2)
 			s.Peers.Certificate, s.Peers.Key, s.Peers.Authority = "", "", ""
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -119,7 +119,7 @@
 // aborts the job and does not wait until the job has recorded its end.
 func TestJobAbortedByStopIsRecorded(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), Adjust: func(s *config.Settings) {
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), AdjustSettings: func(s *config.Settings) {
 		s.Stop.Drain = config.Duration(100 * time.Millisecond)
 	}})
 	lf.Engines[0].Hang(true)
@@ -151,7 +151,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			var storeFront *localfleet.StoreProxy
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), Adjust: func(s *config.Settings) {
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), AdjustSettings: func(s *config.Settings) {
 				var err error
 				storeFront, err = localfleet.NewStoreProxy(s.Platform.URL)
 				g.Expect(err).NotTo(HaveOccurred())
@@ -208,7 +208,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), Adjust: func(s *config.Settings) {
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), AdjustSettings: func(s *config.Settings) {
 				s.Stop.Drain = config.Duration(time.Second)
 			}})
 			lf.Engines[0].Hang(true)
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -150,7 +150,7 @@
 	heapBefore := heap()
 	// One availability zone, so that every pair exchanges at the full rate.
 	lf, err := localfleet.Start(ctx, localfleet.Options{
-		Zones: 1, Engines: p.Targets, Instances: n, EngineParams: enginesim.DefaultParams(), Log: o.Log, Adjust: defaults,
+		Zones: 1, Engines: p.Targets, Instances: n, EngineParams: enginesim.DefaultParams(), Log: o.Log, AdjustSettings: defaults,
 	})
 	if err != nil {
 		return p, err
@@ -220,7 +220,7 @@
 	params := enginesim.DefaultParams()
 	params.Scale, params.CacheBlocks = speed, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{
-		Zones: 1, Engines: 20, Instances: instances, EngineParams: params, Log: o.Log, Adjust: defaults,
+		Zones: 1, Engines: 20, Instances: instances, EngineParams: params, Log: o.Log, AdjustSettings: defaults,
 	})
 	if err != nil {
 		return Requests{}, err
