--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -164,7 +164,7 @@
 	}
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: p.Zones, Engines: p.Engines, Instances: instances, EngineParams: params, Policy: policy, Log: o.Log,
-		Blocked: cut.blocked, Bundle: &b,
+		ZoneLinkBlocked: cut.blocked, Bundle: &b,
 		AdjustSettings: func(s *config.Settings) {
 			if o.LongShare > 0 {
 				s.Routing.LongShare = o.LongShare
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -54,7 +54,7 @@
 	// Bundle is the first accepted bundle; nil takes DefaultBundle.
 	Bundle *bundle.Bundle
 	// Blocked cuts the link from one zone to another.
-	Blocked func(from, to string) bool
+	ZoneLinkBlocked func(from, to string) bool
 }
 
 // Server is one stand-in behind a listener.
@@ -229,8 +229,8 @@
 func (lf *Fleet) AddInstance(ctx context.Context, i int) (*instance.Instance, error) {
 	s := lf.Settings(i)
 	var opts []instance.Option
-	if lf.opts.Blocked != nil {
-		opts = append(opts, instance.WithBlocked(func(to string) bool { return lf.opts.Blocked(s.AvailabilityZone, to) }))
+	if lf.opts.ZoneLinkBlocked != nil {
+		opts = append(opts, instance.WithBlocked(func(to string) bool { return lf.opts.ZoneLinkBlocked(s.AvailabilityZone, to) }))
 	}
 	in, err := instance.Start(ctx, s, lf.opts.Log, opts...)
 	if err != nil {
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -204,7 +204,7 @@
 	var partitioned atomic.Bool
 	lf := startFleet(t, localfleet.Options{
 		Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(100),
-		Blocked: func(from, to string) bool { return partitioned.Load() && (from == "a") != (to == "a") },
+		ZoneLinkBlocked: func(from, to string) bool { return partitioned.Load() && (from == "a") != (to == "a") },
 	})
 	partitioned.Store(true)
 	lf.Store.SetDown(true)
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -75,7 +75,7 @@
 	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
 		Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(200),
-		Blocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
+		ZoneLinkBlocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
 		AdjustSettings: func(s *config.Settings) {
 			s.Platform.Registration = config.Duration(300 * time.Millisecond)
 			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
