--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -98,7 +98,7 @@
 	Store     *platformsim.Store
 	StoreURL  string
 	Engines   []*Engine
-	Services  *servicesim.Service
+	Service   *servicesim.Service
 	Instances []*instance.Instance
 	opts      Options
 	servers   []*Server
@@ -131,7 +131,7 @@
 
 // Start starts a local fleet and waits until every instance is ready and knows the others.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
-	lf := &Fleet{Store: platformsim.New(), Services: servicesim.New(), opts: o}
+	lf := &Fleet{Store: platformsim.New(), Service: servicesim.New(), opts: o}
 	if err := lf.startTargets(); err != nil {
 		lf.Close(ctx)
 		return nil, err
@@ -174,7 +174,7 @@
 			return err
 		}
 	}
-	sr, err = lf.serve(lf.Services)
+	sr, err = lf.serve(lf.Service)
 	if err != nil {
 		return err
 	}
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -96,7 +96,7 @@
 	tr.call("service request with an idempotency key", http.MethodPost, one, valvePath, []byte("open"), key...)
 	tr.call("same request at another instance", http.MethodPost, two, valvePath, []byte("open"), key...)
 	tr.call("same key with a different body", http.MethodPost, two, valvePath, []byte("close"), key...)
-	lf.Services.DropAfterRun(1)
+	lf.Service.DropAfterRun(1)
 	lost := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequest, "valve-8"}
 	tr.call("service drops the connection after the run", http.MethodPost, one, valvePath, []byte("open"), lost...)
 	tr.call("same request again", http.MethodPost, two, valvePath, []byte("open"), lost...)
--- a/internal/session/idempotency_test.go
+++ b/internal/session/idempotency_test.go
@@ -35,7 +35,7 @@
 			fault: func(lf *localfleet.Fleet) { lf.Store.LoseAnswers(2) }, firstStatus: 200, secondStatus: 200, runs: 1,
 		},
 		"service drops the connection after the run": {
-			fault:       func(lf *localfleet.Fleet) { lf.Services.DropAfterRun(1) },
+			fault:       func(lf *localfleet.Fleet) { lf.Service.DropAfterRun(1) },
 			firstStatus: 502, secondStatus: 409, outcome: "unknown", runs: 1,
 		},
 	}
@@ -55,7 +55,7 @@
 			if tc.firstStatus == http.StatusOK {
 				g.Expect(second.body).To(Equal(first.body))
 			}
-			g.Expect(lf.Services.Runs("valve-7")).To(Equal(tc.runs))
+			g.Expect(lf.Service.Runs("valve-7")).To(Equal(tc.runs))
 		})
 	}
 }
@@ -67,11 +67,11 @@
 	headers := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequest, "valve-8", serve.HeaderTimeout, "400ms"}
 	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(resp.outcome).To(Equal("not_run"))
-	g.Expect(lf.Services.Runs("valve-8")).To(BeZero())
+	g.Expect(lf.Service.Runs("valve-8")).To(BeZero())
 	lf.Store.SetDown(false)
 	resp = call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
 	g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
-	g.Expect(lf.Services.Runs("valve-8")).To(Equal(1))
+	g.Expect(lf.Service.Runs("valve-8")).To(Equal(1))
 }
 
 func TestKeyOfDifferentRequestIsRefused(t *testing.T) {
@@ -101,7 +101,7 @@
 	g.Expect(first.status).To(Equal(http.StatusOK), first.body)
 	second := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(second.body).To(Equal(first.body))
-	g.Expect(lf.Services.Runs("valve-9")).To(Equal(1))
+	g.Expect(lf.Service.Runs("valve-9")).To(Equal(1))
 }
 
 func TestTicketOfStoppedInstanceHasUnknownOutcome(t *testing.T) {
@@ -111,17 +111,17 @@
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
 	resp := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), serve.HeaderTicket, tk, servicesim.HeaderRequest, "valve-10")
 	g.Expect(resp.outcome).To(Equal("unknown"))
-	g.Expect(lf.Services.Runs("valve-10")).To(BeZero())
+	g.Expect(lf.Service.Runs("valve-10")).To(BeZero())
 }
 
 func TestFailedPostIsNotResent(t *testing.T) {
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
 	call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequest, "warm")
-	lf.Services.DropAfterRun(1)
+	lf.Service.DropAfterRun(1)
 	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), servicesim.HeaderRequest, "valve-11")
 	g.Expect(resp.outcome).To(Equal("unknown"))
-	g.Consistently(func() int { return lf.Services.Runs("valve-11") }, 200*time.Millisecond).Should(Equal(1))
+	g.Consistently(func() int { return lf.Service.Runs("valve-11") }, 200*time.Millisecond).Should(Equal(1))
 }
 
 // TestResponseDoesNotWaitForSlowStore makes the store slow after the claim. The caller's response must end regardless of the
@@ -129,7 +129,7 @@
 func TestResponseDoesNotWaitForSlowStore(t *testing.T) {
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
-	lf.Services.SetDelay(300 * time.Millisecond)
+	lf.Service.SetDelay(300 * time.Millisecond)
 	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetSlow(4 * time.Second) })
 	done := make(chan response, 1)
 	go func() {
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -157,11 +157,11 @@
 				g.Expect(err).NotTo(HaveOccurred())
 				s.Platform.URL = storeFront.URL
 			}})
-			lf.Services.SetDelay(300 * time.Millisecond)
-			lf.Services.DropAfterRun(tc.dropsAfterRun)
+			lf.Service.SetDelay(300 * time.Millisecond)
+			lf.Service.DropAfterRun(tc.dropsAfterRun)
 			go func() {
 				// Once the service runs the request, its claim is in the store.
-				for lf.Services.Runs("valve") == 0 {
+				for lf.Service.Runs("valve") == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				storeFront.SetBlocked(true)
