--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -105,7 +105,7 @@
 	g.Expect(code).To(Equal(exitFail))
 	g.Expect(errOut).To(ContainSubstring("version 4"))
 	results := filepath.Join(t.TempDir(), "results.json")
-	code, out, errOut = run("load", "--url", lf.URLs()[0], "--key", localfleet.Key, "--model", localfleet.Model,
+	code, out, errOut = run("load", "--url", lf.URLs()[0], "--key", localfleet.CallerKey, "--model", localfleet.Model,
 		"--rate", "20", "--length", "500ms", "--burst", "5", "--long-share", "0", "--output", "2", "--json", results)
 	g.Expect(code).To(Equal(exitOK), errOut)
 	g.Expect(out).To(ContainSubstring("first token p50"))
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -24,7 +24,7 @@
 	if dc.Keep {
 		o.Keep = func(url string) {
 			fmt.Fprintf(dc.out, "curl -N %s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"prompt\":\"hello\",\"stream\":true}'\n",
-				url, localfleet.Key, localfleet.Model)
+				url, localfleet.CallerKey, localfleet.Model)
 			<-ctx.Done()
 		}
 	}
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -28,7 +28,7 @@
 const (
 	Model       = "address"
 	Service     = "valves"
-	Key         = "local-caller-key"
+	CallerKey   = "local-caller-key"
 	OperatorKey = "local-operator-key"
 	ClassCall   = "call"
 	ClassBatch  = "batch"
@@ -109,7 +109,7 @@
 	seconds := func(n int) config.Duration { return config.Duration(time.Duration(n) * time.Second) }
 	return bundle.Bundle{
 		Version:       1,
-		Organisations: []bundle.Organisation{{Name: "tywi", KeyDigests: []string{bundle.KeyDigest(Key)}}},
+		Organisations: []bundle.Organisation{{Name: "tywi", KeyDigests: []string{bundle.KeyDigest(CallerKey)}}},
 		Models:        []bundle.Model{{Name: Model, MaxTokens: 1_100_000}},
 		Services:      []string{Service},
 		Classes: []bundle.Class{
--- a/internal/session/bench_test.go
+++ b/internal/session/bench_test.go
@@ -27,7 +27,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			req, _ := http.NewRequestWithContext(b.Context(), http.MethodPost, url, bytes.NewReader(body))
-			req.Header.Set("Authorization", "Bearer "+localfleet.Key)
+			req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
 			resp, err := client.Do(req)
 			if err != nil {
 				b.Error(err)
--- a/internal/session/client_test.go
+++ b/internal/session/client_test.go
@@ -27,7 +27,7 @@
 	g := NewWithT(t)
 	req, err := http.NewRequestWithContext(t.Context(), method, url, bytes.NewReader(body))
 	g.Expect(err).NotTo(HaveOccurred())
-	req.Header.Set("Authorization", "Bearer "+localfleet.Key)
+	req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
 	for i := 0; i+1 < len(headers); i += 2 {
 		req.Header.Set(headers[i], headers[i+1])
 	}
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -108,7 +108,7 @@
 		body := completion(load.Prompt(9, load.Arrival{Tokens: 20_000, Index: i}), 500, true)
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, lf.URLs()[i%2]+"/v1/completions", bytes.NewReader(body))
 		g.Expect(err).NotTo(HaveOccurred())
-		req.Header.Set("Authorization", "Bearer "+localfleet.Key)
+		req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
 		resp, err := client.Do(req)
 		if err == nil {
 			resp.Body.Close()
@@ -234,7 +234,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s: 200ms\r\nContent-Length: 1000\r\n\r\n{\"model\"",
-		localfleet.Key, serve.HeaderTimeout)
+		localfleet.CallerKey, serve.HeaderTimeout)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(conn.SetReadDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
 	resp, err := io.ReadAll(conn)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -45,7 +45,7 @@
 }
 
 func loadTarget(lf *localfleet.Fleet, seed uint64) load.Target {
-	return load.Target{URLs: lf.URLs(), Key: localfleet.Key, Model: localfleet.Model, Seed: seed}
+	return load.Target{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
 }
 
 func TestPromptsLargerThanOneEngineComplete(t *testing.T) {
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -241,7 +241,7 @@
 	if err != nil {
 		return response{body: err.Error()}
 	}
-	req.Header.Set("Authorization", "Bearer "+localfleet.Key)
+	req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return response{body: err.Error()}
