--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -41,7 +41,7 @@
 type Option func(*kernel.Env)
 
 // WithBlocked cuts links to peers in some availability zones; for tests and experiments.
-func WithBlocked(f func(zone string) bool) Option {
+func WithZoneBlocked(f func(zone string) bool) Option {
 	return func(env *kernel.Env) { kernel.Provide(env, peers.ZoneBlocked(f)) }
 }
 
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -230,7 +230,7 @@
 	s := lf.Settings(i)
 	var opts []instance.Option
 	if lf.opts.ZoneLinkBlocked != nil {
-		opts = append(opts, instance.WithBlocked(func(to string) bool { return lf.opts.ZoneLinkBlocked(s.AvailabilityZone, to) }))
+		opts = append(opts, instance.WithZoneBlocked(func(to string) bool { return lf.opts.ZoneLinkBlocked(s.AvailabilityZone, to) }))
 	}
 	in, err := instance.Start(ctx, s, lf.opts.Log, opts...)
 	if err != nil {
