--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -49,17 +49,17 @@
 	// Engines, Instances and Zones are its sizes.
 	Engines, Instances, Zones int
 	// Mix is the load at an event's start.
-	Mix load.Mix
+	Mix load.Workload
 }
 
 // Presets are the users' fleets.
 var Presets = []Preset{
-	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Mix: load.Mix{
+	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
 		Rate: 40, Length: 20 * time.Second, Burst: 40, LongShare: 0.02, MinTokens: 1_000, ShortTokens: 8_000,
 		LongTokens: longTokens, MaxTokens: 1_000_000, Output: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
-	{Name: "acervo", Engines: 20, Instances: 8, Zones: 3, Mix: load.Mix{
+	{Name: "acervo", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
 		Rate: 16, Length: 30 * time.Second, Burst: 20, LongShare: 0.02, MinTokens: 1_000, ShortTokens: 32_000,
 		LongTokens: longTokens, MaxTokens: 1_000_000, Output: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -25,7 +25,7 @@
 }
 
 // Mix describes arrivals at the start of an event.
-type Mix struct {
+type Workload struct {
 	// Rate is requests a second; Length the time over which they come.
 	Rate   float64
 	Length time.Duration
@@ -48,7 +48,7 @@
 const burstWithin = 100 * time.Millisecond
 
 // Generate returns the arrivals for a seed, in order.
-func Generate(seed uint64, m Mix) []Arrival {
+func Generate(seed uint64, m Workload) []Arrival {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	var all []Arrival
 	for range m.Burst {
@@ -69,7 +69,7 @@
 	return all
 }
 
-func (mx Mix) arrival(rnd *rand.Rand, at time.Duration) Arrival {
+func (mx Workload) arrival(rnd *rand.Rand, at time.Duration) Arrival {
 	a := Arrival{At: at, Output: mx.Output, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
 	if rnd.Float64() < mx.LongShare {
 		a.Class = mx.LongClass
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -226,7 +226,7 @@
 		return Requests{}, err
 	}
 	defer closeFleet(ctx, lf)
-	arrivals := load.Generate(1, load.Mix{
+	arrivals := load.Generate(1, load.Workload{
 		Rate: rate, Length: seconds * time.Second, MinTokens: 1_000, ShortTokens: 8_000, LongTokens: longTokens, MaxTokens: longTokens,
 		Output: 4, ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassCall, Organisations: 1, Scale: 1,
 	})
