--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -55,12 +55,12 @@
 // Presets are the users' fleets.
 var Presets = []Preset{
 	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
-		Rate: 40, Length: 20 * time.Second, Burst: 40, LongShare: 0.02, MinTokens: 1_000, ShortTokens: 8_000,
+		Rate: 40, Duration: 20 * time.Second, Burst: 40, LongShare: 0.02, MinTokens: 1_000, ShortTokens: 8_000,
 		LongTokens: longTokens, MaxTokens: 1_000_000, Output: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
 	{Name: "acervo", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
-		Rate: 16, Length: 30 * time.Second, Burst: 20, LongShare: 0.02, MinTokens: 1_000, ShortTokens: 32_000,
+		Rate: 16, Duration: 30 * time.Second, Burst: 20, LongShare: 0.02, MinTokens: 1_000, ShortTokens: 32_000,
 		LongTokens: longTokens, MaxTokens: 1_000_000, Output: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
@@ -182,7 +182,7 @@
 	t := load.Target{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
 	without := load.Run(ctx, t, load.Without(all, longTokens))
 	again := load.Run(ctx, t, load.Without(all, longTokens))
-	undo := inject(ctx, lf, fault, cut, time.Duration(float64(mix.Length)/o.Scale/3))
+	undo := inject(ctx, lf, fault, cut, time.Duration(float64(mix.Duration)/o.Scale/3))
 	with := load.Run(ctx, t, all)
 	undo()
 	c := Cell{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -27,8 +27,8 @@
 // Mix describes arrivals at the start of an event.
 type Workload struct {
 	// Rate is requests a second; Length the time over which they come.
-	Rate   float64
-	Length time.Duration
+	Rate     float64
+	Duration time.Duration
 	// Burst requests come in the first tenth of a second besides.
 	Burst int
 	// LongShare is the share of prompts over LongTokens.
@@ -56,7 +56,7 @@
 	}
 	for at := 0.0; ; {
 		at += rnd.ExpFloat64() / m.Rate
-		if at >= m.Length.Seconds() {
+		if at >= m.Duration.Seconds() {
 			break
 		}
 		all = append(all, m.arrival(rnd, time.Duration(at*float64(time.Second))))
