--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -36,7 +36,7 @@
 	// ShortTokens, LongTokens and MaxTokens bound the two log-uniform parts.
 	MinTokens, ShortTokens, LongTokens, MaxTokens int
 	// Output is the length of answers.
-	Output int
+	OutputTokens int
 	// LongClass is the class of long prompts, ShortClass of the others.
 	LongClass, ShortClass string
 	// Organisations of unequal size send the requests.
@@ -70,7 +70,7 @@
 }
 
 func (mx Workload) arrival(rnd *rand.Rand, at time.Duration) Arrival {
-	a := Arrival{At: at, Output: mx.Output, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
+	a := Arrival{At: at, Output: mx.OutputTokens, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
 	if rnd.Float64() < mx.LongShare {
 		a.Class = mx.LongClass
 		a.Tokens = logUniform(rnd, mx.LongTokens, mx.MaxTokens)
