--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -34,7 +34,7 @@
 	// LongShare is the share of prompts over LongTokens.
 	LongShare float64
 	// ShortTokens, LongTokens and MaxTokens bound the two log-uniform parts.
-	MinShortTokens, ShortTokens, LongTokens, MaxTokens int
+	MinShortTokens, MaxShortTokens, LongTokens, MaxTokens int
 	// Output is the length of answers.
 	OutputTokens int
 	// LongClass is the class of long prompts, ShortClass of the others.
@@ -76,7 +76,7 @@
 		a.Tokens = logUniform(rnd, mx.LongTokens, mx.MaxTokens)
 		return a
 	}
-	a.Tokens = logUniform(rnd, mx.MinShortTokens, mx.ShortTokens)
+	a.Tokens = logUniform(rnd, mx.MinShortTokens, mx.MaxShortTokens)
 	return a
 }
 
