--- a/cmd/load.go
+++ b/cmd/load.go
@@ -56,7 +56,7 @@
 	if lc.Trace == "" {
 		return load.Generate(lc.Seed, load.Workload{
 			Rate: lc.Rate, Duration: lc.Length, Burst: lc.Burst, LongShare: lc.LongShare, MinShortTokens: 1_000, MaxShortTokens: 8_000,
-			MinLongTokens: 100_000, MaxTokens: 1_000_000, OutputTokens: lc.Output, ShortClass: lc.Class, LongClass: lc.LongClass,
+			MinLongTokens: 100_000, MaxLongTokens: 1_000_000, OutputTokens: lc.Output, ShortClass: lc.Class, LongClass: lc.LongClass,
 			Organisations: 1, Scale: 1,
 		}), nil
 	}
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -46,7 +46,7 @@
 func arrivals() []load.Arrival {
 	all := load.Generate(seed, load.Workload{
 		Rate: 20, Duration: 20 * time.Second, Burst: 30, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000,
-		MinLongTokens: longTokens, MaxTokens: 1_000_000, OutputTokens: 16, ShortClass: localfleet.ClassCall,
+		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 16, ShortClass: localfleet.ClassCall,
 		LongClass: localfleet.ClassBatch, Organisations: 1, Scale: scale,
 	})
 	// One prompt of a million tokens is always among them.
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -56,12 +56,12 @@
 var Presets = []Preset{
 	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
 		Rate: 40, Duration: 20 * time.Second, Burst: 40, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000,
-		MinLongTokens: longTokens, MaxTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
+		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
 	{Name: "acervo", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
 		Rate: 16, Duration: 30 * time.Second, Burst: 20, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 32_000,
-		MinLongTokens: longTokens, MaxTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
+		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
 }
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -34,7 +34,7 @@
 	// LongShare is the share of prompts over LongTokens.
 	LongShare float64
 	// ShortTokens, LongTokens and MaxTokens bound the two log-uniform parts.
-	MinShortTokens, MaxShortTokens, MinLongTokens, MaxTokens int
+	MinShortTokens, MaxShortTokens, MinLongTokens, MaxLongTokens int
 	// Output is the length of answers.
 	OutputTokens int
 	// LongClass is the class of long prompts, ShortClass of the others.
@@ -73,7 +73,7 @@
 	a := Arrival{At: at, Output: mx.OutputTokens, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
 	if rnd.Float64() < mx.LongShare {
 		a.Class = mx.LongClass
-		a.Tokens = logUniform(rnd, mx.MinLongTokens, mx.MaxTokens)
+		a.Tokens = logUniform(rnd, mx.MinLongTokens, mx.MaxLongTokens)
 		return a
 	}
 	a.Tokens = logUniform(rnd, mx.MinShortTokens, mx.MaxShortTokens)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,7 +14,7 @@
 func mix() Workload {
 	return Workload{
 		Rate: 50, Duration: 20 * time.Second, Burst: 40, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000, MinLongTokens: 100_000,
-		MaxTokens: 1_000_000, OutputTokens: 4, ShortClass: "s", LongClass: "l", Organisations: 5, Scale: 10,
+		MaxLongTokens: 1_000_000, OutputTokens: 4, ShortClass: "s", LongClass: "l", Organisations: 5, Scale: 10,
 	}
 }
 
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -227,7 +227,7 @@
 	}
 	defer closeFleet(ctx, lf)
 	arrivals := load.Generate(1, load.Workload{
-		Rate: rate, Duration: seconds * time.Second, MinShortTokens: 1_000, MaxShortTokens: 8_000, MinLongTokens: longTokens, MaxTokens: longTokens,
+		Rate: rate, Duration: seconds * time.Second, MinShortTokens: 1_000, MaxShortTokens: 8_000, MinLongTokens: longTokens, MaxLongTokens: longTokens,
 		OutputTokens: 4, ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassCall, Organisations: 1, Scale: 1,
 	})
 	before, began := wire(lf), time.Now()
