--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -195,7 +195,7 @@
 func event(all []load.Arrival) bundle.Event {
 	tokens := 0
 	for _, a := range load.Without(all, longTokens) {
-		tokens += a.Tokens
+		tokens += a.PromptTokens
 	}
 	span := all[len(all)-1].At
 	return bundle.Event{
@@ -219,9 +219,9 @@
 		if r.FirstToken == 0 {
 			continue
 		}
-		idle = append(idle, float64(r.FirstToken)/float64(params.Alone(r.Tokens)))
+		idle = append(idle, float64(r.FirstToken)/float64(params.Alone(r.PromptTokens)))
 		real := time.Duration(float64(r.FirstToken) * params.Scale)
-		if r.Tokens >= longTokens {
+		if r.PromptTokens >= longTokens {
 			long = append(long, real)
 		} else {
 			short = append(short, real)
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -16,8 +16,8 @@
 	Class        string `json:"class"`
 	Organisation int    `json:"organisation"`
 	// Tokens is the length of the prompt, Output of the answer.
-	Tokens int `json:"tokens"`
-	Output int `json:"output"`
+	PromptTokens int `json:"tokens"`
+	Output       int `json:"output"`
 	// Prefix numbers a shared start of the prompt; zero means none.
 	Prefix int `json:"prefix"`
 	// Index numbers the arrival in its whole trace.
@@ -73,10 +73,10 @@
 	a := Arrival{At: at, Output: mx.OutputTokens, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
 	if rnd.Float64() < mx.LongShare {
 		a.Class = mx.LongClass
-		a.Tokens = logUniform(rnd, mx.MinLongTokens, mx.MaxLongTokens)
+		a.PromptTokens = logUniform(rnd, mx.MinLongTokens, mx.MaxLongTokens)
 		return a
 	}
-	a.Tokens = logUniform(rnd, mx.MinShortTokens, mx.MaxShortTokens)
+	a.PromptTokens = logUniform(rnd, mx.MinShortTokens, mx.MaxShortTokens)
 	return a
 }
 
@@ -97,5 +97,5 @@
 
 // Without returns the arrivals shorter than the given length.
 func Without(all []Arrival, tokens int) []Arrival {
-	return slices.DeleteFunc(slices.Clone(all), func(a Arrival) bool { return a.Tokens >= tokens })
+	return slices.DeleteFunc(slices.Clone(all), func(a Arrival) bool { return a.PromptTokens >= tokens })
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -28,8 +28,8 @@
 	g.Expect(float64(long)/float64(len(all))).To(BeNumerically("~", 0.02, 0.012), "one prompt in fifty is long")
 	g.Expect(all[len(all)-1].At).To(BeNumerically("<=", 2*time.Second), "times are scaled")
 	for _, a := range all {
-		g.Expect(a.Tokens).To(And(BeNumerically(">=", 1_000), BeNumerically("<=", 1_000_000)))
-		g.Expect(a.Class == "l").To(Equal(a.Tokens >= 100_000))
+		g.Expect(a.PromptTokens).To(And(BeNumerically(">=", 1_000), BeNumerically("<=", 1_000_000)))
+		g.Expect(a.Class == "l").To(Equal(a.PromptTokens >= 100_000))
 	}
 }
 
--- a/internal/load/prompt.go
+++ b/internal/load/prompt.go
@@ -12,9 +12,9 @@
 func Prompt(seed uint64, a Arrival) string {
 	rnd := rand.New(rand.NewPCG(seed, uint64(a.Index)))
 	var sb strings.Builder
-	sb.Grow(4 * a.Tokens)
+	sb.Grow(4 * a.PromptTokens)
 	word := [4]byte{3: ' '}
-	for range a.Tokens {
+	for range a.PromptTokens {
 		v := rnd.Uint32()
 		for i := range 3 {
 			word[i] = wordLetters[(v>>(8*i))%26]
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -42,7 +42,7 @@
 		row := Row{UpTo: high}
 		var times []time.Duration
 		for _, r := range results {
-			if r.Tokens <= low || r.Tokens > high {
+			if r.PromptTokens <= low || r.PromptTokens > high {
 				continue
 			}
 			row.add(r)
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -27,9 +27,9 @@
 	rnd := rand.New(rand.NewPCG(3, 3))
 	all := make([]load.Arrival, n)
 	for i := range all {
-		all[i] = load.Arrival{Class: class, Tokens: 1_000 + rnd.IntN(7_000), Output: 24, Index: i, At: time.Duration(i) * time.Millisecond}
+		all[i] = load.Arrival{Class: class, PromptTokens: 1_000 + rnd.IntN(7_000), Output: 24, Index: i, At: time.Duration(i) * time.Millisecond}
 		if i%50 == 7 {
-			all[i].Tokens = 120_000 + rnd.IntN(100_000)
+			all[i].PromptTokens = 120_000 + rnd.IntN(100_000)
 		}
 	}
 	return all
@@ -105,7 +105,7 @@
 	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, EngineParams: fastEngines(10)})
 	client := &http.Client{Timeout: 60 * time.Millisecond}
 	for i := range 30 {
-		body := completion(load.Prompt(9, load.Arrival{Tokens: 20_000, Index: i}), 500, true)
+		body := completion(load.Prompt(9, load.Arrival{PromptTokens: 20_000, Index: i}), 500, true)
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, lf.URLs()[i%2]+"/v1/completions", bytes.NewReader(body))
 		g.Expect(err).NotTo(HaveOccurred())
 		req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
