--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -50,7 +50,7 @@
 		LongClass: localfleet.ClassBatch, Organisations: 1, Scale: scale,
 	})
 	// One prompt of a million tokens is always among them.
-	million := load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 1_000_000, Output: 16, Index: len(all)}
+	million := load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 1_000_000, OutputTokens: 16, Index: len(all)}
 	return append(all, million)
 }
 
@@ -97,7 +97,7 @@
 			right++
 			continue
 		}
-		fmt.Fprintf(w, "prompt of %d tokens: %d of %d tokens, %s %s after %s\n", r.PromptTokens, r.Got, r.Output, r.Code, r.Outcome, r.Total)
+		fmt.Fprintf(w, "prompt of %d tokens: %d of %d tokens, %s %s after %s\n", r.PromptTokens, r.Got, r.OutputTokens, r.Code, r.Outcome, r.Total)
 	}
 	if right < len(with) {
 		return &WrongAnswerError{Right: right, All: len(with)}
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -17,7 +17,7 @@
 	Organisation int    `json:"organisation"`
 	// Tokens is the length of the prompt, Output of the answer.
 	PromptTokens int `json:"tokens"`
-	Output       int `json:"output"`
+	OutputTokens int `json:"output"`
 	// Prefix numbers a shared start of the prompt; zero means none.
 	Prefix int `json:"prefix"`
 	// Index numbers the arrival in its whole trace.
@@ -70,7 +70,7 @@
 }
 
 func (mx Workload) arrival(rnd *rand.Rand, at time.Duration) Arrival {
-	a := Arrival{At: at, Output: mx.OutputTokens, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
+	a := Arrival{At: at, OutputTokens: mx.OutputTokens, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
 	if rnd.Float64() < mx.LongShare {
 		a.Class = mx.LongClass
 		a.PromptTokens = logUniform(rnd, mx.MinLongTokens, mx.MaxLongTokens)
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -54,7 +54,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			rs := Result{Arrival: Arrival{Output: 1}}
+			rs := Result{Arrival: Arrival{OutputTokens: 1}}
 			rs.read(bufio.NewScanner(strings.NewReader(tc.stream)), tc.status, time.Now())
 			rs.check("p")
 			g.Expect(rs.Whole).To(Equal(tc.wantWhole))
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -62,7 +62,7 @@
 	prompts := make([]string, len(arrivals))
 	for i, a := range arrivals {
 		prompts[i] = Prompt(t.Seed, a)
-		bodies[i], _ = encode(t.Model, prompts[i], a.Output) // these fields always encode
+		bodies[i], _ = encode(t.Model, prompts[i], a.OutputTokens) // these fields always encode
 	}
 	var wg sync.WaitGroup
 	var done sync.Map
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -27,7 +27,7 @@
 	rnd := rand.New(rand.NewPCG(3, 3))
 	all := make([]load.Arrival, n)
 	for i := range all {
-		all[i] = load.Arrival{Class: class, PromptTokens: 1_000 + rnd.IntN(7_000), Output: 24, Index: i, At: time.Duration(i) * time.Millisecond}
+		all[i] = load.Arrival{Class: class, PromptTokens: 1_000 + rnd.IntN(7_000), OutputTokens: 24, Index: i, At: time.Duration(i) * time.Millisecond}
 		if i%50 == 7 {
 			all[i].PromptTokens = 120_000 + rnd.IntN(100_000)
 		}
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -64,8 +64,8 @@
 			var hugePrompts []load.Arrival
 			for i := range tc.hugePrompts {
 				hugePrompts = append(hugePrompts,
-					load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 900_000 + 10_000*i, Output: 4, Index: 2 * i},
-					load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 300_000, Output: 4, Index: 2*i + 1})
+					load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 900_000 + 10_000*i, OutputTokens: 4, Index: 2 * i},
+					load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 300_000, OutputTokens: 4, Index: 2*i + 1})
 			}
 			for _, r := range load.Run(t.Context(), loadTarget(lf, 1), hugePrompts) {
 				g.Expect(r.Right).To(BeTrue(), "%+v", r)
@@ -83,7 +83,7 @@
 	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 7, Instances: 3, EngineParams: fastEngines(400)})
 	lf.Engines[0].Kill()
 	// Index 1 goes to an instance in another availability zone, which the engine's owner does not notify of its failure.
-	hugePrompts := []load.Arrival{{Class: localfleet.ClassBatch, PromptTokens: 900_000, Output: 4, Index: 1}}
+	hugePrompts := []load.Arrival{{Class: localfleet.ClassBatch, PromptTokens: 900_000, OutputTokens: 4, Index: 1}}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	for _, r := range load.Run(ctx, loadTarget(lf, 1), hugePrompts) {
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -255,7 +255,7 @@
 	arrivals := make([]load.Arrival, 500)
 	for i := range arrivals {
 		arrivals[i] = load.Arrival{
-			At: time.Duration(i) * 8 * time.Millisecond, Class: localfleet.ClassCall, PromptTokens: 1000, Output: 1, Index: i,
+			At: time.Duration(i) * 8 * time.Millisecond, Class: localfleet.ClassCall, PromptTokens: 1000, OutputTokens: 1, Index: i,
 		}
 	}
 	measure := func(url string) (p50, p99 time.Duration) {
