--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -97,7 +97,7 @@
 			right++
 			continue
 		}
-		fmt.Fprintf(w, "prompt of %d tokens: %d of %d tokens, %s %s after %s\n", r.PromptTokens, r.Got, r.OutputTokens, r.Code, r.Outcome, r.Total)
+		fmt.Fprintf(w, "prompt of %d tokens: %d of %d tokens, %s %s after %s\n", r.PromptTokens, r.ReceivedTokens, r.OutputTokens, r.Code, r.Outcome, r.Total)
 	}
 	if right < len(with) {
 		return &WrongAnswerError{Right: right, All: len(with)}
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -20,9 +20,9 @@
 	FirstToken time.Duration `json:"first_token"`
 	Total      time.Duration `json:"total"`
 	// Tokens got and whether the answer is whole and right.
-	Got   int  `json:"got"`
-	Whole bool `json:"whole"`
-	Right bool `json:"right"`
+	ReceivedTokens int  `json:"got"`
+	Whole          bool `json:"whole"`
+	Right          bool `json:"right"`
 	// Code and Outcome are set for failures.
 	Code    string `json:"code,omitempty"`
 	Outcome string `json:"outcome,omitempty"`
@@ -162,10 +162,10 @@
 			break
 		}
 		if len(ev.Choices) > 0 {
-			if rs.Got == 0 {
+			if rs.ReceivedTokens == 0 {
 				rs.FirstToken = time.Since(intended)
 			}
-			rs.Got++
+			rs.ReceivedTokens++
 			text.WriteString(ev.Choices[0].Text)
 		}
 	}
