--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -21,7 +21,7 @@
 	Total      time.Duration `json:"total"`
 	// Tokens got and whether the answer is whole and right.
 	ReceivedTokens int  `json:"got"`
-	Whole          bool `json:"whole"`
+	Complete       bool `json:"whole"`
 	Right          bool `json:"right"`
 	// Code and Outcome are set for failures.
 	Code    string `json:"code,omitempty"`
@@ -147,7 +147,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			rs.Whole = true
+			rs.Complete = true
 			break
 		}
 		var ev event
@@ -170,7 +170,7 @@
 		}
 	}
 	rs.Total = time.Since(intended)
-	if !rs.Whole && rs.Code == "" {
+	if !rs.Complete && rs.Code == "" {
 		rs.Code = "cut_off"
 	}
 	rs.text = text.String()
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -62,7 +62,7 @@
 func (rw *Row) add(r Result) {
 	rw.Requests++
 	switch {
-	case r.Whole:
+	case r.Complete:
 		rw.Whole++
 	case r.Outcome == "not_run":
 		rw.Refused++
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -51,8 +51,8 @@
 	kill(3, 90*time.Millisecond)
 	correct := 0
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 4), mixedArrivals(200, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(Equal(r.Whole), "a complete response must be the correct one: %+v", r)
-		if !r.Whole {
+		g.Expect(r.Right).To(Equal(r.Complete), "a complete response must be the correct one: %+v", r)
+		if !r.Complete {
 			g.Expect(r.Code).NotTo(Or(BeEmpty(), Equal("cut_off")), "%+v", r)
 			continue
 		}
