--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -93,7 +93,7 @@
 	fmt.Fprintf(w, "slowdown of short prompts beside long ones: p50 %.2f, p95 %.2f, p99 %.2f\n", p50, p95, p99)
 	right := 0
 	for _, r := range with {
-		if r.Right {
+		if r.Correct {
 			right++
 			continue
 		}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -209,7 +209,7 @@
 	var short, long []time.Duration
 	for _, r := range with {
 		c.Requests++
-		if r.Right {
+		if r.Correct {
 			c.Right++
 		} else if r.Outcome == "not_run" {
 			c.Refused++
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -4,6 +4,6 @@
 
 // check compares the text with what a stand-in engine generates for the prompt.
 func (rs *Result) check(prompt string) {
-	rs.Right = rs.Complete && rs.text == answer.Of(prompt, rs.OutputTokens)
+	rs.Correct = rs.Complete && rs.text == answer.Of(prompt, rs.OutputTokens)
 	rs.text = ""
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -58,7 +58,7 @@
 			rs.read(bufio.NewScanner(strings.NewReader(tc.stream)), tc.status, time.Now())
 			rs.check("p")
 			g.Expect(rs.Complete).To(Equal(tc.wantWhole))
-			g.Expect(rs.Right).To(Equal(tc.wantRight))
+			g.Expect(rs.Correct).To(Equal(tc.wantRight))
 			g.Expect(rs.Code).To(Equal(tc.wantCode))
 			g.Expect(rs.Outcome).To(Equal(tc.wantOutcome))
 		})
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -22,7 +22,7 @@
 	// Tokens got and whether the answer is whole and right.
 	ReceivedTokens int  `json:"got"`
 	Complete       bool `json:"whole"`
-	Right          bool `json:"right"`
+	Correct        bool `json:"right"`
 	// Code and Outcome are set for failures.
 	Code    string `json:"code,omitempty"`
 	Outcome string `json:"outcome,omitempty"`
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -69,7 +69,7 @@
 	default:
 		rw.Failed++
 	}
-	if r.Right {
+	if r.Correct {
 		rw.Right++
 	}
 }
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -39,7 +39,7 @@
 	g := NewWithT(t)
 	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(200)})
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 2), mixedArrivals(200, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 }
 
@@ -51,7 +51,7 @@
 	kill(3, 90*time.Millisecond)
 	correct := 0
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 4), mixedArrivals(200, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(Equal(r.Complete), "a complete response must be the correct one: %+v", r)
+		g.Expect(r.Correct).To(Equal(r.Complete), "a complete response must be the correct one: %+v", r)
 		if !r.Complete {
 			g.Expect(r.Code).NotTo(Or(BeEmpty(), Equal("cut_off")), "%+v", r)
 			continue
@@ -138,7 +138,7 @@
 			}
 			startedBefore := leaving.Started()
 			for _, r := range load.Run(t.Context(), loadTarget(lf, 5), mixedArrivals(40, localfleet.ClassCall)) {
-				g.Expect(r.Right).To(BeTrue(), "%+v", r)
+				g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 			}
 			g.Expect(leaving.Started()).To(Equal(startedBefore))
 		})
@@ -184,7 +184,7 @@
 		liveURLs.Store(&extended)
 	}
 	for _, r := range <-results {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 }
 
@@ -209,7 +209,7 @@
 	partitioned.Store(true)
 	lf.Store.SetDown(true)
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 8), mixedArrivals(60, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 	partitioned.Store(false)
 	lf.Store.SetDown(false)
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -68,7 +68,7 @@
 					load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 300_000, OutputTokens: 4, Index: 2*i + 1})
 			}
 			for _, r := range load.Run(t.Context(), loadTarget(lf, 1), hugePrompts) {
-				g.Expect(r.Right).To(BeTrue(), "%+v", r)
+				g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 			}
 			for _, en := range lf.Engines {
 				g.Eventually(en.MemoryUsed, 5*time.Second).Should(BeZero(), en.Name)
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	for _, r := range load.Run(ctx, loadTarget(lf, 1), hugePrompts) {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 	for _, en := range lf.Engines[1:] {
 		g.Eventually(en.MemoryUsed, 5*time.Second).Should(BeZero(), en.Name)
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -236,7 +236,7 @@
 	r := Requests{PerSecond: rate}
 	r.MessagesPerSecond, r.BytesPerSecond = wire(lf).minus(before).each(took, instances)
 	for _, res := range results {
-		if res.Right {
+		if res.Correct {
 			r.Served++
 		}
 	}
