--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -21,7 +21,7 @@
 // Row sums up the prompts of one range of lengths.
 type Row struct {
 	// UpTo is the upper end of the range in tokens.
-	UpTo int `json:"up_to"`
+	MaxTokens int `json:"up_to"`
 	// Requests, Whole, Right, Refused and Failed count.
 	Requests int `json:"requests"`
 	Whole    int `json:"whole"`
@@ -39,7 +39,7 @@
 	var rows []Row
 	low := 0
 	for _, high := range lengthBounds {
-		row := Row{UpTo: high}
+		row := Row{MaxTokens: high}
 		var times []time.Duration
 		for _, r := range results {
 			if r.PromptTokens <= low || r.PromptTokens > high {
@@ -104,7 +104,7 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "prompt tokens up to\trequests\twhole\tright\trefused\tfailed\tfirst token p50\tp95\tp99\t")
 	for _, r := range rows {
-		fmt.Fprintf(tw, "%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", r.UpTo, r.Requests, r.Whole, r.Right, r.Refused, r.Failed,
+		fmt.Fprintf(tw, "%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", r.MaxTokens, r.Requests, r.Whole, r.Right, r.Refused, r.Failed,
 			round(r.P50), round(r.P95), round(r.P99))
 	}
 	return tw.Flush()
