--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -25,7 +25,7 @@
 	// Requests, Whole, Right, Refused and Failed count.
 	Requests int `json:"requests"`
 	Complete int `json:"whole"`
-	Right    int `json:"right"`
+	Correct  int `json:"right"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
 	// P50, P95 and P99 are of the time to the first token.
@@ -70,7 +70,7 @@
 		rw.Failed++
 	}
 	if r.Correct {
-		rw.Right++
+		rw.Correct++
 	}
 }
 
@@ -104,7 +104,7 @@
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "prompt tokens up to\trequests\twhole\tright\trefused\tfailed\tfirst token p50\tp95\tp99\t")
 	for _, r := range rows {
-		fmt.Fprintf(tw, "%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", r.MaxTokens, r.Requests, r.Complete, r.Right, r.Refused, r.Failed,
+		fmt.Fprintf(tw, "%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", r.MaxTokens, r.Requests, r.Complete, r.Correct, r.Refused, r.Failed,
 			round(r.P50), round(r.P95), round(r.P99))
 	}
 	return tw.Flush()
