--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -186,7 +186,7 @@
 	with := load.Run(ctx, t, all)
 	undo()
 	c := Cell{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
-	_, c.FloorP95, c.FloorP99 = load.RatioQuantiles(load.Ratios(again, without))
+	_, c.FloorP95, c.FloorP99 = load.RatioQuantiles(load.Slowdowns(again, without))
 	return measure(c, params, with, without), nil
 }
 
@@ -204,7 +204,7 @@
 }
 
 func measure(c Cell, params enginesim.Params, with, without []load.Result) Cell {
-	c.SlowP50, c.SlowP95, c.SlowP99 = load.RatioQuantiles(load.Ratios(with, without))
+	c.SlowP50, c.SlowP95, c.SlowP99 = load.RatioQuantiles(load.Slowdowns(with, without))
 	var idle []float64
 	var short, long []time.Duration
 	for _, r := range with {
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -70,5 +70,5 @@
 	at := func(index int, d time.Duration) Result { return Result{Arrival: Arrival{Index: index}, FirstToken: d} }
 	with := []Result{at(1, 30), at(2, 20), at(9, 99)}
 	without := []Result{at(2, 10), at(1, 10), at(3, 10)}
-	g.Expect(Ratios(with, without)).To(ConsistOf(3.0, 2.0))
+	g.Expect(Slowdowns(with, without)).To(ConsistOf(3.0, 2.0))
 }
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -85,7 +85,7 @@
 
 // Ratios returns, for each short prompt answered in both runs, its time to the first token with the long prompts
 // over that without.
-func Ratios(with, without []Result) []float64 {
+func Slowdowns(with, without []Result) []float64 {
 	alone := map[int]time.Duration{}
 	for _, r := range without {
 		alone[r.Index] = r.FirstToken
