--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -74,7 +74,7 @@
 	all := arrivals()
 	fmt.Fprintf(o.Out, "%d engines, %d instances, %d availability zones; engine times divided by %d\n", engines, instances, zones, scale)
 	fmt.Fprintf(o.Out, "first the short prompts alone, then the same with the long ones\n")
-	without := load.Run(ctx, t, load.Without(all, longTokens))
+	without := load.Run(ctx, t, load.ShorterThan(all, longTokens))
 	with := load.Run(ctx, t, all)
 	if err := report(o.Out, with, without); err != nil {
 		return err
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -180,8 +180,8 @@
 		lf.Close(ctx)
 	}()
 	t := load.Target{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
-	without := load.Run(ctx, t, load.Without(all, longTokens))
-	again := load.Run(ctx, t, load.Without(all, longTokens))
+	without := load.Run(ctx, t, load.ShorterThan(all, longTokens))
+	again := load.Run(ctx, t, load.ShorterThan(all, longTokens))
 	undo := inject(ctx, lf, fault, cut, time.Duration(float64(mix.Duration)/o.Scale/3))
 	with := load.Run(ctx, t, all)
 	undo()
@@ -194,7 +194,7 @@
 // and without long prompts both fall into it.
 func event(all []load.Arrival) bundle.Event {
 	tokens := 0
-	for _, a := range load.Without(all, longTokens) {
+	for _, a := range load.ShorterThan(all, longTokens) {
 		tokens += a.PromptTokens
 	}
 	span := all[len(all)-1].At
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -96,6 +96,6 @@
 }
 
 // Without returns the arrivals shorter than the given length.
-func Without(all []Arrival, tokens int) []Arrival {
+func ShorterThan(all []Arrival, tokens int) []Arrival {
 	return slices.DeleteFunc(slices.Clone(all), func(a Arrival) bool { return a.PromptTokens >= tokens })
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -24,7 +24,7 @@
 	g.Expect(Generate(3, mix())).To(Equal(all))
 	g.Expect(Generate(4, mix())).NotTo(Equal(all))
 	g.Expect(Prompt(3, all[0])).To(Equal(Prompt(3, all[0])))
-	long := len(all) - len(Without(all, 100_000))
+	long := len(all) - len(ShorterThan(all, 100_000))
 	g.Expect(float64(long)/float64(len(all))).To(BeNumerically("~", 0.02, 0.012), "one prompt in fifty is long")
 	g.Expect(all[len(all)-1].At).To(BeNumerically("<=", 2*time.Second), "times are scaled")
 	for _, a := range all {
