--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -228,11 +228,11 @@
 		}
 	}
 	base := firstTokens(without)
-	c.RatioP95 = over(load.Quantile(short, 95), load.Quantile(base, 95), params.Scale)
-	c.RatioP99 = over(load.Quantile(short, 99), load.Quantile(base, 99), params.Scale)
+	c.RatioP95 = over(load.Percentile(short, 95), load.Percentile(base, 95), params.Scale)
+	c.RatioP99 = over(load.Percentile(short, 99), load.Percentile(base, 99), params.Scale)
 	c.IdleP50, c.IdleP95, _ = load.RatioQuantiles(idle)
-	c.ShortP99 = load.Quantile(short, 99)
-	c.LongP50, c.LongP95 = load.Quantile(long, 50), load.Quantile(long, 95)
+	c.ShortP99 = load.Percentile(short, 99)
+	c.LongP50, c.LongP95 = load.Percentile(long, 50), load.Percentile(long, 95)
 	return c
 }
 
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -52,7 +52,7 @@
 		}
 		low = high
 		if row.Requests > 0 {
-			row.P50, row.P95, row.P99 = Quantile(times, 50), Quantile(times, 95), Quantile(times, 99)
+			row.P50, row.P95, row.P99 = Percentile(times, 50), Percentile(times, 95), Percentile(times, 99)
 			rows = append(rows, row)
 		}
 	}
@@ -75,7 +75,7 @@
 }
 
 // Quantile returns a quantile of some times, from 0 to 100.
-func Quantile(times []time.Duration, q float64) time.Duration {
+func Percentile(times []time.Duration, q float64) time.Duration {
 	h := hdrhistogram.New(1, histogramMax, histogramDigits)
 	for _, t := range times {
 		_ = h.RecordValue(max(1, t.Microseconds())) // an hour bounds every measured time
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -263,7 +263,7 @@
 		for _, r := range load.Run(ctx, load.Target{URLs: []string{url}, Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals) {
 			times = append(times, r.FirstToken)
 		}
-		return load.Quantile(times, 50), load.Quantile(times, 99)
+		return load.Percentile(times, 50), load.Percentile(times, 99)
 	}
 	var lt Latency
 	lt.DirectP50, lt.DirectP99 = measure(lf.Engines[0].URL())
