--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -89,7 +89,7 @@
 	if err := load.WriteTable(w, load.Summarise(with)); err != nil {
 		return err
 	}
-	p50, p95, p99 := load.RatioQuantiles(load.Slowdowns(with, without))
+	p50, p95, p99 := load.RatioPercentiles(load.Slowdowns(with, without))
 	fmt.Fprintf(w, "slowdown of short prompts beside long ones: p50 %.2f, p95 %.2f, p99 %.2f\n", p50, p95, p99)
 	right := 0
 	for _, r := range with {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -186,7 +186,7 @@
 	with := load.Run(ctx, t, all)
 	undo()
 	c := Cell{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
-	_, c.FloorP95, c.FloorP99 = load.RatioQuantiles(load.Slowdowns(again, without))
+	_, c.FloorP95, c.FloorP99 = load.RatioPercentiles(load.Slowdowns(again, without))
 	return measure(c, params, with, without), nil
 }
 
@@ -204,7 +204,7 @@
 }
 
 func measure(c Cell, params enginesim.Params, with, without []load.Result) Cell {
-	c.SlowP50, c.SlowP95, c.SlowP99 = load.RatioQuantiles(load.Slowdowns(with, without))
+	c.SlowP50, c.SlowP95, c.SlowP99 = load.RatioPercentiles(load.Slowdowns(with, without))
 	var idle []float64
 	var short, long []time.Duration
 	for _, r := range with {
@@ -230,7 +230,7 @@
 	base := firstTokens(without)
 	c.RatioP95 = over(load.Percentile(short, 95), load.Percentile(base, 95), params.Scale)
 	c.RatioP99 = over(load.Percentile(short, 99), load.Percentile(base, 99), params.Scale)
-	c.IdleP50, c.IdleP95, _ = load.RatioQuantiles(idle)
+	c.IdleP50, c.IdleP95, _ = load.RatioPercentiles(idle)
 	c.ShortP99 = load.Percentile(short, 99)
 	c.LongP50, c.LongP95 = load.Percentile(long, 50), load.Percentile(long, 95)
 	return c
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -118,7 +118,7 @@
 }
 
 // RatioQuantiles returns three quantiles of some ratios.
-func RatioQuantiles(ratios []float64) (p50, p95, p99 float64) {
+func RatioPercentiles(ratios []float64) (p50, p95, p99 float64) {
 	if len(ratios) == 0 {
 		return 0, 0, 0
 	}
