--- a/cmd/load.go
+++ b/cmd/load.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	results := load.Run(ctx, load.Target{
+	results := load.Run(ctx, load.Options{
 		URLs: lc.URLs, Key: lc.Key, Model: lc.Model, Seed: lc.Seed,
 		Progress: func(done, all int) { fmt.Fprintf(lc.err, "%d of %d answered\n", done, all) },
 	}, arrivals)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -69,7 +69,7 @@
 		defer cancel()
 		lf.Close(ctx)
 	}()
-	t := load.Target{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
+	t := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
 	t.Progress = func(done, all int) { fmt.Fprintf(o.Out, "  %d of %d answered\n", done, all) }
 	all := arrivals()
 	fmt.Fprintf(o.Out, "%d engines, %d instances, %d availability zones; engine times divided by %d\n", engines, instances, zones, scale)
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -179,7 +179,7 @@
 		defer cancel()
 		lf.Close(ctx)
 	}()
-	t := load.Target{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
+	t := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
 	without := load.Run(ctx, t, load.ShorterThan(all, longTokens))
 	again := load.Run(ctx, t, load.ShorterThan(all, longTokens))
 	undo := inject(ctx, lf, fault, cut, time.Duration(float64(mix.Duration)/o.Scale/3))
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -31,7 +31,7 @@
 }
 
 // Target is where and how load is sent.
-type Target struct {
+type Options struct {
 	// URLs are the callers' addresses of instances, taken in turn.
 	URLs []string
 	// Pick, when set, is asked for an address instead, as a balancer is.
@@ -44,7 +44,7 @@
 	Progress func(done, all int)
 }
 
-func (tg Target) pick(index int) string {
+func (tg Options) pick(index int) string {
 	if tg.Pick != nil {
 		return tg.Pick(index)
 	}
@@ -54,7 +54,7 @@
 const progressEvery = 2 * time.Second
 
 // Run sends the arrivals, each at its intended time whatever became of the others, and waits for all answers.
-func Run(ctx context.Context, t Target, arrivals []Arrival) []Result {
+func Run(ctx context.Context, t Options, arrivals []Arrival) []Result {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
 	results := make([]Result, len(arrivals))
@@ -84,7 +84,7 @@
 	return results
 }
 
-func watch(t Target, done *sync.Map, all int, finished <-chan struct{}) {
+func watch(t Options, done *sync.Map, all int, finished <-chan struct{}) {
 	tick := time.NewTicker(progressEvery)
 	defer tick.Stop()
 	for {
@@ -120,7 +120,7 @@
 	} `json:"error"`
 }
 
-func send(ctx context.Context, client *http.Client, t Target, a Arrival, url string, body []byte, start time.Time) Result {
+func send(ctx context.Context, client *http.Client, t Options, a Arrival, url string, body []byte, start time.Time) Result {
 	res := Result{Arrival: a}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -44,8 +44,8 @@
 	return p
 }
 
-func loadTarget(lf *localfleet.Fleet, seed uint64) load.Target {
-	return load.Target{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
+func loadTarget(lf *localfleet.Fleet, seed uint64) load.Options {
+	return load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
 }
 
 func TestPromptsLargerThanOneEngineComplete(t *testing.T) {
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -231,7 +231,7 @@
 		OutputTokens: 4, ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassCall, Organisations: 1, Scale: 1,
 	})
 	before, began := wire(lf), time.Now()
-	results := load.Run(ctx, load.Target{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals)
+	results := load.Run(ctx, load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals)
 	took := time.Since(began).Seconds()
 	r := Requests{PerSecond: rate}
 	r.MessagesPerSecond, r.BytesPerSecond = wire(lf).minus(before).each(took, instances)
@@ -260,7 +260,7 @@
 	}
 	measure := func(url string) (p50, p99 time.Duration) {
 		var times []time.Duration
-		for _, r := range load.Run(ctx, load.Target{URLs: []string{url}, Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals) {
+		for _, r := range load.Run(ctx, load.Options{URLs: []string{url}, Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals) {
 			times = append(times, r.FirstToken)
 		}
 		return load.Percentile(times, 50), load.Percentile(times, 99)
