--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -35,7 +35,7 @@
 	// URLs are the callers' addresses of instances, taken in turn.
 	URLs []string
 	// Pick, when set, is asked for an address instead, as a balancer is.
-	Pick func(index int) string
+	PickURL func(index int) string
 	// Key is the bearer key; Model is asked for.
 	Key, Model string
 	// Seed gives the prompts.
@@ -45,8 +45,8 @@
 }
 
 func (tg Options) pick(index int) string {
-	if tg.Pick != nil {
-		return tg.Pick(index)
+	if tg.PickURL != nil {
+		return tg.PickURL(index)
 	}
 	return tg.URLs[index%len(tg.URLs)]
 }
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -162,7 +162,7 @@
 	urls := lf.URLs()
 	liveURLs.Store(&urls)
 	tg := loadTarget(lf, 6)
-	tg.Pick = func(i int) string { us := *liveURLs.Load(); return us[i%len(us)] }
+	tg.PickURL = func(i int) string { us := *liveURLs.Load(); return us[i%len(us)] }
 	arrivals := mixedArrivals(300, localfleet.ClassCall)
 	for i := range arrivals {
 		arrivals[i].At *= 8
