--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -48,7 +48,7 @@
 	return ec.write(cells)
 }
 
-func (ec *experimentCommand) write(cells []experiment.Cell) error {
+func (ec *experimentCommand) write(cells []experiment.Result) error {
 	if err := writeFigures(ec.JSON, cells); err != nil {
 		return err
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -88,7 +88,7 @@
 }
 
 // Cell is the outcome of one run.
-type Cell struct {
+type Result struct {
 	Fleet  string `json:"fleet"`
 	Policy string `json:"policy"`
 	Fault  Fault  `json:"fault"`
@@ -119,8 +119,8 @@
 }
 
 // Run runs all combinations and returns a cell for each.
-func Run(ctx context.Context, o Options) ([]Cell, error) {
-	var cells []Cell
+func Run(ctx context.Context, o Options) ([]Result, error) {
+	var cells []Result
 	for _, p := range Presets {
 		if !slices.Contains(o.Fleets, p.Name) {
 			continue
@@ -142,7 +142,7 @@
 	return cells, nil
 }
 
-func runOne(ctx context.Context, o Options, p Preset, policy string, fault Fault, seed uint64) (Cell, error) {
+func runOne(ctx context.Context, o Options, p Preset, policy string, fault Fault, seed uint64) (Result, error) {
 	params := enginesim.DefaultParams()
 	params.Scale = o.Scale
 	// The second run sends the prompts of the first again; a cache would make it look faster than it is.
@@ -172,7 +172,7 @@
 		},
 	})
 	if err != nil {
-		return Cell{}, err
+		return Result{}, err
 	}
 	defer func() {
 		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWait)
@@ -185,7 +185,7 @@
 	undo := inject(ctx, lf, fault, cut, time.Duration(float64(mix.Duration)/o.Scale/3))
 	with := load.Run(ctx, t, all)
 	undo()
-	c := Cell{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
+	c := Result{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
 	_, c.FloorP95, c.FloorP99 = load.RatioPercentiles(load.Slowdowns(again, without))
 	return measure(c, params, with, without), nil
 }
@@ -203,7 +203,7 @@
 	}
 }
 
-func measure(c Cell, params enginesim.Params, with, without []load.Result) Cell {
+func measure(c Result, params enginesim.Params, with, without []load.Result) Result {
 	c.SlowP50, c.SlowP95, c.SlowP99 = load.RatioPercentiles(load.Slowdowns(with, without))
 	var idle []float64
 	var short, long []time.Duration
@@ -252,13 +252,13 @@
 }
 
 // Medians returns a row for each fleet, fault and policy, in the order in which they were run.
-func Medians(cells []Cell) []Cell {
+func Medians(cells []Result) []Result {
 	type key struct {
 		fleet, policy string
 		fault         Fault
 	}
 	var order []key
-	groups := map[key][]Cell{}
+	groups := map[key][]Result{}
 	for _, c := range cells {
 		k := key{c.Fleet, c.Policy, c.Fault}
 		if groups[k] == nil {
@@ -266,16 +266,16 @@
 		}
 		groups[k] = append(groups[k], c)
 	}
-	var rows []Cell
+	var rows []Result
 	for _, k := range order {
 		rows = append(rows, median(groups[k]))
 	}
 	return rows
 }
 
-func median(group []Cell) Cell {
+func median(group []Result) Result {
 	m := group[0]
-	number := func(f func(Cell) float64) float64 {
+	number := func(f func(Result) float64) float64 {
 		vs := make([]float64, len(group))
 		for i, c := range group {
 			vs[i] = f(c)
@@ -283,16 +283,16 @@
 		slices.Sort(vs)
 		return vs[len(vs)/2]
 	}
-	span := func(f func(Cell) time.Duration) time.Duration {
-		return time.Duration(number(func(c Cell) float64 { return float64(f(c)) }))
+	span := func(f func(Result) time.Duration) time.Duration {
+		return time.Duration(number(func(c Result) float64 { return float64(f(c)) }))
 	}
-	m.SlowP50, m.SlowP95 = number(func(c Cell) float64 { return c.SlowP50 }), number(func(c Cell) float64 { return c.SlowP95 })
-	m.FloorP95, m.FloorP99 = number(func(c Cell) float64 { return c.FloorP95 }), number(func(c Cell) float64 { return c.FloorP99 })
-	m.RatioP95, m.RatioP99 = number(func(c Cell) float64 { return c.RatioP95 }), number(func(c Cell) float64 { return c.RatioP99 })
-	m.SlowP99 = number(func(c Cell) float64 { return c.SlowP99 })
-	m.IdleP50, m.IdleP95 = number(func(c Cell) float64 { return c.IdleP50 }), number(func(c Cell) float64 { return c.IdleP95 })
-	m.ShortP99 = span(func(c Cell) time.Duration { return c.ShortP99 })
-	m.LongP50, m.LongP95 = span(func(c Cell) time.Duration { return c.LongP50 }), span(func(c Cell) time.Duration { return c.LongP95 })
+	m.SlowP50, m.SlowP95 = number(func(c Result) float64 { return c.SlowP50 }), number(func(c Result) float64 { return c.SlowP95 })
+	m.FloorP95, m.FloorP99 = number(func(c Result) float64 { return c.FloorP95 }), number(func(c Result) float64 { return c.FloorP99 })
+	m.RatioP95, m.RatioP99 = number(func(c Result) float64 { return c.RatioP95 }), number(func(c Result) float64 { return c.RatioP99 })
+	m.SlowP99 = number(func(c Result) float64 { return c.SlowP99 })
+	m.IdleP50, m.IdleP95 = number(func(c Result) float64 { return c.IdleP50 }), number(func(c Result) float64 { return c.IdleP95 })
+	m.ShortP99 = span(func(c Result) time.Duration { return c.ShortP99 })
+	m.LongP50, m.LongP95 = span(func(c Result) time.Duration { return c.LongP50 }), span(func(c Result) time.Duration { return c.LongP95 })
 	m.Requests, m.Right, m.Refused, m.Late = 0, 0, 0, 0
 	for _, c := range group {
 		m.Requests += c.Requests
@@ -304,7 +304,7 @@
 }
 
 // WriteTable writes the medians with the short p99 against the first policy of the same fleet and fault.
-func WriteTable(w io.Writer, rows []Cell) error {
+func WriteTable(w io.Writer, rows []Result) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| fleet\t| fault\t| policy\t| slowdown p50\t| p95\t| p99\t| floor p95\t| p99\t| quantiles p95\t| p99\t| short p99\t| times better\t| over idle p50\t| p95\t| long p50\t| long p95\t| right\t| refused\t| late\t|")
 	fmt.Fprintln(tw, "|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|---\t|")
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,10 +10,10 @@
 
 func TestMediansAndTable(t *testing.T) {
 	g := NewWithT(t)
-	cell := func(policy string, p99 time.Duration, slow float64) Cell {
-		return Cell{Fleet: "f", Policy: policy, Fault: FaultNone, ShortP99: p99, SlowP95: slow, Requests: 10, Right: 9, Late: 1}
+	cell := func(policy string, p99 time.Duration, slow float64) Result {
+		return Result{Fleet: "f", Policy: policy, Fault: FaultNone, ShortP99: p99, SlowP95: slow, Requests: 10, Right: 9, Late: 1}
 	}
-	rows := Medians([]Cell{
+	rows := Medians([]Result{
 		cell("first", 10*time.Second, 9), cell("first", 30*time.Second, 7), cell("first", 20*time.Second, 8),
 		cell("second", 2*time.Second, 2), cell("second", time.Second, 1), cell("second", 5*time.Second, 3),
 	})
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,7 +15,7 @@
 )
 
 // Plot draws the slowdown of short prompts for each policy.
-func Plot(file string, rows []Cell) error {
+func Plot(file string, rows []Result) error {
 	p := plot.New()
 	p.Title.Text = "slowdown of short prompts beside long ones"
 	p.Y.Label.Text = "times the answer without long prompts"
