--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -96,7 +96,7 @@
 	// SlowP50, SlowP95 and SlowP99 are the slowdown of short prompts beside long ones.
 	SlowdownP50 float64 `json:"slow_p50"`
 	SlowdownP95 float64 `json:"slow_p95"`
-	SlowP99     float64 `json:"slow_p99"`
+	SlowdownP99 float64 `json:"slow_p99"`
 	// FloorP95 and FloorP99 are the same between two runs without long prompts: what chance alone gives.
 	FloorP95 float64 `json:"floor_p95"`
 	FloorP99 float64 `json:"floor_p99"`
@@ -134,7 +134,7 @@
 					}
 					cells = append(cells, c)
 					fmt.Fprintf(o.Progress, "%s %s %s seed %d: short slowdown p95 %.2f p99 %.2f, right %d of %d\n",
-						p.Name, name, fault, seed, c.SlowdownP95, c.SlowP99, c.Right, c.Requests)
+						p.Name, name, fault, seed, c.SlowdownP95, c.SlowdownP99, c.Right, c.Requests)
 				}
 			}
 		}
@@ -204,7 +204,7 @@
 }
 
 func measure(c Result, params enginesim.Params, with, without []load.Result) Result {
-	c.SlowdownP50, c.SlowdownP95, c.SlowP99 = load.RatioPercentiles(load.Slowdowns(with, without))
+	c.SlowdownP50, c.SlowdownP95, c.SlowdownP99 = load.RatioPercentiles(load.Slowdowns(with, without))
 	var idle []float64
 	var short, long []time.Duration
 	for _, r := range with {
@@ -289,7 +289,7 @@
 	m.SlowdownP50, m.SlowdownP95 = number(func(c Result) float64 { return c.SlowdownP50 }), number(func(c Result) float64 { return c.SlowdownP95 })
 	m.FloorP95, m.FloorP99 = number(func(c Result) float64 { return c.FloorP95 }), number(func(c Result) float64 { return c.FloorP99 })
 	m.RatioP95, m.RatioP99 = number(func(c Result) float64 { return c.RatioP95 }), number(func(c Result) float64 { return c.RatioP99 })
-	m.SlowP99 = number(func(c Result) float64 { return c.SlowP99 })
+	m.SlowdownP99 = number(func(c Result) float64 { return c.SlowdownP99 })
 	m.IdleP50, m.IdleP95 = number(func(c Result) float64 { return c.IdleP50 }), number(func(c Result) float64 { return c.IdleP95 })
 	m.ShortP99 = span(func(c Result) time.Duration { return c.ShortP99 })
 	m.LongP50, m.LongP95 = span(func(c Result) time.Duration { return c.LongP50 }), span(func(c Result) time.Duration { return c.LongP95 })
@@ -316,7 +316,7 @@
 		}
 		better := float64(base[k]) / float64(max(1, r.ShortP99))
 		fmt.Fprintf(tw, "| %s\t| %s\t| %s\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %s\t| %.1f\t| %.2f\t| %.2f\t| %s\t| %s\t| %d of %d\t| %d\t| %d\t|\n",
-			r.Fleet, r.Fault, r.Policy, r.SlowdownP50, r.SlowdownP95, r.SlowP99, r.FloorP95, r.FloorP99, r.RatioP95, r.RatioP99, r.ShortP99.Round(10*time.Millisecond), better,
+			r.Fleet, r.Fault, r.Policy, r.SlowdownP50, r.SlowdownP95, r.SlowdownP99, r.FloorP95, r.FloorP99, r.RatioP95, r.RatioP99, r.ShortP99.Round(10*time.Millisecond), better,
 			r.IdleP50, r.IdleP95, r.LongP50.Round(100*time.Millisecond), r.LongP95.Round(100*time.Millisecond),
 			r.Right, r.Requests, r.Refused, r.Late)
 	}
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -27,7 +27,7 @@
 			name += "\n" + string(r.Fault)
 		}
 		names = append(names, name)
-		p50, p95, p99 = append(p50, r.SlowdownP50), append(p95, r.SlowdownP95), append(p99, r.SlowP99)
+		p50, p95, p99 = append(p50, r.SlowdownP50), append(p95, r.SlowdownP95), append(p99, r.SlowdownP99)
 	}
 	for i, s := range []struct {
 		label  string
