--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -99,7 +99,7 @@
 	SlowdownP99 float64 `json:"slow_p99"`
 	// FloorP95 and FloorP99 are the same between two runs without long prompts: what chance alone gives.
 	NoiseP95 float64 `json:"floor_p95"`
-	FloorP99 float64 `json:"floor_p99"`
+	NoiseP99 float64 `json:"floor_p99"`
 	// RatioP95 and RatioP99 are the quantiles of the run with long prompts over those of the run without.
 	RatioP95 float64 `json:"ratio_p95"`
 	RatioP99 float64 `json:"ratio_p99"`
@@ -186,7 +186,7 @@
 	with := load.Run(ctx, t, all)
 	undo()
 	c := Result{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
-	_, c.NoiseP95, c.FloorP99 = load.RatioPercentiles(load.Slowdowns(again, without))
+	_, c.NoiseP95, c.NoiseP99 = load.RatioPercentiles(load.Slowdowns(again, without))
 	return measure(c, params, with, without), nil
 }
 
@@ -287,7 +287,7 @@
 		return time.Duration(number(func(c Result) float64 { return float64(f(c)) }))
 	}
 	m.SlowdownP50, m.SlowdownP95 = number(func(c Result) float64 { return c.SlowdownP50 }), number(func(c Result) float64 { return c.SlowdownP95 })
-	m.NoiseP95, m.FloorP99 = number(func(c Result) float64 { return c.NoiseP95 }), number(func(c Result) float64 { return c.FloorP99 })
+	m.NoiseP95, m.NoiseP99 = number(func(c Result) float64 { return c.NoiseP95 }), number(func(c Result) float64 { return c.NoiseP99 })
 	m.RatioP95, m.RatioP99 = number(func(c Result) float64 { return c.RatioP95 }), number(func(c Result) float64 { return c.RatioP99 })
 	m.SlowdownP99 = number(func(c Result) float64 { return c.SlowdownP99 })
 	m.IdleP50, m.IdleP95 = number(func(c Result) float64 { return c.IdleP50 }), number(func(c Result) float64 { return c.IdleP95 })
@@ -316,7 +316,7 @@
 		}
 		better := float64(base[k]) / float64(max(1, r.ShortP99))
 		fmt.Fprintf(tw, "| %s\t| %s\t| %s\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %s\t| %.1f\t| %.2f\t| %.2f\t| %s\t| %s\t| %d of %d\t| %d\t| %d\t|\n",
-			r.Fleet, r.Fault, r.Policy, r.SlowdownP50, r.SlowdownP95, r.SlowdownP99, r.NoiseP95, r.FloorP99, r.RatioP95, r.RatioP99, r.ShortP99.Round(10*time.Millisecond), better,
+			r.Fleet, r.Fault, r.Policy, r.SlowdownP50, r.SlowdownP95, r.SlowdownP99, r.NoiseP95, r.NoiseP99, r.RatioP95, r.RatioP99, r.ShortP99.Round(10*time.Millisecond), better,
 			r.IdleP50, r.IdleP95, r.LongP50.Round(100*time.Millisecond), r.LongP95.Round(100*time.Millisecond),
 			r.Right, r.Requests, r.Refused, r.Late)
 	}
