--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -105,7 +105,7 @@
 	PercentileRatioP99 float64 `json:"ratio_p99"`
 	// IdleP50 and IdleP95 are the time to the first token over that on an idle target, all lengths.
 	SlowdownVsIdleP50 float64 `json:"idle_p50"`
-	IdleP95           float64 `json:"idle_p95"`
+	SlowdownVsIdleP95 float64 `json:"idle_p95"`
 	// ShortP99 is the time to the first token of short prompts, unscaled.
 	ShortP99 time.Duration `json:"short_p99"`
 	// LongP50 and LongP95 are of the long prompts' first tokens, unscaled.
@@ -230,7 +230,7 @@
 	base := firstTokens(without)
 	c.PercentileRatioP95 = over(load.Percentile(short, 95), load.Percentile(base, 95), params.Scale)
 	c.PercentileRatioP99 = over(load.Percentile(short, 99), load.Percentile(base, 99), params.Scale)
-	c.SlowdownVsIdleP50, c.IdleP95, _ = load.RatioPercentiles(idle)
+	c.SlowdownVsIdleP50, c.SlowdownVsIdleP95, _ = load.RatioPercentiles(idle)
 	c.ShortP99 = load.Percentile(short, 99)
 	c.LongP50, c.LongP95 = load.Percentile(long, 50), load.Percentile(long, 95)
 	return c
@@ -290,7 +290,7 @@
 	m.NoiseP95, m.NoiseP99 = number(func(c Result) float64 { return c.NoiseP95 }), number(func(c Result) float64 { return c.NoiseP99 })
 	m.PercentileRatioP95, m.PercentileRatioP99 = number(func(c Result) float64 { return c.PercentileRatioP95 }), number(func(c Result) float64 { return c.PercentileRatioP99 })
 	m.SlowdownP99 = number(func(c Result) float64 { return c.SlowdownP99 })
-	m.SlowdownVsIdleP50, m.IdleP95 = number(func(c Result) float64 { return c.SlowdownVsIdleP50 }), number(func(c Result) float64 { return c.IdleP95 })
+	m.SlowdownVsIdleP50, m.SlowdownVsIdleP95 = number(func(c Result) float64 { return c.SlowdownVsIdleP50 }), number(func(c Result) float64 { return c.SlowdownVsIdleP95 })
 	m.ShortP99 = span(func(c Result) time.Duration { return c.ShortP99 })
 	m.LongP50, m.LongP95 = span(func(c Result) time.Duration { return c.LongP50 }), span(func(c Result) time.Duration { return c.LongP95 })
 	m.Requests, m.Right, m.Refused, m.Late = 0, 0, 0, 0
@@ -317,7 +317,7 @@
 		better := float64(base[k]) / float64(max(1, r.ShortP99))
 		fmt.Fprintf(tw, "| %s\t| %s\t| %s\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %s\t| %.1f\t| %.2f\t| %.2f\t| %s\t| %s\t| %d of %d\t| %d\t| %d\t|\n",
 			r.Fleet, r.Fault, r.Policy, r.SlowdownP50, r.SlowdownP95, r.SlowdownP99, r.NoiseP95, r.NoiseP99, r.PercentileRatioP95, r.PercentileRatioP99, r.ShortP99.Round(10*time.Millisecond), better,
-			r.SlowdownVsIdleP50, r.IdleP95, r.LongP50.Round(100*time.Millisecond), r.LongP95.Round(100*time.Millisecond),
+			r.SlowdownVsIdleP50, r.SlowdownVsIdleP95, r.LongP50.Round(100*time.Millisecond), r.LongP95.Round(100*time.Millisecond),
 			r.Right, r.Requests, r.Refused, r.Late)
 	}
 	return tw.Flush()
