--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 func TestMediansAndTable(t *testing.T) {
 	g := NewWithT(t)
 	cell := func(policy string, p99 time.Duration, slow float64) Result {
-		return Result{Fleet: "f", Policy: policy, Fault: FaultNone, ShortP99: p99, SlowdownP95: slow, Requests: 10, Right: 9, Late: 1}
+		return Result{Fleet: "f", Policy: policy, Fault: FaultNone, ShortP99: p99, SlowdownP95: slow, Requests: 10, Correct: 9, Late: 1}
 	}
 	rows := Medians([]Result{
 		cell("first", 10*time.Second, 9), cell("first", 30*time.Second, 7), cell("first", 20*time.Second, 8),
