--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -112,10 +112,10 @@
 	LongP50 time.Duration `json:"long_p50"`
 	LongP95 time.Duration `json:"long_p95"`
 	// Requests, Right and Refused count; Late counts admitted requests without a whole answer.
-	Requests int `json:"requests"`
-	Correct  int `json:"right"`
-	Refused  int `json:"refused"`
-	Late     int `json:"late"`
+	Requests   int `json:"requests"`
+	Correct    int `json:"right"`
+	Refused    int `json:"refused"`
+	Incomplete int `json:"late"`
 }
 
 // Run runs all combinations and returns a cell for each.
@@ -214,7 +214,7 @@
 		} else if r.Outcome == "not_run" {
 			c.Refused++
 		} else {
-			c.Late++
+			c.Incomplete++
 		}
 		if r.FirstToken == 0 {
 			continue
@@ -293,12 +293,12 @@
 	m.SlowdownVsIdleP50, m.SlowdownVsIdleP95 = number(func(c Result) float64 { return c.SlowdownVsIdleP50 }), number(func(c Result) float64 { return c.SlowdownVsIdleP95 })
 	m.ShortP99 = span(func(c Result) time.Duration { return c.ShortP99 })
 	m.LongP50, m.LongP95 = span(func(c Result) time.Duration { return c.LongP50 }), span(func(c Result) time.Duration { return c.LongP95 })
-	m.Requests, m.Correct, m.Refused, m.Late = 0, 0, 0, 0
+	m.Requests, m.Correct, m.Refused, m.Incomplete = 0, 0, 0, 0
 	for _, c := range group {
 		m.Requests += c.Requests
 		m.Correct += c.Correct
 		m.Refused += c.Refused
-		m.Late += c.Late
+		m.Incomplete += c.Incomplete
 	}
 	return m
 }
@@ -318,7 +318,7 @@
 		fmt.Fprintf(tw, "| %s\t| %s\t| %s\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %.2f\t| %s\t| %.1f\t| %.2f\t| %.2f\t| %s\t| %s\t| %d of %d\t| %d\t| %d\t|\n",
 			r.Fleet, r.Fault, r.Policy, r.SlowdownP50, r.SlowdownP95, r.SlowdownP99, r.NoiseP95, r.NoiseP99, r.PercentileRatioP95, r.PercentileRatioP99, r.ShortP99.Round(10*time.Millisecond), better,
 			r.SlowdownVsIdleP50, r.SlowdownVsIdleP95, r.LongP50.Round(100*time.Millisecond), r.LongP95.Round(100*time.Millisecond),
-			r.Correct, r.Requests, r.Refused, r.Late)
+			r.Correct, r.Requests, r.Refused, r.Incomplete)
 	}
 	return tw.Flush()
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 func TestMediansAndTable(t *testing.T) {
 	g := NewWithT(t)
 	cell := func(policy string, p99 time.Duration, slow float64) Result {
-		return Result{Fleet: "f", Policy: policy, Fault: FaultNone, ShortP99: p99, SlowdownP95: slow, Requests: 10, Correct: 9, Late: 1}
+		return Result{Fleet: "f", Policy: policy, Fault: FaultNone, ShortP99: p99, SlowdownP95: slow, Requests: 10, Correct: 9, Incomplete: 1}
 	}
 	rows := Medians([]Result{
 		cell("first", 10*time.Second, 9), cell("first", 30*time.Second, 7), cell("first", 20*time.Second, 8),
@@ -20,7 +20,7 @@
 	g.Expect(rows).To(HaveLen(2))
 	g.Expect(rows[0].ShortP99).To(Equal(20 * time.Second))
 	g.Expect(rows[1].SlowdownP95).To(Equal(2.0))
-	g.Expect(rows[1].Late).To(Equal(3), "what went wrong is summed, not averaged away")
+	g.Expect(rows[1].Incomplete).To(Equal(3), "what went wrong is summed, not averaged away")
 	var buf bytes.Buffer
 	g.Expect(WriteTable(&buf, rows)).To(Succeed())
 	g.Expect(buf.String()).To(MatchRegexp(`second.*\| 10\.0 `), "times better than the first policy")
