--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -49,17 +49,17 @@
 	// Engines, Instances and Zones are its sizes.
 	Engines, Instances, Zones int
 	// Mix is the load at an event's start.
-	Mix load.Workload
+	Workload load.Workload
 }
 
 // Presets are the users' fleets.
 var Presets = []Preset{
-	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
+	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Workload: load.Workload{
 		Rate: 40, Duration: 20 * time.Second, Burst: 40, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000,
 		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
-	{Name: "acervo", Engines: 20, Instances: 8, Zones: 3, Mix: load.Workload{
+	{Name: "acervo", Engines: 20, Instances: 8, Zones: 3, Workload: load.Workload{
 		Rate: 16, Duration: 30 * time.Second, Burst: 20, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 32_000,
 		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
@@ -155,7 +155,7 @@
 		instances = o.Instances
 	}
 	cut := &cutter{}
-	mix := p.Mix
+	mix := p.Workload
 	mix.Scale = o.Scale
 	all := load.Generate(seed, mix)
 	b := localfleet.DefaultBundle()
