--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -29,7 +29,7 @@
 	lg.Level = max(lg.Level, log.FatalLevel)
 	o := experiment.Options{
 		Fleets: ec.Fleets, Policies: ec.Policies, Seeds: ec.Seeds, Scale: ec.Scale, Instances: ec.Instances,
-		LongShare: ec.LongShare, Events: ec.Events, Progress: ec.err, Log: lg,
+		LongShare: ec.LongShare, AnnounceEvent: ec.Events, Progress: ec.err, Log: lg,
 	}
 	if len(o.Policies) == 0 {
 		o.Policies = policy.Names()
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -78,7 +78,7 @@
 	// Instances, when set, replaces the preset's count: one instance knows everything in flight.
 	Instances int
 	// Events makes the bundle tell of the event that the arrivals are.
-	Events bool
+	AnnounceEvent bool
 	// LongShare, when set, replaces the default share of targets that take long prompts.
 	LongShare float64
 	// Progress gets a line a run.
@@ -159,7 +159,7 @@
 	mix.Scale = o.Scale
 	all := load.Generate(seed, mix)
 	b := localfleet.DefaultBundle()
-	if o.Events {
+	if o.AnnounceEvent {
 		b.Events = []bundle.Event{event(all)}
 	}
 	lf, err := localfleet.Start(ctx, localfleet.Options{
