--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -31,16 +31,16 @@
 
 // The faults.
 const (
-	FaultNone     Fault = "none"
-	FaultStale    Fault = "stale-reports"
-	FaultEngine   Fault = "engine-killed"
-	FaultInstance Fault = "instance-killed"
-	FaultZone     Fault = "zone-cut"
-	FaultPlatform Fault = "platform-down"
+	FaultNone         Fault = "none"
+	FaultStaleReports Fault = "stale-reports"
+	FaultEngine       Fault = "engine-killed"
+	FaultInstance     Fault = "instance-killed"
+	FaultZone         Fault = "zone-cut"
+	FaultPlatform     Fault = "platform-down"
 )
 
 // Faults lists all faults.
-var Faults = []Fault{FaultNone, FaultStale, FaultEngine, FaultInstance, FaultZone, FaultPlatform}
+var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngine, FaultInstance, FaultZone, FaultPlatform}
 
 // Preset is one users' fleet.
 type Preset struct {
@@ -147,7 +147,7 @@
 	params.Scale = o.Scale
 	// The second run sends the prompts of the first again; a cache would make it look faster than it is.
 	params.CacheBlocks = 0
-	if fault == FaultStale {
+	if fault == FaultStaleReports {
 		params.ReportLag = 5 * time.Second
 	}
 	instances := p.Instances
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -33,7 +33,7 @@
 			cut.on.Store(true)
 		case FaultPlatform:
 			lf.Store.SetDown(true)
-		case FaultNone, FaultStale:
+		case FaultNone, FaultStaleReports:
 		}
 	})
 	return func() {
