--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -33,14 +33,14 @@
 const (
 	FaultNone         Fault = "none"
 	FaultStaleReports Fault = "stale-reports"
-	FaultEngine       Fault = "engine-killed"
+	FaultEngineKilled Fault = "engine-killed"
 	FaultInstance     Fault = "instance-killed"
 	FaultZone         Fault = "zone-cut"
 	FaultPlatform     Fault = "platform-down"
 )
 
 // Faults lists all faults.
-var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngine, FaultInstance, FaultZone, FaultPlatform}
+var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngineKilled, FaultInstance, FaultZone, FaultPlatform}
 
 // Preset is one users' fleet.
 type Preset struct {
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -24,7 +24,7 @@
 func inject(ctx context.Context, lf *localfleet.Fleet, f Fault, cut *cutter, after time.Duration) func() {
 	timer := time.AfterFunc(after, func() {
 		switch f {
-		case FaultEngine:
+		case FaultEngineKilled:
 			lf.Engines[0].Kill()
 		case FaultInstance:
 			// Callers of the killed instance go to another by the balancer, which is not part of this.
