--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -26,7 +26,7 @@
 		switch f {
 		case FaultEngineKilled:
 			lf.Engines[0].Kill()
-		case FaultInstance:
+		case FaultInstanceKilled:
 			// Callers of the killed instance go to another by the balancer, which is not part of this.
 			lf.Instances[len(lf.Instances)-1].Env().Stopping.Store(true)
 		case FaultZone:
