--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -31,16 +31,16 @@
 
 // The faults.
 const (
-	FaultNone           Fault = "none"
-	FaultStaleReports   Fault = "stale-reports"
-	FaultEngineKilled   Fault = "engine-killed"
-	FaultInstanceKilled Fault = "instance-killed"
-	FaultZone           Fault = "zone-cut"
-	FaultPlatform       Fault = "platform-down"
+	FaultNone            Fault = "none"
+	FaultStaleReports    Fault = "stale-reports"
+	FaultEngineKilled    Fault = "engine-killed"
+	FaultInstanceKilled  Fault = "instance-killed"
+	FaultZonePartitioned Fault = "zone-cut"
+	FaultPlatform        Fault = "platform-down"
 )
 
 // Faults lists all faults.
-var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngineKilled, FaultInstanceKilled, FaultZone, FaultPlatform}
+var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngineKilled, FaultInstanceKilled, FaultZonePartitioned, FaultPlatform}
 
 // Preset is one users' fleet.
 type Preset struct {
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -29,7 +29,7 @@
 		case FaultInstanceKilled:
 			// Callers of the killed instance go to another by the balancer, which is not part of this.
 			lf.Instances[len(lf.Instances)-1].Env().Stopping.Store(true)
-		case FaultZone:
+		case FaultZonePartitioned:
 			cut.on.Store(true)
 		case FaultPlatform:
 			lf.Store.SetDown(true)
