--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -36,11 +36,11 @@
 	FaultEngineKilled    Fault = "engine-killed"
 	FaultInstanceKilled  Fault = "instance-killed"
 	FaultZonePartitioned Fault = "zone-cut"
-	FaultPlatform        Fault = "platform-down"
+	FaultPlatformDown    Fault = "platform-down"
 )
 
 // Faults lists all faults.
-var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngineKilled, FaultInstanceKilled, FaultZonePartitioned, FaultPlatform}
+var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngineKilled, FaultInstanceKilled, FaultZonePartitioned, FaultPlatformDown}
 
 // Preset is one users' fleet.
 type Preset struct {
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -31,7 +31,7 @@
 			lf.Instances[len(lf.Instances)-1].Env().Stopping.Store(true)
 		case FaultZonePartitioned:
 			cut.on.Store(true)
-		case FaultPlatform:
+		case FaultPlatformDown:
 			lf.Store.SetDown(true)
 		case FaultNone, FaultStaleReports:
 		}
