--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -17,14 +17,14 @@
 )
 
 // Pair is two windows that must both burn before an alert is raised.
-type Pair struct {
+type WindowPair struct {
 	Short, Long time.Duration
 	// Rate is the burn rate from which the pair alerts.
 	Rate float64
 }
 
 // Pairs are the windows reported on.
-var Pairs = []Pair{
+var Pairs = []WindowPair{
 	{Short: 5 * time.Minute, Long: time.Hour, Rate: 14.4},
 	{Short: 30 * time.Minute, Long: 6 * time.Hour, Rate: 6},
 }
