--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -20,13 +20,13 @@
 type WindowPair struct {
 	Short, Long time.Duration
 	// Rate is the burn rate from which the pair alerts.
-	Rate float64
+	AlertRate float64
 }
 
 // Pairs are the windows reported on.
 var Pairs = []WindowPair{
-	{Short: 5 * time.Minute, Long: time.Hour, Rate: 14.4},
-	{Short: 30 * time.Minute, Long: 6 * time.Hour, Rate: 6},
+	{Short: 5 * time.Minute, Long: time.Hour, AlertRate: 14.4},
+	{Short: 30 * time.Minute, Long: 6 * time.Hour, AlertRate: 6},
 }
 
 // budgetPeriod is the time over which an objective's errors are allowed.
@@ -172,7 +172,7 @@
 		}
 		for _, p := range Pairs {
 			low := min(rates[p.Short], rates[p.Long])
-			if low >= p.Rate {
+			if low >= p.AlertRate {
 				ends := time.Duration(float64(budgetPeriod) / low)
 				alerts = append(alerts, Alert{Class: cl.Name, Rate: low, EndsIn: ends})
 				break
