--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -24,7 +24,7 @@
 }
 
 // Pairs are the windows reported on.
-var Pairs = []WindowPair{
+var WindowPairs = []WindowPair{
 	{Short: 5 * time.Minute, Long: time.Hour, AlertRate: 14.4},
 	{Short: 30 * time.Minute, Long: 6 * time.Hour, AlertRate: 6},
 }
@@ -99,7 +99,7 @@
 	at := rc.now().UnixNano() / int64(bucket)
 	var ws []Window
 	for class, buckets := range rc.classes {
-		for _, p := range Pairs {
+		for _, p := range WindowPairs {
 			for _, length := range []time.Duration{p.Short, p.Long} {
 				w := Window{Class: class, Length: length}
 				for b, c := range buckets {
@@ -170,7 +170,7 @@
 			rates[w.Length] = r.Rate
 			rows = append(rows, r)
 		}
-		for _, p := range Pairs {
+		for _, p := range WindowPairs {
 			low := min(rates[p.Short], rates[p.Long])
 			if low >= p.AlertRate {
 				ends := time.Duration(float64(budgetPeriod) / low)
