--- a/cmd/burn.go
+++ b/cmd/burn.go
@@ -22,8 +22,8 @@
 
 // burnReport is the JSON form.
 type burnReport struct {
-	Rows   []burn.Row   `json:"rows"`
-	Alerts []burn.Alert `json:"alerts"`
+	Rows   []burn.WindowRate `json:"rows"`
+	Alerts []burn.Alert      `json:"alerts"`
 	// Missing are instances that could not be asked.
 	Missing []string `json:"missing"`
 }
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -141,7 +141,7 @@
 }
 
 // Row is the burn of one class over one window.
-type Row struct {
+type WindowRate struct {
 	Window
 	// Rate is 1 when the class spends its budget exactly over the budget's period.
 	Rate float64 `json:"rate"`
@@ -157,8 +157,8 @@
 }
 
 // Report computes burn rates and alerts for the objectives of a bundle.
-func Report(ws []Window, classes []bundle.Class) ([]Row, []Alert) {
-	var rows []Row
+func Report(ws []Window, classes []bundle.Class) ([]WindowRate, []Alert) {
+	var rows []WindowRate
 	var alerts []Alert
 	for _, cl := range classes {
 		rates := map[time.Duration]float64{}
@@ -166,7 +166,7 @@
 			if w.Class != cl.Name {
 				continue
 			}
-			r := Row{Window: w, Rate: rate(w.Count, cl.Objective.Share)}
+			r := WindowRate{Window: w, Rate: rate(w.Count, cl.Objective.Share)}
 			rates[w.Length] = r.Rate
 			rows = append(rows, r)
 		}
--- a/internal/burn/plot.go
+++ b/internal/burn/plot.go
@@ -14,7 +14,7 @@
 )
 
 // Plot draws the burn rate of each class and window.
-func Plot(file string, rows []Row) error {
+func Plot(file string, rows []WindowRate) error {
 	p := plot.New()
 	p.Title.Text = "burn rate"
 	p.Y.Label.Text = "times the budget"
