--- a/cmd/burn.go
+++ b/cmd/burn.go
@@ -73,7 +73,7 @@
 		return errors.Wrap(err, "print table")
 	}
 	for _, a := range rp.Alerts {
-		fmt.Fprintf(bc.out, "ALERT class %s burns at %.1f times its budget; a full budget ends in %s\n", a.Class, a.Rate, a.EndsIn.Round(time.Minute))
+		fmt.Fprintf(bc.out, "ALERT class %s burns at %.1f times its budget; a full budget ends in %s\n", a.Class, a.Rate, a.BudgetExhaustedIn.Round(time.Minute))
 	}
 	for _, m := range rp.Missing {
 		fmt.Fprintf(bc.out, "instance %s could not be asked and is not counted\n", m)
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -153,7 +153,7 @@
 	// Rate is the lower of the two windows' rates.
 	Rate float64 `json:"rate"`
 	// EndsIn is when the budget of a whole period would be spent at this rate.
-	EndsIn time.Duration `json:"ends_in"`
+	BudgetExhaustedIn time.Duration `json:"ends_in"`
 }
 
 // Report computes burn rates and alerts for the objectives of a bundle.
@@ -174,7 +174,7 @@
 			low := min(rates[p.Short], rates[p.Long])
 			if low >= p.AlertRate {
 				ends := time.Duration(float64(budgetPeriod) / low)
-				alerts = append(alerts, Alert{Class: cl.Name, Rate: low, EndsIn: ends})
+				alerts = append(alerts, Alert{Class: cl.Name, Rate: low, BudgetExhaustedIn: ends})
 				break
 			}
 		}
