--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -22,7 +22,7 @@
 	lg.Level = max(lg.Level, log.ErrorLevel)
 	o := demo.Options{Out: dc.out, Log: lg}
 	if dc.Keep {
-		o.Keep = func(url string) {
+		o.KeepRunning = func(url string) {
 			fmt.Fprintf(dc.out, "curl -N %s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"prompt\":\"hello\",\"stream\":true}'\n",
 				url, localfleet.CallerKey, localfleet.Model)
 			<-ctx.Done()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -32,7 +32,7 @@
 	// Log is used by the instances.
 	Log log.Interface
 	// Keep, when set, is called with a base URL and returns when the demo shall end.
-	Keep func(url string)
+	KeepRunning func(url string)
 }
 
 // WrongAnswerError says that an answer was missing or not the right one.
@@ -79,8 +79,8 @@
 	if err := report(o.Out, with, without); err != nil {
 		return err
 	}
-	if o.Keep != nil {
-		o.Keep(lf.URLs()[0])
+	if o.KeepRunning != nil {
+		o.KeepRunning(lf.URLs()[0])
 	}
 	return nil
 }
