--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -36,11 +36,11 @@
 }
 
 // WrongAnswerError says that an answer was missing or not the right one.
-type WrongAnswerError struct{ Correct, All int }
+type WrongAnswerError struct{ Correct, Total int }
 
 // Error gives the counts.
 func (we *WrongAnswerError) Error() string {
-	return fmt.Sprintf("%d of %d answers were whole and right", we.Correct, we.All)
+	return fmt.Sprintf("%d of %d answers were whole and right", we.Correct, we.Total)
 }
 
 func arrivals() []load.Arrival {
@@ -100,7 +100,7 @@
 		fmt.Fprintf(w, "prompt of %d tokens: %d of %d tokens, %s %s after %s\n", r.PromptTokens, r.ReceivedTokens, r.OutputTokens, r.Code, r.Outcome, r.Total)
 	}
 	if right < len(with) {
-		return &WrongAnswerError{Correct: right, All: len(with)}
+		return &WrongAnswerError{Correct: right, Total: len(with)}
 	}
 	return nil
 }
