--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -34,7 +34,7 @@
 )
 
 // Point is the cost of control per instance for one size of fleet, without requests.
-type Point struct {
+type FleetCost struct {
 	Instances int `json:"instances"`
 	Targets   int `json:"targets"`
 	// MessagesPerSecond and BytesPerSecond are sent by one instance to its peers.
@@ -84,11 +84,11 @@
 
 // Report is all that was measured.
 type Report struct {
-	Points    []Point    `json:"points"`
-	Requests  []Requests `json:"requests"`
-	Latency   Latency    `json:"latency"`
-	Decisions []Decision `json:"decisions"`
-	Bundles   []Bundle   `json:"bundles"`
+	Points    []FleetCost `json:"points"`
+	Requests  []Requests  `json:"requests"`
+	Latency   Latency     `json:"latency"`
+	Decisions []Decision  `json:"decisions"`
+	Bundles   []Bundle    `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -144,8 +144,8 @@
 	s.Platform.Registration = config.Duration(5 * time.Second)
 }
 
-func point(ctx context.Context, o Options, n int) (Point, error) {
-	p := Point{Instances: n, Targets: 4 * n}
+func point(ctx context.Context, o Options, n int) (FleetCost, error) {
+	p := FleetCost{Instances: n, Targets: 4 * n}
 	runtime.GC()
 	heapBefore := heap()
 	// One availability zone, so that every pair exchanges at the full rate.
