--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -50,7 +50,7 @@
 }
 
 // Requests is the cost of serving for one rate.
-type Requests struct {
+type RequestCost struct {
 	PerSecond         float64 `json:"requests_per_second"`
 	MessagesPerSecond float64 `json:"messages_per_second"`
 	BytesPerSecond    float64 `json:"bytes_per_second"`
@@ -84,11 +84,11 @@
 
 // Report is all that was measured.
 type Report struct {
-	Points    []FleetCost `json:"points"`
-	Requests  []Requests  `json:"requests"`
-	Latency   Latency     `json:"latency"`
-	Decisions []Decision  `json:"decisions"`
-	Bundles   []Bundle    `json:"bundles"`
+	Points    []FleetCost   `json:"points"`
+	Requests  []RequestCost `json:"requests"`
+	Latency   Latency       `json:"latency"`
+	Decisions []Decision    `json:"decisions"`
+	Bundles   []Bundle      `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -215,7 +215,7 @@
 }
 
 // requests measures what short requests add to the messages between instances, at half the engines' speed.
-func requests(ctx context.Context, o Options, rate float64) (Requests, error) {
+func requests(ctx context.Context, o Options, rate float64) (RequestCost, error) {
 	const instances, seconds, speed = 8, 4, 20
 	params := enginesim.DefaultParams()
 	params.Scale, params.CacheBlocks = speed, 0
@@ -223,7 +223,7 @@
 		Zones: 1, Engines: 20, Instances: instances, EngineParams: params, Log: o.Log, AdjustSettings: defaults,
 	})
 	if err != nil {
-		return Requests{}, err
+		return RequestCost{}, err
 	}
 	defer closeFleet(ctx, lf)
 	arrivals := load.Generate(1, load.Workload{
@@ -233,7 +233,7 @@
 	before, began := wire(lf), time.Now()
 	results := load.Run(ctx, load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals)
 	took := time.Since(began).Seconds()
-	r := Requests{PerSecond: rate}
+	r := RequestCost{PerSecond: rate}
 	r.MessagesPerSecond, r.BytesPerSecond = wire(lf).minus(before).each(took, instances)
 	for _, res := range results {
 		if res.Correct {
