--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -51,7 +51,7 @@
 
 // Requests is the cost of serving for one rate.
 type RequestCost struct {
-	PerSecond         float64 `json:"requests_per_second"`
+	RequestsPerSecond float64 `json:"requests_per_second"`
 	MessagesPerSecond float64 `json:"messages_per_second"`
 	BytesPerSecond    float64 `json:"bytes_per_second"`
 	Served            int     `json:"served"`
@@ -119,7 +119,7 @@
 			return rp, errors.Wrap(err, "measure requests")
 		}
 		rp.Requests = append(rp.Requests, r)
-		fmt.Fprintf(o.Progress, "%.0f requests/s over 8 instances: %.0f messages/s, %.0f bytes/s each\n", r.PerSecond, r.MessagesPerSecond, r.BytesPerSecond)
+		fmt.Fprintf(o.Progress, "%.0f requests/s over 8 instances: %.0f messages/s, %.0f bytes/s each\n", r.RequestsPerSecond, r.MessagesPerSecond, r.BytesPerSecond)
 	}
 	var err error
 	if rp.Latency, err = latency(ctx, o); err != nil {
@@ -233,7 +233,7 @@
 	before, began := wire(lf), time.Now()
 	results := load.Run(ctx, load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals)
 	took := time.Since(began).Seconds()
-	r := RequestCost{PerSecond: rate}
+	r := RequestCost{RequestsPerSecond: rate}
 	r.MessagesPerSecond, r.BytesPerSecond = wire(lf).minus(before).each(took, instances)
 	for _, res := range results {
 		if res.Correct {
