--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -62,7 +62,7 @@
 	DirectP50      time.Duration `json:"direct_p50"`
 	DirectP99      time.Duration `json:"direct_p99"`
 	ViaInstanceP50 time.Duration `json:"entry_p50"`
-	EntryP99       time.Duration `json:"entry_p99"`
+	ViaInstanceP99 time.Duration `json:"entry_p99"`
 }
 
 // Decision is the time of one routing decision.
@@ -126,7 +126,7 @@
 		return rp, errors.Wrap(err, "measure latency")
 	}
 	fmt.Fprintf(o.Progress, "direct p50 %s p99 %s, by an instance p50 %s p99 %s\n",
-		rp.Latency.DirectP50, rp.Latency.DirectP99, rp.Latency.ViaInstanceP50, rp.Latency.EntryP99)
+		rp.Latency.DirectP50, rp.Latency.DirectP99, rp.Latency.ViaInstanceP50, rp.Latency.ViaInstanceP99)
 	rp.Decisions = decisions()
 	for _, d := range rp.Decisions {
 		fmt.Fprintf(o.Progress, "%d targets, %d peers: %s a decision\n", d.Targets, d.Peers, d.Decision)
@@ -267,7 +267,7 @@
 	}
 	var lt Latency
 	lt.DirectP50, lt.DirectP99 = measure(lf.Engines[0].URL())
-	lt.ViaInstanceP50, lt.EntryP99 = measure(lf.URLs()[0])
+	lt.ViaInstanceP50, lt.ViaInstanceP99 = measure(lf.URLs()[0])
 	return lt, nil
 }
 
