--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -66,7 +66,7 @@
 }
 
 // Decision is the time of one routing decision.
-type Decision struct {
+type DecisionTime struct {
 	Targets  int           `json:"targets"`
 	Peers    int           `json:"peers"`
 	Decision time.Duration `json:"decision"`
@@ -84,11 +84,11 @@
 
 // Report is all that was measured.
 type Report struct {
-	Points    []FleetCost   `json:"points"`
-	Requests  []RequestCost `json:"requests"`
-	Latency   Latency       `json:"latency"`
-	Decisions []Decision    `json:"decisions"`
-	Bundles   []Bundle      `json:"bundles"`
+	Points    []FleetCost    `json:"points"`
+	Requests  []RequestCost  `json:"requests"`
+	Latency   Latency        `json:"latency"`
+	Decisions []DecisionTime `json:"decisions"`
+	Bundles   []Bundle       `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -272,14 +272,14 @@
 }
 
 // decisions times the view of the fleet and the choice, at today's size and at that of one availability zone in two years.
-func decisions() []Decision {
+func decisions() []DecisionTime {
 	const rounds = 300
 	p, err := policy.ByName(owners.Name)
 	if err != nil {
 		return nil
 	}
-	var all []Decision
-	for _, size := range []Decision{{Targets: 23, Peers: 7}, {Targets: 229, Peers: 52}, {Targets: 1600, Peers: 369}} {
+	var all []DecisionTime
+	for _, size := range []DecisionTime{{Targets: 23, Peers: 7}, {Targets: 229, Peers: 52}, {Targets: 1600, Peers: 369}} {
 		fl := fleet.New(fleet.Instance{Name: "self", AvailabilityZone: "a"})
 		var list []fleet.Target
 		for i := range size.Targets {
@@ -307,7 +307,7 @@
 }
 
 // zoneOf spreads the largest size over seven availability zones.
-func zoneOf(i int, size Decision) string {
+func zoneOf(i int, size DecisionTime) string {
 	if size.Peers < 100 {
 		return "a"
 	}
