--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -69,7 +69,7 @@
 type DecisionTime struct {
 	Targets  int           `json:"targets"`
 	Peers    int           `json:"peers"`
-	Decision time.Duration `json:"decision"`
+	Duration time.Duration `json:"decision"`
 }
 
 // Bundle is the size of a bundle, and the time to take it in.
@@ -129,7 +129,7 @@
 		rp.Latency.DirectP50, rp.Latency.DirectP99, rp.Latency.ViaInstanceP50, rp.Latency.ViaInstanceP99)
 	rp.Decisions = decisions()
 	for _, d := range rp.Decisions {
-		fmt.Fprintf(o.Progress, "%d targets, %d peers: %s a decision\n", d.Targets, d.Peers, d.Decision)
+		fmt.Fprintf(o.Progress, "%d targets, %d peers: %s a decision\n", d.Targets, d.Peers, d.Duration)
 	}
 	rp.Bundles, err = bundles()
 	for _, b := range rp.Bundles {
@@ -300,7 +300,7 @@
 				})
 			}
 		}
-		size.Decision = time.Since(began) / rounds
+		size.Duration = time.Since(began) / rounds
 		all = append(all, size)
 	}
 	return all
