--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -73,7 +73,7 @@
 }
 
 // Bundle is the size of a bundle, and the time to take it in.
-type Bundle struct {
+type BundleCost struct {
 	Organisations int `json:"organisations"`
 	// Bytes is the whole bundle; ChangeBytes is what is read again when one organisation changes.
 	Bytes       int `json:"bytes"`
@@ -88,7 +88,7 @@
 	Requests  []RequestCost  `json:"requests"`
 	Latency   Latency        `json:"latency"`
 	Decisions []DecisionTime `json:"decisions"`
-	Bundles   []Bundle       `json:"bundles"`
+	Bundles   []BundleCost   `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -314,8 +314,8 @@
 	return string(rune('a' + i%7))
 }
 
-func bundles() ([]Bundle, error) {
-	var all []Bundle
+func bundles() ([]BundleCost, error) {
+	var all []BundleCost
 	for _, n := range []int{10, 100, 1000, 6800} {
 		b := localfleet.DefaultBundle()
 		for i := range n {
@@ -338,7 +338,7 @@
 		if err != nil {
 			return all, err
 		}
-		all = append(all, Bundle{Organisations: n, Bytes: len(doc), ChangeBytes: change, Parse: took})
+		all = append(all, BundleCost{Organisations: n, Bytes: len(doc), ChangeBytes: change, Parse: took})
 	}
 	return all, nil
 }
