--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -79,7 +79,7 @@
 	Bytes       int `json:"bytes"`
 	ChangeBytes int `json:"change_bytes"`
 	// Parse is the time to take the whole bundle in.
-	Parse time.Duration `json:"parse"`
+	ParseTime time.Duration `json:"parse"`
 }
 
 // Report is all that was measured.
@@ -133,7 +133,7 @@
 	}
 	rp.Bundles, err = bundles()
 	for _, b := range rp.Bundles {
-		fmt.Fprintf(o.Progress, "%d organisations: %d bytes, %d read when one changes, %s to take in\n", b.Organisations, b.Bytes, b.ChangeBytes, b.Parse)
+		fmt.Fprintf(o.Progress, "%d organisations: %d bytes, %d read when one changes, %s to take in\n", b.Organisations, b.Bytes, b.ChangeBytes, b.ParseTime)
 	}
 	return rp, err
 }
@@ -338,7 +338,7 @@
 		if err != nil {
 			return all, err
 		}
-		all = append(all, BundleCost{Organisations: n, Bytes: len(doc), ChangeBytes: change, Parse: took})
+		all = append(all, BundleCost{Organisations: n, Bytes: len(doc), ChangeBytes: change, ParseTime: took})
 	}
 	return all, nil
 }
