--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -84,11 +84,11 @@
 
 // Report is all that was measured.
 type Report struct {
-	Points    []FleetCost    `json:"points"`
-	Requests  []RequestCost  `json:"requests"`
-	Latency   Latency        `json:"latency"`
-	Decisions []DecisionTime `json:"decisions"`
-	Bundles   []BundleCost   `json:"bundles"`
+	FleetCosts []FleetCost    `json:"points"`
+	Requests   []RequestCost  `json:"requests"`
+	Latency    Latency        `json:"latency"`
+	Decisions  []DecisionTime `json:"decisions"`
+	Bundles    []BundleCost   `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -109,7 +109,7 @@
 		if err != nil {
 			return rp, errors.Wrapf(err, "measure %d instances", n)
 		}
-		rp.Points = append(rp.Points, p)
+		rp.FleetCosts = append(rp.FleetCosts, p)
 		fmt.Fprintf(o.Progress, "%d instances, %d targets: %.0f messages/s, %.0f bytes/s, %.2f%% of a core, %.1f MB, %.2f reads/s, %.3f writes/s each\n",
 			p.Instances, p.Targets, p.MessagesPerSecond, p.BytesPerSecond, 100*p.CoreShare, p.HeapBytes/1e6, p.StoreReads, p.StoreWrites)
 	}
