--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -84,11 +84,11 @@
 
 // Report is all that was measured.
 type Report struct {
-	FleetCosts []FleetCost    `json:"points"`
-	Requests   []RequestCost  `json:"requests"`
-	Latency    Latency        `json:"latency"`
-	Decisions  []DecisionTime `json:"decisions"`
-	Bundles    []BundleCost   `json:"bundles"`
+	FleetCosts   []FleetCost    `json:"points"`
+	RequestCosts []RequestCost  `json:"requests"`
+	Latency      Latency        `json:"latency"`
+	Decisions    []DecisionTime `json:"decisions"`
+	Bundles      []BundleCost   `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -118,7 +118,7 @@
 		if err != nil {
 			return rp, errors.Wrap(err, "measure requests")
 		}
-		rp.Requests = append(rp.Requests, r)
+		rp.RequestCosts = append(rp.RequestCosts, r)
 		fmt.Fprintf(o.Progress, "%.0f requests/s over 8 instances: %.0f messages/s, %.0f bytes/s each\n", r.RequestsPerSecond, r.MessagesPerSecond, r.BytesPerSecond)
 	}
 	var err error
