--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -84,11 +84,11 @@
 
 // Report is all that was measured.
 type Report struct {
-	FleetCosts   []FleetCost    `json:"points"`
-	RequestCosts []RequestCost  `json:"requests"`
-	Latency      Latency        `json:"latency"`
-	Decisions    []DecisionTime `json:"decisions"`
-	Bundles      []BundleCost   `json:"bundles"`
+	FleetCosts    []FleetCost    `json:"points"`
+	RequestCosts  []RequestCost  `json:"requests"`
+	Latency       Latency        `json:"latency"`
+	DecisionTimes []DecisionTime `json:"decisions"`
+	Bundles       []BundleCost   `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -127,8 +127,8 @@
 	}
 	fmt.Fprintf(o.Progress, "direct p50 %s p99 %s, by an instance p50 %s p99 %s\n",
 		rp.Latency.DirectP50, rp.Latency.DirectP99, rp.Latency.ViaInstanceP50, rp.Latency.ViaInstanceP99)
-	rp.Decisions = decisions()
-	for _, d := range rp.Decisions {
+	rp.DecisionTimes = decisions()
+	for _, d := range rp.DecisionTimes {
 		fmt.Fprintf(o.Progress, "%d targets, %d peers: %s a decision\n", d.Targets, d.Peers, d.Duration)
 	}
 	rp.Bundles, err = bundles()
