--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -88,7 +88,7 @@
 	RequestCosts  []RequestCost  `json:"requests"`
 	Latency       Latency        `json:"latency"`
 	DecisionTimes []DecisionTime `json:"decisions"`
-	Bundles       []BundleCost   `json:"bundles"`
+	BundleCosts   []BundleCost   `json:"bundles"`
 }
 
 // Options select what is measured.
@@ -131,8 +131,8 @@
 	for _, d := range rp.DecisionTimes {
 		fmt.Fprintf(o.Progress, "%d targets, %d peers: %s a decision\n", d.Targets, d.Peers, d.Duration)
 	}
-	rp.Bundles, err = bundles()
-	for _, b := range rp.Bundles {
+	rp.BundleCosts, err = bundles()
+	for _, b := range rp.BundleCosts {
 		fmt.Fprintf(o.Progress, "%d organisations: %d bytes, %d read when one changes, %s to take in\n", b.Organisations, b.Bytes, b.ChangeBytes, b.ParseTime)
 	}
 	return rp, err
