--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -83,7 +83,7 @@
 }
 
 // Orphaned reports whether no request can be waiting for an attempt that an engine holds.
-func Orphaned(h engine.Held, ended set.Set[string]) bool {
+func Orphaned(h engine.MemoryHold, ended set.Set[string]) bool {
 	left := time.Duration(h.LeftMillis) * time.Millisecond
 	return left < -deadlineGrace || ended.Has(h.Holder)
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -48,7 +48,7 @@
 }
 
 // Held is one sequence or room that an engine holds memory for.
-type Held struct {
+type MemoryHold struct {
 	// Attempt is the attempt's id.
 	Attempt string `json:"attempt"`
 	// Holder is the incarnation of the instance that started it.
@@ -116,9 +116,9 @@
 	// Report returns the load.
 	Report func(ctx context.Context) (Report, error)
 	// Held lists what takes memory.
-	Held func(ctx context.Context) ([]Held, error)
+	Held func(ctx context.Context) ([]MemoryHold, error)
 	// Reserve takes memory for part of a prompt that is larger than one engine.
-	Reserve func(ctx context.Context, room Held) error
+	Reserve func(ctx context.Context, room MemoryHold) error
 	// Order tells the engine which models to load.
 	Order func(ctx context.Context, o Order) error
 }
@@ -176,12 +176,12 @@
 	return r, hc.getJSON(ctx, "/control/report", &r)
 }
 
-func (hc *httpClient) held(ctx context.Context) ([]Held, error) {
-	var h []Held
+func (hc *httpClient) held(ctx context.Context) ([]MemoryHold, error) {
+	var h []MemoryHold
 	return h, hc.getJSON(ctx, "/control/held", &h)
 }
 
-func (hc *httpClient) reserve(ctx context.Context, room Held) error {
+func (hc *httpClient) reserve(ctx context.Context, room MemoryHold) error {
 	resp, err := hc.call(ctx, http.MethodPost, "/control/room", room)
 	if err != nil {
 		return err
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -37,7 +37,7 @@
 // memoryShare is the memory to reserve on one engine, in tokens.
 type memoryShare struct {
 	target      fleet.Target
-	reservation engine.Held
+	reservation engine.MemoryHold
 	memory      int
 }
 
@@ -110,7 +110,7 @@
 		if share <= 0 || !ok {
 			continue
 		}
-		shares = append(shares, memoryShare{target: t, memory: share, reservation: engine.Held{
+		shares = append(shares, memoryShare{target: t, memory: share, reservation: engine.MemoryHold{
 			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: share, LeftMillis: maxHold.Milliseconds(),
 		}})
 	}
--- a/internal/standin/enginesim/http.go
+++ b/internal/standin/enginesim/http.go
@@ -259,10 +259,10 @@
 
 func (en *Engine) held(w http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
-	all := []engine.Held{}
+	all := []engine.MemoryHold{}
 	for _, group := range []map[string]*sequence{en.seqs, en.rooms} {
 		for id, sq := range group {
-			all = append(all, engine.Held{
+			all = append(all, engine.MemoryHold{
 				Attempt: id, Holder: sq.holder, Tokens: sq.prompt + sq.output,
 				LeftMillis: time.Until(sq.deadline).Milliseconds(),
 			})
@@ -273,7 +273,7 @@
 }
 
 func (en *Engine) reserve(w http.ResponseWriter, r *http.Request) {
-	var h engine.Held
+	var h engine.MemoryHold
 	if err := json.NewDecoder(r.Body).Decode(&h); err != nil {
 		refuse(w, http.StatusBadRequest)
 		return
