--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -84,6 +84,6 @@
 
 // Orphaned reports whether no request can be waiting for an attempt that an engine holds.
 func Orphaned(h engine.MemoryHold, ended set.Set[string]) bool {
-	left := time.Duration(h.LeftMillis) * time.Millisecond
+	left := time.Duration(h.RemainingMillis) * time.Millisecond
 	return left < -deadlineGrace || ended.Has(h.Holder)
 }
--- a/internal/duty/sweep/sweep_test.go
+++ b/internal/duty/sweep/sweep_test.go
@@ -16,10 +16,10 @@
 		held engine.MemoryHold
 		want bool
 	}{
-		"running":                 {held: engine.MemoryHold{Holder: "live", LeftMillis: 1}},
-		"just past its deadline":  {held: engine.MemoryHold{Holder: "live", LeftMillis: -1}},
-		"past deadline and grace": {held: engine.MemoryHold{Holder: "live", LeftMillis: -(deadlineGrace.Milliseconds() + 1)}, want: true},
-		"holder has ended":        {held: engine.MemoryHold{Holder: "ended", LeftMillis: 1e6}, want: true},
+		"running":                 {held: engine.MemoryHold{Holder: "live", RemainingMillis: 1}},
+		"just past its deadline":  {held: engine.MemoryHold{Holder: "live", RemainingMillis: -1}},
+		"past deadline and grace": {held: engine.MemoryHold{Holder: "live", RemainingMillis: -(deadlineGrace.Milliseconds() + 1)}, want: true},
+		"holder has ended":        {held: engine.MemoryHold{Holder: "ended", RemainingMillis: 1e6}, want: true},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -54,7 +54,7 @@
 	// Holder is the incarnation of the instance that started it.
 	Holder string `json:"holder"`
 	// LeftMillis is the time to its deadline; negative once past.
-	LeftMillis int64 `json:"left_ms"`
+	RemainingMillis int64 `json:"left_ms"`
 	// Tokens is the memory it takes.
 	Tokens int `json:"tokens"`
 }
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -111,7 +111,7 @@
 			continue
 		}
 		shares = append(shares, memoryShare{target: t, memory: share, reservation: engine.MemoryHold{
-			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: share, LeftMillis: maxHold.Milliseconds(),
+			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: share, RemainingMillis: maxHold.Milliseconds(),
 		}})
 	}
 	return shares, missing
--- a/internal/standin/enginesim/http.go
+++ b/internal/standin/enginesim/http.go
@@ -264,7 +264,7 @@
 		for id, sq := range group {
 			all = append(all, engine.MemoryHold{
 				Attempt: id, Holder: sq.holder, Tokens: sq.prompt + sq.output,
-				LeftMillis: time.Until(sq.deadline).Milliseconds(),
+				RemainingMillis: time.Until(sq.deadline).Milliseconds(),
 			})
 		}
 	}
@@ -287,7 +287,7 @@
 	en.used += h.Tokens
 	en.rooms[h.Attempt] = &sequence{
 		id: h.Attempt, holder: h.Holder, prompt: h.Tokens,
-		deadline: time.Now().Add(time.Duration(h.LeftMillis) * time.Millisecond),
+		deadline: time.Now().Add(time.Duration(h.RemainingMillis) * time.Millisecond),
 	}
 }
 
