--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -69,7 +69,7 @@
 func sweepEngine(ctx context.Context, cl *engine.Client, ended set.Set[string]) int {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	held, err := cl.Held(ctx)
+	held, err := cl.ListMemoryHolds(ctx)
 	if err != nil {
 		return 0
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -116,7 +116,7 @@
 	// Report returns the load.
 	Report func(ctx context.Context) (Report, error)
 	// Held lists what takes memory.
-	Held func(ctx context.Context) ([]MemoryHold, error)
+	ListMemoryHolds func(ctx context.Context) ([]MemoryHold, error)
 	// Reserve takes memory for part of a prompt that is larger than one engine.
 	Reserve func(ctx context.Context, room MemoryHold) error
 	// Order tells the engine which models to load.
@@ -128,7 +128,7 @@
 	cl := &httpClient{base: base, http: hc, fresh: fresh}
 	return &Client{
 		Start: cl.start, Resume: cl.resume, Cancel: cl.cancel,
-		Report: cl.report, Held: cl.held, Reserve: cl.reserve, Order: cl.order,
+		Report: cl.report, ListMemoryHolds: cl.held, Reserve: cl.reserve, Order: cl.order,
 	}
 }
 
