--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -72,7 +72,7 @@
 	// Priority is higher for more urgent work.
 	Priority int
 	// Left is the time to the deadline.
-	Left time.Duration
+	Remaining time.Duration
 	// Fresh asks for a new connection, so that a broken idle one cannot leave the outcome unknown.
 	Fresh bool
 	// Borrowed is the memory in tokens reserved on other engines; zero for prompts that fit on one.
@@ -148,7 +148,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderAttempt, at.ID)
 	req.Header.Set(HeaderHolder, at.Holder)
-	req.Header.Set(HeaderDeadline, strconv.FormatInt(at.Left.Milliseconds(), 10))
+	req.Header.Set(HeaderDeadline, strconv.FormatInt(at.Remaining.Milliseconds(), 10))
 	req.Header.Set(HeaderPriority, strconv.Itoa(at.Priority))
 	if at.Borrowed > 0 {
 		req.Header.Set(HeaderBorrowed, strconv.Itoa(at.Borrowed))
