--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -74,7 +74,7 @@
 	// Left is the time to the deadline.
 	Remaining time.Duration
 	// Fresh asks for a new connection, so that a broken idle one cannot leave the outcome unknown.
-	Fresh bool
+	NewConnection bool
 	// Borrowed is the memory in tokens reserved on other engines; zero for prompts that fit on one.
 	Borrowed int
 }
@@ -153,7 +153,7 @@
 	if at.Borrowed > 0 {
 		req.Header.Set(HeaderBorrowed, strconv.Itoa(at.Borrowed))
 	}
-	if at.Fresh {
+	if at.NewConnection {
 		return do(hc.fresh, req)
 	}
 	return do(hc.http, req)
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -35,7 +35,7 @@
 	cl := sv.Engine(pl.Target)
 	at := engine.Attempt{
 		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Remaining: rq.remaining(), Borrowed: pl.BorrowedTokens,
-		Priority: sv.enginePriority(rq), Fresh: rq.atMostOnce,
+		Priority: sv.enginePriority(rq), NewConnection: rq.atMostOnce,
 	}
 	sk.events = 0
 	startedAt := time.Now()
