--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -76,7 +76,7 @@
 	// Fresh asks for a new connection, so that a broken idle one cannot leave the outcome unknown.
 	NewConnection bool
 	// Borrowed is the memory in tokens reserved on other engines; zero for prompts that fit on one.
-	Borrowed int
+	BorrowedTokens int
 }
 
 // Order states which models an engine is to have loaded.
@@ -150,8 +150,8 @@
 	req.Header.Set(HeaderHolder, at.Holder)
 	req.Header.Set(HeaderDeadline, strconv.FormatInt(at.Remaining.Milliseconds(), 10))
 	req.Header.Set(HeaderPriority, strconv.Itoa(at.Priority))
-	if at.Borrowed > 0 {
-		req.Header.Set(HeaderBorrowed, strconv.Itoa(at.Borrowed))
+	if at.BorrowedTokens > 0 {
+		req.Header.Set(HeaderBorrowed, strconv.Itoa(at.BorrowedTokens))
 	}
 	if at.NewConnection {
 		return do(hc.fresh, req)
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -34,7 +34,7 @@
 func (sv *Server) runAttempt(ctx context.Context, rq *request, sk *sink, pl *router.Slot) error {
 	cl := sv.Engine(pl.Target)
 	at := engine.Attempt{
-		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Remaining: rq.remaining(), Borrowed: pl.BorrowedTokens,
+		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Remaining: rq.remaining(), BorrowedTokens: pl.BorrowedTokens,
 		Priority: sv.enginePriority(rq), NewConnection: rq.atMostOnce,
 	}
 	sk.events = 0
