--- a/internal/duty/reports/reports.go
+++ b/internal/duty/reports/reports.go
@@ -69,7 +69,7 @@
 		wg.Go(func() {
 			r, err := clients(t).Report(ctx)
 			if err != nil {
-				if engine.NeverConnected(err) {
+				if engine.IsDialError(err) {
 					fl.MarkUnreachable(t.Name)
 				}
 				return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -100,7 +100,7 @@
 func (se *StatusError) Error() string { return "engine answered status " + strconv.Itoa(se.Status) }
 
 // NeverConnected reports whether nothing can have been written, since there was no connection.
-func NeverConnected(err error) bool {
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -51,7 +51,7 @@
 	for i, sh := range shares {
 		if err := rs.reserve(ctx, sh); err != nil {
 			held := shares[:i+1] // the failed reservation may have taken effect, with only the answer lost
-			if engine.NeverConnected(err) {
+			if engine.IsDialError(err) {
 				rs.fleet.MarkUnreachable(sh.target.Name)
 				held = shares[:i]
 			}
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -76,7 +76,7 @@
 	if errors.As(err, &se) {
 		return failureFromStatus(se)
 	}
-	if engine.NeverConnected(err) {
+	if engine.IsDialError(err) {
 		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -97,7 +97,7 @@
 
 // handleServiceError returns the failure of a call that got no response, and updates the state of its target.
 func (sv *Server) handleServiceError(ctx context.Context, pl *router.Slot, err error) error {
-	if engine.NeverConnected(err) {
+	if engine.IsDialError(err) {
 		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
