--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -104,7 +104,7 @@
 			return &Claim{claimer: cm, name: name, version: version, record: rec}, nil, nil
 		}
 		var conflict *objectstore.ConflictError
-		var unknown *objectstore.UnknownError
+		var unknown *objectstore.UnknownOutcomeError
 		if errors.As(err, &conflict) || errors.As(err, &unknown) {
 			cl, resp, resolved, err := cm.resolve(ctx, name, rec)
 			if resolved {
--- a/internal/claim/claim_test.go
+++ b/internal/claim/claim_test.go
@@ -100,7 +100,7 @@
 	}
 	defer func() { <-fs.sem }()
 	if fs.injectFault() {
-		return 0, &objectstore.UnknownError{Cause: context.DeadlineExceeded}
+		return 0, &objectstore.UnknownOutcomeError{Cause: context.DeadlineExceeded}
 	}
 	have := fs.version
 	if fs.value == nil {
@@ -112,7 +112,7 @@
 	fs.version++
 	fs.value = value
 	if fs.injectFault() {
-		return 0, &objectstore.UnknownError{Cause: context.DeadlineExceeded}
+		return 0, &objectstore.UnknownOutcomeError{Cause: context.DeadlineExceeded}
 	}
 	return fs.version, nil
 }
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -35,7 +35,7 @@
 	if errors.As(err, &missing) {
 		return failure.New(failure.NotFound, failure.NotRun, "no such job")
 	}
-	var unknown *objectstore.UnknownError
+	var unknown *objectstore.UnknownOutcomeError
 	if errors.As(err, &unknown) {
 		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store took the change").
 			WithCause(err).WithRetryAfter(time.Second)
--- a/internal/job/store.go
+++ b/internal/job/store.go
@@ -84,7 +84,7 @@
 		if err == nil {
 			return Versioned{Record: next, Version: version}, nil
 		}
-		var unknown *objectstore.UnknownError
+		var unknown *objectstore.UnknownOutcomeError
 		var unavailable *objectstore.UnavailableError
 		if !errors.As(err, &unknown) && !errors.As(err, &unavailable) {
 			return v, err
--- a/internal/objectstore/objectstore.go
+++ b/internal/objectstore/objectstore.go
@@ -84,13 +84,13 @@
 func (ue *UnavailableError) Unwrap() error { return ue.Cause }
 
 // UnknownError says that a write may or may not have taken effect.
-type UnknownError struct{ Cause error }
+type UnknownOutcomeError struct{ Cause error }
 
 // Error gives the cause.
-func (ue *UnknownError) Error() string { return "store outcome unknown: " + ue.Cause.Error() }
+func (ue *UnknownOutcomeError) Error() string { return "store outcome unknown: " + ue.Cause.Error() }
 
 // Unwrap returns the cause.
-func (ue *UnknownError) Unwrap() error { return ue.Cause }
+func (ue *UnknownOutcomeError) Unwrap() error { return ue.Cause }
 
 // StatusError is an answer with an unexpected status.
 type StatusError struct{ Status int }
@@ -223,7 +223,7 @@
 	cl.onCall(true)
 	resp, err := cl.http.Do(req)
 	if err != nil {
-		return 0, &UnknownError{Cause: err}
+		return 0, &UnknownOutcomeError{Cause: err}
 	}
 	defer resp.Body.Close()
 	return decodeWrite(resp, kind, name)
@@ -239,7 +239,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return 0, &UnavailableError{Cause: &StatusError{Status: resp.StatusCode}}
 	default:
-		return 0, &UnknownError{Cause: &StatusError{Status: resp.StatusCode}}
+		return 0, &UnknownOutcomeError{Cause: &StatusError{Status: resp.StatusCode}}
 	}
 	var o Object
 	b, err := io.ReadAll(resp.Body)
@@ -247,7 +247,7 @@
 		err = json.Unmarshal(b, &o)
 	}
 	if err != nil {
-		return 0, &UnknownError{Cause: err}
+		return 0, &UnknownOutcomeError{Cause: err}
 	}
 	return o.Version, nil
 }
--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -86,7 +86,7 @@
 			return version, nil
 		}
 		var conflict *objectstore.ConflictError
-		var unknown *objectstore.UnknownError
+		var unknown *objectstore.UnknownOutcomeError
 		if !errors.As(err, &conflict) && !errors.As(err, &unknown) {
 			return 0, errors.Wrap(err, "write bundle")
 		}
