--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -50,7 +50,7 @@
 }
 
 // Find returns an adapter by name.
-func Find(name string) (Adapter, bool) {
+func Lookup(name string) (Adapter, bool) {
 	ad, ok := registered[name]
 	return ad, ok
 }
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -94,7 +94,7 @@
 const releaseTimeout = 100 * time.Millisecond
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	ad, _ := adapter.Find(env.Settings.Gateway.Adapter)
+	ad, _ := adapter.Lookup(env.Settings.Gateway.Adapter)
 	ms, err := kernel.Need[*metrics.Set](env)
 	if err != nil {
 		// The program that started the instance provides no set of metrics.
--- a/internal/duty/forwarding/settings.go
+++ b/internal/duty/forwarding/settings.go
@@ -74,7 +74,7 @@
 }
 
 func checkAdapter(gw *config.Gateway) config.Faults {
-	if _, ok := adapter.Find(gw.Adapter); ok {
+	if _, ok := adapter.Lookup(gw.Adapter); ok {
 		return nil
 	}
 	return config.Faults{{Path: "gateway.adapter", Value: gw.Adapter, Want: "one of " + strings.Join(adapter.Names(), ", ")}}
