--- a/internal/cancel/cancel.go
+++ b/internal/cancel/cancel.go
@@ -23,7 +23,7 @@
 )
 
 // Order is one attempt to cancel.
-type Order struct {
+type Request struct {
 	// Attempt is the attempt's id.
 	Attempt string
 	// Client calls the engine that holds it.
@@ -32,14 +32,14 @@
 
 // Canceller is the duty that sends cancels.
 type Canceller struct {
-	orders *ring.Ring[Order]
+	orders *ring.Ring[Request]
 }
 
 // New returns a canceller; Run does its work.
-func New() *Canceller { return &Canceller{orders: ring.New[Order](ringSize)} }
+func New() *Canceller { return &Canceller{orders: ring.New[Request](ringSize)} }
 
 // Cancel asks for an attempt to be cancelled. When too many wait it is left to the sweeper.
-func (cn *Canceller) Cancel(o Order) { cn.orders.Offer(o) }
+func (cn *Canceller) Cancel(o Request) { cn.orders.Offer(o) }
 
 // Shed returns how many cancels were left to the sweeper.
 func (cn *Canceller) Shed() uint64 { return cn.orders.Shed() }
@@ -71,7 +71,7 @@
 }
 
 // once sends a cancel. A call on its way goes on when ctx ends.
-func once(ctx context.Context, o Order) bool {
+func once(ctx context.Context, o Request) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
 	defer cancel()
 	err := o.Client.Cancel(ctx, o.Attempt)
@@ -79,7 +79,7 @@
 	return err == nil || errors.As(err, &se)
 }
 
-func repeat(ctx context.Context, o Order) {
+func repeat(ctx context.Context, o Request) {
 	ctx, cancel := context.WithTimeout(ctx, giveUp)
 	defer cancel()
 	for pause := firstPause; ; pause = min(2*pause, maxPause) {
--- a/internal/cancel/cancel_test.go
+++ b/internal/cancel/cancel_test.go
@@ -29,7 +29,7 @@
 	}}
 	cn := cancel.New()
 	for i := range orders {
-		cn.Cancel(cancel.Order{Attempt: strconv.Itoa(i), Client: cl})
+		cn.Cancel(cancel.Request{Attempt: strconv.Itoa(i), Client: cl})
 	}
 	ctx, end := context.WithCancel(t.Context())
 	end()
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -187,7 +187,7 @@
 		return nil, err
 	}
 	reserver := room.New(d.Fleet, d.Engine, func(attempt string, cl *engine.Client) {
-		d.Canceller.Cancel(cancel.Order{Attempt: attempt, Client: cl})
+		d.Canceller.Cancel(cancel.Request{Attempt: attempt, Client: cl})
 	})
 	rt := router.New(d.Fleet, router.Options{
 		Policy:     p,
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -49,7 +49,7 @@
 		err = sv.resumeStream(ctx, rq, sk, pl, cl, at, startedAt)
 	}
 	if err != nil {
-		sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
+		sv.Canceller.Cancel(cancel.Request{Attempt: at.ID, Client: cl})
 		if failure.FromError(err).Code == failure.TargetLost {
 			sv.Fleet.RecordFailure(pl.Target.Name)
 		}
@@ -80,7 +80,7 @@
 		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
-	sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
+	sv.Canceller.Cancel(cancel.Request{Attempt: at.ID, Client: cl})
 	if ctx.Err() != nil {
 		return failureFromContext(ctx)
 	}
