--- a/internal/demandmeter/demandmeter.go
+++ b/internal/demandmeter/demandmeter.go
@@ -8,7 +8,7 @@
 )
 
 // Span is the time over which arrivals are averaged.
-const Span = 2 * time.Second
+const TimeConstant = 2 * time.Second
 
 // Meter is an exponentially weighted rate. It is safe for use by any goroutine.
 type Meter struct {
@@ -31,7 +31,7 @@
 	mt.mu.Lock()
 	defer mt.mu.Unlock()
 	mt.decay()
-	mt.rate += float64(tokens) / Span.Seconds()
+	mt.rate += float64(tokens) / TimeConstant.Seconds()
 }
 
 // Rate returns tokens a second.
@@ -44,6 +44,6 @@
 
 func (mt *Meter) decay() {
 	now := mt.now()
-	mt.rate *= math.Exp(-now.Sub(mt.last).Seconds() / Span.Seconds())
+	mt.rate *= math.Exp(-now.Sub(mt.last).Seconds() / TimeConstant.Seconds())
 	mt.last = now
 }
--- a/internal/demandmeter/demandmeter_test.go
+++ b/internal/demandmeter/demandmeter_test.go
@@ -17,8 +17,8 @@
 	}{
 		"steady":              {every: 100 * time.Millisecond, count: 200, want: 10_000},
 		"assumed at first":    {assumed: 5_000, want: 5_000},
-		"assumed fades":       {assumed: 5_000, idle: 20 * Span, want: 0},
-		"falls after arrival": {every: 100 * time.Millisecond, count: 200, idle: 20 * Span, want: 0},
+		"assumed fades":       {assumed: 5_000, idle: 20 * TimeConstant, want: 0},
+		"falls after arrival": {every: 100 * time.Millisecond, count: 200, idle: 20 * TimeConstant, want: 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
