--- a/internal/cancel/cancel.go
+++ b/internal/cancel/cancel.go
@@ -32,7 +32,7 @@
 
 // Canceller is the duty that sends cancels.
 type Canceller struct {
-	orders *ring.Ring[Request]
+	orders *ring.Queue[Request]
 }
 
 // New returns a canceller; Run does its work.
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -37,7 +37,7 @@
 	// leftOut is never nil.
 	leftOut *metrics.Counter
 	// waiting holds formatted lines in the order in which they were offered.
-	waiting *ring.Ring[*line]
+	waiting *ring.Queue[*line]
 	// quotas decides which lines are written.
 	quotas *quotas
 	// commonMost is how many lines may wait before only urgent ones are added.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -40,7 +40,7 @@
 	up      atomic.Bool
 	// peer is set by the peer's first answer.
 	peer      atomic.Pointer[fleet.Instance]
-	sendQueue *ring.Ring[*peerpb.Frame]
+	sendQueue *ring.Queue[*peerpb.Frame]
 
 	mu sync.Mutex
 	// The pending channels wait for answers of the peer; grants and offers are keyed by the id of the request.
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -7,7 +7,7 @@
 )
 
 // Ring is a bounded first-in first-out queue. Its methods may be called by any goroutine.
-type Ring[T any] struct {
+type Queue[T any] struct {
 	// items has the ring's fixed capacity.
 	items chan T
 	// shed only grows.
@@ -15,12 +15,12 @@
 }
 
 // New returns a ring that holds at most capacity items.
-func New[T any](capacity int) *Ring[T] {
-	return &Ring[T]{items: make(chan T, capacity)}
+func New[T any](capacity int) *Queue[T] {
+	return &Queue[T]{items: make(chan T, capacity)}
 }
 
 // Offer adds an item, or drops it and counts it when the ring is full.
-func (rg *Ring[T]) Offer(item T) bool {
+func (rg *Queue[T]) Offer(item T) bool {
 	select {
 	case rg.items <- item:
 		return true
@@ -31,7 +31,7 @@
 }
 
 // Put adds an item and waits for room until ctx ends.
-func (rg *Ring[T]) Put(ctx context.Context, item T) error {
+func (rg *Queue[T]) Put(ctx context.Context, item T) error {
 	select {
 	case rg.items <- item:
 		return nil
@@ -41,10 +41,10 @@
 }
 
 // Items returns the channel to receive from.
-func (rg *Ring[T]) Items() <-chan T { return rg.items }
+func (rg *Queue[T]) Items() <-chan T { return rg.items }
 
 // Len returns how many items wait.
-func (rg *Ring[T]) Len() int { return len(rg.items) }
+func (rg *Queue[T]) Len() int { return len(rg.items) }
 
 // Shed returns how many items were dropped.
-func (rg *Ring[T]) Shed() uint64 { return rg.shed.Load() }
+func (rg *Queue[T]) Shed() uint64 { return rg.shed.Load() }
