--- a/internal/cancel/cancel.go
+++ b/internal/cancel/cancel.go
@@ -42,7 +42,7 @@
 func (cn *Canceller) Cancel(o Request) { cn.orders.Offer(o) }
 
 // Shed returns how many cancels were left to the sweeper.
-func (cn *Canceller) Dropped() uint64 { return cn.orders.Shed() }
+func (cn *Canceller) Dropped() uint64 { return cn.orders.Dropped() }
 
 // Run sends cancels until ctx ends, and then once those that wait: they are of the last requests of a stop, and their
 // engines would work on until another instance sweeps them.
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -47,4 +47,4 @@
 func (rg *Queue[T]) Len() int { return len(rg.items) }
 
 // Shed returns how many items were dropped.
-func (rg *Queue[T]) Shed() uint64 { return rg.shed.Load() }
+func (rg *Queue[T]) Dropped() uint64 { return rg.shed.Load() }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -24,7 +24,7 @@
 				rg.Offer(i)
 			}
 			g.Expect(rg.Len()).To(Equal(tc.wantLen))
-			g.Expect(rg.Shed()).To(Equal(tc.wantShed))
+			g.Expect(rg.Dropped()).To(Equal(tc.wantShed))
 			g.Expect(<-rg.Items()).To(Equal(0))
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
