--- a/cmd/burn.go
+++ b/cmd/burn.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	replies, err := bc.ops().Burn(ctx)
+	replies, err := bc.ops().BurnWindows(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -48,7 +48,7 @@
 }
 
 // Burn asks every instance for its counts.
-func (cl *Client) Burn(ctx context.Context) ([]Reply[[]burn.Window], error) {
+func (cl *Client) BurnWindows(ctx context.Context) ([]Reply[[]burn.Window], error) {
 	return askAll[[]burn.Window](ctx, cl, http.MethodGet, "/burn")
 }
 
