--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -39,21 +39,21 @@
 	Release func(ctx context.Context, address, id string, heard func(answer.Head)) error
 }
 
-var registered = map[string]Adapter{}
+var registry = map[string]Adapter{}
 
 // Register adds an adapter. It is called from init functions only, and panics on a name used twice.
 func Register(ad Adapter) {
-	if _, twice := registered[ad.Name]; twice {
+	if _, twice := registry[ad.Name]; twice {
 		panic(fmt.Sprintf("adapter: %q registered twice", ad.Name))
 	}
-	registered[ad.Name] = ad
+	registry[ad.Name] = ad
 }
 
 // Find returns an adapter by name.
 func Lookup(name string) (Adapter, bool) {
-	ad, ok := registered[name]
+	ad, ok := registry[name]
 	return ad, ok
 }
 
 // Names returns the names of all adapters, sorted.
-func Names() []string { return slices.Sorted(maps.Keys(registered)) }
+func Names() []string { return slices.Sorted(maps.Keys(registry)) }
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -12,8 +12,8 @@
 
 // bucket is the resolution of the record, and kept how far back it goes.
 const (
-	bucket = 10 * time.Second
-	kept   = 6 * time.Hour
+	bucketLength = 10 * time.Second
+	retention    = 6 * time.Hour
 )
 
 // Pair is two windows that must both burn before an alert is raised.
@@ -72,9 +72,9 @@
 		buckets = map[int64]Count{}
 		rc.classes[class] = buckets
 	}
-	at := rc.now().UnixNano() / int64(bucket)
+	at := rc.now().UnixNano() / int64(bucketLength)
 	if _, ok := buckets[at]; !ok {
-		rc.trim(buckets, at)
+		rc.removeExpired(buckets, at)
 	}
 	c := buckets[at]
 	c.Total++
@@ -84,9 +84,9 @@
 	buckets[at] = c
 }
 
-func (rc *Recorder) trim(buckets map[int64]Count, at int64) {
+func (rc *Recorder) removeExpired(buckets map[int64]Count, at int64) {
 	for old := range buckets {
-		if old < at-int64(kept/bucket) {
+		if old < at-int64(retention/bucketLength) {
 			delete(buckets, old)
 		}
 	}
@@ -96,14 +96,14 @@
 func (rc *Recorder) Windows() []Window {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
-	at := rc.now().UnixNano() / int64(bucket)
+	at := rc.now().UnixNano() / int64(bucketLength)
 	var ws []Window
 	for class, buckets := range rc.classes {
 		for _, p := range WindowPairs {
 			for _, length := range []time.Duration{p.Short, p.Long} {
 				w := Window{Class: class, Length: length}
 				for b, c := range buckets {
-					if b > at-int64(length/bucket) {
+					if b > at-int64(length/bucketLength) {
 						w.Count = w.Count.Add(c)
 					}
 				}
@@ -111,11 +111,11 @@
 			}
 		}
 	}
-	slices.SortFunc(ws, compare)
+	slices.SortFunc(ws, compareWindows)
 	return ws
 }
 
-func compare(a, b Window) int {
+func compareWindows(a, b Window) int {
 	if c := strings.Compare(a.Class, b.Class); c != 0 {
 		return c
 	}
@@ -136,7 +136,7 @@
 		w.Count = c
 		merged = append(merged, w)
 	}
-	slices.SortFunc(merged, compare)
+	slices.SortFunc(merged, compareWindows)
 	return merged
 }
 
@@ -166,7 +166,7 @@
 			if w.Class != cl.Name {
 				continue
 			}
-			r := WindowRate{Window: w, Rate: rate(w.Count, cl.Objective.Share)}
+			r := WindowRate{Window: w, Rate: burnRate(w.Count, cl.Objective.Share)}
 			rates[w.Length] = r.Rate
 			rows = append(rows, r)
 		}
@@ -182,7 +182,7 @@
 	return rows, alerts
 }
 
-func rate(c Count, share float64) float64 {
+func burnRate(c Count, share float64) float64 {
 	if c.Total == 0 {
 		return 0
 	}
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -46,7 +46,7 @@
 	rc := New(func() time.Time { return now })
 	for range 10_000 {
 		rc.Add("call", false)
-		now = now.Add(bucket)
+		now = now.Add(bucketLength)
 	}
-	g.Expect(len(rc.classes["call"])).To(BeNumerically("<=", int(kept/bucket)+1))
+	g.Expect(len(rc.classes["call"])).To(BeNumerically("<=", int(retention/bucketLength)+1))
 }
--- a/internal/demandmeter/demandmeter.go
+++ b/internal/demandmeter/demandmeter.go
@@ -16,14 +16,14 @@
 
 	mu sync.Mutex
 	// rate is tokens a second as of last.
-	rate float64
-	last time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
 // New returns a meter that starts from an assumed rate, since the first requests of an event come before anything was
 // measured.
 func New(assumed float64, now func() time.Time) *Meter {
-	return &Meter{now: now, rate: assumed, last: now()}
+	return &Meter{now: now, rate: assumed, updatedAt: now()}
 }
 
 // Add counts the tokens of a prompt.
@@ -44,6 +44,6 @@
 
 func (mt *Meter) decay() {
 	now := mt.now()
-	mt.rate *= math.Exp(-now.Sub(mt.last).Seconds() / TimeConstant.Seconds())
-	mt.last = now
+	mt.rate *= math.Exp(-now.Sub(mt.updatedAt).Seconds() / TimeConstant.Seconds())
+	mt.updatedAt = now
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -16,13 +16,13 @@
 
 const (
 	seed      = 7
-	scale     = 20
+	timeScale = 20
 	zones     = 3
 	engines   = 8
 	instances = 3
 	// longTokens is the length from which a prompt is left out of the comparison run.
-	longTokens = 100_000
-	stopWait   = 10 * time.Second
+	minLongTokens = 100_000
+	stopTimeout   = 10 * time.Second
 )
 
 // Options are those of the command.
@@ -46,8 +46,8 @@
 func arrivals() []load.Arrival {
 	all := load.Generate(seed, load.Workload{
 		Rate: 20, Duration: 20 * time.Second, Burst: 30, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000,
-		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 16, ShortClass: localfleet.ClassCall,
-		LongClass: localfleet.ClassBatch, Organisations: 1, Scale: scale,
+		MinLongTokens: minLongTokens, MaxLongTokens: 1_000_000, OutputTokens: 16, ShortClass: localfleet.ClassCall,
+		LongClass: localfleet.ClassBatch, Organisations: 1, Scale: timeScale,
 	})
 	// One prompt of a million tokens is always among them.
 	million := load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 1_000_000, OutputTokens: 16, Index: len(all)}
@@ -57,7 +57,7 @@
 // Run runs the demo.
 func Run(ctx context.Context, o Options) error {
 	params := enginesim.DefaultParams()
-	params.Scale = scale
+	params.Scale = timeScale
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: zones, Engines: engines, Instances: instances, EngineParams: params, Log: o.Log,
 	})
@@ -65,16 +65,16 @@
 		return err
 	}
 	defer func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWait)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
 		lf.Close(ctx)
 	}()
 	t := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
 	t.Progress = func(done, all int) { fmt.Fprintf(o.Out, "  %d of %d answered\n", done, all) }
 	all := arrivals()
-	fmt.Fprintf(o.Out, "%d engines, %d instances, %d availability zones; engine times divided by %d\n", engines, instances, zones, scale)
+	fmt.Fprintf(o.Out, "%d engines, %d instances, %d availability zones; engine times divided by %d\n", engines, instances, zones, timeScale)
 	fmt.Fprintf(o.Out, "first the short prompts alone, then the same with the long ones\n")
-	without := load.Run(ctx, t, load.ShorterThan(all, longTokens))
+	without := load.Run(ctx, t, load.ShorterThan(all, minLongTokens))
 	with := load.Run(ctx, t, all)
 	if err := report(o.Out, with, without); err != nil {
 		return err
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -125,17 +125,17 @@
 
 // New returns a client of the engine at base that speaks HTTP. fresh opens a connection for each call.
 func New(base string, hc, fresh *http.Client) *Client {
-	cl := &httpClient{base: base, http: hc, fresh: fresh}
+	cl := &httpClient{base: base, http: hc, newConnHTTP: fresh}
 	return &Client{
 		Start: cl.start, Resume: cl.resume, Cancel: cl.cancel,
-		Report: cl.report, ListMemoryHolds: cl.held, Reserve: cl.reserve, Order: cl.order,
+		Report: cl.report, ListMemoryHolds: cl.listMemoryHolds, Reserve: cl.reserve, Order: cl.order,
 	}
 }
 
 type httpClient struct {
-	base  string
-	http  *http.Client
-	fresh *http.Client
+	base        string
+	http        *http.Client
+	newConnHTTP *http.Client
 }
 
 func (hc *httpClient) start(ctx context.Context, at Attempt) (*http.Response, error) {
@@ -154,7 +154,7 @@
 		req.Header.Set(HeaderBorrowed, strconv.Itoa(at.BorrowedTokens))
 	}
 	if at.NewConnection {
-		return do(hc.fresh, req)
+		return do(hc.newConnHTTP, req)
 	}
 	return do(hc.http, req)
 }
@@ -176,7 +176,7 @@
 	return r, hc.getJSON(ctx, "/control/report", &r)
 }
 
-func (hc *httpClient) held(ctx context.Context) ([]MemoryHold, error) {
+func (hc *httpClient) listMemoryHolds(ctx context.Context) ([]MemoryHold, error) {
 	var h []MemoryHold
 	return h, hc.getJSON(ctx, "/control/held", &h)
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -19,12 +19,12 @@
 )
 
 // longTokens is the length from which a prompt is left out of the comparison run.
-const longTokens = 100_000
+const minLongTokens = 100_000
 
 // eventExtra is the time of an event besides the arrivals of the three runs: the fleet starts, and the first run ends.
-const eventExtra = 3 * time.Second
+const eventMargin = 3 * time.Second
 
-const stopWait = 5 * time.Second
+const stopTimeout = 5 * time.Second
 
 // Fault is something that goes wrong during a run.
 type Fault string
@@ -56,12 +56,12 @@
 var Presets = []Preset{
 	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Workload: load.Workload{
 		Rate: 40, Duration: 20 * time.Second, Burst: 40, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000,
-		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
+		MinLongTokens: minLongTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
 	{Name: "acervo", Engines: 20, Instances: 8, Zones: 3, Workload: load.Workload{
 		Rate: 16, Duration: 30 * time.Second, Burst: 20, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 32_000,
-		MinLongTokens: longTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
+		MinLongTokens: minLongTokens, MaxLongTokens: 1_000_000, OutputTokens: 8, Organisations: 10,
 		ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassBatch,
 	}},
 }
@@ -154,13 +154,13 @@
 	if o.Instances > 0 {
 		instances = o.Instances
 	}
-	cut := &cutter{}
+	cut := &zonePartition{}
 	mix := p.Workload
 	mix.Scale = o.Scale
 	all := load.Generate(seed, mix)
 	b := localfleet.DefaultBundle()
 	if o.AnnounceEvent {
-		b.Events = []bundle.Event{event(all)}
+		b.Events = []bundle.Event{eventFor(all)}
 	}
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: p.Zones, Engines: p.Engines, Instances: instances, EngineParams: params, Policy: policy, Log: o.Log,
@@ -175,35 +175,35 @@
 		return Result{}, err
 	}
 	defer func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWait)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 		defer cancel()
 		lf.Close(ctx)
 	}()
 	t := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
-	without := load.Run(ctx, t, load.ShorterThan(all, longTokens))
-	again := load.Run(ctx, t, load.ShorterThan(all, longTokens))
-	undo := inject(ctx, lf, fault, cut, time.Duration(float64(mix.Duration)/o.Scale/3))
+	without := load.Run(ctx, t, load.ShorterThan(all, minLongTokens))
+	again := load.Run(ctx, t, load.ShorterThan(all, minLongTokens))
+	undo := injectFault(ctx, lf, fault, cut, time.Duration(float64(mix.Duration)/o.Scale/3))
 	with := load.Run(ctx, t, all)
 	undo()
 	c := Result{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
 	_, c.NoiseP95, c.NoiseP99 = load.RatioPercentiles(load.Slowdowns(again, without))
-	return measure(c, params, with, without), nil
+	return summarise(c, params, with, without), nil
 }
 
 // event is what an operator who knows the arrivals would expect: the load of short prompts while they come. The runs with
 // and without long prompts both fall into it.
-func event(all []load.Arrival) bundle.Event {
+func eventFor(all []load.Arrival) bundle.Event {
 	tokens := 0
-	for _, a := range load.ShorterThan(all, longTokens) {
+	for _, a := range load.ShorterThan(all, minLongTokens) {
 		tokens += a.PromptTokens
 	}
 	span := all[len(all)-1].At
 	return bundle.Event{
-		Name: "measured", Start: time.Now(), Length: config.Duration(3*span + eventExtra), TokensPerSecond: float64(tokens) / span.Seconds(),
+		Name: "measured", Start: time.Now(), Length: config.Duration(3*span + eventMargin), TokensPerSecond: float64(tokens) / span.Seconds(),
 	}
 }
 
-func measure(c Result, params enginesim.Params, with, without []load.Result) Result {
+func summarise(c Result, params enginesim.Params, with, without []load.Result) Result {
 	c.SlowdownP50, c.SlowdownP95, c.SlowdownP99 = load.RatioPercentiles(load.Slowdowns(with, without))
 	var idle []float64
 	var short, long []time.Duration
@@ -221,15 +221,15 @@
 		}
 		idle = append(idle, float64(r.FirstToken)/float64(params.Alone(r.PromptTokens)))
 		real := time.Duration(float64(r.FirstToken) * params.Scale)
-		if r.PromptTokens >= longTokens {
+		if r.PromptTokens >= minLongTokens {
 			long = append(long, real)
 		} else {
 			short = append(short, real)
 		}
 	}
 	base := firstTokens(without)
-	c.PercentileRatioP95 = over(load.Percentile(short, 95), load.Percentile(base, 95), params.Scale)
-	c.PercentileRatioP99 = over(load.Percentile(short, 99), load.Percentile(base, 99), params.Scale)
+	c.PercentileRatioP95 = rescaledRatio(load.Percentile(short, 95), load.Percentile(base, 95), params.Scale)
+	c.PercentileRatioP99 = rescaledRatio(load.Percentile(short, 99), load.Percentile(base, 99), params.Scale)
 	c.SlowdownVsIdleP50, c.SlowdownVsIdleP95, _ = load.RatioPercentiles(idle)
 	c.ShortP99 = load.Percentile(short, 99)
 	c.LongP50, c.LongP95 = load.Percentile(long, 50), load.Percentile(long, 95)
@@ -247,7 +247,7 @@
 }
 
 // over returns an unscaled time over a scaled one.
-func over(unscaled, scaled time.Duration, scale float64) float64 {
+func rescaledRatio(unscaled, scaled time.Duration, scale float64) float64 {
 	return float64(unscaled) / (float64(max(1, scaled)) * scale)
 }
 
@@ -268,12 +268,12 @@
 	}
 	var rows []Result
 	for _, k := range order {
-		rows = append(rows, median(groups[k]))
+		rows = append(rows, medianOf(groups[k]))
 	}
 	return rows
 }
 
-func median(group []Result) Result {
+func medianOf(group []Result) Result {
 	m := group[0]
 	number := func(f func(Result) float64) float64 {
 		vs := make([]float64, len(group))
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -9,19 +9,19 @@
 )
 
 // cutZone is the availability zone that is cut off.
-const cutZone = "a"
+const partitionedZone = "a"
 
 // cutter cuts the links between one availability zone and the others.
-type cutter struct {
-	on atomic.Bool
+type zonePartition struct {
+	active atomic.Bool
 }
 
-func (ct *cutter) blocked(from, to string) bool {
-	return ct.on.Load() && (from == cutZone) != (to == cutZone)
+func (zp *zonePartition) blocked(from, to string) bool {
+	return zp.active.Load() && (from == partitionedZone) != (to == partitionedZone)
 }
 
 // inject makes a fault happen after a delay. The function returned ends it.
-func inject(ctx context.Context, lf *localfleet.Fleet, f Fault, cut *cutter, after time.Duration) func() {
+func injectFault(ctx context.Context, lf *localfleet.Fleet, f Fault, cut *zonePartition, after time.Duration) func() {
 	timer := time.AfterFunc(after, func() {
 		switch f {
 		case FaultEngineKilled:
@@ -30,7 +30,7 @@
 			// Callers of the killed instance go to another by the balancer, which is not part of this.
 			lf.Instances[len(lf.Instances)-1].Env().Stopping.Store(true)
 		case FaultZonePartitioned:
-			cut.on.Store(true)
+			cut.active.Store(true)
 		case FaultPlatformDown:
 			lf.Store.SetDown(true)
 		case FaultNone, FaultStaleReports:
@@ -38,7 +38,7 @@
 	})
 	return func() {
 		timer.Stop()
-		cut.on.Store(false)
+		cut.active.Store(false)
 		lf.Store.SetDown(false)
 	}
 }
--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -45,21 +45,21 @@
 	Scale float64
 }
 
-const burstWithin = 100 * time.Millisecond
+const burstDuration = 100 * time.Millisecond
 
 // Generate returns the arrivals for a seed, in order.
 func Generate(seed uint64, m Workload) []Arrival {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	var all []Arrival
 	for range m.Burst {
-		all = append(all, m.arrival(rnd, time.Duration(rnd.Float64()*float64(burstWithin))))
+		all = append(all, m.randomArrival(rnd, time.Duration(rnd.Float64()*float64(burstDuration))))
 	}
 	for at := 0.0; ; {
 		at += rnd.ExpFloat64() / m.Rate
 		if at >= m.Duration.Seconds() {
 			break
 		}
-		all = append(all, m.arrival(rnd, time.Duration(at*float64(time.Second))))
+		all = append(all, m.randomArrival(rnd, time.Duration(at*float64(time.Second))))
 	}
 	slices.SortFunc(all, func(a, b Arrival) int { return int(a.At - b.At) })
 	for i := range all {
@@ -69,14 +69,14 @@
 	return all
 }
 
-func (mx Workload) arrival(rnd *rand.Rand, at time.Duration) Arrival {
-	a := Arrival{At: at, OutputTokens: mx.OutputTokens, Class: mx.ShortClass, Organisation: unequal(rnd, mx.Organisations)}
-	if rnd.Float64() < mx.LongShare {
-		a.Class = mx.LongClass
-		a.PromptTokens = logUniform(rnd, mx.MinLongTokens, mx.MaxLongTokens)
+func (wl Workload) randomArrival(rnd *rand.Rand, at time.Duration) Arrival {
+	a := Arrival{At: at, OutputTokens: wl.OutputTokens, Class: wl.ShortClass, Organisation: randomOrganisation(rnd, wl.Organisations)}
+	if rnd.Float64() < wl.LongShare {
+		a.Class = wl.LongClass
+		a.PromptTokens = logUniform(rnd, wl.MinLongTokens, wl.MaxLongTokens)
 		return a
 	}
-	a.PromptTokens = logUniform(rnd, mx.MinShortTokens, mx.MaxShortTokens)
+	a.PromptTokens = logUniform(rnd, wl.MinShortTokens, wl.MaxShortTokens)
 	return a
 }
 
@@ -86,7 +86,7 @@
 }
 
 // unequal picks organisation k about half as often as k-1.
-func unequal(rnd *rand.Rand, n int) int {
+func randomOrganisation(rnd *rand.Rand, n int) int {
 	for k := 0; k < n-1; k++ {
 		if rnd.IntN(2) == 0 {
 			return k
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -11,7 +11,7 @@
 	"github.com/silvermount/silvermount/internal/standin/answer"
 )
 
-func mix() Workload {
+func testWorkload() Workload {
 	return Workload{
 		Rate: 50, Duration: 20 * time.Second, Burst: 40, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000, MinLongTokens: 100_000,
 		MaxLongTokens: 1_000_000, OutputTokens: 4, ShortClass: "s", LongClass: "l", Organisations: 5, Scale: 10,
@@ -20,9 +20,9 @@
 
 func TestArrivalsAreTheSameForASeed(t *testing.T) {
 	g := NewWithT(t)
-	all := Generate(3, mix())
-	g.Expect(Generate(3, mix())).To(Equal(all))
-	g.Expect(Generate(4, mix())).NotTo(Equal(all))
+	all := Generate(3, testWorkload())
+	g.Expect(Generate(3, testWorkload())).To(Equal(all))
+	g.Expect(Generate(4, testWorkload())).NotTo(Equal(all))
 	g.Expect(Prompt(3, all[0])).To(Equal(Prompt(3, all[0])))
 	long := len(all) - len(ShorterThan(all, 100_000))
 	g.Expect(float64(long)/float64(len(all))).To(BeNumerically("~", 0.02, 0.012), "one prompt in fifty is long")
@@ -55,8 +55,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			rs := Result{Arrival: Arrival{OutputTokens: 1}}
-			rs.read(bufio.NewScanner(strings.NewReader(tc.stream)), tc.status, time.Now())
-			rs.check("p")
+			rs.readAnswer(bufio.NewScanner(strings.NewReader(tc.stream)), tc.status, time.Now())
+			rs.checkAnswer("p")
 			g.Expect(rs.Complete).To(Equal(tc.wantWhole))
 			g.Expect(rs.Correct).To(Equal(tc.wantRight))
 			g.Expect(rs.Code).To(Equal(tc.wantCode))
--- a/internal/load/prompt.go
+++ b/internal/load/prompt.go
@@ -24,13 +24,13 @@
 	return sb.String()
 }
 
-type body struct {
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 }
 
-func encode(model, prompt string, output int) ([]byte, error) {
-	return json.Marshal(body{Model: model, Prompt: prompt, MaxTokens: output, Stream: true})
+func encodeRequest(model, prompt string, output int) ([]byte, error) {
+	return json.Marshal(completionRequest{Model: model, Prompt: prompt, MaxTokens: output, Stream: true})
 }
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -44,14 +44,14 @@
 	Progress func(done, all int)
 }
 
-func (tg Options) pick(index int) string {
-	if tg.PickURL != nil {
-		return tg.PickURL(index)
+func (op Options) nextURL(index int) string {
+	if op.PickURL != nil {
+		return op.PickURL(index)
 	}
-	return tg.URLs[index%len(tg.URLs)]
+	return op.URLs[index%len(op.URLs)]
 }
 
-const progressEvery = 2 * time.Second
+const progressInterval = 2 * time.Second
 
 // Run sends the arrivals, each at its intended time whatever became of the others, and waits for all answers.
 func Run(ctx context.Context, t Options, arrivals []Arrival) []Result {
@@ -62,7 +62,7 @@
 	prompts := make([]string, len(arrivals))
 	for i, a := range arrivals {
 		prompts[i] = Prompt(t.Seed, a)
-		bodies[i], _ = encode(t.Model, prompts[i], a.OutputTokens) // these fields always encode
+		bodies[i], _ = encodeRequest(t.Model, prompts[i], a.OutputTokens) // these fields always encode
 	}
 	var wg sync.WaitGroup
 	var done sync.Map
@@ -73,19 +73,19 @@
 				results[i] = Result{Arrival: a, Code: "not_sent"}
 				return
 			}
-			results[i] = send(ctx, client, t, a, t.pick(a.Index), bodies[i], start)
-			results[i].check(prompts[i])
+			results[i] = send(ctx, client, t, a, t.nextURL(a.Index), bodies[i], start)
+			results[i].checkAnswer(prompts[i])
 			done.Store(i, true)
 		})
 	}
 	finished := make(chan struct{})
 	go func() { wg.Wait(); close(finished) }()
-	watch(t, &done, len(arrivals), finished)
+	reportProgress(t, &done, len(arrivals), finished)
 	return results
 }
 
-func watch(t Options, done *sync.Map, all int, finished <-chan struct{}) {
-	tick := time.NewTicker(progressEvery)
+func reportProgress(t Options, done *sync.Map, all int, finished <-chan struct{}) {
+	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -135,11 +135,11 @@
 		return res
 	}
 	defer resp.Body.Close()
-	res.read(bufio.NewScanner(resp.Body), resp.StatusCode, start.Add(a.At))
+	res.readAnswer(bufio.NewScanner(resp.Body), resp.StatusCode, start.Add(a.At))
 	return res
 }
 
-func (rs *Result) read(sc *bufio.Scanner, status int, intended time.Time) {
+func (rs *Result) readAnswer(sc *bufio.Scanner, status int, intended time.Time) {
 	var text strings.Builder
 	for sc.Scan() {
 		data, ok := strings.CutPrefix(sc.Text(), "data: ")
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -11,7 +11,7 @@
 )
 
 // lengthBounds are the upper ends of the rows of a summary, in tokens.
-var lengthBounds = []int{2_000, 8_000, 32_000, 100_000, 300_000, 1_100_000}
+var rowBounds = []int{2_000, 8_000, 32_000, 100_000, 300_000, 1_100_000}
 
 const (
 	histogramMax    = int64(time.Hour / time.Microsecond)
@@ -38,7 +38,7 @@
 func Summarise(results []Result) []Row {
 	var rows []Row
 	low := 0
-	for _, high := range lengthBounds {
+	for _, high := range rowBounds {
 		row := Row{MaxTokens: high}
 		var times []time.Duration
 		for _, r := range results {
@@ -105,12 +105,12 @@
 	fmt.Fprintln(tw, "prompt tokens up to\trequests\twhole\tright\trefused\tfailed\tfirst token p50\tp95\tp99\t")
 	for _, r := range rows {
 		fmt.Fprintf(tw, "%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t\n", r.MaxTokens, r.Requests, r.Complete, r.Correct, r.Refused, r.Failed,
-			round(r.P50), round(r.P95), round(r.P99))
+			roundForDisplay(r.P50), roundForDisplay(r.P95), roundForDisplay(r.P99))
 	}
 	return tw.Flush()
 }
 
-func round(d time.Duration) time.Duration {
+func roundForDisplay(d time.Duration) time.Duration {
 	if d > time.Second {
 		return d.Round(10 * time.Millisecond)
 	}
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -34,9 +34,9 @@
 	ClassBatch  = "batch"
 	ClassJob    = "overnight"
 
-	loopback  = "127.0.0.1:0"
-	peerKey   = "local-peer-secret"
-	readyWait = 15 * time.Second
+	loopback     = "127.0.0.1:0"
+	peerSecret   = "local-peer-secret"
+	readyTimeout = 15 * time.Second
 )
 
 // Options size a local fleet.
@@ -136,7 +136,7 @@
 		lf.Close(ctx)
 		return nil, err
 	}
-	if err := lf.putBundle(); err != nil {
+	if err := lf.publishBundle(); err != nil {
 		lf.Close(ctx)
 		return nil, err
 	}
@@ -146,7 +146,7 @@
 			return nil, err
 		}
 	}
-	if err := lf.await(ctx); err != nil {
+	if err := lf.waitReady(ctx); err != nil {
 		lf.Close(ctx)
 		return nil, err
 	}
@@ -161,7 +161,7 @@
 	return sr, err
 }
 
-func zone(i, zones int) string { return string(rune('a' + i%max(1, zones))) }
+func zoneName(i, zones int) string { return string(rune('a' + i%max(1, zones))) }
 
 func (lf *Fleet) startTargets() error {
 	sr, err := lf.serve(lf.Store.Handler())
@@ -170,7 +170,7 @@
 	}
 	lf.StoreURL = sr.URL
 	for i := range lf.opts.Engines {
-		if _, err := lf.AddEngine(fmt.Sprintf("engine-%02d", i), zone(i, lf.opts.Zones)); err != nil {
+		if _, err := lf.AddEngine(fmt.Sprintf("engine-%02d", i), zoneName(i, lf.opts.Zones)); err != nil {
 			return err
 		}
 	}
@@ -179,7 +179,7 @@
 		return err
 	}
 	return lf.Store.Put(objectstore.KindTargets, "service-0", fleet.Target{
-		Name: "service-0", Kind: fleet.KindService, AvailabilityZone: zone(0, 1), URL: sr.URL, Service: Service,
+		Name: "service-0", Kind: fleet.KindService, AvailabilityZone: zoneName(0, 1), URL: sr.URL, Service: Service,
 	})
 }
 
@@ -197,7 +197,7 @@
 	})
 }
 
-func (lf *Fleet) putBundle() error {
+func (lf *Fleet) publishBundle() error {
 	b := DefaultBundle()
 	if lf.opts.Bundle != nil {
 		b = *lf.opts.Bundle
@@ -211,10 +211,10 @@
 // Settings returns those of the i-th instance.
 func (lf *Fleet) Settings(i int) config.Settings {
 	s := config.Settings{
-		Instance: fmt.Sprintf("entry-%02d", i), AvailabilityZone: zone(i, lf.opts.Zones),
+		Instance: fmt.Sprintf("entry-%02d", i), AvailabilityZone: zoneName(i, lf.opts.Zones),
 		Callers:   config.Callers{Listen: loopback},
 		Operators: config.Operators{Listen: loopback, Key: OperatorKey},
-		Peers:     config.Peers{Listen: loopback, Secret: peerKey, Heartbeat: config.Duration(100 * time.Millisecond)},
+		Peers:     config.Peers{Listen: loopback, Secret: peerSecret, Heartbeat: config.Duration(100 * time.Millisecond)},
 		Platform:  config.Platform{URL: lf.StoreURL},
 		Routing:   config.Routing{Policy: lf.opts.Policy, ReportEvery: config.Duration(100 * time.Millisecond)},
 		Stop:      config.Stop{BalancerLag: config.Duration(50 * time.Millisecond)},
@@ -257,20 +257,20 @@
 	return "the local fleet was not ready after " + nr.Waited.String()
 }
 
-func (lf *Fleet) await(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+func (lf *Fleet) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for !lf.settled() {
+	for !lf.ready() {
 		select {
 		case <-ctx.Done():
-			return &NotReadyError{Waited: readyWait}
+			return &NotReadyError{Waited: readyTimeout}
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-func (lf *Fleet) settled() bool {
+func (lf *Fleet) ready() bool {
 	for _, in := range lf.Instances {
 		fl, err := kernel.Need[*fleet.Fleet](in.Env())
 		if err != nil {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -44,20 +44,20 @@
 
 // Statuses asks every instance for its status.
 func (cl *Client) Statuses(ctx context.Context) ([]Reply[operators.Status], error) {
-	return askAll[operators.Status](ctx, cl, http.MethodGet, "/status")
+	return queryAll[operators.Status](ctx, cl, http.MethodGet, "/status")
 }
 
 // Burn asks every instance for its counts.
 func (cl *Client) BurnWindows(ctx context.Context) ([]Reply[[]burn.Window], error) {
-	return askAll[[]burn.Window](ctx, cl, http.MethodGet, "/burn")
+	return queryAll[[]burn.Window](ctx, cl, http.MethodGet, "/burn")
 }
 
 // Prepare asks every instance to fetch and check a pushed bundle, without putting it in force.
 func (cl *Client) Prepare(ctx context.Context, version int64) ([]Reply[operators.PrepareResult], error) {
-	return askAll[operators.PrepareResult](ctx, cl, http.MethodPost, "/prepare/"+strconv.FormatInt(version, 10))
+	return queryAll[operators.PrepareResult](ctx, cl, http.MethodPost, "/prepare/"+strconv.FormatInt(version, 10))
 }
 
-func askAll[T any](ctx context.Context, cl *Client, method, path string) ([]Reply[T], error) {
+func queryAll[T any](ctx context.Context, cl *Client, method, path string) ([]Reply[T], error) {
 	l, err := cl.store.List(ctx, objectstore.KindInstances)
 	if err != nil {
 		return nil, errors.Wrap(err, "list instances")
@@ -68,7 +68,7 @@
 		wg.Go(func() {
 			rp := &replies[i]
 			if rp.Err = json.Unmarshal(o.Value, &rp.Instance); rp.Err == nil {
-				rp.Err = cl.ask(ctx, method, "http://"+rp.Instance.OperatorsAddress+path, &rp.Value)
+				rp.Err = cl.query(ctx, method, "http://"+rp.Instance.OperatorsAddress+path, &rp.Value)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 	return replies, nil
 }
 
-func (cl *Client) ask(ctx context.Context, method, url string, into any) error {
+func (cl *Client) query(ctx context.Context, method, url string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -11,7 +11,7 @@
 	// items has the ring's fixed capacity.
 	items chan T
 	// shed only grows.
-	shed atomic.Uint64
+	dropped atomic.Uint64
 }
 
 // New returns a ring that holds at most capacity items.
@@ -20,20 +20,20 @@
 }
 
 // Offer adds an item, or drops it and counts it when the ring is full.
-func (rg *Queue[T]) Offer(item T) bool {
+func (qu *Queue[T]) Offer(item T) bool {
 	select {
-	case rg.items <- item:
+	case qu.items <- item:
 		return true
 	default:
-		rg.shed.Add(1)
+		qu.dropped.Add(1)
 		return false
 	}
 }
 
 // Put adds an item and waits for room until ctx ends.
-func (rg *Queue[T]) Put(ctx context.Context, item T) error {
+func (qu *Queue[T]) Put(ctx context.Context, item T) error {
 	select {
-	case rg.items <- item:
+	case qu.items <- item:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
@@ -41,10 +41,10 @@
 }
 
 // Items returns the channel to receive from.
-func (rg *Queue[T]) Items() <-chan T { return rg.items }
+func (qu *Queue[T]) Items() <-chan T { return qu.items }
 
 // Len returns how many items wait.
-func (rg *Queue[T]) Len() int { return len(rg.items) }
+func (qu *Queue[T]) Len() int { return len(qu.items) }
 
 // Shed returns how many items were dropped.
-func (rg *Queue[T]) Dropped() uint64 { return rg.shed.Load() }
+func (qu *Queue[T]) Dropped() uint64 { return qu.dropped.Load() }
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	settle   = 500 * time.Millisecond
-	span     = 4 * time.Second
-	stopWait = 10 * time.Second
+	settleTime  = 500 * time.Millisecond
+	measureTime = 4 * time.Second
+	stopTimeout = 10 * time.Second
 	// longTokens is the length from which a prompt is long.
-	longTokens = 100_000
+	minLongTokens = 100_000
 )
 
 // Point is the cost of control per instance for one size of fleet, without requests.
@@ -105,7 +105,7 @@
 func Run(ctx context.Context, o Options) (Report, error) {
 	var rp Report
 	for _, n := range o.Instances {
-		p, err := point(ctx, o, n)
+		p, err := measureFleet(ctx, o, n)
 		if err != nil {
 			return rp, errors.Wrapf(err, "measure %d instances", n)
 		}
@@ -114,7 +114,7 @@
 			p.Instances, p.Targets, p.MessagesPerSecond, p.BytesPerSecond, 100*p.CoreShare, p.HeapBytes/1e6, p.StoreReads, p.StoreWrites)
 	}
 	for _, rate := range []float64{50, 100, 200, 400} {
-		r, err := requests(ctx, o, rate)
+		r, err := measureRequests(ctx, o, rate)
 		if err != nil {
 			return rp, errors.Wrap(err, "measure requests")
 		}
@@ -122,16 +122,16 @@
 		fmt.Fprintf(o.Progress, "%.0f requests/s over 8 instances: %.0f messages/s, %.0f bytes/s each\n", r.RequestsPerSecond, r.MessagesPerSecond, r.BytesPerSecond)
 	}
 	var err error
-	if rp.Latency, err = latency(ctx, o); err != nil {
+	if rp.Latency, err = measureLatency(ctx, o); err != nil {
 		return rp, errors.Wrap(err, "measure latency")
 	}
 	fmt.Fprintf(o.Progress, "direct p50 %s p99 %s, by an instance p50 %s p99 %s\n",
 		rp.Latency.DirectP50, rp.Latency.DirectP99, rp.Latency.ViaInstanceP50, rp.Latency.ViaInstanceP99)
-	rp.DecisionTimes = decisions()
+	rp.DecisionTimes = measureDecisions()
 	for _, d := range rp.DecisionTimes {
 		fmt.Fprintf(o.Progress, "%d targets, %d peers: %s a decision\n", d.Targets, d.Peers, d.Duration)
 	}
-	rp.BundleCosts, err = bundles()
+	rp.BundleCosts, err = measureBundles()
 	for _, b := range rp.BundleCosts {
 		fmt.Fprintf(o.Progress, "%d organisations: %d bytes, %d read when one changes, %s to take in\n", b.Organisations, b.Bytes, b.ChangeBytes, b.ParseTime)
 	}
@@ -139,51 +139,51 @@
 }
 
 // defaults gives an instance the heartbeats of a real fleet instead of a test's.
-func defaults(s *config.Settings) {
+func useProductionIntervals(s *config.Settings) {
 	s.Peers.Heartbeat, s.Routing.ReportEvery = 0, 0
 	s.Platform.Registration = config.Duration(5 * time.Second)
 }
 
-func point(ctx context.Context, o Options, n int) (FleetCost, error) {
+func measureFleet(ctx context.Context, o Options, n int) (FleetCost, error) {
 	p := FleetCost{Instances: n, Targets: 4 * n}
 	runtime.GC()
-	heapBefore := heap()
+	heapBefore := heapBytes()
 	// One availability zone, so that every pair exchanges at the full rate.
 	lf, err := localfleet.Start(ctx, localfleet.Options{
-		Zones: 1, Engines: p.Targets, Instances: n, EngineParams: enginesim.DefaultParams(), Log: o.Log, AdjustSettings: defaults,
+		Zones: 1, Engines: p.Targets, Instances: n, EngineParams: enginesim.DefaultParams(), Log: o.Log, AdjustSettings: useProductionIntervals,
 	})
 	if err != nil {
 		return p, err
 	}
 	defer closeFleet(ctx, lf)
-	time.Sleep(settle)
-	before := wire(lf)
+	time.Sleep(settleTime)
+	before := peerTraffic(lf)
 	beforeReads, beforeWrites := lf.Store.Calls()
-	cpu, began := processor(), time.Now()
-	time.Sleep(span)
+	cpu, began := cpuTime(), time.Now()
+	time.Sleep(measureTime)
 	took := time.Since(began).Seconds()
-	p.CoreShare = (processor() - cpu).Seconds() / took / float64(n)
-	after := wire(lf)
-	p.MessagesPerSecond, p.BytesPerSecond = after.minus(before).each(took, n)
+	p.CoreShare = (cpuTime() - cpu).Seconds() / took / float64(n)
+	after := peerTraffic(lf)
+	p.MessagesPerSecond, p.BytesPerSecond = after.sub(before).perInstance(took, n)
 	reads, writes := lf.Store.Calls()
 	p.StoreReads = float64(reads-beforeReads) / took / float64(n)
 	p.StoreWrites = float64(writes-beforeWrites) / took / float64(n)
 	runtime.GC()
-	p.HeapBytes = (heap() - heapBefore) / float64(n)
+	p.HeapBytes = (heapBytes() - heapBefore) / float64(n)
 	return p, nil
 }
 
 type traffic struct{ messages, bytes int64 }
 
-func (tr traffic) minus(o traffic) traffic {
+func (tr traffic) sub(o traffic) traffic {
 	return traffic{tr.messages - o.messages, tr.bytes - o.bytes}
 }
 
-func (tr traffic) each(seconds float64, n int) (messages, bytes float64) {
+func (tr traffic) perInstance(seconds float64, n int) (messages, bytes float64) {
 	return float64(tr.messages) / seconds / float64(n), float64(tr.bytes) / seconds / float64(n)
 }
 
-func wire(lf *localfleet.Fleet) traffic {
+func peerTraffic(lf *localfleet.Fleet) traffic {
 	var sum traffic
 	for _, in := range lf.Instances {
 		if ms, err := kernel.Need[*peer.Mesh](in.Env()); err == nil {
@@ -194,7 +194,7 @@
 	return sum
 }
 
-func processor() time.Duration {
+func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &ru) != nil {
 		return 0
@@ -202,39 +202,39 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	var ms runtime.MemStats
 	runtime.ReadMemStats(&ms)
 	return float64(ms.HeapAlloc + ms.StackInuse)
 }
 
 func closeFleet(ctx context.Context, lf *localfleet.Fleet) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	lf.Close(ctx)
 }
 
 // requests measures what short requests add to the messages between instances, at half the engines' speed.
-func requests(ctx context.Context, o Options, rate float64) (RequestCost, error) {
+func measureRequests(ctx context.Context, o Options, rate float64) (RequestCost, error) {
 	const instances, seconds, speed = 8, 4, 20
 	params := enginesim.DefaultParams()
 	params.Scale, params.CacheBlocks = speed, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{
-		Zones: 1, Engines: 20, Instances: instances, EngineParams: params, Log: o.Log, AdjustSettings: defaults,
+		Zones: 1, Engines: 20, Instances: instances, EngineParams: params, Log: o.Log, AdjustSettings: useProductionIntervals,
 	})
 	if err != nil {
 		return RequestCost{}, err
 	}
 	defer closeFleet(ctx, lf)
 	arrivals := load.Generate(1, load.Workload{
-		Rate: rate, Duration: seconds * time.Second, MinShortTokens: 1_000, MaxShortTokens: 8_000, MinLongTokens: longTokens, MaxLongTokens: longTokens,
+		Rate: rate, Duration: seconds * time.Second, MinShortTokens: 1_000, MaxShortTokens: 8_000, MinLongTokens: minLongTokens, MaxLongTokens: minLongTokens,
 		OutputTokens: 4, ShortClass: localfleet.ClassCall, LongClass: localfleet.ClassCall, Organisations: 1, Scale: 1,
 	})
-	before, began := wire(lf), time.Now()
+	before, began := peerTraffic(lf), time.Now()
 	results := load.Run(ctx, load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals)
 	took := time.Since(began).Seconds()
 	r := RequestCost{RequestsPerSecond: rate}
-	r.MessagesPerSecond, r.BytesPerSecond = wire(lf).minus(before).each(took, instances)
+	r.MessagesPerSecond, r.BytesPerSecond = peerTraffic(lf).sub(before).perInstance(took, instances)
 	for _, res := range results {
 		if res.Correct {
 			r.Served++
@@ -244,7 +244,7 @@
 }
 
 // latency compares short requests sent straight to an engine with the same by an instance.
-func latency(ctx context.Context, o Options) (Latency, error) {
+func measureLatency(ctx context.Context, o Options) (Latency, error) {
 	params := enginesim.DefaultParams()
 	params.Scale, params.CacheBlocks = 100, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: params, Log: o.Log})
@@ -272,7 +272,7 @@
 }
 
 // decisions times the view of the fleet and the choice, at today's size and at that of one availability zone in two years.
-func decisions() []DecisionTime {
+func measureDecisions() []DecisionTime {
 	const rounds = 300
 	p, err := policy.ByName(owners.Name)
 	if err != nil {
@@ -284,12 +284,12 @@
 		var list []fleet.Target
 		for i := range size.Targets {
 			list = append(list, fleet.Target{
-				Name: fmt.Sprintf("engine-%04d", i), Kind: fleet.KindEngine, AvailabilityZone: zoneOf(i, size), Models: []string{"m"},
+				Name: fmt.Sprintf("engine-%04d", i), Kind: fleet.KindEngine, AvailabilityZone: zoneName(i, size), Models: []string{"m"},
 			})
 		}
 		fl.SetTargets(list)
 		for i := range size.Peers {
-			fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: fmt.Sprintf("entry-%03d", i), AvailabilityZone: zoneOf(i, size)}})
+			fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: fmt.Sprintf("entry-%03d", i), AvailabilityZone: zoneName(i, size)}})
 		}
 		began := time.Now()
 		for turn := range rounds {
@@ -307,14 +307,14 @@
 }
 
 // zoneOf spreads the largest size over seven availability zones.
-func zoneOf(i int, size DecisionTime) string {
+func zoneName(i int, size DecisionTime) string {
 	if size.Peers < 100 {
 		return "a"
 	}
 	return string(rune('a' + i%7))
 }
 
-func bundles() ([]BundleCost, error) {
+func measureBundles() ([]BundleCost, error) {
 	var all []BundleCost
 	for _, n := range []int{10, 100, 1000, 6800} {
 		b := localfleet.DefaultBundle()
@@ -323,7 +323,7 @@
 			b.Organisations = append(b.Organisations, bundle.Organisation{Name: fmt.Sprintf("organisation-%04d", i), KeyDigests: []string{key}})
 		}
 		for i := range 26 {
-			b.Models = append(b.Models, bundle.Model{Name: fmt.Sprintf("model-%02d", i), MaxTokens: longTokens})
+			b.Models = append(b.Models, bundle.Model{Name: fmt.Sprintf("model-%02d", i), MaxTokens: minLongTokens})
 		}
 		doc, err := json.Marshal(b)
 		if err != nil {
@@ -334,7 +334,7 @@
 			return all, err
 		}
 		took := time.Since(began)
-		change, err := changeBytes(b)
+		change, err := maxChangeBytes(b)
 		if err != nil {
 			return all, err
 		}
@@ -344,7 +344,7 @@
 }
 
 // changeBytes is the size of a bundle's index and of its largest part.
-func changeBytes(b bundle.Bundle) (int, error) {
+func maxChangeBytes(b bundle.Bundle) (int, error) {
 	index, parts, err := b.Split()
 	if err != nil {
 		return 0, err
