--- a/internal/load/arrivals.go
+++ b/internal/load/arrivals.go
@@ -1,4 +1,5 @@
-// Package load sends arrivals to entry instances at their intended times and measures the answers.
+// Package load generates open-loop load: it sends requests to entry instances at scheduled times, whether or not earlier ones
+// have been answered, and measures the answers.
 package load
 
 import (
@@ -8,63 +9,63 @@
 	"time"
 )
 
-// Arrival is one request of a trace.
+// Arrival is one scheduled request of a trace.
 type Arrival struct {
-	// At is the intended start, from the start of the trace.
+	// At is the scheduled time of the request, relative to the start of the trace.
 	At time.Duration `json:"at"`
-	// Class and Organisation name whose work it is.
+	// Class is the name of the request's class, and Organisation the number of the organisation that sends it.
 	Class        string `json:"class"`
 	Organisation int    `json:"organisation"`
-	// Tokens is the length of the prompt, Output of the answer.
+	// PromptTokens and OutputTokens are the lengths of the prompt and of the answer.
 	PromptTokens int `json:"tokens"`
 	OutputTokens int `json:"output"`
-	// Prefix numbers a shared start of the prompt; zero means none.
+	// Prefix is the number of a prefix that several prompts share. Zero means none.
 	Prefix int `json:"prefix"`
-	// Index numbers the arrival in its whole trace.
+	// Index is the position of the arrival in the complete trace. Subsets of the trace keep it.
 	Index int `json:"index"`
 }
 
-// Mix describes arrivals at the start of an event.
+// Workload describes the random arrivals at the start of an event.
 type Workload struct {
-	// Rate is requests a second; Length the time over which they come.
+	// Rate is in requests per second. Duration is the time over which they arrive.
 	Rate     float64
 	Duration time.Duration
-	// Burst requests come in the first tenth of a second besides.
+	// Burst is the number of additional requests that arrive within the first 100 ms.
 	Burst int
-	// LongShare is the share of prompts over LongTokens.
+	// LongShare is the share of long prompts among all requests.
 	LongShare float64
-	// ShortTokens, LongTokens and MaxTokens bound the two log-uniform parts.
+	// Prompt lengths are distributed log-uniformly, between these bounds for short and for long prompts.
 	MinShortTokens, MaxShortTokens, MinLongTokens, MaxLongTokens int
-	// Output is the length of answers.
+	// OutputTokens is the length of every answer.
 	OutputTokens int
-	// LongClass is the class of long prompts, ShortClass of the others.
+	// LongClass is the class of long prompts, and ShortClass that of short ones.
 	LongClass, ShortClass string
-	// Organisations of unequal size send the requests.
+	// Organisations is the number of organisations that send requests. Each sends about half as many as the one before it.
 	Organisations int
-	// Scale divides all times.
+	// Scale divides the times of all arrivals.
 	Scale float64
 }
 
 const burstDuration = 100 * time.Millisecond
 
-// Generate returns the arrivals for a seed, in order.
-func Generate(seed uint64, m Workload) []Arrival {
+// Generate returns the arrivals of a workload in order of time. The same seed gives the same arrivals.
+func Generate(seed uint64, wl Workload) []Arrival {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	var all []Arrival
-	for range m.Burst {
-		all = append(all, m.randomArrival(rnd, time.Duration(rnd.Float64()*float64(burstDuration))))
+	for range wl.Burst {
+		all = append(all, wl.randomArrival(rnd, time.Duration(rnd.Float64()*float64(burstDuration))))
 	}
 	for at := 0.0; ; {
-		at += rnd.ExpFloat64() / m.Rate
-		if at >= m.Duration.Seconds() {
+		at += rnd.ExpFloat64() / wl.Rate
+		if at >= wl.Duration.Seconds() {
 			break
 		}
-		all = append(all, m.randomArrival(rnd, time.Duration(at*float64(time.Second))))
+		all = append(all, wl.randomArrival(rnd, time.Duration(at*float64(time.Second))))
 	}
 	slices.SortFunc(all, func(a, b Arrival) int { return int(a.At - b.At) })
 	for i := range all {
 		all[i].Index = i
-		all[i].At = time.Duration(float64(all[i].At) / m.Scale)
+		all[i].At = time.Duration(float64(all[i].At) / wl.Scale)
 	}
 	return all
 }
@@ -85,7 +86,7 @@
 	return int(math.Exp(l + rnd.Float64()*(h-l)))
 }
 
-// unequal picks organisation k about half as often as k-1.
+// randomOrganisation returns the number of an organisation. Each number is about half as likely as the one before it.
 func randomOrganisation(rnd *rand.Rand, n int) int {
 	for k := 0; k < n-1; k++ {
 		if rnd.IntN(2) == 0 {
@@ -95,7 +96,7 @@
 	return max(0, n-1)
 }
 
-// Without returns the arrivals shorter than the given length.
+// ShorterThan returns the arrivals whose prompts have fewer than the given number of tokens.
 func ShorterThan(all []Arrival, tokens int) []Arrival {
 	return slices.DeleteFunc(slices.Clone(all), func(a Arrival) bool { return a.PromptTokens >= tokens })
 }
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -2,7 +2,8 @@
 
 import "github.com/silvermount/silvermount/internal/standin/answer"
 
-// check compares the text with what a stand-in engine generates for the prompt.
+// checkAnswer sets Correct if the text is complete and the same as a simulated engine generates for the prompt. It clears the
+// text to free its memory.
 func (rs *Result) checkAnswer(prompt string) {
 	rs.Correct = rs.Complete && rs.text == answer.Of(prompt, rs.OutputTokens)
 	rs.text = ""
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func TestArrivalsAreTheSameForASeed(t *testing.T) {
+func TestSameSeedGivesSameArrivals(t *testing.T) {
 	g := NewWithT(t)
 	all := Generate(3, testWorkload())
 	g.Expect(Generate(3, testWorkload())).To(Equal(all))
@@ -33,20 +33,20 @@
 	}
 }
 
-func TestResultRead(t *testing.T) {
-	whole := func(text string) string { return `data: {"choices":[{"text":"` + text + `"}]}` + "\n\n" }
-	right := answer.New("p").Next()
+func TestReadAnswerClassifiesAnswers(t *testing.T) {
+	chunk := func(text string) string { return `data: {"choices":[{"text":"` + text + `"}]}` + "\n\n" }
+	expected := answer.New("p").Next()
 	tests := map[string]struct {
-		stream                string
-		status                int
-		wantWhole, wantRight  bool
-		wantCode, wantOutcome string
+		stream                    string
+		status                    int
+		wantComplete, wantCorrect bool
+		wantCode, wantOutcome     string
 	}{
-		"whole and right": {stream: whole(right) + "data: [DONE]\n", status: 200, wantWhole: true, wantRight: true},
-		"whole and wrong": {stream: whole("another ") + "data: [DONE]\n", status: 200, wantWhole: true},
-		"cut off":         {stream: whole(right), status: 200, wantCode: "cut_off"},
+		"complete and correct":   {stream: chunk(expected) + "data: [DONE]\n", status: 200, wantComplete: true, wantCorrect: true},
+		"complete but incorrect": {stream: chunk("another ") + "data: [DONE]\n", status: 200, wantComplete: true},
+		"cut off":                {stream: chunk(expected), status: 200, wantCode: "cut_off"},
 		"error event": {
-			stream: whole(right) + "event: error\n" + `data: {"error":{"code":"target_lost","outcome":"unknown"}}` + "\n",
+			stream: chunk(expected) + "event: error\n" + `data: {"error":{"code":"target_lost","outcome":"unknown"}}` + "\n",
 			status: 200, wantCode: "target_lost", wantOutcome: "unknown",
 		},
 		"refused": {stream: `{"error":{"code":"overloaded","outcome":"not_run"}}`, status: 503, wantCode: "overloaded", wantOutcome: "not_run"},
@@ -57,18 +57,18 @@
 			rs := Result{Arrival: Arrival{OutputTokens: 1}}
 			rs.readAnswer(bufio.NewScanner(strings.NewReader(tc.stream)), tc.status, time.Now())
 			rs.checkAnswer("p")
-			g.Expect(rs.Complete).To(Equal(tc.wantWhole))
-			g.Expect(rs.Correct).To(Equal(tc.wantRight))
+			g.Expect(rs.Complete).To(Equal(tc.wantComplete))
+			g.Expect(rs.Correct).To(Equal(tc.wantCorrect))
 			g.Expect(rs.Code).To(Equal(tc.wantCode))
 			g.Expect(rs.Outcome).To(Equal(tc.wantOutcome))
 		})
 	}
 }
 
-func TestRatiosPairTheSameArrivals(t *testing.T) {
+func TestSlowdownsCompareSameArrivals(t *testing.T) {
 	g := NewWithT(t)
 	at := func(index int, d time.Duration) Result { return Result{Arrival: Arrival{Index: index}, FirstToken: d} }
-	with := []Result{at(1, 30), at(2, 20), at(9, 99)}
-	without := []Result{at(2, 10), at(1, 10), at(3, 10)}
-	g.Expect(Slowdowns(with, without)).To(ConsistOf(3.0, 2.0))
+	withLong := []Result{at(1, 30), at(2, 20), at(9, 99)}
+	withoutLong := []Result{at(2, 10), at(1, 10), at(3, 10)}
+	g.Expect(Slowdowns(withLong, withoutLong)).To(ConsistOf(3.0, 2.0))
 }
--- a/internal/load/prompt.go
+++ b/internal/load/prompt.go
@@ -8,7 +8,7 @@
 
 const wordLetters = "abcdefghijklmnopqrstuvwxyz"
 
-// Prompt returns the text of an arrival: four bytes a token, the same for the same seed and index.
+// Prompt returns the prompt of an arrival, with four bytes per token. The same seed and index give the same text.
 func Prompt(seed uint64, a Arrival) string {
 	rnd := rand.New(rand.NewPCG(seed, uint64(a.Index)))
 	var sb strings.Builder
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -13,35 +13,37 @@
 	"github.com/silvermount/silvermount/internal/serve"
 )
 
-// Result is what became of one arrival.
+// Result is the outcome of one arrival.
 type Result struct {
 	Arrival
-	// FirstToken and Total count from the intended start; zero when there was none.
+	// FirstToken and Total are the times to the first token and to the end of the answer, measured from the scheduled time.
+	// FirstToken is zero if no token arrived, and Total if there was no answer.
 	FirstToken time.Duration `json:"first_token"`
 	Total      time.Duration `json:"total"`
-	// Tokens got and whether the answer is whole and right.
+	// ReceivedTokens is the number of tokens received. Complete is set if the answer ended regularly, and Correct if it also has
+	// the expected text.
 	ReceivedTokens int  `json:"got"`
 	Complete       bool `json:"whole"`
 	Correct        bool `json:"right"`
-	// Code and Outcome are set for failures.
+	// Code and Outcome are set if the request failed.
 	Code    string `json:"code,omitempty"`
 	Outcome string `json:"outcome,omitempty"`
 
 	text string
 }
 
-// Target is where and how load is sent.
+// Options say where and how requests are sent.
 type Options struct {
-	// URLs are the callers' addresses of instances, taken in turn.
+	// URLs are the base URLs for callers of the instances. They are used round robin.
 	URLs []string
-	// Pick, when set, is asked for an address instead, as a balancer is.
+	// PickURL, if set, selects the base URL for a request instead, as a load balancer does.
 	PickURL func(index int) string
-	// Key is the bearer key; Model is asked for.
+	// Key is the caller's bearer key, and Model the requested model.
 	Key, Model string
-	// Seed gives the prompts.
+	// Seed determines the texts of the prompts.
 	Seed uint64
-	// Progress is told how many are done, now and then; nil tells nobody.
-	Progress func(done, all int)
+	// Progress, if set, is called every two seconds with the number of answered requests and the number of all requests.
+	Progress func(done, total int)
 }
 
 func (op Options) nextURL(index int) string {
@@ -53,16 +55,16 @@
 
 const progressInterval = 2 * time.Second
 
-// Run sends the arrivals, each at its intended time whatever became of the others, and waits for all answers.
-func Run(ctx context.Context, t Options, arrivals []Arrival) []Result {
+// Run sends each arrival at its scheduled time, whether or not earlier ones have been answered, and waits for all answers.
+func Run(ctx context.Context, op Options, arrivals []Arrival) []Result {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	defer client.CloseIdleConnections()
 	results := make([]Result, len(arrivals))
 	bodies := make([][]byte, len(arrivals))
 	prompts := make([]string, len(arrivals))
 	for i, a := range arrivals {
-		prompts[i] = Prompt(t.Seed, a)
-		bodies[i], _ = encodeRequest(t.Model, prompts[i], a.OutputTokens) // these fields always encode
+		prompts[i] = Prompt(op.Seed, a)
+		bodies[i], _ = encodeRequest(op.Model, prompts[i], a.OutputTokens) // strings, integers and booleans always encode
 	}
 	var wg sync.WaitGroup
 	var done sync.Map
@@ -73,18 +75,18 @@
 				results[i] = Result{Arrival: a, Code: "not_sent"}
 				return
 			}
-			results[i] = send(ctx, client, t, a, t.nextURL(a.Index), bodies[i], start)
+			results[i] = send(ctx, client, op, a, op.nextURL(a.Index), bodies[i], start)
 			results[i].checkAnswer(prompts[i])
 			done.Store(i, true)
 		})
 	}
 	finished := make(chan struct{})
 	go func() { wg.Wait(); close(finished) }()
-	reportProgress(t, &done, len(arrivals), finished)
+	reportProgress(op, &done, len(arrivals), finished)
 	return results
 }
 
-func reportProgress(t Options, done *sync.Map, all int, finished <-chan struct{}) {
+func reportProgress(op Options, done *sync.Map, total int, finished <-chan struct{}) {
 	tick := time.NewTicker(progressInterval)
 	defer tick.Stop()
 	for {
@@ -94,8 +96,8 @@
 		case <-tick.C:
 			n := 0
 			done.Range(func(any, any) bool { n++; return true })
-			if t.Progress != nil {
-				t.Progress(n, all)
+			if op.Progress != nil {
+				op.Progress(n, total)
 			}
 		}
 	}
@@ -120,14 +122,14 @@
 	} `json:"error"`
 }
 
-func send(ctx context.Context, client *http.Client, t Options, a Arrival, url string, body []byte, start time.Time) Result {
+func send(ctx context.Context, client *http.Client, op Options, a Arrival, url string, body []byte, start time.Time) Result {
 	res := Result{Arrival: a}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/completions", bytes.NewReader(body))
 	if err != nil {
 		res.Code = err.Error()
 		return res
 	}
-	req.Header.Set("Authorization", "Bearer "+t.Key)
+	req.Header.Set("Authorization", "Bearer "+op.Key)
 	req.Header.Set(serve.HeaderClass, a.Class)
 	resp, err := client.Do(req)
 	if err != nil {
@@ -139,7 +141,7 @@
 	return res
 }
 
-func (rs *Result) readAnswer(sc *bufio.Scanner, status int, intended time.Time) {
+func (rs *Result) readAnswer(sc *bufio.Scanner, status int, scheduled time.Time) {
 	var text strings.Builder
 	for sc.Scan() {
 		data, ok := strings.CutPrefix(sc.Text(), "data: ")
@@ -163,13 +165,13 @@
 		}
 		if len(ev.Choices) > 0 {
 			if rs.ReceivedTokens == 0 {
-				rs.FirstToken = time.Since(intended)
+				rs.FirstToken = time.Since(scheduled)
 			}
 			rs.ReceivedTokens++
 			text.WriteString(ev.Choices[0].Text)
 		}
 	}
-	rs.Total = time.Since(intended)
+	rs.Total = time.Since(scheduled)
 	if !rs.Complete && rs.Code == "" {
 		rs.Code = "cut_off"
 	}
--- a/internal/load/summary.go
+++ b/internal/load/summary.go
@@ -10,7 +10,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// lengthBounds are the upper ends of the rows of a summary, in tokens.
+// rowBounds are the maximum prompt lengths of the rows of a summary, in tokens.
 var rowBounds = []int{2_000, 8_000, 32_000, 100_000, 300_000, 1_100_000}
 
 const (
@@ -18,23 +18,24 @@
 	histogramDigits = 3
 )
 
-// Row sums up the prompts of one range of lengths.
+// Row summarises the requests of one range of prompt lengths.
 type Row struct {
-	// UpTo is the upper end of the range in tokens.
+	// MaxTokens is the inclusive upper bound of the range, in tokens.
 	MaxTokens int `json:"up_to"`
-	// Requests, Whole, Right, Refused and Failed count.
+	// Requests is the sum of Complete, Refused and Failed. Correct counts the complete answers that have the expected text.
+	// Refused counts the requests that surely did not run.
 	Requests int `json:"requests"`
 	Complete int `json:"whole"`
 	Correct  int `json:"right"`
 	Refused  int `json:"refused"`
 	Failed   int `json:"failed"`
-	// P50, P95 and P99 are of the time to the first token.
+	// P50, P95 and P99 are percentiles of the time to the first token.
 	P50 time.Duration `json:"p50"`
 	P95 time.Duration `json:"p95"`
 	P99 time.Duration `json:"p99"`
 }
 
-// Summarise returns a row for each range of lengths that has requests.
+// Summarise returns a row for each range of prompt lengths that has requests, from short to long.
 func Summarise(results []Result) []Row {
 	var rows []Row
 	low := 0
@@ -74,32 +75,32 @@
 	}
 }
 
-// Quantile returns a quantile of some times, from 0 to 100.
-func Percentile(times []time.Duration, q float64) time.Duration {
+// Percentile returns the p-th percentile of the times, for a p from 0 to 100.
+func Percentile(times []time.Duration, p float64) time.Duration {
 	h := hdrhistogram.New(1, histogramMax, histogramDigits)
 	for _, t := range times {
-		_ = h.RecordValue(max(1, t.Microseconds())) // an hour bounds every measured time
+		_ = h.RecordValue(max(1, t.Microseconds())) // no measured time exceeds the histogram's maximum of one hour
 	}
-	return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
+	return time.Duration(h.ValueAtQuantile(p)) * time.Microsecond
 }
 
-// Ratios returns, for each short prompt answered in both runs, its time to the first token with the long prompts
-// over that without.
-func Slowdowns(with, without []Result) []float64 {
-	alone := map[int]time.Duration{}
-	for _, r := range without {
-		alone[r.Index] = r.FirstToken
+// Slowdowns compares a run with long prompts with a run without them. For each request that got a first token in both, it returns
+// the time to the first token in the first run divided by that in the second.
+func Slowdowns(withLong, withoutLong []Result) []float64 {
+	baseline := map[int]time.Duration{}
+	for _, r := range withoutLong {
+		baseline[r.Index] = r.FirstToken
 	}
 	var ratios []float64
-	for _, r := range with {
-		if base := alone[r.Index]; base > 0 && r.FirstToken > 0 {
+	for _, r := range withLong {
+		if base := baseline[r.Index]; base > 0 && r.FirstToken > 0 {
 			ratios = append(ratios, float64(r.FirstToken)/float64(base))
 		}
 	}
 	return ratios
 }
 
-// WriteTable writes rows for a person.
+// WriteTable writes the rows as an aligned text table.
 func WriteTable(w io.Writer, rows []Row) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "prompt tokens up to\trequests\twhole\tright\trefused\tfailed\tfirst token p50\tp95\tp99\t")
@@ -117,7 +118,7 @@
 	return d.Round(100 * time.Microsecond)
 }
 
-// RatioQuantiles returns three quantiles of some ratios.
+// RatioPercentiles returns the 50th, 95th and 99th percentiles of the ratios, or zeros if there are none.
 func RatioPercentiles(ratios []float64) (p50, p95, p99 float64) {
 	if len(ratios) == 0 {
 		return 0, 0, 0
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -1,5 +1,5 @@
-// Package localfleet runs a platform, targets and entry instances in one process on loopback, for the demo,
-// measurements and tests.
+// Package localfleet runs a simulated platform store, simulated targets and real entry instances in one process on loopback
+// ports. It is used by the demo, measurements and tests.
 package localfleet
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/silvermount/silvermount/internal/standin/servicesim"
 )
 
-// The names that a local fleet's bundle holds.
+// The names and keys in the default bundle and settings of a local fleet.
 const (
 	Model       = "address"
 	Service     = "valves"
@@ -39,55 +39,55 @@
 	readyTimeout = 15 * time.Second
 )
 
-// Options size a local fleet.
+// Options are the sizes and settings of a local fleet.
 type Options struct {
-	// Zones, Engines and Instances are counts; engines and instances are spread over the zones.
+	// Zones, Engines and Instances are counts. Engines and instances are spread over the availability zones in turn.
 	Zones, Engines, Instances int
-	// Params are those of every engine.
+	// EngineParams are the simulation parameters of every engine.
 	EngineParams enginesim.Params
-	// Policy is the routing policy; empty takes the default.
+	// Policy is the name of the routing policy. If it is empty, the default policy is used.
 	Policy string
-	// Adjust may change an instance's settings.
+	// AdjustSettings, if set, may change the settings of each instance before it starts.
 	AdjustSettings func(*config.Settings)
-	// Log is used by the instances.
+	// Log receives the log lines of the instances.
 	Log log.Interface
-	// Bundle is the first accepted bundle; nil takes DefaultBundle.
+	// Bundle is the accepted bundle at the start. If it is nil, DefaultBundle is used.
 	Bundle *bundle.Bundle
-	// Blocked cuts the link from one zone to another.
+	// ZoneLinkBlocked, if set, reports whether peer links from one availability zone to another are blocked.
 	ZoneLinkBlocked func(from, to string) bool
 }
 
-// Server is one stand-in behind a listener.
+// Server is an HTTP server on a loopback port that serves a simulated store or target.
 type Server struct {
 	URL string
 	srv *http.Server
 }
 
-// Close breaks all connections and stops listening.
-func (sr *Server) Close() { _ = sr.srv.Close() } // nothing waits for a stand-in
+// Close stops listening and closes all connections at once, including those with requests in flight.
+func (sr *Server) Close() { _ = sr.srv.Close() } // a close error of a simulated server does not matter
 
-// Serve listens on loopback.
+// Serve starts a server for a handler on a free loopback port.
 func Serve(h http.Handler) (*Server, error) {
 	lis, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = srv.Serve(lis) }() // ends with Close
+	go func() { _ = srv.Serve(lis) }() // returns after Close
 	return &Server{URL: "http://" + lis.Addr().String(), srv: srv}, nil
 }
 
-// Engine is one engine with its listener.
+// Engine is a simulated engine and the server that serves it.
 type Engine struct {
 	*enginesim.Engine
 	Name   string
 	server *Server
 }
 
-// URL returns the address of the engine.
+// URL returns the base URL of the engine.
 func (en *Engine) URL() string { return en.server.URL }
 
-// Kill ends the engine in the middle of its work.
+// Kill stops the engine abruptly, with its requests in flight.
 func (en *Engine) Kill() {
 	en.Engine.Kill()
 	en.server.Close()
@@ -104,7 +104,7 @@
 	servers   []*Server
 }
 
-// DefaultBundle returns the bundle that a local fleet starts with.
+// DefaultBundle returns the bundle that is used if Options.Bundle is nil.
 func DefaultBundle() bundle.Bundle {
 	seconds := func(n int) config.Duration { return config.Duration(time.Duration(n) * time.Second) }
 	return bundle.Bundle{
@@ -129,7 +129,8 @@
 	}
 }
 
-// Start starts a local fleet and waits until every instance is ready and knows the others.
+// Start starts a local fleet and waits until every instance has a bundle, sees all other instances as live, knows all targets
+// and has no target left that needs a probe. It returns a NotReadyError if this takes longer than 15 s.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	lf := &Fleet{Store: platformsim.New(), Service: servicesim.New(), opts: o}
 	if err := lf.startTargets(); err != nil {
@@ -183,7 +184,7 @@
 	})
 }
 
-// AddEngine starts an engine and lists it.
+// AddEngine starts an engine and adds it to the targets in the store.
 func (lf *Fleet) AddEngine(name, zone string) (*Engine, error) {
 	en := &Engine{Engine: enginesim.New(lf.opts.EngineParams, Model), Name: name}
 	sr, err := lf.serve(en.Handler())
@@ -208,7 +209,7 @@
 	return lf.Store.Put(objectstore.KindPointers, rollout.PointerName, rollout.Pointer{Version: b.Version})
 }
 
-// Settings returns those of the i-th instance.
+// Settings returns the settings of the i-th instance.
 func (lf *Fleet) Settings(i int) config.Settings {
 	s := config.Settings{
 		Instance: fmt.Sprintf("entry-%02d", i), AvailabilityZone: zoneName(i, lf.opts.Zones),
@@ -240,7 +241,7 @@
 	return in, nil
 }
 
-// URLs returns the callers' URLs of all instances.
+// URLs returns the base URLs for callers of all instances.
 func (lf *Fleet) URLs() []string {
 	urls := make([]string, len(lf.Instances))
 	for i, in := range lf.Instances {
@@ -249,10 +250,10 @@
 	return urls
 }
 
-// NotReadyError says that a local fleet did not come up in time.
+// NotReadyError is returned if a local fleet is not ready within the start timeout.
 type NotReadyError struct{ Waited time.Duration }
 
-// Error gives the time waited.
+// Error includes the time waited.
 func (nr *NotReadyError) Error() string {
 	return "the local fleet was not ready after " + nr.Waited.String()
 }
@@ -294,10 +295,10 @@
 	return true
 }
 
-// Close stops everything.
+// Close stops the instances, then the engines and the other simulated servers.
 func (lf *Fleet) Close(ctx context.Context) {
 	for _, in := range lf.Instances {
-		_ = in.Stop(ctx) // an instance may have been stopped already
+		_ = in.Stop(ctx) // the caller may have stopped this instance already
 	}
 	for _, en := range lf.Engines {
 		en.Engine.Kill()
