--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,4 +1,4 @@
-// Package burn reports how fast each class spends the errors that its objective allows.
+// Package burn computes how fast each class consumes the error budget of its objective.
 package burn
 
 import (
@@ -10,60 +10,61 @@
 	"github.com/silvermount/silvermount/internal/bundle"
 )
 
-// bucket is the resolution of the record, and kept how far back it goes.
+// bucketLength is the time resolution of the counts. They are kept for the retention period.
 const (
 	bucketLength = 10 * time.Second
 	retention    = 6 * time.Hour
 )
 
-// Pair is two windows that must both burn before an alert is raised.
+// WindowPair is a short and a long window. An alert is raised only if the burn rate is too high over both.
 type WindowPair struct {
 	Short, Long time.Duration
-	// Rate is the burn rate from which the pair alerts.
+	// AlertRate is the minimum burn rate that raises an alert.
 	AlertRate float64
 }
 
-// Pairs are the windows reported on.
+// WindowPairs are the windows that are reported and alerted on, beginning with the pair of the highest AlertRate.
 var WindowPairs = []WindowPair{
 	{Short: 5 * time.Minute, Long: time.Hour, AlertRate: 14.4},
 	{Short: 30 * time.Minute, Long: 6 * time.Hour, AlertRate: 6},
 }
 
-// budgetPeriod is the time over which an objective's errors are allowed.
+// budgetPeriod is the period for which an error budget is granted.
 const budgetPeriod = 30 * 24 * time.Hour
 
-// Count is how many requests there were and how many missed their objective.
+// Count holds the number of all requests and of those that missed their objective.
 type Count struct {
 	Total  int64 `json:"total"`
 	Missed int64 `json:"missed"`
 }
 
-// Add returns the sum.
+// Add returns the sum of two counts.
 func (ct Count) Add(o Count) Count {
 	return Count{Total: ct.Total + o.Total, Missed: ct.Missed + o.Missed}
 }
 
-// Window is the count of one class over one window, mergeable over instances.
+// Window is the count of one class over the time window of a length. Windows of several instances can be merged.
 type Window struct {
 	Class  string        `json:"class"`
 	Length time.Duration `json:"length"`
 	Count  Count         `json:"count"`
 }
 
-// Recorder counts requests. It is safe for use by any goroutine.
+// Recorder counts requests per class and time bucket. It is safe for concurrent use.
 type Recorder struct {
 	now func() time.Time
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// classes holds the counts per class name and bucket number.
 	classes map[string]map[int64]Count
 }
 
-// New returns an empty recorder.
+// New returns an empty recorder that uses the given clock.
 func New(now func() time.Time) *Recorder {
 	return &Recorder{now: now, classes: map[string]map[int64]Count{}}
 }
 
-// Add counts one request of a class.
+// Add counts one request of a class, and whether it missed its objective.
 func (rc *Recorder) Add(class string, missed bool) {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
@@ -72,38 +73,38 @@
 		buckets = map[int64]Count{}
 		rc.classes[class] = buckets
 	}
-	at := rc.now().UnixNano() / int64(bucketLength)
-	if _, ok := buckets[at]; !ok {
-		rc.removeExpired(buckets, at)
+	current := rc.now().UnixNano() / int64(bucketLength)
+	if _, ok := buckets[current]; !ok {
+		rc.removeExpired(buckets, current)
 	}
-	c := buckets[at]
+	c := buckets[current]
 	c.Total++
 	if missed {
 		c.Missed++
 	}
-	buckets[at] = c
+	buckets[current] = c
 }
 
-func (rc *Recorder) removeExpired(buckets map[int64]Count, at int64) {
-	for old := range buckets {
-		if old < at-int64(retention/bucketLength) {
-			delete(buckets, old)
+func (rc *Recorder) removeExpired(buckets map[int64]Count, current int64) {
+	for nr := range buckets {
+		if nr < current-int64(retention/bucketLength) {
+			delete(buckets, nr)
 		}
 	}
 }
 
-// Windows returns the counts of every class over every window.
+// Windows returns the counts of every class over every window of WindowPairs, sorted by class and length.
 func (rc *Recorder) Windows() []Window {
 	rc.mu.Lock()
 	defer rc.mu.Unlock()
-	at := rc.now().UnixNano() / int64(bucketLength)
+	current := rc.now().UnixNano() / int64(bucketLength)
 	var ws []Window
 	for class, buckets := range rc.classes {
 		for _, p := range WindowPairs {
 			for _, length := range []time.Duration{p.Short, p.Long} {
 				w := Window{Class: class, Length: length}
-				for b, c := range buckets {
-					if b > at-int64(length/bucketLength) {
+				for nr, c := range buckets {
+					if nr > current-int64(length/bucketLength) {
 						w.Count = w.Count.Add(c)
 					}
 				}
@@ -122,7 +123,7 @@
 	return int(a.Length - b.Length)
 }
 
-// Merge adds up the windows of several instances.
+// Merge sums the windows of several instances by class and length.
 func Merge(all ...[]Window) []Window {
 	sums := map[Window]Count{}
 	for _, ws := range all {
@@ -140,23 +141,23 @@
 	return merged
 }
 
-// Row is the burn of one class over one window.
+// WindowRate is the burn rate of one class over one window.
 type WindowRate struct {
 	Window
-	// Rate is 1 when the class spends its budget exactly over the budget's period.
+	// Rate is 1 if the class consumes its error budget in exactly the period for which it is granted, which is 30 days.
 	Rate float64 `json:"rate"`
 }
 
-// Alert says that a class burns over both windows of a pair.
+// Alert is raised for a class whose burn rate is too high over both windows of a pair.
 type Alert struct {
 	Class string `json:"class"`
-	// Rate is the lower of the two windows' rates.
+	// Rate is the lower of the burn rates over the two windows.
 	Rate float64 `json:"rate"`
-	// EndsIn is when the budget of a whole period would be spent at this rate.
+	// BudgetExhaustedIn is the time in which this rate consumes the budget of a whole period.
 	BudgetExhaustedIn time.Duration `json:"ends_in"`
 }
 
-// Report computes burn rates and alerts for the objectives of a bundle.
+// Report returns the burn rate of each window and at most one alert per class, for the objectives of the classes.
 func Report(ws []Window, classes []bundle.Class) ([]WindowRate, []Alert) {
 	var rows []WindowRate
 	var alerts []Alert
@@ -171,10 +172,10 @@
 			rows = append(rows, r)
 		}
 		for _, p := range WindowPairs {
-			low := min(rates[p.Short], rates[p.Long])
-			if low >= p.AlertRate {
-				ends := time.Duration(float64(budgetPeriod) / low)
-				alerts = append(alerts, Alert{Class: cl.Name, Rate: low, BudgetExhaustedIn: ends})
+			lower := min(rates[p.Short], rates[p.Long])
+			if lower >= p.AlertRate {
+				exhaustedIn := time.Duration(float64(budgetPeriod) / lower)
+				alerts = append(alerts, Alert{Class: cl.Name, Rate: lower, BudgetExhaustedIn: exhaustedIn})
 				break
 			}
 		}
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -9,7 +9,7 @@
 	"github.com/silvermount/silvermount/internal/bundle"
 )
 
-func TestReport(t *testing.T) {
+func TestReportRatesAndAlerts(t *testing.T) {
 	classes := []bundle.Class{{Name: "call", Objective: bundle.Objective{Share: 0.99}}}
 	tests := map[string]struct {
 		missed, total int
@@ -17,10 +17,10 @@
 		wantRate      float64
 		wantAlert     bool
 	}{
-		"within budget":         {missed: 1, total: 100, wantRate: 1},
-		"fast burn":             {missed: 30, total: 100, wantRate: 30, wantAlert: true},
-		"slow pair still burns": {missed: 30, total: 100, age: 10 * time.Minute, wantRate: 0, wantAlert: true},
-		"burn is forgotten":     {missed: 30, total: 100, age: 7 * time.Hour, wantRate: 0},
+		"within budget":                      {missed: 1, total: 100, wantRate: 1},
+		"high burn rate":                     {missed: 30, total: 100, wantRate: 30, wantAlert: true},
+		"only the long windows still burn":   {missed: 30, total: 100, age: 10 * time.Minute, wantRate: 0, wantAlert: true},
+		"misses before the retention period": {missed: 30, total: 100, age: 7 * time.Hour, wantRate: 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -31,8 +31,8 @@
 				rc.Add("call", i < tc.missed)
 			}
 			now = now.Add(tc.age)
-			half := rc.Windows()
-			rows, alerts := Report(Merge(half, half), classes)
+			oneInstance := rc.Windows()
+			rows, alerts := Report(Merge(oneInstance, oneInstance), classes)
 			g.Expect(rows[0].Length).To(Equal(5 * time.Minute))
 			g.Expect(rows[0].Rate).To(BeNumerically("~", tc.wantRate, 1e-9))
 			g.Expect(alerts != nil).To(Equal(tc.wantAlert))
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestOldBucketsAreDropped(t *testing.T) {
+func TestExpiredBucketsAreRemoved(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(0, 0)
 	rc := New(func() time.Time { return now })
--- a/internal/burn/plot.go
+++ b/internal/burn/plot.go
@@ -13,7 +13,7 @@
 	barWidth   = 5 * vg.Millimeter
 )
 
-// Plot draws the burn rate of each class and window.
+// Plot writes a bar chart of the burn rate of each class and window to a file.
 func Plot(file string, rows []WindowRate) error {
 	p := plot.New()
 	p.Title.Text = "burn rate"
@@ -27,7 +27,7 @@
 	if len(rates) > 0 {
 		bars, err := plotter.NewBarChart(rates, barWidth)
 		if err != nil {
-			return errors.Wrap(err, "draw bars")
+			return errors.Wrap(err, "create bar chart")
 		}
 		p.Add(bars)
 		p.NominalX(names...)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo runs a whole small fleet in one process and sends it a burst of mixed prompts.
+// Package demo runs a small local fleet in one process and sends it a burst of short and long prompts.
 package demo
 
 import (
@@ -20,25 +20,25 @@
 	zones     = 3
 	engines   = 8
 	instances = 3
-	// longTokens is the length from which a prompt is left out of the comparison run.
+	// minLongTokens is the minimum length of long prompts, which the comparison run leaves out.
 	minLongTokens = 100_000
 	stopTimeout   = 10 * time.Second
 )
 
-// Options are those of the command.
+// Options are the options of the demo command.
 type Options struct {
-	// Out gets the table.
+	// Out receives the progress lines, the table and the summary.
 	Out io.Writer
-	// Log is used by the instances.
+	// Log receives the log lines of the instances.
 	Log log.Interface
-	// Keep, when set, is called with a base URL and returns when the demo shall end.
+	// KeepRunning, if set, is called after the measurement with the base URL of an instance. The fleet stops when it returns.
 	KeepRunning func(url string)
 }
 
-// WrongAnswerError says that an answer was missing or not the right one.
+// WrongAnswerError is returned if some answers are missing or incorrect.
 type WrongAnswerError struct{ Correct, Total int }
 
-// Error gives the counts.
+// Error includes the counts of correct and of all answers.
 func (we *WrongAnswerError) Error() string {
 	return fmt.Sprintf("%d of %d answers were whole and right", we.Correct, we.Total)
 }
@@ -49,12 +49,13 @@
 		MinLongTokens: minLongTokens, MaxLongTokens: 1_000_000, OutputTokens: 16, ShortClass: localfleet.ClassCall,
 		LongClass: localfleet.ClassBatch, Organisations: 1, Scale: timeScale,
 	})
-	// One prompt of a million tokens is always among them.
+	// The workload always includes one prompt of a million tokens.
 	million := load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 1_000_000, OutputTokens: 16, Index: len(all)}
 	return append(all, million)
 }
 
-// Run runs the demo.
+// Run sends the short prompts alone and then all prompts, and writes the slowdown of the short ones. It returns a WrongAnswerError
+// unless all answers of the second run are correct.
 func Run(ctx context.Context, o Options) error {
 	params := enginesim.DefaultParams()
 	params.Scale = timeScale
@@ -69,14 +70,14 @@
 		defer cancel()
 		lf.Close(ctx)
 	}()
-	t := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
-	t.Progress = func(done, all int) { fmt.Fprintf(o.Out, "  %d of %d answered\n", done, all) }
+	lo := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
+	lo.Progress = func(done, total int) { fmt.Fprintf(o.Out, "  %d of %d answered\n", done, total) }
 	all := arrivals()
 	fmt.Fprintf(o.Out, "%d engines, %d instances, %d availability zones; engine times divided by %d\n", engines, instances, zones, timeScale)
 	fmt.Fprintf(o.Out, "first the short prompts alone, then the same with the long ones\n")
-	without := load.Run(ctx, t, load.ShorterThan(all, minLongTokens))
-	with := load.Run(ctx, t, all)
-	if err := report(o.Out, with, without); err != nil {
+	withoutLong := load.Run(ctx, lo, load.ShorterThan(all, minLongTokens))
+	withLong := load.Run(ctx, lo, all)
+	if err := report(o.Out, withLong, withoutLong); err != nil {
 		return err
 	}
 	if o.KeepRunning != nil {
@@ -85,22 +86,22 @@
 	return nil
 }
 
-func report(w io.Writer, with, without []load.Result) error {
-	if err := load.WriteTable(w, load.Summarise(with)); err != nil {
+func report(w io.Writer, withLong, withoutLong []load.Result) error {
+	if err := load.WriteTable(w, load.Summarise(withLong)); err != nil {
 		return err
 	}
-	p50, p95, p99 := load.RatioPercentiles(load.Slowdowns(with, without))
+	p50, p95, p99 := load.RatioPercentiles(load.Slowdowns(withLong, withoutLong))
 	fmt.Fprintf(w, "slowdown of short prompts beside long ones: p50 %.2f, p95 %.2f, p99 %.2f\n", p50, p95, p99)
-	right := 0
-	for _, r := range with {
+	correct := 0
+	for _, r := range withLong {
 		if r.Correct {
-			right++
+			correct++
 			continue
 		}
 		fmt.Fprintf(w, "prompt of %d tokens: %d of %d tokens, %s %s after %s\n", r.PromptTokens, r.ReceivedTokens, r.OutputTokens, r.Code, r.Outcome, r.Total)
 	}
-	if right < len(with) {
-		return &WrongAnswerError{Correct: right, Total: len(with)}
+	if correct < len(withLong) {
+		return &WrongAnswerError{Correct: correct, Total: len(withLong)}
 	}
 	return nil
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,4 +1,4 @@
-// Package experiment measures routing policies against each other on the same arrivals.
+// Package experiment compares routing policies by running each of them on the same arrivals, with and without injected faults.
 package experiment
 
 import (
@@ -18,18 +18,19 @@
 	"github.com/silvermount/silvermount/internal/standin/enginesim"
 )
 
-// longTokens is the length from which a prompt is left out of the comparison run.
+// minLongTokens is the minimum length of long prompts, which the comparison runs leave out.
 const minLongTokens = 100_000
 
-// eventExtra is the time of an event besides the arrivals of the three runs: the fleet starts, and the first run ends.
+// eventMargin is how much longer an event lasts than the arrivals of the three runs, to cover the start of the fleet and the end
+// of the first run.
 const eventMargin = 3 * time.Second
 
 const stopTimeout = 5 * time.Second
 
-// Fault is something that goes wrong during a run.
+// Fault is a kind of fault that is injected during a run.
 type Fault string
 
-// The faults.
+// The faults that can be injected.
 const (
 	FaultNone            Fault = "none"
 	FaultStaleReports    Fault = "stale-reports"
@@ -39,20 +40,20 @@
 	FaultPlatformDown    Fault = "platform-down"
 )
 
-// Faults lists all faults.
+// Faults lists all faults, beginning with none.
 var Faults = []Fault{FaultNone, FaultStaleReports, FaultEngineKilled, FaultInstanceKilled, FaultZonePartitioned, FaultPlatformDown}
 
-// Preset is one users' fleet.
+// Preset is a predefined fleet with its workload.
 type Preset struct {
-	// Name is that of the fleet.
+	// Name selects the preset in Options.Fleets.
 	Name string
-	// Engines, Instances and Zones are its sizes.
+	// Engines, Instances and Zones are counts.
 	Engines, Instances, Zones int
-	// Mix is the load at an event's start.
+	// Workload describes the arrivals at the start of an event.
 	Workload load.Workload
 }
 
-// Presets are the users' fleets.
+// Presets are modelled on the fleets of the users.
 var Presets = []Preset{
 	{Name: "tywi", Engines: 20, Instances: 8, Zones: 3, Workload: load.Workload{
 		Rate: 40, Duration: 20 * time.Second, Burst: 40, LongShare: 0.02, MinShortTokens: 1_000, MaxShortTokens: 8_000,
@@ -66,61 +67,65 @@
 	}},
 }
 
-// Options select what is run.
+// Options select the combinations to run.
 type Options struct {
-	// Fleets, Policies and Faults are names; Seeds give the arrivals.
+	// Fleets and Policies are names of presets and routing policies. Each seed determines the arrivals of one run.
 	Fleets   []string
 	Policies []string
 	Faults   []Fault
 	Seeds    []uint64
-	// Scale divides engine times and the times of arrivals.
+	// Scale divides the processing times of engines and the times of arrivals.
 	Scale float64
-	// Instances, when set, replaces the preset's count: one instance knows everything in flight.
+	// Instances, if set, replaces the preset's count. A single instance knows of all requests in flight.
 	Instances int
-	// Events makes the bundle tell of the event that the arrivals are.
+	// AnnounceEvent adds an event to the bundle that announces the load of the short prompts.
 	AnnounceEvent bool
-	// LongShare, when set, replaces the default share of targets that take long prompts.
+	// LongShare, if set, replaces the default maximum share of targets that take long prompts.
 	LongShare float64
-	// Progress gets a line a run.
+	// Progress receives one line per run.
 	Progress io.Writer
-	// Log is used by the instances.
+	// Log receives the log lines of the instances.
 	Log log.Interface
 }
 
-// Cell is the outcome of one run.
+// Result is the outcome of one combination of fleet, policy, fault and seed, or the medians over several seeds.
 type Result struct {
 	Fleet  string `json:"fleet"`
 	Policy string `json:"policy"`
 	Fault  Fault  `json:"fault"`
 	Seed   uint64 `json:"seed"`
-	// SlowP50, SlowP95 and SlowP99 are the slowdown of short prompts beside long ones.
+	// SlowdownP50, SlowdownP95 and SlowdownP99 are percentiles of the slowdown of short prompts: the time to the first token with
+	// long prompts in the load, divided by that of the same request without them.
 	SlowdownP50 float64 `json:"slow_p50"`
 	SlowdownP95 float64 `json:"slow_p95"`
 	SlowdownP99 float64 `json:"slow_p99"`
-	// FloorP95 and FloorP99 are the same between two runs without long prompts: what chance alone gives.
+	// NoiseP95 and NoiseP99 are the same ratios between two runs that both lack long prompts, and thus show the variation by chance.
 	NoiseP95 float64 `json:"floor_p95"`
 	NoiseP99 float64 `json:"floor_p99"`
-	// RatioP95 and RatioP99 are the quantiles of the run with long prompts over those of the run without.
+	// PercentileRatioP95 and PercentileRatioP99 are percentiles of the time to the first token of short prompts in the run with
+	// long prompts, divided by the same percentiles of the run without them.
 	PercentileRatioP95 float64 `json:"ratio_p95"`
 	PercentileRatioP99 float64 `json:"ratio_p99"`
-	// IdleP50 and IdleP95 are the time to the first token over that on an idle target, all lengths.
+	// SlowdownVsIdleP50 and SlowdownVsIdleP95 are percentiles over prompts of all lengths of the time to the first token, divided
+	// by that on an idle target.
 	SlowdownVsIdleP50 float64 `json:"idle_p50"`
 	SlowdownVsIdleP95 float64 `json:"idle_p95"`
-	// ShortP99 is the time to the first token of short prompts, unscaled.
+	// ShortP99 is a percentile of the time to the first token of short prompts, converted back to unscaled time.
 	ShortP99 time.Duration `json:"short_p99"`
-	// LongP50 and LongP95 are of the long prompts' first tokens, unscaled.
+	// LongP50 and LongP95 are the same for long prompts.
 	LongP50 time.Duration `json:"long_p50"`
 	LongP95 time.Duration `json:"long_p95"`
-	// Requests, Right and Refused count; Late counts admitted requests without a whole answer.
+	// Requests is the sum of Correct, Refused and Incomplete. Incomplete counts the admitted requests without a complete and
+	// correct answer.
 	Requests   int `json:"requests"`
 	Correct    int `json:"right"`
 	Refused    int `json:"refused"`
 	Incomplete int `json:"late"`
 }
 
-// Run runs all combinations and returns a cell for each.
+// Run runs all combinations and returns a result for each. If a run fails, it returns the results so far with the error.
 func Run(ctx context.Context, o Options) ([]Result, error) {
-	var cells []Result
+	var results []Result
 	for _, p := range Presets {
 		if !slices.Contains(o.Fleets, p.Name) {
 			continue
@@ -128,24 +133,24 @@
 		for _, fault := range o.Faults {
 			for _, seed := range o.Seeds {
 				for _, name := range o.Policies {
-					c, err := runOne(ctx, o, p, name, fault, seed)
+					rs, err := runOne(ctx, o, p, name, fault, seed)
 					if err != nil {
-						return cells, err
+						return results, err
 					}
-					cells = append(cells, c)
+					results = append(results, rs)
 					fmt.Fprintf(o.Progress, "%s %s %s seed %d: short slowdown p95 %.2f p99 %.2f, right %d of %d\n",
-						p.Name, name, fault, seed, c.SlowdownP95, c.SlowdownP99, c.Correct, c.Requests)
+						p.Name, name, fault, seed, rs.SlowdownP95, rs.SlowdownP99, rs.Correct, rs.Requests)
 				}
 			}
 		}
 	}
-	return cells, nil
+	return results, nil
 }
 
 func runOne(ctx context.Context, o Options, p Preset, policy string, fault Fault, seed uint64) (Result, error) {
 	params := enginesim.DefaultParams()
 	params.Scale = o.Scale
-	// The second run sends the prompts of the first again; a cache would make it look faster than it is.
+	// All runs send the same prompts, so a prefix cache would make the later runs look faster than they are.
 	params.CacheBlocks = 0
 	if fault == FaultStaleReports {
 		params.ReportLag = 5 * time.Second
@@ -154,17 +159,17 @@
 	if o.Instances > 0 {
 		instances = o.Instances
 	}
-	cut := &zonePartition{}
-	mix := p.Workload
-	mix.Scale = o.Scale
-	all := load.Generate(seed, mix)
+	partition := &zonePartition{}
+	workload := p.Workload
+	workload.Scale = o.Scale
+	all := load.Generate(seed, workload)
 	b := localfleet.DefaultBundle()
 	if o.AnnounceEvent {
 		b.Events = []bundle.Event{eventFor(all)}
 	}
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: p.Zones, Engines: p.Engines, Instances: instances, EngineParams: params, Policy: policy, Log: o.Log,
-		ZoneLinkBlocked: cut.blocked, Bundle: &b,
+		ZoneLinkBlocked: partition.blocked, Bundle: &b,
 		AdjustSettings: func(s *config.Settings) {
 			if o.LongShare > 0 {
 				s.Routing.LongShare = o.LongShare
@@ -179,19 +184,19 @@
 		defer cancel()
 		lf.Close(ctx)
 	}()
-	t := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
-	without := load.Run(ctx, t, load.ShorterThan(all, minLongTokens))
-	again := load.Run(ctx, t, load.ShorterThan(all, minLongTokens))
-	undo := injectFault(ctx, lf, fault, cut, time.Duration(float64(mix.Duration)/o.Scale/3))
-	with := load.Run(ctx, t, all)
-	undo()
-	c := Result{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
-	_, c.NoiseP95, c.NoiseP99 = load.RatioPercentiles(load.Slowdowns(again, without))
-	return summarise(c, params, with, without), nil
+	lo := load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
+	withoutLong := load.Run(ctx, lo, load.ShorterThan(all, minLongTokens))
+	repeated := load.Run(ctx, lo, load.ShorterThan(all, minLongTokens))
+	endFault := injectFault(ctx, lf, fault, partition, time.Duration(float64(workload.Duration)/o.Scale/3))
+	withLong := load.Run(ctx, lo, all)
+	endFault()
+	rs := Result{Fleet: p.Name, Policy: policy, Fault: fault, Seed: seed}
+	_, rs.NoiseP95, rs.NoiseP99 = load.RatioPercentiles(load.Slowdowns(repeated, withoutLong))
+	return summarise(rs, params, withLong, withoutLong), nil
 }
 
-// event is what an operator who knows the arrivals would expect: the load of short prompts while they come. The runs with
-// and without long prompts both fall into it.
+// eventFor returns the event that an operator who knows the arrivals would announce: the load of the short prompts while they
+// arrive. The event lasts over the runs with and without long prompts.
 func eventFor(all []load.Arrival) bundle.Event {
 	tokens := 0
 	for _, a := range load.ShorterThan(all, minLongTokens) {
@@ -203,37 +208,37 @@
 	}
 }
 
-func summarise(c Result, params enginesim.Params, with, without []load.Result) Result {
-	c.SlowdownP50, c.SlowdownP95, c.SlowdownP99 = load.RatioPercentiles(load.Slowdowns(with, without))
-	var idle []float64
+func summarise(rs Result, params enginesim.Params, withLong, withoutLong []load.Result) Result {
+	rs.SlowdownP50, rs.SlowdownP95, rs.SlowdownP99 = load.RatioPercentiles(load.Slowdowns(withLong, withoutLong))
+	var vsIdle []float64
 	var short, long []time.Duration
-	for _, r := range with {
-		c.Requests++
+	for _, r := range withLong {
+		rs.Requests++
 		if r.Correct {
-			c.Correct++
+			rs.Correct++
 		} else if r.Outcome == "not_run" {
-			c.Refused++
+			rs.Refused++
 		} else {
-			c.Incomplete++
+			rs.Incomplete++
 		}
 		if r.FirstToken == 0 {
 			continue
 		}
-		idle = append(idle, float64(r.FirstToken)/float64(params.Alone(r.PromptTokens)))
-		real := time.Duration(float64(r.FirstToken) * params.Scale)
+		vsIdle = append(vsIdle, float64(r.FirstToken)/float64(params.Alone(r.PromptTokens)))
+		unscaled := time.Duration(float64(r.FirstToken) * params.Scale)
 		if r.PromptTokens >= minLongTokens {
-			long = append(long, real)
+			long = append(long, unscaled)
 		} else {
-			short = append(short, real)
+			short = append(short, unscaled)
 		}
 	}
-	base := firstTokens(without)
-	c.PercentileRatioP95 = rescaledRatio(load.Percentile(short, 95), load.Percentile(base, 95), params.Scale)
-	c.PercentileRatioP99 = rescaledRatio(load.Percentile(short, 99), load.Percentile(base, 99), params.Scale)
-	c.SlowdownVsIdleP50, c.SlowdownVsIdleP95, _ = load.RatioPercentiles(idle)
-	c.ShortP99 = load.Percentile(short, 99)
-	c.LongP50, c.LongP95 = load.Percentile(long, 50), load.Percentile(long, 95)
-	return c
+	base := firstTokens(withoutLong)
+	rs.PercentileRatioP95 = rescaledRatio(load.Percentile(short, 95), load.Percentile(base, 95), params.Scale)
+	rs.PercentileRatioP99 = rescaledRatio(load.Percentile(short, 99), load.Percentile(base, 99), params.Scale)
+	rs.SlowdownVsIdleP50, rs.SlowdownVsIdleP95, _ = load.RatioPercentiles(vsIdle)
+	rs.ShortP99 = load.Percentile(short, 99)
+	rs.LongP50, rs.LongP95 = load.Percentile(long, 50), load.Percentile(long, 95)
+	return rs
 }
 
 func firstTokens(results []load.Result) []time.Duration {
@@ -246,25 +251,26 @@
 	return times
 }
 
-// over returns an unscaled time over a scaled one.
+// rescaledRatio returns an unscaled time divided by a scaled one, after it has converted the latter to unscaled time.
 func rescaledRatio(unscaled, scaled time.Duration, scale float64) float64 {
 	return float64(unscaled) / (float64(max(1, scaled)) * scale)
 }
 
-// Medians returns a row for each fleet, fault and policy, in the order in which they were run.
-func Medians(cells []Result) []Result {
+// Medians returns one row with the medians over all seeds for each combination of fleet, fault and policy, in the order in which
+// they were run. The counts of requests are summed.
+func Medians(results []Result) []Result {
 	type key struct {
 		fleet, policy string
 		fault         Fault
 	}
 	var order []key
 	groups := map[key][]Result{}
-	for _, c := range cells {
-		k := key{c.Fleet, c.Policy, c.Fault}
+	for _, rs := range results {
+		k := key{rs.Fleet, rs.Policy, rs.Fault}
 		if groups[k] == nil {
 			order = append(order, k)
 		}
-		groups[k] = append(groups[k], c)
+		groups[k] = append(groups[k], rs)
 	}
 	var rows []Result
 	for _, k := range order {
@@ -275,35 +281,36 @@
 
 func medianOf(group []Result) Result {
 	m := group[0]
-	number := func(f func(Result) float64) float64 {
+	medianNumber := func(f func(Result) float64) float64 {
 		vs := make([]float64, len(group))
-		for i, c := range group {
-			vs[i] = f(c)
+		for i, rs := range group {
+			vs[i] = f(rs)
 		}
 		slices.Sort(vs)
 		return vs[len(vs)/2]
 	}
-	span := func(f func(Result) time.Duration) time.Duration {
-		return time.Duration(number(func(c Result) float64 { return float64(f(c)) }))
+	medianDuration := func(f func(Result) time.Duration) time.Duration {
+		return time.Duration(medianNumber(func(rs Result) float64 { return float64(f(rs)) }))
 	}
-	m.SlowdownP50, m.SlowdownP95 = number(func(c Result) float64 { return c.SlowdownP50 }), number(func(c Result) float64 { return c.SlowdownP95 })
-	m.NoiseP95, m.NoiseP99 = number(func(c Result) float64 { return c.NoiseP95 }), number(func(c Result) float64 { return c.NoiseP99 })
-	m.PercentileRatioP95, m.PercentileRatioP99 = number(func(c Result) float64 { return c.PercentileRatioP95 }), number(func(c Result) float64 { return c.PercentileRatioP99 })
-	m.SlowdownP99 = number(func(c Result) float64 { return c.SlowdownP99 })
-	m.SlowdownVsIdleP50, m.SlowdownVsIdleP95 = number(func(c Result) float64 { return c.SlowdownVsIdleP50 }), number(func(c Result) float64 { return c.SlowdownVsIdleP95 })
-	m.ShortP99 = span(func(c Result) time.Duration { return c.ShortP99 })
-	m.LongP50, m.LongP95 = span(func(c Result) time.Duration { return c.LongP50 }), span(func(c Result) time.Duration { return c.LongP95 })
+	m.SlowdownP50, m.SlowdownP95 = medianNumber(func(rs Result) float64 { return rs.SlowdownP50 }), medianNumber(func(rs Result) float64 { return rs.SlowdownP95 })
+	m.NoiseP95, m.NoiseP99 = medianNumber(func(rs Result) float64 { return rs.NoiseP95 }), medianNumber(func(rs Result) float64 { return rs.NoiseP99 })
+	m.PercentileRatioP95, m.PercentileRatioP99 = medianNumber(func(rs Result) float64 { return rs.PercentileRatioP95 }), medianNumber(func(rs Result) float64 { return rs.PercentileRatioP99 })
+	m.SlowdownP99 = medianNumber(func(rs Result) float64 { return rs.SlowdownP99 })
+	m.SlowdownVsIdleP50, m.SlowdownVsIdleP95 = medianNumber(func(rs Result) float64 { return rs.SlowdownVsIdleP50 }), medianNumber(func(rs Result) float64 { return rs.SlowdownVsIdleP95 })
+	m.ShortP99 = medianDuration(func(rs Result) time.Duration { return rs.ShortP99 })
+	m.LongP50, m.LongP95 = medianDuration(func(rs Result) time.Duration { return rs.LongP50 }), medianDuration(func(rs Result) time.Duration { return rs.LongP95 })
 	m.Requests, m.Correct, m.Refused, m.Incomplete = 0, 0, 0, 0
-	for _, c := range group {
-		m.Requests += c.Requests
-		m.Correct += c.Correct
-		m.Refused += c.Refused
-		m.Incomplete += c.Incomplete
+	for _, rs := range group {
+		m.Requests += rs.Requests
+		m.Correct += rs.Correct
+		m.Refused += rs.Refused
+		m.Incomplete += rs.Incomplete
 	}
 	return m
 }
 
-// WriteTable writes the medians with the short p99 against the first policy of the same fleet and fault.
+// WriteTable writes the medians as a Markdown table. The column "times better" divides ShortP99 of the first policy with the same
+// fleet and fault by that of the row.
 func WriteTable(w io.Writer, rows []Result) error {
 	tw := tabwriter.NewWriter(w, 0, 0, 1, ' ', 0)
 	fmt.Fprintln(tw, "| fleet\t| fault\t| policy\t| slowdown p50\t| p95\t| p99\t| floor p95\t| p99\t| quantiles p95\t| p99\t| short p99\t| times better\t| over idle p50\t| p95\t| long p50\t| long p95\t| right\t| refused\t| late\t|")
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -8,10 +8,10 @@
 	"github.com/silvermount/silvermount/internal/localfleet"
 )
 
-// cutZone is the availability zone that is cut off.
+// partitionedZone is the availability zone that FaultZonePartitioned cuts off from the others.
 const partitionedZone = "a"
 
-// cutter cuts the links between one availability zone and the others.
+// zonePartition blocks the peer links between partitionedZone and the other availability zones while it is active.
 type zonePartition struct {
 	active atomic.Bool
 }
@@ -20,17 +20,18 @@
 	return zp.active.Load() && (from == partitionedZone) != (to == partitionedZone)
 }
 
-// inject makes a fault happen after a delay. The function returned ends it.
-func injectFault(ctx context.Context, lf *localfleet.Fleet, f Fault, cut *zonePartition, after time.Duration) func() {
+// injectFault injects a fault after a delay. The returned function ends the fault, except that a killed engine or instance stays
+// down.
+func injectFault(ctx context.Context, lf *localfleet.Fleet, f Fault, partition *zonePartition, after time.Duration) func() {
 	timer := time.AfterFunc(after, func() {
 		switch f {
 		case FaultEngineKilled:
 			lf.Engines[0].Kill()
 		case FaultInstanceKilled:
-			// Callers of the killed instance go to another by the balancer, which is not part of this.
+			// The instance is marked as stopping only, since there is no load balancer here that would send its callers elsewhere.
 			lf.Instances[len(lf.Instances)-1].Env().Stopping.Store(true)
 		case FaultZonePartitioned:
-			cut.active.Store(true)
+			partition.active.Store(true)
 		case FaultPlatformDown:
 			lf.Store.SetDown(true)
 		case FaultNone, FaultStaleReports:
@@ -38,7 +39,7 @@
 	})
 	return func() {
 		timer.Stop()
-		cut.active.Store(false)
+		partition.active.Store(false)
 		lf.Store.SetDown(false)
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -14,7 +14,7 @@
 	barWidth   = 12 * vg.Millimeter / 2
 )
 
-// Plot draws the slowdown of short prompts for each policy.
+// Plot writes a bar chart of the slowdown of short prompts for each row to a file.
 func Plot(file string, rows []Result) error {
 	p := plot.New()
 	p.Title.Text = "slowdown of short prompts beside long ones"
@@ -30,17 +30,17 @@
 		p50, p95, p99 = append(p50, r.SlowdownP50), append(p95, r.SlowdownP95), append(p99, r.SlowdownP99)
 	}
 	for i, s := range []struct {
-		label  string
+		name   string
 		values plotter.Values
 	}{{"p50", p50}, {"p95", p95}, {"p99", p99}} {
 		bars, err := plotter.NewBarChart(s.values, barWidth)
 		if err != nil {
-			return errors.Wrap(err, "draw bars")
+			return errors.Wrap(err, "create bar chart")
 		}
 		bars.Color = plotutil.Color(i)
 		bars.Offset = barWidth * vg.Length(i-1)
 		p.Add(bars)
-		p.Legend.Add(s.label, bars)
+		p.Legend.Add(s.name, bars)
 	}
 	p.Legend.Top = true
 	p.NominalX(names...)
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -287,8 +287,8 @@
 				live++
 			}
 		}
-		vw := fl.Candidates(fleet.Filter{Model: Model})
-		if live < len(lf.Instances)-1 || len(vw.NeedsProbe) > 0 {
+		cs := fl.Candidates(fleet.Filter{Model: Model})
+		if live < len(lf.Instances)-1 || len(cs.NeedsProbe) > 0 {
 			return false
 		}
 	}
