--- a/internal/burn/plot.go
+++ b/internal/burn/plot.go
@@ -27,7 +27,7 @@
 	if len(rates) > 0 {
 		bars, err := plotter.NewBarChart(rates, barWidth)
 		if err != nil {
-			return errors.Wrap(err, "create bar chart")
+			return errors.Wrap(err, "draw bars")
 		}
 		p.Add(bars)
 		p.NominalX(names...)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine is the client of one model engine.
+// Package engine provides a client for the HTTP API of a model engine.
 package engine
 
 import (
@@ -13,119 +13,122 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The headers that travel with an attempt.
+// The headers of an attempt and of its response.
 const (
 	HeaderAttempt  = "Silvermount-Attempt"
 	HeaderHolder   = "X-Holder"
 	HeaderDeadline = "Silvermount-Deadline-Ms"
 	HeaderPriority = "X-Priority"
 	HeaderBorrowed = "X-Borrowed-Tokens"
-	// HeaderNotStarted is set by an engine that refuses an attempt before starting it.
+	// HeaderNotStarted is set in the response by an engine that refuses an attempt before it starts it.
 	HeaderNotStarted = "X-Not-Started"
 )
 
-// BytesPerToken is the estimate by which prompts are measured before an engine has counted them.
+// BytesPerToken is the assumed size of a token, for estimates of prompt lengths before an engine has counted the tokens.
 const BytesPerToken = 4
 
-// Report is an engine's load, which lags behind what it does.
+// Report is the load that an engine reports. It lags behind the engine's present state.
 type Report struct {
-	// Incarnation is unique to one run of the engine.
+	// Incarnation is unique to one run of the engine's process.
 	Incarnation string `json:"incarnation"`
-	// Leaving is set once the engine is asked to stop; it is never taken back.
+	// Leaving is set once the engine has been asked to stop. It is never reset within one incarnation.
 	Leaving bool `json:"leaving"`
-	// Running and Queued count sequences.
+	// Running and Queued are numbers of sequences.
 	Running int `json:"running"`
 	Queued  int `json:"queued"`
-	// PrefillTokens are the prompt tokens not yet computed, over all sequences.
+	// PrefillTokens is the number of prompt tokens that are still to be prefilled, over all sequences.
 	PrefillTokens int `json:"prefill_tokens"`
-	// MemoryUsed and MemoryTotal are tokens of KV memory.
+	// MemoryUsed and MemoryTotal are amounts of KV cache memory, in tokens.
 	MemoryUsed  int `json:"memory_used"`
 	MemoryTotal int `json:"memory_total"`
-	// PrefillRate is tokens a second while prefilling.
+	// PrefillRate is in tokens per second while the engine prefills.
 	PrefillRate float64 `json:"prefill_rate"`
-	// Models are loaded now.
+	// Models are the models that are loaded at present.
 	Models []string `json:"models"`
 }
 
-// Held is one sequence or room that an engine holds memory for.
+// MemoryHold is the memory that an engine holds for one running sequence or one reservation.
 type MemoryHold struct {
-	// Attempt is the attempt's id.
+	// Attempt is the id of the attempt.
 	Attempt string `json:"attempt"`
-	// Holder is the incarnation of the instance that started it.
+	// Holder is the incarnation of the instance that started the attempt.
 	Holder string `json:"holder"`
-	// LeftMillis is the time to its deadline; negative once past.
+	// RemainingMillis is the time to the attempt's deadline. It is negative after the deadline.
 	RemainingMillis int64 `json:"left_ms"`
-	// Tokens is the memory it takes.
+	// Tokens is the amount of memory held, in tokens.
 	Tokens int `json:"tokens"`
 }
 
-// Attempt is one call of an engine.
+// Attempt is one call of an engine for a request. Each retry is a new attempt.
 type Attempt struct {
 	// ID is unique to the attempt.
 	ID string
 	// Holder is the incarnation of the calling instance.
 	Holder string
-	// Path is the engine's path, such as /v1/completions.
+	// Path is the path of the engine's URL, such as /v1/completions.
 	Path string
-	// Body is sent as it is.
+	// Body is the request body. It is sent unchanged.
 	Body []byte
 	// Priority is higher for more urgent work.
 	Priority int
-	// Left is the time to the deadline.
+	// Remaining is the time to the deadline.
 	Remaining time.Duration
-	// Fresh asks for a new connection, so that a broken idle one cannot leave the outcome unknown.
+	// NewConnection makes the client open a new connection. A reused idle connection may be broken, and the outcome of the attempt
+	// would then be unknown.
 	NewConnection bool
-	// Borrowed is the memory in tokens reserved on other engines; zero for prompts that fit on one.
+	// BorrowedTokens is the amount of memory reserved on other engines, in tokens. It is zero for prompts that fit on one engine.
 	BorrowedTokens int
 }
 
-// Order states which models an engine is to have loaded.
+// Order tells an engine which models to load.
 type Order struct {
-	// Epoch and Sequence order the orders; an engine that checks fences refuses older ones.
+	// Epoch and Sequence are the fencing token of the order, compared in this order. An engine that checks them refuses orders
+	// that are older than the last one it applied.
 	Epoch    int64 `json:"epoch"`
 	Sequence int64 `json:"sequence"`
-	// Models is the wanted end state.
+	// Models is the complete set of models to have loaded.
 	Models []string `json:"models"`
 }
 
-// StatusError is an answer of an engine other than 200.
+// StatusError is returned if an engine answers with a status other than 200.
 type StatusError struct {
 	// Status is the HTTP status.
 	Status int
-	// NotStarted is true when the engine said that it did not start the attempt.
+	// NotStarted is true if the engine stated that it did not start the attempt.
 	NotStarted bool
 }
 
-// Error gives the status.
+// Error includes the status.
 func (se *StatusError) Error() string { return "engine answered status " + strconv.Itoa(se.Status) }
 
-// NeverConnected reports whether nothing can have been written, since there was no connection.
+// IsDialError reports whether a call failed because no connection was made. Nothing can have been sent in that case.
 func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Client calls one engine. Its function fields are the seams for another published protocol.
+// Client calls one engine. Its functions are fields, so that a client for another engine protocol can be put in its place.
 type Client struct {
-	// Start sends an attempt and returns the answer once its headers are there.
+	// Start sends an attempt and returns the response as soon as its header has arrived.
 	Start func(ctx context.Context, at Attempt) (*http.Response, error)
-	// Resume returns the stream of an attempt after the first tokens.
+	// Resume returns the rest of the token stream of an attempt, after the given number of tokens.
 	Resume func(ctx context.Context, id string, from int) (*http.Response, error)
-	// Cancel ends an attempt and frees its memory.
+	// Cancel cancels an attempt and frees its memory.
 	Cancel func(ctx context.Context, id string) error
-	// Report returns the load.
+	// Report returns the engine's load.
 	Report func(ctx context.Context) (Report, error)
-	// Held lists what takes memory.
+	// ListMemoryHolds returns the memory holds of the engine.
 	ListMemoryHolds func(ctx context.Context) ([]MemoryHold, error)
-	// Reserve takes memory for part of a prompt that is larger than one engine.
-	Reserve func(ctx context.Context, room MemoryHold) error
+	// Reserve reserves memory for a part of a prompt that does not fit on one engine.
+	Reserve func(ctx context.Context, hold MemoryHold) error
 	// Order tells the engine which models to load.
 	Order func(ctx context.Context, o Order) error
 }
 
-// New returns a client of the engine at base that speaks HTTP. fresh opens a connection for each call.
-func New(base string, hc, fresh *http.Client) *Client {
-	cl := &httpClient{base: base, http: hc, newConnHTTP: fresh}
+// New returns an HTTP client for the engine at the base URL. newConn is used for attempts that need a new connection and must not
+// reuse connections.
+func New(base string, hc, newConn *http.Client) *Client {
+	cl := &httpClient{base: base, http: hc, newConnHTTP: newConn}
 	return &Client{
 		Start: cl.start, Resume: cl.resume, Cancel: cl.cancel,
 		Report: cl.report, ListMemoryHolds: cl.listMemoryHolds, Reserve: cl.reserve, Order: cl.order,
@@ -141,9 +144,9 @@
 func (hc *httpClient) start(ctx context.Context, at Attempt) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, hc.base+at.Path, bytes.NewReader(at.Body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create engine request")
 	}
-	// Without GetBody the transport cannot send the attempt a second time by itself.
+	// Without GetBody, the transport cannot resend the attempt by itself, which could run it twice.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderAttempt, at.ID)
@@ -181,8 +184,8 @@
 	return h, hc.getJSON(ctx, "/control/held", &h)
 }
 
-func (hc *httpClient) reserve(ctx context.Context, room MemoryHold) error {
-	resp, err := hc.call(ctx, http.MethodPost, "/control/room", room)
+func (hc *httpClient) reserve(ctx context.Context, hold MemoryHold) error {
+	resp, err := hc.call(ctx, http.MethodPost, "/control/room", hold)
 	if err != nil {
 		return err
 	}
@@ -203,17 +206,17 @@
 		return err
 	}
 	defer resp.Body.Close()
-	return errors.Wrap(json.NewDecoder(resp.Body).Decode(into), "decode engine answer")
+	return errors.Wrap(json.NewDecoder(resp.Body).Decode(into), "decode engine response")
 }
 
 func (hc *httpClient) call(ctx context.Context, method, path string, body any) (*http.Response, error) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		return nil, errors.Wrap(err, "encode engine call")
+		return nil, errors.Wrap(err, "encode engine request")
 	}
 	req, err := http.NewRequestWithContext(ctx, method, hc.base+path, bytes.NewReader(b))
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create engine request")
 	}
 	return do(hc.http, req)
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -35,7 +35,7 @@
 	}{{"p50", p50}, {"p95", p95}, {"p99", p99}} {
 		bars, err := plotter.NewBarChart(s.values, barWidth)
 		if err != nil {
-			return errors.Wrap(err, "create bar chart")
+			return errors.Wrap(err, "draw bars")
 		}
 		bars.Color = plotutil.Color(i)
 		bars.Offset = barWidth * vg.Length(i-1)
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,4 +1,4 @@
-// Package ops asks instances for what operators want to see.
+// Package ops provides a client that calls the operators' API of all instances.
 package ops
 
 import (
@@ -19,40 +19,40 @@
 
 const callTimeout = 2 * time.Second
 
-// StatusError is an answer other than 200.
+// StatusError is returned if an instance answers with a status other than 200.
 type StatusError struct{ Status int }
 
-// Error gives the status.
+// Error includes the status.
 func (se *StatusError) Error() string { return "instance answered status " + strconv.Itoa(se.Status) }
 
-// Client asks all instances that the platform lists.
+// Client calls all instances that are registered in the platform's store.
 type Client struct {
 	store *objectstore.Client
 	key   string
 }
 
-// New returns a client that presents the operators' key.
+// New returns a client that authenticates with the operators' key.
 func New(store *objectstore.Client, key string) *Client { return &Client{store: store, key: key} }
 
-// Reply is what one instance answered.
+// Reply is the answer of one instance.
 type Reply[T any] struct {
 	Instance fleet.Instance
 	Value    T
-	// Err is set when the instance could not be asked: it may be cut off, or gone.
+	// Err is set if the call failed, for example because the instance is unreachable or has stopped.
 	Err error
 }
 
-// Statuses asks every instance for its status.
+// Statuses returns the status of every instance.
 func (cl *Client) Statuses(ctx context.Context) ([]Reply[operators.Status], error) {
 	return queryAll[operators.Status](ctx, cl, http.MethodGet, "/status")
 }
 
-// Burn asks every instance for its counts.
+// BurnWindows returns the counts of missed objectives of every instance.
 func (cl *Client) BurnWindows(ctx context.Context) ([]Reply[[]burn.Window], error) {
 	return queryAll[[]burn.Window](ctx, cl, http.MethodGet, "/burn")
 }
 
-// Prepare asks every instance to fetch and check a pushed bundle, without putting it in force.
+// Prepare makes every instance fetch and check a pushed bundle, without putting it in force.
 func (cl *Client) Prepare(ctx context.Context, version int64) ([]Reply[operators.PrepareResult], error) {
 	return queryAll[operators.PrepareResult](ctx, cl, http.MethodPost, "/prepare/"+strconv.FormatInt(version, 10))
 }
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -1,4 +1,5 @@
-// Package slopes measures how the cost of control grows with the size of the fleet.
+// Package slopes measures how the cost of the control plane grows with the size of the fleet, the rate of requests and the size of
+// the bundle.
 package slopes
 
 import (
@@ -29,27 +30,29 @@
 	settleTime  = 500 * time.Millisecond
 	measureTime = 4 * time.Second
 	stopTimeout = 10 * time.Second
-	// longTokens is the length from which a prompt is long.
+	// minLongTokens is the minimum length of long prompts.
 	minLongTokens = 100_000
 )
 
-// Point is the cost of control per instance for one size of fleet, without requests.
+// FleetCost is the cost of the control plane per instance for one size of fleet that serves no requests.
 type FleetCost struct {
 	Instances int `json:"instances"`
 	Targets   int `json:"targets"`
-	// MessagesPerSecond and BytesPerSecond are sent by one instance to its peers.
+	// MessagesPerSecond and BytesPerSecond are what one instance sends to its peers.
 	MessagesPerSecond float64 `json:"messages_per_second"`
 	BytesPerSecond    float64 `json:"bytes_per_second"`
-	// CoreShare is the processor time of one instance, its share of the stand-ins included, as a share of a core.
+	// CoreShare is the CPU time of one instance as a fraction of one core. It includes an equal share of the CPU time of the
+	// simulated store and targets.
 	CoreShare float64 `json:"core_share"`
-	// HeapBytes is the heap of one instance, its share of the stand-ins included.
+	// HeapBytes is the heap and stack memory of one instance. It includes an equal share of that of the simulated store and
+	// targets.
 	HeapBytes float64 `json:"heap_bytes"`
-	// StoreReads and StoreWrites are a second for one instance.
+	// StoreReads and StoreWrites are calls per second of one instance.
 	StoreReads  float64 `json:"store_reads_per_second"`
 	StoreWrites float64 `json:"store_writes_per_second"`
 }
 
-// Requests is the cost of serving for one rate.
+// RequestCost is the peer traffic of one instance for one rate of requests, and the number of requests served correctly.
 type RequestCost struct {
 	RequestsPerSecond float64 `json:"requests_per_second"`
 	MessagesPerSecond float64 `json:"messages_per_second"`
@@ -57,7 +60,7 @@
 	Served            int     `json:"served"`
 }
 
-// Latency is the time of short requests on an idle engine, with and without an instance between.
+// Latency is the time to the first token of short requests on an idle engine, when sent to it directly and through an instance.
 type Latency struct {
 	DirectP50      time.Duration `json:"direct_p50"`
 	DirectP99      time.Duration `json:"direct_p99"`
@@ -65,24 +68,24 @@
 	ViaInstanceP99 time.Duration `json:"entry_p99"`
 }
 
-// Decision is the time of one routing decision.
+// DecisionTime is the mean duration of one routing decision for one size of fleet.
 type DecisionTime struct {
 	Targets  int           `json:"targets"`
 	Peers    int           `json:"peers"`
 	Duration time.Duration `json:"decision"`
 }
 
-// Bundle is the size of a bundle, and the time to take it in.
+// BundleCost is the size of a bundle and the time to parse it.
 type BundleCost struct {
 	Organisations int `json:"organisations"`
-	// Bytes is the whole bundle; ChangeBytes is what is read again when one organisation changes.
+	// Bytes is the size of the whole bundle. ChangeBytes is how much an instance reads again after one organisation has changed.
 	Bytes       int `json:"bytes"`
 	ChangeBytes int `json:"change_bytes"`
-	// Parse is the time to take the whole bundle in.
+	// ParseTime is the time to parse and check the whole bundle.
 	ParseTime time.Duration `json:"parse"`
 }
 
-// Report is all that was measured.
+// Report contains all measurements.
 type Report struct {
 	FleetCosts    []FleetCost    `json:"points"`
 	RequestCosts  []RequestCost  `json:"requests"`
@@ -93,33 +96,33 @@
 
 // Options select what is measured.
 type Options struct {
-	// Instances are the sizes of fleet.
+	// Instances are the sizes of fleet to measure, in instances.
 	Instances []int
-	// Progress gets a line for each figure.
+	// Progress receives a line for each measurement.
 	Progress io.Writer
-	// Log is used by the instances.
+	// Log receives the log lines of the instances.
 	Log log.Interface
 }
 
-// Run measures everything.
+// Run takes all measurements. If one fails, it returns those so far with the error.
 func Run(ctx context.Context, o Options) (Report, error) {
 	var rp Report
 	for _, n := range o.Instances {
-		p, err := measureFleet(ctx, o, n)
+		fc, err := measureFleet(ctx, o, n)
 		if err != nil {
 			return rp, errors.Wrapf(err, "measure %d instances", n)
 		}
-		rp.FleetCosts = append(rp.FleetCosts, p)
+		rp.FleetCosts = append(rp.FleetCosts, fc)
 		fmt.Fprintf(o.Progress, "%d instances, %d targets: %.0f messages/s, %.0f bytes/s, %.2f%% of a core, %.1f MB, %.2f reads/s, %.3f writes/s each\n",
-			p.Instances, p.Targets, p.MessagesPerSecond, p.BytesPerSecond, 100*p.CoreShare, p.HeapBytes/1e6, p.StoreReads, p.StoreWrites)
+			fc.Instances, fc.Targets, fc.MessagesPerSecond, fc.BytesPerSecond, 100*fc.CoreShare, fc.HeapBytes/1e6, fc.StoreReads, fc.StoreWrites)
 	}
 	for _, rate := range []float64{50, 100, 200, 400} {
-		r, err := measureRequests(ctx, o, rate)
+		rc, err := measureRequests(ctx, o, rate)
 		if err != nil {
 			return rp, errors.Wrap(err, "measure requests")
 		}
-		rp.RequestCosts = append(rp.RequestCosts, r)
-		fmt.Fprintf(o.Progress, "%.0f requests/s over 8 instances: %.0f messages/s, %.0f bytes/s each\n", r.RequestsPerSecond, r.MessagesPerSecond, r.BytesPerSecond)
+		rp.RequestCosts = append(rp.RequestCosts, rc)
+		fmt.Fprintf(o.Progress, "%.0f requests/s over 8 instances: %.0f messages/s, %.0f bytes/s each\n", rc.RequestsPerSecond, rc.MessagesPerSecond, rc.BytesPerSecond)
 	}
 	var err error
 	if rp.Latency, err = measureLatency(ctx, o); err != nil {
@@ -138,39 +141,40 @@
 	return rp, err
 }
 
-// defaults gives an instance the heartbeats of a real fleet instead of a test's.
+// useProductionIntervals replaces the short intervals for tests by the defaults for heartbeats and reports, and by a registration
+// interval of 5 s.
 func useProductionIntervals(s *config.Settings) {
 	s.Peers.Heartbeat, s.Routing.ReportEvery = 0, 0
 	s.Platform.Registration = config.Duration(5 * time.Second)
 }
 
 func measureFleet(ctx context.Context, o Options, n int) (FleetCost, error) {
-	p := FleetCost{Instances: n, Targets: 4 * n}
+	fc := FleetCost{Instances: n, Targets: 4 * n}
 	runtime.GC()
 	heapBefore := heapBytes()
-	// One availability zone, so that every pair exchanges at the full rate.
+	// With one availability zone, every pair of instances exchanges heartbeats at the full rate.
 	lf, err := localfleet.Start(ctx, localfleet.Options{
-		Zones: 1, Engines: p.Targets, Instances: n, EngineParams: enginesim.DefaultParams(), Log: o.Log, AdjustSettings: useProductionIntervals,
+		Zones: 1, Engines: fc.Targets, Instances: n, EngineParams: enginesim.DefaultParams(), Log: o.Log, AdjustSettings: useProductionIntervals,
 	})
 	if err != nil {
-		return p, err
+		return fc, err
 	}
 	defer closeFleet(ctx, lf)
 	time.Sleep(settleTime)
 	before := peerTraffic(lf)
-	beforeReads, beforeWrites := lf.Store.Calls()
-	cpu, began := cpuTime(), time.Now()
+	readsBefore, writesBefore := lf.Store.Calls()
+	cpuBefore, began := cpuTime(), time.Now()
 	time.Sleep(measureTime)
 	took := time.Since(began).Seconds()
-	p.CoreShare = (cpuTime() - cpu).Seconds() / took / float64(n)
+	fc.CoreShare = (cpuTime() - cpuBefore).Seconds() / took / float64(n)
 	after := peerTraffic(lf)
-	p.MessagesPerSecond, p.BytesPerSecond = after.sub(before).perInstance(took, n)
+	fc.MessagesPerSecond, fc.BytesPerSecond = after.sub(before).perInstance(took, n)
 	reads, writes := lf.Store.Calls()
-	p.StoreReads = float64(reads-beforeReads) / took / float64(n)
-	p.StoreWrites = float64(writes-beforeWrites) / took / float64(n)
+	fc.StoreReads = float64(reads-readsBefore) / took / float64(n)
+	fc.StoreWrites = float64(writes-writesBefore) / took / float64(n)
 	runtime.GC()
-	p.HeapBytes = (heapBytes() - heapBefore) / float64(n)
-	return p, nil
+	fc.HeapBytes = (heapBytes() - heapBefore) / float64(n)
+	return fc, nil
 }
 
 type traffic struct{ messages, bytes int64 }
@@ -214,11 +218,12 @@
 	lf.Close(ctx)
 }
 
-// requests measures what short requests add to the messages between instances, at half the engines' speed.
+// measureRequests measures the traffic between eight instances while they serve short requests at a rate. The engines run at 20
+// times their default speed.
 func measureRequests(ctx context.Context, o Options, rate float64) (RequestCost, error) {
-	const instances, seconds, speed = 8, 4, 20
+	const instances, seconds, scale = 8, 4, 20
 	params := enginesim.DefaultParams()
-	params.Scale, params.CacheBlocks = speed, 0
+	params.Scale, params.CacheBlocks = scale, 0
 	lf, err := localfleet.Start(ctx, localfleet.Options{
 		Zones: 1, Engines: 20, Instances: instances, EngineParams: params, Log: o.Log, AdjustSettings: useProductionIntervals,
 	})
@@ -233,17 +238,17 @@
 	before, began := peerTraffic(lf), time.Now()
 	results := load.Run(ctx, load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: 1}, arrivals)
 	took := time.Since(began).Seconds()
-	r := RequestCost{RequestsPerSecond: rate}
-	r.MessagesPerSecond, r.BytesPerSecond = peerTraffic(lf).sub(before).perInstance(took, instances)
+	rc := RequestCost{RequestsPerSecond: rate}
+	rc.MessagesPerSecond, rc.BytesPerSecond = peerTraffic(lf).sub(before).perInstance(took, instances)
 	for _, res := range results {
 		if res.Correct {
-			r.Served++
+			rc.Served++
 		}
 	}
-	return r, nil
+	return rc, nil
 }
 
-// latency compares short requests sent straight to an engine with the same by an instance.
+// measureLatency compares short requests that are sent directly to an engine with the same requests through an instance.
 func measureLatency(ctx context.Context, o Options) (Latency, error) {
 	params := enginesim.DefaultParams()
 	params.Scale, params.CacheBlocks = 100, 0
@@ -271,7 +276,8 @@
 	return lt, nil
 }
 
-// decisions times the view of the fleet and the choice, at today's size and at that of one availability zone in two years.
+// measureDecisions measures the time to list the candidates and to choose one of them. The sizes are those of the present fleet, of
+// one availability zone as expected in two years, and of seven such zones.
 func measureDecisions() []DecisionTime {
 	const rounds = 300
 	p, err := policy.ByName(owners.Name)
@@ -292,11 +298,11 @@
 			fl.ApplyHeartbeat(fleet.Heartbeat{Sender: fleet.Instance{Name: fmt.Sprintf("entry-%03d", i), AvailabilityZone: zoneName(i, size)}})
 		}
 		began := time.Now()
-		for turn := range rounds {
-			vw := fl.Candidates(fleet.Filter{Model: "m", IncludePeerLoad: true, OwnedOnly: turn%2 == 0})
-			if len(vw.Candidates) > 0 {
+		for i := range rounds {
+			cs := fl.Candidates(fleet.Filter{Model: "m", IncludePeerLoad: true, OwnedOnly: i%2 == 0})
+			if len(cs.Candidates) > 0 {
 				p.Choose(policy.Input{
-					Prompt: policy.Prompt{Tokens: 2000}, Candidates: vw.Candidates, Sequence: uint64(turn), Limits: policy.Limits{MaxLongTargetShare: 0.4},
+					Prompt: policy.Prompt{Tokens: 2000}, Candidates: cs.Candidates, Sequence: uint64(i), Limits: policy.Limits{MaxLongTargetShare: 0.4},
 				})
 			}
 		}
@@ -306,7 +312,7 @@
 	return all
 }
 
-// zoneOf spreads the largest size over seven availability zones.
+// zoneName spreads fleets of 100 peers or more over seven availability zones, and puts smaller ones into one.
 func zoneName(i int, size DecisionTime) string {
 	if size.Peers < 100 {
 		return "a"
@@ -343,7 +349,8 @@
 	return all, nil
 }
 
-// changeBytes is the size of a bundle's index and of its largest part.
+// maxChangeBytes returns the size of a bundle's index and of its largest part, which is the most that is read again after one
+// change.
 func maxChangeBytes(b bundle.Bundle) (int, error) {
 	index, parts, err := b.Split()
 	if err != nil {
