--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -1,5 +1,5 @@
-// Package adapter lists the adapters that translate between the product and the systems around it. An adapter decides
-// nothing and keeps no state of its own beyond connections.
+// Package adapter is the registry of adapters, which translate between the protocols and data formats of the gateway and those of
+// external systems. An adapter makes no decisions and keeps no state except connections.
 package adapter
 
 import (
@@ -17,39 +17,41 @@
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
-// Adapter is one set of translations. All fields are set.
+// Adapter is one set of translations. All fields are required.
 type Adapter struct {
-	// Name is what settings call it.
+	// Name is the name of the adapter in the settings.
 	Name string
-	// Protocol is that of callers and targets.
+	// Protocol is the protocol of callers and targets.
 	Protocol gateway.Protocol
-	// Store returns a client of the object store. A watch that is silent for longer than its wait and the silence fails, and no
-	// call after it is sent over a connection that rested meanwhile; onCall is told of each call.
-	Store func(address string, silence time.Duration, onCall func()) follow.Store
-	// ConfigurationKind and ConfigurationName are where the configuration lies, TargetKind where targets are listed.
+	// Store returns a client of the object store. A watch fails if there is no answer for longer than the sum of its wait and
+	// maxSilence. After that, no call is sent over a connection that was idle meanwhile. onCall is called for each call.
+	Store func(address string, maxSilence time.Duration, onCall func()) follow.Store
+	// ConfigurationKind and ConfigurationName identify the object that holds the configuration. TargetKind is the kind of the
+	// objects that describe targets.
 	ConfigurationKind, ConfigurationName, TargetKind string
-	// Configuration decodes the configuration's value.
+	// Configuration decodes the value of the configuration object.
 	Configuration func(value []byte) (routes.Config, error)
-	// Target decodes a listed target.
+	// Target decodes an object that describes a target.
 	Target func(objectstore.Object) (targets.Target, error)
-	// Reserve sets memory aside at a target, or renews it; a reservation.RefusedError says that it surely did not. It tells of the head of
-	// the answer, as Release does.
-	Reserve func(ctx context.Context, address, id string, tokens int64, hold time.Duration, heard func(answer.Head)) error
-	// Release gives memory back; it succeeds also when there is none.
-	Release func(ctx context.Context, address, id string, heard func(answer.Head)) error
+	// Reserve reserves memory at a target, or renews a reservation. It returns a reservation.RefusedError if the target surely did
+	// not do so. Reserve and Release call onAnswer with the head of the target's answer.
+	Reserve func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error
+	// Release releases a reservation. It also succeeds if the target has no such reservation.
+	Release func(ctx context.Context, address, id string, onAnswer func(answer.Head)) error
 }
 
 var registry = map[string]Adapter{}
 
-// Register adds an adapter. It is called from init functions only, and panics on a name used twice.
+// Register adds an adapter to the registry. It must only be called from init functions. It panics if the name is already
+// registered.
 func Register(ad Adapter) {
-	if _, twice := registry[ad.Name]; twice {
-		panic(fmt.Sprintf("adapter: %q registered twice", ad.Name))
+	if _, exists := registry[ad.Name]; exists {
+		panic(fmt.Sprintf("adapter: %q is already registered", ad.Name))
 	}
 	registry[ad.Name] = ad
 }
 
-// Find returns an adapter by name.
+// Lookup returns the adapter with the given name, and whether there is one.
 func Lookup(name string) (Adapter, bool) {
 	ad, ok := registry[name]
 	return ad, ok
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,4 +1,4 @@
-// Package boottime reads a clock that also counts while the machine is suspended.
+// Package boottime reads a monotonic clock that, unlike that of package time, also advances while the machine is suspended.
 package boottime
 
 import (
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine was started.
+// Now returns the time since the machine was booted.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Linux has had this clock since 2.6.39.
+		// Linux has supported this clock since version 2.6.39.
 		panic("boottime: " + err.Error())
 	}
 	return time.Duration(ts.Nano())
--- a/internal/cancel/cancel.go
+++ b/internal/cancel/cancel.go
@@ -1,5 +1,5 @@
-// Package cancel repeats cancels at engines until they are acknowledged, so that no engine loses memory to an
-// attempt that nobody waits for.
+// Package cancel sends cancel requests to engines and retries them until an engine answers, so that no engine keeps holding memory
+// for an attempt whose result nobody waits for.
 package cancel
 
 import (
@@ -18,40 +18,40 @@
 	initialBackoff = 50 * time.Millisecond
 	maxBackoff     = 5 * time.Second
 	callTimeout    = 2 * time.Second
-	// giveUp is when the sweeper of the target's owner has surely freed the attempt.
+	// retryTimeout is long enough for the sweep by the target's owner to have cancelled the attempt in the meantime.
 	retryTimeout = 5 * time.Minute
 )
 
-// Order is one attempt to cancel.
+// Request asks for one attempt to be cancelled.
 type Request struct {
-	// Attempt is the attempt's id.
+	// Attempt is the id of the attempt.
 	Attempt string
-	// Client calls the engine that holds it.
+	// Client calls the engine that runs the attempt.
 	Client *engine.Client
 }
 
-// Canceller is the duty that sends cancels.
+// Canceller queues cancel requests and sends them in Run.
 type Canceller struct {
 	queue *ring.Queue[Request]
 }
 
-// New returns a canceller; Run does its work.
+// New returns a canceller with an empty queue. The caller must call Run to have requests sent.
 func New() *Canceller { return &Canceller{queue: ring.New[Request](queueSize)} }
 
-// Cancel asks for an attempt to be cancelled. When too many wait it is left to the sweeper.
-func (ca *Canceller) Cancel(o Request) { ca.queue.Offer(o) }
+// Cancel queues a request without blocking. If the queue is full, the request is dropped and the attempt is left to the sweep.
+func (ca *Canceller) Cancel(req Request) { ca.queue.Offer(req) }
 
-// Shed returns how many cancels were left to the sweeper.
+// Dropped returns the number of requests that were dropped because the queue was full.
 func (ca *Canceller) Dropped() uint64 { return ca.queue.Dropped() }
 
-// Run sends cancels until ctx ends, and then once those that wait: they are of the last requests of a stop, and their
-// engines would work on until another instance sweeps them.
+// Run sends queued requests until ctx ends. It then sends those that are still queued once, because they belong to the last
+// requests before the instance stops, and their engines would work on until the sweep of another instance cancels the attempts.
 func (ca *Canceller) Run(ctx context.Context) {
 	for {
 		select {
-		case o := <-ca.queue.Items():
-			if !trySend(ctx, o) {
-				go retry(ctx, o)
+		case req := <-ca.queue.Items():
+			if !trySend(ctx, req) {
+				go retry(ctx, req)
 			}
 		case <-ctx.Done():
 			ca.sendQueued(ctx)
@@ -60,35 +60,36 @@
 	}
 }
 
-// sendWaiting sends the cancels that wait beside each other, so that they take no longer than one call.
+// sendQueued sends the queued requests concurrently, so that together they take no longer than one call.
 func (ca *Canceller) sendQueued(ctx context.Context) {
 	var wg sync.WaitGroup
 	for range ca.queue.Len() {
-		o := <-ca.queue.Items()
-		wg.Go(func() { trySend(ctx, o) })
+		req := <-ca.queue.Items()
+		wg.Go(func() { trySend(ctx, req) })
 	}
 	wg.Wait()
 }
 
-// once sends a cancel. A call on its way goes on when ctx ends.
-func trySend(ctx context.Context, o Request) bool {
+// trySend sends a request once and reports whether the engine answered, with any status. The end of ctx does not abort the call.
+func trySend(ctx context.Context, req Request) bool {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	err := o.Client.Cancel(ctx, o.Attempt)
+	err := req.Client.Cancel(ctx, req.Attempt)
 	var se *engine.StatusError
 	return err == nil || errors.As(err, &se)
 }
 
-func retry(ctx context.Context, o Request) {
+// retry repeats a request with exponential back-off until the engine answers, ctx ends or retryTimeout has passed.
+func retry(ctx context.Context, req Request) {
 	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
-	for pause := initialBackoff; ; pause = min(2*pause, maxBackoff) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 			return
 		}
-		if trySend(ctx, o) {
+		if trySend(ctx, req) {
 			return
 		}
 	}
--- a/internal/cancel/cancel_test.go
+++ b/internal/cancel/cancel_test.go
@@ -12,14 +12,12 @@
 	"github.com/silvermount/silvermount/internal/engine"
 )
 
-// TestCancelsThatWaitAreSentBeforeTheEnd ends the canceller while cancels wait.
-//
-// Symptom: engines work on for requests that a stop has given up, until another instance sweeps them.
-// Sequence: the last requests of an instance are given up, their cancels wait, and the canceller is stopped.
-// Cause: the end of the canceller drops what waits, and cuts off the call that is on its way.
-func TestCancelsThatWaitAreSentBeforeTheEnd(t *testing.T) {
+// TestRunSendsQueuedCancelsAfterContextEnds guards against engines that work on for requests which a stopping instance has given
+// up, until the sweep of another instance cancels them. This happens if Run, when its context ends, drops the cancel requests
+// that are still queued, or aborts the call that is in flight.
+func TestRunSendsQueuedCancelsAfterContextEnds(t *testing.T) {
 	g := NewWithT(t)
-	const orders = 20
+	const requests = 20
 	var sent atomic.Int32
 	cl := &engine.Client{Cancel: func(ctx context.Context, _ string) error {
 		if ctx.Err() == nil {
@@ -27,12 +25,12 @@
 		}
 		return ctx.Err()
 	}}
-	cn := cancel.New()
-	for i := range orders {
-		cn.Cancel(cancel.Request{Attempt: strconv.Itoa(i), Client: cl})
+	ca := cancel.New()
+	for i := range requests {
+		ca.Cancel(cancel.Request{Attempt: strconv.Itoa(i), Client: cl})
 	}
-	ctx, end := context.WithCancel(t.Context())
-	end()
-	cn.Run(ctx)
-	g.Expect(sent.Load()).To(Equal(int32(orders)))
+	ctx, cancelCtx := context.WithCancel(t.Context())
+	cancelCtx()
+	ca.Run(ctx)
+	g.Expect(sent.Load()).To(Equal(int32(requests)))
 }
--- a/internal/demandmeter/demandmeter.go
+++ b/internal/demandmeter/demandmeter.go
@@ -1,4 +1,4 @@
-// Package demandmeter estimates how many prompt tokens a second of short prompts arrive.
+// Package demandmeter estimates the demand from short prompts, in prompt tokens per second.
 package demandmeter
 
 import (
@@ -7,26 +7,26 @@
 	"time"
 )
 
-// Span is the time over which arrivals are averaged.
+// TimeConstant is the time constant of the exponential decay: without arrivals, the rate falls to 1/e of its value in this time.
 const TimeConstant = 2 * time.Second
 
-// Meter is an exponentially weighted rate. It is safe for use by any goroutine.
+// Meter is an exponentially weighted moving average of a rate. It is safe for concurrent use.
 type Meter struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// rate is tokens a second as of last.
+	// rate is in tokens per second, at the time updatedAt.
 	rate      float64
 	updatedAt time.Time
 }
 
-// New returns a meter that starts from an assumed rate, since the first requests of an event come before anything was
-// measured.
+// New returns a meter that starts from an assumed rate, because no rate has been measured yet when the first requests of an event
+// arrive.
 func New(assumed float64, now func() time.Time) *Meter {
 	return &Meter{now: now, rate: assumed, updatedAt: now()}
 }
 
-// Add counts the tokens of a prompt.
+// Add counts the tokens of a prompt that arrives now.
 func (mt *Meter) Add(tokens int) {
 	mt.mu.Lock()
 	defer mt.mu.Unlock()
@@ -34,7 +34,7 @@
 	mt.rate += float64(tokens) / TimeConstant.Seconds()
 }
 
-// Rate returns tokens a second.
+// Rate returns the present rate in tokens per second.
 func (mt *Meter) Rate() float64 {
 	mt.mu.Lock()
 	defer mt.mu.Unlock()
--- a/internal/demandmeter/demandmeter_test.go
+++ b/internal/demandmeter/demandmeter_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestMeter(t *testing.T) {
+func TestRateFollowsArrivalsAndDecays(t *testing.T) {
 	tests := map[string]struct {
 		assumed float64
 		every   time.Duration
@@ -15,10 +15,10 @@
 		idle    time.Duration
 		want    float64
 	}{
-		"steady":              {every: 100 * time.Millisecond, count: 200, want: 10_000},
-		"assumed at first":    {assumed: 5_000, want: 5_000},
-		"assumed fades":       {assumed: 5_000, idle: 20 * TimeConstant, want: 0},
-		"falls after arrival": {every: 100 * time.Millisecond, count: 200, idle: 20 * TimeConstant, want: 0},
+		"steady arrivals":                    {every: 100 * time.Millisecond, count: 200, want: 10_000},
+		"assumed rate at the start":          {assumed: 5_000, want: 5_000},
+		"assumed rate decays":                {assumed: 5_000, idle: 20 * TimeConstant, want: 0},
+		"rate decays after the last arrival": {every: 100 * time.Millisecond, count: 200, idle: 20 * TimeConstant, want: 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,4 +1,4 @@
-// Package ident makes the identifiers of processes, requests and attempts.
+// Package ident generates random identifiers of processes, requests and attempts.
 package ident
 
 import (
@@ -8,7 +8,7 @@
 
 const randomBytes = 8
 
-// New returns a random identifier with a prefix that names its kind.
+// New returns a random identifier with a prefix that states its kind.
 func New(prefix string) string {
 	var b [randomBytes]byte
 	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,4 +1,4 @@
-// Package instance lists the duties of an entry instance in one place and starts them.
+// Package instance starts an entry instance. It imports all duties and adapters, which register themselves.
 package instance
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/apex/log"
 
 	"github.com/silvermount/silvermount/internal/config"
-	// Each duty registers itself.
+	// Duties register themselves when they are imported.
 	_ "github.com/silvermount/silvermount/internal/duty/announce"
 	_ "github.com/silvermount/silvermount/internal/duty/bundles"
 	_ "github.com/silvermount/silvermount/internal/duty/callers"
@@ -28,7 +28,7 @@
 	_ "github.com/silvermount/silvermount/internal/duty/sweep"
 	"github.com/silvermount/silvermount/internal/ident"
 	"github.com/silvermount/silvermount/internal/kernel"
-	// Each adapter registers itself.
+	// Adapters register themselves when they are imported.
 	_ "github.com/silvermount/silvermount/platform"
 )
 
@@ -37,20 +37,21 @@
 	kn *kernel.Kernel
 }
 
-// Option changes an instance before it starts.
+// Option configures an instance in Start.
 type Option func(*kernel.Env)
 
-// WithBlocked cuts links to peers in some availability zones; for tests and experiments.
-func WithZoneBlocked(f func(zone string) bool) Option {
-	return func(env *kernel.Env) { kernel.Provide(env, peers.ZoneBlocked(f)) }
+// WithZoneBlocked blocks links to peers in the availability zones for which blocked returns true. It is meant for tests and
+// experiments.
+func WithZoneBlocked(blocked func(zone string) bool) Option {
+	return func(env *kernel.Env) { kernel.Provide(env, peers.ZoneBlocked(blocked)) }
 }
 
-// WithMetrics makes a gateway export what is in a set besides its own metrics.
+// WithMetrics makes a gateway export the metrics of a set in addition to its own.
 func WithMetrics(ms *metrics.Set) Option {
 	return func(env *kernel.Env) { kernel.Provide(env, ms) }
 }
 
-// Start starts an instance.
+// Start starts an instance with the given settings.
 func Start(ctx context.Context, s config.Settings, lg log.Interface, opts ...Option) (*Instance, error) {
 	kn, err := kernel.New(s, ident.New("inst"), lg)
 	if err != nil {
@@ -65,10 +66,10 @@
 	return &Instance{kn: kn}, nil
 }
 
-// Env returns what the duties share.
+// Env returns the environment that the duties share.
 func (in *Instance) Env() *kernel.Env { return in.kn.Env }
 
-// CallersURL returns the base URL for callers.
+// CallersURL returns the base URL for callers, or an empty string if the instance has no listeners.
 func (in *Instance) CallersURL() string {
 	ls, err := kernel.Need[*listen.Listeners](in.kn.Env)
 	if err != nil {
@@ -77,7 +78,7 @@
 	return "http://" + ls.Callers.Addr().String()
 }
 
-// OperatorsURL returns the base URL for operators.
+// OperatorsURL returns the base URL for operators, or an empty string if the instance has no listeners.
 func (in *Instance) OperatorsURL() string {
 	ls, err := kernel.Need[*listen.Listeners](in.kn.Env)
 	if err != nil {
@@ -86,7 +87,7 @@
 	return "http://" + ls.Operators.Addr().String()
 }
 
-// PeersAddress returns the address for other instances.
+// PeersAddress returns the address for peers, or an empty string if the instance has no listeners.
 func (in *Instance) PeersAddress() string {
 	ls, err := kernel.Need[*listen.Listeners](in.kn.Env)
 	if err != nil {
@@ -95,8 +96,8 @@
 	return ls.Peers.Addr().String()
 }
 
-// Reload puts new settings in force as far as that can be done while the instance runs.
+// Reload applies those of the new settings that can change while the instance runs.
 func (in *Instance) Reload(s config.Settings) error { return in.kn.Reload(s) }
 
-// Stop ends the instance; attached requests are served to their end.
+// Stop drains and stops the instance. Requests in flight are served to their end.
 func (in *Instance) Stop(ctx context.Context) error { return in.kn.Stop(ctx) }
--- a/internal/jsonreply/jsonreply.go
+++ b/internal/jsonreply/jsonreply.go
@@ -1,4 +1,4 @@
-// Package jsonreply answers HTTP requests with a document.
+// Package jsonreply writes JSON responses to HTTP requests.
 package jsonreply
 
 import (
@@ -6,8 +6,8 @@
 	"net/http"
 )
 
-// Write answers with a document.
+// Write writes a document as a JSON response with status 200.
 func Write(w http.ResponseWriter, document any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(document) // one who has gone needs no answer
+	_ = json.NewEncoder(w).Encode(document) // a write error means that the client is gone; there is nobody left to notify
 }
--- a/internal/jsonreply/jsonreply_test.go
+++ b/internal/jsonreply/jsonreply_test.go
@@ -10,7 +10,7 @@
 	"github.com/silvermount/silvermount/internal/jsonreply"
 )
 
-func TestWrite(t *testing.T) {
+func TestWriteSetsContentTypeAndBody(t *testing.T) {
 	g := NewWithT(t)
 	rec := httptest.NewRecorder()
 	jsonreply.Write(rec, map[string]int{"a": 1})
--- a/internal/objectstore/objectstore.go
+++ b/internal/objectstore/objectstore.go
@@ -1,4 +1,4 @@
-// Package objectstore is the typed client of the platform's object API.
+// Package objectstore provides a rate-limited client for the object API of the platform's store.
 package objectstore
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/silvermount/silvermount/internal/position"
 )
 
-// The kinds of object that the system keeps.
+// The kinds of object that are kept in the store.
 const (
 	KindTargets   = "targets"
 	KindInstances = "instances"
@@ -28,91 +28,96 @@
 	KindLeases    = "leases"
 )
 
-// MaxValueBytes is the largest value the object API holds.
+// MaxValueBytes is the maximum size of an object's value that the object API accepts.
 const MaxValueBytes = 1 << 20
 
-// Object is one versioned value. A deleted object in a watch has no value.
+// Object is one versioned value. In the result of a watch, a deleted object has no value.
 type Object struct {
 	// Name is unique within a kind.
 	Name string `json:"name"`
-	// Version grows with every change of any object of the store.
+	// Version is the version of the store after the last change of the object. It increases with each change of any object.
 	Version int64 `json:"version"`
-	// Value is the JSON document; empty when deleted.
+	// Value is a JSON document. It is empty for a deleted object.
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-// Listing is what a list or a watch returns.
+// Listing is the result of a list or a watch.
 type Listing struct {
-	// Era is that of the store's history which Version belongs to.
+	// Era is the era of the store's history to which Version belongs.
 	Era int64 `json:"era,omitempty"`
-	// Version is the store's version at the time of the answer.
+	// Version is the version of the store at the time of the answer.
 	Version int64 `json:"version"`
-	// Items are the objects, or the changes in order.
+	// Items are the objects of a list, or the changes of a watch in order.
 	Items []Object `json:"items"`
 }
 
-// Position returns where in the store's history the answer was given.
+// Position returns the position in the store's history at which the answer was given.
 func (l Listing) Position() position.Position {
 	return position.Position{Era: l.Era, Revision: l.Version}
 }
 
-// NotFoundError says that the object does not exist.
+// NotFoundError is returned if an object does not exist.
 type NotFoundError struct{ Kind, Name string }
 
-// Error names the object.
-func (ne *NotFoundError) Error() string { return "no object " + ne.Kind + "/" + ne.Name }
+// Error includes the kind and name of the object.
+func (ne *NotFoundError) Error() string { return "object not found: " + ne.Kind + "/" + ne.Name }
 
-// ConflictError says that the object was not at the expected version; nothing was written.
+// ConflictError is returned if an object is not at the expected version. Nothing was written.
 type ConflictError struct{ Kind, Name string }
 
-// Error names the object.
-func (ce *ConflictError) Error() string { return "conflict on " + ce.Kind + "/" + ce.Name }
+// Error includes the kind and name of the object.
+func (ce *ConflictError) Error() string { return "object version conflict: " + ce.Kind + "/" + ce.Name }
 
-// HistoryGoneError says that a watch asked for changes that the store no longer has: list again.
+// HistoryGoneError is returned if a watch asks for changes that the store no longer has. The caller must list again.
 type HistoryGoneError struct{ Kind string }
 
-// Error names the kind.
-func (he *HistoryGoneError) Error() string { return "history of " + he.Kind + " is gone" }
+// Error includes the kind.
+func (he *HistoryGoneError) Error() string {
+	return "store no longer has the requested history of " + he.Kind
+}
 
-// UnavailableError says that the call had no effect since the store did not take it.
+// UnavailableError is returned if a call failed and surely had no effect: it was not sent, the store did not accept it, or it was a
+// read.
 type UnavailableError struct{ Cause error }
 
-// Error gives the cause.
+// Error includes the cause.
 func (ue *UnavailableError) Error() string { return "store unavailable: " + ue.Cause.Error() }
 
 // Unwrap returns the cause.
 func (ue *UnavailableError) Unwrap() error { return ue.Cause }
 
-// UnknownError says that a write may or may not have taken effect.
+// UnknownOutcomeError is returned if a write failed and it is unknown whether it has taken effect.
 type UnknownOutcomeError struct{ Cause error }
 
-// Error gives the cause.
-func (ue *UnknownOutcomeError) Error() string { return "store outcome unknown: " + ue.Cause.Error() }
+// Error includes the cause.
+func (ue *UnknownOutcomeError) Error() string {
+	return "store write outcome unknown: " + ue.Cause.Error()
+}
 
 // Unwrap returns the cause.
 func (ue *UnknownOutcomeError) Unwrap() error { return ue.Cause }
 
-// StatusError is an answer with an unexpected status.
+// StatusError is the cause of an error if the store answers with an unexpected status.
 type StatusError struct{ Status int }
 
-// Error gives the status.
+// Error includes the status.
 func (se *StatusError) Error() string { return "store answered status " + strconv.Itoa(se.Status) }
 
-// Client calls the object API at a bounded rate. Its methods may be called by any goroutine.
+// Client calls the object API with limited rates of reads and writes. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
 	timeout time.Duration
 	writes  *rate.Limiter
 	reads   *rate.Limiter
-	// calls counts each call that left, by direction.
+	// onCall is called before each request is sent.
 	onCall func(write bool)
 }
 
-// Option changes a Client under construction.
+// Option configures a Client in New.
 type Option func(*Client)
 
-// WithRates bounds the calls a second.
+// WithRates limits the writes and reads per second. The default is 50 writes and 200 reads.
 func WithRates(writes, reads float64) Option {
 	return func(cl *Client) {
 		cl.writes = rate.NewLimiter(rate.Limit(writes), max(1, int(writes)))
@@ -120,13 +125,13 @@
 	}
 }
 
-// WithTimeout bounds one call that is not a watch.
+// WithTimeout sets the timeout of a call. A watch may take longer by its wait. The default is one second.
 func WithTimeout(d time.Duration) Option { return func(cl *Client) { cl.timeout = d } }
 
-// WithOnCall is told of each call.
+// WithOnCall sets a function that is called before each request is sent.
 func WithOnCall(f func(write bool)) Option { return func(cl *Client) { cl.onCall = f } }
 
-// New returns a client for the object API at base.
+// New returns a client for the object API at the base URL.
 func New(base string, opts ...Option) *Client {
 	cl := &Client{base: base, http: &http.Client{}, timeout: time.Second, onCall: func(bool) {}}
 	WithRates(50, 200)(cl)
@@ -143,14 +148,14 @@
 	return o, err
 }
 
-// List returns all objects of a kind.
+// List returns all objects of a kind and the position of the store.
 func (cl *Client) List(ctx context.Context, kind string) (Listing, error) {
 	var l Listing
 	err := cl.read(ctx, kind, "", "/objects/"+kind, cl.timeout, &l)
 	return l, err
 }
 
-// Watch waits at most wait for changes of a kind after a version.
+// Watch returns the changes of a kind after a version. It waits up to wait for the first one.
 func (cl *Client) Watch(ctx context.Context, kind string, since int64, wait time.Duration) (Listing, error) {
 	var l Listing
 	path := "/watch/" + kind + "?since=" + strconv.FormatInt(since, 10) + "&wait=" + wait.String()
@@ -158,17 +163,17 @@
 	return l, err
 }
 
-// Create writes a new object; a ConflictError says that one exists.
+// Create writes a new object and returns its version. It fails with a ConflictError if the object exists.
 func (cl *Client) Create(ctx context.Context, kind, name string, value any) (int64, error) {
 	return cl.write(ctx, http.MethodPut, kind, name, 0, value)
 }
 
-// Update replaces an object that is at the given version.
+// Update replaces an object if it is at the given version, and returns the new version. It fails with a ConflictError otherwise.
 func (cl *Client) Update(ctx context.Context, kind, name string, version int64, value any) (int64, error) {
 	return cl.write(ctx, http.MethodPut, kind, name, version, value)
 }
 
-// Delete removes an object that is at the given version.
+// Delete removes an object if it is at the given version. It fails with a ConflictError otherwise.
 func (cl *Client) Delete(ctx context.Context, kind, name string, version int64) error {
 	_, err := cl.write(ctx, http.MethodDelete, kind, name, version, nil)
 	return err
@@ -182,7 +187,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, cl.base+path, nil)
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create store request")
 	}
 	cl.onCall(false)
 	resp, err := cl.http.Do(req)
@@ -216,9 +221,9 @@
 	u := cl.base + "/objects/" + kind + "/" + url.PathEscape(name) + "?if_version=" + strconv.FormatInt(version, 10)
 	req, err := http.NewRequestWithContext(ctx, method, u, bytes.NewReader(body))
 	if err != nil {
-		return 0, errors.Wrap(err, "make request")
+		return 0, errors.Wrap(err, "create store request")
 	}
-	// Without GetBody the transport cannot send a write a second time by itself.
+	// Without GetBody, the transport cannot resend a write by itself, which could apply it twice.
 	req.GetBody = nil
 	cl.onCall(true)
 	resp, err := cl.http.Do(req)
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring provides the bounded queue that joins two duties.
+// Package ring provides a bounded queue for passing items between goroutines.
 package ring
 
 import (
@@ -6,20 +6,20 @@
 	"sync/atomic"
 )
 
-// Ring is a bounded first-in first-out queue. Its methods may be called by any goroutine.
+// Queue is a bounded FIFO queue. It is safe for concurrent use.
 type Queue[T any] struct {
-	// items has the ring's fixed capacity.
+	// items has a buffer of the queue's capacity.
 	items chan T
-	// shed only grows.
+	// dropped counts the dropped items. It never decreases.
 	dropped atomic.Uint64
 }
 
-// New returns a ring that holds at most capacity items.
+// New returns a queue that holds at most capacity items.
 func New[T any](capacity int) *Queue[T] {
 	return &Queue[T]{items: make(chan T, capacity)}
 }
 
-// Offer adds an item, or drops it and counts it when the ring is full.
+// Offer adds an item and returns true. If the queue is full, it drops the item, counts it and returns false.
 func (qu *Queue[T]) Offer(item T) bool {
 	select {
 	case qu.items <- item:
@@ -30,7 +30,7 @@
 	}
 }
 
-// Put adds an item and waits for room until ctx ends.
+// Put adds an item. While the queue is full, it blocks until ctx ends, and then returns the error of ctx.
 func (qu *Queue[T]) Put(ctx context.Context, item T) error {
 	select {
 	case qu.items <- item:
@@ -40,11 +40,11 @@
 	}
 }
 
-// Items returns the channel to receive from.
+// Items returns the channel from which queued items are received.
 func (qu *Queue[T]) Items() <-chan T { return qu.items }
 
-// Len returns how many items wait.
+// Len returns the number of queued items.
 func (qu *Queue[T]) Len() int { return len(qu.items) }
 
-// Shed returns how many items were dropped.
+// Dropped returns the number of items that Offer has dropped.
 func (qu *Queue[T]) Dropped() uint64 { return qu.dropped.Load() }
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -7,28 +7,28 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestRing(t *testing.T) {
+func TestOfferDropsItemsWhenFull(t *testing.T) {
 	tests := map[string]struct {
 		capacity, offers int
 		wantLen          int
-		wantShed         uint64
+		wantDropped      uint64
 	}{
-		"fits":       {capacity: 2, offers: 2, wantLen: 2},
-		"sheds over": {capacity: 2, offers: 5, wantLen: 2, wantShed: 3},
+		"within the capacity": {capacity: 2, offers: 2, wantLen: 2},
+		"beyond the capacity": {capacity: 2, offers: 5, wantLen: 2, wantDropped: 3},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			rg := New[int](tc.capacity)
+			qu := New[int](tc.capacity)
 			for i := range tc.offers {
-				rg.Offer(i)
+				qu.Offer(i)
 			}
-			g.Expect(rg.Len()).To(Equal(tc.wantLen))
-			g.Expect(rg.Dropped()).To(Equal(tc.wantShed))
-			g.Expect(<-rg.Items()).To(Equal(0))
+			g.Expect(qu.Len()).To(Equal(tc.wantLen))
+			g.Expect(qu.Dropped()).To(Equal(tc.wantDropped))
+			g.Expect(<-qu.Items()).To(Equal(0))
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
-			g.Expect(rg.Put(ctx, 9)).To(Or(Succeed(), MatchError(context.Canceled)))
+			g.Expect(qu.Put(ctx, 9)).To(Or(Succeed(), MatchError(context.Canceled)))
 		})
 	}
 }
--- a/internal/set/set.go
+++ b/internal/set/set.go
@@ -6,12 +6,12 @@
 	"maps"
 )
 
-// Set is an immutable set. The zero value is empty.
+// Set is an immutable set of comparable values. The zero value is the empty set.
 type Set[T comparable] struct {
 	members map[T]struct{}
 }
 
-// Of returns a set of the given values.
+// Of returns the set of the given values.
 func Of[T comparable](values ...T) Set[T] {
 	m := make(map[T]struct{}, len(values))
 	for _, v := range values {
@@ -29,7 +29,7 @@
 // Len returns the number of members.
 func (st Set[T]) Len() int { return len(st.members) }
 
-// With returns a set that also holds v.
+// With returns a set that has v in addition to the members of st.
 func (st Set[T]) With(v T) Set[T] {
 	if st.Has(v) {
 		return st
@@ -42,5 +42,5 @@
 	return Set[T]{members: m}
 }
 
-// All returns an iterator over the members, in no order.
+// All returns an iterator over the members in no particular order.
 func (st Set[T]) All() iter.Seq[T] { return maps.Keys(st.members) }
