--- a/internal/objectstore/objectstore.go
+++ b/internal/objectstore/objectstore.go
@@ -73,7 +73,7 @@
 
 // Error includes the kind.
 func (he *HistoryGoneError) Error() string {
-	return "store no longer has the requested history of " + he.Kind
+	return "requested history of " + he.Kind + " is gone from the store"
 }
 
 // UnavailableError is returned if a call failed and surely had no effect: it was not sent, the store did not accept it, or it was a
--- a/spec/bundle.pml
+++ b/spec/bundle.pml
@@ -1,25 +1,26 @@
-/* Two operators race to accept a bundle; instances learn of it from stale watches of the store and from each other,
- * restart, and are cut off for a while. The model stands for rollout.Holder, the bundles duty and beats.
- * Properties: each version is accepted once; no instance goes back within one run or below what any peer told it;
- * a ready instance always has a bundle; in the end all reachable instances have the newest. */
+/* Two operators concurrently accept a bundle. Instances learn of the accepted version from watches of the store, which may be
+ * stale, and from each other. They restart, and one of them cannot reach the store for a while. This models rollout.Holder, the
+ * bundles duty and heartbeats.
+ * Properties: each version is accepted once; no instance returns to an older version within one run, or goes below a version that
+ * a peer told it of; a ready instance always has a bundle; all reachable instances eventually have the newest version. */
 #define INSTANCES 3
 
-byte pointer = 1;                 /* accepted version in the store */
-byte accepted = 0;                /* sign-offs that won */
-byte version[INSTANCES] = 0;      /* in force; 0 is not ready */
+byte accepted_version = 1;        /* accepted version in the store */
+byte acceptances = 0;             /* number of successful conditional updates */
+byte version[INSTANCES] = 0;      /* bundle version in force; 0: instance not ready */
 byte restarts = 0;
-bool cut = false;                 /* instance 0 cannot reach the store */
+bool store_unreachable = false;   /* for instance 0 */
 
 #ifdef FAULT
-#define wanted(v) (v != version[i])
+#define should_apply(v) (v != version[i])
 #else
-#define wanted(v) (v > version[i])
+#define should_apply(v) (v > version[i])
 #endif
 
 inline apply(i, v) {
   if
 #ifdef FAULT
-  :: v != version[i] -> version[i] = v        /* forgets the floor */
+  :: v != version[i] -> version[i] = v        /* also goes back to an older version */
 #else
   :: v > version[i] -> version[i] = v
 #endif
@@ -28,42 +29,45 @@
 }
 
 proctype Operator() {
-  byte read = pointer;
+  byte read_version = accepted_version;
   atomic {
     if
-    :: pointer == read -> pointer = read + 1; accepted++     /* conditional update */
-    :: else                                                  /* typed conflict */
+    :: accepted_version == read_version ->                   /* conditional update */
+         accepted_version = read_version + 1; acceptances++
+    :: else                                                  /* version conflict */
     fi;
-    assert(pointer == 1 + accepted)
+    assert(accepted_version == 1 + acceptances)
   }
 }
 
 proctype Instance(byte i) {
-  byte seen, before;
+  byte watched, before;                                      /* watched: newest version from the watch */
   byte peer = (i + 1) % INSTANCES;
-  seen = 0;
+  watched = 0;
 end:
   do
-  :: atomic { !(cut && i == 0) && seen != pointer -> seen = pointer }      /* the watch fires, applied later */
-  :: atomic { seen > 0 && wanted(seen) -> before = version[i]; apply(i, seen); assert(version[i] >= before) }
-  :: atomic { version[peer] > 0 && wanted(version[peer]) ->
+  :: atomic { !(store_unreachable && i == 0) && watched != accepted_version ->
+       watched = accepted_version }                          /* the watch returns; the version is applied later */
+  :: atomic { watched > 0 && should_apply(watched) ->
+       before = version[i]; apply(i, watched); assert(version[i] >= before) }
+  :: atomic { version[peer] > 0 && should_apply(version[peer]) ->
        before = version[i]; apply(i, version[peer]); assert(version[i] >= before) }
-  :: atomic { restarts < 1 && version[i] > 0 -> restarts++; version[i] = 0; seen = 0 }
+  :: atomic { restarts < 1 && version[i] > 0 -> restarts++; version[i] = 0; watched = 0 }
   od
 }
 
-proctype Zone() {
-  cut = true;
-  cut = false
+proctype StoreOutage() {
+  store_unreachable = true;
+  store_unreachable = false
 }
 
 init {
   atomic {
-    run Operator(); run Operator(); run Zone();
+    run Operator(); run Operator(); run StoreOutage();
     run Instance(0); run Instance(1); run Instance(2)
   }
 }
 
-#define newest (version[0] == pointer && version[1] == pointer && version[2] == pointer)
-/* Under weak fairness all instances come to the newest version and stay there. */
-ltl spread { <>[] newest }
+#define all_newest (version[0] == accepted_version && version[1] == accepted_version && version[2] == accepted_version)
+/* Under weak fairness, all instances eventually have the newest version for good. */
+ltl all_converge { <>[] all_newest }
--- a/spec/check.sh
+++ b/spec/check.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# Checks each model, then checks that its deliberate fault is found.
+# Verifies the properties of each model, and that the checker detects the deliberate fault that -DFAULT puts into the model.
 set -eu
 here=$(cd "$(dirname "$0")" && pwd)
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# verify MODEL FLAGS PAN_FLAGS prints the number of errors that the checker found.
+# verify MODEL SPIN_FLAGS PAN_FLAGS prints the number of errors that the checker found.
 verify() {
   dir=$(mktemp -d "$work/XXXXXX")
   (
@@ -19,12 +19,13 @@
   )
 }
 
+# check MODEL PAN_FLAGS [SPIN_FLAGS] exits with an error if the model violates a property, or if the fault is not detected.
 check() {
   flags=${3:-}
-  good=$(verify "$1" "$flags" "$2")
-  bad=$(verify "$1" "-DFAULT" "$2")
-  if [ "$good" != 0 ]; then echo "spec $1: the model breaks a property ($good)"; exit 1; fi
-  if [ "$bad" = 0 ] || [ -z "$bad" ]; then echo "spec $1: the deliberate fault was not found"; exit 1; fi
+  errors=$(verify "$1" "$flags" "$2")
+  fault_errors=$(verify "$1" "-DFAULT" "$2")
+  if [ "$errors" != 0 ]; then echo "spec $1: the model breaks a property ($errors)"; exit 1; fi
+  if [ "$fault_errors" = 0 ] || [ -z "$fault_errors" ]; then echo "spec $1: the deliberate fault was not found"; exit 1; fi
   echo "spec $1 $flags: properties hold, deliberate fault found"
 }
 
--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,15 +1,15 @@
-/* A request with an idempotency key reaches two instances. Each creates a claim in the store before it sends
- * anything to a target. Writes can take effect late and their answers can be lost; an instance can crash.
- * The model stands for claim.Take, claim.settle and the dispatch after it.
- * Properties: the request runs at most once; who is told not_run did not run it; nobody waits for ever. */
+/* A request with an idempotency key reaches two instances. Each of them creates a claim in the store before it sends anything to
+ * a target. Writes can take effect late and their answers can be lost, and an instance can crash. This models Claimer.Acquire and
+ * Claimer.resolve of package claim, and the dispatch after them.
+ * Properties: the request runs at most once; an instance that answers not_run has not run it; no instance waits for ever. */
 #define INSTANCES 2
 #define NONE 255
 
-byte holder = NONE;          /* token in the claim object */
+byte holder = NONE;          /* token of the instance in the claim object */
 byte runs = 0;
 bool ran[INSTANCES];
-bool told_not_run[INSTANCES];
-chan writes = [4] of { byte };                  /* creates on their way to the store */
+bool answered_not_run[INSTANCES];
+chan writes = [4] of { byte };                  /* create calls in flight to the store */
 chan answers[INSTANCES] = [4] of { bool };      /* true: created; false: conflict */
 
 active proctype Store() {
@@ -32,27 +32,27 @@
 active [INSTANCES] proctype Instance() {
   byte me = _pid - 1;
   bool created;
-  byte tries = 0;
+  byte attempts = 0;
 create:
   writes ! me;
-  tries++;
+  attempts++;
   if
   :: answers[me] ? created ->
        if
        :: created -> goto dispatch
-       :: else -> goto settle
+       :: else -> goto resolve
        fi
-  :: skip -> goto settle                         /* no answer in time */
+  :: skip -> goto resolve                        /* no answer within the timeout */
   fi;
-settle:                                          /* read the claim back and compare tokens */
+resolve:                                         /* reads the claim back and compares the tokens */
   if
 #ifdef FAULT
-  :: holder == NONE -> goto dispatch                  /* takes silence for success */
+  :: holder == NONE -> goto dispatch                  /* treats a missing answer as success */
 #endif
   :: holder == me -> goto dispatch
-  :: holder != me && holder != NONE -> goto other
-  :: holder == NONE && tries < 2 -> goto create
-  :: goto give_up                                /* the store stays away until the deadline */
+  :: holder != me && holder != NONE -> goto held_by_other
+  :: holder == NONE && attempts < 2 -> goto create
+  :: goto give_up                                /* the store is unavailable until the deadline */
   fi;
 dispatch:
   if
@@ -62,11 +62,11 @@
   atomic { runs++; ran[me] = true; assert(runs <= 1) };
   goto done;
 give_up:
-  told_not_run[me] = true;
+  answered_not_run[me] = true;
   assert(!ran[me]);
   goto done;
-other:
+held_by_other:
 crash:
 done:
-  assert(!(told_not_run[me] && ran[me]))
+  assert(!(answered_not_run[me] && ran[me]))
 }
--- a/spec/room.pml
+++ b/spec/room.pml
@@ -1,59 +1,59 @@
-/* Two prompts, each larger than one engine, reserve room on two of three engines, all or nothing. The model stands
- * for room.Lender. Properties: no engine holds more than it has; both prompts end; no room is left over. */
+/* Two prompts, each too large for one engine, reserve memory on two of three engines, all or nothing. This models room.Reserver.
+ * Properties: no engine reserves more memory than it has; both prompts finish; no reservation is left over. */
 #define ENGINES 3
-#define NEED 2
+#define ENGINES_PER_PROMPT 2
 
 byte used[ENGINES];
-byte done = 0;
+byte finished = 0;
 
-proctype Prompt(byte first; byte step) {
-  byte held = 0;
-  byte at = first;
-  bool mine[ENGINES];
-again:
-  held = 0;
-  at = first;
+proctype Prompt(byte first; byte stride) {
+  byte reserved = 0;                       /* number of engines reserved */
+  byte engine = first;
+  bool reserved_here[ENGINES];
+retry:
+  reserved = 0;
+  engine = first;
   do
-  :: held == NEED -> break
-  :: held < NEED ->
+  :: reserved == ENGINES_PER_PROMPT -> break
+  :: reserved < ENGINES_PER_PROMPT ->
        if
-       :: atomic { used[at] == 0 -> used[at]++; mine[at] = true; held++ }
-       :: used[at] > 0 ->
+       :: atomic { used[engine] == 0 -> used[engine]++; reserved_here[engine] = true; reserved++ }
+       :: used[engine] > 0 ->
 #ifdef FAULT
-          used[at] == 0                     /* waits while it holds the rest */
+          used[engine] == 0                     /* waits without releasing its reservations */
 #else
-          goto give_back
+          goto release
 #endif
        fi;
-       at = (at + step) % ENGINES
+       engine = (engine + stride) % ENGINES
   od;
   /* the prompt runs */
   atomic { assert(used[0] <= 1 && used[1] <= 1 && used[2] <= 1) };
-  done++;
-  held = NEED + 1;
-give_back:
-  at = 0;
+  finished++;
+  reserved = ENGINES_PER_PROMPT + 1;        /* marks the prompt as finished */
+release:
+  engine = 0;
   do
-  :: at < ENGINES ->
-       atomic { if :: mine[at] -> mine[at] = false; used[at]-- :: else fi };
-       at++
-  :: at == ENGINES -> break
+  :: engine < ENGINES ->
+       atomic { if :: reserved_here[engine] -> reserved_here[engine] = false; used[engine]-- :: else fi };
+       engine++
+  :: engine == ENGINES -> break
   od;
   if
-  :: held == NEED + 1 -> skip
-  :: else -> goto again
+  :: reserved == ENGINES_PER_PROMPT + 1 -> skip
+  :: else -> goto retry
   fi
 }
 
 init {
   atomic {
 #ifdef FAULT
-    run Prompt(0, 1); run Prompt(1, 2)      /* each in its own order */
+    run Prompt(0, 1); run Prompt(1, 2)      /* in different orders, which allows a deadlock */
 #else
-    run Prompt(0, 1); run Prompt(0, 1)      /* one fixed order */
+    run Prompt(0, 1); run Prompt(0, 1)      /* in the same order */
 #endif
   }
-  (done == 2 && used[0] == 0 && used[1] == 0 && used[2] == 0)
+  (finished == 2 && used[0] == 0 && used[1] == 0 && used[2] == 0)
 }
 
-ltl both_end { <> (done == 2) }
+ltl both_finish { <> (finished == 2) }
