--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -292,13 +292,18 @@
 	medianDuration := func(f func(Result) time.Duration) time.Duration {
 		return time.Duration(medianNumber(func(rs Result) float64 { return float64(f(rs)) }))
 	}
-	m.SlowdownP50, m.SlowdownP95 = medianNumber(func(rs Result) float64 { return rs.SlowdownP50 }), medianNumber(func(rs Result) float64 { return rs.SlowdownP95 })
-	m.NoiseP95, m.NoiseP99 = medianNumber(func(rs Result) float64 { return rs.NoiseP95 }), medianNumber(func(rs Result) float64 { return rs.NoiseP99 })
-	m.PercentileRatioP95, m.PercentileRatioP99 = medianNumber(func(rs Result) float64 { return rs.PercentileRatioP95 }), medianNumber(func(rs Result) float64 { return rs.PercentileRatioP99 })
+	m.SlowdownP50, m.SlowdownP95 = medianNumber(func(rs Result) float64 { return rs.SlowdownP50 }),
+		medianNumber(func(rs Result) float64 { return rs.SlowdownP95 })
+	m.NoiseP95, m.NoiseP99 = medianNumber(func(rs Result) float64 { return rs.NoiseP95 }),
+		medianNumber(func(rs Result) float64 { return rs.NoiseP99 })
+	m.PercentileRatioP95, m.PercentileRatioP99 = medianNumber(func(rs Result) float64 { return rs.PercentileRatioP95 }),
+		medianNumber(func(rs Result) float64 { return rs.PercentileRatioP99 })
 	m.SlowdownP99 = medianNumber(func(rs Result) float64 { return rs.SlowdownP99 })
-	m.SlowdownVsIdleP50, m.SlowdownVsIdleP95 = medianNumber(func(rs Result) float64 { return rs.SlowdownVsIdleP50 }), medianNumber(func(rs Result) float64 { return rs.SlowdownVsIdleP95 })
+	m.SlowdownVsIdleP50, m.SlowdownVsIdleP95 = medianNumber(func(rs Result) float64 { return rs.SlowdownVsIdleP50 }),
+		medianNumber(func(rs Result) float64 { return rs.SlowdownVsIdleP95 })
 	m.ShortP99 = medianDuration(func(rs Result) time.Duration { return rs.ShortP99 })
-	m.LongP50, m.LongP95 = medianDuration(func(rs Result) time.Duration { return rs.LongP50 }), medianDuration(func(rs Result) time.Duration { return rs.LongP95 })
+	m.LongP50, m.LongP95 = medianDuration(func(rs Result) time.Duration { return rs.LongP50 }),
+		medianDuration(func(rs Result) time.Duration { return rs.LongP95 })
 	m.Requests, m.Correct, m.Refused, m.Incomplete = 0, 0, 0, 0
 	for _, rs := range group {
 		m.Requests += rs.Requests
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -20,15 +20,16 @@
 	return zp.active.Load() && (from == partitionedZone) != (to == partitionedZone)
 }
 
-// injectFault injects a fault after a delay. The returned function ends the fault, except that a killed engine or instance stays
-// down.
+// injectFault injects a fault after a delay. The returned function ends the fault, except that a killed engine stays down and an
+// instance marked as stopping stays so.
 func injectFault(ctx context.Context, lf *localfleet.Fleet, f Fault, partition *zonePartition, after time.Duration) func() {
 	timer := time.AfterFunc(after, func() {
 		switch f {
 		case FaultEngineKilled:
 			lf.Engines[0].Kill()
 		case FaultInstanceKilled:
-			// The instance is marked as stopping only, since there is no load balancer here that would send its callers elsewhere.
+			// A load balancer would send the callers of a killed instance elsewhere. The experiment has none, so the instance keeps
+			// running and is only marked as stopping.
 			lf.Instances[len(lf.Instances)-1].Env().Stopping.Store(true)
 		case FaultZonePartitioned:
 			partition.active.Store(true)
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -93,7 +93,7 @@
 	en.server.Close()
 }
 
-// Fleet is a running local fleet.
+// Fleet is a running local fleet. Its exported fields give access to the store, the targets and the instances.
 type Fleet struct {
 	Store     *platformsim.Store
 	StoreURL  string
@@ -226,7 +226,7 @@
 	return s
 }
 
-// AddInstance starts the i-th instance.
+// AddInstance starts the i-th instance with the settings that Settings returns. It does not wait until the instance is ready.
 func (lf *Fleet) AddInstance(ctx context.Context, i int) (*instance.Instance, error) {
 	s := lf.Settings(i)
 	var opts []instance.Option
--- a/internal/objectstore/objectstore.go
+++ b/internal/objectstore/objectstore.go
@@ -141,7 +141,7 @@
 	return cl
 }
 
-// Get returns one object.
+// Get returns one object, or a NotFoundError if it does not exist.
 func (cl *Client) Get(ctx context.Context, kind, name string) (Object, error) {
 	var o Object
 	err := cl.read(ctx, kind, name, "/objects/"+kind+"/"+url.PathEscape(name), cl.timeout, &o)
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -94,7 +94,7 @@
 	BundleCosts   []BundleCost   `json:"bundles"`
 }
 
-// Options select what is measured.
+// Options are the options of the measurements.
 type Options struct {
 	// Instances are the sizes of fleet to measure, in instances.
 	Instances []int
@@ -141,7 +141,7 @@
 	return rp, err
 }
 
-// useProductionIntervals replaces the short intervals for tests by the defaults for heartbeats and reports, and by a registration
+// useProductionIntervals replaces the short heartbeat and report intervals of a local fleet by the defaults, and sets a registration
 // interval of 5 s.
 func useProductionIntervals(s *config.Settings) {
 	s.Peers.Heartbeat, s.Routing.ReportEvery = 0, 0
