--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -30,7 +30,7 @@
 		p50, p95, p99 = append(p50, r.SlowdownP50), append(p95, r.SlowdownP95), append(p99, r.SlowdownP99)
 	}
 	for i, s := range []struct {
-		name   string
+		label  string
 		values plotter.Values
 	}{{"p50", p50}, {"p95", p95}, {"p99", p99}} {
 		bars, err := plotter.NewBarChart(s.values, barWidth)
@@ -40,7 +40,7 @@
 		bars.Color = plotutil.Color(i)
 		bars.Offset = barWidth * vg.Length(i-1)
 		p.Add(bars)
-		p.Legend.Add(s.name, bars)
+		p.Legend.Add(s.label, bars)
 	}
 	p.Legend.Top = true
 	p.NominalX(names...)
