--- a/cmd/burn.go
+++ b/cmd/burn.go
@@ -22,8 +22,8 @@
 
 // burnReport is the JSON output.
 type burnReport struct {
-	Rows   []burn.Row   `json:"rows"`
-	Alerts []burn.Alert `json:"alerts"`
+	Rows   []burn.WindowRate `json:"rows"`
+	Alerts []burn.Alert      `json:"alerts"`
 	// Missing are the names of instances that did not reply.
 	Missing []string `json:"missing"`
 }
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	replies, err := bc.ops().Burn(ctx)
+	replies, err := bc.ops().BurnWindows(ctx)
 	if err != nil {
 		return err
 	}
@@ -73,7 +73,7 @@
 		return errors.Wrap(err, "print table")
 	}
 	for _, a := range report.Alerts {
-		fmt.Fprintf(bc.out, "ALERT class %s burns at %.1f times its budget; a full budget ends in %s\n", a.Class, a.Rate, a.EndsIn.Round(time.Minute))
+		fmt.Fprintf(bc.out, "ALERT class %s burns at %.1f times its budget; a full budget ends in %s\n", a.Class, a.Rate, a.BudgetExhaustedIn.Round(time.Minute))
 	}
 	for _, m := range report.Missing {
 		fmt.Fprintf(bc.out, "instance %s did not reply and is not counted\n", m)
--- a/cmd/cmd_test.go
+++ b/cmd/cmd_test.go
@@ -82,7 +82,7 @@
 	params := enginesim.DefaultParams()
 	params.Speedup = 200
 	lf, err := localfleet.Start(t.Context(), localfleet.Options{
-		Zones: 1, Engines: 1, Instances: 2, Params: params, Log: &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
+		Zones: 1, Engines: 1, Instances: 2, EngineParams: params, Log: &log.Logger{Handler: discard.New(), Level: log.FatalLevel},
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer lf.Close(t.Context())
@@ -107,7 +107,7 @@
 	g.Expect(code).To(Equal(exitFailure))
 	g.Expect(errOut).To(ContainSubstring("version 4"))
 	results := filepath.Join(t.TempDir(), "results.json")
-	code, out, errOut = runCommand("load", "--url", lf.URLs()[0], "--key", localfleet.Key, "--model", localfleet.Model,
+	code, out, errOut = runCommand("load", "--url", lf.URLs()[0], "--key", localfleet.CallerKey, "--model", localfleet.Model,
 		"--rate", "20", "--length", "500ms", "--burst", "5", "--long-share", "0", "--output", "2", "--json", results)
 	g.Expect(code).To(Equal(exitOK), errOut)
 	g.Expect(out).To(ContainSubstring("first token p50"))
--- a/cmd/demo.go
+++ b/cmd/demo.go
@@ -22,9 +22,9 @@
 	lg.Level = max(lg.Level, log.ErrorLevel)
 	opts := demo.Options{Out: dc.out, Log: lg}
 	if dc.Keep {
-		opts.Keep = func(url string) {
+		opts.KeepRunning = func(url string) {
 			fmt.Fprintf(dc.out, "curl -N %s/v1/completions -H 'Authorization: Bearer %s' -d '{\"model\":\"%s\",\"prompt\":\"hello\",\"stream\":true}'\n",
-				url, localfleet.Key, localfleet.Model)
+				url, localfleet.CallerKey, localfleet.Model)
 			<-ctx.Done()
 		}
 	}
--- a/cmd/experiment.go
+++ b/cmd/experiment.go
@@ -29,7 +29,7 @@
 	lg.Level = max(lg.Level, log.FatalLevel)
 	opts := experiment.Options{
 		Fleets: ec.Fleets, Policies: ec.Policies, Seeds: ec.Seeds, Scale: ec.Scale, Instances: ec.Instances,
-		LongShare: ec.LongShare, Events: ec.Events, Progress: ec.err, Log: lg,
+		LongShare: ec.LongShare, AnnounceEvent: ec.Events, Progress: ec.err, Log: lg,
 	}
 	if len(opts.Policies) == 0 {
 		opts.Policies = policy.Names()
@@ -48,7 +48,7 @@
 	return ec.write(cells)
 }
 
-func (ec *experimentCommand) write(cells []experiment.Cell) error {
+func (ec *experimentCommand) write(cells []experiment.Result) error {
 	if err := writeResults(ec.JSON, cells); err != nil {
 		return err
 	}
--- a/cmd/load.go
+++ b/cmd/load.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	results := load.Run(ctx, load.Target{
+	results := load.Run(ctx, load.Options{
 		URLs: lc.URLs, Key: lc.Key, Model: lc.Model, Seed: lc.Seed,
 		Progress: func(done, all int) { fmt.Fprintf(lc.err, "%d of %d answered\n", done, all) },
 	}, arrivals)
@@ -54,9 +54,9 @@
 
 func (lc *loadCommand) arrivals() ([]load.Arrival, error) {
 	if lc.Trace == "" {
-		return load.Generate(lc.Seed, load.Mix{
-			Rate: lc.Rate, Length: lc.Length, Burst: lc.Burst, LongShare: lc.LongShare, MinTokens: 1_000, ShortTokens: 8_000,
-			LongTokens: 100_000, MaxTokens: 1_000_000, Output: lc.Output, ShortClass: lc.Class, LongClass: lc.LongClass,
+		return load.Generate(lc.Seed, load.Workload{
+			Rate: lc.Rate, Duration: lc.Length, Burst: lc.Burst, LongShare: lc.LongShare, MinShortTokens: 1_000, MaxShortTokens: 8_000,
+			MinLongTokens: 100_000, MaxLongTokens: 1_000_000, OutputTokens: lc.Output, ShortClass: lc.Class, LongClass: lc.LongClass,
 			Organisations: 1, Scale: 1,
 		}), nil
 	}
--- a/internal/burn/plot.go
+++ b/internal/burn/plot.go
@@ -13,8 +13,8 @@
 	barWidth   = 5 * vg.Millimeter
 )
 
-// Plot draws the burn rate of each class and window.
-func Plot(file string, rows []Row) error {
+// Plot writes a bar chart of the burn rate of each class and window to a file.
+func Plot(file string, rows []WindowRate) error {
 	p := plot.New()
 	p.Title.Text = "burn rate"
 	p.Y.Label.Text = "times the budget"
--- a/internal/cancel/cancel.go
+++ b/internal/cancel/cancel.go
@@ -1,5 +1,5 @@
-// Package cancel repeats cancels at engines until they are acknowledged, so that no engine loses memory to an
-// attempt that nobody waits for.
+// Package cancel sends cancel requests to engines and retries them until an engine answers, so that no engine keeps holding memory
+// for an attempt whose result nobody waits for.
 package cancel
 
 import (
@@ -14,81 +14,82 @@
 )
 
 const (
-	ringSize   = 4096
-	firstPause = 50 * time.Millisecond
-	maxPause   = 5 * time.Second
-	callLimit  = 2 * time.Second
-	// giveUp is when the sweeper of the target's owner has surely freed the attempt.
-	giveUp = 5 * time.Minute
+	queueSize      = 4096
+	initialBackoff = 50 * time.Millisecond
+	maxBackoff     = 5 * time.Second
+	callTimeout    = 2 * time.Second
+	// retryTimeout is long enough for the sweep by the target's owner to have cancelled the attempt in the meantime.
+	retryTimeout = 5 * time.Minute
 )
 
-// Order is one attempt to cancel.
-type Order struct {
-	// Attempt is the attempt's id.
+// Request asks for one attempt to be cancelled.
+type Request struct {
+	// Attempt is the id of the attempt.
 	Attempt string
-	// Client calls the engine that holds it.
+	// Client calls the engine that runs the attempt.
 	Client *engine.Client
 }
 
-// Canceller is the duty that sends cancels.
+// Canceller queues cancel requests and sends them in Run.
 type Canceller struct {
-	orders *ring.Ring[Order]
+	queue *ring.Queue[Request]
 }
 
-// New returns a canceller; Run does its work.
-func New() *Canceller { return &Canceller{orders: ring.New[Order](ringSize)} }
+// New returns a canceller with an empty queue. The caller must call Run to have requests sent.
+func New() *Canceller { return &Canceller{queue: ring.New[Request](queueSize)} }
 
-// Cancel asks for an attempt to be cancelled. When too many wait it is left to the sweeper.
-func (cn *Canceller) Cancel(o Order) { cn.orders.Offer(o) }
+// Cancel queues a request without blocking. If the queue is full, the request is dropped and the attempt is left to the sweep.
+func (ca *Canceller) Cancel(req Request) { ca.queue.Offer(req) }
 
-// Shed returns how many cancels were left to the sweeper.
-func (cn *Canceller) Shed() uint64 { return cn.orders.Shed() }
+// Dropped returns the number of requests that were dropped because the queue was full.
+func (ca *Canceller) Dropped() uint64 { return ca.queue.Dropped() }
 
-// Run sends cancels until ctx ends, and then once those that wait: they are of the last requests of a stop, and their
-// engines would work on until another instance sweeps them.
-func (cn *Canceller) Run(ctx context.Context) {
+// Run sends queued requests until ctx ends. It then sends those that are still queued once, because they belong to the last
+// requests before the instance stops, and their engines would work on until the sweep of another instance cancels the attempts.
+func (ca *Canceller) Run(ctx context.Context) {
 	for {
 		select {
-		case o := <-cn.orders.Items():
-			if !once(ctx, o) {
-				go repeat(ctx, o)
+		case req := <-ca.queue.Items():
+			if !trySend(ctx, req) {
+				go retry(ctx, req)
 			}
 		case <-ctx.Done():
-			cn.sendWaiting(ctx)
+			ca.sendQueued(ctx)
 			return
 		}
 	}
 }
 
-// sendWaiting sends the cancels that wait beside each other, so that they take no longer than one call.
-func (cn *Canceller) sendWaiting(ctx context.Context) {
+// sendQueued sends the queued requests concurrently, so that together they take no longer than one call.
+func (ca *Canceller) sendQueued(ctx context.Context) {
 	var wg sync.WaitGroup
-	for range cn.orders.Len() {
-		o := <-cn.orders.Items()
-		wg.Go(func() { once(ctx, o) })
+	for range ca.queue.Len() {
+		req := <-ca.queue.Items()
+		wg.Go(func() { trySend(ctx, req) })
 	}
 	wg.Wait()
 }
 
-// once sends a cancel. A call on its way goes on when ctx ends.
-func once(ctx context.Context, o Order) bool {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callLimit)
+// trySend sends a request once and reports whether the engine answered, with any status. The end of ctx does not abort the call.
+func trySend(ctx context.Context, req Request) bool {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	err := o.Client.Cancel(ctx, o.Attempt)
+	err := req.Client.Cancel(ctx, req.Attempt)
 	var se *engine.StatusError
 	return err == nil || errors.As(err, &se)
 }
 
-func repeat(ctx context.Context, o Order) {
-	ctx, cancel := context.WithTimeout(ctx, giveUp)
+// retry repeats a request with exponential back-off until the engine answers, ctx ends or retryTimeout has passed.
+func retry(ctx context.Context, req Request) {
+	ctx, cancel := context.WithTimeout(ctx, retryTimeout)
 	defer cancel()
-	for pause := firstPause; ; pause = min(2*pause, maxPause) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		select {
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 			return
 		}
-		if once(ctx, o) {
+		if trySend(ctx, req) {
 			return
 		}
 	}
--- a/internal/duty/sweep/sweep.go
+++ b/internal/duty/sweep/sweep.go
@@ -69,7 +69,7 @@
 func sweepEngine(ctx context.Context, cl *engine.Client, ended set.Set[string]) int {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	held, err := cl.Held(ctx)
+	held, err := cl.ListMemoryHolds(ctx)
 	if err != nil {
 		return 0
 	}
@@ -83,7 +83,7 @@
 }
 
 // Orphaned reports whether no request can be waiting for an attempt that an engine holds.
-func Orphaned(h engine.Held, ended set.Set[string]) bool {
-	left := time.Duration(h.LeftMillis) * time.Millisecond
+func Orphaned(h engine.MemoryHold, ended set.Set[string]) bool {
+	left := time.Duration(h.RemainingMillis) * time.Millisecond
 	return left < -deadlineGrace || ended.Has(h.Holder)
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -38,7 +38,7 @@
 	// dropped counts the lines that were not written; never nil.
 	dropped *metrics.Counter
 	// queue holds formatted lines in the order in which they were offered.
-	queue *ring.Ring[*line]
+	queue *ring.Queue[*line]
 	// quotas limits the lines of each kind.
 	quotas *quotas
 	// maxNormalQueued is the queue length from which only urgent lines are accepted.
--- a/internal/experiment/fault.go
+++ b/internal/experiment/fault.go
@@ -8,37 +8,39 @@
 	"github.com/silvermount/silvermount/internal/localfleet"
 )
 
-// cutZone is the availability zone that is cut off.
-const cutZone = "a"
+// partitionedZone is the availability zone that FaultZonePartitioned cuts off from the others.
+const partitionedZone = "a"
 
-// cutter cuts the links between one availability zone and the others.
-type cutter struct {
-	on atomic.Bool
+// zonePartition blocks the peer links between partitionedZone and the other availability zones while it is active.
+type zonePartition struct {
+	active atomic.Bool
 }
 
-func (ct *cutter) blocked(from, to string) bool {
-	return ct.on.Load() && (from == cutZone) != (to == cutZone)
+func (zp *zonePartition) blocked(from, to string) bool {
+	return zp.active.Load() && (from == partitionedZone) != (to == partitionedZone)
 }
 
-// inject makes a fault happen after a delay. The function returned ends it.
-func inject(ctx context.Context, lf *localfleet.Fleet, f Fault, cut *cutter, after time.Duration) func() {
+// injectFault injects a fault after a delay. The returned function ends the fault, except that a killed engine stays down and an
+// instance marked as stopping stays so.
+func injectFault(ctx context.Context, lf *localfleet.Fleet, f Fault, partition *zonePartition, after time.Duration) func() {
 	timer := time.AfterFunc(after, func() {
 		switch f {
-		case FaultEngine:
+		case FaultEngineKilled:
 			lf.Engines[0].Kill()
-		case FaultInstance:
-			// Callers of the killed instance go to another by the balancer, which is not part of this.
+		case FaultInstanceKilled:
+			// A load balancer would send the callers of a killed instance elsewhere. The experiment has none, so the instance keeps
+			// running and is only marked as stopping.
 			lf.Instances[len(lf.Instances)-1].Env().Stopping.Store(true)
-		case FaultZone:
-			cut.on.Store(true)
-		case FaultPlatform:
+		case FaultZonePartitioned:
+			partition.active.Store(true)
+		case FaultPlatformDown:
 			lf.Store.SetDown(true)
-		case FaultNone, FaultStale:
+		case FaultNone, FaultStaleReports:
 		}
 	})
 	return func() {
 		timer.Stop()
-		cut.on.Store(false)
+		partition.active.Store(false)
 		lf.Store.SetDown(false)
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -14,8 +14,8 @@
 	barWidth   = 12 * vg.Millimeter / 2
 )
 
-// Plot draws the slowdown of short prompts for each policy.
-func Plot(file string, rows []Cell) error {
+// Plot writes a bar chart of the slowdown of short prompts for each row to a file.
+func Plot(file string, rows []Result) error {
 	p := plot.New()
 	p.Title.Text = "slowdown of short prompts beside long ones"
 	p.Y.Label.Text = "times the answer without long prompts"
@@ -27,7 +27,7 @@
 			name += "\n" + string(r.Fault)
 		}
 		names = append(names, name)
-		p50, p95, p99 = append(p50, r.SlowP50), append(p95, r.SlowP95), append(p99, r.SlowP99)
+		p50, p95, p99 = append(p50, r.SlowdownP50), append(p95, r.SlowdownP95), append(p99, r.SlowdownP99)
 	}
 	for i, s := range []struct {
 		label  string
--- a/internal/load/check.go
+++ b/internal/load/check.go
@@ -2,8 +2,9 @@
 
 import "github.com/silvermount/silvermount/internal/standin/answer"
 
-// check compares the text with what a stand-in engine generates for the prompt.
-func (rs *Result) check(prompt string) {
-	rs.Right = rs.Whole && rs.text == answer.Generate(prompt, rs.Output)
+// checkAnswer sets Correct if the text is complete and the same as a simulated engine generates for the prompt. It clears the
+// text to free its memory.
+func (rs *Result) checkAnswer(prompt string) {
+	rs.Correct = rs.Complete && rs.text == answer.Generate(prompt, rs.OutputTokens)
 	rs.text = ""
 }
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -1,5 +1,5 @@
-// Package localfleet runs a platform, targets and entry instances in one process on loopback, for the demo,
-// measurements and tests.
+// Package localfleet runs a simulated platform store, simulated targets and real entry instances in one process on loopback
+// ports. It is used by the demo, measurements and tests.
 package localfleet
 
 import (
@@ -24,92 +24,92 @@
 	"github.com/silvermount/silvermount/internal/standin/servicesim"
 )
 
-// The names that a local fleet's bundle holds.
+// The names and keys in the default bundle and settings of a local fleet.
 const (
 	Model       = "address"
 	Service     = "valves"
-	Key         = "local-caller-key"
+	CallerKey   = "local-caller-key"
 	OperatorKey = "local-operator-key"
 	ClassCall   = "call"
 	ClassBatch  = "batch"
 	ClassJob    = "overnight"
 
-	loopback  = "127.0.0.1:0"
-	peerKey   = "local-peer-secret"
-	readyWait = 15 * time.Second
+	loopback     = "127.0.0.1:0"
+	peerSecret   = "local-peer-secret"
+	readyTimeout = 15 * time.Second
 )
 
-// Options size a local fleet.
+// Options are the sizes and settings of a local fleet.
 type Options struct {
-	// Zones, Engines and Instances are counts; engines and instances are spread over the zones.
+	// Zones, Engines and Instances are counts. Engines and instances are spread over the availability zones in turn.
 	Zones, Engines, Instances int
-	// Params are those of every engine.
-	Params enginesim.Params
-	// Policy is the routing policy; empty takes the default.
+	// EngineParams are the simulation parameters of every engine.
+	EngineParams enginesim.Params
+	// Policy is the name of the routing policy. If it is empty, the default policy is used.
 	Policy string
-	// Adjust may change an instance's settings.
-	Adjust func(*config.Settings)
-	// Log is used by the instances.
+	// AdjustSettings, if set, may change the settings of each instance before it starts.
+	AdjustSettings func(*config.Settings)
+	// Log receives the log lines of the instances.
 	Log log.Interface
-	// Bundle is the first accepted bundle; nil takes DefaultBundle.
+	// Bundle is the accepted bundle at the start. If it is nil, DefaultBundle is used.
 	Bundle *bundle.Bundle
-	// Blocked cuts the link from one zone to another.
-	Blocked func(from, to string) bool
+	// ZoneLinkBlocked, if set, reports whether peer links from one availability zone to another are blocked.
+	ZoneLinkBlocked func(from, to string) bool
 }
 
-// Server is one stand-in behind a listener.
+// Server is an HTTP server on a loopback port that serves a simulated store or target.
 type Server struct {
 	URL string
 	srv *http.Server
 }
 
-// Close breaks all connections and stops listening.
-func (sr *Server) Close() { _ = sr.srv.Close() } // nothing waits for a stand-in
+// Close stops listening and closes all connections at once, including those with requests in flight.
+func (sr *Server) Close() { _ = sr.srv.Close() } // a close error of a simulated server does not matter
 
-// Serve listens on loopback.
+// Serve starts a server for a handler on a free loopback port.
 func Serve(h http.Handler) (*Server, error) {
 	lis, err := net.Listen("tcp", loopback)
 	if err != nil {
 		return nil, errors.Wrap(err, "listen")
 	}
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
-	go func() { _ = srv.Serve(lis) }() // ends with Close
+	go func() { _ = srv.Serve(lis) }() // returns after Close
 	return &Server{URL: "http://" + lis.Addr().String(), srv: srv}, nil
 }
 
-// Engine is one engine with its listener.
+// Engine is a simulated engine and the server that serves it.
 type Engine struct {
 	*enginesim.Engine
 	Name   string
 	server *Server
 }
 
-// URL returns the address of the engine.
+// URL returns the base URL of the engine.
 func (en *Engine) URL() string { return en.server.URL }
 
-// Kill ends the engine in the middle of its work.
+// Kill stops the engine abruptly, with its requests in flight.
 func (en *Engine) Kill() {
 	en.Engine.Kill()
 	en.server.Close()
 }
 
-// Fleet is a running local fleet.
+// Fleet is a running local fleet. Its exported fields give access to the store, the targets and the instances.
 type Fleet struct {
 	Store     *platformsim.Store
 	StoreURL  string
 	Engines   []*Engine
-	Services  *servicesim.Service
+	Service   *servicesim.Service
 	Instances []*instance.Instance
 	opts      Options
 	servers   []*Server
 }
 
-// DefaultBundle returns the bundle that a local fleet starts with.
+// DefaultBundle returns the bundle that is used if Options.Bundle is nil.
 func DefaultBundle() bundle.Bundle {
 	seconds := func(n int) config.Duration { return config.Duration(time.Duration(n) * time.Second) }
 	return bundle.Bundle{
 		Version:       1,
-		Organisations: []bundle.Organisation{{Name: "tywi", KeyDigests: []string{bundle.KeyDigest(Key)}}},
+		Organisations: []bundle.Organisation{{Name: "tywi", KeyDigests: []string{bundle.KeyDigest(CallerKey)}}},
 		Models:        []bundle.Model{{Name: Model, MaxTokens: 1_100_000}},
 		Services:      []string{Service},
 		Classes: []bundle.Class{
@@ -129,14 +129,15 @@
 	}
 }
 
-// Start starts a local fleet and waits until every instance is ready and knows the others.
+// Start starts a local fleet and waits until every instance has a bundle, sees all other instances as live, knows all targets
+// and has no target left that needs a probe. It returns a NotReadyError if this takes longer than 15 s.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
-	lf := &Fleet{Store: platformsim.New(), Services: servicesim.New(), opts: o}
+	lf := &Fleet{Store: platformsim.New(), Service: servicesim.New(), opts: o}
 	if err := lf.startTargets(); err != nil {
 		lf.Close(ctx)
 		return nil, err
 	}
-	if err := lf.putBundle(); err != nil {
+	if err := lf.publishBundle(); err != nil {
 		lf.Close(ctx)
 		return nil, err
 	}
@@ -146,7 +147,7 @@
 			return nil, err
 		}
 	}
-	if err := lf.await(ctx); err != nil {
+	if err := lf.waitReady(ctx); err != nil {
 		lf.Close(ctx)
 		return nil, err
 	}
@@ -161,7 +162,7 @@
 	return sr, err
 }
 
-func zone(i, zones int) string { return string(rune('a' + i%max(1, zones))) }
+func zoneName(i, zones int) string { return string(rune('a' + i%max(1, zones))) }
 
 func (lf *Fleet) startTargets() error {
 	sr, err := lf.serve(lf.Store.Handler())
@@ -170,22 +171,22 @@
 	}
 	lf.StoreURL = sr.URL
 	for i := range lf.opts.Engines {
-		if _, err := lf.AddEngine(fmt.Sprintf("engine-%02d", i), zone(i, lf.opts.Zones)); err != nil {
+		if _, err := lf.AddEngine(fmt.Sprintf("engine-%02d", i), zoneName(i, lf.opts.Zones)); err != nil {
 			return err
 		}
 	}
-	sr, err = lf.serve(lf.Services)
+	sr, err = lf.serve(lf.Service)
 	if err != nil {
 		return err
 	}
 	return lf.Store.Put(objectstore.KindTargets, "service-0", fleet.Target{
-		Name: "service-0", Kind: fleet.KindService, AvailabilityZone: zone(0, 1), URL: sr.URL, Service: Service,
+		Name: "service-0", Kind: fleet.KindService, AvailabilityZone: zoneName(0, 1), URL: sr.URL, Service: Service,
 	})
 }
 
-// AddEngine starts an engine and lists it.
+// AddEngine starts an engine and adds it to the targets in the store.
 func (lf *Fleet) AddEngine(name, zone string) (*Engine, error) {
-	en := &Engine{Engine: enginesim.New(lf.opts.Params, Model), Name: name}
+	en := &Engine{Engine: enginesim.New(lf.opts.EngineParams, Model), Name: name}
 	sr, err := lf.serve(en.Handler())
 	if err != nil {
 		return nil, err
@@ -197,7 +198,7 @@
 	})
 }
 
-func (lf *Fleet) putBundle() error {
+func (lf *Fleet) publishBundle() error {
 	b := DefaultBundle()
 	if lf.opts.Bundle != nil {
 		b = *lf.opts.Bundle
@@ -208,29 +209,29 @@
 	return lf.Store.Put(objectstore.KindPointers, rollout.PointerName, rollout.Pointer{Version: b.Version})
 }
 
-// Settings returns those of the i-th instance.
+// Settings returns the settings of the i-th instance.
 func (lf *Fleet) Settings(i int) config.Settings {
 	s := config.Settings{
-		Instance: fmt.Sprintf("entry-%02d", i), AvailabilityZone: zone(i, lf.opts.Zones),
+		Instance: fmt.Sprintf("entry-%02d", i), AvailabilityZone: zoneName(i, lf.opts.Zones),
 		Callers:   config.Callers{Listen: loopback},
 		Operators: config.Operators{Listen: loopback, Key: OperatorKey},
-		Peers:     config.Peers{Listen: loopback, Secret: peerKey, Heartbeat: config.Duration(100 * time.Millisecond)},
+		Peers:     config.Peers{Listen: loopback, Secret: peerSecret, Heartbeat: config.Duration(100 * time.Millisecond)},
 		Platform:  config.Platform{URL: lf.StoreURL},
 		Routing:   config.Routing{Policy: lf.opts.Policy, ReportEvery: config.Duration(100 * time.Millisecond)},
 		Stop:      config.Stop{BalancerLag: config.Duration(50 * time.Millisecond)},
 	}
-	if lf.opts.Adjust != nil {
-		lf.opts.Adjust(&s)
+	if lf.opts.AdjustSettings != nil {
+		lf.opts.AdjustSettings(&s)
 	}
 	return s
 }
 
-// AddInstance starts the i-th instance.
+// AddInstance starts the i-th instance with the settings that Settings returns. It does not wait until the instance is ready.
 func (lf *Fleet) AddInstance(ctx context.Context, i int) (*instance.Instance, error) {
 	s := lf.Settings(i)
 	var opts []instance.Option
-	if lf.opts.Blocked != nil {
-		opts = append(opts, instance.WithBlocked(func(to string) bool { return lf.opts.Blocked(s.AvailabilityZone, to) }))
+	if lf.opts.ZoneLinkBlocked != nil {
+		opts = append(opts, instance.WithZoneBlocked(func(to string) bool { return lf.opts.ZoneLinkBlocked(s.AvailabilityZone, to) }))
 	}
 	in, err := instance.Start(ctx, s, lf.opts.Log, opts...)
 	if err != nil {
@@ -240,7 +241,7 @@
 	return in, nil
 }
 
-// URLs returns the callers' URLs of all instances.
+// URLs returns the base URLs for callers of all instances.
 func (lf *Fleet) URLs() []string {
 	urls := make([]string, len(lf.Instances))
 	for i, in := range lf.Instances {
@@ -249,28 +250,28 @@
 	return urls
 }
 
-// NotReadyError says that a local fleet did not come up in time.
+// NotReadyError is returned if a local fleet is not ready within the start timeout.
 type NotReadyError struct{ Waited time.Duration }
 
-// Error gives the time waited.
+// Error includes the time waited.
 func (nr *NotReadyError) Error() string {
 	return "the local fleet was not ready after " + nr.Waited.String()
 }
 
-func (lf *Fleet) await(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+func (lf *Fleet) waitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for !lf.settled() {
+	for !lf.ready() {
 		select {
 		case <-ctx.Done():
-			return &NotReadyError{Waited: readyWait}
+			return &NotReadyError{Waited: readyTimeout}
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 	return nil
 }
 
-func (lf *Fleet) settled() bool {
+func (lf *Fleet) ready() bool {
 	for _, in := range lf.Instances {
 		fl, err := kernel.Resolve[*fleet.Fleet](in.Env())
 		if err != nil {
@@ -286,18 +287,18 @@
 				live++
 			}
 		}
-		vw := fl.Candidates(fleet.Filter{Model: Model})
-		if live < len(lf.Instances)-1 || len(vw.NeedsProbe) > 0 {
+		cs := fl.Candidates(fleet.Filter{Model: Model})
+		if live < len(lf.Instances)-1 || len(cs.NeedsProbe) > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-// Close stops everything.
+// Close stops the instances, then the engines and the other simulated servers.
 func (lf *Fleet) Close(ctx context.Context) {
 	for _, in := range lf.Instances {
-		_ = in.Stop(ctx) // an instance may have been stopped already
+		_ = in.Stop(ctx) // the caller may have stopped this instance already
 	}
 	for _, en := range lf.Engines {
 		en.Engine.Kill()
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,4 +1,4 @@
-// Package ring provides the bounded queue that joins two duties.
+// Package ring provides a bounded queue for passing items between goroutines.
 package ring
 
 import (
@@ -6,45 +6,45 @@
 	"sync/atomic"
 )
 
-// Ring is a bounded first-in first-out queue. Its methods may be called by any goroutine.
-type Ring[T any] struct {
-	// items has the ring's fixed capacity.
+// Queue is a bounded FIFO queue. It is safe for concurrent use.
+type Queue[T any] struct {
+	// items has a buffer of the queue's capacity.
 	items chan T
-	// shed only grows.
-	shed atomic.Uint64
+	// dropped counts the dropped items. It never decreases.
+	dropped atomic.Uint64
 }
 
-// New returns a ring that holds at most capacity items.
-func New[T any](capacity int) *Ring[T] {
-	return &Ring[T]{items: make(chan T, capacity)}
+// New returns a queue that holds at most capacity items.
+func New[T any](capacity int) *Queue[T] {
+	return &Queue[T]{items: make(chan T, capacity)}
 }
 
-// Offer adds an item, or drops it and counts it when the ring is full.
-func (rg *Ring[T]) Offer(item T) bool {
+// Offer adds an item and returns true. If the queue is full, it drops the item, counts it and returns false.
+func (qu *Queue[T]) Offer(item T) bool {
 	select {
-	case rg.items <- item:
+	case qu.items <- item:
 		return true
 	default:
-		rg.shed.Add(1)
+		qu.dropped.Add(1)
 		return false
 	}
 }
 
-// Put adds an item and waits for room until ctx ends.
-func (rg *Ring[T]) Put(ctx context.Context, item T) error {
+// Put adds an item. While the queue is full, it blocks until ctx ends, and then returns the error of ctx.
+func (qu *Queue[T]) Put(ctx context.Context, item T) error {
 	select {
-	case rg.items <- item:
+	case qu.items <- item:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// Items returns the channel to receive from.
-func (rg *Ring[T]) Items() <-chan T { return rg.items }
+// Items returns the channel from which queued items are received.
+func (qu *Queue[T]) Items() <-chan T { return qu.items }
 
-// Len returns how many items wait.
-func (rg *Ring[T]) Len() int { return len(rg.items) }
+// Len returns the number of queued items.
+func (qu *Queue[T]) Len() int { return len(qu.items) }
 
-// Shed returns how many items were dropped.
-func (rg *Ring[T]) Shed() uint64 { return rg.shed.Load() }
+// Dropped returns the number of items that Offer has dropped.
+func (qu *Queue[T]) Dropped() uint64 { return qu.dropped.Load() }
--- a/internal/room/room.go
+++ b/internal/room/room.go
@@ -37,7 +37,7 @@
 // memoryShare is the memory to reserve on one engine, in tokens.
 type memoryShare struct {
 	target      fleet.Target
-	reservation engine.Held
+	reservation engine.MemoryHold
 	memory      int
 }
 
@@ -51,7 +51,7 @@
 	for i, sh := range shares {
 		if err := rs.reserve(ctx, sh); err != nil {
 			held := shares[:i+1] // the failed reservation may have taken effect, with only the answer lost
-			if engine.NeverConnected(err) {
+			if engine.IsDialError(err) {
 				rs.fleet.MarkUnreachable(sh.target.Name)
 				held = shares[:i]
 			}
@@ -110,8 +110,8 @@
 		if share <= 0 || !ok {
 			continue
 		}
-		shares = append(shares, memoryShare{target: t, memory: share, reservation: engine.Held{
-			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: share, LeftMillis: maxHold.Milliseconds(),
+		shares = append(shares, memoryShare{target: t, memory: share, reservation: engine.MemoryHold{
+			Attempt: ident.New("room"), Holder: rs.fleet.Self().Incarnation, Tokens: share, RemainingMillis: maxHold.Milliseconds(),
 		}})
 	}
 	return shares, missing
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -34,8 +34,8 @@
 func (sv *Server) runAttempt(ctx context.Context, rq *request, sk *sink, pl *router.Slot) error {
 	cl := sv.Engine(pl.Target)
 	at := engine.Attempt{
-		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.remaining(), Borrowed: pl.BorrowedTokens,
-		Priority: sv.enginePriority(rq), Fresh: rq.atMostOnce,
+		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Remaining: rq.remaining(), BorrowedTokens: pl.BorrowedTokens,
+		Priority: sv.enginePriority(rq), NewConnection: rq.atMostOnce,
 	}
 	sk.events = 0
 	startedAt := time.Now()
@@ -49,7 +49,7 @@
 		err = sv.resumeStream(ctx, rq, sk, pl, cl, at, startedAt)
 	}
 	if err != nil {
-		sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
+		sv.Canceller.Cancel(cancel.Request{Attempt: at.ID, Client: cl})
 		if failure.FromError(err).Code == failure.TargetLost {
 			sv.Fleet.RecordFailure(pl.Target.Name)
 		}
@@ -76,11 +76,11 @@
 	if errors.As(err, &se) {
 		return failureFromStatus(se)
 	}
-	if engine.NeverConnected(err) {
+	if engine.IsDialError(err) {
 		sv.Fleet.MarkUnreachable(pl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
-	sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
+	sv.Canceller.Cancel(cancel.Request{Attempt: at.ID, Client: cl})
 	if ctx.Err() != nil {
 		return failureFromContext(ctx)
 	}
--- a/internal/session/bench_test.go
+++ b/internal/session/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkCompletion(b *testing.B) {
 	params := enginesim.DefaultParams()
 	params.Speedup = 1e6
-	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, Params: params, Log: discardLogger()})
+	lf, err := localfleet.Start(b.Context(), localfleet.Options{Zones: 1, Engines: 4, Instances: 1, EngineParams: params, Log: discardLogger()})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			req, _ := http.NewRequestWithContext(b.Context(), http.MethodPost, url, bytes.NewReader(body))
-			req.Header.Set("Authorization", "Bearer "+localfleet.Key)
+			req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
 			resp, err := client.Do(req)
 			if err != nil {
 				b.Error(err)
--- a/internal/session/bundle_test.go
+++ b/internal/session/bundle_test.go
@@ -40,11 +40,11 @@
 
 func TestSignedBundleReachesAllInstancesAndNeverReverts(t *testing.T) {
 	g := NewWithT(t)
-	storeFronts := map[string]*localfleet.Front{}
+	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
-		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
-		Adjust: func(s *config.Settings) {
-			fr, err := localfleet.NewFront(s.Platform.URL)
+		Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(200),
+		AdjustSettings: func(s *config.Settings) {
+			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
 			storeFronts[s.Instance] = fr
 			s.Platform.URL = fr.URL
@@ -52,7 +52,7 @@
 		},
 	})
 	// One instance cannot reach the platform, so it gets the bundle from its peers.
-	storeFronts["entry-01"].SetCut(true)
+	storeFronts["entry-01"].SetBlocked(true)
 	signBundleWithKey(t, lf, "second-key")
 	for _, in := range lf.Instances {
 		g.Eventually(bundleVersion(in), 2*time.Second, 10*time.Millisecond).Should(Equal(int64(2)))
@@ -70,7 +70,7 @@
 // instance that has the bundle.
 func TestNewInstanceGetsBundleFromPeerDuringOutage(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200)})
 	signBundleWithKey(t, lf, "second-key")
 	g.Eventually(bundleVersion(lf.Instances[0]), 2*time.Second).Should(Equal(int64(2)))
 	lf.Store.SetDown(true)
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -27,9 +27,9 @@
 	rnd := rand.New(rand.NewPCG(3, 3))
 	all := make([]load.Arrival, n)
 	for i := range all {
-		all[i] = load.Arrival{Class: class, Tokens: 1_000 + rnd.IntN(7_000), Output: 24, Index: i, At: time.Duration(i) * time.Millisecond}
+		all[i] = load.Arrival{Class: class, PromptTokens: 1_000 + rnd.IntN(7_000), OutputTokens: 24, Index: i, At: time.Duration(i) * time.Millisecond}
 		if i%50 == 7 {
-			all[i].Tokens = 120_000 + rnd.IntN(100_000)
+			all[i].PromptTokens = 120_000 + rnd.IntN(100_000)
 		}
 	}
 	return all
@@ -37,22 +37,22 @@
 
 func TestConcurrentResponsesMatchTheirRequests(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(200)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(200)})
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 2), mixedArrivals(200, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 }
 
 func TestIncompleteResponsesAreReportedWhenEnginesDie(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(100)})
 	kill := func(i int, after time.Duration) { time.AfterFunc(after, lf.Engines[i].Kill) }
 	kill(0, 40*time.Millisecond)
 	kill(3, 90*time.Millisecond)
 	correct := 0
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 4), mixedArrivals(200, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(Equal(r.Whole), "a complete response must be the correct one: %+v", r)
-		if !r.Whole {
+		g.Expect(r.Correct).To(Equal(r.Complete), "a complete response must be the correct one: %+v", r)
+		if !r.Complete {
 			g.Expect(r.Code).NotTo(Or(BeEmpty(), Equal("cut_off")), "%+v", r)
 			continue
 		}
@@ -81,7 +81,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 2, Instances: 1, Params: fastEngines(100)})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 2, Instances: 1, EngineParams: fastEngines(100)})
 			tc.fault(lf)
 			headers := append([]string{serve.HeaderTimeout, "300ms"}, tc.headers...)
 			resp := call(t, http.MethodPost, lf.URLs()[0]+"/v1/completions", completion("hello", 4, false), headers...)
@@ -102,13 +102,13 @@
 
 func TestEngineMemoryIsFreedAfterCallersDisconnect(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, Params: fastEngines(10)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 3, Instances: 2, EngineParams: fastEngines(10)})
 	client := &http.Client{Timeout: 60 * time.Millisecond}
 	for i := range 30 {
-		body := completion(load.Prompt(9, load.Arrival{Tokens: 20_000, Index: i}), 500, true)
+		body := completion(load.Prompt(9, load.Arrival{PromptTokens: 20_000, Index: i}), 500, true)
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, lf.URLs()[i%2]+"/v1/completions", bytes.NewReader(body))
 		g.Expect(err).NotTo(HaveOccurred())
-		req.Header.Set("Authorization", "Bearer "+localfleet.Key)
+		req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
 		resp, err := client.Do(req)
 		if err == nil {
 			resp.Body.Close()
@@ -128,7 +128,7 @@
 	for name, fault := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(100)})
+			lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(100)})
 			fault(lf)
 			leaving := lf.Engines[1]
 			leaving.MarkLeaving()
@@ -138,7 +138,7 @@
 			}
 			startedBefore := leaving.AttemptCount()
 			for _, r := range load.Run(t.Context(), loadTarget(lf, 5), mixedArrivals(40, localfleet.ClassCall)) {
-				g.Expect(r.Right).To(BeTrue(), "%+v", r)
+				g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 			}
 			g.Expect(leaving.AttemptCount()).To(Equal(startedBefore))
 		})
@@ -157,12 +157,12 @@
 
 func TestRollingRestartInterruptsNoRequest(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(100)})
 	var liveURLs atomic.Pointer[[]string]
 	urls := lf.URLs()
 	liveURLs.Store(&urls)
 	tg := loadTarget(lf, 6)
-	tg.Pick = func(i int) string { us := *liveURLs.Load(); return us[i%len(us)] }
+	tg.PickURL = func(i int) string { us := *liveURLs.Load(); return us[i%len(us)] }
 	arrivals := mixedArrivals(300, localfleet.ClassCall)
 	for i := range arrivals {
 		arrivals[i].At *= 8
@@ -184,7 +184,7 @@
 		liveURLs.Store(&extended)
 	}
 	for _, r := range <-results {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 }
 
@@ -203,13 +203,13 @@
 	g := NewWithT(t)
 	var partitioned atomic.Bool
 	lf := startFleet(t, localfleet.Options{
-		Zones: 3, Engines: 6, Instances: 3, Params: fastEngines(100),
-		Blocked: func(from, to string) bool { return partitioned.Load() && (from == "a") != (to == "a") },
+		Zones: 3, Engines: 6, Instances: 3, EngineParams: fastEngines(100),
+		ZoneLinkBlocked: func(from, to string) bool { return partitioned.Load() && (from == "a") != (to == "a") },
 	})
 	partitioned.Store(true)
 	lf.Store.SetDown(true)
 	for _, r := range load.Run(t.Context(), loadTarget(lf, 8), mixedArrivals(60, localfleet.ClassCall)) {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 	partitioned.Store(false)
 	lf.Store.SetDown(false)
@@ -229,12 +229,12 @@
 // TestIncompleteBodyIsRefusedAtDeadline sends only the beginning of a body of 1000 bytes, and then nothing more.
 func TestIncompleteBodyIsRefusedAtDeadline(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(100)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(100)})
 	conn, err := net.Dial("tcp", strings.TrimPrefix(lf.URLs()[0], "http://"))
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s: 200ms\r\nContent-Length: 1000\r\n\r\n{\"model\"",
-		localfleet.Key, serve.HeaderTimeout)
+		localfleet.CallerKey, serve.HeaderTimeout)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(conn.SetReadDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
 	resp, err := io.ReadAll(conn)
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -79,7 +79,7 @@
 // TestCallerTranscript compares the responses to a sequence of requests, some with injected faults, with a golden file.
 func TestCallerTranscript(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, Params: fastEngines(400)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 2, EngineParams: fastEngines(400)})
 	one, two := lf.URLs()[0], lf.URLs()[1]
 	tr := &transcript{t: t}
 	tr.call("models", http.MethodGet, one, "/v1/models", nil)
@@ -96,7 +96,7 @@
 	tr.call("service request with an idempotency key", http.MethodPost, one, valvePath, []byte("open"), key...)
 	tr.call("same request at another instance", http.MethodPost, two, valvePath, []byte("open"), key...)
 	tr.call("same key with a different body", http.MethodPost, two, valvePath, []byte("close"), key...)
-	lf.Services.DropAfterRun(1)
+	lf.Service.DropAfterRun(1)
 	lost := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequestName, "valve-8"}
 	tr.call("service drops the connection after the run", http.MethodPost, one, valvePath, []byte("open"), lost...)
 	tr.call("same request again", http.MethodPost, two, valvePath, []byte("open"), lost...)
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -21,8 +21,8 @@
 func startJobFleet(t *testing.T, scale float64) *localfleet.Fleet {
 	t.Helper()
 	return startFleet(t, localfleet.Options{
-		Zones: 1, Engines: 2, Instances: 3, Params: fastEngines(scale),
-		Adjust: func(s *config.Settings) { s.Platform.Registration = config.Duration(300 * time.Millisecond) },
+		Zones: 1, Engines: 2, Instances: 3, EngineParams: fastEngines(scale),
+		AdjustSettings: func(s *config.Settings) { s.Platform.Registration = config.Duration(300 * time.Millisecond) },
 	})
 }
 
@@ -72,13 +72,13 @@
 func TestJobOfPartitionedInstanceIsTakenOver(t *testing.T) {
 	g := NewWithT(t)
 	var partitionedZone atomic.Pointer[string]
-	storeFronts := map[string]*localfleet.Front{}
+	storeFronts := map[string]*localfleet.StoreProxy{}
 	lf := startFleet(t, localfleet.Options{
-		Zones: 3, Engines: 3, Instances: 3, Params: fastEngines(200),
-		Blocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
-		Adjust: func(s *config.Settings) {
+		Zones: 3, Engines: 3, Instances: 3, EngineParams: fastEngines(200),
+		ZoneLinkBlocked: func(from, to string) bool { z := partitionedZone.Load(); return z != nil && (from == *z) != (to == *z) },
+		AdjustSettings: func(s *config.Settings) {
 			s.Platform.Registration = config.Duration(300 * time.Millisecond)
-			fr, err := localfleet.NewFront(s.Platform.URL)
+			fr, err := localfleet.NewStoreProxy(s.Platform.URL)
 			g.Expect(err).NotTo(HaveOccurred())
 			storeFronts[s.AvailabilityZone] = fr
 			s.Platform.URL = fr.URL
@@ -104,13 +104,13 @@
 	for _, in := range lf.Instances {
 		if in.Env().Incarnation == owner {
 			zone := in.Env().Settings.AvailabilityZone
-			storeFronts[zone].SetCut(true)
+			storeFronts[zone].SetBlocked(true)
 			partitionedZone.Store(&zone)
 		}
 	}
 	g.Eventually(func() job.State { return storedRecord(atMostOnce.ID).State }, 15*time.Second).Should(Equal(job.Unknown))
 	for _, fr := range storeFronts {
-		fr.SetCut(false)
+		fr.SetBlocked(false)
 	}
 	partitionedZone.Store(nil)
 	for _, en := range lf.Engines {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -44,8 +44,8 @@
 	return p
 }
 
-func loadTarget(lf *localfleet.Fleet, seed uint64) load.Target {
-	return load.Target{URLs: lf.URLs(), Key: localfleet.Key, Model: localfleet.Model, Seed: seed}
+func loadTarget(lf *localfleet.Fleet, seed uint64) load.Options {
+	return load.Options{URLs: lf.URLs(), Key: localfleet.CallerKey, Model: localfleet.Model, Seed: seed}
 }
 
 func TestPromptsLargerThanOneEngineComplete(t *testing.T) {
@@ -60,15 +60,15 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: tc.engines, Instances: 2, Params: fastEngines(400), Policy: tc.policy})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: tc.engines, Instances: 2, EngineParams: fastEngines(400), Policy: tc.policy})
 			var hugePrompts []load.Arrival
 			for i := range tc.hugePrompts {
 				hugePrompts = append(hugePrompts,
-					load.Arrival{Class: localfleet.ClassBatch, Tokens: 900_000 + 10_000*i, Output: 4, Index: 2 * i},
-					load.Arrival{Class: localfleet.ClassBatch, Tokens: 300_000, Output: 4, Index: 2*i + 1})
+					load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 900_000 + 10_000*i, OutputTokens: 4, Index: 2 * i},
+					load.Arrival{Class: localfleet.ClassBatch, PromptTokens: 300_000, OutputTokens: 4, Index: 2*i + 1})
 			}
 			for _, r := range load.Run(t.Context(), loadTarget(lf, 1), hugePrompts) {
-				g.Expect(r.Right).To(BeTrue(), "%+v", r)
+				g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 			}
 			for _, en := range lf.Engines {
 				g.Eventually(en.MemoryUsed, 5*time.Second).Should(BeZero(), en.Name)
@@ -80,14 +80,14 @@
 // TestLargePromptCompletesDespiteDeadEngine kills the engine whose memory would be reserved first.
 func TestLargePromptCompletesDespiteDeadEngine(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 7, Instances: 3, Params: fastEngines(400)})
+	lf := startFleet(t, localfleet.Options{Zones: 3, Engines: 7, Instances: 3, EngineParams: fastEngines(400)})
 	lf.Engines[0].Kill()
 	// Index 1 goes to an instance in another availability zone, which the engine's owner does not notify of its failure.
-	hugePrompts := []load.Arrival{{Class: localfleet.ClassBatch, Tokens: 900_000, Output: 4, Index: 1}}
+	hugePrompts := []load.Arrival{{Class: localfleet.ClassBatch, PromptTokens: 900_000, OutputTokens: 4, Index: 1}}
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
 	for _, r := range load.Run(ctx, loadTarget(lf, 1), hugePrompts) {
-		g.Expect(r.Right).To(BeTrue(), "%+v", r)
+		g.Expect(r.Correct).To(BeTrue(), "%+v", r)
 	}
 	for _, en := range lf.Engines[1:] {
 		g.Eventually(en.MemoryUsed, 5*time.Second).Should(BeZero(), en.Name)
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -85,7 +85,7 @@
 	for name, block := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200)})
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200)})
 			address := strings.TrimPrefix(lf.URLs()[0], "http://")
 			stopInBackground(t, lf.Instances[0], block(t, lf))
 			g.Eventually(func() error {
@@ -106,7 +106,7 @@
 // the store. That happens if the stop of the operators' listener waits for the last response without a bound.
 func TestStopCompletesDespiteOperatorNotReading(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200)})
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200)})
 	conn := dialBlockedOperator(t, lf.Instances[0])
 	stopped := stopInBackground(t, lf.Instances[0], func() { conn.Close() })
 	g.Eventually(stopped, stepTimeout).Should(Receive(Not(HaveOccurred())))
@@ -119,7 +119,7 @@
 // aborts the job and does not wait until the job has recorded its end.
 func TestJobAbortedByStopIsRecorded(t *testing.T) {
 	g := NewWithT(t)
-	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200), Adjust: func(s *config.Settings) {
+	lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), AdjustSettings: func(s *config.Settings) {
 		s.Stop.Drain = config.Duration(100 * time.Millisecond)
 	}})
 	lf.Engines[0].SetHung(true)
@@ -150,25 +150,25 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			var storeFront *localfleet.Front
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200), Adjust: func(s *config.Settings) {
+			var storeFront *localfleet.StoreProxy
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), AdjustSettings: func(s *config.Settings) {
 				var err error
-				storeFront, err = localfleet.NewFront(s.Platform.URL)
+				storeFront, err = localfleet.NewStoreProxy(s.Platform.URL)
 				g.Expect(err).NotTo(HaveOccurred())
 				s.Platform.URL = storeFront.URL
 			}})
-			lf.Services.SetDelay(300 * time.Millisecond)
-			lf.Services.DropAfterRun(tc.dropsAfterRun)
+			lf.Service.SetDelay(300 * time.Millisecond)
+			lf.Service.DropAfterRun(tc.dropsAfterRun)
 			go func() {
 				// Once the service runs the request, its claim is in the store.
-				for lf.Services.RunCount("valve") == 0 {
+				for lf.Service.RunCount("valve") == 0 {
 					time.Sleep(time.Millisecond)
 				}
-				storeFront.SetCut(true)
+				storeFront.SetBlocked(true)
 			}()
 			resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve", servicesim.HeaderRequestName, "valve")
 			g.Expect(resp.status).To(Equal(tc.status), resp.body)
-			time.AfterFunc(2*time.Second, func() { storeFront.SetCut(false) })
+			time.AfterFunc(2*time.Second, func() { storeFront.SetBlocked(false) })
 			g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
 			g.Expect(readClaim(t, lf, "valve").State).To(Equal(tc.want))
 		})
@@ -208,7 +208,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, Params: fastEngines(200), Adjust: func(s *config.Settings) {
+			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 1, Instances: 1, EngineParams: fastEngines(200), AdjustSettings: func(s *config.Settings) {
 				s.Stop.Drain = config.Duration(time.Second)
 			}})
 			lf.Engines[0].SetHung(true)
@@ -241,7 +241,7 @@
 	if err != nil {
 		return response{body: err.Error()}
 	}
-	req.Header.Set("Authorization", "Bearer "+localfleet.Key)
+	req.Header.Set("Authorization", "Bearer "+localfleet.CallerKey)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return response{body: err.Error()}
--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -89,7 +89,7 @@
 			return version, nil
 		}
 		var conflict *objectstore.ConflictError
-		var unknown *objectstore.UnknownError
+		var unknown *objectstore.UnknownOutcomeError
 		if !errors.As(err, &conflict) && !errors.As(err, &unknown) {
 			return 0, errors.Wrap(err, "write bundle")
 		}
--- a/internal/standin/enginesim/http.go
+++ b/internal/standin/enginesim/http.go
@@ -262,12 +262,12 @@
 
 func (en *Engine) handleHeld(w http.ResponseWriter, _ *http.Request) {
 	en.mu.Lock()
-	all := []engine.Held{}
+	all := []engine.MemoryHold{}
 	for _, group := range []map[string]*sequence{en.sequences, en.reservations} {
 		for id, sq := range group {
-			all = append(all, engine.Held{
+			all = append(all, engine.MemoryHold{
 				Attempt: id, Holder: sq.holder, Tokens: sq.promptTokens + sq.outputTokens,
-				LeftMillis: time.Until(sq.deadline).Milliseconds(),
+				RemainingMillis: time.Until(sq.deadline).Milliseconds(),
 			})
 		}
 	}
@@ -276,7 +276,7 @@
 }
 
 func (en *Engine) handleReserve(w http.ResponseWriter, r *http.Request) {
-	var h engine.Held
+	var h engine.MemoryHold
 	if err := json.NewDecoder(r.Body).Decode(&h); err != nil {
 		refuse(w, http.StatusBadRequest)
 		return
@@ -290,7 +290,7 @@
 	en.usedTokens += h.Tokens
 	en.reservations[h.Attempt] = &sequence{
 		id: h.Attempt, holder: h.Holder, promptTokens: h.Tokens,
-		deadline: time.Now().Add(time.Duration(h.LeftMillis) * time.Millisecond),
+		deadline: time.Now().Add(time.Duration(h.RemainingMillis) * time.Millisecond),
 	}
 }
 
