--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -29,10 +29,10 @@
 	rts *routes.Holder
 	dr  *targets.Directory
 	lg  log.Interface
-	// changed is notified of changes that peers may not know yet.
-	changed *forwarding.Notifier
-	// followers knows whether peers watch the store on behalf of this instance.
-	followers *forwarding.StoreCoordinator
+	// stateNotifier is notified of changes that peers may not know yet.
+	stateNotifier *forwarding.Notifier
+	// coordinator knows whether peers watch the store on behalf of this instance.
+	coordinator *forwarding.StoreCoordinator
 	// hasSeeds is set if there may be peers, firstStart if the whole fleet is starting for the first time.
 	hasSeeds, firstStart bool
 	// detector is notified of each successful and each failed call.
@@ -41,9 +41,9 @@
 	leavingBound, configurationBound time.Duration
 	// version is the newest configuration version read from the store, zero if it could not be decoded. It is used by one goroutine.
 	version int64
-	// bornRequired is set if most entries in the newest list of targets state when the target started. An entry without a start time
+	// startTimeRequired is set if most entries in the newest list of targets state when the target started. An entry without a start time
 	// is then attributed to another writer than a target. It is used by one goroutine.
-	bornRequired bool
+	startTimeRequired bool
 	// rewrittenEra is the newest era of the store in which a change of the configuration was seen. It is used by one goroutine.
 	rewrittenEra int64
 	// pending collects the contents of the response about targets that is being read. It is used by one goroutine.
@@ -51,24 +51,24 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Components](env)
+	co, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
 	gw := env.Settings.Gateway
-	calls := pt.Metrics.GetOrCreateCounter("silvermount_store_calls_total")
-	pt.Metrics.NewGauge("silvermount_targets_age_ms", func() float64 { return ageMillis(pt.Targets.ConfirmedAt()) })
-	pt.Metrics.NewGauge("silvermount_proof_age_ms", func() float64 {
-		_, provenAt := pt.Routes.Current()
+	calls := co.Metrics.GetOrCreateCounter("silvermount_store_calls_total")
+	co.Metrics.NewGauge("silvermount_targets_age_ms", func() float64 { return ageMillis(co.Targets.ConfirmedAt()) })
+	co.Metrics.NewGauge("silvermount_proof_age_ms", func() float64 {
+		_, provenAt := co.Routes.Current()
 		return ageMillis(provenAt)
 	})
 	sy := &syncer{
-		ad: pt.Adapter, rts: pt.Routes, dr: pt.Targets, lg: env.Logger("facts"), changed: pt.StateNotifier, followers: pt.StoreCoordinator,
+		ad: co.Adapter, rts: co.Routes, dr: co.Targets, lg: env.Logger("facts"), stateNotifier: co.StateNotifier, coordinator: co.StoreCoordinator,
 		hasSeeds: len(gw.Seeds) > 0, firstStart: gw.FirstStart,
 		leavingBound: gw.LeavingBound.Std(), configurationBound: configurationBound(gw),
 	}
-	sy.detector = newFailureDetector(sy.silenceTimeout(), pt.StoreCoordinator.ReportStoreResult)
-	st := pt.Adapter.Store(gw.Store, sy.silenceTimeout(), calls.Inc)
+	sy.detector = newFailureDetector(sy.silenceTimeout(), co.StoreCoordinator.ReportStoreResult)
+	st := co.Adapter.Store(gw.Store, sy.silenceTimeout(), calls.Inc)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	wg.Go(func() { sy.configurationWatcher(st, env.Logger("store")).Run(ctx) })
@@ -114,8 +114,8 @@
 	if pp.suspended(lastUpdate) {
 		return true
 	}
-	if part := pp.part(); part >= forwarding.RoleStandby {
-		fs := log.Fields{"kind": kind, "stand_in": part == forwarding.RoleStandby}
+	if role := pp.role(); role >= forwarding.RoleStandby {
+		fs := log.Fields{"kind": kind, "stand_in": role == forwarding.RoleStandby}
 		if !lastUpdate.IsZero() {
 			fs["age"] = time.Since(lastUpdate).Round(time.Millisecond).String()
 		}
@@ -125,7 +125,7 @@
 }
 
 func (sy *syncer) configurationWatcher(st follow.Store, lg log.Interface) *follow.ListWatcher {
-	pp := newPollPolicy(sy.configurationBound, sy.followers.Role, sy.hasSeeds, sy.firstStart)
+	pp := newPollPolicy(sy.configurationBound, sy.coordinator.Role, sy.hasSeeds, sy.firstStart)
 	return &follow.ListWatcher{
 		Store: st, Kind: sy.ad.ConfigurationKind, Log: lg, Pause: pp.pause, WatchTimeout: pp.watchTimeout,
 		Replace: func(items []objectstore.Object, asOf time.Time) {
@@ -141,21 +141,21 @@
 		Confirm: func(asOf time.Time, _ position.Position) {
 			sy.detector.recordSuccess()
 			sy.rts.Confirm(sy.version, sy.proofTime(asOf))
-			sy.changed.Notify()
+			sy.stateNotifier.Notify()
 		},
 		Suspended: func() bool {
 			version, provenAt := sy.inForce()
-			return sy.followers.BehindFor(version) < peerFetchTimeout && sy.suspended(pp, sy.ad.ConfigurationKind, sy.proofAgeStart(provenAt))
+			return sy.coordinator.BehindFor(version) < peerFetchTimeout && sy.suspended(pp, sy.ad.ConfigurationKind, sy.proofAgeStart(provenAt))
 		},
 		Backoff: func() (minDelay, maxDelay time.Duration) {
 			_, provenAt := sy.rts.Current()
 			return pp.backoffBounds(provenAt)
 		},
-		NewestReported: sy.followers.NewestPeerVersion,
+		NewestReported: sy.coordinator.NewestPeerVersion,
 		OnFailure: func(error) {
 			sy.detector.recordFailure()
 			// A listener seldom requests targets, and a store that no instance reaches is unavailable for both kinds.
-			if !sy.followers.FollowsStore() && sy.peersLackProof(pp.maxPeerAge) {
+			if !sy.coordinator.FollowsStore() && sy.peersLackProof(pp.maxPeerAge) {
 				sy.dr.RecordStoreFailure()
 			}
 		},
@@ -167,7 +167,7 @@
 // theirs.
 func (sy *syncer) peersLackProof(maxAge time.Duration) bool {
 	tb, provenAt := sy.rts.Current()
-	return tb != nil && sy.followers.NewestPeerVersion() <= tb.Version() && time.Since(provenAt) >= maxAge
+	return tb != nil && sy.coordinator.NewestPeerVersion() <= tb.Version() && time.Since(provenAt) >= maxAge
 }
 
 // inForce returns the version of the configuration in force, zero for none, and when it was last proven to be the newest.
@@ -200,14 +200,14 @@
 }
 
 func (sy *syncer) targetWatcher(st follow.Store, lg log.Interface) *follow.ListWatcher {
-	pp := newPollPolicy(sy.leavingBound, sy.followers.Role, sy.hasSeeds, sy.firstStart)
+	pp := newPollPolicy(sy.leavingBound, sy.coordinator.Role, sy.hasSeeds, sy.firstStart)
 	return &follow.ListWatcher{
 		Store: st, Kind: sy.ad.TargetKind, Log: lg, Pause: pp.pause, WatchTimeout: pp.watchTimeout,
 		Replace: func(items []objectstore.Object, asOf time.Time) {
 			// The ListWatcher lists after each failed call, so a list shows that the store is available again.
 			sy.dr.RecordStoreRecovery(asOf)
 			sy.pending.isList = true
-			sy.pending.list, sy.pending.unread = sy.decodeList(items)
+			sy.pending.list, sy.pending.unreadable = sy.decodeList(items)
 		},
 		Apply: func(it objectstore.Object, _ time.Time) {
 			sy.pending.changes = append(sy.pending.changes, sy.decodeEntry(it))
@@ -216,7 +216,7 @@
 		Confirm: func(asOf time.Time, at position.Position) {
 			sy.detector.recordSuccess()
 			sy.reportChanges(sy.applyTargets(at, asOf), asOf)
-			sy.changed.Notify()
+			sy.stateNotifier.Notify()
 		},
 		OnFailure: func(error) {
 			sy.detector.recordFailure()
@@ -236,6 +236,6 @@
 		}).Info("target " + ch.Kind)
 	}
 	if len(changes) > 0 {
-		sy.changed.Notify()
+		sy.stateNotifier.Notify()
 	}
 }
--- a/internal/duty/facts/failuredetector_test.go
+++ b/internal/duty/facts/failuredetector_test.go
@@ -23,11 +23,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var reports []bool
-				re := newFailureDetector(timeout, func(answered bool) { reports = append(reports, answered) })
-				re.recordSuccess()
+				fd := newFailureDetector(timeout, func(answered bool) { reports = append(reports, answered) })
+				fd.recordSuccess()
 				time.Sleep(tc.delay)
-				re.recordFailure()
-				re.recordSuccess()
+				fd.recordFailure()
+				fd.recordSuccess()
 				NewWithT(t).Expect(reports).To(Equal(tc.want))
 			})
 		})
--- a/internal/duty/facts/list.go
+++ b/internal/duty/facts/list.go
@@ -9,37 +9,37 @@
 )
 
 // decodeList returns the targets in a list, and the names of the entries that are not targets.
-func (sy *syncer) decodeList(items []objectstore.Object) (list []targets.Target, unread []string) {
+func (sy *syncer) decodeList(items []objectstore.Object) (list []targets.Target, unreadable []string) {
 	var decoded []targets.Target
-	born := 0
+	withStartTime := 0
 	for _, it := range items {
 		tg, ok := sy.decodeTarget(it)
 		if !ok {
-			unread = append(unread, it.Name)
+			unreadable = append(unreadable, it.Name)
 			continue
 		}
 		decoded = append(decoded, tg)
 		if !tg.StartedAt.IsZero() {
-			born++
+			withStartTime++
 		}
 	}
-	sy.bornRequired = 2*born > len(decoded)
+	sy.startTimeRequired = 2*withStartTime > len(decoded)
 	for _, tg := range decoded {
 		if sy.writtenByTarget(tg) {
 			list = append(list, tg)
 		} else {
-			unread = append(unread, tg.NameOrID())
+			unreadable = append(unreadable, tg.NameOrID())
 		}
 	}
-	return list, unread
+	return list, unreadable
 }
 
 // targetUpdate is the content of one response about targets. It is applied as a whole, together with the position of the response.
 type targetUpdate struct {
-	// isList is set if the response is a complete list. unread holds the names of entries that exist but are not targets.
-	isList bool
-	list   []targets.Target
-	unread []string
+	// isList is set if the response is a complete list. unreadable holds the names of entries that exist but are not targets.
+	isList     bool
+	list       []targets.Target
+	unreadable []string
 	// changes are the changes returned by a watch, in order.
 	changes []targets.EntryChange
 }
@@ -50,7 +50,7 @@
 	sy.pending = targetUpdate{}
 	switch {
 	case tu.isList:
-		return sy.dr.ApplyList(tu.list, tu.unread, at, asOf)
+		return sy.dr.ApplyList(tu.list, tu.unreadable, at, asOf)
 	case len(tu.changes) > 0:
 		return sy.dr.ApplyChanges(tu.changes, at, asOf)
 	default:
@@ -81,10 +81,10 @@
 	return tg, true
 }
 
-// writtenByTarget reports whether an entry was written by a target. If most entries state when the target started, an entry without a
-// start time was written by something else. Otherwise the targets of the fleet do not state it.
+// writtenByTarget reports whether an entry was written by a target. If most entries state when the target started, an entry
+// without a start time was written by something else. Otherwise the targets of the fleet do not state it.
 func (sy *syncer) writtenByTarget(tg targets.Target) bool {
-	if !sy.bornRequired || !tg.StartedAt.IsZero() {
+	if !sy.startTimeRequired || !tg.StartedAt.IsZero() {
 		return true
 	}
 	sy.lg.WithField("target", tg.NameOrID()).WithField("error", "entry has no start time").Error("target cannot be decoded and is left out")
--- a/internal/duty/facts/list_test.go
+++ b/internal/duty/facts/list_test.go
@@ -40,8 +40,8 @@
 
 func TestDecodeListSeparatesUnreadEntries(t *testing.T) {
 	tests := map[string]struct {
-		entries      string
-		list, unread string
+		entries          string
+		list, unreadable string
 	}{
 		"all have a start time":                  {"born born born", "abc", ""},
 		"none has a start time":                  {"silent silent silent", "abc", ""},
@@ -56,14 +56,14 @@
 			g := NewWithT(t)
 			mh := memory.New()
 			sy := &syncer{ad: adapter.Adapter{Target: decodeKind}, lg: &log.Logger{Handler: mh, Level: log.InfoLevel}}
-			list, unread := sy.decodeList(entries(tc.entries))
+			list, unreadable := sy.decodeList(entries(tc.entries))
 			got := ""
 			for _, tg := range list {
 				got += tg.ID
 			}
 			g.Expect(got).To(Equal(tc.list))
-			g.Expect(strings.Join(unread, "")).To(Equal(tc.unread))
-			g.Expect(mh.Entries).To(HaveLen(len(unread)), "one log entry for each")
+			g.Expect(strings.Join(unreadable, "")).To(Equal(tc.unreadable))
+			g.Expect(mh.Entries).To(HaveLen(len(unreadable)), "one log entry for each")
 		})
 	}
 }
--- a/internal/duty/facts/olderlist_test.go
+++ b/internal/duty/facts/olderlist_test.go
@@ -49,7 +49,7 @@
 			ad: adapter.Adapter{TargetKind: kindTargets, Target: func(ob objectstore.Object) (targets.Target, error) {
 				return targets.Target{ID: ob.Name}, nil
 			}},
-			dr: dr, lg: &log.Logger{Handler: discard.New()}, changed: &forwarding.Notifier{}, followers: &forwarding.StoreCoordinator{},
+			dr: dr, lg: &log.Logger{Handler: discard.New()}, stateNotifier: &forwarding.Notifier{}, coordinator: &forwarding.StoreCoordinator{},
 			leavingBound: 3 * time.Second, configurationBound: 3 * time.Second,
 		}
 		sy.detector = newFailureDetector(sy.silenceTimeout(), func(bool) {})
--- a/internal/duty/facts/pollpolicy.go
+++ b/internal/duty/facts/pollpolicy.go
@@ -29,7 +29,7 @@
 	// peerFetchTimeout is how long an instance that learns of a newer configuration waits to get it from a peer before it calls the
 	// store. A second is enough on a slow link, and leaves more than another second until the configuration must be in force.
 	peerFetchTimeout = time.Second
-	// minListenerBackoff and maxListenerBackoff bound the back-off of a listener or stand-in after failed calls. Followers retry more
+	// minListenerBackoff and maxListenerBackoff bound the back-off of a listener or standby after failed calls. Followers retry more
 	// often, and their gossip shows when the store is available again.
 	minListenerBackoff = 2 * time.Second
 	maxListenerBackoff = 4 * time.Second
@@ -41,9 +41,9 @@
 	// attempts within the few seconds in which a change must be in force.
 	minAloneBackoff = 100 * time.Millisecond
 	maxAloneBackoff = 800 * time.Millisecond
-	// maxAloneWatchTimeout limits aloneWatchTimeout for any bound: a proof is up to two watches old, and keys are refused when it is
-	// older than 4.4 s.
-	maxAloneWatchTimeout = 1500 * time.Millisecond
+	// maxStandaloneWatchTimeout limits standaloneWatchTimeout for any bound: a proof is up to two watches old, and keys are
+	// refused when it is older than 4.4 s.
+	maxStandaloneWatchTimeout = 1500 * time.Millisecond
 	// listenerWatchTimeout is short because a listener calls the store only once its state is stale, and needs the response at once.
 	listenerWatchTimeout = 50 * time.Millisecond
 )
@@ -55,21 +55,21 @@
 	// followerWatchTimeout is how long a watch of a follower waits for changes. Its response proves the state as of the request, so
 	// while nothing changes, peers see proofs as old as two watches plus the gossip delay.
 	followerWatchTimeout time.Duration
-	// aloneWatchTimeout is how long a watch of an instance that watches the store only for itself waits for changes. Together with
+	// standaloneWatchTimeout is how long a watch of an instance that watches the store only for itself waits for changes. Together with
 	// the silence timeout, a back-off and a list it stays below the bound. It is longer than that of a follower, because each call
 	// is billed and the other instances of a small fleet call at other times and gossip the results.
-	aloneWatchTimeout time.Duration
-	// maxPeerAge is the age of the state from peers at which the first stand-ins call the store. standInJitter is how much later the
+	standaloneWatchTimeout time.Duration
+	// maxPeerAge is the age of the state from peers at which the first standbys call the store. standbyJitter is how much later the
 	// last of them do, so that the first can gossip the response to the others.
-	maxPeerAge, standInJitter time.Duration
-	// listenerDelay is how much longer listeners wait for the stand-ins, which covers a call and gossiping the response.
+	maxPeerAge, standbyJitter time.Duration
+	// listenerDelay is how much longer listeners wait for the standbys, which covers a call and gossiping the response.
 	// listenerJitter is how much later than the first of them the last listeners call the store.
 	listenerDelay, listenerJitter time.Duration
 }
 
 func newTimings(bound time.Duration) timings {
 	return timings{
-		followerWatchTimeout: bound / 4, aloneWatchTimeout: min(bound*2/3, maxAloneWatchTimeout), maxPeerAge: bound * 3 / 5, standInJitter: bound / 20,
+		followerWatchTimeout: bound / 4, standaloneWatchTimeout: min(bound*2/3, maxStandaloneWatchTimeout), maxPeerAge: bound * 3 / 5, standbyJitter: bound / 20,
 		listenerDelay: bound / 10, listenerJitter: bound / 8,
 	}
 }
@@ -77,7 +77,7 @@
 // pollPolicy determines when and how often this instance calls the store for one kind of object.
 type pollPolicy struct {
 	timings
-	part func() forwarding.Role
+	role func() forwarding.Role
 	// jitterFraction is the random fraction of each jitter that this instance uses. It is chosen once, in [0, 1).
 	jitterFraction float64
 	// startedAt is when this instance started to watch the store.
@@ -88,15 +88,15 @@
 	listed bool
 }
 
-func newPollPolicy(bound time.Duration, part func() forwarding.Role, hasSeeds, firstStart bool) *pollPolicy {
-	return &pollPolicy{timings: newTimings(bound), part: part, jitterFraction: rand.Float64(), startedAt: time.Now(), hasSeeds: hasSeeds, firstStart: firstStart}
+func newPollPolicy(bound time.Duration, role func() forwarding.Role, hasSeeds, firstStart bool) *pollPolicy {
+	return &pollPolicy{timings: newTimings(bound), role: role, jitterFraction: rand.Float64(), startedAt: time.Now(), hasSeeds: hasSeeds, firstStart: firstStart}
 }
 
 // suspended reports whether calls to the store are suspended, given the time of the last update from the store or peers. An instance
 // without any update calls the store at once, unless the whole fleet is starting for the first time: it then waits until it has
 // discovered its peers, and for their state.
 func (pp *pollPolicy) suspended(lastUpdate time.Time) bool {
-	part := pp.part()
+	role := pp.role()
 	maxAge := pp.maxPeerAge
 	age := time.Since(lastUpdate)
 	if lastUpdate.IsZero() {
@@ -109,9 +109,9 @@
 			return true
 		}
 	}
-	switch part {
+	switch role {
 	case forwarding.RoleStandby:
-		return age < maxAge+pp.jitter(pp.standInJitter)
+		return age < maxAge+pp.jitter(pp.standbyJitter)
 	case forwarding.RoleListener:
 		return age < maxAge+pp.listenerDelay+pp.jitter(pp.listenerJitter)
 	default:
@@ -119,7 +119,7 @@
 	}
 }
 
-// jitter returns the part of a maximum jitter that this instance uses.
+// jitter returns the fraction of a maximum jitter that this instance uses.
 func (pp *pollPolicy) jitter(maxJitter time.Duration) time.Duration {
 	return time.Duration(pp.jitterFraction * float64(maxJitter))
 }
@@ -128,7 +128,7 @@
 func (pp *pollPolicy) pause(changed bool) time.Duration {
 	first := !pp.listed
 	pp.listed = true
-	switch pp.part() {
+	switch pp.role() {
 	case forwarding.RoleFollower:
 		if changed {
 			return rand.N(maxFollowerPause)
@@ -147,23 +147,23 @@
 
 // watchTimeout returns how long a watch may wait for changes.
 func (pp *pollPolicy) watchTimeout() time.Duration {
-	switch pp.part() {
+	switch pp.role() {
 	case forwarding.RoleFollower:
 		return pp.followerWatchTimeout
 	case forwarding.RoleStandby, forwarding.RoleListener:
 		return listenerWatchTimeout
 	default:
-		return pp.aloneWatchTimeout
+		return pp.standaloneWatchTimeout
 	}
 }
 
 // backoffBounds returns the minimum and maximum back-off after failed calls, given the time of the last update from the store or
 // peers.
 func (pp *pollPolicy) backoffBounds(lastUpdate time.Time) (minDelay, maxDelay time.Duration) {
-	switch part := pp.part(); {
-	case part >= forwarding.RoleStandby:
+	switch role := pp.role(); {
+	case role >= forwarding.RoleStandby:
 		return minListenerBackoff, maxListenerBackoff
-	case part == forwarding.RoleFollower && time.Since(lastUpdate) < pp.maxPeerAge:
+	case role == forwarding.RoleFollower && time.Since(lastUpdate) < pp.maxPeerAge:
 		return minFollowerBackoff, maxFollowerBackoff
 	default:
 		return minAloneBackoff, maxAloneBackoff
--- a/internal/duty/facts/pollpolicy_test.go
+++ b/internal/duty/facts/pollpolicy_test.go
@@ -18,18 +18,18 @@
 // testTimings are the timings of the policies under test.
 var testTimings = newTimings(changeBound)
 
-func policyFor(part forwarding.Role, seeds bool) *pollPolicy {
-	return newPollPolicy(changeBound, func() forwarding.Role { return part }, seeds, false)
+func policyFor(role forwarding.Role, seeds bool) *pollPolicy {
+	return newPollPolicy(changeBound, func() forwarding.Role { return role }, seeds, false)
 }
 
 func TestPause(t *testing.T) {
 	tests := map[string]struct {
-		part        forwarding.Role
+		role        forwarding.Role
 		seeds       bool
 		changed     bool
 		first, next timeRange
 	}{
-		"alone without seeds": {forwarding.RoleStandalone, false, true, timeRange{}, timeRange{}},
+		"standalone without seeds": {forwarding.RoleStandalone, false, true, timeRange{}, timeRange{}},
 		"no peers discovered yet": {
 			forwarding.RoleJoining, true, true, timeRange{maxDiscoveryPause / 2, maxDiscoveryPause}, timeRange{},
 		},
@@ -41,7 +41,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			pp := policyFor(tc.part, tc.seeds)
+			pp := policyFor(tc.role, tc.seeds)
 			g.Expect(tc.first.contains(pp.pause(tc.changed))).To(BeTrue())
 			for range 20 {
 				g.Expect(tc.next.contains(pp.pause(tc.changed))).To(BeTrue())
@@ -52,23 +52,23 @@
 
 func TestSuspended(t *testing.T) {
 	tests := map[string]struct {
-		part forwarding.Role
+		role forwarding.Role
 		age  time.Duration
 		want bool
 	}{
 		"listener, fresh state":           {forwarding.RoleListener, testTimings.maxPeerAge - 1, true},
 		"listener, stale state":           {forwarding.RoleListener, testTimings.maxPeerAge + testTimings.listenerDelay + testTimings.listenerJitter, false},
-		"stand-in, fresh state":           {forwarding.RoleStandby, testTimings.maxPeerAge - 1, true},
-		"stand-in, stale state":           {forwarding.RoleStandby, testTimings.maxPeerAge + testTimings.standInJitter, false},
+		"standby, fresh state":            {forwarding.RoleStandby, testTimings.maxPeerAge - 1, true},
+		"standby, stale state":            {forwarding.RoleStandby, testTimings.maxPeerAge + testTimings.standbyJitter, false},
 		"follower":                        {forwarding.RoleFollower, 0, false},
-		"alone":                           {forwarding.RoleStandalone, 0, false},
+		"standalone":                      {forwarding.RoleStandalone, 0, false},
 		"listener, last update a day ago": {forwarding.RoleListener, 24 * time.Hour, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				g.Expect(policyFor(tc.part, true).suspended(time.Now().Add(-tc.age))).To(Equal(tc.want))
+				g.Expect(policyFor(tc.role, true).suspended(time.Now().Add(-tc.age))).To(Equal(tc.want))
 			})
 		})
 	}
@@ -77,7 +77,7 @@
 // TestSuspendedBeforeFirstUpdate covers instances that have received no state from the store or peers yet.
 func TestSuspendedBeforeFirstUpdate(t *testing.T) {
 	tests := map[string]struct {
-		part         forwarding.Role
+		role         forwarding.Role
 		seeds, first bool
 		after        time.Duration
 		want         bool
@@ -87,19 +87,19 @@
 		"discovery in progress":           {forwarding.RoleJoining, true, true, firstStartDelay - 1, true},
 		"no peers discovered":             {forwarding.RoleJoining, true, true, firstStartDelay + firstStartJitter, false},
 		"no seeds":                        {forwarding.RoleJoining, false, true, 0, false},
-		"alone":                           {forwarding.RoleStandalone, true, true, firstStartDelay + firstStartJitter, false},
+		"standalone":                      {forwarding.RoleStandalone, true, true, firstStartDelay + firstStartJitter, false},
 		"follower":                        {forwarding.RoleFollower, true, true, firstStartDelay + firstStartJitter, false},
 		"follower, discovery in progress": {forwarding.RoleFollower, true, true, firstStartDelay - 1, true},
 		"listener, before timeout":        {forwarding.RoleListener, true, true, firstListTimeout, true},
 		"listener, after timeout":         {forwarding.RoleListener, true, true, firstListTimeout + testTimings.listenerDelay + testTimings.listenerJitter, false},
-		"stand-in, before timeout":        {forwarding.RoleStandby, true, true, firstListTimeout - 1, true},
-		"stand-in, after timeout":         {forwarding.RoleStandby, true, true, firstListTimeout + testTimings.standInJitter, false},
+		"standby, before timeout":         {forwarding.RoleStandby, true, true, firstListTimeout - 1, true},
+		"standby, after timeout":          {forwarding.RoleStandby, true, true, firstListTimeout + testTimings.standbyJitter, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				pp := newPollPolicy(changeBound, func() forwarding.Role { return tc.part }, tc.seeds, tc.first)
+				pp := newPollPolicy(changeBound, func() forwarding.Role { return tc.role }, tc.seeds, tc.first)
 				pp.suspended(time.Time{})
 				time.Sleep(tc.after)
 				g.Expect(pp.suspended(time.Time{})).To(Equal(tc.want))
@@ -110,13 +110,13 @@
 
 func TestBackoffBounds(t *testing.T) {
 	tests := map[string]struct {
-		part forwarding.Role
+		role forwarding.Role
 		age  time.Duration
 		want timeRange
 	}{
-		"alone":                 {forwarding.RoleStandalone, 0, timeRange{minAloneBackoff, maxAloneBackoff}},
+		"standalone":            {forwarding.RoleStandalone, 0, timeRange{minAloneBackoff, maxAloneBackoff}},
 		"listener":              {forwarding.RoleListener, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
-		"stand-in":              {forwarding.RoleStandby, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
+		"standby":               {forwarding.RoleStandby, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
 		"follower, fresh proof": {forwarding.RoleFollower, testTimings.maxPeerAge - 1, timeRange{minFollowerBackoff, maxFollowerBackoff}},
 		"follower, stale proof": {forwarding.RoleFollower, testTimings.maxPeerAge, timeRange{minAloneBackoff, maxAloneBackoff}},
 	}
@@ -124,7 +124,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				minDelay, maxDelay := policyFor(tc.part, true).backoffBounds(time.Now().Add(-tc.age))
+				minDelay, maxDelay := policyFor(tc.role, true).backoffBounds(time.Now().Add(-tc.age))
 				g.Expect(timeRange{minDelay, maxDelay}).To(Equal(tc.want))
 			})
 		})
@@ -133,7 +133,7 @@
 
 func TestWatchTimeout(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(policyFor(forwarding.RoleStandalone, true).watchTimeout()).To(Equal(testTimings.aloneWatchTimeout))
+	g.Expect(policyFor(forwarding.RoleStandalone, true).watchTimeout()).To(Equal(testTimings.standaloneWatchTimeout))
 	g.Expect(policyFor(forwarding.RoleFollower, true).watchTimeout()).To(Equal(testTimings.followerWatchTimeout))
 	g.Expect(policyFor(forwarding.RoleListener, true).watchTimeout()).To(Equal(listenerWatchTimeout))
 }
@@ -146,11 +146,11 @@
 			g := NewWithT(t)
 			ti := newTimings(bound)
 			g.Expect(2 * ti.followerWatchTimeout).To(BeNumerically("<", ti.maxPeerAge))
-			g.Expect(ti.maxPeerAge + ti.standInJitter).To(BeNumerically("<", ti.maxPeerAge+ti.listenerDelay))
+			g.Expect(ti.maxPeerAge + ti.standbyJitter).To(BeNumerically("<", ti.maxPeerAge+ti.listenerDelay))
 			g.Expect(ti.maxPeerAge + ti.listenerDelay + ti.listenerJitter).To(BeNumerically("<=", bound*5/6))
 			// An unanswered watch, the silence timeout, the longest first back-off and the list after it.
-			g.Expect(ti.aloneWatchTimeout + bound/silenceTimeoutDivisor + minAloneBackoff*3/2 + callLatency).To(BeNumerically("<", bound))
-			g.Expect(2 * ti.aloneWatchTimeout).To(BeNumerically("<", proofExpiry))
+			g.Expect(ti.standaloneWatchTimeout + bound/silenceTimeoutDivisor + minAloneBackoff*3/2 + callLatency).To(BeNumerically("<", bound))
+			g.Expect(2 * ti.standaloneWatchTimeout).To(BeNumerically("<", proofExpiry))
 		})
 	}
 }
--- a/internal/duty/facts/simfleet_test.go
+++ b/internal/duty/facts/simfleet_test.go
@@ -25,11 +25,11 @@
 )
 
 const (
-	// instanceCount is the size of the fleet. The first instances are followers and the next ones stand-ins, in numbers as in a fleet
+	// instanceCount is the size of the fleet. The first instances are followers and the next ones standbys, in numbers as in a fleet
 	// of five availability zones.
 	instanceCount = 40
 	followerCount = 3
-	standInCount  = 7
+	standbyCount  = 7
 	// callLatency is the latency of a call to the store, gossipInterval the interval at which instances exchange state.
 	callLatency    = 10 * time.Millisecond
 	gossipInterval = 50 * time.Millisecond
@@ -89,8 +89,8 @@
 	// An isolated instance reaches neither peers nor the store. The store answers calls of a rejected instance with an error, and
 	// those of an unanswered one not at all.
 	isolated, rejected, unanswered atomic.Bool
-	// storeless is set while the instance reports to its peers that the store does not respond to it.
-	storeless atomic.Bool
+	// storeUnreachable is set while the instance reports to its peers that the store does not respond to it.
+	storeUnreachable atomic.Bool
 	// outdatedSince is when the instance learned of a newer configuration than its own.
 	outdatedSince time.Time
 }
@@ -206,13 +206,13 @@
 
 func (fl *fleet) newInstance(i int) *simInstance {
 	si := &simInstance{name: fmt.Sprintf("instance-%d", i), store: fl.store}
-	fo := &forwarding.StoreCoordinator{}
+	sc := &forwarding.StoreCoordinator{}
 	start := time.Now()
-	fo.SetRole(func() forwarding.Role {
+	sc.SetRole(func() forwarding.Role {
 		if time.Since(start) < gossipInterval {
 			return forwarding.RoleJoining
 		}
-		return fl.assignPart(i)
+		return fl.assignRole(i)
 	})
 	si.sy = &syncer{
 		ad: adapter.Adapter{
@@ -223,17 +223,17 @@
 			},
 			Target: func(ob objectstore.Object) (targets.Target, error) { return targets.Target{ID: ob.Name}, nil },
 		},
-		rts: &routes.Holder{}, dr: targets.New(time.Now), changed: &forwarding.Notifier{}, followers: fo, hasSeeds: true, firstStart: true,
+		rts: &routes.Holder{}, dr: targets.New(time.Now), stateNotifier: &forwarding.Notifier{}, coordinator: sc, hasSeeds: true, firstStart: true,
 		leavingBound: changeBound, configurationBound: changeBound,
 		lg: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 	}
-	si.sy.detector = newFailureDetector(si.sy.silenceTimeout(), func(answered bool) { si.storeless.Store(!answered) })
+	si.sy.detector = newFailureDetector(si.sy.silenceTimeout(), func(answered bool) { si.storeUnreachable.Store(!answered) })
 	return si
 }
 
-// assignPart returns the part of an instance. Followers are the first live instances that the store responds to, and those that
-// would be followers if it responded to all. An isolated instance is alone.
-func (fl *fleet) assignPart(i int) forwarding.Role {
+// assignRole returns the role of an instance. Followers are the first live instances that the store responds to, and those that
+// would be followers if it responded to all. An isolated instance is standalone.
+func (fl *fleet) assignRole(i int) forwarding.Role {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.instances[i].isolated.Load() {
@@ -247,14 +247,14 @@
 		if j < i {
 			rankIfAnswered++
 		}
-		if own := fl.instances[i].storeless.Load(); !si.storeless.Load() && (own || j < i) || si.storeless.Load() && own && j < i {
+		if own := fl.instances[i].storeUnreachable.Load(); !si.storeUnreachable.Load() && (own || j < i) || si.storeUnreachable.Load() && own && j < i {
 			rank++
 		}
 	}
 	switch {
 	case rank < followerCount, rankIfAnswered < followerCount:
 		return forwarding.RoleFollower
-	case rank < followerCount+standInCount:
+	case rank < followerCount+standbyCount:
 		return forwarding.RoleStandby
 	default:
 		return forwarding.RoleListener
@@ -282,10 +282,10 @@
 	if tb == nil || to.sy.rts.Confirm(tb.Version(), provenAt) {
 		return
 	}
-	if own, _ := to.sy.inForce(); to.sy.followers.NewestPeerVersion() <= own {
+	if own, _ := to.sy.inForce(); to.sy.coordinator.NewestPeerVersion() <= own {
 		to.outdatedSince = time.Now()
 	}
-	to.sy.followers.RecordPeerVersion(tb.Version())
+	to.sy.coordinator.RecordPeerVersion(tb.Version())
 	if time.Since(to.outdatedSince) >= fetchLatency {
 		to.sy.rts.ApplyIfNewer(tb, []byte("{}"), provenAt)
 	}
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -62,7 +62,7 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Components](env)
+	co, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -71,22 +71,22 @@
 		return nil, err
 	}
 	rt := newRetryBudget(env.Settings.Gateway)
-	sv := &servers{gw: newGateway(env, pt, rt), mesh: mesh, lg: env.Logger("frontend")}
+	sv := &servers{gw: newGateway(env, co, rt), mesh: mesh, lg: env.Logger("frontend")}
 	st := env.Settings.Gateway
 	for _, l := range []struct {
 		address string
 		handler http.Handler
-	}{{st.Callers, sv.gw}, {st.Readiness, readinessHandler(sv.gw)}, {st.Metrics, operatorHandler(pt)}} {
+	}{{st.Callers, sv.gw}, {st.Readiness, readinessHandler(sv.gw)}, {st.Metrics, operatorHandler(co)}} {
 		if err := sv.serve(ctx, l.address, l.handler); err != nil {
 			sv.close()
 			return nil, err
 		}
 	}
-	ls := newLimitShares(env, pt, mesh, rt)
+	ls := newLimitShares(env, co, mesh, rt)
 	sv.runPeriodically(func() {
-		pt.Pool.EvictExpired()
-		pt.RateLimits.Prune(pt.Targets.TakesWork)
-		pt.BackOffs.Prune(pt.Targets.TakesWork)
+		co.Pool.EvictExpired()
+		co.RateLimits.Prune(co.Targets.TakesWork)
+		co.BackOffs.Prune(co.Targets.TakesWork)
 		ls.update()
 	})
 	grace := st.Grace.Std()
@@ -94,12 +94,12 @@
 }
 
 // newGateway builds the gateway from the shared components and keeps its limits up to date with the settings.
-func newGateway(env *kernel.Env, pt *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
+func newGateway(env *kernel.Env, co *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
-		Protocol: pt.Adapter.Protocol, Routes: pt.Routes, Targets: pt.Targets, Dispatcher: pt.Dispatcher, Pool: pt.Pool,
-		RetryBudget: rt, Blame: pt.Blame, Feedback: pt.Feedback, RateLimits: pt.RateLimits, BackOffs: pt.BackOffs,
-		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
+		Protocol: co.Adapter.Protocol, Routes: co.Routes, Targets: co.Targets, Dispatcher: co.Dispatcher, Pool: co.Pool,
+		RetryBudget: rt, Blame: co.Blame, Feedback: co.Feedback, RateLimits: co.RateLimits, BackOffs: co.BackOffs,
+		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: co.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
 	}, gatewayLimits(st))
 	env.OnReload(func(s config.Settings) { gw.SetLimits(gatewayLimits(s.Gateway)) })
@@ -115,8 +115,8 @@
 }
 
 func newRetryBudget(st *config.Gateway) *budget.Retries {
-	burst, trickle := retryFloorShare(st, minSharers)
-	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithMinRate(trickle))
+	burst, minRate := retryFloorShare(st, minSharers)
+	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithMinRate(minRate))
 }
 
 func (sv *servers) serve(ctx context.Context, address string, h http.Handler) error {
@@ -161,13 +161,13 @@
 }
 
 // operatorHandler serves the metrics and the API for quarantined requests.
-func operatorHandler(pt *forwarding.Components) http.Handler {
+func operatorHandler(co *forwarding.Components) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		pt.Metrics.WritePrometheus(w)
+		co.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	qa := quarantineAPI{tracker: pt.Blame}
+	qa := quarantineAPI{tracker: co.Blame}
 	rt.Get("/judgements", qa.list)
 	rt.Delete("/judgements/{fingerprint}", qa.lift)
 	return rt
--- a/internal/duty/frontend/shares.go
+++ b/internal/duty/frontend/shares.go
@@ -41,8 +41,8 @@
 	maxLiveAt time.Time
 }
 
-func newLimitShares(env *kernel.Env, pt *forwarding.Components, mesh *gossip.Mesh, rt *budget.Retries) *limitShares {
-	ls := &limitShares{mesh: mesh, routes: pt.Routes, pool: pt.Pool, retries: rt, maxLive: minSharers, maxLiveAt: time.Now()}
+func newLimitShares(env *kernel.Env, co *forwarding.Components, mesh *gossip.Mesh, rt *budget.Retries) *limitShares {
+	ls := &limitShares{mesh: mesh, routes: co.Routes, pool: co.Pool, retries: rt, maxLive: minSharers, maxLiveAt: time.Now()}
 	ls.settings.Store(env.Settings.Gateway)
 	env.OnReload(func(s config.Settings) { ls.settings.Store(s.Gateway) })
 	return ls
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -161,10 +161,10 @@
 	return true
 }
 
-func (mg *manager) applyStep(ctx, baseCtx context.Context, v job.Versioned, step job.Action) {
+func (mg *manager) applyStep(ctx, baseCtx context.Context, v job.Versioned, action job.Action) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	switch step {
+	switch action {
 	case job.ActionRun:
 		mg.claimAndRun(ctx, baseCtx, v)
 	case job.ActionMarkUnknown:
@@ -234,21 +234,21 @@
 		mg.recordOutcome(recordCtx, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
 		return
 	}
-	ans, err := mg.server.RunJob(ctx, serve.Job{
+	resp, err := mg.server.RunJob(ctx, serve.Job{
 		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, AtMostOnce: v.AtMostOnce,
 	})
-	mg.recordOutcome(recordCtx, v, ans, err, ctx.Err() != nil)
+	mg.recordOutcome(recordCtx, v, resp, err, ctx.Err() != nil)
 }
 
-func (mg *manager) recordOutcome(recordCtx context.Context, v job.Versioned, ans claim.Response, err error, interrupted bool) {
+func (mg *manager) recordOutcome(recordCtx context.Context, v job.Versioned, resp claim.Response, err error, interrupted bool) {
 	if err == nil {
-		parts, putErr := mg.store.PutAnswer(recordCtx, v.Record, ans.Body)
+		parts, putErr := mg.store.PutAnswer(recordCtx, v.Record, resp.Body)
 		if putErr != nil {
 			mg.log.WithField("job", v.ID).WithError(putErr).Error("could not store answer of job")
 			return
 		}
 		mg.updateRecord(recordCtx, v, v.WithResult(job.Done, job.Result{
-			Ended: time.Now(), Status: ans.Status, ContentType: ans.ContentType, Parts: parts,
+			Ended: time.Now(), Status: resp.Status, ContentType: resp.ContentType, Parts: parts,
 		}))
 		return
 	}
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -21,16 +21,16 @@
 	// followerCount is the number of instances that watch the store for the whole fleet, in different availability zones if there are
 	// enough. If two of them are lost or rejected by the store, all instances still get fresh proof.
 	followerCount = 3
-	// standInsPerZone is the number of instances per availability zone, followers included, that are the first to call the store when
+	// candidatesPerZone is the number of instances per availability zone, followers included, that are the first to call the store when
 	// the followers report nothing. One of them may be lost.
-	standInsPerZone = 2
+	candidatesPerZone = 2
 )
 
-// assignPart returns the part of an instance in a fleet of live instances. The instances of each availability zone are ranked:
+// assignRole returns the role of an instance in a fleet of live instances. The instances of each availability zone are ranked:
 // those that reach the store first, then those with more bandwidth, as for gossip relays, and then by hash. The followers are the
 // first instances of the zones, and then the second ones. If two instances see different live instances, there is only one follower
 // more or less for a while: state from peers becomes stale, and is then requested from the store.
-func assignPart(self gossip.Member, live []gossip.Member) forwarding.Role {
+func assignRole(self gossip.Member, live []gossip.Member) forwarding.Role {
 	switch {
 	case len(live) == 1:
 		return forwarding.RoleJoining
@@ -39,7 +39,7 @@
 	}
 	rank := rankOf(self, live)
 	switch {
-	case rank < followerCount, rankOf(self, ignoreStoreless(live)) < followerCount:
+	case rank < followerCount, rankOf(self, assumeAllReachStore(live)) < followerCount:
 		// A follower that does not reach the store keeps calling it besides its replacement, so that it takes over again as soon as
 		// the store responds.
 		return forwarding.RoleFollower
@@ -50,10 +50,10 @@
 	}
 }
 
-// unranked is the rank of an instance that is neither a follower nor a stand-in.
+// unranked is the rank of an instance that is neither a follower nor a standby.
 const unranked = math.MaxInt
 
-// rankOf returns the rank of an instance among followers and stand-ins, from zero, or unranked.
+// rankOf returns the rank of an instance among followers and standbys, from zero, or unranked.
 func rankOf(self gossip.Member, live []gossip.Member) int {
 	rank := slices.IndexFunc(rankCandidates(live), func(ca candidate) bool { return ca.name == self.Name })
 	if rank < 0 {
@@ -62,8 +62,8 @@
 	return rank
 }
 
-// ignoreStoreless returns the members as if each of them reached the store.
-func ignoreStoreless(live []gossip.Member) []gossip.Member {
+// assumeAllReachStore returns the members as if each of them reached the store.
+func assumeAllReachStore(live []gossip.Member) []gossip.Member {
 	all := slices.Clone(live)
 	for i := range all {
 		all[i].StoreUnreachable = false
@@ -71,38 +71,39 @@
 	return all
 }
 
-// candidate is an instance that may be a follower or stand-in.
+// candidate is an instance that may be a follower or standby.
 type candidate struct {
-	name      string
-	storeless bool
-	megabits  uint64
-	hash      uint64
+	name             string
+	storeUnreachable bool
+	bandwidthMbps    uint64
+	hash             uint64
 	// zoneRank is the rank within the availability zone, from zero.
 	zoneRank int
 }
 
 func newCandidate(mb gossip.Member) candidate {
-	return candidate{name: mb.Name, storeless: mb.StoreUnreachable, megabits: mb.BandwidthMbps, hash: xxhash.Sum64String(mb.Name)}
+	return candidate{name: mb.Name, storeUnreachable: mb.StoreUnreachable, bandwidthMbps: mb.BandwidthMbps, hash: xxhash.Sum64String(mb.Name)}
 }
 
 // compare orders candidates that reach the store first, and then those with more bandwidth.
 func (ca candidate) compare(other candidate) int {
-	return cmp.Or(ca.compareStoreless(other), cmp.Compare(other.megabits, ca.megabits), cmp.Compare(ca.hash, other.hash), cmp.Compare(ca.name, other.name))
+	return cmp.Or(ca.compareReachability(other), cmp.Compare(other.bandwidthMbps, ca.bandwidthMbps), cmp.Compare(ca.hash, other.hash), cmp.Compare(ca.name, other.name))
 }
 
-// compareStoreless orders candidates that reach the store first, so that the fleet does not depend on followers that do not reach it.
-func (ca candidate) compareStoreless(other candidate) int {
+// compareReachability orders candidates that reach the store first, so that the fleet does not depend on followers that do not
+// reach it.
+func (ca candidate) compareReachability(other candidate) int {
 	switch {
-	case ca.storeless == other.storeless:
+	case ca.storeUnreachable == other.storeUnreachable:
 		return 0
-	case ca.storeless:
+	case ca.storeUnreachable:
 		return 1
 	default:
 		return -1
 	}
 }
 
-// rankCandidates returns the followers and stand-ins by rank: the first candidates of all availability zones, then the second ones.
+// rankCandidates returns the followers and standbys by rank: the first candidates of all availability zones, then the second ones.
 func rankCandidates(live []gossip.Member) []candidate {
 	zones := map[string][]candidate{}
 	for _, mb := range live {
@@ -113,58 +114,58 @@
 	var order []candidate
 	for _, cands := range zones {
 		slices.SortFunc(cands, candidate.compare)
-		for rank, ca := range cands[:min(len(cands), standInsPerZone)] {
+		for rank, ca := range cands[:min(len(cands), candidatesPerZone)] {
 			ca.zoneRank = rank
 			order = append(order, ca)
 		}
 	}
 	slices.SortFunc(order, func(a, b candidate) int {
-		return cmp.Or(a.compareStoreless(b), cmp.Compare(a.zoneRank, b.zoneRank), a.compare(b))
+		return cmp.Or(a.compareReachability(b), cmp.Compare(a.zoneRank, b.zoneRank), a.compare(b))
 	})
 	return order
 }
 
-// maxStorelessFraction is the maximum fraction of live instances that report that they do not reach the store. It is far more than
+// maxUnreachableFraction is the maximum fraction of live instances that report that they do not reach the store. It is far more than
 // needed to find others that do, and keeps the instances from reporting it one after another if no instance reaches the store.
-const maxStorelessFraction = 0.25
+const maxUnreachableFraction = 0.25
 
-// reportStoreReachability reports to the other instances whether this instance reaches the store. Only followers and stand-ins
+// reportStoreReachability reports to the other instances whether this instance reaches the store. Only followers and standbys
 // report that they do not, because each change is gossiped to all instances.
-func reportStoreReachability(answered bool, part forwarding.Role, live func() []gossip.Member, setStoreless func(bool)) {
+func reportStoreReachability(answered bool, role forwarding.Role, live func() []gossip.Member, setStoreUnreachable func(bool)) {
 	if answered {
-		setStoreless(false)
+		setStoreUnreachable(false)
 		return
 	}
-	if part != forwarding.RoleFollower && part != forwarding.RoleStandby {
+	if role != forwarding.RoleFollower && role != forwarding.RoleStandby {
 		return
 	}
 	all := live()
-	storeless := 0
+	unreachable := 0
 	for _, mb := range all {
 		if mb.StoreUnreachable {
-			storeless++
+			unreachable++
 		}
 	}
-	if float64(storeless) < maxStorelessFraction*float64(len(all)) {
-		setStoreless(true)
+	if float64(unreachable) < maxUnreachableFraction*float64(len(all)) {
+		setStoreUnreachable(true)
 	}
 }
 
-// partTracker tracks the part of this instance, and logs when it starts and stops to rely on other instances to watch the store.
-type partTracker struct {
+// roleTracker tracks the role of this instance, and logs when it starts and stops to rely on other instances to watch the store.
+type roleTracker struct {
 	self gossip.Member
 	lg   log.Interface
 	// passive is set while other instances watch the store on behalf of this one.
 	passive atomic.Bool
 
 	mu sync.Mutex
-	// current is the part at membersVersion of the member list.
+	// current is the role at membersVersion of the member list.
 	current        forwarding.Role
 	membersVersion uint64
 }
 
-// currentPart returns the part of this instance at the newest version of the member list.
-func (tk *partTracker) currentPart(ms *gossip.Mesh) forwarding.Role {
+// currentRole returns the role of this instance at the newest version of the member list.
+func (tk *roleTracker) currentRole(ms *gossip.Mesh) forwarding.Role {
 	tk.mu.Lock()
 	defer tk.mu.Unlock()
 	if version := ms.MembershipVersion(); version != tk.membersVersion {
@@ -174,17 +175,17 @@
 	return tk.current
 }
 
-// update returns the part among the given live members, and logs a change of passive.
-func (tk *partTracker) update(live []gossip.Member) forwarding.Role {
-	part := assignPart(tk.self, live)
-	passive := part >= forwarding.RoleStandby
+// update returns the role among the given live members, and logs a change of passive.
+func (tk *roleTracker) update(live []gossip.Member) forwarding.Role {
+	role := assignRole(tk.self, live)
+	passive := role >= forwarding.RoleStandby
 	if tk.passive.Swap(passive) == passive {
-		return part
+		return role
 	}
 	message := "watching the store directly"
 	if passive {
 		message = "relying on other instances to watch the store"
 	}
 	tk.lg.WithField("live", len(live)).Info(message)
-	return part
+	return role
 }
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -36,7 +36,7 @@
 }
 
 func watchesStore(self gossip.Member, live []gossip.Member) bool {
-	return assignPart(self, live) < forwarding.RoleStandby
+	return assignRole(self, live) < forwarding.RoleStandby
 }
 
 func TestStoreWatchersPerZone(t *testing.T) {
@@ -62,7 +62,7 @@
 	live := newFleet(59, "a", "b", "c", "d", "e")
 	counts := map[forwarding.Role]int{}
 	for _, mb := range live {
-		counts[assignPart(mb, live)]++
+		counts[assignRole(mb, live)]++
 	}
 	g.Expect(counts).To(Equal(map[forwarding.Role]int{
 		forwarding.RoleFollower: 3, forwarding.RoleStandby: 7, forwarding.RoleListener: 285,
@@ -81,13 +81,13 @@
 		live[i].BandwidthMbps = 200
 	}
 	for _, i := range fast {
-		g.Expect(assignPart(live[i], live)).To(Equal(forwarding.RoleFollower))
+		g.Expect(assignRole(live[i], live)).To(Equal(forwarding.RoleFollower))
 	}
 }
 
-func TestInstanceWithoutPeersIsUnmet(t *testing.T) {
+func TestInstanceWithoutPeersIsJoining(t *testing.T) {
 	live := newFleet(1, "a")
-	NewWithT(t).Expect(assignPart(live[0], live)).To(Equal(forwarding.RoleJoining))
+	NewWithT(t).Expect(assignRole(live[0], live)).To(Equal(forwarding.RoleJoining))
 }
 
 func TestLostFollowerIsReplaced(t *testing.T) {
@@ -107,16 +107,16 @@
 	g.Expect(watchersPerZone(live)).To(Equal(map[string]int{"a": 2}))
 }
 
-// TestStorelessFollowerIsReplaced guards against followers that do not reach the store and are not replaced. While the store
+// TestFollowerWithoutStoreIsReplaced guards against followers that do not reach the store and are not replaced. While the store
 // responded to none of the three followers, the list of targets of the whole fleet was up to nine seconds old: followers were
 // selected from the live instances alone, and one that did not reach the store remained a follower. The log of such a follower:
 //
 //	msg="lost the store" kind=servers cause="watch: store unavailable: ... context deadline exceeded"
-func TestStorelessFollowerIsReplaced(t *testing.T) {
+func TestFollowerWithoutStoreIsReplaced(t *testing.T) {
 	tests := map[string]struct {
-		// storeless is the number of followers that do not reach the store, replacements the number of their replacements that do not
+		// unreachable is the number of followers that do not reach the store, replacements the number of their replacements that do not
 		// reach it either.
-		storeless, replacements int
+		unreachable, replacements int
 		// want is the number of followers, including those that do not reach the store and keep calling it.
 		want int
 	}{
@@ -130,42 +130,42 @@
 			g := NewWithT(t)
 			live := newFleet(20, "a", "b", "c")
 			initial := followerNames(live)
-			makeStoreless(live, tc.storeless)
-			makeStoreless(live, tc.replacements)
+			markStoreUnreachable(live, tc.unreachable)
+			markStoreUnreachable(live, tc.replacements)
 			g.Expect(followerNames(live)).To(HaveLen(tc.want))
 			g.Expect(followerNames(live)).To(ContainElements(initial), "they take over again as soon as the store responds")
-			if tc.storeless < len(live) {
-				g.Expect(notStoreless(live, followerNames(live))).To(HaveLen(3))
+			if tc.unreachable < len(live) {
+				g.Expect(reachingStore(live, followerNames(live))).To(HaveLen(3))
 			}
 		})
 	}
 }
 
-func TestOnlyFollowersAndStandInsReportStoreless(t *testing.T) {
+func TestOnlyFollowersAndStandbysReportStoreUnreachable(t *testing.T) {
 	tests := map[string]struct {
 		answered bool
-		part     forwarding.Role
-		// storeless is the number of twenty live instances that already report that they do not reach the store.
-		storeless int
-		want      []bool
+		role     forwarding.Role
+		// unreachable is the number of twenty live instances that already report that they do not reach the store.
+		unreachable int
+		want        []bool
 	}{
-		"follower":                           {false, forwarding.RoleFollower, 0, []bool{true}},
-		"stand-in":                           {false, forwarding.RoleStandby, 0, []bool{true}},
-		"listener":                           {false, forwarding.RoleListener, 0, nil},
-		"alone":                              {false, forwarding.RoleStandalone, 0, nil},
-		"listener, answered":                 {true, forwarding.RoleListener, 0, []bool{false}},
-		"follower, few storeless":            {false, forwarding.RoleFollower, 4, []bool{true}},
-		"follower, enough storeless":         {false, forwarding.RoleFollower, 5, nil},
-		"follower, answered, many storeless": {true, forwarding.RoleFollower, 9, []bool{false}},
+		"follower":                        {false, forwarding.RoleFollower, 0, []bool{true}},
+		"standby":                         {false, forwarding.RoleStandby, 0, []bool{true}},
+		"listener":                        {false, forwarding.RoleListener, 0, nil},
+		"standalone":                      {false, forwarding.RoleStandalone, 0, nil},
+		"listener, answered":              {true, forwarding.RoleListener, 0, []bool{false}},
+		"follower, few report":            {false, forwarding.RoleFollower, 4, []bool{true}},
+		"follower, enough report":         {false, forwarding.RoleFollower, 5, nil},
+		"follower, answered, many report": {true, forwarding.RoleFollower, 9, []bool{false}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			var reports []bool
 			live := newFleet(20, "a")
-			for i := range tc.storeless {
+			for i := range tc.unreachable {
 				live[i].StoreUnreachable = true
 			}
-			reportStoreReachability(tc.answered, tc.part, func() []gossip.Member { return live }, func(storeless bool) { reports = append(reports, storeless) })
+			reportStoreReachability(tc.answered, tc.role, func() []gossip.Member { return live }, func(storeUnreachable bool) { reports = append(reports, storeUnreachable) })
 			NewWithT(t).Expect(reports).To(Equal(tc.want))
 		})
 	}
@@ -175,16 +175,16 @@
 func followerNames(live []gossip.Member) []string {
 	var names []string
 	for _, mb := range live {
-		if assignPart(mb, live) == forwarding.RoleFollower {
+		if assignRole(mb, live) == forwarding.RoleFollower {
 			names = append(names, mb.Name)
 		}
 	}
 	return names
 }
 
-// makeStoreless makes a number of followers storeless. If there are fewer followers, it makes all live members storeless.
-func makeStoreless(live []gossip.Member, count int) {
-	reaching := notStoreless(live, followerNames(live))
+// markStoreUnreachable marks the store as unreachable for a number of followers; if there are fewer followers, for all live members.
+func markStoreUnreachable(live []gossip.Member, count int) {
+	reaching := reachingStore(live, followerNames(live))
 	for i := range live {
 		if count > len(reaching) || slices.Contains(reaching[:count], live[i].Name) {
 			live[i].StoreUnreachable = true
@@ -192,20 +192,20 @@
 	}
 }
 
-// notStoreless returns the names of those named members that reach the store.
-func notStoreless(live []gossip.Member, names []string) []string {
+// reachingStore returns the names of those named members that reach the store.
+func reachingStore(live []gossip.Member, names []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool {
 		return slices.ContainsFunc(live, func(mb gossip.Member) bool { return mb.Name == name && mb.StoreUnreachable })
 	})
 }
 
-// TestLogsOnlyChangesOfPart lets a fleet grow and shrink around an instance that is not a follower in the large fleet.
-func TestLogsOnlyChangesOfPart(t *testing.T) {
+// TestLogsOnlyRoleChanges lets a fleet grow and shrink around an instance that is not a follower in the large fleet.
+func TestLogsOnlyRoleChanges(t *testing.T) {
 	g := NewWithT(t)
 	large := newFleet(20, "a")
 	passive := slices.IndexFunc(large, func(mb gossip.Member) bool { return !watchesStore(mb, large) })
 	mh := memory.New()
-	tk := &partTracker{self: large[passive], lg: &log.Logger{Handler: mh, Level: log.InfoLevel}}
+	tk := &roleTracker{self: large[passive], lg: &log.Logger{Handler: mh, Level: log.InfoLevel}}
 	small := []gossip.Member{large[passive]}
 	for _, live := range [][]gossip.Member{small, small, large, large, small} {
 		tk.update(live)
--- a/internal/duty/members/limits.go
+++ b/internal/duty/members/limits.go
@@ -49,7 +49,7 @@
 		du.lg.WithError(err).WithField("peer", from.Name).Error("cannot decode rate limits of peer")
 		return
 	}
-	for _, ch := range du.limits.Merge(obs) {
+	for _, ch := range du.rateLimits.Merge(obs) {
 		du.lg.WithFields(log.Fields{
 			"target": ch.Target, "limit": ch.Limit.String(), "before": ch.Previous.String(), "source": "peer", "peer": from.Name,
 			"age": time.Since(ch.At).Round(time.Millisecond).String(),
--- a/internal/duty/members/limits_test.go
+++ b/internal/duty/members/limits_test.go
@@ -30,7 +30,7 @@
 func TestRateLimitsReachPeers(t *testing.T) {
 	g := NewWithT(t)
 	du := newDuty()
-	du.limits = ratelimit.New(time.Now)
+	du.rateLimits = ratelimit.New(time.Now)
 	du.lg = &log.Logger{Handler: discard.New()}
 	now := time.Now()
 	notes := blame.Snapshot{}.Encode(now)
@@ -39,8 +39,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(notes))
 	du.receiveLimits(gossip.Member{Name: "b"}, limits, now)
-	g.Expect(du.limits.Limit("a@1")).To(Equal(ratelimit.PerSecond(1.5)))
-	g.Expect(du.limits.Limit("a@2").Limited).To(BeFalse(), "the limit does not apply to a later incarnation")
+	g.Expect(du.rateLimits.Limit("a@1")).To(Equal(ratelimit.PerSecond(1.5)))
+	g.Expect(du.rateLimits.Limit("a@2").Limited).To(BeFalse(), "the limit does not apply to a later incarnation")
 }
 
 func TestSplitLimitsRejectsTruncatedNotes(t *testing.T) {
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -66,11 +66,11 @@
 	ds  *dispatch.Dispatcher
 	lg  log.Interface
 	ms  *gossip.Mesh
-	fo  *forwarding.StoreCoordinator
+	sc  *forwarding.StoreCoordinator
 	tr  *blame.Tracker
 	// limits holds the known rate limits of targets, and permits enforces them together with the other instances.
-	limits  *ratelimit.Tracker
-	permits *permitService
+	rateLimits *ratelimit.Tracker
+	permits    *permitService
 	// configurationFetches and listFetches queue the documents to fetch, with one goroutine for each kind: a list with a target
 	// that is gone must not wait for a large configuration.
 	configurationFetches, listFetches chan fetchRequest
@@ -87,33 +87,33 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Need[*forwarding.Components](env)
+	co, err := kernel.Need[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
 	du := newDuty()
-	du.ad, du.rts, du.dr, du.ds, du.fo, du.tr = pt.Adapter, pt.Routes, pt.Targets, pt.Dispatcher, pt.StoreCoordinator, pt.Blame
-	du.limits = pt.RateLimits
+	du.ad, du.rts, du.dr, du.ds, du.sc, du.tr = co.Adapter, co.Routes, co.Targets, co.Dispatcher, co.StoreCoordinator, co.Blame
+	du.rateLimits = co.RateLimits
 	du.lg = env.Logger("peers")
 	var lc net.ListenConfig
 	l, err := lc.Listen(ctx, "tcp", env.Settings.Gateway.Peers)
 	if err != nil {
 		return nil, errors.Wrap(err, "bind listener")
 	}
-	op := du.options(env)
-	du.ms = gossip.New(op)
+	opts := du.options(env)
+	du.ms = gossip.New(opts)
 	du.fetchDocument = du.ms.Fetch
-	du.permits = newPermitService(op.Self.Name, du.ms, du.limits, du.lg)
-	pt.Permits.SetRequestFunc(du.permits.requestPermit)
-	pt.StateNotifier.SetCallback(du.ms.PublishState)
-	pt.NotesNotifier.SetCallback(du.ms.PublishNotes)
-	pt.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.LinkCount()) })
-	pt.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.SubscriberCount()) })
-	pt.Dispatcher.SetPropagationDelay(du.ms.PropagationDelay)
-	tk := &partTracker{self: op.Self, lg: du.lg}
-	pt.StoreCoordinator.SetRole(func() forwarding.Role { return tk.currentPart(du.ms) })
-	pt.StoreCoordinator.SetOnStoreResult(func(answered bool) {
-		reportStoreReachability(answered, tk.currentPart(du.ms), du.ms.Live, du.ms.SetStoreUnreachable)
+	du.permits = newPermitService(opts.Self.Name, du.ms, du.rateLimits, du.lg)
+	co.Permits.SetRequestFunc(du.permits.requestPermit)
+	co.StateNotifier.SetCallback(du.ms.PublishState)
+	co.NotesNotifier.SetCallback(du.ms.PublishNotes)
+	co.Metrics.NewGauge("silvermount_peer_links", func() float64 { return float64(du.ms.LinkCount()) })
+	co.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.SubscriberCount()) })
+	co.Dispatcher.SetPropagationDelay(du.ms.PropagationDelay)
+	tk := &roleTracker{self: opts.Self, lg: du.lg}
+	co.StoreCoordinator.SetRole(func() forwarding.Role { return tk.currentRole(du.ms) })
+	co.StoreCoordinator.SetOnStoreResult(func(answered bool) {
+		reportStoreReachability(answered, tk.currentRole(du.ms), du.ms.Live, du.ms.SetStoreUnreachable)
 	})
 	kernel.Provide(env, du.ms)
 	return du.run(l, env), nil
@@ -213,8 +213,8 @@
 // links could not carry it to all of them at once. It is therefore fetched from the linked relays once they have it, and from
 // another peer only if that does not succeed.
 func (du *duty) requestConfiguration(fr fetchRequest) {
-	du.fo.RecordPeerVersion(fr.version)
-	if du.fo.FollowsStore() || du.ms.IsUpstream(fr.from) {
+	du.sc.RecordPeerVersion(fr.version)
+	if du.sc.FollowsStore() || du.ms.IsUpstream(fr.from) {
 		du.enqueueFetch(fr)
 		return
 	}
@@ -235,7 +235,7 @@
 	case st.TargetsPosition.IsZero() || own.After(st.TargetsPosition):
 	case st.TargetsPosition == own:
 		du.logTargetChanges(du.lg.WithField("peer", from.Name), du.dr.Confirm(asOf), asOf)
-	case !du.fo.FollowsStore() && !du.ms.IsUpstream(from):
+	case !du.sc.FollowsStore() && !du.ms.IsUpstream(from):
 		// The linked relays get the list too.
 		time.AfterFunc(relayHeadStart, func() {
 			du.enqueueFetch(fetchRequest{document: targetsDocument, from: from, at: st.TargetsPosition, asOf: asOf})
--- a/internal/duty/members/notes.go
+++ b/internal/duty/members/notes.go
@@ -10,7 +10,7 @@
 // encodeNotes returns the notes for peers: the snapshot of requests that crash targets, and rate limits.
 func (du *duty) encodeNotes() []byte {
 	now := time.Now()
-	return joinLimits(du.tr.Snapshot().Encode(now), du.limits.LocalObservations(), now)
+	return joinLimits(du.tr.Snapshot().Encode(now), du.rateLimits.LocalObservations(), now)
 }
 
 // receiveNotes applies the notes that a peer had at a time.
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -180,15 +180,15 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	answer := PrepareResult{Version: version}
+	result := PrepareResult{Version: version}
 	b, err := ap.store.Get(r.Context(), version)
 	if err == nil {
 		err = b.FitsStop(ap.env.Settings.Stop.Drain.Std()).OrNil()
 	}
 	if err != nil {
-		answer.Fault = err.Error()
+		result.Fault = err.Error()
 	}
-	jsonreply.Write(w, answer)
+	jsonreply.Write(w, result)
 }
 
 // requireKey rejects requests without the operators' key. The comparison takes constant time.
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -17,7 +17,7 @@
 )
 
 // handleResponse forwards a target's response to the caller, or returns why it cannot be forwarded.
-func (gw *Gateway) handleResponse(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Response) error {
+func (gw *Gateway) handleResponse(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response) error {
 	vd := rq.head.Verdict
 	if vd != answer.Misdirected {
 		rq.tried = append(rq.tried, sl.Target.ID)
@@ -27,7 +27,7 @@
 	}
 	switch vd {
 	case answer.Shed:
-		return gw.handleShed(rq, sl, an)
+		return gw.handleShed(rq, sl, rs)
 	case answer.Misdirected:
 		gw.Blame.RecordCrash(sl.Target.ID)
 		gw.Targets.MarkLeaving(sl.Target.ID)
@@ -36,7 +36,7 @@
 		return failure.New(failure.TargetUnreachable, gw.outcome(rq), "another target has the address").WithRetryAfter(overloadRetryAfter)
 	case answer.Unverified:
 		rq.outcomes.Add(failure.Unknown)
-		err := &UnverifiedResponseError{Status: an.StatusCode}
+		err := &UnverifiedResponseError{Status: rs.StatusCode}
 		if rq.head.BackOff > 0 {
 			// A target that states when to retry is overloaded, not failing.
 			gw.logAttemptFailed(rq, sl.Target, err, true)
@@ -46,16 +46,16 @@
 		return failure.New(failure.TargetLost, failure.Unknown, "the answer cannot be passed on").WithCause(err)
 	}
 	rq.outcomes.Add(failure.Unknown)
-	if vd == answer.Answered && rq.route.Streaming && an.StatusCode == http.StatusOK {
-		return gw.forwardStream(ctx, rq, rw, sl, an)
+	if vd == answer.Answered && rq.route.Streaming && rs.StatusCode == http.StatusOK {
+		return gw.forwardStream(ctx, rq, rw, sl, rs)
 	}
 	if rw.Started() {
 		// The caller already has part of a stream, so that only further events of it may follow.
-		err := &TargetFailureError{Status: an.StatusCode}
+		err := &TargetFailureError{Status: rs.StatusCode}
 		gw.recordFailedAttempt(rq, sl.Target, err)
 		return failure.New(failure.TargetLost, failure.Unknown, "the stream does not go on there").WithCause(err)
 	}
-	return gw.handlePlain(ctx, rq, rw, sl, an, vd)
+	return gw.handlePlain(ctx, rq, rw, sl, rs, vd)
 }
 
 // UnverifiedResponseError means that a response carries no evidence that it is complete and comes from the target itself.
@@ -67,14 +67,14 @@
 }
 
 // handleShed handles the rejection of a request by a target that did not run it.
-func (gw *Gateway) handleShed(rq *request, sl *dispatch.Slot, an *upstream.Response) error {
+func (gw *Gateway) handleShed(rq *request, sl *dispatch.Slot, rs *upstream.Response) error {
 	// The body is short. Reading it to the end allows the connection to be reused.
-	if _, err := io.CopyN(io.Discard, an.Body, maxBufferedBytes); errors.Is(err, io.EOF) {
-		an.MarkComplete()
+	if _, err := io.CopyN(io.Discard, rs.Body, maxBufferedBytes); errors.Is(err, io.EOF) {
+		rs.MarkComplete()
 	}
 	causeAddress := rq.head.CauseAddress
 	sl.RecordShed(causeAddress)
-	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: an.StatusCode, CauseAddress: causeAddress}, true)
+	gw.logAttemptFailed(rq, sl.Target, &ShedError{Status: rs.StatusCode, CauseAddress: causeAddress}, true)
 	return failure.New(failure.TargetShed, gw.outcome(rq), "the target has no room").
 		WithRetryAfter(gw.Dispatcher.RetryAfter(rq.service))
 }
@@ -102,18 +102,18 @@
 // handlePlain forwards a response that is not a stream. A short response is forwarded only when it is complete, so that the
 // request can still be retried on another target if the response breaks off.
 func (gw *Gateway) handlePlain(
-	ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Response, vd answer.Verdict,
+	ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response, vd answer.Verdict,
 ) error {
-	body, err := io.ReadAll(io.LimitReader(an.Body, maxBufferedBytes))
+	body, err := io.ReadAll(io.LimitReader(rs.Body, maxBufferedBytes))
 	if err != nil {
 		return gw.handleInterrupted(ctx, rq, sl, err)
 	}
 	if len(body) < maxBufferedBytes {
-		an.MarkComplete()
+		rs.MarkComplete()
 	}
 	if vd == answer.Failed && gw.shouldRetryFailure(ctx, rq, rw) {
-		gw.recordFailedAttempt(rq, sl.Target, &TargetFailureError{Status: an.StatusCode})
-		return failure.New(failure.TargetRefused, failure.Failed, "the target answered %d", an.StatusCode)
+		gw.recordFailedAttempt(rq, sl.Target, &TargetFailureError{Status: rs.StatusCode})
+		return failure.New(failure.TargetRefused, failure.Failed, "the target answered %d", rs.StatusCode)
 	}
 	if vd == answer.Answered {
 		gw.Targets.RecordSuccess(sl.Target.ID)
@@ -126,20 +126,20 @@
 	}
 	rest := io.Reader(bytes.NewReader(nil))
 	if len(body) == maxBufferedBytes {
-		rest = an.Body
+		rest = rs.Body
 	}
-	return gw.forwardPlain(ctx, rq, rw, an, body, rest)
+	return gw.forwardPlain(ctx, rq, rw, rs, body, rest)
 }
 
 // forwardPlain forwards the buffered beginning of a response, and then the rest as it is received.
 func (gw *Gateway) forwardPlain(
-	ctx context.Context, rq *request, rw *responseWriter, an *upstream.Response, body []byte, rest io.Reader,
+	ctx context.Context, rq *request, rw *responseWriter, rs *upstream.Response, body []byte, rest io.Reader,
 ) error {
-	copyEndToEndHeaders(rw.w.Header(), an.Header)
+	copyEndToEndHeaders(rw.w.Header(), rs.Header)
 	if len(body) < maxBufferedBytes {
 		rw.w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	rw.start(an.StatusCode)
+	rw.start(rs.StatusCode)
 	// Flush now, so that the response is not delayed until the exchange with the target has ended.
 	if err := rw.Forward(body, true); err != nil {
 		return err
@@ -148,7 +148,7 @@
 		return gw.cancellationError(ctx, rq).WithCause(err)
 	}
 	if len(body) == maxBufferedBytes {
-		an.MarkComplete()
+		rs.MarkComplete()
 	}
 	return nil
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -95,12 +95,12 @@
 
 // sendAndForward sends a request to the chosen target and forwards the response.
 func (gw *Gateway) sendAndForward(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot) error {
-	an, err := gw.send(ctx, rq, sl)
+	rs, err := gw.send(ctx, rq, sl)
 	if err != nil {
 		return err
 	}
-	defer an.Close()
-	return gw.handleResponse(ctx, rq, rw, sl, an)
+	defer rs.Close()
+	return gw.handleResponse(ctx, rq, rw, sl, rs)
 }
 
 // dispatchRequest returns the request for a target to the dispatcher.
@@ -192,7 +192,7 @@
 	gw.logSent(rq, sl)
 	rq.excluded = append(rq.excluded, sl.Target.ID)
 	rq.sentAt, rq.headAt = gw.Now(), time.Time{}
-	an, err := gw.sendWithSilenceTimeout(ctx, rq, sl, ca)
+	rs, err := gw.sendWithSilenceTimeout(ctx, rq, sl, ca)
 	if err != nil {
 		if ctx.Err() != nil {
 			gw.recordUnanswered(rq, sl, gw.Now().Sub(rq.sentAt))
@@ -201,7 +201,7 @@
 	}
 	gw.Targets.RecordReachable(sl.Target.ID)
 	gw.observe("silvermount_target_answer_seconds", rq.headAt.Sub(rq.sentAt))
-	return an, nil
+	return rs, nil
 }
 
 // recordHead records the head of a response that was received on the connection to a target, and reports whether it belongs to
@@ -225,8 +225,8 @@
 	if errors.As(err, &ue) && ctx.Err() == nil {
 		return gw.skipTarget(rq, sl, ue)
 	}
-	var se *upstream.ExchangeError
-	if errors.As(err, &se) && !se.Sent {
+	var ee *upstream.ExchangeError
+	if errors.As(err, &ee) && !ee.Sent {
 		if ctx.Err() != nil {
 			return gw.cancellationError(ctx, rq)
 		}
@@ -242,7 +242,7 @@
 		gw.logCancelled(rq, sl.Target, fe)
 		return fe
 	}
-	if se != nil && se.StaleConnection {
+	if ee != nil && ee.StaleConnection {
 		// The loss of an idle connection says nothing about the health of the target. If the target has crashed, it accepts no
 		// new connection.
 		gw.logAttemptFailed(rq, sl.Target, err, true)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -33,12 +33,12 @@
 		return true
 	})
 	ca.OnSend = sw.setReceived
-	an, err := gw.Pool.Do(ctx, ca)
+	rs, err := gw.Pool.Do(ctx, ca)
 	rq.retryTaken = sw.stop()
 	if err != nil {
 		return nil, errors.Wrap(withSilenceCause(ctx, err), "wait for response")
 	}
-	return an, nil
+	return rs, nil
 }
 
 // silenceWatch calls giveUp if nothing is received from a target for the timeout before the head of its response. It is safe
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -81,14 +81,14 @@
 }
 
 // forwardStream forwards the events of a response as they are received.
-func (gw *Gateway) forwardStream(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, an *upstream.Response) error {
+func (gw *Gateway) forwardStream(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response) error {
 	ar := gw.Blame.BeginRun(rq.headHash(), rq.fingerprint)
 	defer ar.End()
-	br := bufio.NewReader(an.Body)
+	br := bufio.NewReader(rs.Body)
 	stallTimeout := max(minStallTimeout, stallPauseFactor*rq.route.MaxPause)
 	// Cloned, because the watchdog may read it while the next attempt appends to rq.tried.
 	tried := slices.Clone(rq.tried)
-	wd := startStallWatchdog(an, stallTimeout, func(silence time.Duration) bool {
+	wd := startStallWatchdog(rs, stallTimeout, func(silence time.Duration) bool {
 		if silence <= sl.MaxSilence() {
 			return false
 		}
@@ -100,7 +100,7 @@
 	for {
 		ev, err := readEvent(br)
 		if errors.Is(err, io.EOF) {
-			gw.finishStream(rw, sl, an)
+			gw.finishStream(rw, sl, rs)
 			return nil
 		}
 		if err != nil {
@@ -122,7 +122,7 @@
 			// The event was already forwarded before the stream moved to this target.
 			continue
 		}
-		if err := gw.forwardEvent(rq, rw, an, ev); err != nil {
+		if err := gw.forwardEvent(rq, rw, rs, ev); err != nil {
 			return err
 		}
 	}
@@ -141,11 +141,11 @@
 }
 
 // forwardEvent sends one event to the caller, after the headers if it is the first.
-func (gw *Gateway) forwardEvent(rq *request, rw *responseWriter, an *upstream.Response, ev event) error {
+func (gw *Gateway) forwardEvent(rq *request, rw *responseWriter, rs *upstream.Response, ev event) error {
 	if !rw.Started() {
-		copyEndToEndHeaders(rw.w.Header(), an.Header)
+		copyEndToEndHeaders(rw.w.Header(), rs.Header)
 		rw.w.Header().Del("Content-Length")
-		rw.start(an.StatusCode)
+		rw.start(rs.StatusCode)
 	}
 	if err := rw.Forward(ev.raw, true); err != nil {
 		return err
@@ -168,20 +168,20 @@
 
 // finishStream completes a stream that was received to its end. The stream is complete even if the deadline passes at this
 // moment.
-func (gw *Gateway) finishStream(rw *responseWriter, sl *dispatch.Slot, an *upstream.Response) {
-	an.MarkComplete()
+func (gw *Gateway) finishStream(rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response) {
+	rs.MarkComplete()
 	gw.Targets.RecordSuccess(sl.Target.ID)
 	if !rw.Started() {
-		copyEndToEndHeaders(rw.w.Header(), an.Header)
-		rw.start(an.StatusCode)
+		copyEndToEndHeaders(rw.w.Header(), rs.Header)
+		rw.start(rs.StatusCode)
 	}
 }
 
 // stallWatchdog breaks off a stream that has stalled, but only while the stream can continue on another target. A stall alone
 // is no reason to end a response before its deadline. It is safe for concurrent use.
 type stallWatchdog struct {
-	an      *upstream.Response
-	timeout time.Duration
+	response *upstream.Response
+	timeout  time.Duration
 	// takeRetry reports whether the stream may be broken off, after it has taken the retry to continue it on another target.
 	takeRetry func(silence time.Duration) bool
 	// lastEventAt is when the last event was received; before the first event, when the head was.
@@ -196,8 +196,8 @@
 }
 
 // startStallWatchdog starts a watchdog for a stream whose head has been received.
-func startStallWatchdog(an *upstream.Response, timeout time.Duration, takeRetry func(silence time.Duration) bool) *stallWatchdog {
-	wd := &stallWatchdog{an: an, timeout: timeout, takeRetry: takeRetry, lastEventAt: time.Now()}
+func startStallWatchdog(rs *upstream.Response, timeout time.Duration, takeRetry func(silence time.Duration) bool) *stallWatchdog {
+	wd := &stallWatchdog{response: rs, timeout: timeout, takeRetry: takeRetry, lastEventAt: time.Now()}
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
 	wd.timer = time.AfterFunc(maxFirstEventDelay, wd.fire)
@@ -215,7 +215,7 @@
 	if wd.stopped {
 		return
 	}
-	if wd.an.HasUnreadData() {
+	if wd.response.HasUnreadData() {
 		// Data is waiting to be read, so the target is not silent: this process or the caller is slow.
 		wd.timer.Reset(stallRecheckInterval)
 		return
@@ -225,7 +225,7 @@
 		return
 	}
 	wd.fired = true
-	wd.an.Abort()
+	wd.response.Abort()
 }
 
 // stallRecheckInterval is the time until a stalled stream that could not move is checked again: a few forward passes of an
--- a/internal/peer/beat.go
+++ b/internal/peer/beat.go
@@ -19,8 +19,8 @@
 		b.Leaving = append(b.Leaving, &peerpb.Leaving{Target: target, Incarnation: incarnation})
 	}
 	if !answer {
-		for target, wk := range ms.fl.UsageFor(peer) {
-			b.Usage = append(b.Usage, encodeUsage(target, wk))
+		for target, lo := range ms.fl.UsageFor(peer) {
+			b.Usage = append(b.Usage, encodeUsage(target, lo))
 		}
 		return b
 	}
@@ -38,12 +38,12 @@
 
 func clampMillis(d time.Duration) uint32 { return uint32(max(0, min(d, maxAge)).Milliseconds()) }
 
-func encodeUsage(target string, wk fleet.Load) *peerpb.Usage {
+func encodeUsage(target string, lo fleet.Load) *peerpb.Usage {
 	u := &peerpb.Usage{
-		Target: target, Requests: uint32(max(0, wk.Requests)), Memory: uint64(max(0, wk.MemoryTokens)), Long: uint32(max(0, wk.LongPrompts)),
+		Target: target, Requests: uint32(max(0, lo.Requests)), Memory: uint64(max(0, lo.MemoryTokens)), Long: uint32(max(0, lo.LongPrompts)),
 	}
-	if policy.TotalTokens(wk.PrefillTokens) > 0 {
-		for _, p := range wk.PrefillTokens {
+	if policy.TotalTokens(lo.PrefillTokens) > 0 {
+		for _, p := range lo.PrefillTokens {
 			u.Prefill = append(u.Prefill, uint64(max(0, p)))
 		}
 	}
@@ -51,13 +51,13 @@
 }
 
 func decodeUsage(u *peerpb.Usage) fleet.Load {
-	wk := fleet.Load{Requests: int(u.GetRequests()), MemoryTokens: int(u.GetMemory()), LongPrompts: int(u.GetLong())}
+	lo := fleet.Load{Requests: int(u.GetRequests()), MemoryTokens: int(u.GetMemory()), LongPrompts: int(u.GetLong())}
 	for i, p := range u.GetPrefill() {
 		if i < policy.NumLengthBands {
-			wk.PrefillTokens[i] = int(p)
+			lo.PrefillTokens[i] = int(p)
 		}
 	}
-	return wk
+	return lo
 }
 
 // instanceFromHello returns the sender of a hello.
@@ -70,35 +70,35 @@
 
 // applyBeat applies a heartbeat from either side of a stream. Only requests carry usage, not answers.
 func (ms *Mesh) applyBeat(from fleet.Instance, pb *peerpb.Beat) {
-	b := fleet.Heartbeat{
+	hb := fleet.Heartbeat{
 		Sender: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
 	}
 	if !pb.GetAnswer() {
-		b.Usage = map[string]fleet.Load{}
+		hb.Usage = map[string]fleet.Load{}
 	}
 	for _, u := range pb.GetUsage() {
-		b.Usage[u.GetTarget()] = decodeUsage(u)
+		hb.Usage[u.GetTarget()] = decodeUsage(u)
 	}
 	for _, s := range pb.GetSummaries() {
-		b.Summaries = append(b.Summaries, fleet.TargetSummary{
+		hb.Summaries = append(hb.Summaries, fleet.TargetSummary{
 			Target: s.GetTotal().GetTarget(), Load: decodeUsage(s.GetTotal()), Incarnation: s.GetIncarnation(),
 			MemoryTotal: int(s.GetMemoryTotal()), ReportedPrefill: int(s.GetReportedPrefill()), PrefillRate: s.GetRate(),
 			Age: time.Duration(s.GetAgeMillis()) * time.Millisecond, Models: s.GetModels(),
 		})
 	}
 	for _, l := range pb.GetLeaving() {
-		b.Leaving[l.GetTarget()] = l.GetIncarnation()
+		hb.Leaving[l.GetTarget()] = l.GetIncarnation()
 	}
-	ms.fl.ApplyHeartbeat(b)
-	ms.renewGrants(from.Incarnation, b.Usage)
+	ms.fl.ApplyHeartbeat(hb)
+	ms.renewGrants(from.Incarnation, hb.Usage)
 	ms.bundles.Hear(pb.GetBundleVersion())
 }
 
 // renewGrants extends the grants that the holder's usage shows to be in use.
 func (ms *Mesh) renewGrants(holder string, usage map[string]fleet.Load) {
-	for target, wk := range usage {
-		if wk.LongPrompts > 0 {
-			ms.grants.Renew(holder, target, wk.LongPrompts)
+	for target, lo := range usage {
+		if lo.LongPrompts > 0 {
+			ms.grants.Renew(holder, target, lo.LongPrompts)
 		}
 	}
 }
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -21,18 +21,18 @@
 )
 
 // ShortPromptChooser selects the best target that this instance owns for a peer's short prompt. It returns false if there is none.
-type ShortPromptChooser func(model string, rq policy.Prompt) (target string, wait time.Duration, ok bool)
+type ShortPromptChooser func(model string, pr policy.Prompt) (target string, wait time.Duration, ok bool)
 
 // SetShortPromptChooser sets the function that answers peers' requests for offers. Before it is set, no offers are made.
 func (ms *Mesh) SetShortPromptChooser(f ShortPromptChooser) { ms.chooseShortTarget.Store(&f) }
 
 func (ms *Mesh) respondShort(from fleet.Instance, ask *peerpb.ShortAsk) *peerpb.Frame {
 	ans := &peerpb.ShortAnswer{Id: ask.GetId()}
-	rq := policy.Prompt{Tokens: int(ask.GetTokens()), MaxOutputTokens: int(ask.GetOutput())}
+	pr := policy.Prompt{Tokens: int(ask.GetTokens()), MaxOutputTokens: int(ask.GetOutput())}
 	if choose := ms.chooseShortTarget.Load(); choose != nil && !ms.stopping() {
-		if target, wait, ok := (*choose)(ask.GetModel(), rq); ok {
+		if target, wait, ok := (*choose)(ask.GetModel(), pr); ok {
 			ans.Target, ans.WaitMicros = target, uint32(min(wait, maxAge).Microseconds())
-			ms.fl.RecordOffer(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, rq.Tokens, wait)
+			ms.fl.RecordOffer(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, pr.Tokens, wait)
 		}
 	}
 	return &peerpb.Frame{Kind: &peerpb.Frame_ShortAnswer{ShortAnswer: ans}}
@@ -40,14 +40,14 @@
 
 // RequestShortOffers asks a few other owners, preferably in this availability zone, and returns the offers that arrive within
 // offerTimeout.
-func (ms *Mesh) RequestShortOffers(ctx context.Context, model string, rq policy.Prompt) []offer.Offer {
+func (ms *Mesh) RequestShortOffers(ctx context.Context, model string, pr policy.Prompt) []offer.Offer {
 	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	links := ms.pickOwnerLinks(model)
 	offers := make([]offer.Offer, len(links))
 	var wg sync.WaitGroup
 	for i, lk := range links {
-		wg.Go(func() { offers[i] = lk.requestOffer(ctx, ms.nextID.Add(1), model, rq) })
+		wg.Go(func() { offers[i] = lk.requestOffer(ctx, ms.nextID.Add(1), model, pr) })
 	}
 	wg.Wait()
 	var valid []offer.Offer
@@ -76,12 +76,12 @@
 	return links
 }
 
-func (lk *link) requestOffer(ctx context.Context, id uint64, model string, rq policy.Prompt) offer.Offer {
+func (lk *link) requestOffer(ctx context.Context, id uint64, model string, pr policy.Prompt) offer.Offer {
 	ch := make(chan *peerpb.ShortAnswer, 1)
 	lk.mu.Lock()
 	lk.pendingOffers[id] = ch
 	lk.mu.Unlock()
-	ask := &peerpb.ShortAsk{Id: id, Model: model, Tokens: uint32(rq.Tokens), Output: uint32(rq.MaxOutputTokens)}
+	ask := &peerpb.ShortAsk{Id: id, Model: model, Tokens: uint32(pr.Tokens), Output: uint32(pr.MaxOutputTokens)}
 	if lk.sendQueue.Offer(&peerpb.Frame{Kind: &peerpb.Frame_ShortAsk{ShortAsk: ask}}) {
 		select {
 		case ans := <-ch:
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -260,7 +260,7 @@
 	if rt.opts.Policy.UsesDemand {
 		in.Demand, in.HasDemand = rt.estimateDemand(rq), true
 	}
-	borrowed := rt.limitToOneEngine(&in)
+	reserved := rt.limitToOneEngine(&in)
 	dec := rt.opts.Policy.Choose(in)
 	if !dec.Placed {
 		return nil, &noRoomError{}
@@ -275,8 +275,8 @@
 		return nil, &noRoomError{target: ca.Name}
 	}
 	sl := &Slot{
-		Target: t, PredictedWait: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: borrowed,
-		load: loadOf(rq.Prompt, borrowed), fleet: rt.fl, needsProbe: cs.NeedsProbe[ca.Name],
+		Target: t, PredictedWait: dec.PredictedWait, Uncontended: policy.TotalTokens(ca.InFlightPrefill) == 0, BorrowedTokens: reserved,
+		load: loadOf(rq.Prompt, reserved), fleet: rt.fl, needsProbe: cs.NeedsProbe[ca.Name],
 		prefillTime: ca.PrefillTime(rq.Prompt.Tokens),
 	}
 	if lanes.HasLongPrefill(ca) && !rq.Prompt.Long {
@@ -287,8 +287,8 @@
 }
 
 // loadOf returns the load that a prompt adds to its main target, without the memory that is borrowed by reservation.
-func loadOf(pr policy.Prompt, borrowed int) fleet.Load {
-	lo := fleet.Load{Requests: 1, MemoryTokens: pr.MemoryTokens() - borrowed}
+func loadOf(pr policy.Prompt, reserved int) fleet.Load {
+	lo := fleet.Load{Requests: 1, MemoryTokens: pr.MemoryTokens() - reserved}
 	lo.PrefillTokens[policy.LengthBand(pr.Tokens)] = pr.Tokens
 	if pr.Long {
 		lo.LongPrompts = 1
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -31,31 +31,31 @@
 )
 
 // runAttempt sends a request to one engine and relays the response to the caller.
-func (sv *Server) runAttempt(ctx context.Context, rq *request, sk *sink, pl *router.Slot) error {
-	cl := sv.Engine(pl.Target)
+func (sv *Server) runAttempt(ctx context.Context, rq *request, sk *sink, sl *router.Slot) error {
+	cl := sv.Engine(sl.Target)
 	at := engine.Attempt{
-		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.remaining(), Borrowed: pl.BorrowedTokens,
+		ID: ident.New("att"), Holder: sv.Incarnation, Path: rq.path, Body: rq.body, Left: rq.remaining(), Borrowed: sl.BorrowedTokens,
 		Priority: sv.enginePriority(rq), Fresh: rq.atMostOnce,
 	}
 	sk.events = 0
 	startedAt := time.Now()
 	resp, err := cl.Start(ctx, at)
 	if err != nil {
-		return sv.handleStartError(ctx, at, cl, pl, err)
+		return sv.handleStartError(ctx, at, cl, sl, err)
 	}
-	err = sv.relayResponse(ctx, rq, sk, pl, at, resp, startedAt)
+	err = sv.relayResponse(ctx, rq, sk, sl, at, resp, startedAt)
 	resp.Body.Close()
 	for n := 0; err != nil && n < maxResumeAttempts && sv.canResume(ctx, rq, sk, err); n++ {
-		err = sv.resumeStream(ctx, rq, sk, pl, cl, at, startedAt)
+		err = sv.resumeStream(ctx, rq, sk, sl, cl, at, startedAt)
 	}
 	if err != nil {
 		sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
 		if failure.FromError(err).Code == failure.TargetLost {
-			sv.Fleet.RecordFailure(pl.Target.Name)
+			sv.Fleet.RecordFailure(sl.Target.Name)
 		}
 		return err
 	}
-	sv.Fleet.RecordSuccess(pl.Target.Name)
+	sv.Fleet.RecordSuccess(sl.Target.Name)
 	return nil
 }
 
@@ -71,20 +71,20 @@
 
 // handleStartError returns the failure of an attempt that got no response, and updates the state of its target. If the
 // attempt may be running at the target, it is cancelled there.
-func (sv *Server) handleStartError(ctx context.Context, at engine.Attempt, cl *engine.Client, pl *router.Slot, err error) error {
+func (sv *Server) handleStartError(ctx context.Context, at engine.Attempt, cl *engine.Client, sl *router.Slot, err error) error {
 	var se *engine.StatusError
 	if errors.As(err, &se) {
 		return failureFromStatus(se)
 	}
 	if engine.NeverConnected(err) {
-		sv.Fleet.MarkUnreachable(pl.Target.Name)
+		sv.Fleet.MarkUnreachable(sl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
 	sv.Canceller.Cancel(cancel.Order{Attempt: at.ID, Client: cl})
 	if ctx.Err() != nil {
 		return failureFromContext(ctx)
 	}
-	sv.Fleet.RecordFailure(pl.Target.Name)
+	sv.Fleet.RecordFailure(sl.Target.Name)
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off before it answered").WithCause(err)
 }
 
@@ -118,13 +118,13 @@
 
 // relayResponse passes a target's response on to the caller.
 func (sv *Server) relayResponse(
-	ctx context.Context, rq *request, sk *sink, pl *router.Slot, at engine.Attempt, resp *http.Response, startedAt time.Time,
+	ctx context.Context, rq *request, sk *sink, sl *router.Slot, at engine.Attempt, resp *http.Response, startedAt time.Time,
 ) error {
 	if echo := resp.Header.Get(engine.HeaderAttempt); echo != "" && echo != at.ID {
 		sv.incCounter("answers_of_other_attempts_total")
 		return failure.New(failure.TargetLost, failure.Unknown, "the target answered another attempt")
 	}
-	onFirstToken := func() { sv.recordFirstToken(ctx, rq, pl, startedAt) }
+	onFirstToken := func() { sv.recordFirstToken(ctx, rq, sl, startedAt) }
 	if rq.fields.Stream {
 		return sv.relayStream(ctx, rq, sk, resp, onFirstToken)
 	}
@@ -146,16 +146,16 @@
 }
 
 // recordFirstToken records the time to the first part of a response, for load predictions, metrics and the request's state.
-func (sv *Server) recordFirstToken(ctx context.Context, rq *request, pl *router.Slot, startedAt time.Time) {
-	pl.RecordFirstToken(time.Since(startedAt))
+func (sv *Server) recordFirstToken(ctx context.Context, rq *request, sl *router.Slot, startedAt time.Time) {
+	sl.RecordFirstToken(time.Since(startedAt))
 	if !rq.firstTokenAt.IsZero() {
 		return
 	}
 	rq.firstTokenAt = time.Now()
-	if pl.Uncontended && rq.fields.Stream {
-		sv.Fleet.ObservePrefill(pl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstTokenAt.Sub(startedAt))
+	if sl.Uncontended && rq.fields.Stream {
+		sv.Fleet.ObservePrefill(sl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstTokenAt.Sub(startedAt))
 	}
-	if err := sv.machine.Fire(ctx, &rq.life, life.FirstToken); err != nil {
+	if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.FirstToken); err != nil {
 		sv.Log.WithError(err).Error("first token received in a state that does not allow it")
 	}
 }
@@ -206,7 +206,7 @@
 
 // resumeStream requests the rest of an interrupted stream from the same engine, and relays it.
 func (sv *Server) resumeStream(
-	ctx context.Context, rq *request, sk *sink, pl *router.Slot, cl *engine.Client, at engine.Attempt, startedAt time.Time,
+	ctx context.Context, rq *request, sk *sink, sl *router.Slot, cl *engine.Client, at engine.Attempt, startedAt time.Time,
 ) error {
 	resp, err := cl.Resume(ctx, at.ID, sk.events)
 	if err != nil {
@@ -214,5 +214,5 @@
 	}
 	defer resp.Body.Close()
 	sv.incCounter("streams_resumed_total")
-	return sv.relayResponse(ctx, rq, sk, pl, at, resp, startedAt)
+	return sv.relayResponse(ctx, rq, sk, sl, at, resp, startedAt)
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -126,7 +126,7 @@
 
 // refuse ends a request of which nothing was sent to a target. It returns err.
 func (sv *Server) refuse(ctx context.Context, rq *request, err error) error {
-	if fireErr := sv.machine.Fire(ctx, &rq.life, life.Refuse); fireErr != nil {
+	if fireErr := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Refuse); fireErr != nil {
 		return fireErr
 	}
 	return err
@@ -134,58 +134,58 @@
 
 // runInference makes the attempts of an inference request.
 func (sv *Server) runInference(ctx context.Context, rq *request, sk *sink) error {
-	ask := func(tried []string) router.Request {
+	newRequest := func(tried []string) router.Request {
 		return router.Request{
 			Prompt:   rq.policyRequest(sv.limits.LongTokens),
 			Filter:   fleet.Filter{Model: rq.fields.Model, Exclude: tried, IncludePeerLoad: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Sheddable: rq.class.Yields, Deadline: rq.deadline.At,
 		}
 	}
-	return sv.runAttempts(ctx, rq, sk, ask, func(pl *router.Slot) error { return sv.runAttempt(ctx, rq, sk, pl) })
+	return sv.runAttempts(ctx, rq, sk, newRequest, func(sl *router.Slot) error { return sv.runAttempt(ctx, rq, sk, sl) })
 }
 
 // runAttempts acquires places and calls targets until a response is complete or no further attempt is allowed.
 func (sv *Server) runAttempts(
-	ctx context.Context, rq *request, sk *sink, ask func(tried []string) router.Request, call func(*router.Slot) error,
+	ctx context.Context, rq *request, sk *sink, newRequest func(tried []string) router.Request, call func(*router.Slot) error,
 ) error {
-	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
+	if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Admit); err != nil {
 		return err
 	}
 	sv.Retries.Deposit()
 	var tried []string
-	var known outcome.Aggregate
+	var outcomes outcome.Aggregate
 	for {
-		pl, err := sv.Router.Acquire(ctx, ask(tried))
+		sl, err := sv.Router.Acquire(ctx, newRequest(tried))
 		if err != nil && len(tried) > 0 && failure.FromError(err).Code == failure.NoTarget {
 			// All targets were tried, so any of them may be tried again.
 			tried = nil
-			pl, err = sv.Router.Acquire(ctx, ask(tried))
+			sl, err = sv.Router.Acquire(ctx, newRequest(tried))
 		}
 		if err != nil {
-			return sv.endFailed(rq, sk, noPlaceFailure(ctx, known, err))
+			return sv.endFailed(rq, sk, noPlaceFailure(ctx, outcomes, err))
 		}
 		if sv.abortCtx.Err() != nil {
 			// The place came free because another request was aborted at shutdown. This request is aborted too, but its own
 			// context has not ended yet.
-			pl.Release()
-			return sv.endFailed(rq, sk, noPlaceFailure(sv.abortCtx, known, sv.abortCtx.Err()))
+			sl.Release()
+			return sv.endFailed(rq, sk, noPlaceFailure(sv.abortCtx, outcomes, sv.abortCtx.Err()))
 		}
-		if err := sv.machine.Fire(ctx, &rq.life, life.Dispatch); err != nil {
-			pl.Release()
+		if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Dispatch); err != nil {
+			sl.Release()
 			return err
 		}
-		err = call(pl)
-		pl.Release()
+		err = call(sl)
+		sl.Release()
 		if err == nil {
-			return sv.machine.Fire(ctx, &rq.life, life.Finish)
+			return sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Finish)
 		}
 		fe := failure.FromError(err)
-		known.Add(fe.Outcome)
-		if !sv.shouldRetry(ctx, rq, sk, fe, known) {
-			return sv.endFailed(rq, sk, known.Apply(fe))
+		outcomes.Add(fe.Outcome)
+		if !sv.shouldRetry(ctx, rq, sk, fe, outcomes) {
+			return sv.endFailed(rq, sk, outcomes.Apply(fe))
 		}
-		tried = append(tried, pl.Target.Name)
-		if err := sv.machine.Fire(ctx, &rq.life, life.Retry); err != nil {
+		tried = append(tried, sl.Target.Name)
+		if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Retry); err != nil {
 			return err
 		}
 	}
@@ -193,13 +193,13 @@
 
 // noPlaceFailure returns the failure of a request that got no place. If the request was aborted at shutdown before anything
 // was sent, the caller may retry it almost immediately over a new connection.
-func noPlaceFailure(ctx context.Context, known outcome.Aggregate, err error) *failure.Error {
+func noPlaceFailure(ctx context.Context, outcomes outcome.Aggregate, err error) *failure.Error {
 	var se *ShutdownError
 	switch {
 	case !errors.As(context.Cause(ctx), &se):
-		return known.Apply(failure.FromError(err))
-	case known.MayHaveRun():
-		return known.Apply(failureFromContext(ctx))
+		return outcomes.Apply(failure.FromError(err))
+	case outcomes.MayHaveRun():
+		return outcomes.Apply(failureFromContext(ctx))
 	default:
 		return failure.New(failure.Stopping, failure.NotRun, "the instance ends before a place came free").
 			WithCause(se).WithRetryAfter(time.Second)
@@ -207,10 +207,10 @@
 }
 
 // shouldRetry reports whether a failed attempt is followed by another one.
-func (sv *Server) shouldRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, known outcome.Aggregate) bool {
+func (sv *Server) shouldRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, outcomes outcome.Aggregate) bool {
 	return retry.FailedAttempt{
-		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.atMostOnce, MayHaveRun: known.MayHaveRun(),
-		Attempts: rq.life.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
+		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.atMostOnce, MayHaveRun: outcomes.MayHaveRun(),
+		Attempts: rq.lifecycle.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
 		TryResume: func() bool { return rq.class.ContinueElsewhere && sv.rebuildForContinuation(rq, sk) },
 	}.ShouldRetry(sv.Retries)
 }
@@ -219,7 +219,7 @@
 // becomes "failed" if the caller has received a part of a response.
 func (sv *Server) endFailed(rq *request, sk *sink, fe *failure.Error) error {
 	notRun := fe.Outcome == failure.NotRun
-	if err := sv.machine.Abort(&rq.life, notRun && !sk.Started()); err != nil {
+	if err := sv.lifecycle.Abort(&rq.lifecycle, notRun && !sk.Started()); err != nil {
 		return err
 	}
 	if notRun && sk.Started() {
--- a/internal/serve/services.go
+++ b/internal/serve/services.go
@@ -40,19 +40,19 @@
 
 // runService makes the attempts of a request to a plain service.
 func (sv *Server) runService(ctx context.Context, r *http.Request, rq *request, sk *sink, name, path string) error {
-	ask := func(tried []string) router.Request {
+	newRequest := func(tried []string) router.Request {
 		return router.Request{
 			Prompt:   policy.Prompt{Tokens: 1},
 			Filter:   fleet.Filter{Service: name, Exclude: tried, IncludePeerLoad: sv.Router.Policy().UsesPeerLoad},
 			Priority: rq.class.Priority, Deadline: rq.deadline.At,
 		}
 	}
-	return sv.runAttempts(ctx, rq, sk, ask, func(pl *router.Slot) error { return sv.callService(ctx, r, rq, sk, pl, path) })
+	return sv.runAttempts(ctx, rq, sk, newRequest, func(sl *router.Slot) error { return sv.callService(ctx, r, rq, sk, sl, path) })
 }
 
 // callService sends a request to one instance of a plain service and relays the response to the caller.
-func (sv *Server) callService(ctx context.Context, r *http.Request, rq *request, sk *sink, pl *router.Slot, path string) error {
-	u := pl.Target.URL + path
+func (sv *Server) callService(ctx context.Context, r *http.Request, rq *request, sk *sink, sl *router.Slot, path string) error {
+	u := sl.Target.URL + path
 	if r.URL.RawQuery != "" {
 		u += "?" + r.URL.RawQuery
 	}
@@ -65,13 +65,13 @@
 		req.GetBody = nil
 	}
 	copyServiceHeaders(req.Header, r.Header, rq)
-	resp, err := sv.Service(pl.Target, req)
+	resp, err := sv.Service(sl.Target, req)
 	if err != nil {
-		return sv.handleServiceError(ctx, pl, err)
+		return sv.handleServiceError(ctx, sl, err)
 	}
 	defer resp.Body.Close()
-	sv.Fleet.ConfirmReachable(pl.Target.Name)
-	pl.RecordFirstToken(0)
+	sv.Fleet.ConfirmReachable(sl.Target.Name)
+	sl.RecordFirstToken(0)
 	return copyResponse(sk, resp)
 }
 
@@ -96,14 +96,14 @@
 }
 
 // handleServiceError returns the failure of a call that got no response, and updates the state of its target.
-func (sv *Server) handleServiceError(ctx context.Context, pl *router.Slot, err error) error {
+func (sv *Server) handleServiceError(ctx context.Context, sl *router.Slot, err error) error {
 	if engine.NeverConnected(err) {
-		sv.Fleet.MarkUnreachable(pl.Target.Name)
+		sv.Fleet.MarkUnreachable(sl.Target.Name)
 		return failure.New(failure.TargetLost, failure.NotRun, "the target could not be reached").WithCause(err)
 	}
 	if ctx.Err() != nil {
 		return failureFromContext(ctx).WithOutcome(failure.Unknown)
 	}
-	sv.Fleet.RecordFailure(pl.Target.Name)
+	sv.Fleet.RecordFailure(sl.Target.Name)
 	return failure.New(failure.TargetLost, failure.Unknown, "the target broke off before it answered").WithCause(err)
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -330,13 +330,13 @@
 	fx := newFixture(t)
 	tg := startFakeTarget(t, echo)
 	ca := call(tg.address(), "/1")
-	sendErr := &upstream.UnmatchedResponseError{}
-	ca.BeforeSend = func() error { return sendErr }
+	ue := &upstream.UnmatchedResponseError{}
+	ca.BeforeSend = func() error { return ue }
 	_, err := fx.pool.Do(context.Background(), ca)
 	var ee *upstream.ExchangeError
 	fx.Expect(errors.As(err, &ee)).To(BeTrue())
 	fx.Expect(ee.Sent).To(BeFalse())
-	fx.Expect(errors.Is(err, sendErr)).To(BeTrue())
+	fx.Expect(errors.Is(err, ue)).To(BeTrue())
 	fx.Expect(fx.do(call(tg.address(), "/2"))).To(Equal("/2"))
 	fx.Expect(tg.requests()).To(Equal([]string{"/2"}))
 }
