--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -12,8 +12,8 @@
 	"github.com/silvermount/silvermount/internal/drain"
 )
 
-// generous is far longer than any step of these tests takes.
-const generous = time.Minute
+// waitTimeout is far longer than any step of these tests takes.
+const waitTimeout = time.Minute
 
 // server is an HTTP server on a free port. Each request sends to received and then blocks until release is closed.
 type server struct {
@@ -62,7 +62,7 @@
 	refused := make(chan struct{})
 	go func() {
 		done <- drain.Plan{
-			RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, RefuseNew: func() { close(refused) }, Timeout: generous,
+			RefuseAfter: time.Millisecond, BalancerLag: 2 * time.Millisecond, RefuseNew: func() { close(refused) }, Timeout: waitTimeout,
 		}.Run(context.Background(), sv.hs)
 	}()
 	<-refused
@@ -78,7 +78,7 @@
 		"with RefuseNew": {
 			BalancerLag: time.Millisecond, RefuseAfter: time.Millisecond, RefuseNew: func() {}, Timeout: 20 * time.Millisecond,
 		},
-		"balancer lag longer than the timeout": {BalancerLag: generous, Timeout: 20 * time.Millisecond},
+		"balancer lag longer than the timeout": {BalancerLag: waitTimeout, Timeout: 20 * time.Millisecond},
 	}
 	for name, pl := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestRunAbortsRequests runs a plan with a request that ends only when it is aborted, and with one that done before.
+// TestRunAbortsRequests runs a plan with a request that ends only when it is aborted, and with one that has ended before.
 func TestRunAbortsRequests(t *testing.T) {
 	tests := map[string]struct{ endsItself bool }{
 		"request in flight":    {false},
@@ -111,12 +111,12 @@
 				g.Expect(<-result).NotTo(HaveOccurred())
 			}
 			aborted := false
-			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Timeout: generous, Abort: func() {
+			pl := drain.Plan{BalancerLag: time.Millisecond, AbortAfter: 20 * time.Millisecond, Timeout: waitTimeout, Abort: func() {
 				aborted = true
 				close(sv.release)
 			}}
 			if tc.endsItself {
-				pl.AbortAfter = generous
+				pl.AbortAfter = waitTimeout
 			}
 			g.Expect(pl.Run(context.Background(), sv.hs)).To(Succeed())
 			g.Expect(aborted).To(Equal(!tc.endsItself))
--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -119,7 +119,7 @@
 		if !lastUpdate.IsZero() {
 			fs["age"] = time.Since(lastUpdate).Round(time.Millisecond).String()
 		}
-		sy.lg.WithFields(fs).Info("state from peers is stale, asking the store")
+		sy.lg.WithFields(fs).Info("state from peers is stale, calling the store")
 	}
 	return false
 }
--- a/internal/duty/facts/list_test.go
+++ b/internal/duty/facts/list_test.go
@@ -38,7 +38,7 @@
 	return tg, nil
 }
 
-func TestDecodeListSeparatesUnreadEntries(t *testing.T) {
+func TestDecodeListSeparatesUnreadableEntries(t *testing.T) {
 	tests := map[string]struct {
 		entries          string
 		list, unreadable string
--- a/internal/duty/facts/restore_test.go
+++ b/internal/duty/facts/restore_test.go
@@ -116,7 +116,7 @@
 // that the restored copy, which may lack a change, was proven at once.
 func TestChangeFromBeforeRestoreIsNoRewrite(t *testing.T) {
 	tests := map[string]struct {
-		// requested is when the request that restoredAt the change was sent, relative to the request that showed the restore.
+		// requested is when the request that returned the change was sent, relative to the request that showed the restore.
 		requested time.Duration
 		want      bool
 	}{
--- a/internal/duty/facts/simfleet_test.go
+++ b/internal/duty/facts/simfleet_test.go
@@ -346,7 +346,7 @@
 	return age
 }
 
-// oldestProofAgeDuring returns the maximum of oldestProofAge deadline a period.
+// oldestProofAgeDuring returns the maximum of oldestProofAge during a period.
 func (fl *fleet) oldestProofAgeDuring(d time.Duration) time.Duration {
 	var age time.Duration
 	for deadline := time.Now().Add(d); time.Now().Before(deadline); {
--- a/internal/duty/forwarding/coordinator.go
+++ b/internal/duty/forwarding/coordinator.go
@@ -11,7 +11,7 @@
 type Role int
 
 // An instance that has met no peer yet, or belongs to a small fleet, follows the store only for itself. In a larger fleet, followers
-// follow it for all instances, and the others learn of changes from peers. A standby asks the store when the followers are silent, a
+// follow it for all instances, and the others learn of changes from peers. A standby calls the store when the followers are silent, a
 // listener when the standbys are silent too.
 const (
 	RoleJoining Role = iota
@@ -43,7 +43,7 @@
 }
 
 // maxMissing bounds the remembered versions. Beyond it the last entry stands for several versions, with the time of the earliest. Once
-// some of these are in force, BehindFor overstates the time, and the instance asks the store sooner than necessary.
+// some of these are in force, BehindFor overstates the time, and the instance calls the store sooner than necessary.
 const maxMissing = 64
 
 // RecordPeerVersion records a configuration version that a peer announces.
--- a/internal/duty/forwarding/settings.go
+++ b/internal/duty/forwarding/settings.go
@@ -15,7 +15,7 @@
 	// defaultPropagationBound suits both bounds: a leaving target keeps serving for seconds, and a change of the configuration is
 	// expected to be in force within a few seconds.
 	defaultPropagationBound = 3 * time.Second
-	// minPropagationBound is the shortest bound that a follower can keep. It then asks the store four times a second for each kind
+	// minPropagationBound is the shortest bound that a follower can keep. It then calls the store four times a second for each kind
 	// of object, and the rest of the bound leaves time for a pause after a failed call and several calls across a region.
 	minPropagationBound = time.Second
 	// minGrace is the shortest grace in which a stop can finish requests. Half of the grace goes to the balancer's lag; with less,
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -34,7 +34,7 @@
 	drainStepTimeout = 2 * time.Second
 	// writeTimeout bounds the changes to the store for one step of a job.
 	writeTimeout = 10 * time.Second
-	// maxMissedRenewals is the number of registration intervals without a renewal after which an instance counts as gone.
+	// maxMissedRenewals is the number of registration intervals without a renewal after which an instance counts as ended.
 	maxMissedRenewals = 4
 )
 
@@ -46,7 +46,7 @@
 	incarnation string
 	log         log.Interface
 	stopping    func() bool
-	// ownerTimeout is the time without a renewed registration after which the owner of a job counts as gone.
+	// ownerTimeout is the time without a renewed registration after which the owner of a job counts as ended.
 	ownerTimeout time.Duration
 
 	mu sync.Mutex
@@ -112,9 +112,9 @@
 	mg.mu.Unlock()
 }
 
-// ownerGone reports whether the owner of a job has ended. scan asks this only about jobs that do not run here, so a job that names this
+// ownerEnded reports whether the owner of a job has ended. scan asks this only about jobs that do not run here, so a job that names this
 // instance as its owner has lost its run.
-func (mg *manager) ownerGone(incarnation string) bool {
+func (mg *manager) ownerEnded(incarnation string) bool {
 	return incarnation == mg.incarnation || mg.fleet.PresumedEnded(incarnation, mg.ownerTimeout)
 }
 
@@ -145,7 +145,7 @@
 		if ctx.Err() != nil || !mg.isResponsible(v.ID) {
 			continue
 		}
-		mg.applyStep(ctx, baseCtx, v, job.NextAction(v.Record, time.Now(), mg.ownerGone))
+		mg.applyStep(ctx, baseCtx, v, job.NextAction(v.Record, time.Now(), mg.ownerEnded))
 	}
 }
 
@@ -256,7 +256,7 @@
 	repeatable := time.Now().Before(v.Deadline) && (fe.Outcome == failure.NotRun || !v.AtMostOnce)
 	switch {
 	case repeatable && !interrupted && fe.Code == failure.TargetLost:
-		// The job itself may crash its targets, so WithLost delays each further retry for longer.
+		// The job itself may crash its targets, so WithTargetLost delays each further retry for longer.
 		next := v.WithTargetLost(time.Now())
 		mg.log.WithField("job", v.ID).WithField("lost", next.LostRuns).WithError(fe).Warn("target lost while running job; job queued again")
 		mg.updateRecord(recordCtx, v, next)
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -68,7 +68,7 @@
 	ms  *gossip.Mesh
 	sc  *forwarding.StoreCoordinator
 	tr  *blame.Tracker
-	// limits holds the known rate limits of targets, and permits enforces them together with the other instances.
+	// rateLimits holds the known rate limits of targets, and permits enforces them together with the other instances.
 	rateLimits *ratelimit.Tracker
 	permits    *permitService
 	// configurationFetches and listFetches queue the documents to fetch, with one goroutine for each kind: a list with a target
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -1,4 +1,4 @@
-// Package orders is the duty that keeps the wanted number of copies of each model loaded. One instance of each availability zone, elected
+// Package orders is the duty that keeps the desired number of copies of each model loaded. One instance of each availability zone, elected
 // by a lease, orders the zone's engines to load models.
 package orders
 
@@ -79,8 +79,8 @@
 	}), nil
 }
 
-// wantedCopies returns the wanted number of copies of each model in one availability zone. Models without a number are not managed.
-func (co *coordinator) wantedCopies() map[string]int {
+// desiredCopies returns the desired number of copies of each model in one availability zone. Models without a number are not managed.
+func (co *coordinator) desiredCopies() map[string]int {
 	copies := map[string]int{}
 	if cur := co.bundles.Current(); cur != nil {
 		for _, m := range cur.Models {
@@ -92,10 +92,10 @@
 	return copies
 }
 
-// reconcile renews the lease and, while this instance holds it, sends the orders that are due. If no copies are wanted, no instance
+// reconcile renews the lease and, while this instance holds it, sends the orders that are due. If no copies are desired, no instance
 // needs the lease.
 func (co *coordinator) reconcile(ctx context.Context) {
-	copies := co.wantedCopies()
+	copies := co.desiredCopies()
 	if len(copies) == 0 {
 		return
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -197,7 +197,7 @@
 		if ctx.Err() != nil {
 			gw.recordUnanswered(rq, sl, gw.Now().Sub(rq.sentAt))
 		}
-		return nil, gw.handleSendError(ctx, rq, sl, err)
+		return nil, gw.handleExchangeError(ctx, rq, sl, err)
 	}
 	gw.Targets.RecordReachable(sl.Target.ID)
 	gw.observe("silvermount_target_answer_seconds", rq.headAt.Sub(rq.sentAt))
@@ -219,8 +219,8 @@
 	return matches
 }
 
-// handleSendError records an attempt that received no response, and returns its failure.
-func (gw *Gateway) handleSendError(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
+// handleExchangeError records an attempt that received no response, and returns its failure.
+func (gw *Gateway) handleExchangeError(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
 	var ue *UnavailableTargetError
 	if errors.As(err, &ue) && ctx.Err() == nil {
 		return gw.skipTarget(rq, sl, ue)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -24,7 +24,7 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	tried := append(slices.Clone(rq.tried), sl.Target.ID)
-	sw := startSilenceWatch(timeout, func() bool {
+	wd := startSilenceWatchdog(timeout, func() bool {
 		gw.recordSilence(sl.Target)
 		if !gw.takeFailoverRetry(rq.route, rq.service, tried) {
 			return false
@@ -32,70 +32,70 @@
 		cancel(&SilentTargetError{After: timeout})
 		return true
 	})
-	ca.OnSend = sw.setReceived
+	ca.OnSend = wd.setHasActivity
 	rs, err := gw.Pool.Do(ctx, ca)
-	rq.retryTaken = sw.stop()
+	rq.retryTaken = wd.stop()
 	if err != nil {
 		return nil, errors.Wrap(withSilenceCause(ctx, err), "wait for response")
 	}
 	return rs, nil
 }
 
-// silenceWatch calls giveUp if nothing is received from a target for the timeout before the head of its response. It is safe
+// silenceWatchdog calls tryCancel if nothing is received from a target for the timeout before the head of its response. It is safe
 // for concurrent use.
-type silenceWatch struct {
+type silenceWatchdog struct {
 	timeout time.Duration
-	// giveUp cancels the call if the request can move to another target. It reports whether it did.
-	giveUp func() bool
+	// tryCancel cancels the call if the request can move to another target. It reports whether it did.
+	tryCancel func() bool
 
 	mu    sync.Mutex
 	timer *time.Timer
-	// received reports whether data was received since its last call; nil until the request is sent.
-	received func() bool
-	// stopped is set once the head was received or the call failed, gaveUp if giveUp succeeded before.
-	stopped, gaveUp bool
+	// hasActivity reports whether data was received since its last call; nil until the request is sent.
+	hasActivity func() bool
+	// stopped is set once the head was received or the call failed, cancelled if tryCancel succeeded before.
+	stopped, cancelled bool
 }
 
-func startSilenceWatch(timeout time.Duration, giveUp func() bool) *silenceWatch {
-	sw := &silenceWatch{timeout: timeout, giveUp: giveUp}
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	sw.timer = time.AfterFunc(timeout, sw.fire)
-	return sw
+func startSilenceWatchdog(timeout time.Duration, tryCancel func() bool) *silenceWatchdog {
+	wd := &silenceWatchdog{timeout: timeout, tryCancel: tryCancel}
+	wd.mu.Lock()
+	defer wd.mu.Unlock()
+	wd.timer = time.AfterFunc(timeout, wd.fire)
+	return wd
 }
 
-// setReceived sets the function that reports whether data was received since its last call.
-func (sw *silenceWatch) setReceived(received func() bool) {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	sw.received = received
+// setHasActivity sets the function that reports whether data was received since its last call.
+func (wd *silenceWatchdog) setHasActivity(hasActivity func() bool) {
+	wd.mu.Lock()
+	defer wd.mu.Unlock()
+	wd.hasActivity = hasActivity
 }
 
 // fire is called by the timer.
-func (sw *silenceWatch) fire() {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	if sw.stopped {
+func (wd *silenceWatchdog) fire() {
+	wd.mu.Lock()
+	defer wd.mu.Unlock()
+	if wd.stopped {
 		return
 	}
 	// Data that was received but not read shows that this process was stalled, not the target.
-	if sw.received != nil && sw.received() || !sw.giveUp() {
-		sw.timer.Reset(sw.timeout)
+	if wd.hasActivity != nil && wd.hasActivity() || !wd.tryCancel() {
+		wd.timer.Reset(wd.timeout)
 		return
 	}
-	sw.gaveUp = true
+	wd.cancelled = true
 }
 
-// stop ends the watch. It reports whether the call was cancelled.
-func (sw *silenceWatch) stop() (gaveUp bool) {
-	sw.mu.Lock()
-	defer sw.mu.Unlock()
-	sw.stopped = true
-	sw.timer.Stop()
-	return sw.gaveUp
+// stop stops the watchdog. It reports whether the call was cancelled.
+func (wd *silenceWatchdog) stop() (cancelled bool) {
+	wd.mu.Lock()
+	defer wd.mu.Unlock()
+	wd.stopped = true
+	wd.timer.Stop()
+	return wd.cancelled
 }
 
-// withSilenceCause returns a SendError with the SilentTargetError that cancelled ctx, or err if there is none.
+// withSilenceCause returns an ExchangeError with the SilentTargetError that cancelled ctx, or err if there is none.
 func withSilenceCause(ctx context.Context, err error) error {
 	var se *SilentTargetError
 	if errors.As(context.Cause(ctx), &se) {
--- a/internal/gateway/stop_body_test.go
+++ b/internal/gateway/stop_body_test.go
@@ -37,7 +37,7 @@
 // caller had disconnected: the context of the request ends, and the connection is closed without a response.
 func TestRequestWithCompleteBodyIsRefusedOnAbort(t *testing.T) {
 	g := NewWithT(t)
-	gw := newGatewayWithoutTargets(generous)
+	gw := newGatewayWithoutTargets(waitTimeout)
 	const body = "whole body"
 	// unscheduled is how long the goroutine that reads the body does not run.
 	const unscheduled = 50 * time.Millisecond
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -43,15 +43,15 @@
 	g.Expect(rec.Header().Get("Connection")).To(Equal("close"))
 }
 
-// generous is the maximum duration of each wait. It is long, so that the tests pass on a busy machine.
-const generous = 30 * time.Second
+// waitTimeout is the maximum duration of each wait. It is long, so that the tests pass on a busy machine.
+const waitTimeout = 30 * time.Second
 
 // TestRequestWithIncompleteBodyIsRefusedOnAbort aborts requests after half of a body was received.
 func TestRequestWithIncompleteBodyIsRefusedOnAbort(t *testing.T) {
 	g := NewWithT(t)
 	hd := &routes.Holder{}
 	ct := routes.Config{Version: 1, Routes: []routes.Route{{
-		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: generous, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
+		Name: "r", Host: "example.com", PathPrefix: "/", Timeout: waitTimeout, Services: []routes.WeightedService{{Service: "s", Weight: 1}},
 	}}}
 	hd.ApplyIfNewer(routes.New(ct), nil, time.Now())
 	gw := newGateway(hd, discard.New())
@@ -63,7 +63,7 @@
 	defer cn.Close()
 	_, err = io.WriteString(cn, "POST /a/ HTTP/1.1\r\nHost: example.com\r\nContent-Length: 10\r\n\r\nhalf")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Eventually(gw.InFlight, generous).Should(Equal(gateway.InFlight{Waiting: 1}))
+	g.Eventually(gw.InFlight, waitTimeout).Should(Equal(gateway.InFlight{Waiting: 1}))
 	gw.AbortRequests()
 	resp, err := http.ReadResponse(bufio.NewReader(cn), nil)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/peer/beat.go
+++ b/internal/peer/heartbeat.go
@@ -8,10 +8,10 @@
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
-// newBeat returns a heartbeat for one peer. A request carries this instance's usage of the targets that the peer owns; an
+// newHeartbeat returns a heartbeat for one peer. A request carries this instance's usage of the targets that the peer owns; an
 // answer carries summaries of the targets that this instance owns. Each pair of instances therefore exchanges only a few
 // entries, whatever the size of the fleet.
-func (ms *Mesh) newBeat(peer string, seq uint64, answer bool) *peerpb.Beat {
+func (ms *Mesh) newHeartbeat(peer string, seq uint64, answer bool) *peerpb.Beat {
 	b := &peerpb.Beat{
 		Seq: seq, BundleVersion: ms.bundles.Version(), Stopping: ms.stopping(), Answer: answer,
 	}
@@ -68,8 +68,8 @@
 	}
 }
 
-// applyBeat applies a heartbeat from either side of a stream. Only requests carry usage, not answers.
-func (ms *Mesh) applyBeat(from fleet.Instance, pb *peerpb.Beat) {
+// applyHeartbeat applies a heartbeat from either side of a stream. Only requests carry usage, not answers.
+func (ms *Mesh) applyHeartbeat(from fleet.Instance, pb *peerpb.Beat) {
 	hb := fleet.Heartbeat{
 		Sender: from, BundleVersion: pb.GetBundleVersion(), Stopping: pb.GetStopping(), Leaving: map[string]string{},
 	}
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -126,7 +126,7 @@
 		err := lk.runStream(ctx)
 		lk.up.Store(false)
 		if err != nil && ctx.Err() == nil {
-			lk.ms.opts.Log.WithField("address", lk.address).WithError(err).Debug("peer link down")
+			lk.ms.opts.Log.WithField("address", lk.address).WithError(err).Debug("peer link ended")
 		}
 		select {
 		case <-time.After(redialDelay):
@@ -202,7 +202,7 @@
 		default:
 		}
 		if lk.heartbeatDue(n) {
-			f := &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: lk.ms.newBeat(lk.peerName(), n, false)}}
+			f := &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: lk.ms.newHeartbeat(lk.peerName(), n, false)}}
 			if lk.sendFrame(stream, f) != nil {
 				return
 			}
@@ -245,8 +245,8 @@
 	return ""
 }
 
-// handleBeat applies an answer to a heartbeat. The first one of a stream carries the identity of the peer.
-func (lk *link) handleBeat(b *peerpb.Beat) {
+// handleHeartbeat applies an answer to a heartbeat. The first one of a stream carries the identity of the peer.
+func (lk *link) handleHeartbeat(b *peerpb.Beat) {
 	if h := b.GetSender(); h != nil {
 		sender := instanceFromHello(h)
 		sender.PeerAddress = lk.address
@@ -254,14 +254,14 @@
 	}
 	if p := lk.peer.Load(); p != nil {
 		lk.up.Store(true)
-		lk.ms.applyBeat(*p, b)
+		lk.ms.applyHeartbeat(*p, b)
 	}
 }
 
 func (lk *link) handleFrame(f *peerpb.Frame) {
 	switch k := f.GetKind().(type) {
 	case *peerpb.Frame_Beat:
-		lk.handleBeat(k.Beat)
+		lk.handleHeartbeat(k.Beat)
 	case *peerpb.Frame_Answer:
 		lk.mu.Lock()
 		ch := lk.pendingGrants[k.Answer.GetId()]
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -137,8 +137,8 @@
 func (ms *Mesh) respond(from fleet.Instance, f *peerpb.Frame) *peerpb.Frame {
 	switch k := f.GetKind().(type) {
 	case *peerpb.Frame_Beat:
-		ms.applyBeat(from, k.Beat)
-		return &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: ms.newBeat(from.Name, k.Beat.GetSeq(), true)}}
+		ms.applyHeartbeat(from, k.Beat)
+		return &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: ms.newHeartbeat(from.Name, k.Beat.GetSeq(), true)}}
 	case *peerpb.Frame_Ask:
 		key := grant.Key{Holder: from.Incarnation, ID: k.Ask.GetId()}
 		hold := time.Duration(k.Ask.GetHoldMillis()) * time.Millisecond
--- a/internal/peerstate/pack_test.go
+++ b/internal/peerstate/pack_test.go
@@ -16,7 +16,7 @@
 		maxBytes int
 	}{
 		"hex digits":                  {"i-72679801ad", 5},
-		"with a time of birth":        {"i-72679801ad@m47mmf0b", 13},
+		"with a start time":           {"i-72679801ad@m47mmf0b", 13},
 		"an odd number of digits":     {"i-726@m47mmf0b", 14},
 		"another form":                {"inst-1", 6},
 		"no time after the separator": {"i-72@", 5},
@@ -42,7 +42,7 @@
 }
 
 // TestEncodedTargetOrderIsAcceptedByPreviousBuild guards against states that instances of the previous build reject. They do not unpack
-// incarnations with a time of birth, and require the targets in the order of the packed bytes.
+// incarnations with a start time, and require the targets in the order of the packed bytes.
 func TestEncodedTargetOrderIsAcceptedByPreviousBuild(t *testing.T) {
 	g := NewWithT(t)
 	st := State{Leaving: []string{"i-aa", "i-aa@zz", "i-ab@1", "i-abcd@1", "inst", "i-ab@m47mmf0b", "i-ab@m47mmf0c", "i-ff"}}
--- a/internal/reply/reply_test.go
+++ b/internal/reply/reply_test.go
@@ -39,7 +39,7 @@
 	return cn.flushErr
 }
 
-func TestPass(t *testing.T) {
+func TestForward(t *testing.T) {
 	tests := map[string]struct {
 		writeErr, flushErr error
 		flush              bool
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -144,7 +144,7 @@
 	return sv.runAttempts(ctx, rq, sk, newRequest, func(sl *router.Slot) error { return sv.runAttempt(ctx, rq, sk, sl) })
 }
 
-// runAttempts acquires places and calls targets until a response is complete or no further attempt is allowed.
+// runAttempts acquires slots and calls targets until a response is complete or no further attempt is allowed.
 func (sv *Server) runAttempts(
 	ctx context.Context, rq *request, sk *sink, newRequest func(tried []string) router.Request, call func(*router.Slot) error,
 ) error {
@@ -162,13 +162,13 @@
 			sl, err = sv.Router.Acquire(ctx, newRequest(tried))
 		}
 		if err != nil {
-			return sv.endFailed(rq, sk, noPlaceFailure(ctx, outcomes, err))
+			return sv.endFailed(rq, sk, noSlotFailure(ctx, outcomes, err))
 		}
 		if sv.abortCtx.Err() != nil {
-			// The place came free because another request was aborted at shutdown. This request is aborted too, but its own
+			// The slot became free because another request was aborted at shutdown. This request is aborted too, but its own
 			// context has not ended yet.
 			sl.Release()
-			return sv.endFailed(rq, sk, noPlaceFailure(sv.abortCtx, outcomes, sv.abortCtx.Err()))
+			return sv.endFailed(rq, sk, noSlotFailure(sv.abortCtx, outcomes, sv.abortCtx.Err()))
 		}
 		if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Dispatch); err != nil {
 			sl.Release()
@@ -191,9 +191,9 @@
 	}
 }
 
-// noPlaceFailure returns the failure of a request that got no place. If the request was aborted at shutdown before anything
+// noSlotFailure returns the failure of a request that got no slot. If the request was aborted at shutdown before anything
 // was sent, the caller may retry it almost immediately over a new connection.
-func noPlaceFailure(ctx context.Context, outcomes outcome.Aggregate, err error) *failure.Error {
+func noSlotFailure(ctx context.Context, outcomes outcome.Aggregate, err error) *failure.Error {
 	var se *ShutdownError
 	switch {
 	case !errors.As(context.Cause(ctx), &se):
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -113,7 +113,7 @@
 	if err == nil || errors.Is(err, http.ErrNotSupported) {
 		return
 	}
-	sv.Log.WithError(err).WithField("request", rq.id).Info("deadline not set on connection of caller")
+	sv.Log.WithError(err).WithField("request", rq.id).Info("cannot set deadline on caller connection")
 }
 
 // admit refuses a request if its organisation has reached its concurrency limit, else binds it to its deadline and to the
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,7 +18,7 @@
 	// Address is an IP address and port.
 	Address string
 	Method  string
-	// Target is the request target: the path and query exactly as they appear on the request line.
+	// RequestURI is the request target: the path and query exactly as they appear on the request line.
 	RequestURI string
 	Host       string
 	Header     http.Header
