--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -149,14 +149,14 @@
 		unreachable int
 		want        []bool
 	}{
-		"follower":                        {false, forwarding.RoleFollower, 0, []bool{true}},
-		"standby":                         {false, forwarding.RoleStandby, 0, []bool{true}},
-		"listener":                        {false, forwarding.RoleListener, 0, nil},
-		"standalone":                      {false, forwarding.RoleStandalone, 0, nil},
-		"listener, answered":              {true, forwarding.RoleListener, 0, []bool{false}},
-		"follower, few report":            {false, forwarding.RoleFollower, 4, []bool{true}},
-		"follower, enough report":         {false, forwarding.RoleFollower, 5, nil},
-		"follower, answered, many report": {true, forwarding.RoleFollower, 9, []bool{false}},
+		"follower":                               {false, forwarding.RoleFollower, 0, []bool{true}},
+		"standby":                                {false, forwarding.RoleStandby, 0, []bool{true}},
+		"listener":                               {false, forwarding.RoleListener, 0, nil},
+		"standalone":                             {false, forwarding.RoleStandalone, 0, nil},
+		"listener, answered":                     {true, forwarding.RoleListener, 0, []bool{false}},
+		"follower, few without store":            {false, forwarding.RoleFollower, 4, []bool{true}},
+		"follower, enough without store":         {false, forwarding.RoleFollower, 5, nil},
+		"follower, answered, many without store": {true, forwarding.RoleFollower, 9, []bool{false}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/duty/members/limits_test.go
+++ b/internal/duty/members/limits_test.go
@@ -35,10 +35,10 @@
 	now := time.Now()
 	notes := blame.Snapshot{}.Encode(now)
 	obs := []ratelimit.Observation{{Target: "a@1", Limit: ratelimit.PerSecond(1.5), At: now.Add(-time.Second)}}
-	got, limits, err := splitLimits(joinLimits(notes, obs, now))
+	got, rateLimits, err := splitLimits(joinLimits(notes, obs, now))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(got).To(Equal(notes))
-	du.receiveLimits(gossip.Member{Name: "b"}, limits, now)
+	du.receiveLimits(gossip.Member{Name: "b"}, rateLimits, now)
 	g.Expect(du.rateLimits.Limit("a@1")).To(Equal(ratelimit.PerSecond(1.5)))
 	g.Expect(du.rateLimits.Limit("a@2").Limited).To(BeFalse(), "the limit does not apply to a later incarnation")
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -132,8 +132,8 @@
 // knownPeer is the state of one peer.
 type knownPeer struct {
 	Instance
-	// heardAt is the time of the last heartbeat.
-	heardAt time.Time
+	// heartbeatAt is the time of the last heartbeat.
+	heartbeatAt time.Time
 	// bundleVersion is the version in force at the peer.
 	bundleVersion int64
 	stopping      bool
@@ -279,5 +279,5 @@
 
 // isLive reports whether a peer is neither silent nor stopping. The caller holds the lock.
 func (fl *Fleet) isLive(kp *knownPeer) bool {
-	return !kp.stopping && fl.now().Sub(kp.heardAt) < fl.peerTimeout
+	return !kp.stopping && fl.now().Sub(kp.heartbeatAt) < fl.peerTimeout
 }
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -63,7 +63,7 @@
 	if !fl.isLive(kp) || hb.Stopping {
 		fl.ownership = ownership{}
 	}
-	kp.heardAt, kp.bundleVersion, kp.stopping = fl.now(), hb.BundleVersion, hb.Stopping
+	kp.heartbeatAt, kp.bundleVersion, kp.stopping = fl.now(), hb.BundleVersion, hb.Stopping
 	for _, kt := range fl.targets {
 		if _, ok := hb.Usage[kt.Name]; !ok && hb.Usage != nil {
 			delete(kt.peerLoads, hb.Sender.Name)
@@ -108,7 +108,7 @@
 	defer fl.mu.Unlock()
 	silent := set.Of[string]()
 	for name, kp := range fl.peers {
-		if fl.now().Sub(kp.heardAt) >= fl.peerTimeout {
+		if fl.now().Sub(kp.heartbeatAt) >= fl.peerTimeout {
 			fl.forgetLoads(name)
 			silent = silent.With(kp.Incarnation)
 		}
@@ -123,7 +123,7 @@
 	var ps []PeerStatus
 	for _, kp := range fl.peers {
 		ps = append(ps, PeerStatus{
-			Instance: kp.Instance, HeartbeatAge: fl.now().Sub(kp.heardAt), BundleVersion: kp.bundleVersion, Live: fl.isLive(kp), Listed: kp.listed,
+			Instance: kp.Instance, HeartbeatAge: fl.now().Sub(kp.heartbeatAt), BundleVersion: kp.bundleVersion, Live: fl.isLive(kp), Listed: kp.listed,
 		})
 	}
 	slices.SortFunc(ps, func(a, b PeerStatus) int { return strings.Compare(a.Name, b.Name) })
@@ -237,7 +237,7 @@
 	now := fl.now()
 	for _, kp := range fl.peers {
 		if kp.Incarnation == incarnation {
-			return now.Sub(kp.heardAt) > silence && now.Sub(kp.renewedAt) > silence
+			return now.Sub(kp.heartbeatAt) > silence && now.Sub(kp.renewedAt) > silence
 		}
 	}
 	return false
@@ -248,11 +248,11 @@
 func (fl *Fleet) addListedInstance(in ListedInstance) {
 	kp := fl.peers[in.Name]
 	if kp == nil {
-		kp = &knownPeer{heardAt: fl.now().Add(-fl.peerTimeout)}
+		kp = &knownPeer{heartbeatAt: fl.now().Add(-fl.peerTimeout)}
 		fl.peers[in.Name] = kp
 	}
 	kp.listed = true
-	if fl.now().Sub(kp.heardAt) < fl.peerTimeout {
+	if fl.now().Sub(kp.heartbeatAt) < fl.peerTimeout {
 		return
 	}
 	if kp.Incarnation != in.Incarnation {
--- a/internal/gateway/key_test.go
+++ b/internal/gateway/key_test.go
@@ -50,7 +50,7 @@
 			gw := newGateway(hd, memory.New())
 			gw.Now = func() time.Time { return at.Add(tc.staleness) }
 			gw.SetLimits(gateway.Limits{MaxConfigStaleness: tc.maxStaleness})
-			rec := ask(gw, "1", tc.key)
+			rec := send(gw, "1", tc.key)
 			g.Expect(rec.Code).To(Equal(tc.want))
 			g.Expect(rec.Header().Get("Retry-After") != "").To(Equal(tc.want == http.StatusServiceUnavailable))
 		})
--- a/internal/gateway/logging_test.go
+++ b/internal/gateway/logging_test.go
@@ -33,9 +33,9 @@
 	}, gateway.Limits{})
 }
 
-func get(gw *gateway.Gateway, request, key string) int { return ask(gw, request, key).Code }
+func get(gw *gateway.Gateway, request, key string) int { return send(gw, request, key).Code }
 
-func ask(gw *gateway.Gateway, request, key string) *httptest.ResponseRecorder {
+func send(gw *gateway.Gateway, request, key string) *httptest.ResponseRecorder {
 	rec := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodGet, "/a/", http.NoBody)
 	r.Header.Set("Request", request)
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -180,8 +180,8 @@
 // stallWatchdog breaks off a stream that has stalled, but only while the stream can continue on another target. A stall alone
 // is no reason to end a response before its deadline. It is safe for concurrent use.
 type stallWatchdog struct {
-	response *upstream.Response
-	timeout  time.Duration
+	rs      *upstream.Response
+	timeout time.Duration
 	// takeRetry reports whether the stream may be broken off, after it has taken the retry to continue it on another target.
 	takeRetry func(silence time.Duration) bool
 	// lastEventAt is when the last event was received; before the first event, when the head was.
@@ -197,7 +197,7 @@
 
 // startStallWatchdog starts a watchdog for a stream whose head has been received.
 func startStallWatchdog(rs *upstream.Response, timeout time.Duration, takeRetry func(silence time.Duration) bool) *stallWatchdog {
-	wd := &stallWatchdog{response: rs, timeout: timeout, takeRetry: takeRetry, lastEventAt: time.Now()}
+	wd := &stallWatchdog{rs: rs, timeout: timeout, takeRetry: takeRetry, lastEventAt: time.Now()}
 	wd.mu.Lock()
 	defer wd.mu.Unlock()
 	wd.timer = time.AfterFunc(maxFirstEventDelay, wd.fire)
@@ -215,7 +215,7 @@
 	if wd.stopped {
 		return
 	}
-	if wd.response.HasUnreadData() {
+	if wd.rs.HasUnreadData() {
 		// Data is waiting to be read, so the target is not silent: this process or the caller is slow.
 		wd.timer.Reset(stallRecheckInterval)
 		return
@@ -225,7 +225,7 @@
 		return
 	}
 	wd.fired = true
-	wd.response.Abort()
+	wd.rs.Abort()
 }
 
 // stallRecheckInterval is the time until a stalled stream that could not move is checked again: a few forward passes of an
--- a/internal/gossip/delay_test.go
+++ b/internal/gossip/delay_test.go
@@ -71,7 +71,7 @@
 			to.ms.opts.ReceiveState = func(_ Member, _ []byte, madeAt time.Time) { age = ck.now.Sub(madeAt) }
 			ol := newOneWayLink(from, to)
 			for i, delay := range append(tc.earlier, tc.last) {
-				from.body = []byte{byte(i)}
+				from.published = []byte{byte(i)}
 				from.ms.PublishState()
 				from.ms.refreshState()
 				sent := ol.send(g)
--- a/internal/gossip/mesh_test.go
+++ b/internal/gossip/mesh_test.go
@@ -141,7 +141,7 @@
 			stop()
 			o.Self.Incarnation = tt.after
 			b := newNode(t, o)
-			b.body = []byte("after")
+			b.published = []byte("after")
 			b.start(t)
 			for _, nd := range []*node{a, c} {
 				g.Eventually(nd.stateOf("b"), waitTimeout).Should(Equal("after"))
--- a/internal/gossip/node_test.go
+++ b/internal/gossip/node_test.go
@@ -26,7 +26,7 @@
 	lis net.Listener
 
 	mu            sync.Mutex
-	body          []byte
+	published     []byte
 	received      map[string]string
 	receivedOrder []string
 	lost          []Member
@@ -53,7 +53,7 @@
 func newNode(t testing.TB, o Options) *node {
 	t.Helper()
 	nd := &node{lis: listen(t), received: map[string]string{}}
-	nd.body = []byte("state of " + o.Self.Name)
+	nd.published = []byte("state of " + o.Self.Name)
 	if o.Self.Incarnation == "" {
 		o.Self.Incarnation = "1"
 	}
@@ -99,21 +99,21 @@
 func (nd *node) state() []byte {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	return nd.body
+	return nd.published
 }
 
-func (nd *node) publish(body []byte) {
+func (nd *node) publish(published []byte) {
 	nd.mu.Lock()
-	nd.body = body
+	nd.published = published
 	nd.mu.Unlock()
 	nd.ms.PublishState()
 }
 
-func (nd *node) receive(from Member, body []byte, _ time.Time) {
+func (nd *node) receive(from Member, state []byte, _ time.Time) {
 	nd.mu.Lock()
 	defer nd.mu.Unlock()
-	nd.received[from.Name] = string(body)
-	nd.receivedOrder = append(nd.receivedOrder, string(body))
+	nd.received[from.Name] = string(state)
+	nd.receivedOrder = append(nd.receivedOrder, string(state))
 }
 
 func (nd *node) memberLost(m Member) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -286,7 +286,7 @@
 	return sl, nil
 }
 
-// loadOf returns the load that a prompt adds to its main target, without the memory that is borrowed by reservation.
+// loadOf returns the load that a prompt adds to its main target, without the memory that is reserved for it separately.
 func loadOf(pr policy.Prompt, reserved int) fleet.Load {
 	lo := fleet.Load{Requests: 1, MemoryTokens: pr.MemoryTokens() - reserved}
 	lo.PrefillTokens[policy.LengthBand(pr.Tokens)] = pr.Tokens
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -155,7 +155,7 @@
 	if sl.Uncontended && rq.fields.Stream {
 		sv.Fleet.ObservePrefill(sl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstTokenAt.Sub(startedAt))
 	}
-	if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.FirstToken); err != nil {
+	if err := sv.machine.Fire(ctx, &rq.life, life.FirstToken); err != nil {
 		sv.Log.WithError(err).Error("first token received in a state that does not allow it")
 	}
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -126,7 +126,7 @@
 
 // refuse ends a request of which nothing was sent to a target. It returns err.
 func (sv *Server) refuse(ctx context.Context, rq *request, err error) error {
-	if fireErr := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Refuse); fireErr != nil {
+	if fireErr := sv.machine.Fire(ctx, &rq.life, life.Refuse); fireErr != nil {
 		return fireErr
 	}
 	return err
@@ -148,7 +148,7 @@
 func (sv *Server) runAttempts(
 	ctx context.Context, rq *request, sk *sink, newRequest func(tried []string) router.Request, call func(*router.Slot) error,
 ) error {
-	if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Admit); err != nil {
+	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
 		return err
 	}
 	sv.Retries.Deposit()
@@ -170,14 +170,14 @@
 			sl.Release()
 			return sv.endFailed(rq, sk, noSlotFailure(sv.abortCtx, outcomes, sv.abortCtx.Err()))
 		}
-		if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Dispatch); err != nil {
+		if err := sv.machine.Fire(ctx, &rq.life, life.Dispatch); err != nil {
 			sl.Release()
 			return err
 		}
 		err = call(sl)
 		sl.Release()
 		if err == nil {
-			return sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Finish)
+			return sv.machine.Fire(ctx, &rq.life, life.Finish)
 		}
 		fe := failure.FromError(err)
 		outcomes.Add(fe.Outcome)
@@ -185,7 +185,7 @@
 			return sv.endFailed(rq, sk, outcomes.Apply(fe))
 		}
 		tried = append(tried, sl.Target.Name)
-		if err := sv.lifecycle.Fire(ctx, &rq.lifecycle, life.Retry); err != nil {
+		if err := sv.machine.Fire(ctx, &rq.life, life.Retry); err != nil {
 			return err
 		}
 	}
@@ -210,7 +210,7 @@
 func (sv *Server) shouldRetry(ctx context.Context, rq *request, sk *sink, fe *failure.Error, outcomes outcome.Aggregate) bool {
 	return retry.FailedAttempt{
 		Code: fe.Code, Cancelled: ctx.Err() != nil, AtMostOnce: rq.atMostOnce, MayHaveRun: outcomes.MayHaveRun(),
-		Attempts: rq.lifecycle.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
+		Attempts: rq.life.Attempts, MaxAttempts: sv.limits.MaxAttempts, ResponseStarted: sk.Started(),
 		TryResume: func() bool { return rq.class.ContinueElsewhere && sv.rebuildForContinuation(rq, sk) },
 	}.ShouldRetry(sv.Retries)
 }
@@ -219,7 +219,7 @@
 // becomes "failed" if the caller has received a part of a response.
 func (sv *Server) endFailed(rq *request, sk *sink, fe *failure.Error) error {
 	notRun := fe.Outcome == failure.NotRun
-	if err := sv.lifecycle.Abort(&rq.lifecycle, notRun && !sk.Started()); err != nil {
+	if err := sv.machine.Abort(&rq.life, notRun && !sk.Started()); err != nil {
 		return err
 	}
 	if notRun && sk.Started() {
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -36,8 +36,8 @@
 	atMostOnce bool
 	body       []byte
 	// fields is set for inference requests only.
-	fields    inferenceFields
-	lifecycle life.Record
+	fields inferenceFields
+	life   life.Record
 	// firstTokenAt is when the first token was received from a target; zero before.
 	firstTokenAt time.Time
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -80,8 +80,8 @@
 // Server serves callers' requests. It is safe for concurrent use.
 type Server struct {
 	Deps
-	limits    Limits
-	lifecycle *life.Machine
+	limits  Limits
+	machine *life.Machine
 	// abortCtx ends when the requests in flight are aborted at shutdown, with ShutdownError as its cause.
 	abortCtx context.Context
 	abort    context.CancelCauseFunc
@@ -101,7 +101,7 @@
 func New(d Deps, l Limits) *Server {
 	abortCtx, abort := context.WithCancelCause(context.Background())
 	return &Server{
-		Deps: d, limits: l, lifecycle: life.New(), abortCtx: abortCtx, abort: abort,
+		Deps: d, limits: l, machine: life.New(), abortCtx: abortCtx, abort: abort,
 		inFlightByOrganisation: map[string]int{}, mounted: map[string]http.Handler{},
 	}
 }
