--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -40,7 +40,7 @@
 	// acceptLag is how long requests on kept-alive connections are accepted after the start of a stop. A request accepted more than
 	// three seconds after the start must get its whole answer, for which the grace may not leave enough time.
 	acceptLag = 2800 * time.Millisecond
-	// answerMargin is the part of the grace that is left when the remaining requests are ended. It is over ten times the time that
+	// answerMargin is the part of the grace that is left when the remaining requests are aborted. It is over ten times the time that
 	// their answers and the exit of the process take (median 3 ms, maximum 34 ms, in 497 stops of small instances). Every 0.1 s
 	// less would let one in fifteen of the streams finish that a stop otherwise breaks off (of 363 streams).
 	answerMargin = 450 * time.Millisecond
@@ -191,12 +191,12 @@
 }
 
 // stop keeps serving until the balancer sends no new connections, then returns after the last answer. Requests that are still running
-// answerMargin before the end of the grace are ended.
+// answerMargin before the end of the grace are aborted.
 func (sv *servers) stop(ctx context.Context, grace time.Duration) error {
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
 	sv.gw.SetShutdownTime(time.Now().Add(grace - answerMargin))
-	err := stopPlan(grace, sv.gw.RefuseNewRequests, sv.endRequests).Run(ctx, sv.httpServers[0])
+	err := stopPlan(grace, sv.gw.RefuseNewRequests, sv.abortRequests).Run(ctx, sv.httpServers[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
 		// No request is in flight: the remaining connections were opened and never used, which is no failure.
@@ -210,17 +210,17 @@
 }
 
 // stopPlan returns the plan of a stop within the grace. Even if the grace is short, every accepted request has some time for its answer.
-func stopPlan(grace time.Duration, refuse, end func()) drain.Plan {
-	lag, answers := min(balancerLag, grace/2), grace-answerMargin
+func stopPlan(grace time.Duration, refuseNew, abort func()) drain.Plan {
+	lag, abortAfter := min(balancerLag, grace/2), grace-answerMargin
 	return drain.Plan{
-		BalancerLag: lag, RefuseAfter: min(acceptLag, lag, answers/2), RefuseNew: refuse, AbortAfter: answers, Abort: end, Timeout: grace - exitMargin,
+		BalancerLag: lag, RefuseAfter: min(acceptLag, lag, abortAfter/2), RefuseNew: refuseNew, AbortAfter: abortAfter, Abort: abort, Timeout: grace - exitMargin,
 	}
 }
 
-// endRequests ends the requests that are still running.
-func (sv *servers) endRequests() {
+// abortRequests aborts the requests that are still running.
+func (sv *servers) abortRequests() {
 	if inf := sv.gw.InFlight(); inf != (gateway.InFlight{}) {
-		sv.lg.WithFields(inf.Fields()).Warn("grace nearly over before the last answer; ending requests")
+		sv.lg.WithFields(inf.Fields()).Warn("grace nearly over before the last answer; aborting requests")
 	}
 	sv.gw.AbortRequests()
 }
--- a/internal/fleet/load.go
+++ b/internal/fleet/load.go
@@ -231,11 +231,11 @@
 
 // confirmedAt returns the last time at which this instance or the owner is known to have heard from the target.
 func (kt *knownTarget) confirmedAt() time.Time {
-	heard := kt.summaryAt.Add(-kt.summary.Age)
-	if kt.reportAt.After(heard) {
+	confirmed := kt.summaryAt.Add(-kt.summary.Age)
+	if kt.reportAt.After(confirmed) {
 		return kt.reportAt
 	}
-	return heard
+	return confirmed
 }
 
 // eligible returns the targets that match the filter and are listed, reachable and not leaving, sorted by name. The caller
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -32,8 +32,8 @@
 type Store struct {
 	// List returns all objects of a kind.
 	List func(ctx context.Context, kind string) (objectstore.Listing, error)
-	// Watch waits up to wait for changes after a position. It fails with a HistoryGoneError if a new list is needed. A result with
-	// another era than since does not say what changed.
+	// Watch returns the changes after the position since, and waits for them for at most the duration wait. It fails with a
+	// HistoryGoneError if a new list is needed. A result of another era than that of since does not say what changed.
 	Watch func(ctx context.Context, kind string, since position.Position, wait time.Duration) (objectstore.Listing, error)
 }
 
@@ -161,8 +161,8 @@
 }
 
 // detectRestore records the position of a list and compares its era with the last known one. For a while after a restore from an
-// older copy the store lists stale entries whose owners no longer write them, and no change event tells them from the others. One
-// more list does. It is scheduled with jitter, so that not all instances request it at once.
+// older copy the store lists stale entries whose owners no longer write them, and no change event distinguishes them from the
+// others. A second list no longer has them. It is scheduled with jitter, so that not all instances request it at once.
 func (lw *ListWatcher) detectRestore(at position.Position, asOf time.Time) {
 	before := lw.lastPosition()
 	lw.listedAt = at
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -26,7 +26,7 @@
 	LastEventID int64
 }
 
-// Attempt holds what a target is told in addition to the caller's request.
+// Attempt holds what a target is sent in addition to the caller's request.
 type Attempt struct {
 	// TargetName is the name that the intended target uses for itself. Any other target must not run the request.
 	TargetName string
@@ -36,13 +36,13 @@
 	Timeout time.Duration
 	// Priority is the priority at the target, 0 being the most urgent. A negative priority is not sent.
 	Priority int
-	// Helpers are the targets that each read part of the prompt for the main target.
+	// Helpers are the targets that each prefill part of the prompt for the main target.
 	Helpers []Helper
 	// LastEventID is the id of the last event that the caller has; negative if the response starts from the beginning.
 	LastEventID int64
 }
 
-// Helper is a target that reads part of a prompt for the main target.
+// Helper is a target that prefills part of a prompt for the main target.
 type Helper struct {
 	// Address is an IP address and port.
 	Address string
--- a/internal/gossip/link.go
+++ b/internal/gossip/link.go
@@ -209,7 +209,7 @@
 	return payload{Version: sp.version, Body: sp.body, Age: now.Sub(sp.madeAt)}
 }
 
-// silence returns the time since a member was last heard.
+// silence returns the time since a member was last heard from.
 func (ms *Mesh) silence(r *record, now time.Time) time.Duration {
 	if r == ms.self {
 		return 0
--- a/internal/gossip/suspect.go
+++ b/internal/gossip/suspect.go
@@ -21,7 +21,7 @@
 	ms.signal()
 }
 
-// clearSuspicion clears the suspicion of a member that was heard. The lock is held.
+// clearSuspicion clears the suspicion of a member that was heard from. The lock is held.
 func (ms *Mesh) clearSuspicion(name string) {
 	if _, ok := ms.suspects[name]; ok {
 		delete(ms.suspects, name)
@@ -32,7 +32,7 @@
 }
 
 // suspectSilentPeers suspects the peers of silent links, and clears suspicions older than LostAfter: by then a member is either
-// lost or heard through others. The lock is held.
+// lost or heard from through others. The lock is held.
 func (ms *Mesh) suspectSilentPeers(now time.Time) {
 	elapsed := ms.clock.elapsedAt(now)
 	for name, since := range ms.suspects {
--- a/internal/gossip/wire.go
+++ b/internal/gossip/wire.go
@@ -24,7 +24,7 @@
 	Info *memberInfo
 	// Heartbeat is a counter that only grows within an incarnation; 0 if the entry carries none.
 	Heartbeat uint64
-	// HeartbeatAge is the time since the process itself was heard.
+	// HeartbeatAge is the time since the process itself was heard from.
 	HeartbeatAge time.Duration
 	State, Notes payload
 	// ExtraDelay is how much longer than the fastest the frame was in transit. The receiver sets it; it is not on the wire.
--- a/internal/hangup/hangup.go
+++ b/internal/hangup/hangup.go
@@ -11,7 +11,7 @@
 )
 
 // earlySignals receives SIGHUP from the start of the process. It is never read: a SIGHUP asks the process to reload its settings,
-// and during the start they are still to be read anyway.
+// which are read during the start anyway.
 var earlySignals = make(chan os.Signal, 1)
 
 func init() { signal.Notify(earlySignals, syscall.SIGHUP) }
