--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -41,8 +41,8 @@
 	leavingBound, configurationBound time.Duration
 	// version is the newest configuration version read from the store, zero if it could not be decoded. It is used by one goroutine.
 	version int64
-	// startTimeRequired is set if most entries in the newest list of targets state when the target started. An entry without a start time
-	// is then attributed to another writer than a target. It is used by one goroutine.
+	// startTimeRequired is set if most entries in the newest list of targets state when the target started. An entry without a
+	// start time is then attributed to another writer than a target. It is used by one goroutine.
 	startTimeRequired bool
 	// rewrittenEra is the newest era of the store in which a change of the configuration was seen. It is used by one goroutine.
 	rewrittenEra int64
--- a/internal/duty/facts/pollpolicy.go
+++ b/internal/duty/facts/pollpolicy.go
@@ -29,8 +29,8 @@
 	// peerFetchTimeout is how long an instance that learns of a newer configuration waits to get it from a peer before it calls the
 	// store. A second is enough on a slow link, and leaves more than another second until the configuration must be in force.
 	peerFetchTimeout = time.Second
-	// minListenerBackoff and maxListenerBackoff bound the back-off of a listener or standby after failed calls. Followers retry more
-	// often, and their gossip shows when the store is available again.
+	// minListenerBackoff and maxListenerBackoff bound the back-off of a listener or standby after failed calls. Followers retry
+	// more often, and their gossip shows when the store is available again.
 	minListenerBackoff = 2 * time.Second
 	maxListenerBackoff = 4 * time.Second
 	// minFollowerBackoff and maxFollowerBackoff bound the back-off of a follower while the state from its peers is fresh. The maximum
@@ -55,9 +55,9 @@
 	// followerWatchTimeout is how long a watch of a follower waits for changes. Its response proves the state as of the request, so
 	// while nothing changes, peers see proofs as old as two watches plus the gossip delay.
 	followerWatchTimeout time.Duration
-	// standaloneWatchTimeout is how long a watch of an instance that watches the store only for itself waits for changes. Together with
-	// the silence timeout, a back-off and a list it stays below the bound. It is longer than that of a follower, because each call
-	// is billed and the other instances of a small fleet call at other times and gossip the results.
+	// standaloneWatchTimeout is how long a watch of an instance that watches the store only for itself waits for changes.
+	// Together with the silence timeout, a back-off and a list it stays below the bound. It is longer than that of a follower,
+	// because each call is billed and the other instances of a small fleet call at other times and gossip the results.
 	standaloneWatchTimeout time.Duration
 	// maxPeerAge is the age of the state from peers at which the first standbys call the store. standbyJitter is how much later the
 	// last of them do, so that the first can gossip the response to the others.
--- a/internal/duty/facts/simfleet_test.go
+++ b/internal/duty/facts/simfleet_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// instanceCount is the size of the fleet. The first instances are followers and the next ones standbys, in numbers as in a fleet
-	// of five availability zones.
+	// instanceCount is the size of the fleet. The first instances are followers and the next ones standbys, in numbers as in a
+	// fleet of five availability zones.
 	instanceCount = 40
 	followerCount = 3
 	standbyCount  = 7
--- a/internal/duty/forwarding/coordinator.go
+++ b/internal/duty/forwarding/coordinator.go
@@ -10,9 +10,9 @@
 // Role is the role of an instance in following the store for the fleet.
 type Role int
 
-// An instance that has met no peer yet, or belongs to a small fleet, follows the store only for itself. In a larger fleet, followers
-// follow it for all instances, and the others learn of changes from peers. A standby calls the store when the followers are silent, a
-// listener when the standbys are silent too.
+// An instance that has met no peer yet, or belongs to a small fleet, follows the store only for itself. In a larger fleet,
+// followers follow it for all instances, and the others learn of changes from peers. A standby calls the store when the followers
+// are silent, a listener when the standbys are silent too.
 const (
 	RoleJoining Role = iota
 	RoleStandalone
--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -40,9 +40,9 @@
 	// acceptLag is how long requests on kept-alive connections are accepted after the start of a stop. A request accepted more than
 	// three seconds after the start must get its whole answer, for which the grace may not leave enough time.
 	acceptLag = 2800 * time.Millisecond
-	// answerMargin is the part of the grace that is left when the remaining requests are aborted. It is over ten times the time that
-	// their answers and the exit of the process take (median 3 ms, maximum 34 ms, in 497 stops of small instances). Every 0.1 s
-	// less would let one in fifteen of the streams finish that a stop otherwise breaks off (of 363 streams).
+	// answerMargin is the part of the grace that is left when the remaining requests are aborted. It is over ten times the time
+	// that their answers and the exit of the process take (median 3 ms, maximum 34 ms, in 497 stops of small instances). Every
+	// 0.1 s less would let one in fifteen of the streams finish that a stop otherwise breaks off (of 363 streams).
 	answerMargin = 450 * time.Millisecond
 	// exitMargin is the part of the grace that is left for the exit of the process when the wait for the last answers ends.
 	exitMargin = 150 * time.Millisecond
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -112,8 +112,8 @@
 	mg.mu.Unlock()
 }
 
-// ownerEnded reports whether the owner of a job has ended. scan asks this only about jobs that do not run here, so a job that names this
-// instance as its owner has lost its run.
+// ownerEnded reports whether the owner of a job has ended. scan asks this only about jobs that do not run here, so a job that
+// names this instance as its owner has lost its run.
 func (mg *manager) ownerEnded(incarnation string) bool {
 	return incarnation == mg.incarnation || mg.fleet.PresumedEnded(incarnation, mg.ownerTimeout)
 }
--- a/internal/duty/members/followers.go
+++ b/internal/duty/members/followers.go
@@ -21,8 +21,8 @@
 	// followerCount is the number of instances that watch the store for the whole fleet, in different availability zones if there are
 	// enough. If two of them are lost or rejected by the store, all instances still get fresh proof.
 	followerCount = 3
-	// candidatesPerZone is the number of instances per availability zone, followers included, that are the first to call the store when
-	// the followers report nothing. One of them may be lost.
+	// candidatesPerZone is the number of instances per availability zone, followers included, that are the first to call the
+	// store when the followers report nothing. One of them may be lost.
 	candidatesPerZone = 2
 )
 
@@ -125,8 +125,9 @@
 	return order
 }
 
-// maxUnreachableFraction is the maximum fraction of live instances that report that they do not reach the store. It is far more than
-// needed to find others that do, and keeps the instances from reporting it one after another if no instance reaches the store.
+// maxUnreachableFraction is the maximum fraction of live instances that report that they do not reach the store. It is far more
+// than needed to find others that do, and keeps the instances from reporting it one after another if no instance reaches the
+// store.
 const maxUnreachableFraction = 0.25
 
 // reportStoreReachability reports to the other instances whether this instance reaches the store. Only followers and standbys
--- a/internal/duty/members/followers_test.go
+++ b/internal/duty/members/followers_test.go
@@ -114,8 +114,8 @@
 //	msg="lost the store" kind=servers cause="watch: store unavailable: ... context deadline exceeded"
 func TestFollowerWithoutStoreIsReplaced(t *testing.T) {
 	tests := map[string]struct {
-		// unreachable is the number of followers that do not reach the store, replacements the number of their replacements that do not
-		// reach it either.
+		// unreachable is the number of followers that do not reach the store, replacements the number of their replacements that
+		// do not reach it either.
 		unreachable, replacements int
 		// want is the number of followers, including those that do not reach the store and keep calling it.
 		want int
@@ -182,7 +182,8 @@
 	return names
 }
 
-// markStoreUnreachable marks the store as unreachable for a number of followers; if there are fewer followers, for all live members.
+// markStoreUnreachable marks the store as unreachable for a number of followers; if there are fewer followers, for all live
+// members.
 func markStoreUnreachable(live []gossip.Member, count int) {
 	reaching := reachingStore(live, followerNames(live))
 	for i := range live {
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -1,5 +1,5 @@
-// Package orders is the duty that keeps the desired number of copies of each model loaded. One instance of each availability zone, elected
-// by a lease, orders the zone's engines to load models.
+// Package orders is the duty that keeps the desired number of copies of each model loaded. One instance of each availability
+// zone, elected by a lease, orders the zone's engines to load models.
 package orders
 
 import (
@@ -79,7 +79,8 @@
 	}), nil
 }
 
-// desiredCopies returns the desired number of copies of each model in one availability zone. Models without a number are not managed.
+// desiredCopies returns the desired number of copies of each model in one availability zone. Models without a number are not
+// managed.
 func (co *coordinator) desiredCopies() map[string]int {
 	copies := map[string]int{}
 	if cur := co.bundles.Current(); cur != nil {
@@ -92,8 +93,8 @@
 	return copies
 }
 
-// reconcile renews the lease and, while this instance holds it, sends the orders that are due. If no copies are desired, no instance
-// needs the lease.
+// reconcile renews the lease and, while this instance holds it, sends the orders that are due. If no copies are desired, no
+// instance needs the lease.
 func (co *coordinator) reconcile(ctx context.Context) {
 	copies := co.desiredCopies()
 	if len(copies) == 0 {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -162,7 +162,8 @@
 
 // detectRestore records the position of a list and compares its era with the last known one. For a while after a restore from an
 // older copy the store lists stale entries whose owners no longer write them, and no change event distinguishes them from the
-// others. A second list no longer has them. It is scheduled with jitter, so that not all instances request it at once.
+// others. A second list after RelistDelay no longer has them. It is scheduled with jitter, so that not all instances request it
+// at once.
 func (lw *ListWatcher) detectRestore(at position.Position, asOf time.Time) {
 	before := lw.lastPosition()
 	lw.listedAt = at
--- a/internal/peerstate/pack.go
+++ b/internal/peerstate/pack.go
@@ -16,13 +16,13 @@
 	// startTimeSeparator separates the hex digits from the start time, which is a number in base startTimeBase.
 	startTimeSeparator = "@"
 	startTimeBase      = 36
-	// startTimeMarker is the first byte of every incarnation that packWithStartTime encodes, and of no other. An instance of the previous
-	// build takes the encoded bytes for an incarnation that it does not know.
+	// startTimeMarker is the first byte of every incarnation that packWithStartTime encodes, and of no other. An instance of the
+	// previous build takes the encoded bytes for an incarnation that it does not know.
 	startTimeMarker = 0
 )
 
-// packWithStartTime encodes an incarnation with a start time in about 13 bytes instead of 21: startTimeMarker, the number of bytes of its
-// decoded hex digits, those bytes, and the time. It returns false for incarnations of any other form.
+// packWithStartTime encodes an incarnation with a start time in about 13 bytes instead of 21: startTimeMarker, the number of
+// bytes of its decoded hex digits, those bytes, and the time. It returns false for incarnations of any other form.
 func packWithStartTime(id string) (string, bool) {
 	name, startTimeText, ok := strings.Cut(id, startTimeSeparator)
 	if !ok {
