--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -40,9 +40,9 @@
 	// acceptLag is how long requests on kept-alive connections are accepted after the start of a stop. A request accepted more than
 	// three seconds after the start must get its whole answer, for which the grace may not leave enough time.
 	acceptLag = 2800 * time.Millisecond
-	// answerMargin is the part of the grace that is left when the remaining requests are ended. It is over ten times the time that
-	// their answers and the exit of the process take (median 3 ms, maximum 34 ms, in 497 stops of small instances). Every 0.1 s
-	// less would let one in fifteen of the streams finish that a stop otherwise breaks off (of 363 streams).
+	// answerMargin is the part of the grace that is left when the remaining requests are aborted. It is over ten times the time
+	// that their answers and the exit of the process take (median 3 ms, maximum 34 ms, in 497 stops of small instances). Every
+	// 0.1 s less would let one in fifteen of the streams finish that a stop otherwise breaks off (of 363 streams).
 	answerMargin = 450 * time.Millisecond
 	// exitMargin is the part of the grace that is left for the exit of the process when the wait for the last answers ends.
 	exitMargin = 150 * time.Millisecond
@@ -62,7 +62,7 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	pt, err := kernel.Resolve[*forwarding.Components](env)
+	co, err := kernel.Resolve[*forwarding.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -71,22 +71,22 @@
 		return nil, err
 	}
 	rt := newRetryBudget(env.Settings.Gateway)
-	sv := &servers{gw: newGateway(env, pt, rt), mesh: mesh, lg: env.Logger("frontend")}
+	sv := &servers{gw: newGateway(env, co, rt), mesh: mesh, lg: env.Logger("frontend")}
 	st := env.Settings.Gateway
 	for _, l := range []struct {
 		address string
 		handler http.Handler
-	}{{st.Callers, sv.gw}, {st.Readiness, readinessHandler(sv.gw)}, {st.Metrics, operatorHandler(pt)}} {
+	}{{st.Callers, sv.gw}, {st.Readiness, readinessHandler(sv.gw)}, {st.Metrics, operatorHandler(co)}} {
 		if err := sv.serve(ctx, l.address, l.handler); err != nil {
 			sv.close()
 			return nil, err
 		}
 	}
-	ls := newLimitShares(env, pt, mesh, rt)
+	ls := newLimitShares(env, co, mesh, rt)
 	sv.runPeriodically(func() {
-		pt.Pool.EvictExpired()
-		pt.RateLimits.Prune(pt.Targets.TakesWork)
-		pt.BackOffs.Prune(pt.Targets.TakesWork)
+		co.Pool.EvictExpired()
+		co.RateLimits.Prune(co.Targets.TakesWork)
+		co.BackOffs.Prune(co.Targets.TakesWork)
 		ls.update()
 	})
 	grace := st.Grace.Std()
@@ -94,12 +94,12 @@
 }
 
 // newGateway builds the gateway from the shared components and keeps its limits up to date with the settings.
-func newGateway(env *kernel.Env, pt *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
+func newGateway(env *kernel.Env, co *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
-		Protocol: pt.Adapter.Protocol, Routes: pt.Routes, Targets: pt.Targets, Dispatcher: pt.Dispatcher, Pool: pt.Pool,
-		RetryBudget: rt, Blame: pt.Blame, Feedback: pt.Feedback, RateLimits: pt.RateLimits, BackOffs: pt.BackOffs,
-		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: pt.Metrics, Log: env.Logger("gateway"),
+		Protocol: co.Adapter.Protocol, Routes: co.Routes, Targets: co.Targets, Dispatcher: co.Dispatcher, Pool: co.Pool,
+		RetryBudget: rt, Blame: co.Blame, Feedback: co.Feedback, RateLimits: co.RateLimits, BackOffs: co.BackOffs,
+		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: co.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
 	}, gatewayLimits(st))
 	env.OnReload(func(s config.Settings) { gw.SetLimits(gatewayLimits(s.Gateway)) })
@@ -115,8 +115,8 @@
 }
 
 func newRetryBudget(st *config.Gateway) *budget.Retries {
-	burst, trickle := retryFloorShare(st, minSharers)
-	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithMinRate(trickle))
+	burst, minRate := retryFloorShare(st, minSharers)
+	return budget.NewRetries(st.RetryShare, time.Now, budget.WithBurst(burst), budget.WithMinRate(minRate))
 }
 
 func (sv *servers) serve(ctx context.Context, address string, h http.Handler) error {
@@ -161,13 +161,13 @@
 }
 
 // operatorHandler serves the metrics and the API for quarantined requests.
-func operatorHandler(pt *forwarding.Components) http.Handler {
+func operatorHandler(co *forwarding.Components) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		pt.Metrics.WritePrometheus(w)
+		co.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	qa := quarantineAPI{tracker: pt.Blame}
+	qa := quarantineAPI{tracker: co.Blame}
 	rt.Get("/judgements", qa.list)
 	rt.Delete("/judgements/{fingerprint}", qa.lift)
 	return rt
@@ -191,12 +191,12 @@
 }
 
 // stop keeps serving until the balancer sends no new connections, then returns after the last answer. Requests that are still running
-// answerMargin before the end of the grace are ended.
+// answerMargin before the end of the grace are aborted.
 func (sv *servers) stop(ctx context.Context, grace time.Duration) error {
 	sv.lg.WithFields(sv.gw.InFlight().Fields()).Info("stopping")
 	sv.mesh.SetStopping()
 	sv.gw.SetShutdownTime(time.Now().Add(grace - answerMargin))
-	err := stopPlan(grace, sv.gw.RefuseNewRequests, sv.endRequests).Run(ctx, sv.httpServers[0])
+	err := stopPlan(grace, sv.gw.RefuseNewRequests, sv.abortRequests).Run(ctx, sv.httpServers[0])
 	inf := sv.gw.InFlight()
 	if inf == (gateway.InFlight{}) {
 		// No request is in flight: the remaining connections were opened and never used, which is no failure.
@@ -210,17 +210,17 @@
 }
 
 // stopPlan returns the plan of a stop within the grace. Even if the grace is short, every accepted request has some time for its answer.
-func stopPlan(grace time.Duration, refuse, end func()) drain.Plan {
-	lag, answers := min(balancerLag, grace/2), grace-answerMargin
+func stopPlan(grace time.Duration, refuseNew, abort func()) drain.Plan {
+	lag, abortAfter := min(balancerLag, grace/2), grace-answerMargin
 	return drain.Plan{
-		BalancerLag: lag, RefuseAfter: min(acceptLag, lag, answers/2), RefuseNew: refuse, AbortAfter: answers, Abort: end, Timeout: grace - exitMargin,
+		BalancerLag: lag, RefuseAfter: min(acceptLag, lag, abortAfter/2), RefuseNew: refuseNew, AbortAfter: abortAfter, Abort: abort, Timeout: grace - exitMargin,
 	}
 }
 
-// endRequests ends the requests that are still running.
-func (sv *servers) endRequests() {
+// abortRequests aborts the requests that are still running.
+func (sv *servers) abortRequests() {
 	if inf := sv.gw.InFlight(); inf != (gateway.InFlight{}) {
-		sv.lg.WithFields(inf.Fields()).Warn("grace nearly over before the last answer; ending requests")
+		sv.lg.WithFields(inf.Fields()).Warn("grace nearly over before the last answer; aborting requests")
 	}
 	sv.gw.AbortRequests()
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -95,12 +95,12 @@
 
 // sendAndForward sends a request to the chosen target and forwards the response.
 func (gw *Gateway) sendAndForward(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot) error {
-	an, err := gw.send(ctx, rq, sl)
+	rs, err := gw.send(ctx, rq, sl)
 	if err != nil {
 		return err
 	}
-	defer an.Close()
-	return gw.handleResponse(ctx, rq, rw, sl, an)
+	defer rs.Close()
+	return gw.handleResponse(ctx, rq, rw, sl, rs)
 }
 
 // dispatchRequest returns the request for a target to the dispatcher.
@@ -192,16 +192,16 @@
 	gw.logSent(rq, sl)
 	rq.excluded = append(rq.excluded, sl.Target.ID)
 	rq.sentAt, rq.headAt = gw.Now(), time.Time{}
-	an, err := gw.sendWithSilenceTimeout(ctx, rq, sl, ca)
+	rs, err := gw.sendWithSilenceTimeout(ctx, rq, sl, ca)
 	if err != nil {
 		if ctx.Err() != nil {
 			gw.recordUnanswered(rq, sl, gw.Now().Sub(rq.sentAt))
 		}
-		return nil, gw.handleSendError(ctx, rq, sl, err)
+		return nil, gw.handleExchangeError(ctx, rq, sl, err)
 	}
 	gw.Targets.RecordReachable(sl.Target.ID)
 	gw.observe("silvermount_target_answer_seconds", rq.headAt.Sub(rq.sentAt))
-	return an, nil
+	return rs, nil
 }
 
 // recordHead records the head of a response that was received on the connection to a target, and reports whether it belongs to
@@ -219,14 +219,14 @@
 	return matches
 }
 
-// handleSendError records an attempt that received no response, and returns its failure.
-func (gw *Gateway) handleSendError(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
+// handleExchangeError records an attempt that received no response, and returns its failure.
+func (gw *Gateway) handleExchangeError(ctx context.Context, rq *request, sl *dispatch.Slot, err error) error {
 	var ue *UnavailableTargetError
 	if errors.As(err, &ue) && ctx.Err() == nil {
 		return gw.skipTarget(rq, sl, ue)
 	}
-	var se *upstream.ExchangeError
-	if errors.As(err, &se) && !se.Sent {
+	var ee *upstream.ExchangeError
+	if errors.As(err, &ee) && !ee.Sent {
 		if ctx.Err() != nil {
 			return gw.cancellationError(ctx, rq)
 		}
@@ -242,7 +242,7 @@
 		gw.logCancelled(rq, sl.Target, fe)
 		return fe
 	}
-	if se != nil && se.StaleConnection {
+	if ee != nil && ee.StaleConnection {
 		// The loss of an idle connection says nothing about the health of the target. If the target has crashed, it accepts no
 		// new connection.
 		gw.logAttemptFailed(rq, sl.Target, err, true)
