--- a/internal/duty/frontend/quarantines.go
+++ b/internal/duty/frontend/quarantines.go
@@ -15,7 +15,7 @@
 type quarantineAPI struct{ tracker *blame.Tracker }
 
 // quarantine is a quarantine in the operators' list.
-type quarantine struct {
+type quarantineRecord struct {
 	Fingerprint string `json:"fingerprint"`
 	// Crashes is the number of targets that had crashed under the request when it was quarantined.
 	Crashes int `json:"ends"`
@@ -28,9 +28,9 @@
 }
 
 func (qa quarantineAPI) list(w http.ResponseWriter, _ *http.Request) {
-	list := []quarantine{}
+	list := []quarantineRecord{}
 	for _, qu := range qa.tracker.Quarantines() {
-		list = append(list, quarantine{
+		list = append(list, quarantineRecord{
 			Fingerprint: qu.Request.String(), Crashes: qu.Crashes, Level: qu.Level,
 			Age: time.Since(qu.Since).Round(time.Second).String(), Remaining: time.Until(qu.Until).Round(time.Second).String(),
 		})
