--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -13,13 +13,13 @@
 	"github.com/silvermount/silvermount/internal/adapter"
 	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/backoff"
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/feedback"
 	"github.com/silvermount/silvermount/internal/ident"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/permit"
+	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/ratelimit"
 	"github.com/silvermount/silvermount/internal/reservation"
 	"github.com/silvermount/silvermount/internal/routes"
@@ -44,7 +44,7 @@
 	// StateNotifier is notified when the state that this instance publishes to its peers changes.
 	StateNotifier    *Notifier
 	StoreCoordinator *StoreCoordinator
-	Blame            *blame.Tracker
+	Blame            *quarantine.Tracker
 	// NotesNotifier is notified when peers need to learn of a change in the requests that crash targets, or in rate limits.
 	NotesNotifier *Notifier
 	// RateLimits holds the estimated rate limits of targets, and Permits obtains the permits that requests to such targets need.
@@ -126,7 +126,7 @@
 		Permits: permits, OnPermitRefused: logNoPermit(env.Logger("dispatch"), limits),
 		BackOffs: backOffs, OnBackOffWait: logBackOffWait(env.Logger("dispatch")),
 	})
-	tracker := blame.New(blame.Options{
+	tracker := quarantine.New(quarantine.Options{
 		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: notesNotifier.Notify, Metrics: ms, Log: env.Logger("blame"),
 	})
 	kernel.Provide(env, &Components{
--- a/internal/duty/frontend/quarantines.go
+++ b/internal/duty/frontend/quarantines.go
@@ -6,13 +6,13 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/fingerprint"
 	"github.com/silvermount/silvermount/internal/jsonreply"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
 // quarantineAPI lets operators list and lift quarantines, under which requests are refused because targets crash when they run them.
-type quarantineAPI struct{ tracker *blame.Tracker }
+type quarantineAPI struct{ tracker *quarantine.Tracker }
 
 // quarantine is a quarantine in the operators' list.
 type quarantineRecord struct {
--- a/internal/duty/members/limits_test.go
+++ b/internal/duty/members/limits_test.go
@@ -8,8 +8,8 @@
 	"github.com/apex/log/handlers/discard"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/gossip"
+	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/ratelimit"
 )
 
@@ -18,7 +18,7 @@
 func TestNotesWithoutLimitsKeepPreviousFormat(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
-	notes := blame.Snapshot{}.Encode(now)
+	notes := quarantine.Snapshot{}.Encode(now)
 	g.Expect(joinLimits(notes, nil, now)).To(Equal(notes))
 	g.Expect(notes[0]).NotTo(BeEquivalentTo(limitsFormat))
 	got, limits, err := splitLimits(notes)
@@ -33,7 +33,7 @@
 	du.rateLimits = ratelimit.New(time.Now)
 	du.lg = &log.Logger{Handler: discard.New()}
 	now := time.Now()
-	notes := blame.Snapshot{}.Encode(now)
+	notes := quarantine.Snapshot{}.Encode(now)
 	obs := []ratelimit.Observation{{Target: "a@1", Limit: ratelimit.PerSecond(1.5), At: now.Add(-time.Second)}}
 	got, rateLimits, err := splitLimits(joinLimits(notes, obs, now))
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/duty/members/members.go
+++ b/internal/duty/members/members.go
@@ -13,7 +13,6 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/adapter"
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/duty/forwarding"
@@ -22,6 +21,7 @@
 	"github.com/silvermount/silvermount/internal/peerstate"
 	"github.com/silvermount/silvermount/internal/placement"
 	"github.com/silvermount/silvermount/internal/position"
+	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/ratelimit"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
@@ -67,7 +67,7 @@
 	lg  log.Interface
 	ms  *gossip.Mesh
 	sc  *forwarding.StoreCoordinator
-	tr  *blame.Tracker
+	tr  *quarantine.Tracker
 	// rateLimits holds the known rate limits of targets, and permits enforces them together with the other instances.
 	rateLimits *ratelimit.Tracker
 	permits    *permitService
--- a/internal/duty/members/notes.go
+++ b/internal/duty/members/notes.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/gossip"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
 // encodeNotes returns the notes for peers: the snapshot of requests that crash targets, and rate limits.
@@ -24,7 +24,7 @@
 	if len(b) == 0 {
 		return
 	}
-	sn, err := blame.Decode(b, at)
+	sn, err := quarantine.Decode(b, at)
 	if err != nil {
 		du.lg.WithError(err).WithField("peer", from.Name).Error("cannot decode notes of peer")
 		return
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -12,8 +12,8 @@
 	"github.com/apex/log/handlers/memory"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/fingerprint"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
 // TestRequestOnProbationIsDelayedOrRefused sends a request under evidence whose deadline allows or does not allow it to wait for
@@ -40,7 +40,7 @@
 			h := memory.New()
 			gw := newGatewayWithoutTargets(tc.timeout)
 			gw.Log = &log.Logger{Handler: h}
-			gw.Blame = blame.New(blame.Options{
+			gw.Blame = quarantine.New(quarantine.Options{
 				Now: time.Now, TargetCount: func() int { return 12 }, Crashed: func(string) bool { return false }, NotifyPeers: func() {},
 				Metrics: metrics.NewSet(), Log: gw.Log,
 			})
@@ -67,13 +67,13 @@
 
 // addEvidence records that three targets crashed while running a request, and that twelve others crashed without running it. So
 // many crashes leave open whether the request caused the three.
-func addEvidence(tr *blame.Tracker, fp fingerprint.Fingerprint) {
+func addEvidence(tr *quarantine.Tracker, fp fingerprint.Fingerprint) {
 	for i := range 12 {
 		tr.RecordCrash(fmt.Sprint("other-", i))
 	}
 	for i := range 3 {
 		target := fmt.Sprint("target-", i)
-		tr.RecordInterrupted(blame.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
+		tr.RecordInterrupted(quarantine.InterruptedRun{Request: fp, Incarnation: target, Elapsed: 100 * time.Millisecond, At: time.Now()})
 		tr.RecordCrash(target)
 	}
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/blame"
+	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/targets"
 	"github.com/silvermount/silvermount/internal/upstream"
 )
@@ -55,7 +55,7 @@
 	if !rq.headAt.IsZero() {
 		startedAt = rq.headAt
 	}
-	gw.Blame.RecordInterrupted(blame.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(startedAt), At: now})
+	gw.Blame.RecordInterrupted(quarantine.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(startedAt), At: now})
 	var se *SilentTargetError
 	if !errors.As(cause, &se) {
 		gw.probeForCrash(tg)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -13,11 +13,11 @@
 	"github.com/apex/log"
 
 	"github.com/silvermount/silvermount/internal/backoff"
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/budget"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/feedback"
 	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/ratelimit"
 	"github.com/silvermount/silvermount/internal/reply"
 	"github.com/silvermount/silvermount/internal/routes"
@@ -33,7 +33,7 @@
 	Dispatcher  *dispatch.Dispatcher
 	Pool        *upstream.Pool
 	RetryBudget *budget.Retries
-	Blame       *blame.Tracker
+	Blame       *quarantine.Tracker
 	// Feedback processes the head of each response from a target. RateLimits and BackOffs hold the state that it derives.
 	Feedback   *feedback.Recorder
 	RateLimits *ratelimit.Tracker
--- a/internal/gateway/logging.go
+++ b/internal/gateway/logging.go
@@ -8,9 +8,9 @@
 	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/failure"
+	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
 )
@@ -53,7 +53,7 @@
 }
 
 // logDelayed logs that a request has to wait because targets crashed while running it.
-func (gw *Gateway) logDelayed(rq *request, dc blame.Decision) {
+func (gw *Gateway) logDelayed(rq *request, dc quarantine.Decision) {
 	fs := gw.logFields(rq)
 	fs["fingerprint"] = rq.fingerprint().String()
 	fs["ends"] = dc.Crashes
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -13,10 +13,10 @@
 	"github.com/apex/log/handlers/discard"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/budget"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/gateway"
+	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/reservation"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
@@ -92,7 +92,7 @@
 	gw := newGateway(hd, discard.New())
 	gw.SetLimits(gateway.Limits{MaxBodyBytes: 100})
 	gw.Dispatcher = dispatch.New(targets.New(time.Now), &reservation.Manager{}, dispatch.Options{Now: time.Now})
-	gw.Blame = blame.New(blame.Options{Now: time.Now, Metrics: metrics.NewSet()})
+	gw.Blame = quarantine.New(quarantine.Options{Now: time.Now, Metrics: metrics.NewSet()})
 	gw.RetryBudget = budget.NewRetries(1, time.Now)
 	gw.Random = func() float64 { return 0 }
 	return gw
--- a/internal/blame/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -1,11 +1,11 @@
-package blame_test
+package quarantine_test
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/blame"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
 // BenchmarkMergePeer measures the merge of one more crash, with eight runs interrupted by it, into the maximum number of crashes.
@@ -17,9 +17,9 @@
 	merge := func() {
 		i++
 		ck.advance(time.Millisecond)
-		var sn blame.Snapshot
+		var sn quarantine.Snapshot
 		for j := range runsPerCrash {
-			sn.Evidence = append(sn.Evidence, blame.InterruptedRun{
+			sn.Evidence = append(sn.Evidence, quarantine.InterruptedRun{
 				Request: request(fmt.Sprint(i, "-", j)), Incarnation: fmt.Sprint("target-", i), Elapsed: longRun, At: ck.now,
 			})
 		}
--- a/internal/blame/blame.go
+++ b/internal/quarantine/blame.go
@@ -1,11 +1,11 @@
-// Package blame detects requests that crash the targets which run them, and quarantines them. It identifies requests by
+// Package quarantine detects requests that crash the targets which run them, and quarantines them. It identifies requests by
 // fingerprint, so that a quarantine also holds when the caller sends the request again under another id.
 //
 // Each run that is interrupted by the crash of its target is evidence against its request. One crash interrupts many concurrent
 // runs, and targets also crash for other reasons. A request is therefore quarantined only when more targets crashed while running
 // it than coincidence or another request explains. On weaker evidence it is put on probation: it is run only as an occasional
 // probe. A complete answer clears it. Instances exchange their evidence, so that all come to the same decision.
-package blame
+package quarantine
 
 import (
 	"sync"
--- a/internal/blame/check.go
+++ b/internal/quarantine/check.go
@@ -1,4 +1,4 @@
-package blame
+package quarantine
 
 import (
 	"time"
--- a/internal/blame/check_test.go
+++ b/internal/quarantine/check_test.go
@@ -1,4 +1,4 @@
-package blame_test
+package quarantine_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/blame"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
 // crashBurst crashes three targets that run a request while other targets crash too, so that the evidence does not suffice for a
@@ -29,7 +29,7 @@
 	crashBurst(in, "doubtful")
 	for i, interval := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second} {
 		dc := in.Check(request("doubtful"))
-		g.Expect(dc).To(Equal(blame.Decision{Crashes: 3 + i, Delay: interval}))
+		g.Expect(dc).To(Equal(quarantine.Decision{Crashes: 3 + i, Delay: interval}))
 		in.ck.advance(interval)
 		g.Expect(in.Check(request("doubtful")).Delay).To(BeZero(), "probe %d", i)
 		g.Expect(in.Check(request("doubtful")).Delay).To(Equal(2*interval), "one run per probe")
@@ -48,7 +48,7 @@
 	in.ck.advance(in.Check(request("harmless")).Delay)
 	g.Expect(in.Check(request("harmless")).Delay).To(BeZero())
 	in.RecordAnswered(request("harmless"))
-	g.Expect(in.Check(request("harmless"))).To(Equal(blame.Decision{}))
+	g.Expect(in.Check(request("harmless"))).To(Equal(quarantine.Decision{}))
 }
 
 // TestQuarantinedSendsNoProbe guards against calls of Quarantined that use up the next probe of a request.
--- a/internal/blame/fleet_test.go
+++ b/internal/quarantine/fleet_test.go
@@ -1,4 +1,4 @@
-package blame_test
+package quarantine_test
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/fingerprint"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
 const (
@@ -51,12 +51,12 @@
 	sentAt, endsAt time.Time
 	fatal          bool
 	tries          int
-	activeRun      *blame.ActiveRun
+	activeRun      *quarantine.ActiveRun
 }
 
 // message is a snapshot on its way from one instance to another.
 type message struct {
-	snapshot  blame.Snapshot
+	snapshot  quarantine.Snapshot
 	to        *instance
 	deliverAt time.Time
 }
@@ -207,7 +207,7 @@
 	})
 	for _, jb := range lost {
 		jb.activeRun.End()
-		jb.entry.RecordInterrupted(blame.InterruptedRun{
+		jb.entry.RecordInterrupted(quarantine.InterruptedRun{
 			Request: request(jb.name), Incarnation: incarnation, Elapsed: sm.ck.now.Sub(jb.sentAt), At: sm.ck.now,
 		})
 	}
--- a/internal/blame/gossip_test.go
+++ b/internal/quarantine/gossip_test.go
@@ -1,4 +1,4 @@
-package blame_test
+package quarantine_test
 
 import (
 	"fmt"
--- a/internal/blame/blame_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -1,4 +1,4 @@
-package blame_test
+package quarantine_test
 
 import (
 	"fmt"
@@ -10,8 +10,8 @@
 	"github.com/apex/log/handlers/discard"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/fingerprint"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 // instance is a Tracker with a simulated list of targets.
 type instance struct {
-	*blame.Tracker
+	*quarantine.Tracker
 	ck *clock
 	// crashed holds the targets that have disappeared from the list of targets.
 	crashed map[string]bool
@@ -43,7 +43,7 @@
 
 func newInstance(ck *clock, targets int) *instance {
 	in := &instance{ck: ck, crashed: map[string]bool{}}
-	in.Tracker = blame.New(blame.Options{
+	in.Tracker = quarantine.New(quarantine.Options{
 		Now: func() time.Time { return ck.now }, TargetCount: func() int { return targets },
 		Crashed: func(id string) bool { return in.crashed[id] }, NotifyPeers: func() { in.notifications++ }, Metrics: metrics.NewSet(),
 		Log: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
@@ -58,7 +58,7 @@
 // interrupt lets a target interrupt runs of the named requests and, if crashes is set, crash.
 func (in *instance) interrupt(target string, crashes bool, elapsed time.Duration, names ...string) {
 	for _, name := range names {
-		in.RecordInterrupted(blame.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: elapsed, At: in.ck.now})
+		in.RecordInterrupted(quarantine.InterruptedRun{Request: request(name), Incarnation: target, Elapsed: elapsed, At: in.ck.now})
 	}
 	if crashes {
 		in.RecordCrash(target)
@@ -69,7 +69,7 @@
 func (in *instance) gossipTo(t *testing.T, others ...*instance) {
 	t.Helper()
 	b := in.Snapshot().Encode(in.ck.now)
-	sn, err := blame.Decode(b, in.ck.now)
+	sn, err := quarantine.Decode(b, in.ck.now)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	for _, other := range others {
 		other.MergePeer("peer", sn)
@@ -188,7 +188,7 @@
 	g.Expect(dc.Quarantined).To(BeFalse())
 	g.Expect(dc.Delay).To(BeNumerically(">", 0))
 	in.ck.advance(dc.Delay)
-	g.Expect(in.Check(request("fatal"))).To(Equal(blame.Decision{Quarantined: true, Crashes: 3}))
+	g.Expect(in.Check(request("fatal"))).To(Equal(quarantine.Decision{Quarantined: true, Crashes: 3}))
 	g.Expect(in.HasEvidence(request("another").HeadHash())).To(BeFalse())
 }
 
--- a/internal/blame/wire_test.go
+++ b/internal/quarantine/wire_test.go
@@ -1,4 +1,4 @@
-package blame_test
+package quarantine_test
 
 import (
 	"bytes"
@@ -8,29 +8,29 @@
 	"github.com/cockroachdb/errors"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/blame"
 	"github.com/silvermount/silvermount/internal/peerbytes"
+	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
-func sampleSnapshot(now time.Time) blame.Snapshot {
-	return blame.Snapshot{
-		Evidence: []blame.InterruptedRun{{Request: request("a"), Incarnation: "i-1@x", Elapsed: shortRun, At: now.Add(-time.Second)}},
-		Tombstones: []blame.Tombstone{
+func sampleSnapshot(now time.Time) quarantine.Snapshot {
+	return quarantine.Snapshot{
+		Evidence: []quarantine.InterruptedRun{{Request: request("a"), Incarnation: "i-1@x", Elapsed: shortRun, At: now.Add(-time.Second)}},
+		Tombstones: []quarantine.Tombstone{
 			{Request: request("b"), At: now.Add(-2 * time.Second)},
 			{Request: request("c"), At: now.Add(-time.Minute), ByOperator: true, Until: now.Add(time.Minute)},
 		},
-		Quarantines: []blame.Quarantine{
+		Quarantines: []quarantine.Quarantine{
 			{Request: request("d"), Crashes: 4, Level: 2, Since: now.Add(-time.Hour), Until: now.Add(time.Hour)},
 		},
-		ActiveRuns: []blame.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
+		ActiveRuns: []quarantine.ActiveRunSummary{{Request: request("e"), Since: now.Add(-3 * time.Second)}},
 	}
 }
 
 func TestSnapshotRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1_000_000, 0)
-	for _, sn := range []blame.Snapshot{{}, sampleSnapshot(now)} {
-		got, err := blame.Decode(sn.Encode(now), now)
+	for _, sn := range []quarantine.Snapshot{{}, sampleSnapshot(now)} {
+		got, err := quarantine.Decode(sn.Encode(now), now)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(got).To(Equal(sn))
 	}
@@ -54,15 +54,15 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			_, err := blame.Decode(tc.bytes, now)
-			var ve *blame.VersionError
+			_, err := quarantine.Decode(tc.bytes, now)
+			var ve *quarantine.VersionError
 			g.Expect(errors.As(err, &ve)).To(Equal(tc.version))
 			var me *peerbytes.MalformedError
 			g.Expect(errors.As(err, &me)).To(Equal(!tc.version))
 		})
 	}
 	for cut := range whole {
-		_, err := blame.Decode(whole[:cut], now)
+		_, err := quarantine.Decode(whole[:cut], now)
 		NewWithT(t).Expect(err).To(HaveOccurred(), "cut after %d bytes", cut)
 	}
 }
@@ -70,14 +70,14 @@
 // FuzzDecode checks that a snapshot decoded from arbitrary bytes survives another round trip.
 func FuzzDecode(f *testing.F) {
 	now := time.Unix(1_000_000, 0)
-	f.Add(blame.Snapshot{}.Encode(now))
+	f.Add(quarantine.Snapshot{}.Encode(now))
 	f.Add(sampleSnapshot(now).Encode(now))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		sn, err := blame.Decode(b, now)
+		sn, err := quarantine.Decode(b, now)
 		if err != nil {
 			return
 		}
-		again, err := blame.Decode(sn.Encode(now), now)
+		again, err := quarantine.Decode(sn.Encode(now), now)
 		g := NewWithT(t)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(again).To(Equal(sn))
