--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -15,8 +15,8 @@
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/lease"
+	"github.com/silvermount/silvermount/internal/modelplan"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/order"
 	"github.com/silvermount/silvermount/internal/rollout"
 )
 
@@ -112,17 +112,17 @@
 		co.log.WithField("epoch", epoch).Info("acquired lease; sending orders to engines")
 	}
 	targets, engines := co.collectReports(ctx)
-	for _, as := range order.Plan(engines, copies, maxLoading) {
+	for _, as := range modelplan.Plan(engines, copies, maxLoading) {
 		co.sendOrder(ctx, targets[as.Engine], as)
 	}
 }
 
 // collectReports asks every engine of the availability zone for its report. Engines that do not answer or are leaving get no orders.
-func (co *coordinator) collectReports(ctx context.Context) (map[string]fleet.Target, []order.Engine) {
+func (co *coordinator) collectReports(ctx context.Context) (map[string]fleet.Target, []modelplan.Engine) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	targets := map[string]fleet.Target{}
-	var engines []order.Engine
+	var engines []modelplan.Engine
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for _, t := range co.fleet.Targets() {
@@ -137,7 +137,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			targets[t.Name] = t
-			engines = append(engines, order.Engine{Name: t.Name, Models: r.Models, Desired: co.desired[t.Name]})
+			engines = append(engines, modelplan.Engine{Name: t.Name, Models: r.Models, Desired: co.desired[t.Name]})
 		})
 	}
 	wg.Wait()
@@ -146,7 +146,7 @@
 
 // sendOrder sends one order. It checks the lease last, because a target that does not check the epoch must get no order from a holder
 // whose lease may expire before the order arrives.
-func (co *coordinator) sendOrder(ctx context.Context, t fleet.Target, as order.Assignment) {
+func (co *coordinator) sendOrder(ctx context.Context, t fleet.Target, as modelplan.Assignment) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	co.sequence++
--- a/internal/order/order.go
+++ b/internal/modelplan/modelplan.go
@@ -1,6 +1,6 @@
-// Package order plans which engine is to load which model. Planning is a pure function from the current and desired states to the
+// Package modelplan plans which engine is to load which model. Planning is a pure function from the current and desired states to the
 // orders for engines.
-package order
+package modelplan
 
 import (
 	"cmp"
--- a/internal/order/seed_test.go
+++ b/internal/modelplan/seed_test.go
@@ -1,4 +1,4 @@
-package order
+package modelplan
 
 import "flag"
 
