--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -12,7 +12,7 @@
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fingerprint"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/outcome"
 	"github.com/silvermount/silvermount/internal/retry"
 	"github.com/silvermount/silvermount/internal/routes"
@@ -47,9 +47,9 @@
 	deadline deadline.Deadline
 	// freeBody returns the memory of the body to the budget; never nil.
 	freeBody  func()
-	lifecycle life.Record
+	lifecycle lifecycle.Record
 	// stateBeforeEnd is the lifecycle state in which a failed request ended.
-	stateBeforeEnd life.State
+	stateBeforeEnd lifecycle.State
 	// outcomes aggregates the outcomes of all attempts. It is failure.Unknown once the request was sent to a target that did
 	// not state that it left the request unprocessed.
 	outcomes outcome.Aggregate
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,7 +16,7 @@
 	"github.com/silvermount/silvermount/internal/budget"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/feedback"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/ratelimit"
 	"github.com/silvermount/silvermount/internal/reply"
@@ -62,7 +62,7 @@
 type Gateway struct {
 	Deps
 	limits      atomic.Pointer[Limits]
-	lifecycle   *life.Machine
+	lifecycle   *lifecycle.Machine
 	stateCounts stateCounts
 	crashProbes probeSet
 	// configStale is set while requests that need a key are refused because the configuration is stale.
@@ -76,7 +76,7 @@
 
 // New returns a Gateway and registers its gauges.
 func New(dp Deps, lm Limits) *Gateway {
-	gw := &Gateway{Deps: dp, lifecycle: life.New()}
+	gw := &Gateway{Deps: dp, lifecycle: lifecycle.New()}
 	gw.aborted, gw.abort = context.WithCancel(context.Background())
 	gw.SetLimits(lm)
 	gw.registerInFlightGauges()
@@ -97,7 +97,7 @@
 func (gw *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := gw.Now()
 	rw := &responseWriter{Writer: reply.New(w), w: w, stopping: gw.Stopping}
-	gw.stateCounts.enter(life.Received)
+	gw.stateCounts.enter(lifecycle.Received)
 	rq, err := gw.admit(r, rw, arrived)
 	defer func() {
 		// A body that was read only in part also holds memory.
--- a/internal/gateway/inflight.go
+++ b/internal/gateway/inflight.go
@@ -6,7 +6,7 @@
 
 	"github.com/apex/log"
 
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 )
 
 // InFlight holds the number of requests in flight, by lifecycle state.
@@ -26,13 +26,13 @@
 }
 
 // stateCounts counts the requests in each lifecycle state.
-type stateCounts [life.Failed + 1]atomic.Int64
+type stateCounts [lifecycle.Failed + 1]atomic.Int64
 
-func (sc *stateCounts) enter(st life.State) { sc[st].Add(1) }
+func (sc *stateCounts) enter(st lifecycle.State) { sc[st].Add(1) }
 
-func (sc *stateCounts) leave(st life.State) { sc[st].Add(-1) }
+func (sc *stateCounts) leave(st lifecycle.State) { sc[st].Add(-1) }
 
-func (sc *stateCounts) move(from, to life.State) {
+func (sc *stateCounts) move(from, to lifecycle.State) {
 	sc.leave(from)
 	sc.enter(to)
 }
@@ -40,9 +40,9 @@
 // InFlight returns the number of requests in flight. A request that ends at the same moment may count twice or not at all.
 func (gw *Gateway) InFlight() InFlight {
 	return InFlight{
-		Waiting:   gw.stateCounts[life.Received].Load() + gw.stateCounts[life.Waiting].Load(),
-		Sent:      gw.stateCounts[life.Dispatched].Load(),
-		Answering: gw.stateCounts[life.Streaming].Load(),
+		Waiting:   gw.stateCounts[lifecycle.Received].Load() + gw.stateCounts[lifecycle.Waiting].Load(),
+		Sent:      gw.stateCounts[lifecycle.Dispatched].Load(),
+		Answering: gw.stateCounts[lifecycle.Streaming].Load(),
 	}
 }
 
@@ -57,7 +57,7 @@
 }
 
 // transition applies a trigger to the lifecycle of a request.
-func (gw *Gateway) transition(ctx context.Context, rq *request, tr life.Trigger) error {
+func (gw *Gateway) transition(ctx context.Context, rq *request, tr lifecycle.Trigger) error {
 	from := rq.lifecycle.State
 	// The lifecycle of a request continues to its end even if the caller disconnects.
 	err := gw.lifecycle.Fire(context.WithoutCancel(ctx), &rq.lifecycle, tr)
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -12,7 +12,7 @@
 	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/failure"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
@@ -121,7 +121,7 @@
 		gw.recordTargetFailure(sl.Target)
 	}
 	sl.RecordFirstToken()
-	if err := gw.transition(ctx, rq, life.FirstToken); err != nil {
+	if err := gw.transition(ctx, rq, lifecycle.FirstToken); err != nil {
 		return err
 	}
 	rest := io.Reader(bytes.NewReader(nil))
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -11,7 +11,7 @@
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/feedback"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/reservation"
 	"github.com/silvermount/silvermount/internal/retry"
 	"github.com/silvermount/silvermount/internal/targets"
@@ -28,7 +28,7 @@
 	defer cancel()
 	ctx, cancelEnd := gw.withAbort(ctx)
 	defer cancelEnd()
-	if err := gw.transition(ctx, rq, life.Admit); err != nil {
+	if err := gw.transition(ctx, rq, lifecycle.Admit); err != nil {
 		return err
 	}
 	gw.RetryBudget.Deposit()
@@ -37,7 +37,7 @@
 	for dialRetries := 0; ; {
 		err := gw.attempt(ctx, rq, rw)
 		if err == nil {
-			return gw.transition(ctx, rq, life.Finish)
+			return gw.transition(ctx, rq, lifecycle.Finish)
 		}
 		last = failure.FromError(err)
 		if isUnsent(last) && dialRetries < maxDialRetries && ctx.Err() == nil {
@@ -47,7 +47,7 @@
 		if !gw.shouldRetry(ctx, rq, rw, last) {
 			return last
 		}
-		if err := gw.transition(ctx, rq, life.Retry); err != nil {
+		if err := gw.transition(ctx, rq, lifecycle.Retry); err != nil {
 			return err
 		}
 	}
@@ -76,8 +76,8 @@
 	if errors.As(gw.checkAvailable(sl), &ue) {
 		return gw.skipTarget(rq, sl, ue)
 	}
-	if rq.lifecycle.State == life.Waiting {
-		if err := gw.transition(ctx, rq, life.Dispatch); err != nil {
+	if rq.lifecycle.State == lifecycle.Waiting {
+		if err := gw.transition(ctx, rq, lifecycle.Dispatch); err != nil {
 			return err
 		}
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/dispatch"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
 	"github.com/silvermount/silvermount/internal/upstream"
@@ -111,7 +111,7 @@
 			firstEvent = false
 			sl.RecordFirstToken()
 			gw.observeFirstEvent(rq, sl)
-			if err := gw.transition(ctx, rq, life.FirstToken); err != nil {
+			if err := gw.transition(ctx, rq, lifecycle.FirstToken); err != nil {
 				return err
 			}
 		}
--- a/internal/life/life.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,6 +1,6 @@
-// Package life implements the state machine of the request lifecycle. All requests share one configured machine, and each request
+// Package lifecycle implements the state machine of the request lifecycle. All requests share one configured machine, and each request
 // keeps its own state in a Record.
-package life
+package lifecycle
 
 import (
 	"context"
--- a/internal/life/life_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -1,4 +1,4 @@
-package life
+package lifecycle
 
 import (
 	"context"
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -14,7 +14,7 @@
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/ident"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/policy"
 	"github.com/silvermount/silvermount/internal/router"
 )
@@ -155,7 +155,7 @@
 	if sl.Uncontended && rq.fields.Stream {
 		sv.Fleet.ObservePrefill(sl.Target.Name, len(rq.body)/engine.BytesPerToken, rq.firstTokenAt.Sub(startedAt))
 	}
-	if err := sv.machine.Fire(ctx, &rq.life, life.FirstToken); err != nil {
+	if err := sv.machine.Fire(ctx, &rq.life, lifecycle.FirstToken); err != nil {
 		sv.Log.WithError(err).Error("first token received in a state that does not allow it")
 	}
 }
--- a/internal/serve/inference.go
+++ b/internal/serve/inference.go
@@ -11,7 +11,7 @@
 	"github.com/silvermount/silvermount/internal/claim"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fleet"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/outcome"
 	"github.com/silvermount/silvermount/internal/retry"
 	"github.com/silvermount/silvermount/internal/router"
@@ -126,7 +126,7 @@
 
 // refuse ends a request of which nothing was sent to a target. It returns err.
 func (sv *Server) refuse(ctx context.Context, rq *request, err error) error {
-	if fireErr := sv.machine.Fire(ctx, &rq.life, life.Refuse); fireErr != nil {
+	if fireErr := sv.machine.Fire(ctx, &rq.life, lifecycle.Refuse); fireErr != nil {
 		return fireErr
 	}
 	return err
@@ -148,7 +148,7 @@
 func (sv *Server) runAttempts(
 	ctx context.Context, rq *request, sk *sink, newRequest func(tried []string) router.Request, call func(*router.Slot) error,
 ) error {
-	if err := sv.machine.Fire(ctx, &rq.life, life.Admit); err != nil {
+	if err := sv.machine.Fire(ctx, &rq.life, lifecycle.Admit); err != nil {
 		return err
 	}
 	sv.Retries.Deposit()
@@ -170,14 +170,14 @@
 			sl.Release()
 			return sv.endFailed(rq, sk, noSlotFailure(sv.abortCtx, outcomes, sv.abortCtx.Err()))
 		}
-		if err := sv.machine.Fire(ctx, &rq.life, life.Dispatch); err != nil {
+		if err := sv.machine.Fire(ctx, &rq.life, lifecycle.Dispatch); err != nil {
 			sl.Release()
 			return err
 		}
 		err = call(sl)
 		sl.Release()
 		if err == nil {
-			return sv.machine.Fire(ctx, &rq.life, life.Finish)
+			return sv.machine.Fire(ctx, &rq.life, lifecycle.Finish)
 		}
 		fe := failure.FromError(err)
 		outcomes.Add(fe.Outcome)
@@ -185,7 +185,7 @@
 			return sv.endFailed(rq, sk, outcomes.Apply(fe))
 		}
 		tried = append(tried, sl.Target.Name)
-		if err := sv.machine.Fire(ctx, &rq.life, life.Retry); err != nil {
+		if err := sv.machine.Fire(ctx, &rq.life, lifecycle.Retry); err != nil {
 			return err
 		}
 	}
--- a/internal/serve/request.go
+++ b/internal/serve/request.go
@@ -15,7 +15,7 @@
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/ident"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/policy"
 	"github.com/silvermount/silvermount/internal/rollout"
 )
@@ -37,7 +37,7 @@
 	body       []byte
 	// fields is set for inference requests only.
 	fields inferenceFields
-	life   life.Record
+	life   lifecycle.Record
 	// firstTokenAt is when the first token was received from a target; zero before.
 	firstTokenAt time.Time
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -21,7 +21,7 @@
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fleet"
-	"github.com/silvermount/silvermount/internal/life"
+	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/pending"
 	"github.com/silvermount/silvermount/internal/rollout"
 	"github.com/silvermount/silvermount/internal/router"
@@ -81,7 +81,7 @@
 type Server struct {
 	Deps
 	limits  Limits
-	machine *life.Machine
+	machine *lifecycle.Machine
 	// abortCtx ends when the requests in flight are aborted at shutdown, with ShutdownError as its cause.
 	abortCtx context.Context
 	abort    context.CancelCauseFunc
@@ -101,7 +101,7 @@
 func New(d Deps, l Limits) *Server {
 	abortCtx, abort := context.WithCancelCause(context.Background())
 	return &Server{
-		Deps: d, limits: l, machine: life.New(), abortCtx: abortCtx, abort: abort,
+		Deps: d, limits: l, machine: lifecycle.New(), abortCtx: abortCtx, abort: abort,
 		inFlightByOrganisation: map[string]int{}, mounted: map[string]http.Handler{},
 	}
 }
