--- a/cmd/root.go
+++ b/cmd/root.go
@@ -14,7 +14,7 @@
 	flags "github.com/jessevdk/go-flags"
 
 	"github.com/silvermount/silvermount/internal/config"
-	"github.com/silvermount/silvermount/internal/hangup"
+	"github.com/silvermount/silvermount/internal/sighup"
 )
 
 const (
@@ -71,7 +71,7 @@
 		return nil
 	}
 	if _, ok := cm.(*entryCommand); !ok {
-		hangup.RestoreDefault()
+		sighup.RestoreDefault()
 	}
 	return cm.Execute(args)
 }
--- a/internal/hangup/hangup.go
+++ b/internal/sighup/sighup.go
@@ -1,8 +1,8 @@
-// Package hangup keeps the signal SIGHUP from terminating the process while it starts.
+// Package sighup keeps the signal SIGHUP from terminating the process while it starts.
 //
 // It imports nothing but packages of the standard library for signals, so that it is initialised among the first packages. The
 // process remains unprotected only for the few milliseconds in which the Go runtime starts.
-package hangup
+package sighup
 
 import (
 	"os"
--- a/internal/hangup/hangup_test.go
+++ b/internal/sighup/sighup_test.go
@@ -1,4 +1,4 @@
-package hangup_test
+package sighup_test
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/hangup"
+	"github.com/silvermount/silvermount/internal/sighup"
 )
 
 // TestSIGHUPDuringStartIsIgnored sends SIGHUP to this process before any handler is registered. A second one, after a handler was
@@ -21,5 +21,5 @@
 	defer signal.Stop(received)
 	g.Expect(syscall.Kill(os.Getpid(), syscall.SIGHUP)).To(Succeed())
 	g.Eventually(received).Should(Receive())
-	hangup.RestoreDefault()
+	sighup.RestoreDefault()
 }
