--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -9,10 +9,10 @@
 	"slices"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/follow"
 	"github.com/silvermount/silvermount/internal/gateway"
 	"github.com/silvermount/silvermount/internal/objectstore"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
 )
@@ -35,9 +35,9 @@
 	Target func(objectstore.Object) (targets.Target, error)
 	// Reserve reserves memory at a target, or renews a reservation. It returns a reservation.RefusedError if the target surely did
 	// not do so. Reserve and Release call onAnswer with the head of the target's answer.
-	Reserve func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error
+	Reserve func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(responsehead.Head)) error
 	// Release releases a reservation. It also succeeds if the target has no such reservation.
-	Release func(ctx context.Context, address, id string, onAnswer func(answer.Head)) error
+	Release func(ctx context.Context, address, id string, onAnswer func(responsehead.Head)) error
 }
 
 var registry = map[string]Adapter{}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -14,12 +14,12 @@
 	"github.com/cockroachdb/errors"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/placement"
 	"github.com/silvermount/silvermount/internal/position"
 	"github.com/silvermount/silvermount/internal/reservation"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
 )
@@ -45,7 +45,7 @@
 // roundTripTime is how long a call and its answer take.
 const roundTripTime = time.Millisecond
 
-func (fr *fakeReservations) reserve(_ context.Context, address, _ string, _ int64, _ time.Duration, _ func(answer.Head)) error {
+func (fr *fakeReservations) reserve(_ context.Context, address, _ string, _ int64, _ time.Duration, _ func(responsehead.Head)) error {
 	time.Sleep(roundTripTime)
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func (fr *fakeReservations) release(_ context.Context, address, _ string, _ func(answer.Head)) error {
+func (fr *fakeReservations) release(_ context.Context, address, _ string, _ func(responsehead.Head)) error {
 	fr.mu.Lock()
 	defer fr.mu.Unlock()
 	fr.released[address]++
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/forwarding/forwarding.go
@@ -11,7 +11,6 @@
 	"github.com/apex/log"
 
 	"github.com/silvermount/silvermount/internal/adapter"
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/backoff"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/dispatch"
@@ -22,6 +21,7 @@
 	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/ratelimit"
 	"github.com/silvermount/silvermount/internal/reservation"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
 	"github.com/silvermount/silvermount/internal/upstream"
@@ -118,7 +118,7 @@
 		Targets: dr, RateLimits: limits, BackOffs: backOffs, OnLeavingChange: stateNotifier.Notify, OnRateLimitChange: notesNotifier.Notify,
 		Log: env.Logger("feedback"), Now: time.Now,
 	})
-	mg.OnAnswer = func(al reservation.Allocation, hd answer.Head) {
+	mg.OnAnswer = func(al reservation.Allocation, hd responsehead.Head) {
 		fb.Record(feedback.Report{Source: feedback.OrderAnswer, Target: dr.ByID(al.Target), Head: hd, ReceivedAt: time.Now()})
 	}
 	ds := dispatch.New(dr, mg, dispatch.Options{
--- a/internal/feedback/feedback.go
+++ b/internal/feedback/feedback.go
@@ -8,9 +8,9 @@
 
 	"github.com/apex/log"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/backoff"
 	"github.com/silvermount/silvermount/internal/ratelimit"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
@@ -32,7 +32,7 @@
 	RequestID string
 	// Target is the incarnation that the request was addressed to.
 	Target targets.Target
-	Head   answer.Head
+	Head   responsehead.Head
 	// SentAt is when the request was sent. It is zero if that is unknown, and for orders: only an answer to a request shows that the
 	// target accepts requests again, or that it no longer states a rate limit.
 	SentAt time.Time
@@ -46,7 +46,7 @@
 // loggedValue is one malformed value of a target that was logged.
 type loggedValue struct {
 	target string
-	answer.MalformedError
+	responsehead.MalformedError
 }
 
 // Recorder applies reports to the tracked state of targets. It is safe for concurrent use.
@@ -89,12 +89,12 @@
 // reports false if the responder is unknown.
 func (rc *Recorder) responder(rp Report) (targets.Target, bool) {
 	if rp.Head.TargetName == "" || rp.Head.TargetName == rp.Target.NameOrID() {
-		return rp.Target, rp.Head.Verdict != answer.Misdirected
+		return rp.Target, rp.Head.Verdict != responsehead.Misdirected
 	}
 	return rc.Targets.ByName(rp.Head.TargetName)
 }
 
-func (rc *Recorder) logMalformed(tg targets.Target, hd answer.Head) {
+func (rc *Recorder) logMalformed(tg targets.Target, hd responsehead.Head) {
 	for _, me := range hd.Malformed {
 		if rc.markLogged(loggedValue{target: tg.ID, MalformedError: me}) {
 			rc.Log.WithError(&me).WithFields(log.Fields{"target": tg.ID, "service": tg.Service}).Warn("malformed value in answer of target")
@@ -137,7 +137,7 @@
 // one.
 func (rc *Recorder) recordRateLimit(tg targets.Target, rp Report) {
 	li := rp.Head.RateLimit
-	if rp.Head.IsMalformed(answer.FieldRateLimit) && !li.Limited {
+	if rp.Head.IsMalformed(responsehead.FieldRateLimit) && !li.Limited {
 		return
 	}
 	ch, changed := rc.RateLimits.Observe(tg.ID, li, rp.SentAt, rp.ReceivedAt)
--- a/internal/feedback/feedback_test.go
+++ b/internal/feedback/feedback_test.go
@@ -8,11 +8,11 @@
 	"github.com/apex/log/handlers/memory"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/backoff"
 	"github.com/silvermount/silvermount/internal/feedback"
 	"github.com/silvermount/silvermount/internal/position"
 	"github.com/silvermount/silvermount/internal/ratelimit"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
@@ -44,7 +44,7 @@
 	return fx
 }
 
-func (fx *fixture) record(hd answer.Head) {
+func (fx *fixture) record(hd responsehead.Head) {
 	fx.Record(feedback.Report{Source: feedback.RequestAnswer, RequestID: "r", Target: addressed, Head: hd, SentAt: fx.now, ReceivedAt: fx.now})
 }
 
@@ -63,19 +63,19 @@
 }
 
 func TestAnswerAppliesToTheRespondingIncarnation(t *testing.T) {
-	stated := answer.Head{BackOff: time.Second, RateLimit: ratelimit.PerSecond(2)}
+	stated := responsehead.Head{BackOff: time.Second, RateLimit: ratelimit.PerSecond(2)}
 	tests := map[string]struct {
-		verdict answer.Verdict
+		verdict responsehead.Verdict
 		target  string
 		want    *targets.Target
 	}{
 		"no name":                          {want: &addressed},
 		"name of the addressed target":     {target: "a", want: &addressed},
-		"shed":                             {verdict: answer.Shed, want: &addressed},
-		"failed":                           {verdict: answer.Failed, want: &addressed},
-		"unverified":                       {verdict: answer.Unverified, want: &addressed},
-		"misdirected to another target":    {verdict: answer.Misdirected, target: "b", want: &otherTarget},
-		"misdirected to an unknown target": {verdict: answer.Misdirected, target: "c"},
+		"shed":                             {verdict: responsehead.Shed, want: &addressed},
+		"failed":                           {verdict: responsehead.Failed, want: &addressed},
+		"unverified":                       {verdict: responsehead.Unverified, want: &addressed},
+		"misdirected to another target":    {verdict: responsehead.Misdirected, target: "b", want: &otherTarget},
+		"misdirected to an unknown target": {verdict: responsehead.Misdirected, target: "c"},
 		"name of another target, no 421":   {target: "b", want: &otherTarget},
 	}
 	for name, tc := range tests {
@@ -95,9 +95,9 @@
 
 func TestLeavingIsAnnouncedOnceAndNeverRevoked(t *testing.T) {
 	fx := newFixture(t)
-	fx.record(answer.Head{Verdict: answer.Failed, Leaving: true})
-	fx.record(answer.Head{Leaving: true})
-	fx.record(answer.Head{})
+	fx.record(responsehead.Head{Verdict: responsehead.Failed, Leaving: true})
+	fx.record(responsehead.Head{Leaving: true})
+	fx.record(responsehead.Head{})
 	fx.Expect(fx.Targets.TakesWork(addressed.ID)).To(BeFalse())
 	fx.Expect(fx.Targets.TakesWork(otherTarget.ID)).To(BeTrue())
 	fx.Expect(fx.messages()).To(Equal([]string{"target leaving"}))
@@ -106,27 +106,27 @@
 
 func TestBackOffIsLoggedWhenItStartsAndEnds(t *testing.T) {
 	fx := newFixture(t)
-	fx.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
-	fx.record(answer.Head{Verdict: answer.Shed, BackOff: time.Second})
+	fx.record(responsehead.Head{Verdict: responsehead.Shed, BackOff: time.Second})
+	fx.record(responsehead.Head{Verdict: responsehead.Shed, BackOff: time.Second})
 	fx.now = fx.now.Add(2 * time.Second)
 	for range 20 {
-		fx.record(answer.Head{})
+		fx.record(responsehead.Head{})
 	}
 	fx.Expect(fx.messages()).To(Equal([]string{"target asked for back-off", "target accepts requests again"}))
 }
 
 func TestMalformedRateLimitChangesNothing(t *testing.T) {
 	fx := newFixture(t)
-	fx.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
+	fx.record(responsehead.Head{RateLimit: ratelimit.PerSecond(2)})
 	fx.now = fx.now.Add(time.Second)
-	fx.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldRateLimit, Value: "many"}}})
+	fx.record(responsehead.Head{Malformed: []responsehead.MalformedError{{Field: responsehead.FieldRateLimit, Value: "many"}}})
 	fx.Expect(fx.RateLimits.Limit(addressed.ID)).To(Equal(ratelimit.PerSecond(2)))
 }
 
 func TestMalformedValuesAreLoggedOnceUpToALimit(t *testing.T) {
 	fx := newFixture(t)
 	recordValue := func(value string) {
-		fx.record(answer.Head{Malformed: []answer.MalformedError{{Field: answer.FieldBackOff, Value: value}}})
+		fx.record(responsehead.Head{Malformed: []responsehead.MalformedError{{Field: responsehead.FieldBackOff, Value: value}}})
 	}
 	recordValue("many")
 	recordValue("many")
@@ -139,7 +139,7 @@
 
 func TestAnswerToOrderLiftsNoRateLimit(t *testing.T) {
 	fx := newFixture(t)
-	fx.record(answer.Head{RateLimit: ratelimit.PerSecond(2)})
+	fx.record(responsehead.Head{RateLimit: ratelimit.PerSecond(2)})
 	fx.now = fx.now.Add(time.Second)
 	fx.Record(feedback.Report{Source: feedback.OrderAnswer, Target: addressed, ReceivedAt: fx.now})
 	fx.Expect(fx.RateLimits.Limit(addressed.ID).Limited).To(BeTrue())
--- a/internal/feedback/sim_test.go
+++ b/internal/feedback/sim_test.go
@@ -10,13 +10,13 @@
 	"github.com/apex/log"
 	"github.com/apex/log/handlers/discard"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/backoff"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/feedback"
 	"github.com/silvermount/silvermount/internal/placement"
 	"github.com/silvermount/silvermount/internal/position"
 	"github.com/silvermount/silvermount/internal/ratelimit"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
 )
@@ -285,7 +285,7 @@
 		if fl.maySend(cs, sl.Target.ID) {
 			verdict, running := fl.exchange(in, process, cs, sl, ca)
 			ca.instanceEnded = !running
-			if verdict != answer.Misdirected {
+			if verdict != responsehead.Misdirected {
 				tried = append(tried, sl.Target.ID)
 			}
 		}
@@ -311,19 +311,19 @@
 }
 
 // exchange sends a request to a target and records its answer. It reports false if the process ended meanwhile.
-func (fl *simFleet) exchange(in *simInstance, process int, cs components, sl *dispatch.Slot, ca *simCall) (answer.Verdict, bool) {
+func (fl *simFleet) exchange(in *simInstance, process int, cs components, sl *dispatch.Slot, ca *simCall) (responsehead.Verdict, bool) {
 	addressed := sl.Target
 	sent := time.Now()
 	time.Sleep(simLatency)
 	tg, at, hd := fl.handleRequest(addressed, ca)
-	if hd.Verdict == answer.Answered {
+	if hd.Verdict == responsehead.Answered {
 		time.Sleep(simServiceTime)
 	}
 	tg.updateExchange(at, func(ex *simExchange) { ex.answeredAt = time.Now() })
 	if !fl.sleepWhileRunning(in, process, simLatency) {
 		return hd.Verdict, false
 	}
-	if hd.Verdict == answer.Misdirected {
+	if hd.Verdict == responsehead.Misdirected {
 		cs.directory.MarkLeaving(addressed.ID)
 	}
 	cs.recorder.Record(feedback.Report{Source: feedback.RequestAnswer, Target: addressed, Head: hd, SentAt: sent, ReceivedAt: time.Now()})
@@ -334,21 +334,21 @@
 		time.AfterFunc(hd.BackOff, func() { fl.announceLoads(in, process, cs) })
 	}
 	tg.updateExchange(at, func(ex *simExchange) { ex.recordedAt = time.Now() })
-	ca.served = hd.Verdict == answer.Answered
+	ca.served = hd.Verdict == responsehead.Answered
 	return hd.Verdict, true
 }
 
 // handleRequest records a request at the target with an address. It returns the target, the index of the exchange and the answer.
-func (fl *simFleet) handleRequest(addressed targets.Target, ca *simCall) (*simTarget, int, answer.Head) {
+func (fl *simFleet) handleRequest(addressed targets.Target, ca *simCall) (*simTarget, int, responsehead.Head) {
 	tg := fl.targetOf(addressed)
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
 	if tg.ID != addressed.ID {
-		return tg, tg.appendExchange(simExchange{process: ca.process, sentAt: ca.sentAt}), answer.Head{Verdict: answer.Misdirected, TargetName: tg.NameOrID()}
+		return tg, tg.appendExchange(simExchange{process: ca.process, sentAt: ca.sentAt}), responsehead.Head{Verdict: responsehead.Misdirected, TargetName: tg.NameOrID()}
 	}
-	hd := answer.Head{Leaving: tg.leaving, BackOff: tg.backOff}
+	hd := responsehead.Head{Leaving: tg.leaving, BackOff: tg.backOff}
 	if tg.backOff > 0 {
-		hd.Verdict = answer.Shed
+		hd.Verdict = responsehead.Shed
 		ca.refusals = append(ca.refusals, refusal{expected: tg.hasShed(ca.process)})
 	}
 	return tg, tg.appendExchange(simExchange{
--- a/internal/gateway/admit.go
+++ b/internal/gateway/admit.go
@@ -6,7 +6,6 @@
 	"sync"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/body"
 	"github.com/silvermount/silvermount/internal/deadline"
 	"github.com/silvermount/silvermount/internal/dispatch"
@@ -14,6 +13,7 @@
 	"github.com/silvermount/silvermount/internal/fingerprint"
 	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/outcome"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/retry"
 	"github.com/silvermount/silvermount/internal/routes"
 )
@@ -73,7 +73,7 @@
 	// sentAt is when the latest attempt was sent, headAt when the head of its response was received; both are zero before.
 	sentAt, headAt time.Time
 	// head is the head of the latest response. It is valid only while headAt is set.
-	head answer.Head
+	head responsehead.Head
 	// computeFingerprint computes the fingerprint on its first call only. The digest of a long body is expensive, and most
 	// requests do not need it.
 	computeFingerprint func() fingerprint.Fingerprint
--- a/internal/gateway/protocol.go
+++ b/internal/gateway/protocol.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/answer"
+	"github.com/silvermount/silvermount/internal/responsehead"
 )
 
 // RequestInfo holds what the headers of a caller's request state about it.
@@ -57,5 +57,5 @@
 	// WriteAttempt sets the headers of a request to a target. h is initially a copy of the caller's headers.
 	WriteAttempt func(h http.Header, at Attempt)
 	// ReadHead reads the status and the headers of a target's response.
-	ReadHead func(*http.Response) answer.Head
+	ReadHead func(*http.Response) responsehead.Head
 }
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -9,32 +9,32 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/dispatch"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/lifecycle"
+	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/upstream"
 )
 
 // handleResponse forwards a target's response to the caller, or returns why it cannot be forwarded.
 func (gw *Gateway) handleResponse(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response) error {
 	vd := rq.head.Verdict
-	if vd != answer.Misdirected {
+	if vd != responsehead.Misdirected {
 		rq.tried = append(rq.tried, sl.Target.ID)
 	}
 	if rq.head.BackOff > 0 {
 		sl.RecordBackOff(rq.head.BackOff)
 	}
 	switch vd {
-	case answer.Shed:
+	case responsehead.Shed:
 		return gw.handleShed(rq, sl, rs)
-	case answer.Misdirected:
+	case responsehead.Misdirected:
 		gw.Blame.RecordCrash(sl.Target.ID)
 		gw.Targets.MarkLeaving(sl.Target.ID)
 		gw.logTargetState(sl.Target, "gone", "its address now belongs to another incarnation")
 		gw.logSkipped(rq, sl.Target, "its address now belongs to another incarnation")
 		return failure.New(failure.TargetUnreachable, gw.outcome(rq), "another target has the address").WithRetryAfter(overloadRetryAfter)
-	case answer.Unverified:
+	case responsehead.Unverified:
 		rq.outcomes.Add(failure.Unknown)
 		err := &UnverifiedResponseError{Status: rs.StatusCode}
 		if rq.head.BackOff > 0 {
@@ -46,7 +46,7 @@
 		return failure.New(failure.TargetLost, failure.Unknown, "the answer cannot be passed on").WithCause(err)
 	}
 	rq.outcomes.Add(failure.Unknown)
-	if vd == answer.Answered && rq.route.Streaming && rs.StatusCode == http.StatusOK {
+	if vd == responsehead.Answered && rq.route.Streaming && rs.StatusCode == http.StatusOK {
 		return gw.forwardStream(ctx, rq, rw, sl, rs)
 	}
 	if rw.Started() {
@@ -102,7 +102,7 @@
 // handlePlain forwards a response that is not a stream. A short response is forwarded only when it is complete, so that the
 // request can still be retried on another target if the response breaks off.
 func (gw *Gateway) handlePlain(
-	ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response, vd answer.Verdict,
+	ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response, vd responsehead.Verdict,
 ) error {
 	body, err := io.ReadAll(io.LimitReader(rs.Body, maxBufferedBytes))
 	if err != nil {
@@ -111,11 +111,11 @@
 	if len(body) < maxBufferedBytes {
 		rs.MarkComplete()
 	}
-	if vd == answer.Failed && gw.shouldRetryFailure(ctx, rq, rw) {
+	if vd == responsehead.Failed && gw.shouldRetryFailure(ctx, rq, rw) {
 		gw.recordFailedAttempt(rq, sl.Target, &TargetFailureError{Status: rs.StatusCode})
 		return failure.New(failure.TargetRefused, failure.Failed, "the target answered %d", rs.StatusCode)
 	}
-	if vd == answer.Answered {
+	if vd == responsehead.Answered {
 		gw.Targets.RecordSuccess(sl.Target.ID)
 	} else {
 		gw.recordTargetFailure(sl.Target)
--- a/internal/reservation/fake_test.go
+++ b/internal/reservation/fake_test.go
@@ -12,8 +12,8 @@
 	"github.com/apex/log/handlers/discard"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/reservation"
+	"github.com/silvermount/silvermount/internal/responsehead"
 )
 
 const (
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("mem-%d", ft.ids)
 }
 
-func (ft *fakeTargets) onReserve(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, _ func(answer.Head)) error {
+func (ft *fakeTargets) onReserve(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, _ func(responsehead.Head)) error {
 	time.Sleep(roundTrip)
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
@@ -84,7 +84,7 @@
 	return nil
 }
 
-func (ft *fakeTargets) onRelease(_ context.Context, address, id string, _ func(answer.Head)) error {
+func (ft *fakeTargets) onRelease(_ context.Context, address, id string, _ func(responsehead.Head)) error {
 	time.Sleep(roundTrip)
 	ft.mu.Lock()
 	defer ft.mu.Unlock()
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -14,8 +14,8 @@
 	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/pending"
+	"github.com/silvermount/silvermount/internal/responsehead"
 )
 
 const (
@@ -76,11 +76,11 @@
 type Manager struct {
 	// Reserve reserves or renews memory for the duration of a lease. After a RefusedError the order was certainly not
 	// carried out; after any other error this is unknown. The adapter provides Reserve and Release.
-	Reserve func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error
+	Reserve func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(responsehead.Head)) error
 	// Release releases memory. It also succeeds when none is reserved.
-	Release func(ctx context.Context, address, id string, onAnswer func(answer.Head)) error
+	Release func(ctx context.Context, address, id string, onAnswer func(responsehead.Head)) error
 	// OnAnswer is called with the head of each answer to an order. It may be nil.
-	OnAnswer func(al Allocation, hd answer.Head)
+	OnAnswer func(al Allocation, hd responsehead.Head)
 	// NewID returns a unique ID.
 	NewID func() string
 	// IsCurrent reports whether an incarnation of a target has not been superseded by a restart. A restart frees the
@@ -263,8 +263,8 @@
 }
 
 // answerCallback returns a function that passes the head of an answer for an allocation to OnAnswer.
-func (mg *Manager) answerCallback(al Allocation) func(answer.Head) {
-	return func(hd answer.Head) {
+func (mg *Manager) answerCallback(al Allocation) func(responsehead.Head) {
+	return func(hd responsehead.Head) {
 		if mg.OnAnswer != nil {
 			mg.OnAnswer(al, hd)
 		}
--- a/internal/reservation/reservation_test.go
+++ b/internal/reservation/reservation_test.go
@@ -14,8 +14,8 @@
 	"github.com/cockroachdb/errors"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/answer"
 	"github.com/silvermount/silvermount/internal/reservation"
+	"github.com/silvermount/silvermount/internal/responsehead"
 )
 
 func TestReservationIsRenewedUntilRelease(t *testing.T) {
@@ -72,7 +72,7 @@
 		}
 		mg := ft.manager()
 		release := mg.Release
-		mg.Release = func(ctx context.Context, address, id string, onAnswer func(answer.Head)) error {
+		mg.Release = func(ctx context.Context, address, id string, onAnswer func(responsehead.Head)) error {
 			if address == "b" {
 				<-ctx.Done()
 				return ctx.Err()
@@ -169,7 +169,7 @@
 func TestAcquireTimesOutAtUnresponsiveTarget(t *testing.T) {
 	runInBubble(t, func(g *WithT, ft *fakeTargets) {
 		mg := ft.manager()
-		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error {
+		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(responsehead.Head)) error {
 			if address == "b" {
 				<-ctx.Done()
 				return ctx.Err()
@@ -230,7 +230,7 @@
 		var mu sync.Mutex
 		stopped := false
 		mg := ft.manager()
-		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error {
+		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(responsehead.Head)) error {
 			mu.Lock()
 			unresponsive := stopped && address < fmt.Sprintf("t%02d", numUnresponsive)
 			mu.Unlock()
@@ -262,7 +262,7 @@
 		mg := ft.manager()
 		var mu sync.Mutex
 		late := false
-		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(answer.Head)) error {
+		mg.Reserve = func(ctx context.Context, address, id string, tokens int64, leaseDuration time.Duration, onAnswer func(responsehead.Head)) error {
 			mu.Lock()
 			lost := late && address == "b"
 			mu.Unlock()
--- a/internal/answer/answer.go
+++ b/internal/responsehead/responsehead.go
@@ -1,6 +1,6 @@
-// Package answer defines the information in the head of a target's response: its status and headers. An adapter reads each head
+// Package responsehead defines the information in the head of a target's response: its status and headers. An adapter reads each head
 // once into a Head. No other code interprets the headers.
-package answer
+package responsehead
 
 import (
 	"strconv"
