--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,7 +19,7 @@
 	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/quarantine"
 	"github.com/silvermount/silvermount/internal/ratelimit"
-	"github.com/silvermount/silvermount/internal/reply"
+	"github.com/silvermount/silvermount/internal/responsewriter"
 	"github.com/silvermount/silvermount/internal/routes"
 	"github.com/silvermount/silvermount/internal/targets"
 	"github.com/silvermount/silvermount/internal/upstream"
@@ -96,7 +96,7 @@
 // completed or the caller has disconnected.
 func (gw *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	arrived := gw.Now()
-	rw := &responseWriter{Writer: reply.New(w), w: w, stopping: gw.Stopping}
+	rw := &responseWriter{Writer: responsewriter.New(w), w: w, stopping: gw.Stopping}
 	gw.stateCounts.enter(lifecycle.Received)
 	rq, err := gw.admit(r, rw, arrived)
 	defer func() {
--- a/internal/gateway/sink.go
+++ b/internal/gateway/sink.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/silvermount/silvermount/internal/failure"
-	"github.com/silvermount/silvermount/internal/reply"
+	"github.com/silvermount/silvermount/internal/responsewriter"
 )
 
 // hopByHopHeaders apply to a single connection and are not forwarded.
@@ -40,7 +40,7 @@
 
 // responseWriter writes the response to the caller.
 type responseWriter struct {
-	*reply.Writer
+	*responsewriter.Writer
 	w http.ResponseWriter
 	// stopping reports whether shutdown of the instance has been requested.
 	stopping func() bool
--- a/internal/reply/reply.go
+++ b/internal/responsewriter/responsewriter.go
@@ -1,5 +1,5 @@
-// Package reply writes responses to callers and detects when a caller has disconnected.
-package reply
+// Package responsewriter writes responses to callers and detects when a caller has disconnected.
+package responsewriter
 
 import (
 	"net/http"
--- a/internal/reply/reply_test.go
+++ b/internal/responsewriter/responsewriter_test.go
@@ -1,4 +1,4 @@
-package reply_test
+package responsewriter_test
 
 import (
 	"io"
@@ -12,7 +12,7 @@
 
 	"github.com/silvermount/silvermount/internal/deadline"
 	"github.com/silvermount/silvermount/internal/failure"
-	"github.com/silvermount/silvermount/internal/reply"
+	"github.com/silvermount/silvermount/internal/responsewriter"
 )
 
 var errBroken = errors.New("connection broken")
@@ -56,7 +56,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			cn := &connection{ResponseRecorder: httptest.NewRecorder(), writeErr: tc.writeErr, flushErr: tc.flushErr}
-			wr := reply.New(cn)
+			wr := responsewriter.New(cn)
 			wr.Start(http.StatusOK)
 			err := wr.Forward([]byte("part"), tc.flush)
 			g.Expect(cn.Flushed).To(Equal(tc.wantFlushed))
@@ -74,7 +74,7 @@
 func TestStartKeepsFirstStatus(t *testing.T) {
 	g := NewWithT(t)
 	rec := httptest.NewRecorder()
-	wr := reply.New(rec)
+	wr := responsewriter.New(rec)
 	g.Expect(wr.Started()).To(BeFalse())
 	wr.Header().Set("Content-Type", "text/plain")
 	wr.Start(http.StatusAccepted)
@@ -101,7 +101,7 @@
 			g := NewWithT(t)
 			sv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				dl := deadline.Deadline{At: time.Now().Add(tc.deadline)}
-				wr := reply.New(w)
+				wr := responsewriter.New(w)
 				if err := dl.Apply(wr.Controller(), time.Now().Add(time.Minute)); err != nil {
 					t.Error(err)
 				}
--- a/internal/serve/response.go
+++ b/internal/serve/response.go
@@ -10,7 +10,7 @@
 
 	"github.com/silvermount/silvermount/internal/claim"
 	"github.com/silvermount/silvermount/internal/failure"
-	"github.com/silvermount/silvermount/internal/reply"
+	"github.com/silvermount/silvermount/internal/responsewriter"
 )
 
 const contentTypeEvents = "text/event-stream"
@@ -29,7 +29,7 @@
 
 // sink writes a response to the caller and tracks what was sent.
 type sink struct {
-	*reply.Writer
+	*responsewriter.Writer
 	// events counts the stream events of the current attempt that were passed to the caller.
 	events int
 	// payloads holds the data of the events since the request body was last built. It is kept only for classes whose streams
@@ -40,7 +40,7 @@
 }
 
 func newSink(w http.ResponseWriter) *sink {
-	return &sink{Writer: reply.New(w)}
+	return &sink{Writer: responsewriter.New(w)}
 }
 
 // start writes the status line and headers unless they are already written.
