--- a/internal/duty/members/limits.go
+++ b/internal/duty/members/limits.go
@@ -7,7 +7,7 @@
 	"github.com/apex/log"
 
 	"github.com/silvermount/silvermount/internal/gossip"
-	"github.com/silvermount/silvermount/internal/peerbytes"
+	"github.com/silvermount/silvermount/internal/peercodec"
 	"github.com/silvermount/silvermount/internal/ratelimit"
 )
 
@@ -33,7 +33,7 @@
 	}
 	size, n := binary.Uvarint(b[1:])
 	if n <= 0 || size > uint64(len(b)-1-n) {
-		return nil, nil, &peerbytes.MalformedError{Reason: "truncated notes"}
+		return nil, nil, &peercodec.MalformedError{Reason: "truncated notes"}
 	}
 	b = b[1+n:]
 	return b[:size], b[size:], nil
--- a/internal/peerbytes/peerbytes.go
+++ b/internal/peercodec/peercodec.go
@@ -1,6 +1,6 @@
-// Package peerbytes decodes messages of peers: varints, strings and durations, each within a bound, so that hostile or malformed input
+// Package peercodec decodes messages of peers: varints, strings and durations, each within a bound, so that hostile or malformed input
 // makes the reader allocate memory only in proportion to the bytes that it has read.
-package peerbytes
+package peercodec
 
 import (
 	"encoding/binary"
--- a/internal/peerbytes/peerbytes_test.go
+++ b/internal/peercodec/peercodec_test.go
@@ -1,4 +1,4 @@
-package peerbytes_test
+package peercodec_test
 
 import (
 	"encoding/binary"
@@ -7,17 +7,17 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/peerbytes"
+	"github.com/silvermount/silvermount/internal/peercodec"
 )
 
 func TestReaderReadsAppendedValues(t *testing.T) {
 	g := NewWithT(t)
-	b := peerbytes.AppendString(nil, "a name")
-	b = peerbytes.AppendDuration(b, 1500*time.Millisecond, time.Minute)
-	b = peerbytes.AppendDuration(b, time.Hour, time.Minute)
-	b = peerbytes.AppendDuration(b, -time.Hour, time.Minute)
+	b := peercodec.AppendString(nil, "a name")
+	b = peercodec.AppendDuration(b, 1500*time.Millisecond, time.Minute)
+	b = peercodec.AppendDuration(b, time.Hour, time.Minute)
+	b = peercodec.AppendDuration(b, -time.Hour, time.Minute)
 	b = binary.AppendUvarint(b, 7)
-	rd := peerbytes.NewReader(b)
+	rd := peercodec.NewReader(b)
 	g.Expect(rd.ReadString(10)).To(Equal("a name"))
 	g.Expect(rd.ReadDuration(time.Minute)).To(Equal(1500 * time.Millisecond))
 	g.Expect(rd.ReadDuration(time.Minute)).To(Equal(time.Minute))
@@ -27,20 +27,20 @@
 }
 
 func TestReaderKeepsFirstError(t *testing.T) {
-	cases := map[string]func(rd *peerbytes.Reader){
-		"integer above the limit":    func(rd *peerbytes.Reader) { rd.ReadUvarint(5) },
-		"string above the limit":     func(rd *peerbytes.Reader) { rd.ReadString(5) },
-		"truncated string":           func(rd *peerbytes.Reader) { rd.ReadString(10) },
-		"truncated bytes":            func(rd *peerbytes.Reader) { rd.ReadBytes(10) },
-		"trailing bytes":             func(rd *peerbytes.Reader) { rd.ReadUvarint(10) },
-		"reason given by the caller": func(rd *peerbytes.Reader) { rd.Fail("out of order"); rd.Fail("another") },
+	cases := map[string]func(rd *peercodec.Reader){
+		"integer above the limit":    func(rd *peercodec.Reader) { rd.ReadUvarint(5) },
+		"string above the limit":     func(rd *peercodec.Reader) { rd.ReadString(5) },
+		"truncated string":           func(rd *peercodec.Reader) { rd.ReadString(10) },
+		"truncated bytes":            func(rd *peercodec.Reader) { rd.ReadBytes(10) },
+		"trailing bytes":             func(rd *peercodec.Reader) { rd.ReadUvarint(10) },
+		"reason given by the caller": func(rd *peercodec.Reader) { rd.Fail("out of order"); rd.Fail("another") },
 	}
 	for name, read := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			rd := peerbytes.NewReader([]byte{6, 'a', 'b'})
+			rd := peercodec.NewReader([]byte{6, 'a', 'b'})
 			read(rd)
-			var me *peerbytes.MalformedError
+			var me *peercodec.MalformedError
 			g.Expect(rd.Finish()).To(BeAssignableToTypeOf(me))
 			g.Expect(rd.Failed()).To(BeTrue())
 			g.Expect(rd.ReadUvarint(100)).To(BeZero())
--- a/internal/quarantine/wire.go
+++ b/internal/quarantine/wire.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/fingerprint"
-	"github.com/silvermount/silvermount/internal/peerbytes"
+	"github.com/silvermount/silvermount/internal/peercodec"
 )
 
 const (
@@ -37,7 +37,7 @@
 	b = binary.AppendUvarint(b, uint64(len(evidence)))
 	for _, rn := range evidence {
 		b = append(b, rn.Request[:]...)
-		b = peerbytes.AppendString(b, rn.Incarnation)
+		b = peercodec.AppendString(b, rn.Incarnation)
 		b = appendDuration(b, rn.Elapsed)
 		b = appendDuration(b, takenAt.Sub(rn.At))
 	}
@@ -78,19 +78,19 @@
 }
 
 func appendDuration(b []byte, d time.Duration) []byte {
-	return peerbytes.AppendDuration(b, d, maxDuration)
+	return peercodec.AppendDuration(b, d, maxDuration)
 }
 
 // Decode reads the snapshot of a peer. takenAt is when it was taken, on the local clock. It fails with a VersionError or a
-// peerbytes.MalformedError.
+// peercodec.MalformedError.
 func Decode(b []byte, takenAt time.Time) (Snapshot, error) {
 	if len(b) == 0 {
-		return Snapshot{}, errors.Wrap(&peerbytes.MalformedError{Reason: "no bytes"}, "decode snapshot")
+		return Snapshot{}, errors.Wrap(&peercodec.MalformedError{Reason: "no bytes"}, "decode snapshot")
 	}
 	if b[0] != wireVersion {
 		return Snapshot{}, errors.Wrap(&VersionError{Version: b[0]}, "decode snapshot")
 	}
-	rd := reader{peerbytes.NewReader(b[1:])}
+	rd := reader{peercodec.NewReader(b[1:])}
 	var sn Snapshot
 	for range rd.count() {
 		rn := InterruptedRun{Request: rd.fingerprint(), Incarnation: rd.incarnation()}
@@ -121,7 +121,7 @@
 }
 
 // reader reads the parts of a snapshot. After a failure it returns zero values.
-type reader struct{ *peerbytes.Reader }
+type reader struct{ *peercodec.Reader }
 
 func (rd *reader) count() int { return int(rd.ReadUvarint(maxListLength)) }
 
--- a/internal/quarantine/wire_test.go
+++ b/internal/quarantine/wire_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/peerbytes"
+	"github.com/silvermount/silvermount/internal/peercodec"
 	"github.com/silvermount/silvermount/internal/quarantine"
 )
 
@@ -57,7 +57,7 @@
 			_, err := quarantine.Decode(tc.bytes, now)
 			var ve *quarantine.VersionError
 			g.Expect(errors.As(err, &ve)).To(Equal(tc.version))
-			var me *peerbytes.MalformedError
+			var me *peercodec.MalformedError
 			g.Expect(errors.As(err, &me)).To(Equal(!tc.version))
 		})
 	}
--- a/internal/ratelimit/wire.go
+++ b/internal/ratelimit/wire.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/peerbytes"
+	"github.com/silvermount/silvermount/internal/peercodec"
 )
 
 const (
@@ -25,8 +25,8 @@
 	obs = obs[:min(len(obs), maxObservations)]
 	b := binary.AppendUvarint(nil, uint64(len(obs)))
 	for _, ob := range obs {
-		b = peerbytes.AppendString(b, ob.Target)
-		b = peerbytes.AppendDuration(b, now.Sub(ob.At), maxAge)
+		b = peercodec.AppendString(b, ob.Target)
+		b = peercodec.AppendDuration(b, now.Sub(ob.At), maxAge)
 		b = binary.AppendUvarint(b, limitBits(ob.Limit))
 	}
 	return b
@@ -40,9 +40,9 @@
 	return math.Float64bits(li.PerSecond) + 1
 }
 
-// Decode decodes observations that were encoded at sentAt by this instance's clock. It fails with a peerbytes.MalformedError.
+// Decode decodes observations that were encoded at sentAt by this instance's clock. It fails with a peercodec.MalformedError.
 func Decode(b []byte, sentAt time.Time) ([]Observation, error) {
-	rd := peerbytes.NewReader(b)
+	rd := peercodec.NewReader(b)
 	var obs []Observation
 	for n := rd.ReadUvarint(maxObservations); n > 0 && !rd.Failed(); n-- {
 		obs = append(obs, readObservation(rd, sentAt))
@@ -53,7 +53,7 @@
 	return obs, nil
 }
 
-func readObservation(rd *peerbytes.Reader, sentAt time.Time) Observation {
+func readObservation(rd *peercodec.Reader, sentAt time.Time) Observation {
 	ob := Observation{Target: rd.ReadString(maxTargetLen)}
 	if ob.Target == "" {
 		rd.Fail("observation has no target")
