--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/follow"
 	"github.com/silvermount/silvermount/internal/gateway"
+	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/responsehead"
 	"github.com/silvermount/silvermount/internal/routes"
@@ -25,7 +25,7 @@
 	Protocol gateway.Protocol
 	// Store returns a client of the object store. A watch fails if there is no answer for longer than the sum of its wait and
 	// maxSilence. After that, no call is sent over a connection that was idle meanwhile. onCall is called for each call.
-	Store func(address string, maxSilence time.Duration, onCall func()) follow.Store
+	Store func(address string, maxSilence time.Duration, onCall func()) listwatch.Store
 	// ConfigurationKind and ConfigurationName identify the object that holds the configuration. TargetKind is the kind of the
 	// objects that describe targets.
 	ConfigurationKind, ConfigurationName, TargetKind string
--- a/internal/duty/facts/facts.go
+++ b/internal/duty/facts/facts.go
@@ -11,8 +11,8 @@
 	"github.com/silvermount/silvermount/internal/adapter"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/duty/forwarding"
-	"github.com/silvermount/silvermount/internal/follow"
 	"github.com/silvermount/silvermount/internal/kernel"
+	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/position"
 	"github.com/silvermount/silvermount/internal/routes"
@@ -124,9 +124,9 @@
 	return false
 }
 
-func (sy *syncer) configurationWatcher(st follow.Store, lg log.Interface) *follow.ListWatcher {
+func (sy *syncer) configurationWatcher(st listwatch.Store, lg log.Interface) *listwatch.ListWatcher {
 	pp := newPollPolicy(sy.configurationBound, sy.coordinator.Role, sy.hasSeeds, sy.firstStart)
-	return &follow.ListWatcher{
+	return &listwatch.ListWatcher{
 		Store: st, Kind: sy.ad.ConfigurationKind, Log: lg, Pause: pp.pause, WatchTimeout: pp.watchTimeout,
 		Replace: func(items []objectstore.Object, asOf time.Time) {
 			for _, it := range items {
@@ -199,9 +199,9 @@
 	}
 }
 
-func (sy *syncer) targetWatcher(st follow.Store, lg log.Interface) *follow.ListWatcher {
+func (sy *syncer) targetWatcher(st listwatch.Store, lg log.Interface) *listwatch.ListWatcher {
 	pp := newPollPolicy(sy.leavingBound, sy.coordinator.Role, sy.hasSeeds, sy.firstStart)
-	return &follow.ListWatcher{
+	return &listwatch.ListWatcher{
 		Store: st, Kind: sy.ad.TargetKind, Log: lg, Pause: pp.pause, WatchTimeout: pp.watchTimeout,
 		Replace: func(items []objectstore.Object, asOf time.Time) {
 			// The ListWatcher lists after each failed call, so a list shows that the store is available again.
--- a/internal/duty/facts/fleet_test.go
+++ b/internal/duty/facts/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/apex/log/handlers/discard"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/follow"
+	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/position"
 )
 
@@ -153,7 +153,7 @@
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer cancel()
-		st := follow.Store{List: si.list, Watch: si.watch}
+		st := listwatch.Store{List: si.list, Watch: si.watch}
 		wg.Go(func() { si.sy.configurationWatcher(st, lg).Run(ctx) })
 		wg.Go(func() { si.sy.targetWatcher(st, lg).Run(ctx) })
 		fl.mu.Lock()
--- a/internal/duty/facts/olderlist_test.go
+++ b/internal/duty/facts/olderlist_test.go
@@ -13,15 +13,15 @@
 
 	"github.com/silvermount/silvermount/internal/adapter"
 	"github.com/silvermount/silvermount/internal/duty/forwarding"
-	"github.com/silvermount/silvermount/internal/follow"
+	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/position"
 	"github.com/silvermount/silvermount/internal/targets"
 )
 
 // slowStore returns a store that calls meanwhile before it returns the list at a revision. Its watches return no changes.
-func slowStore(revision int64, items []objectstore.Object, meanwhile func()) follow.Store {
-	return follow.Store{
+func slowStore(revision int64, items []objectstore.Object, meanwhile func()) listwatch.Store {
+	return listwatch.Store{
 		List: func(context.Context, string) (objectstore.Listing, error) {
 			meanwhile()
 			return objectstore.Listing{Version: revision, Items: items}, nil
--- a/internal/duty/facts/simfleet_test.go
+++ b/internal/duty/facts/simfleet_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/silvermount/silvermount/internal/adapter"
 	"github.com/silvermount/silvermount/internal/duty/forwarding"
-	"github.com/silvermount/silvermount/internal/follow"
+	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/position"
 	"github.com/silvermount/silvermount/internal/routes"
@@ -187,7 +187,7 @@
 	var wg sync.WaitGroup
 	lg := &log.Logger{Handler: discard.New(), Level: log.ErrorLevel}
 	for _, si := range fl.instances {
-		st := follow.Store{List: si.list, Watch: si.watch}
+		st := listwatch.Store{List: si.list, Watch: si.watch}
 		wg.Go(func() { si.sy.configurationWatcher(st, lg).Run(ctx) })
 		wg.Go(func() { si.sy.targetWatcher(st, lg).Run(ctx) })
 	}
--- a/internal/follow/follow.go
+++ b/internal/listwatch/listwatch.go
@@ -1,5 +1,5 @@
-// Package follow keeps an in-memory copy of one kind of object of the store up to date with list and watch calls.
-package follow
+// Package listwatch keeps an in-memory copy of one kind of object of the store up to date with list and watch calls.
+package listwatch
 
 import (
 	"context"
--- a/internal/follow/follow_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -1,4 +1,4 @@
-package follow_test
+package listwatch_test
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/apex/log/handlers/memory"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/follow"
+	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/position"
 )
@@ -142,11 +142,11 @@
 }
 
 // startReplica runs a ListWatcher inside a synctest bubble until the test ends.
-func startReplica(t *testing.T, fs *fakeStore, opts ...func(*follow.ListWatcher)) *replica {
+func startReplica(t *testing.T, fs *fakeStore, opts ...func(*listwatch.ListWatcher)) *replica {
 	t.Helper()
 	rp := &replica{store: fs, log: memory.New(), replicaState: replicaState{items: map[string]string{}}}
-	lw := &follow.ListWatcher{
-		Store: follow.Store{List: fs.list, Watch: fs.watch}, Kind: kind, WatchTimeout: func() time.Duration { return watchTimeout },
+	lw := &listwatch.ListWatcher{
+		Store: listwatch.Store{List: fs.list, Watch: fs.watch}, Kind: kind, WatchTimeout: func() time.Duration { return watchTimeout },
 		Replace: rp.replace, Apply: rp.apply, Confirm: rp.confirm,
 		OnFailure: func(error) { rp.mu.Lock(); defer rp.mu.Unlock(); rp.failures++ },
 		Log:       &log.Logger{Handler: rp.log, Level: log.DebugLevel},
@@ -336,7 +336,7 @@
 		fs.put("a", `1`)
 		var suspended atomic.Bool
 		suspended.Store(true)
-		rp := startReplica(t, fs, func(lw *follow.ListWatcher) { lw.Suspended = suspended.Load })
+		rp := startReplica(t, fs, func(lw *listwatch.ListWatcher) { lw.Suspended = suspended.Load })
 		advance(time.Minute)
 		g.Expect(rp.state().lists).To(BeZero())
 		suspended.Store(false)
@@ -360,7 +360,7 @@
 			withFakeClock(t, func(t *testing.T, g *WithT) {
 				fs := newFakeStore()
 				var began time.Time
-				rp := startReplica(t, fs, func(lw *follow.ListWatcher) {
+				rp := startReplica(t, fs, func(lw *listwatch.ListWatcher) {
 					lw.Suspended = func() bool { return !began.IsZero() && time.Since(began) < tc.suspension }
 					lw.Pause = func(bool) time.Duration {
 						began = time.Now()
@@ -388,7 +388,7 @@
 	withFakeClock(t, func(t *testing.T, g *WithT) {
 		fs := newFakeStore()
 		fs.put("a", `0`)
-		rp := startReplica(t, fs, func(lw *follow.ListWatcher) {
+		rp := startReplica(t, fs, func(lw *listwatch.ListWatcher) {
 			lw.Pause = func(changed bool) time.Duration {
 				if changed {
 					return time.Second
@@ -415,7 +415,7 @@
 		fs := newFakeStore()
 		fs.put("a", `1`)
 		var newest atomic.Int64
-		rp := startReplica(t, fs, func(lw *follow.ListWatcher) {
+		rp := startReplica(t, fs, func(lw *listwatch.ListWatcher) {
 			lw.Backoff = func() (least, most time.Duration) { return time.Second, time.Hour }
 			lw.NewestReported = newest.Load
 		})
--- a/internal/follow/restore_test.go
+++ b/internal/listwatch/restore_test.go
@@ -1,4 +1,4 @@
-package follow_test
+package listwatch_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/follow"
+	"github.com/silvermount/silvermount/internal/listwatch"
 )
 
 // restore restores the store from an older copy in which some objects may have been written again, so that revisions are assigned a
@@ -41,7 +41,7 @@
 				fs.put("b", "2")
 				fs.put("c", "1")
 				restores := 0
-				rp := startReplica(t, fs, func(lw *follow.ListWatcher) {
+				rp := startReplica(t, fs, func(lw *listwatch.ListWatcher) {
 					lw.RelistDelay, lw.OnRestore = 5*time.Second, func(int64, time.Time) { restores++ }
 				})
 				time.Sleep(3 * time.Second)
@@ -62,7 +62,7 @@
 		fs := newFakeStore()
 		fs.put("a", "1")
 		restores := 0
-		rp := startReplica(t, fs, func(lw *follow.ListWatcher) { lw.OnRestore = func(int64, time.Time) { restores++ } })
+		rp := startReplica(t, fs, func(lw *listwatch.ListWatcher) { lw.OnRestore = func(int64, time.Time) { restores++ } })
 		time.Sleep(time.Second)
 		fs.restore(map[string]string{"a": "2"}, 1)
 		time.Sleep(2 * watchTimeout)
