--- a/internal/pending/pending.go
+++ b/internal/inflight/inflight.go
@@ -1,5 +1,5 @@
-// Package pending counts background work in progress, so that a process can wait for its completion before it exits.
-package pending
+// Package inflight counts background work in progress, so that a process can wait for its completion before it exits.
+package inflight
 
 import (
 	"context"
--- a/internal/pending/pending_test.go
+++ b/internal/inflight/inflight_test.go
@@ -1,4 +1,4 @@
-package pending_test
+package inflight_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/pending"
+	"github.com/silvermount/silvermount/internal/inflight"
 )
 
 func TestWaitCoversWorkStartedWhileWaiting(t *testing.T) {
@@ -29,7 +29,7 @@
 				g := NewWithT(t)
 				// Let the operations of all cases end before the bubble does.
 				defer time.Sleep(time.Minute)
-				var ct pending.Counter
+				var ct inflight.Counter
 				startChain(&ct, tc.work)
 				ctx, cancel := context.WithTimeout(t.Context(), tc.timeout)
 				defer cancel()
@@ -45,7 +45,7 @@
 }
 
 // startChain starts the first operation. Each operation starts the next one before it ends.
-func startChain(ct *pending.Counter, work []time.Duration) {
+func startChain(ct *inflight.Counter, work []time.Duration) {
 	if len(work) == 0 {
 		return
 	}
--- a/internal/reservation/reservation.go
+++ b/internal/reservation/reservation.go
@@ -14,7 +14,7 @@
 	"github.com/apex/log"
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/pending"
+	"github.com/silvermount/silvermount/internal/inflight"
 	"github.com/silvermount/silvermount/internal/responsehead"
 )
 
@@ -93,7 +93,7 @@
 	LeaseDuration time.Duration
 	Log           log.Interface
 	// releasing counts the releases in progress. Retries are not counted.
-	releasing pending.Counter
+	releasing inflight.Counter
 }
 
 // WaitReleased waits until the targets that answer have released all memory for which Release was called. If an instance
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -21,8 +21,8 @@
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fleet"
+	"github.com/silvermount/silvermount/internal/inflight"
 	"github.com/silvermount/silvermount/internal/lifecycle"
-	"github.com/silvermount/silvermount/internal/pending"
 	"github.com/silvermount/silvermount/internal/rollout"
 	"github.com/silvermount/silvermount/internal/router"
 	"github.com/silvermount/silvermount/internal/ticket"
@@ -87,7 +87,7 @@
 	abort    context.CancelCauseFunc
 	inFlight atomic.Int64
 	// pendingRecords counts the claim results being written, also those whose response has already ended.
-	pendingRecords pending.Counter
+	pendingRecords inflight.Counter
 
 	mu sync.Mutex
 	// inFlightByOrganisation counts the requests in flight by organisation. Entries at zero are removed.
