--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -21,13 +21,13 @@
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/kernel"
+	"github.com/silvermount/silvermount/internal/memoryreservation"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/peer"
 	"github.com/silvermount/silvermount/internal/policy"
 	_ "github.com/silvermount/silvermount/internal/policy/all" // the policies register themselves
 	"github.com/silvermount/silvermount/internal/policy/owners"
 	"github.com/silvermount/silvermount/internal/rollout"
-	"github.com/silvermount/silvermount/internal/room"
 	"github.com/silvermount/silvermount/internal/router"
 	"github.com/silvermount/silvermount/internal/serve"
 	"github.com/silvermount/silvermount/internal/ticket"
@@ -186,7 +186,7 @@
 	if err != nil {
 		return nil, err
 	}
-	reserver := room.New(d.Fleet, d.Engine, func(attempt string, cl *engine.Client) {
+	reserver := memoryreservation.New(d.Fleet, d.Engine, func(attempt string, cl *engine.Client) {
 		d.Canceller.Cancel(cancel.Request{Attempt: attempt, Client: cl})
 	})
 	rt := router.New(d.Fleet, router.Options{
--- a/internal/room/room.go
+++ b/internal/memoryreservation/memoryreservation.go
@@ -1,6 +1,6 @@
-// Package room reserves memory on several engines for a prompt that is larger than one engine. A reservation covers the whole
+// Package memoryreservation reserves memory on several engines for a prompt that is larger than one engine. A reservation covers the whole
 // prompt or fails.
-package room
+package memoryreservation
 
 import (
 	"context"
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -15,10 +15,10 @@
 	"github.com/silvermount/silvermount/internal/demandmeter"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fleet"
+	"github.com/silvermount/silvermount/internal/memoryreservation"
 	"github.com/silvermount/silvermount/internal/offer"
 	"github.com/silvermount/silvermount/internal/policy"
 	"github.com/silvermount/silvermount/internal/policy/lanes"
-	"github.com/silvermount/silvermount/internal/room"
 )
 
 const (
@@ -312,7 +312,7 @@
 	if need <= largest || rt.opts.ReserveMemory == nil {
 		return 0
 	}
-	in.Prompt.Tokens, in.Prompt.MaxOutputTokens = largest/room.LendableDivisor, 0
+	in.Prompt.Tokens, in.Prompt.MaxOutputTokens = largest/memoryreservation.LendableDivisor, 0
 	return need
 }
 
