--- a/internal/grant/grant.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,5 @@
-// Package grant keeps track of the long prompts that the owner of targets admits to them.
-package grant
+// Package admission keeps track of the long prompts that the owner of targets admits to them.
+package admission
 
 import (
 	"slices"
--- a/internal/grant/grant_test.go
+++ b/internal/admission/admission_test.go
@@ -1,4 +1,4 @@
-package grant
+package admission
 
 import (
 	"testing"
--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -11,10 +11,10 @@
 
 	"github.com/cockroachdb/errors"
 
+	"github.com/silvermount/silvermount/internal/admission"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/duty/listen"
 	"github.com/silvermount/silvermount/internal/fleet"
-	"github.com/silvermount/silvermount/internal/grant"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/peer"
 	"github.com/silvermount/silvermount/internal/rollout"
@@ -90,7 +90,7 @@
 	if err != nil {
 		blocked = func(string) bool { return false }
 	}
-	ledger := grant.New(env.Settings.Routing.LongPerTarget, fl.Utilisation, time.Now)
+	ledger := admission.New(env.Settings.Routing.LongPerTarget, fl.Utilisation, time.Now)
 	ms := peer.New(fl, holder, ledger, env.Stopping.Load, peer.Options{
 		Secret: p.Secret, TLS: tc, Heartbeat: p.Heartbeat.Std(), RemoteHeartbeatDivisor: p.RemoteEvery, Seeds: p.Seeds,
 		MaxFullMeshPeers: p.FullMesh, RemoteLinksPerZone: p.RemoteLinks,
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"github.com/silvermount/silvermount/internal/admission"
 	"github.com/silvermount/silvermount/internal/engine"
-	"github.com/silvermount/silvermount/internal/grant"
 	"github.com/silvermount/silvermount/internal/policy"
 	"github.com/silvermount/silvermount/internal/set"
 )
@@ -92,7 +92,7 @@
 	ownLoad   Load
 	peerLoads map[string]Load
 	// offers are the short prompts for which this instance, as the owner, offered the target to peers.
-	offers map[grant.Key]offeredPrompt
+	offers map[admission.Key]offeredPrompt
 	// summary is the last summary from the owner, received at summaryAt.
 	summary   TargetSummary
 	summaryAt time.Time
@@ -215,7 +215,7 @@
 	for _, t := range list {
 		kt := fl.targets[t.Name]
 		if kt == nil || kt.URL != t.URL {
-			kt = &knownTarget{peerLoads: map[string]Load{}, offers: map[grant.Key]offeredPrompt{}}
+			kt = &knownTarget{peerLoads: map[string]Load{}, offers: map[admission.Key]offeredPrompt{}}
 			fl.targets[t.Name] = kt
 		}
 		kt.Target = t
--- a/internal/fleet/offers.go
+++ b/internal/fleet/offers.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/silvermount/silvermount/internal/grant"
+	"github.com/silvermount/silvermount/internal/admission"
 	"github.com/silvermount/silvermount/internal/policy"
 )
 
@@ -19,7 +19,7 @@
 
 // RecordOffer counts a short prompt of a peer as load on an owned target, until RemoveOffer or until the prompt should have been
 // computed, with a margin.
-func (fl *Fleet) RecordOffer(target string, k grant.Key, tokens int, wait time.Duration) {
+func (fl *Fleet) RecordOffer(target string, k admission.Key, tokens int, wait time.Duration) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	kt := fl.targets[target]
@@ -38,7 +38,7 @@
 }
 
 // RemoveOffer stops counting a prompt that RecordOffer added.
-func (fl *Fleet) RemoveOffer(target string, k grant.Key) {
+func (fl *Fleet) RemoveOffer(target string, k admission.Key) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if kt := fl.targets[target]; kt != nil {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,9 +18,9 @@
 	"storj.io/drpc/drpcmux"
 	"storj.io/drpc/drpcserver"
 
+	"github.com/silvermount/silvermount/internal/admission"
 	"github.com/silvermount/silvermount/internal/bundle"
 	"github.com/silvermount/silvermount/internal/fleet"
-	"github.com/silvermount/silvermount/internal/grant"
 	"github.com/silvermount/silvermount/internal/peer/peerpb"
 	"github.com/silvermount/silvermount/internal/rollout"
 )
@@ -64,7 +64,7 @@
 type Mesh struct {
 	fl       *fleet.Fleet
 	bundles  *rollout.Holder
-	grants   *grant.Ledger
+	grants   *admission.Ledger
 	opts     Options
 	stopping func() bool
 
@@ -82,7 +82,7 @@
 }
 
 // New returns a mesh. Serve accepts streams of peers, and Run opens the links to them.
-func New(fl *fleet.Fleet, bundles *rollout.Holder, grants *grant.Ledger, stopping func() bool, o Options) *Mesh {
+func New(fl *fleet.Fleet, bundles *rollout.Holder, grants *admission.Ledger, stopping func() bool, o Options) *Mesh {
 	if o.ZoneBlocked == nil {
 		o.ZoneBlocked = func(string) bool { return false }
 	}
@@ -140,14 +140,14 @@
 		ms.applyHeartbeat(from, k.Beat)
 		return &peerpb.Frame{Kind: &peerpb.Frame_Beat{Beat: ms.newHeartbeat(from.Name, k.Beat.GetSeq(), true)}}
 	case *peerpb.Frame_Ask:
-		key := grant.Key{Holder: from.Incarnation, ID: k.Ask.GetId()}
+		key := admission.Key{Holder: from.Incarnation, ID: k.Ask.GetId()}
 		hold := time.Duration(k.Ask.GetHoldMillis()) * time.Millisecond
 		ok := ms.grants.TryAcquire(key, k.Ask.GetTarget(), int(k.Ask.GetMemory()), hold)
 		return &peerpb.Frame{Kind: &peerpb.Frame_Answer{Answer: &peerpb.Answer{Id: k.Ask.GetId(), Granted: ok}}}
 	case *peerpb.Frame_ShortAsk:
 		return ms.respondShort(from, k.ShortAsk)
 	case *peerpb.Frame_Release:
-		key := grant.Key{Holder: from.Incarnation, ID: k.Release.GetId()}
+		key := admission.Key{Holder: from.Incarnation, ID: k.Release.GetId()}
 		ms.grants.Release(key)
 		ms.fl.RemoveOffer(k.Release.GetTarget(), key)
 	case *peerpb.Frame_BundleAsk:
@@ -195,7 +195,7 @@
 // RequestGrant asks the owner of a target for capacity. If this instance is the owner, it asks its own ledger directly.
 // Without a link to the owner the request is granted, because grants only improve latency and are not needed for correctness.
 func (ms *Mesh) RequestGrant(ctx context.Context, t fleet.Target, memory int, hold time.Duration) (release func(), granted bool) {
-	key := grant.Key{Holder: ms.fl.Self().Incarnation, ID: ms.nextID.Add(1)}
+	key := admission.Key{Holder: ms.fl.Self().Incarnation, ID: ms.nextID.Add(1)}
 	owner := ms.fl.Owner(t)
 	if owner == ms.fl.Self().Name {
 		ok := ms.grants.TryAcquire(key, t.Name, memory, hold)
--- a/internal/peer/short.go
+++ b/internal/peer/short.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
+	"github.com/silvermount/silvermount/internal/admission"
 	"github.com/silvermount/silvermount/internal/fleet"
-	"github.com/silvermount/silvermount/internal/grant"
 	"github.com/silvermount/silvermount/internal/offer"
 	"github.com/silvermount/silvermount/internal/peer/peerpb"
 	"github.com/silvermount/silvermount/internal/policy"
@@ -32,7 +32,7 @@
 	if choose := ms.chooseShortTarget.Load(); choose != nil && !ms.stopping() {
 		if target, wait, ok := (*choose)(ask.GetModel(), pr); ok {
 			ans.Target, ans.WaitMicros = target, uint32(min(wait, maxAge).Microseconds())
-			ms.fl.RecordOffer(target, grant.Key{Holder: from.Incarnation, ID: ask.GetId()}, pr.Tokens, wait)
+			ms.fl.RecordOffer(target, admission.Key{Holder: from.Incarnation, ID: ask.GetId()}, pr.Tokens, wait)
 		}
 	}
 	return &peerpb.Frame{Kind: &peerpb.Frame_ShortAnswer{ShortAnswer: ans}}
