--- a/internal/serve/account.go
+++ b/internal/callerapi/account.go
@@ -1,4 +1,4 @@
-package serve
+package callerapi
 
 import (
 	"encoding/json"
--- a/internal/serve/serve.go
+++ b/internal/callerapi/callerapi.go
@@ -1,5 +1,5 @@
-// Package serve implements the HTTP server for callers: it admits requests, runs their attempts and relays the responses.
-package serve
+// Package callerapi implements the HTTP server for callers: it admits requests, runs their attempts and relays the responses.
+package callerapi
 
 import (
 	"context"
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -12,6 +12,7 @@
 
 	"github.com/silvermount/silvermount/internal/budget"
 	"github.com/silvermount/silvermount/internal/burn"
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/cancel"
 	"github.com/silvermount/silvermount/internal/claim"
 	"github.com/silvermount/silvermount/internal/config"
@@ -29,7 +30,6 @@
 	"github.com/silvermount/silvermount/internal/policy/owners"
 	"github.com/silvermount/silvermount/internal/rollout"
 	"github.com/silvermount/silvermount/internal/router"
-	"github.com/silvermount/silvermount/internal/serve"
 	"github.com/silvermount/silvermount/internal/ticket"
 )
 
@@ -98,7 +98,7 @@
 		return nil, err
 	}
 	s := env.Settings
-	sv := serve.New(d, serve.Limits{
+	sv := callerapi.New(d, callerapi.Limits{
 		MaxBodyBytes: s.Callers.MaxBodyBytes, MaxAttempts: s.Routing.MaxAttempts, LongTokens: s.Routing.LongTokens,
 	})
 	kernel.Provide(env, sv)
@@ -118,7 +118,7 @@
 
 // stop keeps accepting requests for the balancer's lag, then waits for requests with a connected caller and for the records of their
 // results.
-func stop(ctx context.Context, env *kernel.Env, sv *serve.Server, srv *http.Server) error {
+func stop(ctx context.Context, env *kernel.Env, sv *callerapi.Server, srv *http.Server) error {
 	env.Logger("callers").Info("draining")
 	st := env.Settings.Stop
 	lag := st.BalancerLag.Std()
@@ -131,8 +131,8 @@
 }
 
 // newDeps collects the dependencies of the callers' server.
-func newDeps(env *kernel.Env) (serve.Deps, error) {
-	d := serve.Deps{Incarnation: env.Incarnation, Log: env.Logger("serve"), Stopping: env.Stopping.Load}
+func newDeps(env *kernel.Env) (callerapi.Deps, error) {
+	d := callerapi.Deps{Incarnation: env.Incarnation, Log: env.Logger("serve"), Stopping: env.Stopping.Load}
 	var err error
 	if d.Fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return d, err
@@ -176,7 +176,7 @@
 
 func callService(_ fleet.Target, r *http.Request) (*http.Response, error) { return serviceClient.Do(r) }
 
-func newRouter(env *kernel.Env, d serve.Deps) (*router.Router, error) {
+func newRouter(env *kernel.Env, d callerapi.Deps) (*router.Router, error) {
 	ms, err := kernel.Resolve[*peer.Mesh](env)
 	if err != nil {
 		return nil, err
@@ -205,7 +205,7 @@
 }
 
 // newProbe returns a function that probes a target whose presence is not confirmed. A service needs no probe: its next call confirms it.
-func newProbe(d serve.Deps) func(context.Context, fleet.Target) error {
+func newProbe(d callerapi.Deps) func(context.Context, fleet.Target) error {
 	return func(ctx context.Context, t fleet.Target) error {
 		if t.Kind != fleet.KindEngine {
 			return nil
--- a/internal/duty/jobs/http.go
+++ b/internal/duty/jobs/http.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 	"github.com/go-chi/chi/v5"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/ident"
 	"github.com/silvermount/silvermount/internal/job"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/serve"
 )
 
 // requestTimeout bounds the handling of one request, including the write of a new job to the store.
@@ -54,7 +54,7 @@
 }
 
 // withCaller identifies the caller, bounds the time of the handler, and answers with the failure if there is one.
-func (mg *manager) withCaller(f func(context.Context, serve.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
+func (mg *manager) withCaller(f func(context.Context, callerapi.Caller, http.ResponseWriter, *http.Request) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		who, err := mg.server.Identify(r)
 		if err == nil {
@@ -63,13 +63,13 @@
 			err = f(ctx, who, w, r)
 		}
 		if err != nil {
-			serve.WriteError(w, toFailure(err))
+			callerapi.WriteError(w, toFailure(err))
 		}
 	}
 }
 
 // accept stores a new job, and answers only after the store has acknowledged it.
-func (mg *manager) accept(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+func (mg *manager) accept(ctx context.Context, who callerapi.Caller, w http.ResponseWriter, r *http.Request) error {
 	body, free, err := mg.server.ReadBody(r)
 	defer free()
 	if err != nil {
@@ -80,7 +80,7 @@
 		path = defaultPath
 	}
 	now := time.Now()
-	j := serve.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.MaxDuration)}
+	j := callerapi.Job{Organisation: who.Organisation, Class: who.Class, Path: path, Body: body, Deadline: now.Add(who.MaxDuration)}
 	if err := mg.server.ValidateJob(j); err != nil {
 		return err
 	}
@@ -93,12 +93,12 @@
 		return failure.New(failure.StoreOutcomeUnknown, failure.Unknown, "it cannot be told whether the store has the job").
 			WithCause(err).WithRetryAfter(time.Second)
 	}
-	serve.WriteJSON(w, v.Record)
+	callerapi.WriteJSON(w, v.Record)
 	return nil
 }
 
 // callerJob reads the job that the request names, and hides jobs of other organisations.
-func (mg *manager) callerJob(ctx context.Context, who serve.Caller, r *http.Request) (job.Versioned, error) {
+func (mg *manager) callerJob(ctx context.Context, who callerapi.Caller, r *http.Request) (job.Versioned, error) {
 	v, err := mg.store.Get(ctx, chi.URLParam(r, "id"))
 	if err == nil && v.Organisation != who.Organisation {
 		return v, failure.New(failure.NotFound, failure.NotRun, "no such job")
@@ -110,7 +110,7 @@
 	Data []job.Record `json:"data"`
 }
 
-func (mg *manager) list(ctx context.Context, who serve.Caller, w http.ResponseWriter, _ *http.Request) error {
+func (mg *manager) list(ctx context.Context, who callerapi.Caller, w http.ResponseWriter, _ *http.Request) error {
 	all, err := mg.store.List(ctx)
 	if err != nil {
 		return err
@@ -121,20 +121,20 @@
 			list.Data = append(list.Data, v.Record)
 		}
 	}
-	serve.WriteJSON(w, list)
+	callerapi.WriteJSON(w, list)
 	return nil
 }
 
-func (mg *manager) get(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+func (mg *manager) get(ctx context.Context, who callerapi.Caller, w http.ResponseWriter, r *http.Request) error {
 	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
 	}
-	serve.WriteJSON(w, v.Record)
+	callerapi.WriteJSON(w, v.Record)
 	return nil
 }
 
-func (mg *manager) answer(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+func (mg *manager) answer(ctx context.Context, who callerapi.Caller, w http.ResponseWriter, r *http.Request) error {
 	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 }
 
 // cancel ends a job that is not in a final state. A run of it on another instance finds its record changed and is discarded.
-func (mg *manager) cancel(ctx context.Context, who serve.Caller, w http.ResponseWriter, r *http.Request) error {
+func (mg *manager) cancel(ctx context.Context, who callerapi.Caller, w http.ResponseWriter, r *http.Request) error {
 	v, err := mg.callerJob(ctx, who, r)
 	if err != nil {
 		return err
@@ -175,6 +175,6 @@
 		run.cancel()
 	}
 	mg.mu.Unlock()
-	serve.WriteJSON(w, nv.Record)
+	callerapi.WriteJSON(w, nv.Record)
 	return nil
 }
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -9,6 +9,7 @@
 	"github.com/apex/log"
 	"github.com/cespare/xxhash/v2"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/claim"
 	"github.com/silvermount/silvermount/internal/duty/knowledge"
 	"github.com/silvermount/silvermount/internal/failure"
@@ -16,7 +17,6 @@
 	"github.com/silvermount/silvermount/internal/job"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/serve"
 )
 
 func init() {
@@ -41,7 +41,7 @@
 // manager accepts and runs jobs for one instance.
 type manager struct {
 	store       *job.Store
-	server      *serve.Server
+	server      *callerapi.Server
 	fleet       *fleet.Fleet
 	incarnation string
 	log         log.Interface
@@ -74,7 +74,7 @@
 		ownerTimeout: maxMissedRenewals * env.Settings.Platform.Registration.Std(),
 		records:      map[string]job.Versioned{}, running: map[string]activeRun{},
 	}
-	if mg.server, err = kernel.Resolve[*serve.Server](env); err != nil {
+	if mg.server, err = kernel.Resolve[*callerapi.Server](env); err != nil {
 		return nil, err
 	}
 	if mg.fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
@@ -234,7 +234,7 @@
 		mg.recordOutcome(recordCtx, v, claim.Response{}, failure.New(failure.StoreUnavailable, failure.NotRun, "the body cannot be read").WithCause(err), false)
 		return
 	}
-	resp, err := mg.server.RunJob(ctx, serve.Job{
+	resp, err := mg.server.RunJob(ctx, callerapi.Job{
 		Organisation: v.Organisation, Class: v.Class, Path: v.Path, Body: body, Deadline: v.Deadline, AtMostOnce: v.AtMostOnce,
 	})
 	mg.recordOutcome(recordCtx, v, resp, err, ctx.Err() != nil)
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -15,6 +15,7 @@
 
 	"github.com/silvermount/silvermount/internal/bundlestore"
 	"github.com/silvermount/silvermount/internal/burn"
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/duty/listen"
 	"github.com/silvermount/silvermount/internal/fleet"
@@ -23,7 +24,6 @@
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/peer"
 	"github.com/silvermount/silvermount/internal/rollout"
-	"github.com/silvermount/silvermount/internal/serve"
 )
 
 func init() {
@@ -53,7 +53,7 @@
 	burn    *burn.Recorder
 	metrics *metrics.Set
 	mesh    *peer.Mesh
-	server  *serve.Server
+	server  *callerapi.Server
 	store   *bundlestore.Store
 }
 
@@ -111,7 +111,7 @@
 	if ap.mesh, err = kernel.Resolve[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if ap.server, err = kernel.Resolve[*serve.Server](env); err != nil {
+	if ap.server, err = kernel.Resolve[*callerapi.Server](env); err != nil {
 		return nil, err
 	}
 	client, err := kernel.Resolve[*objectstore.Client](env)
--- a/internal/load/run.go
+++ b/internal/load/run.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/serve"
+	"github.com/silvermount/silvermount/internal/callerapi"
 )
 
 // Result is the outcome of one arrival.
@@ -130,7 +130,7 @@
 		return res
 	}
 	req.Header.Set("Authorization", "Bearer "+op.Key)
-	req.Header.Set(serve.HeaderClass, a.Class)
+	req.Header.Set(callerapi.HeaderClass, a.Class)
 	resp, err := client.Do(req)
 	if err != nil {
 		res.Code = "connection"
--- a/internal/session/failure_test.go
+++ b/internal/session/failure_test.go
@@ -14,12 +14,12 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/instance"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/load"
 	"github.com/silvermount/silvermount/internal/localfleet"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/serve"
 )
 
 // mixedArrivals returns n arrivals, one each millisecond. One in 50 has a long prompt.
@@ -75,7 +75,7 @@
 		"target accepts and never responds": {fault: hang, want: "deadline_exceeded"},
 		"store hangs during a claim": {
 			fault:   func(lf *localfleet.Fleet) { lf.Store.SetDelay(time.Minute) },
-			headers: []string{serve.HeaderIdempotencyKey, "k1"}, want: "store_unavailable",
+			headers: []string{callerapi.HeaderIdempotencyKey, "k1"}, want: "store_unavailable",
 		},
 	}
 	for name, tc := range tests {
@@ -83,10 +83,10 @@
 			g := NewWithT(t)
 			lf := startFleet(t, localfleet.Options{Zones: 1, Engines: 2, Instances: 1, EngineParams: fastEngines(100)})
 			tc.fault(lf)
-			headers := append([]string{serve.HeaderTimeout, "300ms"}, tc.headers...)
+			headers := append([]string{callerapi.HeaderTimeout, "300ms"}, tc.headers...)
 			resp := call(t, http.MethodPost, lf.URLs()[0]+"/v1/completions", completion("hello", 4, false), headers...)
 			g.Expect(resp.code).To(Equal(tc.want))
-			sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
+			sv, err := kernel.Resolve[*callerapi.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Eventually(sv.InFlight).Should(BeZero())
 			g.Expect(sv.Bodies.Used()).To(BeZero())
@@ -147,7 +147,7 @@
 
 // isLeaving reports whether an instance knows a target as leaving.
 func isLeaving(in *instance.Instance, target string) bool {
-	sv, err := kernel.Resolve[*serve.Server](in.Env())
+	sv, err := kernel.Resolve[*callerapi.Server](in.Env())
 	if err != nil {
 		return false
 	}
@@ -177,7 +177,7 @@
 		g.Expect(old.Stop(t.Context())).To(Succeed())
 		in, err := lf.AddInstance(t.Context(), i)
 		g.Expect(err).NotTo(HaveOccurred())
-		sv, err := kernel.Resolve[*serve.Server](in.Env())
+		sv, err := kernel.Resolve[*callerapi.Server](in.Env())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Eventually(sv.Ready, 5*time.Second).Should(BeTrue())
 		extended := append(without(*liveURLs.Load(), ""), in.CallersURL())
@@ -213,7 +213,7 @@
 	}
 	partitioned.Store(false)
 	lf.Store.SetDown(false)
-	sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
+	sv, err := kernel.Resolve[*callerapi.Server](lf.Instances[0].Env())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(func() int {
 		live := 0
@@ -234,13 +234,13 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	defer conn.Close()
 	_, err = fmt.Fprintf(conn, "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\n%s: 200ms\r\nContent-Length: 1000\r\n\r\n{\"model\"",
-		localfleet.CallerKey, serve.HeaderTimeout)
+		localfleet.CallerKey, callerapi.HeaderTimeout)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(conn.SetReadDeadline(time.Now().Add(10 * time.Second))).To(Succeed())
 	resp, err := io.ReadAll(conn)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(resp)).To(And(ContainSubstring("400"), ContainSubstring(`"outcome":"not_run"`)))
-	sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
+	sv, err := kernel.Resolve[*callerapi.Server](lf.Instances[0].Env())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(sv.InFlight).Should(BeZero())
 	g.Expect(sv.Bodies.Used()).To(BeZero())
--- a/internal/session/golden_test.go
+++ b/internal/session/golden_test.go
@@ -14,8 +14,8 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/localfleet"
-	"github.com/silvermount/silvermount/internal/serve"
 	"github.com/silvermount/silvermount/internal/standin/servicesim"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // recordedHeaders are the response headers that the protocol for callers specifies.
-var recordedHeaders = []string{"Content-Type", "Retry-After", serve.HeaderRequestID, serve.HeaderBundle}
+var recordedHeaders = []string{"Content-Type", "Retry-After", callerapi.HeaderRequestID, callerapi.HeaderBundle}
 
 func (tr *transcript) call(title, method, url, path string, body []byte, headers ...string) response {
 	resp := call(tr.t, method, url+path, body, headers...)
@@ -88,26 +88,26 @@
 	chat := []byte(`{"model":"address","messages":[{"role":"user","content":"where is valve 7"}],"max_tokens":2}`)
 	tr.call("chat", http.MethodPost, one, "/v1/chat/completions", chat)
 	tr.call("unknown bearer key", http.MethodGet, one, "/v1/models", nil, "Authorization", "Bearer wrong")
-	tr.call("unknown class", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderClass, "none")
+	tr.call("unknown class", http.MethodPost, one, "/v1/completions", completion("x", 1, false), callerapi.HeaderClass, "none")
 	tr.call("unknown model", http.MethodPost, one, "/v1/completions", []byte(`{"model":"none"}`))
 	tr.call("body is not JSON", http.MethodPost, one, "/v1/completions", []byte(`{`))
-	tr.call("invalid timeout", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderTimeout, "soon")
-	key := []string{serve.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
+	tr.call("invalid timeout", http.MethodPost, one, "/v1/completions", completion("x", 1, false), callerapi.HeaderTimeout, "soon")
+	key := []string{callerapi.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
 	tr.call("service request with an idempotency key", http.MethodPost, one, valvePath, []byte("open"), key...)
 	tr.call("same request at another instance", http.MethodPost, two, valvePath, []byte("open"), key...)
 	tr.call("same key with a different body", http.MethodPost, two, valvePath, []byte("close"), key...)
 	lf.Service.DropAfterRun(1)
-	lost := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequestName, "valve-8"}
+	lost := []string{callerapi.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequestName, "valve-8"}
 	tr.call("service drops the connection after the run", http.MethodPost, one, valvePath, []byte("open"), lost...)
 	tr.call("same request again", http.MethodPost, two, valvePath, []byte("open"), lost...)
 	lf.Store.SetDown(true)
-	tr.call("idempotency key while the store is down", http.MethodPost, one, valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve-9", serve.HeaderTimeout, "200ms")
-	ticket := []string{serve.HeaderTicket, issueTicket(t, one), servicesim.HeaderRequestName, "valve-10"}
+	tr.call("idempotency key while the store is down", http.MethodPost, one, valvePath, []byte("open"), callerapi.HeaderIdempotencyKey, "valve-9", callerapi.HeaderTimeout, "200ms")
+	ticket := []string{callerapi.HeaderTicket, issueTicket(t, one), servicesim.HeaderRequestName, "valve-10"}
 	tr.call("ticket at another instance while the store is down", http.MethodPost, two, valvePath, []byte("open"), ticket...)
 	tr.call("same ticket again", http.MethodPost, one, valvePath, []byte("open"), ticket...)
 	lf.Store.SetDown(false)
 	lf.Engines[0].SetHung(true)
-	tr.call("engine does not respond", http.MethodPost, one, "/v1/completions", completion("x", 1, false), serve.HeaderTimeout, "200ms")
+	tr.call("engine does not respond", http.MethodPost, one, "/v1/completions", completion("x", 1, false), callerapi.HeaderTimeout, "200ms")
 	lf.Engines[0].SetHung(false)
 	lf.Engines[0].Kill()
 	g.Eventually(func() string {
--- a/internal/session/idempotency_test.go
+++ b/internal/session/idempotency_test.go
@@ -8,8 +8,8 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/localfleet"
-	"github.com/silvermount/silvermount/internal/serve"
 	"github.com/silvermount/silvermount/internal/standin/servicesim"
 )
 
@@ -46,7 +46,7 @@
 			// A first call could leave an idle connection, and http.Transport resends requests that fail on one.
 			call(t, http.MethodPost, lf.URLs()[0]+valvePath, nil, servicesim.HeaderRequestName, "warm")
 			tc.fault(lf)
-			headers := []string{serve.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
+			headers := []string{callerapi.HeaderIdempotencyKey, "valve-7", servicesim.HeaderRequestName, "valve-7"}
 			first := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 			g.Expect(first.status).To(Equal(tc.firstStatus), first.body)
 			second := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
@@ -64,7 +64,7 @@
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
 	lf.Store.SetDown(true)
-	headers := []string{serve.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequestName, "valve-8", serve.HeaderTimeout, "400ms"}
+	headers := []string{callerapi.HeaderIdempotencyKey, "valve-8", servicesim.HeaderRequestName, "valve-8", callerapi.HeaderTimeout, "400ms"}
 	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
 	g.Expect(resp.outcome).To(Equal("not_run"))
 	g.Expect(lf.Service.RunCount("valve-8")).To(BeZero())
@@ -77,8 +77,8 @@
 func TestKeyOfDifferentRequestIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
-	call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "k")
-	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("close"), serve.HeaderIdempotencyKey, "k")
+	call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), callerapi.HeaderIdempotencyKey, "k")
+	resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("close"), callerapi.HeaderIdempotencyKey, "k")
 	g.Expect(resp.code).To(Equal("key_mismatch"))
 	g.Expect(resp.outcome).To(Equal("not_run"))
 }
@@ -96,7 +96,7 @@
 	g := NewWithT(t)
 	lf := startSmallFleet(t)
 	lf.Store.SetDown(true)
-	headers := []string{serve.HeaderTicket, issueTicket(t, lf.URLs()[0]), servicesim.HeaderRequestName, "valve-9"}
+	headers := []string{callerapi.HeaderTicket, issueTicket(t, lf.URLs()[0]), servicesim.HeaderRequestName, "valve-9"}
 	first := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), headers...)
 	g.Expect(first.status).To(Equal(http.StatusOK), first.body)
 	second := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), headers...)
@@ -109,7 +109,7 @@
 	lf := startSmallFleet(t)
 	tk := issueTicket(t, lf.URLs()[0])
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
-	resp := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), serve.HeaderTicket, tk, servicesim.HeaderRequestName, "valve-10")
+	resp := call(t, http.MethodPost, lf.URLs()[1]+valvePath, []byte("open"), callerapi.HeaderTicket, tk, servicesim.HeaderRequestName, "valve-10")
 	g.Expect(resp.outcome).To(Equal("unknown"))
 	g.Expect(lf.Service.RunCount("valve-10")).To(BeZero())
 }
@@ -133,7 +133,7 @@
 	time.AfterFunc(150*time.Millisecond, func() { lf.Store.SetDelay(4 * time.Second) })
 	done := make(chan response, 1)
 	go func() {
-		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve-12", servicesim.HeaderRequestName, "valve-12")
+		done <- call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), callerapi.HeaderIdempotencyKey, "valve-12", servicesim.HeaderRequestName, "valve-12")
 	}()
 	var resp response
 	// The store responds after 4 s, and the write of the result is retried for 10 s.
--- a/internal/session/job_test.go
+++ b/internal/session/job_test.go
@@ -10,11 +10,11 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/job"
 	"github.com/silvermount/silvermount/internal/localfleet"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/serve"
 	"github.com/silvermount/silvermount/internal/standin/answer"
 )
 
@@ -29,7 +29,7 @@
 // submit creates a job and returns its record.
 func submit(t *testing.T, url, prompt string, headers ...string) job.Record {
 	t.Helper()
-	headers = append([]string{serve.HeaderClass, localfleet.ClassJob, "Silvermount-Path", "/v1/completions"}, headers...)
+	headers = append([]string{callerapi.HeaderClass, localfleet.ClassJob, "Silvermount-Path", "/v1/completions"}, headers...)
 	resp := call(t, http.MethodPost, url+"/v1/jobs", completion(prompt, 4, false), headers...)
 	var rc job.Record
 	g := NewWithT(t)
@@ -88,7 +88,7 @@
 		en.SetHung(true)
 	}
 	repeatable := submit(t, lf.URLs()[0], "a deed")
-	atMostOnce := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
+	atMostOnce := submit(t, lf.URLs()[0], "a valve record", callerapi.HeaderRepeat, "never")
 	storedRecord := func(id string) (out job.Record) {
 		o, ok := lf.Store.Object(objectstore.KindJobs, id)
 		g.Expect(ok).To(BeTrue())
--- a/internal/session/shutdown_test.go
+++ b/internal/session/shutdown_test.go
@@ -14,6 +14,7 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/claim"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/instance"
@@ -21,7 +22,6 @@
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/localfleet"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/serve"
 	"github.com/silvermount/silvermount/internal/standin/servicesim"
 )
 
@@ -77,7 +77,7 @@
 		"job cannot be returned to the store": func(t *testing.T, lf *localfleet.Fleet) func() {
 			en := lf.Engines[0]
 			en.SetHung(true)
-			rc := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
+			rc := submit(t, lf.URLs()[0], "a valve record", callerapi.HeaderRepeat, "never")
 			NewWithT(t).Eventually(jobState(t, lf.URLs()[0], rc.ID), stepTimeout).Should(Equal(job.Running))
 			return func() { en.SetHung(false) }
 		},
@@ -123,7 +123,7 @@
 		s.Stop.Drain = config.Duration(100 * time.Millisecond)
 	}})
 	lf.Engines[0].SetHung(true)
-	rc := submit(t, lf.URLs()[0], "a valve record", serve.HeaderRepeat, "never")
+	rc := submit(t, lf.URLs()[0], "a valve record", callerapi.HeaderRepeat, "never")
 	g.Eventually(jobState(t, lf.URLs()[0], rc.ID), stepTimeout).Should(Equal(job.Running))
 	g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
 	o, ok := lf.Store.Object(objectstore.KindJobs, rc.ID)
@@ -166,7 +166,7 @@
 				}
 				storeFront.SetBlocked(true)
 			}()
-			resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), serve.HeaderIdempotencyKey, "valve", servicesim.HeaderRequestName, "valve")
+			resp := call(t, http.MethodPost, lf.URLs()[0]+valvePath, []byte("open"), callerapi.HeaderIdempotencyKey, "valve", servicesim.HeaderRequestName, "valve")
 			g.Expect(resp.status).To(Equal(tc.status), resp.body)
 			time.AfterFunc(2*time.Second, func() { storeFront.SetBlocked(false) })
 			g.Expect(lf.Instances[0].Stop(t.Context())).To(Succeed())
@@ -212,7 +212,7 @@
 				s.Stop.Drain = config.Duration(time.Second)
 			}})
 			lf.Engines[0].SetHung(true)
-			sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
+			sv, err := kernel.Resolve[*callerapi.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			responses := make(chan response, len(tc.prompts))
 			for _, prompt := range tc.prompts {
--- a/internal/session/stream_test.go
+++ b/internal/session/stream_test.go
@@ -8,9 +8,9 @@
 
 	. "github.com/onsi/gomega"
 
+	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/localfleet"
-	"github.com/silvermount/silvermount/internal/serve"
 	"github.com/silvermount/silvermount/internal/standin/answer"
 )
 
@@ -71,7 +71,7 @@
 			resp := call(t, http.MethodPost, lf.URLs()[0]+tc.path, tc.body)
 			g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
 			g.Expect(streamText(t, resp.body)).To(Equal(answer.Generate(tc.prompt, output)))
-			sv, err := kernel.Resolve[*serve.Server](lf.Instances[0].Env())
+			sv, err := kernel.Resolve[*callerapi.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			resumedCount := sv.Metrics.GetOrCreateCounter("silvermount_streams_resumed_total").Get()
 			g.Expect(resumedCount > 0).To(Equal(tc.resumed))
