--- a/internal/session/session_test.go
+++ b/internal/e2e/e2e_test.go
@@ -1,5 +1,5 @@
-// Package session holds end-to-end tests of a local fleet over HTTP.
-package session
+// Package e2e holds end-to-end tests of a local fleet over HTTP.
+package e2e
 
 import (
 	"context"
--- a/internal/session/peer_test.go
+++ b/internal/e2e/peer_test.go
@@ -1,4 +1,4 @@
-package session
+package e2e
 
 import (
 	"crypto/ecdsa"
