--- a/internal/duty/facts/failuredetector.go
+++ b/internal/duty/storesync/failuredetector.go
@@ -1,4 +1,4 @@
-package facts
+package storesync
 
 import (
 	"sync"
--- a/internal/duty/facts/facts.go
+++ b/internal/duty/storesync/storesync.go
@@ -1,5 +1,5 @@
-// Package facts implements the duty that keeps the configuration and the list of targets in sync with the store.
-package facts
+// Package storesync implements the duty that keeps the configuration and the list of targets in sync with the store.
+package storesync
 
 import (
 	"context"
