--- a/internal/duty/members/limits.go
+++ b/internal/duty/peersync/limits.go
@@ -1,4 +1,4 @@
-package members
+package peersync
 
 import (
 	"encoding/binary"
--- a/internal/duty/members/members.go
+++ b/internal/duty/peersync/peersync.go
@@ -1,5 +1,5 @@
-// Package members implements the duty that exchanges with peers what each instance knows and has in flight.
-package members
+// Package peersync implements the duty that exchanges with peers what each instance knows and has in flight.
+package peersync
 
 import (
 	"context"
