--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -9,7 +9,7 @@
 	"github.com/apex/log"
 
 	"github.com/silvermount/silvermount/internal/bundlestore"
-	"github.com/silvermount/silvermount/internal/duty/knowledge"
+	"github.com/silvermount/silvermount/internal/duty/discovery"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/peer"
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
-		knowledge.ListAndWatch(ctx, client, objectstore.KindPointers, 0, sy.log, sy.applyPointers)
+		discovery.ListAndWatch(ctx, client, objectstore.KindPointers, 0, sy.log, sy.applyPointers)
 	})
 	fetch := kernel.Go(sy.run)
 	return func(ctx context.Context) error {
--- a/internal/duty/knowledge/knowledge.go
+++ b/internal/duty/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package knowledge is the duty that keeps the lists of targets and instances up to date with the platform's store.
-package knowledge
+// Package discovery is the duty that keeps the lists of targets and instances up to date with the platform's store.
+package discovery
 
 import (
 	"context"
--- a/internal/duty/jobs/jobs.go
+++ b/internal/duty/jobs/jobs.go
@@ -11,7 +11,7 @@
 
 	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/claim"
-	"github.com/silvermount/silvermount/internal/duty/knowledge"
+	"github.com/silvermount/silvermount/internal/duty/discovery"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/job"
@@ -83,7 +83,7 @@
 	mg.server.Mount("/v1/jobs", mg.handler())
 	baseCtx, cancelRuns := context.WithCancel(context.Background())
 	watch := kernel.Go(func(ctx context.Context) {
-		knowledge.ListAndWatch(ctx, client, objectstore.KindJobs, minWatchInterval, mg.log, mg.setRecords)
+		discovery.ListAndWatch(ctx, client, objectstore.KindJobs, minWatchInterval, mg.log, mg.setRecords)
 	})
 	scanner := kernel.Go(func(ctx context.Context) { mg.run(ctx, baseCtx) })
 	return func(ctx context.Context) error {
