--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -17,7 +17,7 @@
 	"github.com/silvermount/silvermount/internal/budget"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/drain"
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/gateway"
 	"github.com/silvermount/silvermount/internal/gossip"
 	"github.com/silvermount/silvermount/internal/kernel"
@@ -62,7 +62,7 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	co, err := kernel.Resolve[*forwarding.Components](env)
+	co, err := kernel.Resolve[*gatewaydeps.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 }
 
 // newGateway builds the gateway from the shared components and keeps its limits up to date with the settings.
-func newGateway(env *kernel.Env, co *forwarding.Components, rt *budget.Retries) *gateway.Gateway {
+func newGateway(env *kernel.Env, co *gatewaydeps.Components, rt *budget.Retries) *gateway.Gateway {
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
 		Protocol: co.Adapter.Protocol, Routes: co.Routes, Targets: co.Targets, Dispatcher: co.Dispatcher, Pool: co.Pool,
@@ -161,7 +161,7 @@
 }
 
 // operatorHandler serves the metrics and the API for quarantined requests.
-func operatorHandler(co *forwarding.Components) http.Handler {
+func operatorHandler(co *gatewaydeps.Components) http.Handler {
 	rt := chi.NewRouter()
 	rt.Get("/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		co.Metrics.WritePrometheus(w)
--- a/internal/duty/frontend/metrics_test.go
+++ b/internal/duty/frontend/metrics_test.go
@@ -17,7 +17,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 )
 
 const (
@@ -87,7 +87,7 @@
 	ms := metrics.NewSet()
 	ms.GetOrCreateCounter("silvermount_store_calls_total").Inc()
 	w := httptest.NewRecorder()
-	operatorHandler(&forwarding.Components{Metrics: ms}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	operatorHandler(&gatewaydeps.Components{Metrics: ms}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	g.Expect(w.Code).To(Equal(http.StatusOK))
 	g.Expect(w.Body.String()).To(And(
 		ContainSubstring("silvermount_store_calls_total 1\n"), ContainSubstring("process_resident_memory_bytes"),
--- a/internal/duty/frontend/shares.go
+++ b/internal/duty/frontend/shares.go
@@ -6,7 +6,7 @@
 
 	"github.com/silvermount/silvermount/internal/budget"
 	"github.com/silvermount/silvermount/internal/config"
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/gossip"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/routes"
@@ -41,7 +41,7 @@
 	maxLiveAt time.Time
 }
 
-func newLimitShares(env *kernel.Env, co *forwarding.Components, mesh *gossip.Mesh, rt *budget.Retries) *limitShares {
+func newLimitShares(env *kernel.Env, co *gatewaydeps.Components, mesh *gossip.Mesh, rt *budget.Retries) *limitShares {
 	ls := &limitShares{mesh: mesh, routes: co.Routes, pool: co.Pool, retries: rt, maxLive: minSharers, maxLiveAt: time.Now()}
 	ls.settings.Store(env.Settings.Gateway)
 	env.OnReload(func(s config.Settings) { ls.settings.Store(s.Gateway) })
--- a/internal/duty/forwarding/coordinator_test.go
+++ b/internal/duty/gatewaydeps/coordinator_test.go
@@ -1,4 +1,4 @@
-package forwarding
+package gatewaydeps
 
 import (
 	"testing"
--- a/internal/duty/forwarding/forwarding.go
+++ b/internal/duty/gatewaydeps/gatewaydeps.go
@@ -1,5 +1,5 @@
-// Package forwarding is the duty that builds the components that the other duties of a gateway share.
-package forwarding
+// Package gatewaydeps is the duty that builds the components that the other duties of a gateway share.
+package gatewaydeps
 
 import (
 	"context"
--- a/internal/duty/peersync/followers.go
+++ b/internal/duty/peersync/followers.go
@@ -10,7 +10,7 @@
 	"github.com/apex/log"
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/gossip"
 )
 
@@ -30,23 +30,23 @@
 // those that reach the store first, then those with more bandwidth, as for gossip relays, and then by hash. The followers are the
 // first instances of the zones, and then the second ones. If two instances see different live instances, there is only one follower
 // more or less for a while: state from peers becomes stale, and is then requested from the store.
-func assignRole(self gossip.Member, live []gossip.Member) forwarding.Role {
+func assignRole(self gossip.Member, live []gossip.Member) gatewaydeps.Role {
 	switch {
 	case len(live) == 1:
-		return forwarding.RoleJoining
+		return gatewaydeps.RoleJoining
 	case len(live) <= maxFleetWithoutFollowers:
-		return forwarding.RoleStandalone
+		return gatewaydeps.RoleStandalone
 	}
 	rank := rankOf(self, live)
 	switch {
 	case rank < followerCount, rankOf(self, assumeAllReachStore(live)) < followerCount:
 		// A follower that does not reach the store keeps calling it besides its replacement, so that it takes over again as soon as
 		// the store responds.
-		return forwarding.RoleFollower
+		return gatewaydeps.RoleFollower
 	case rank < unranked:
-		return forwarding.RoleStandby
+		return gatewaydeps.RoleStandby
 	default:
-		return forwarding.RoleListener
+		return gatewaydeps.RoleListener
 	}
 }
 
@@ -132,12 +132,12 @@
 
 // reportStoreReachability reports to the other instances whether this instance reaches the store. Only followers and standbys
 // report that they do not, because each change is gossiped to all instances.
-func reportStoreReachability(answered bool, role forwarding.Role, live func() []gossip.Member, setStoreUnreachable func(bool)) {
+func reportStoreReachability(answered bool, role gatewaydeps.Role, live func() []gossip.Member, setStoreUnreachable func(bool)) {
 	if answered {
 		setStoreUnreachable(false)
 		return
 	}
-	if role != forwarding.RoleFollower && role != forwarding.RoleStandby {
+	if role != gatewaydeps.RoleFollower && role != gatewaydeps.RoleStandby {
 		return
 	}
 	all := live()
@@ -161,12 +161,12 @@
 
 	mu sync.Mutex
 	// current is the role at membersVersion of the member list.
-	current        forwarding.Role
+	current        gatewaydeps.Role
 	membersVersion uint64
 }
 
 // currentRole returns the role of this instance at the newest version of the member list.
-func (tk *roleTracker) currentRole(ms *gossip.Mesh) forwarding.Role {
+func (tk *roleTracker) currentRole(ms *gossip.Mesh) gatewaydeps.Role {
 	tk.mu.Lock()
 	defer tk.mu.Unlock()
 	if version := ms.MembershipVersion(); version != tk.membersVersion {
@@ -177,9 +177,9 @@
 }
 
 // update returns the role among the given live members, and logs a change of passive.
-func (tk *roleTracker) update(live []gossip.Member) forwarding.Role {
+func (tk *roleTracker) update(live []gossip.Member) gatewaydeps.Role {
 	role := assignRole(tk.self, live)
-	passive := role >= forwarding.RoleStandby
+	passive := role >= gatewaydeps.RoleStandby
 	if tk.passive.Swap(passive) == passive {
 		return role
 	}
--- a/internal/duty/peersync/followers_test.go
+++ b/internal/duty/peersync/followers_test.go
@@ -9,7 +9,7 @@
 	"github.com/apex/log/handlers/memory"
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/gossip"
 )
 
@@ -36,7 +36,7 @@
 }
 
 func watchesStore(self gossip.Member, live []gossip.Member) bool {
-	return assignRole(self, live) < forwarding.RoleStandby
+	return assignRole(self, live) < gatewaydeps.RoleStandby
 }
 
 func TestStoreWatchersPerZone(t *testing.T) {
@@ -60,12 +60,12 @@
 func TestThreeFollowersInDifferentZones(t *testing.T) {
 	g := NewWithT(t)
 	live := newFleet(59, "a", "b", "c", "d", "e")
-	counts := map[forwarding.Role]int{}
+	counts := map[gatewaydeps.Role]int{}
 	for _, mb := range live {
 		counts[assignRole(mb, live)]++
 	}
-	g.Expect(counts).To(Equal(map[forwarding.Role]int{
-		forwarding.RoleFollower: 3, forwarding.RoleStandby: 7, forwarding.RoleListener: 285,
+	g.Expect(counts).To(Equal(map[gatewaydeps.Role]int{
+		gatewaydeps.RoleFollower: 3, gatewaydeps.RoleStandby: 7, gatewaydeps.RoleListener: 285,
 	}))
 	g.Expect(watchersPerZone(live)).To(HaveLen(3), "in different zones")
 }
@@ -81,13 +81,13 @@
 		live[i].BandwidthMbps = 200
 	}
 	for _, i := range fast {
-		g.Expect(assignRole(live[i], live)).To(Equal(forwarding.RoleFollower))
+		g.Expect(assignRole(live[i], live)).To(Equal(gatewaydeps.RoleFollower))
 	}
 }
 
 func TestInstanceWithoutPeersIsJoining(t *testing.T) {
 	live := newFleet(1, "a")
-	NewWithT(t).Expect(assignRole(live[0], live)).To(Equal(forwarding.RoleJoining))
+	NewWithT(t).Expect(assignRole(live[0], live)).To(Equal(gatewaydeps.RoleJoining))
 }
 
 func TestLostFollowerIsReplaced(t *testing.T) {
@@ -144,19 +144,19 @@
 func TestOnlyFollowersAndStandbysReportStoreUnreachable(t *testing.T) {
 	tests := map[string]struct {
 		answered bool
-		role     forwarding.Role
+		role     gatewaydeps.Role
 		// unreachable is the number of twenty live instances that already report that they do not reach the store.
 		unreachable int
 		want        []bool
 	}{
-		"follower":                               {false, forwarding.RoleFollower, 0, []bool{true}},
-		"standby":                                {false, forwarding.RoleStandby, 0, []bool{true}},
-		"listener":                               {false, forwarding.RoleListener, 0, nil},
-		"standalone":                             {false, forwarding.RoleStandalone, 0, nil},
-		"listener, answered":                     {true, forwarding.RoleListener, 0, []bool{false}},
-		"follower, few without store":            {false, forwarding.RoleFollower, 4, []bool{true}},
-		"follower, enough without store":         {false, forwarding.RoleFollower, 5, nil},
-		"follower, answered, many without store": {true, forwarding.RoleFollower, 9, []bool{false}},
+		"follower":                               {false, gatewaydeps.RoleFollower, 0, []bool{true}},
+		"standby":                                {false, gatewaydeps.RoleStandby, 0, []bool{true}},
+		"listener":                               {false, gatewaydeps.RoleListener, 0, nil},
+		"standalone":                             {false, gatewaydeps.RoleStandalone, 0, nil},
+		"listener, answered":                     {true, gatewaydeps.RoleListener, 0, []bool{false}},
+		"follower, few without store":            {false, gatewaydeps.RoleFollower, 4, []bool{true}},
+		"follower, enough without store":         {false, gatewaydeps.RoleFollower, 5, nil},
+		"follower, answered, many without store": {true, gatewaydeps.RoleFollower, 9, []bool{false}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -175,7 +175,7 @@
 func followerNames(live []gossip.Member) []string {
 	var names []string
 	for _, mb := range live {
-		if assignRole(mb, live) == forwarding.RoleFollower {
+		if assignRole(mb, live) == gatewaydeps.RoleFollower {
 			names = append(names, mb.Name)
 		}
 	}
--- a/internal/duty/peersync/peersync.go
+++ b/internal/duty/peersync/peersync.go
@@ -15,7 +15,7 @@
 	"github.com/silvermount/silvermount/internal/adapter"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/dispatch"
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/gossip"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/peerstate"
@@ -66,7 +66,7 @@
 	ds  *dispatch.Dispatcher
 	lg  log.Interface
 	ms  *gossip.Mesh
-	sc  *forwarding.StoreCoordinator
+	sc  *gatewaydeps.StoreCoordinator
 	tr  *quarantine.Tracker
 	// rateLimits holds the known rate limits of targets, and permits enforces them together with the other instances.
 	rateLimits *ratelimit.Tracker
@@ -87,7 +87,7 @@
 }
 
 func start(ctx context.Context, env *kernel.Env) (kernel.Stop, error) {
-	co, err := kernel.Resolve[*forwarding.Components](env)
+	co, err := kernel.Resolve[*gatewaydeps.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -111,7 +111,7 @@
 	co.Metrics.NewGauge("silvermount_peer_subscribers", func() float64 { return float64(du.ms.SubscriberCount()) })
 	co.Dispatcher.SetPropagationDelay(du.ms.PropagationDelay)
 	tk := &roleTracker{self: opts.Self, lg: du.lg}
-	co.StoreCoordinator.SetRole(func() forwarding.Role { return tk.currentRole(du.ms) })
+	co.StoreCoordinator.SetRole(func() gatewaydeps.Role { return tk.currentRole(du.ms) })
 	co.StoreCoordinator.SetOnStoreResult(func(answered bool) {
 		reportStoreReachability(answered, tk.currentRole(du.ms), du.ms.Live, du.ms.SetStoreUnreachable)
 	})
--- a/internal/duty/storesync/olderlist_test.go
+++ b/internal/duty/storesync/olderlist_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silvermount/silvermount/internal/adapter"
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/position"
@@ -49,7 +49,7 @@
 			ad: adapter.Adapter{TargetKind: kindTargets, Target: func(ob objectstore.Object) (targets.Target, error) {
 				return targets.Target{ID: ob.Name}, nil
 			}},
-			dr: dr, lg: &log.Logger{Handler: discard.New()}, stateNotifier: &forwarding.Notifier{}, coordinator: &forwarding.StoreCoordinator{},
+			dr: dr, lg: &log.Logger{Handler: discard.New()}, stateNotifier: &gatewaydeps.Notifier{}, coordinator: &gatewaydeps.StoreCoordinator{},
 			leavingBound: 3 * time.Second, configurationBound: 3 * time.Second,
 		}
 		sy.detector = newFailureDetector(sy.silenceTimeout(), func(bool) {})
--- a/internal/duty/storesync/pollpolicy.go
+++ b/internal/duty/storesync/pollpolicy.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 )
 
 const (
@@ -77,7 +77,7 @@
 // pollPolicy determines when and how often this instance calls the store for one kind of object.
 type pollPolicy struct {
 	timings
-	role func() forwarding.Role
+	role func() gatewaydeps.Role
 	// jitterFraction is the random fraction of each jitter that this instance uses. It is chosen once, in [0, 1).
 	jitterFraction float64
 	// startedAt is when this instance started to watch the store.
@@ -88,7 +88,7 @@
 	listed bool
 }
 
-func newPollPolicy(bound time.Duration, role func() forwarding.Role, hasSeeds, firstStart bool) *pollPolicy {
+func newPollPolicy(bound time.Duration, role func() gatewaydeps.Role, hasSeeds, firstStart bool) *pollPolicy {
 	return &pollPolicy{timings: newTimings(bound), role: role, jitterFraction: rand.Float64(), startedAt: time.Now(), hasSeeds: hasSeeds, firstStart: firstStart}
 }
 
@@ -110,9 +110,9 @@
 		}
 	}
 	switch role {
-	case forwarding.RoleStandby:
+	case gatewaydeps.RoleStandby:
 		return age < maxAge+pp.jitter(pp.standbyJitter)
-	case forwarding.RoleListener:
+	case gatewaydeps.RoleListener:
 		return age < maxAge+pp.listenerDelay+pp.jitter(pp.listenerJitter)
 	default:
 		return false
@@ -129,11 +129,11 @@
 	first := !pp.listed
 	pp.listed = true
 	switch pp.role() {
-	case forwarding.RoleFollower:
+	case gatewaydeps.RoleFollower:
 		if changed {
 			return rand.N(maxFollowerPause)
 		}
-	case forwarding.RoleStandby, forwarding.RoleListener:
+	case gatewaydeps.RoleStandby, gatewaydeps.RoleListener:
 		if changed {
 			return maxListenerPause/2 + rand.N(maxListenerPause/2)
 		}
@@ -148,9 +148,9 @@
 // watchTimeout returns how long a watch may wait for changes.
 func (pp *pollPolicy) watchTimeout() time.Duration {
 	switch pp.role() {
-	case forwarding.RoleFollower:
+	case gatewaydeps.RoleFollower:
 		return pp.followerWatchTimeout
-	case forwarding.RoleStandby, forwarding.RoleListener:
+	case gatewaydeps.RoleStandby, gatewaydeps.RoleListener:
 		return listenerWatchTimeout
 	default:
 		return pp.standaloneWatchTimeout
@@ -161,9 +161,9 @@
 // peers.
 func (pp *pollPolicy) backoffBounds(lastUpdate time.Time) (minDelay, maxDelay time.Duration) {
 	switch role := pp.role(); {
-	case role >= forwarding.RoleStandby:
+	case role >= gatewaydeps.RoleStandby:
 		return minListenerBackoff, maxListenerBackoff
-	case role == forwarding.RoleFollower && time.Since(lastUpdate) < pp.maxPeerAge:
+	case role == gatewaydeps.RoleFollower && time.Since(lastUpdate) < pp.maxPeerAge:
 		return minFollowerBackoff, maxFollowerBackoff
 	default:
 		return minAloneBackoff, maxAloneBackoff
--- a/internal/duty/storesync/pollpolicy_test.go
+++ b/internal/duty/storesync/pollpolicy_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 )
 
 // timeRange is a closed range of durations.
@@ -18,25 +18,25 @@
 // testTimings are the timings of the policies under test.
 var testTimings = newTimings(changeBound)
 
-func policyFor(role forwarding.Role, seeds bool) *pollPolicy {
-	return newPollPolicy(changeBound, func() forwarding.Role { return role }, seeds, false)
+func policyFor(role gatewaydeps.Role, seeds bool) *pollPolicy {
+	return newPollPolicy(changeBound, func() gatewaydeps.Role { return role }, seeds, false)
 }
 
 func TestPause(t *testing.T) {
 	tests := map[string]struct {
-		role        forwarding.Role
+		role        gatewaydeps.Role
 		seeds       bool
 		changed     bool
 		first, next timeRange
 	}{
-		"standalone without seeds": {forwarding.RoleStandalone, false, true, timeRange{}, timeRange{}},
+		"standalone without seeds": {gatewaydeps.RoleStandalone, false, true, timeRange{}, timeRange{}},
 		"no peers discovered yet": {
-			forwarding.RoleJoining, true, true, timeRange{maxDiscoveryPause / 2, maxDiscoveryPause}, timeRange{},
+			gatewaydeps.RoleJoining, true, true, timeRange{maxDiscoveryPause / 2, maxDiscoveryPause}, timeRange{},
 		},
-		"follower after changes":   {forwarding.RoleFollower, true, true, timeRange{0, maxFollowerPause}, timeRange{0, maxFollowerPause}},
-		"follower without changes": {forwarding.RoleFollower, true, false, timeRange{}, timeRange{}},
-		"listener after changes":   {forwarding.RoleListener, true, true, timeRange{maxListenerPause / 2, maxListenerPause}, timeRange{maxListenerPause / 2, maxListenerPause}},
-		"listener without changes": {forwarding.RoleListener, true, false, timeRange{}, timeRange{}},
+		"follower after changes":   {gatewaydeps.RoleFollower, true, true, timeRange{0, maxFollowerPause}, timeRange{0, maxFollowerPause}},
+		"follower without changes": {gatewaydeps.RoleFollower, true, false, timeRange{}, timeRange{}},
+		"listener after changes":   {gatewaydeps.RoleListener, true, true, timeRange{maxListenerPause / 2, maxListenerPause}, timeRange{maxListenerPause / 2, maxListenerPause}},
+		"listener without changes": {gatewaydeps.RoleListener, true, false, timeRange{}, timeRange{}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -52,17 +52,17 @@
 
 func TestSuspended(t *testing.T) {
 	tests := map[string]struct {
-		role forwarding.Role
+		role gatewaydeps.Role
 		age  time.Duration
 		want bool
 	}{
-		"listener, fresh state":           {forwarding.RoleListener, testTimings.maxPeerAge - 1, true},
-		"listener, stale state":           {forwarding.RoleListener, testTimings.maxPeerAge + testTimings.listenerDelay + testTimings.listenerJitter, false},
-		"standby, fresh state":            {forwarding.RoleStandby, testTimings.maxPeerAge - 1, true},
-		"standby, stale state":            {forwarding.RoleStandby, testTimings.maxPeerAge + testTimings.standbyJitter, false},
-		"follower":                        {forwarding.RoleFollower, 0, false},
-		"standalone":                      {forwarding.RoleStandalone, 0, false},
-		"listener, last update a day ago": {forwarding.RoleListener, 24 * time.Hour, false},
+		"listener, fresh state":           {gatewaydeps.RoleListener, testTimings.maxPeerAge - 1, true},
+		"listener, stale state":           {gatewaydeps.RoleListener, testTimings.maxPeerAge + testTimings.listenerDelay + testTimings.listenerJitter, false},
+		"standby, fresh state":            {gatewaydeps.RoleStandby, testTimings.maxPeerAge - 1, true},
+		"standby, stale state":            {gatewaydeps.RoleStandby, testTimings.maxPeerAge + testTimings.standbyJitter, false},
+		"follower":                        {gatewaydeps.RoleFollower, 0, false},
+		"standalone":                      {gatewaydeps.RoleStandalone, 0, false},
+		"listener, last update a day ago": {gatewaydeps.RoleListener, 24 * time.Hour, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -77,29 +77,29 @@
 // TestSuspendedBeforeFirstUpdate covers instances that have received no state from the store or peers yet.
 func TestSuspendedBeforeFirstUpdate(t *testing.T) {
 	tests := map[string]struct {
-		role         forwarding.Role
+		role         gatewaydeps.Role
 		seeds, first bool
 		after        time.Duration
 		want         bool
 	}{
-		"restart, no peers discovered":    {forwarding.RoleJoining, true, false, 0, false},
-		"restart, listener":               {forwarding.RoleListener, true, false, 0, false},
-		"discovery in progress":           {forwarding.RoleJoining, true, true, firstStartDelay - 1, true},
-		"no peers discovered":             {forwarding.RoleJoining, true, true, firstStartDelay + firstStartJitter, false},
-		"no seeds":                        {forwarding.RoleJoining, false, true, 0, false},
-		"standalone":                      {forwarding.RoleStandalone, true, true, firstStartDelay + firstStartJitter, false},
-		"follower":                        {forwarding.RoleFollower, true, true, firstStartDelay + firstStartJitter, false},
-		"follower, discovery in progress": {forwarding.RoleFollower, true, true, firstStartDelay - 1, true},
-		"listener, before timeout":        {forwarding.RoleListener, true, true, firstListTimeout, true},
-		"listener, after timeout":         {forwarding.RoleListener, true, true, firstListTimeout + testTimings.listenerDelay + testTimings.listenerJitter, false},
-		"standby, before timeout":         {forwarding.RoleStandby, true, true, firstListTimeout - 1, true},
-		"standby, after timeout":          {forwarding.RoleStandby, true, true, firstListTimeout + testTimings.standbyJitter, false},
+		"restart, no peers discovered":    {gatewaydeps.RoleJoining, true, false, 0, false},
+		"restart, listener":               {gatewaydeps.RoleListener, true, false, 0, false},
+		"discovery in progress":           {gatewaydeps.RoleJoining, true, true, firstStartDelay - 1, true},
+		"no peers discovered":             {gatewaydeps.RoleJoining, true, true, firstStartDelay + firstStartJitter, false},
+		"no seeds":                        {gatewaydeps.RoleJoining, false, true, 0, false},
+		"standalone":                      {gatewaydeps.RoleStandalone, true, true, firstStartDelay + firstStartJitter, false},
+		"follower":                        {gatewaydeps.RoleFollower, true, true, firstStartDelay + firstStartJitter, false},
+		"follower, discovery in progress": {gatewaydeps.RoleFollower, true, true, firstStartDelay - 1, true},
+		"listener, before timeout":        {gatewaydeps.RoleListener, true, true, firstListTimeout, true},
+		"listener, after timeout":         {gatewaydeps.RoleListener, true, true, firstListTimeout + testTimings.listenerDelay + testTimings.listenerJitter, false},
+		"standby, before timeout":         {gatewaydeps.RoleStandby, true, true, firstListTimeout - 1, true},
+		"standby, after timeout":          {gatewaydeps.RoleStandby, true, true, firstListTimeout + testTimings.standbyJitter, false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := NewWithT(t)
-				pp := newPollPolicy(changeBound, func() forwarding.Role { return tc.role }, tc.seeds, tc.first)
+				pp := newPollPolicy(changeBound, func() gatewaydeps.Role { return tc.role }, tc.seeds, tc.first)
 				pp.suspended(time.Time{})
 				time.Sleep(tc.after)
 				g.Expect(pp.suspended(time.Time{})).To(Equal(tc.want))
@@ -110,15 +110,15 @@
 
 func TestBackoffBounds(t *testing.T) {
 	tests := map[string]struct {
-		role forwarding.Role
+		role gatewaydeps.Role
 		age  time.Duration
 		want timeRange
 	}{
-		"standalone":            {forwarding.RoleStandalone, 0, timeRange{minAloneBackoff, maxAloneBackoff}},
-		"listener":              {forwarding.RoleListener, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
-		"standby":               {forwarding.RoleStandby, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
-		"follower, fresh proof": {forwarding.RoleFollower, testTimings.maxPeerAge - 1, timeRange{minFollowerBackoff, maxFollowerBackoff}},
-		"follower, stale proof": {forwarding.RoleFollower, testTimings.maxPeerAge, timeRange{minAloneBackoff, maxAloneBackoff}},
+		"standalone":            {gatewaydeps.RoleStandalone, 0, timeRange{minAloneBackoff, maxAloneBackoff}},
+		"listener":              {gatewaydeps.RoleListener, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
+		"standby":               {gatewaydeps.RoleStandby, time.Hour, timeRange{minListenerBackoff, maxListenerBackoff}},
+		"follower, fresh proof": {gatewaydeps.RoleFollower, testTimings.maxPeerAge - 1, timeRange{minFollowerBackoff, maxFollowerBackoff}},
+		"follower, stale proof": {gatewaydeps.RoleFollower, testTimings.maxPeerAge, timeRange{minAloneBackoff, maxAloneBackoff}},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -133,9 +133,9 @@
 
 func TestWatchTimeout(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(policyFor(forwarding.RoleStandalone, true).watchTimeout()).To(Equal(testTimings.standaloneWatchTimeout))
-	g.Expect(policyFor(forwarding.RoleFollower, true).watchTimeout()).To(Equal(testTimings.followerWatchTimeout))
-	g.Expect(policyFor(forwarding.RoleListener, true).watchTimeout()).To(Equal(listenerWatchTimeout))
+	g.Expect(policyFor(gatewaydeps.RoleStandalone, true).watchTimeout()).To(Equal(testTimings.standaloneWatchTimeout))
+	g.Expect(policyFor(gatewaydeps.RoleFollower, true).watchTimeout()).To(Equal(testTimings.followerWatchTimeout))
+	g.Expect(policyFor(gatewaydeps.RoleListener, true).watchTimeout()).To(Equal(listenerWatchTimeout))
 }
 
 // TestTimingsFitBound checks for various bounds that listeners do not call the store while it responds to followers, and that if it
--- a/internal/duty/storesync/simfleet_test.go
+++ b/internal/duty/storesync/simfleet_test.go
@@ -16,7 +16,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silvermount/silvermount/internal/adapter"
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/position"
@@ -206,11 +206,11 @@
 
 func (fl *fleet) newInstance(i int) *simInstance {
 	si := &simInstance{name: fmt.Sprintf("instance-%d", i), store: fl.store}
-	sc := &forwarding.StoreCoordinator{}
+	sc := &gatewaydeps.StoreCoordinator{}
 	start := time.Now()
-	sc.SetRole(func() forwarding.Role {
+	sc.SetRole(func() gatewaydeps.Role {
 		if time.Since(start) < gossipInterval {
-			return forwarding.RoleJoining
+			return gatewaydeps.RoleJoining
 		}
 		return fl.assignRole(i)
 	})
@@ -223,7 +223,7 @@
 			},
 			Target: func(ob objectstore.Object) (targets.Target, error) { return targets.Target{ID: ob.Name}, nil },
 		},
-		rts: &routes.Holder{}, dr: targets.New(time.Now), stateNotifier: &forwarding.Notifier{}, coordinator: sc, hasSeeds: true, firstStart: true,
+		rts: &routes.Holder{}, dr: targets.New(time.Now), stateNotifier: &gatewaydeps.Notifier{}, coordinator: sc, hasSeeds: true, firstStart: true,
 		leavingBound: changeBound, configurationBound: changeBound,
 		lg: &log.Logger{Handler: discard.New(), Level: log.ErrorLevel},
 	}
@@ -233,11 +233,11 @@
 
 // assignRole returns the role of an instance. Followers are the first live instances that the store responds to, and those that
 // would be followers if it responded to all. An isolated instance is standalone.
-func (fl *fleet) assignRole(i int) forwarding.Role {
+func (fl *fleet) assignRole(i int) gatewaydeps.Role {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	if fl.instances[i].isolated.Load() {
-		return forwarding.RoleStandalone
+		return gatewaydeps.RoleStandalone
 	}
 	rank, rankIfAnswered := 0, 0
 	for j, si := range fl.instances {
@@ -253,11 +253,11 @@
 	}
 	switch {
 	case rank < followerCount, rankIfAnswered < followerCount:
-		return forwarding.RoleFollower
+		return gatewaydeps.RoleFollower
 	case rank < followerCount+standbyCount:
-		return forwarding.RoleStandby
+		return gatewaydeps.RoleStandby
 	default:
-		return forwarding.RoleListener
+		return gatewaydeps.RoleListener
 	}
 }
 
--- a/internal/duty/storesync/storesync.go
+++ b/internal/duty/storesync/storesync.go
@@ -10,7 +10,7 @@
 
 	"github.com/silvermount/silvermount/internal/adapter"
 	"github.com/silvermount/silvermount/internal/config"
-	"github.com/silvermount/silvermount/internal/duty/forwarding"
+	"github.com/silvermount/silvermount/internal/duty/gatewaydeps"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/listwatch"
 	"github.com/silvermount/silvermount/internal/objectstore"
@@ -30,9 +30,9 @@
 	dr  *targets.Directory
 	lg  log.Interface
 	// stateNotifier is notified of changes that peers may not know yet.
-	stateNotifier *forwarding.Notifier
+	stateNotifier *gatewaydeps.Notifier
 	// coordinator knows whether peers watch the store on behalf of this instance.
-	coordinator *forwarding.StoreCoordinator
+	coordinator *gatewaydeps.StoreCoordinator
 	// hasSeeds is set if there may be peers, firstStart if the whole fleet is starting for the first time.
 	hasSeeds, firstStart bool
 	// detector is notified of each successful and each failed call.
@@ -51,7 +51,7 @@
 }
 
 func start(_ context.Context, env *kernel.Env) (kernel.Stop, error) {
-	co, err := kernel.Resolve[*forwarding.Components](env)
+	co, err := kernel.Resolve[*gatewaydeps.Components](env)
 	if err != nil {
 		return nil, err
 	}
@@ -114,8 +114,8 @@
 	if pp.suspended(lastUpdate) {
 		return true
 	}
-	if role := pp.role(); role >= forwarding.RoleStandby {
-		fs := log.Fields{"kind": kind, "stand_in": role == forwarding.RoleStandby}
+	if role := pp.role(); role >= gatewaydeps.RoleStandby {
+		fs := log.Fields{"kind": kind, "stand_in": role == gatewaydeps.RoleStandby}
 		if !lastUpdate.IsZero() {
 			fs["age"] = time.Since(lastUpdate).Round(time.Millisecond).String()
 		}
