--- a/internal/e2e/job_test.go
+++ b/internal/e2e/job_test.go
@@ -15,7 +15,7 @@
 	"github.com/silvermount/silvermount/internal/job"
 	"github.com/silvermount/silvermount/internal/localfleet"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/standin/answer"
+	"github.com/silvermount/silvermount/internal/standin/tokengen"
 )
 
 func startJobFleet(t *testing.T, scale float64) *localfleet.Fleet {
@@ -63,7 +63,7 @@
 	for id, prompt := range prompts {
 		g.Eventually(jobState(t, remainingURL, id), 30*time.Second, 50*time.Millisecond).Should(Equal(job.Done))
 		resp := call(t, http.MethodGet, remainingURL+"/v1/jobs/"+id+"/answer", nil)
-		g.Expect(resp.body).To(ContainSubstring(answer.Generate(prompt, 4)))
+		g.Expect(resp.body).To(ContainSubstring(tokengen.Generate(prompt, 4)))
 	}
 }
 
--- a/internal/e2e/stream_test.go
+++ b/internal/e2e/stream_test.go
@@ -11,7 +11,7 @@
 	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/localfleet"
-	"github.com/silvermount/silvermount/internal/standin/answer"
+	"github.com/silvermount/silvermount/internal/standin/tokengen"
 )
 
 // streamText returns the text of an event stream. It fails the test if the stream does not end with [DONE].
@@ -70,7 +70,7 @@
 			tc.fault(lf)
 			resp := call(t, http.MethodPost, lf.URLs()[0]+tc.path, tc.body)
 			g.Expect(resp.status).To(Equal(http.StatusOK), resp.body)
-			g.Expect(streamText(t, resp.body)).To(Equal(answer.Generate(tc.prompt, output)))
+			g.Expect(streamText(t, resp.body)).To(Equal(tokengen.Generate(tc.prompt, output)))
 			sv, err := kernel.Resolve[*callerapi.Server](lf.Instances[0].Env())
 			g.Expect(err).NotTo(HaveOccurred())
 			resumedCount := sv.Metrics.GetOrCreateCounter("silvermount_streams_resumed_total").Get()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -8,7 +8,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/standin/answer"
+	"github.com/silvermount/silvermount/internal/standin/tokengen"
 )
 
 func testWorkload() Workload {
@@ -35,7 +35,7 @@
 
 func TestReadAnswerClassifiesAnswers(t *testing.T) {
 	chunk := func(text string) string { return `data: {"choices":[{"text":"` + text + `"}]}` + "\n\n" }
-	expected := answer.New("p").Next()
+	expected := tokengen.New("p").Next()
 	tests := map[string]struct {
 		stream                    string
 		status                    int
--- a/internal/standin/enginesim/enginesim.go
+++ b/internal/standin/enginesim/enginesim.go
@@ -9,7 +9,7 @@
 
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/ident"
-	"github.com/silvermount/silvermount/internal/standin/answer"
+	"github.com/silvermount/silvermount/internal/standin/tokengen"
 )
 
 // Params are the speeds and sizes of an engine.
@@ -68,7 +68,7 @@
 	borrowedTokens int
 	computedTokens int
 	admitted       bool
-	generator      *answer.Generator
+	generator      *tokengen.Generator
 	tokens         []string
 	blockHashes    []uint64
 	done           bool
--- a/internal/standin/enginesim/http.go
+++ b/internal/standin/enginesim/http.go
@@ -13,7 +13,7 @@
 
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/jsonreply"
-	"github.com/silvermount/silvermount/internal/standin/answer"
+	"github.com/silvermount/silvermount/internal/standin/tokengen"
 )
 
 const (
@@ -136,7 +136,7 @@
 		id: h.Get(engine.HeaderAttempt), holder: h.Get(engine.HeaderHolder), model: cr.Model, priority: priority, chat: chat,
 		deadline:     time.Now().Add(time.Duration(leftMillis) * time.Millisecond),
 		promptTokens: max(1, len(prompt)/engine.BytesPerToken), outputTokens: cr.MaxTokens, borrowedTokens: borrowed,
-		generator: answer.New(prompt), blockHashes: blockHashes(prompt), changed: make(chan struct{}),
+		generator: tokengen.New(prompt), blockHashes: blockHashes(prompt), changed: make(chan struct{}),
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/standin/answer/answer.go
+++ b/internal/standin/tokengen/tokengen.go
@@ -1,5 +1,5 @@
-// Package answer generates the output of stand-in engines, which depends on the prompt alone.
-package answer
+// Package tokengen generates the output of stand-in engines, which depends on the prompt alone.
+package tokengen
 
 import (
 	"crypto/sha256"
