--- a/internal/standin/modelsim/modelsim.go
+++ b/internal/standin/modelsim/modelsim.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/standin/fault"
+	"github.com/silvermount/silvermount/internal/standin/targetsim"
 )
 
 const (
@@ -30,7 +30,7 @@
 
 // Settings are the settings of an engine.
 type Settings struct {
-	fault.Settings
+	targetsim.Settings
 	// MemoryTokens is the size of the memory in tokens.
 	MemoryTokens int
 	// MaxHold is the maximum time for which a ticket reserves memory.
@@ -65,9 +65,9 @@
 
 // Engine is a stand-in engine.
 type Engine struct {
-	*fault.Server
+	*targetsim.Server
 	settings  Settings
-	admission *fault.AdmissionQueue
+	admission *targetsim.AdmissionQueue
 
 	mu      sync.Mutex
 	version int
@@ -85,18 +85,18 @@
 // Start starts an engine on a free port of the loopback address.
 func Start(opts ...Option) (*Engine, error) {
 	se := Settings{
-		Settings: fault.DefaultSettings(), MemoryTokens: defaultMemoryTokens, MaxHold: defaultMaxHold, EventInterval: defaultEventInterval,
+		Settings: targetsim.DefaultSettings(), MemoryTokens: defaultMemoryTokens, MaxHold: defaultMaxHold, EventInterval: defaultEventInterval,
 		TokensPerEvent: defaultTokensPerEvent, Model: defaultModel,
 	}
 	for _, opt := range opts {
 		opt(&se)
 	}
 	en := &Engine{
-		settings: se, admission: fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.MemoryTokens), version: firstVersion, slowdown: 1,
+		settings: se, admission: targetsim.NewAdmissionQueue(se.Slots, se.MaxWaiting, se.MemoryTokens), version: firstVersion, slowdown: 1,
 		tickets: map[string]*ticket{}, helping: map[*helperUse]struct{}{},
 	}
-	control := map[string]func([]byte) fault.Response{ReportRoute: en.handleReport, OrderRoute: en.handleOrder}
-	sv, err := fault.Start(se.Settings, en.admission, fault.Handler{Control: control, Check: en.check, Run: en.run})
+	control := map[string]func([]byte) targetsim.Response{ReportRoute: en.handleReport, OrderRoute: en.handleOrder}
+	sv, err := targetsim.Start(se.Settings, en.admission, targetsim.Handler{Control: control, Check: en.check, Run: en.run})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/standin/modelsim/modelsim_test.go
+++ b/internal/standin/modelsim/modelsim_test.go
@@ -13,8 +13,8 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/standin/fault"
 	"github.com/silvermount/silvermount/internal/standin/modelsim"
+	"github.com/silvermount/silvermount/internal/standin/targetsim"
 )
 
 // testTimeout bounds the waits for conditions that normally hold within milliseconds.
@@ -96,7 +96,7 @@
 	rn := en.Runs()[0]
 	g.Expect(rn.Tenant).To(Equal("t1"))
 	g.Expect(rn.UntilDeadline).To(Equal(9 * time.Second))
-	g.Expect(rn.BodyHash).To(Equal(fault.Hash([]byte("prompt"))))
+	g.Expect(rn.BodyHash).To(Equal(targetsim.Hash([]byte("prompt"))))
 	g.Eventually(en.MemoryUsed).WithTimeout(testTimeout).Should(BeZero())
 }
 
@@ -131,21 +131,21 @@
 func TestTruncateFaultBreaksTheStreamInTheMiddleOfAnEvent(t *testing.T) {
 	g := NewWithT(t)
 	en := start(t, func(se *modelsim.Settings) { se.TruncateAfter = 2 })
-	en.InjectFault(fault.Truncate, 1)
+	en.InjectFault(targetsim.Truncate, 1)
 	rs := ask(t.Context(), en, nil)
 	g.Expect(rs.err).To(HaveOccurred())
 	g.Expect(rs.body).To(HavePrefix(events(1, 2)))
 	g.Expect(events(1, 3)).To(HavePrefix(rs.body))
 	g.Expect(len(rs.body)).To(BeNumerically(">", len(events(1, 2))))
-	g.Eventually(func() fault.State { return en.Runs()[0].State }).WithTimeout(testTimeout).Should(Equal(fault.Aborted))
+	g.Eventually(func() targetsim.State { return en.Runs()[0].State }).WithTimeout(testTimeout).Should(Equal(targetsim.Aborted))
 }
 
 func TestResetFaultRunsTheWholeRequest(t *testing.T) {
 	g := NewWithT(t)
 	en := start(t)
-	en.InjectFault(fault.Reset, 1)
+	en.InjectFault(targetsim.Reset, 1)
 	g.Expect(ask(t.Context(), en, nil).err).To(HaveOccurred())
-	g.Eventually(func() fault.State { return en.Runs()[0].State }).WithTimeout(testTimeout).Should(Equal(fault.Done))
+	g.Eventually(func() targetsim.State { return en.Runs()[0].State }).WithTimeout(testTimeout).Should(Equal(targetsim.Done))
 	g.Expect(ask(t.Context(), en, nil).body).To(Equal(events(1, 5)))
 }
 
@@ -258,7 +258,7 @@
 	}
 	g.Eventually(en.MemoryUsed).WithTimeout(testTimeout).Should(BeZero())
 	for _, rn := range en.Runs() {
-		g.Expect(rn.State).To(Equal(fault.Aborted))
+		g.Expect(rn.State).To(Equal(targetsim.Aborted))
 	}
 }
 
@@ -283,7 +283,7 @@
 func TestOrderIsAppliedWhenItsResponseIsLost(t *testing.T) {
 	g := NewWithT(t)
 	en := start(t)
-	en.InjectControlFault(modelsim.OrderRoute, fault.Reset, 1)
+	en.InjectControlFault(modelsim.OrderRoute, targetsim.Reset, 1)
 	g.Expect(order(t, en, `{"op":"reserve","id":"t","token_count":10,"hold_ms":9000}`).err).To(HaveOccurred())
 	g.Expect(en.Tickets()).To(HaveLen(1))
 }
--- a/internal/standin/modelsim/order.go
+++ b/internal/standin/modelsim/order.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/standin/fault"
+	"github.com/silvermount/silvermount/internal/standin/targetsim"
 )
 
 // maxTickets is the maximum number of tickets that the protocol allows at an engine.
@@ -58,7 +58,7 @@
 	return slices.Clone(en.orders)
 }
 
-func (en *Engine) handleOrder(body []byte) fault.Response {
+func (en *Engine) handleOrder(body []byte) targetsim.Response {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	var or Order
@@ -68,7 +68,7 @@
 	}
 	en.orders = append(en.orders, or)
 	if or.Status == http.StatusBadRequest {
-		return fault.NewResponse(or.Status, nil)
+		return targetsim.NewResponse(or.Status, nil)
 	}
 	return jsonResponse(or.Status, struct {
 		Free int `json:"free"`
@@ -220,7 +220,7 @@
 	Tickets  []Ticket      `json:"tickets"`
 }
 
-func (en *Engine) handleReport([]byte) fault.Response {
+func (en *Engine) handleReport([]byte) targetsim.Response {
 	tickets := en.Tickets()
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -232,10 +232,10 @@
 	})
 }
 
-func jsonResponse(status int, v any) fault.Response {
+func jsonResponse(status int, v any) targetsim.Response {
 	body, err := json.Marshal(v)
 	if err != nil {
-		return fault.NewResponse(http.StatusInternalServerError, []byte(err.Error()))
+		return targetsim.NewResponse(http.StatusInternalServerError, []byte(err.Error()))
 	}
-	return fault.NewResponse(status, body).WithHeader("Content-Type", "application/json")
+	return targetsim.NewResponse(status, body).WithHeader("Content-Type", "application/json")
 }
--- a/internal/standin/modelsim/stream.go
+++ b/internal/standin/modelsim/stream.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/standin/fault"
+	"github.com/silvermount/silvermount/internal/standin/targetsim"
 )
 
 // The headers of the protocol that concern models.
@@ -39,20 +39,20 @@
 }
 
 // check returns the memory that a request needs at this engine, in tokens, or a refusal.
-func (en *Engine) check(rq *http.Request) (int, *fault.Response) {
+func (en *Engine) check(rq *http.Request) (int, *targetsim.Response) {
 	want := rq.Header.Get(HeaderExpectVersion)
 	if want != "" && want != strconv.Itoa(en.Version()) {
-		rs := fault.NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(fault.HeaderInstance, en.InstanceID())
+		rs := targetsim.NewResponse(http.StatusMisdirectedRequest, nil).WithHeader(targetsim.HeaderInstance, en.InstanceID())
 		return 0, &rs
 	}
 	us, ok := parseUsage(rq)
 	if !ok {
-		rs := fault.Refusal(http.StatusBadRequest)
+		rs := targetsim.Refusal(http.StatusBadRequest)
 		return 0, &rs
 	}
-	helpers, ok := parseHelpers(rq.Header.Get(fault.HeaderHelpers))
+	helpers, ok := parseHelpers(rq.Header.Get(targetsim.HeaderHelpers))
 	if !ok {
-		rs := fault.Refusal(http.StatusBadRequest)
+		rs := targetsim.Refusal(http.StatusBadRequest)
 		return 0, &rs
 	}
 	lent, unavailable := en.lentTokens(helpers)
@@ -64,14 +64,14 @@
 }
 
 // refusalNaming returns the refusal of a request that the engine at the address made impossible.
-func refusalNaming(address string) fault.Response {
-	return fault.Refusal(http.StatusServiceUnavailable).WithHeader(fault.HeaderAtServer, address)
+func refusalNaming(address string) targetsim.Response {
+	return targetsim.Refusal(http.StatusServiceUnavailable).WithHeader(targetsim.HeaderAtServer, address)
 }
 
 // run computes the prefill together with the helpers, and returns a stream that begins with the first event that the
 // caller has not received yet.
-func (en *Engine) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
-	helpers, _ := parseHelpers(rq.Header.Get(fault.HeaderHelpers)) // check has refused requests with invalid headers
+func (en *Engine) run(ctx context.Context, rq *http.Request, begin func()) targetsim.Response {
+	helpers, _ := parseHelpers(rq.Header.Get(targetsim.HeaderHelpers)) // check has refused requests with invalid headers
 	hctx := en.engageHelpers(ctx, helpers)
 	us, _ := parseUsage(rq) // check has refused requests with invalid headers
 	engines := time.Duration(1 + len(helpers))
@@ -82,10 +82,10 @@
 	return en.stream(hctx, rq, us)
 }
 
-func (en *Engine) stream(ctx context.Context, rq *http.Request, us usage) fault.Response {
+func (en *Engine) stream(ctx context.Context, rq *http.Request, us usage) targetsim.Response {
 	version := en.Version()
 	last := (us.answerTokens + en.settings.TokensPerEvent - 1) / en.settings.TokensPerEvent
-	lastReceived, err := strconv.Atoi(rq.Header.Get(fault.HeaderLastEventID))
+	lastReceived, err := strconv.Atoi(rq.Header.Get(targetsim.HeaderLastEventID))
 	if err != nil {
 		lastReceived = 0 // a request without a valid event id gets the stream from its start
 	}
@@ -103,7 +103,7 @@
 		}
 		return true
 	}
-	rs := fault.Response{Status: http.StatusOK, Header: http.Header{}, Length: fault.Chunked, Body: body}
+	rs := targetsim.Response{Status: http.StatusOK, Header: http.Header{}, Length: targetsim.Chunked, Body: body}
 	return rs.WithHeader("Content-Type", eventStreamType).WithHeader(HeaderVersions, strconv.Itoa(version))
 }
 
@@ -121,7 +121,7 @@
 // EventData returns the data of an event in the response to a request with this URI and prompt prefix.
 func EventData(uri, prefix string, id int) string {
 	const hashDigits = 16 // enough digits of the hash to distinguish responses
-	return fmt.Sprintf("%s-%d", fault.Hash([]byte(uri + "\n" + prefix))[:hashDigits], id)
+	return fmt.Sprintf("%s-%d", targetsim.Hash([]byte(uri + "\n" + prefix))[:hashDigits], id)
 }
 
 // sleep reports false when ctx ends before d is over.
--- a/internal/standin/plainsim/plainsim.go
+++ b/internal/standin/plainsim/plainsim.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"github.com/silvermount/silvermount/internal/standin/fault"
+	"github.com/silvermount/silvermount/internal/standin/targetsim"
 )
 
 const (
@@ -21,7 +21,7 @@
 
 // Settings are the settings of a service.
 type Settings struct {
-	fault.Settings
+	targetsim.Settings
 	// ServiceTime is how long a request runs.
 	ServiceTime time.Duration
 	// ResponseBytes is the length of a response body.
@@ -46,7 +46,7 @@
 
 // Service is a stand-in service.
 type Service struct {
-	*fault.Server
+	*targetsim.Server
 	settings Settings
 
 	mu sync.Mutex
@@ -57,13 +57,13 @@
 
 // Start starts a service on a free port of the loopback address.
 func Start(opts ...Option) (*Service, error) {
-	se := Settings{Settings: fault.DefaultSettings(), ServiceTime: defaultServiceTime, ResponseBytes: defaultResponseBytes}
+	se := Settings{Settings: targetsim.DefaultSettings(), ServiceTime: defaultServiceTime, ResponseBytes: defaultResponseBytes}
 	for _, opt := range opts {
 		opt(&se)
 	}
 	svc := &Service{settings: se, serviceTime: se.ServiceTime}
-	aq := fault.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
-	sv, err := fault.Start(se.Settings, aq, fault.Handler{Run: svc.run})
+	aq := targetsim.NewAdmissionQueue(se.Slots, se.MaxWaiting, 0)
+	sv, err := targetsim.Start(se.Settings, aq, targetsim.Handler{Run: svc.run})
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	return strings.Repeat(line, svc.settings.ResponseBytes/len(line)+1)[:svc.settings.ResponseBytes]
 }
 
-func (svc *Service) run(ctx context.Context, rq *http.Request, begin func()) fault.Response {
+func (svc *Service) run(ctx context.Context, rq *http.Request, begin func()) targetsim.Response {
 	begin()
 	serviceTime, failed := svc.startRun()
 	select {
@@ -92,9 +92,9 @@
 	case <-ctx.Done():
 	}
 	if failed {
-		return fault.NewResponse(http.StatusInternalServerError, []byte("failed"))
+		return targetsim.NewResponse(http.StatusInternalServerError, []byte("failed"))
 	}
-	return fault.NewResponse(http.StatusOK, []byte(svc.ResponseBody(rq.Method, rq.RequestURI)))
+	return targetsim.NewResponse(http.StatusOK, []byte(svc.ResponseBody(rq.Method, rq.RequestURI)))
 }
 
 // startRun counts a run and returns its service time, and whether it is to fail.
--- a/internal/standin/plainsim/plainsim_test.go
+++ b/internal/standin/plainsim/plainsim_test.go
@@ -13,8 +13,8 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/standin/fault"
 	"github.com/silvermount/silvermount/internal/standin/plainsim"
+	"github.com/silvermount/silvermount/internal/standin/targetsim"
 )
 
 const (
@@ -87,12 +87,12 @@
 	g.Expect(svc.ConnectionCount()).To(Equal(1))
 	rn := svc.Runs()[0]
 	g.Expect(rn.URI).To(Equal("/p/x?q=1"))
-	g.Expect(rn.BodyHash).To(Equal(fault.Hash([]byte("hello"))))
+	g.Expect(rn.BodyHash).To(Equal(targetsim.Hash([]byte("hello"))))
 	g.Expect(rn.InstanceID).To(Equal(svc.InstanceID()))
 }
 
 func TestInjectedFaultAffectsOneRequest(t *testing.T) {
-	cases := map[fault.Kind]struct {
+	cases := map[targetsim.Kind]struct {
 		status int
 		// broken is set when the response does not arrive completely.
 		broken bool
@@ -100,17 +100,17 @@
 		value  string
 		runs   int
 	}{
-		fault.Reset:          {broken: true, runs: 1},
-		fault.Garbage:        {broken: true, runs: 1},
-		fault.Truncate:       {broken: true, status: 200, runs: 1},
-		fault.InternalError:  {status: 500, runs: 1},
-		fault.Refuse:         {status: 503, header: "X-Not-Executed", value: "1"},
-		fault.WrongAttempt:   {status: 200, header: "X-Attempt-Id", value: "another-attempt", runs: 1},
-		fault.WrongSignature: {status: 200, header: "X-Engine-Signature", value: "another.signature", runs: 1},
-		fault.NoSignature:    {status: 200, header: "X-Engine-Signature", value: "", runs: 1},
-		fault.WrongEncoding:  {status: 200, header: "Content-Encoding", value: "gzip", runs: 1},
-		fault.NoLength:       {status: 200, header: "Content-Length", value: "", runs: 1},
-		fault.EarlyResponse:  {status: 200, runs: 1},
+		targetsim.Reset:          {broken: true, runs: 1},
+		targetsim.Garbage:        {broken: true, runs: 1},
+		targetsim.Truncate:       {broken: true, status: 200, runs: 1},
+		targetsim.InternalError:  {status: 500, runs: 1},
+		targetsim.Refuse:         {status: 503, header: "X-Not-Executed", value: "1"},
+		targetsim.WrongAttempt:   {status: 200, header: "X-Attempt-Id", value: "another-attempt", runs: 1},
+		targetsim.WrongSignature: {status: 200, header: "X-Engine-Signature", value: "another.signature", runs: 1},
+		targetsim.NoSignature:    {status: 200, header: "X-Engine-Signature", value: "", runs: 1},
+		targetsim.WrongEncoding:  {status: 200, header: "Content-Encoding", value: "gzip", runs: 1},
+		targetsim.NoLength:       {status: 200, header: "Content-Length", value: "", runs: 1},
+		targetsim.EarlyResponse:  {status: 200, runs: 1},
 	}
 	for kd, tc := range cases {
 		t.Run(string(kd), func(t *testing.T) {
@@ -134,7 +134,7 @@
 }
 
 func TestExtraResponseArrivesBeforeTheNextResponse(t *testing.T) {
-	for _, kd := range []fault.Kind{fault.ExtraResponse, fault.DelayedExtraResponse} {
+	for _, kd := range []targetsim.Kind{targetsim.ExtraResponse, targetsim.DelayedExtraResponse} {
 		t.Run(string(kd), func(t *testing.T) {
 			g := NewWithT(t)
 			svc := start(t)
@@ -153,7 +153,7 @@
 func TestEarlyResponseReadsTheBodyAfterwards(t *testing.T) {
 	g := NewWithT(t)
 	svc := start(t)
-	svc.InjectFault(fault.EarlyResponse, 1)
+	svc.InjectFault(targetsim.EarlyResponse, 1)
 	cl := dial(t, svc)
 	fmt.Fprint(cl.conn, "POST / HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: a1\r\nContent-Length: 10\r\n\r\n")
 	g.Expect(cl.read().status).To(Equal(200))
@@ -161,13 +161,13 @@
 	fmt.Fprint(cl.conn, "0123456789")
 	cl.send("GET /next", "")
 	g.Expect(cl.read().body).To(Equal(svc.ResponseBody("GET", "/next")))
-	g.Expect(svc.Runs()[0].BodyHash).To(Equal(fault.Hash([]byte("0123456789"))))
+	g.Expect(svc.Runs()[0].BodyHash).To(Equal(targetsim.Hash([]byte("0123456789"))))
 }
 
 func TestHangEndsWhenTheCallerDisconnects(t *testing.T) {
 	g := NewWithT(t)
 	svc := start(t)
-	svc.InjectFault(fault.Hang, 1)
+	svc.InjectFault(targetsim.Hang, 1)
 	cl := dial(t, svc)
 	cl.send("GET /", "")
 	g.Eventually(svc.Runs).WithTimeout(testTimeout).Should(HaveLen(1))
@@ -269,7 +269,7 @@
 	g.Eventually(svc.WaitingCount).WithTimeout(testTimeout).Should(Equal(1))
 	first.conn.Close()
 	g.Expect(second.read().body).To(Equal(svc.ResponseBody("GET", "/second")))
-	g.Expect(svc.Runs()[0].State).To(Equal(fault.Cancelled))
+	g.Expect(svc.Runs()[0].State).To(Equal(targetsim.Cancelled))
 }
 
 func TestServesTheStandardHTTPClient(t *testing.T) {
--- a/internal/standin/fault/admission_test.go
+++ b/internal/standin/targetsim/admission_test.go
@@ -1,4 +1,4 @@
-package fault_test
+package targetsim_test
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"github.com/silvermount/silvermount/internal/standin/fault"
+	"github.com/silvermount/silvermount/internal/standin/targetsim"
 )
 
 // testTimeout bounds the waits for conditions that normally hold within milliseconds.
@@ -15,7 +15,7 @@
 
 func TestAdmissionQueueAdmitsTheMostUrgentRequestFirst(t *testing.T) {
 	g := NewWithT(t)
-	aq := fault.NewAdmissionQueue(1, 2, 0)
+	aq := targetsim.NewAdmissionQueue(1, 2, 0)
 	g.Expect(aq.Acquire(t.Context(), 5, 0)).To(BeTrue())
 	order := make(chan int, 2)
 	for n, priority := range []int{7, 2} {
@@ -34,7 +34,7 @@
 
 func TestAdmissionQueueHoldsRequestsBackWhileAReservationWaits(t *testing.T) {
 	g := NewWithT(t)
-	aq := fault.NewAdmissionQueue(4, 4, 100)
+	aq := targetsim.NewAdmissionQueue(4, 4, 100)
 	g.Expect(aq.Acquire(t.Context(), 5, 101)).To(BeFalse(), "the request needs more than the total memory")
 	g.Expect(aq.Acquire(t.Context(), 5, 60)).To(BeTrue())
 	g.Expect(aq.Reserve(60, false)).To(BeNil())
--- a/internal/standin/fault/conn.go
+++ b/internal/standin/targetsim/conn.go
@@ -1,4 +1,4 @@
-package fault
+package targetsim
 
 import (
 	"bufio"
--- a/internal/standin/fault/run.go
+++ b/internal/standin/targetsim/run.go
@@ -1,4 +1,4 @@
-package fault
+package targetsim
 
 import (
 	"crypto/sha256"
--- a/internal/standin/fault/server.go
+++ b/internal/standin/targetsim/server.go
@@ -1,6 +1,6 @@
-// Package fault is the common part of the stand-in targets: a server on raw connections that speaks the targets'
+// Package targetsim is the common part of the stand-in targets: a server on raw connections that speaks the targets'
 // protocol, injects faults on request, and records the requests that it ran.
-package fault
+package targetsim
 
 import (
 	"bytes"
