--- a/cmd/slopes.go
+++ b/cmd/slopes.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/apex/log"
 
-	"github.com/silvermount/silvermount/internal/slopes"
+	"github.com/silvermount/silvermount/internal/controlcost"
 )
 
 type slopesCommand struct {
@@ -18,7 +18,7 @@
 	defer cancel()
 	lg := sc.logger()
 	lg.Level = max(lg.Level, log.FatalLevel)
-	report, err := slopes.Run(ctx, slopes.Options{Instances: sc.Instances, Progress: sc.out, Log: lg})
+	report, err := controlcost.Run(ctx, controlcost.Options{Instances: sc.Instances, Progress: sc.out, Log: lg})
 	if err != nil {
 		return err
 	}
--- a/internal/slopes/slopes.go
+++ b/internal/controlcost/controlcost.go
@@ -1,6 +1,6 @@
-// Package slopes measures how the cost of the control plane grows with the size of the fleet, the rate of requests and the size of
+// Package controlcost measures how the cost of the control plane grows with the size of the fleet, the rate of requests and the size of
 // the bundle.
-package slopes
+package controlcost
 
 import (
 	"context"
