--- a/cmd/burn.go
+++ b/cmd/burn.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/burn"
+	"github.com/silvermount/silvermount/internal/errorbudget"
 	"github.com/silvermount/silvermount/internal/signoff"
 )
 
@@ -22,8 +22,8 @@
 
 // burnReport is the JSON output.
 type burnReport struct {
-	Rows   []burn.WindowRate `json:"rows"`
-	Alerts []burn.Alert      `json:"alerts"`
+	Rows   []errorbudget.WindowRate `json:"rows"`
+	Alerts []errorbudget.Alert      `json:"alerts"`
 	// Missing are the names of instances that did not reply.
 	Missing []string `json:"missing"`
 }
@@ -41,7 +41,7 @@
 		return err
 	}
 	var report burnReport
-	var windows [][]burn.Window
+	var windows [][]errorbudget.Window
 	for _, r := range replies {
 		if r.Err != nil {
 			report.Missing = append(report.Missing, r.Instance.Name)
@@ -49,9 +49,9 @@
 		}
 		windows = append(windows, r.Value)
 	}
-	report.Rows, report.Alerts = burn.Report(burn.Merge(windows...), b.Classes)
+	report.Rows, report.Alerts = errorbudget.Report(errorbudget.Merge(windows...), b.Classes)
 	if bc.Plot != "" {
-		if err := burn.Plot(bc.Plot, report.Rows); err != nil {
+		if err := errorbudget.Plot(bc.Plot, report.Rows); err != nil {
 			return err
 		}
 	}
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -15,10 +15,10 @@
 	"github.com/go-chi/chi/v5"
 
 	"github.com/silvermount/silvermount/internal/budget"
-	"github.com/silvermount/silvermount/internal/burn"
 	"github.com/silvermount/silvermount/internal/cancel"
 	"github.com/silvermount/silvermount/internal/claim"
 	"github.com/silvermount/silvermount/internal/engine"
+	"github.com/silvermount/silvermount/internal/errorbudget"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/inflight"
@@ -55,7 +55,7 @@
 	Bodies      *budget.Memory
 	Claims      *claim.Claimer
 	Tickets     *ticket.Ledger
-	Burn        *burn.Recorder
+	Burn        *errorbudget.Recorder
 	Canceller   *cancel.Canceller
 	Metrics     *metrics.Set
 	Log         log.Interface
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -11,7 +11,6 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/budget"
-	"github.com/silvermount/silvermount/internal/burn"
 	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/cancel"
 	"github.com/silvermount/silvermount/internal/claim"
@@ -20,6 +19,7 @@
 	"github.com/silvermount/silvermount/internal/duty/listen"
 	"github.com/silvermount/silvermount/internal/duty/reports"
 	"github.com/silvermount/silvermount/internal/engine"
+	"github.com/silvermount/silvermount/internal/errorbudget"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/memoryreservation"
@@ -140,7 +140,7 @@
 	if d.Bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return d, err
 	}
-	if d.Burn, err = kernel.Resolve[*burn.Recorder](env); err != nil {
+	if d.Burn, err = kernel.Resolve[*errorbudget.Recorder](env); err != nil {
 		return d, err
 	}
 	if d.Canceller, err = kernel.Resolve[*cancel.Canceller](env); err != nil {
--- a/internal/duty/discovery/discovery.go
+++ b/internal/duty/discovery/discovery.go
@@ -9,9 +9,9 @@
 
 	"github.com/apex/log"
 
-	"github.com/silvermount/silvermount/internal/burn"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/duty/listen"
+	"github.com/silvermount/silvermount/internal/errorbudget"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/objectstore"
@@ -55,7 +55,7 @@
 	fl := fleet.New(self, fleet.WithPeerTimeout(env.Settings.Peers.Lost.Std()))
 	kernel.Provide(env, fl)
 	kernel.Provide(env, rollout.New())
-	kernel.Provide(env, burn.New(time.Now))
+	kernel.Provide(env, errorbudget.New(time.Now))
 	lg := env.Logger("knowledge")
 	targets := kernel.Go(func(ctx context.Context) {
 		ListAndWatch(ctx, cl, objectstore.KindTargets, targetWatchInterval, lg, func(objects []objectstore.Object) { fl.SetTargets(decodeObjects[fleet.Target](objects, lg)) })
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -14,10 +14,10 @@
 	"github.com/go-chi/chi/v5"
 
 	"github.com/silvermount/silvermount/internal/bundlestore"
-	"github.com/silvermount/silvermount/internal/burn"
 	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/duty/listen"
+	"github.com/silvermount/silvermount/internal/errorbudget"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/jsonreply"
 	"github.com/silvermount/silvermount/internal/kernel"
@@ -50,7 +50,7 @@
 	env     *kernel.Env
 	fleet   *fleet.Fleet
 	bundles *rollout.Holder
-	burn    *burn.Recorder
+	burn    *errorbudget.Recorder
 	metrics *metrics.Set
 	mesh    *peer.Mesh
 	server  *callerapi.Server
@@ -102,7 +102,7 @@
 	if ap.bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
 		return nil, err
 	}
-	if ap.burn, err = kernel.Resolve[*burn.Recorder](env); err != nil {
+	if ap.burn, err = kernel.Resolve[*errorbudget.Recorder](env); err != nil {
 		return nil, err
 	}
 	if ap.metrics, err = kernel.Resolve[*metrics.Set](env); err != nil {
--- a/internal/burn/burn.go
+++ b/internal/errorbudget/errorbudget.go
@@ -1,5 +1,5 @@
-// Package burn computes how fast each class consumes the error budget of its objective.
-package burn
+// Package errorbudget computes how fast each class consumes the error budget of its objective.
+package errorbudget
 
 import (
 	"slices"
--- a/internal/burn/plot.go
+++ b/internal/errorbudget/plot.go
@@ -1,4 +1,4 @@
-package burn
+package errorbudget
 
 import (
 	"github.com/cockroachdb/errors"
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -11,8 +11,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/burn"
 	"github.com/silvermount/silvermount/internal/duty/operators"
+	"github.com/silvermount/silvermount/internal/errorbudget"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/objectstore"
 )
@@ -48,8 +48,8 @@
 }
 
 // BurnWindows returns the counts of missed objectives of every instance.
-func (cl *Client) BurnWindows(ctx context.Context) ([]Reply[[]burn.Window], error) {
-	return queryAll[[]burn.Window](ctx, cl, http.MethodGet, "/burn")
+func (cl *Client) BurnWindows(ctx context.Context) ([]Reply[[]errorbudget.Window], error) {
+	return queryAll[[]errorbudget.Window](ctx, cl, http.MethodGet, "/burn")
 }
 
 // Prepare makes every instance fetch and check a pushed bundle, without putting it in force.
