--- a/internal/cancel/cancel.go
+++ b/internal/cancel/cancel.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/engine"
-	"github.com/silvermount/silvermount/internal/ring"
+	"github.com/silvermount/silvermount/internal/queue"
 )
 
 const (
@@ -32,11 +32,11 @@
 
 // Canceller queues cancel requests and sends them in Run.
 type Canceller struct {
-	queue *ring.Queue[Request]
+	queue *queue.Queue[Request]
 }
 
 // New returns a canceller with an empty queue. The caller must call Run to have requests sent.
-func New() *Canceller { return &Canceller{queue: ring.New[Request](queueSize)} }
+func New() *Canceller { return &Canceller{queue: queue.New[Request](queueSize)} }
 
 // Cancel queues a request without blocking. If the queue is full, the request is dropped and the attempt is left to the sweep.
 func (ca *Canceller) Cancel(req Request) { ca.queue.Offer(req) }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -11,7 +11,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"github.com/apex/log"
 
-	"github.com/silvermount/silvermount/internal/ring"
+	"github.com/silvermount/silvermount/internal/queue"
 )
 
 const (
@@ -38,7 +38,7 @@
 	// dropped counts the lines that were not written; never nil.
 	dropped *metrics.Counter
 	// queue holds formatted lines in the order in which they were offered.
-	queue *ring.Queue[*line]
+	queue *queue.Queue[*line]
 	// quotas limits the lines of each kind.
 	quotas *quotas
 	// maxNormalQueued is the queue length from which only urgent lines are accepted.
@@ -99,7 +99,7 @@
 	sk := &Sink{
 		now:     op.now,
 		dropped: op.set.GetOrCreateCounter(droppedCounterName),
-		queue:   ring.New[*line](op.capacity),
+		queue:   queue.New[*line](op.capacity),
 		quotas:  newQuotas(op.kindLimit, op.urgentLimit),
 
 		maxNormalQueued: op.capacity - op.capacity/urgentReserveDivisor,
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -17,7 +17,7 @@
 	"github.com/silvermount/silvermount/internal/bundle"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/peer/peerpb"
-	"github.com/silvermount/silvermount/internal/ring"
+	"github.com/silvermount/silvermount/internal/queue"
 )
 
 const (
@@ -40,7 +40,7 @@
 	up      atomic.Bool
 	// peer is set by the peer's first answer.
 	peer      atomic.Pointer[fleet.Instance]
-	sendQueue *ring.Queue[*peerpb.Frame]
+	sendQueue *queue.Queue[*peerpb.Frame]
 
 	mu sync.Mutex
 	// The pending channels wait for answers of the peer; grants and offers are keyed by the id of the request.
@@ -106,7 +106,7 @@
 		lk := ms.links[address]
 		if keep && lk == nil {
 			ctx, cancel := context.WithCancel(ctx)
-			lk = &link{ms: ms, address: address, cancel: cancel, sendQueue: ring.New[*peerpb.Frame](sendQueueSize), pendingGrants: map[uint64]chan bool{}, pendingOffers: map[uint64]chan *peerpb.ShortAnswer{}}
+			lk = &link{ms: ms, address: address, cancel: cancel, sendQueue: queue.New[*peerpb.Frame](sendQueueSize), pendingGrants: map[uint64]chan bool{}, pendingOffers: map[uint64]chan *peerpb.ShortAnswer{}}
 			ms.links[address] = lk
 			go lk.maintain(ctx)
 		}
--- a/internal/ring/ring.go
+++ b/internal/queue/queue.go
@@ -1,5 +1,5 @@
-// Package ring provides a bounded queue for passing items between goroutines.
-package ring
+// Package queue provides a bounded queue for passing items between goroutines.
+package queue
 
 import (
 	"context"
--- a/internal/ring/ring_test.go
+++ b/internal/queue/queue_test.go
@@ -1,4 +1,4 @@
-package ring
+package queue
 
 import (
 	"context"
