--- a/cmd/platform.go
+++ b/cmd/platform.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/ops"
+	"github.com/silvermount/silvermount/internal/operatorclient"
 )
 
 // platformOptions are the flags for access to the platform and to the operators' listeners of the instances.
@@ -13,4 +13,6 @@
 
 func (po *platformOptions) store() *objectstore.Client { return objectstore.New(po.Platform) }
 
-func (po *platformOptions) ops() *ops.Client { return ops.New(po.store(), po.Key) }
+func (po *platformOptions) ops() *operatorclient.Client {
+	return operatorclient.New(po.store(), po.Key)
+}
--- a/internal/ops/ops.go
+++ b/internal/operatorclient/operatorclient.go
@@ -1,5 +1,5 @@
-// Package ops provides a client that calls the operators' API of all instances.
-package ops
+// Package operatorclient provides a client that calls the operators' API of all instances.
+package operatorclient
 
 import (
 	"context"
