--- a/internal/demandmeter/demandmeter.go
+++ b/internal/ratemeter/ratemeter.go
@@ -1,5 +1,5 @@
-// Package demandmeter estimates the demand from short prompts, in prompt tokens per second.
-package demandmeter
+// Package ratemeter estimates the demand from short prompts, in prompt tokens per second.
+package ratemeter
 
 import (
 	"math"
--- a/internal/demandmeter/demandmeter_test.go
+++ b/internal/ratemeter/ratemeter_test.go
@@ -1,4 +1,4 @@
-package demandmeter
+package ratemeter
 
 import (
 	"testing"
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -12,13 +12,13 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/cockroachdb/errors"
 
-	"github.com/silvermount/silvermount/internal/demandmeter"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/memoryreservation"
 	"github.com/silvermount/silvermount/internal/offer"
 	"github.com/silvermount/silvermount/internal/policy"
 	"github.com/silvermount/silvermount/internal/policy/lanes"
+	"github.com/silvermount/silvermount/internal/ratemeter"
 )
 
 const (
@@ -128,7 +128,7 @@
 	opts     Options
 	sequence atomic.Uint64
 	// shortArrivals measures the rate of short prompts that arrive at this instance.
-	shortArrivals *demandmeter.Meter
+	shortArrivals *ratemeter.Meter
 
 	// decideMu is held from reading the candidates until the load of the decision is added, so that concurrent decisions of
 	// this instance see each other's load.
@@ -144,7 +144,7 @@
 	if o.Now == nil {
 		o.Now = time.Now
 	}
-	rt := &Router{fl: fl, opts: o, shortArrivals: demandmeter.New(initialShortRate, o.Now)}
+	rt := &Router{fl: fl, opts: o, shortArrivals: ratemeter.New(initialShortRate, o.Now)}
 	rt.sequence.Store(xxhash.Sum64String(fl.Self().Name))
 	return rt
 }
