--- a/internal/rollout/rollout.go
+++ b/internal/bundlestate/bundlestate.go
@@ -1,6 +1,6 @@
-// Package rollout tracks the bundle in force at one instance and the newest accepted version known. The version in force never
+// Package bundlestate tracks the bundle in force at one instance and the newest accepted version known. The version in force never
 // decreases.
-package rollout
+package bundlestate
 
 import (
 	"slices"
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -15,6 +15,7 @@
 	"github.com/go-chi/chi/v5"
 
 	"github.com/silvermount/silvermount/internal/budget"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/cancel"
 	"github.com/silvermount/silvermount/internal/claim"
 	"github.com/silvermount/silvermount/internal/engine"
@@ -23,7 +24,6 @@
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/inflight"
 	"github.com/silvermount/silvermount/internal/lifecycle"
-	"github.com/silvermount/silvermount/internal/rollout"
 	"github.com/silvermount/silvermount/internal/router"
 	"github.com/silvermount/silvermount/internal/ticket"
 )
@@ -50,7 +50,7 @@
 	Incarnation string
 	Fleet       *fleet.Fleet
 	Router      *router.Router
-	Bundles     *rollout.Holder
+	Bundles     *bundlestate.Holder
 	Retries     *budget.Retries
 	Bodies      *budget.Memory
 	Claims      *claim.Claimer
--- a/internal/callerapi/request.go
+++ b/internal/callerapi/request.go
@@ -11,13 +11,13 @@
 
 	"github.com/silvermount/silvermount/internal/body"
 	"github.com/silvermount/silvermount/internal/bundle"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/deadline"
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/failure"
 	"github.com/silvermount/silvermount/internal/ident"
 	"github.com/silvermount/silvermount/internal/lifecycle"
 	"github.com/silvermount/silvermount/internal/policy"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 // defaultOutputTokens is the assumed number of output tokens if a caller does not limit it.
@@ -29,7 +29,7 @@
 	path     string
 	org      bundle.Organisation
 	class    bundle.Class
-	inForce  *rollout.IndexedBundle
+	inForce  *bundlestate.IndexedBundle
 	arrived  time.Time
 	deadline deadline.Deadline
 	// atMostOnce is set if the request must not be sent again once it may have run.
--- a/internal/duty/bundles/bundles.go
+++ b/internal/duty/bundles/bundles.go
@@ -8,12 +8,12 @@
 
 	"github.com/apex/log"
 
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/bundlestore"
 	"github.com/silvermount/silvermount/internal/duty/discovery"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/peer"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 func init() {
@@ -27,7 +27,7 @@
 type syncer struct {
 	store  *bundlestore.Store
 	mesh   *peer.Mesh
-	holder *rollout.Holder
+	holder *bundlestate.Holder
 	log    log.Interface
 }
 
@@ -41,7 +41,7 @@
 	if sy.mesh, err = kernel.Resolve[*peer.Mesh](env); err != nil {
 		return nil, err
 	}
-	if sy.holder, err = kernel.Resolve[*rollout.Holder](env); err != nil {
+	if sy.holder, err = kernel.Resolve[*bundlestate.Holder](env); err != nil {
 		return nil, err
 	}
 	watch := kernel.Go(func(ctx context.Context) {
@@ -58,8 +58,8 @@
 
 func (sy *syncer) applyPointers(objects []objectstore.Object) {
 	for _, o := range objects {
-		var p rollout.Pointer
-		if o.Name == rollout.PointerName && json.Unmarshal(o.Value, &p) == nil {
+		var p bundlestate.Pointer
+		if o.Name == bundlestate.PointerName && json.Unmarshal(o.Value, &p) == nil {
 			sy.holder.ObserveAccepted(p.Version)
 		}
 	}
--- a/internal/duty/callers/callers.go
+++ b/internal/duty/callers/callers.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/budget"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/cancel"
 	"github.com/silvermount/silvermount/internal/claim"
@@ -28,7 +29,6 @@
 	"github.com/silvermount/silvermount/internal/policy"
 	_ "github.com/silvermount/silvermount/internal/policy/all" // the policies register themselves
 	"github.com/silvermount/silvermount/internal/policy/owners"
-	"github.com/silvermount/silvermount/internal/rollout"
 	"github.com/silvermount/silvermount/internal/router"
 	"github.com/silvermount/silvermount/internal/ticket"
 )
@@ -137,7 +137,7 @@
 	if d.Fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return d, err
 	}
-	if d.Bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
+	if d.Bundles, err = kernel.Resolve[*bundlestate.Holder](env); err != nil {
 		return d, err
 	}
 	if d.Burn, err = kernel.Resolve[*errorbudget.Recorder](env); err != nil {
--- a/internal/duty/discovery/discovery.go
+++ b/internal/duty/discovery/discovery.go
@@ -9,13 +9,13 @@
 
 	"github.com/apex/log"
 
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/duty/listen"
 	"github.com/silvermount/silvermount/internal/errorbudget"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 func init() {
@@ -54,7 +54,7 @@
 	}
 	fl := fleet.New(self, fleet.WithPeerTimeout(env.Settings.Peers.Lost.Std()))
 	kernel.Provide(env, fl)
-	kernel.Provide(env, rollout.New())
+	kernel.Provide(env, bundlestate.New())
 	kernel.Provide(env, errorbudget.New(time.Now))
 	lg := env.Logger("knowledge")
 	targets := kernel.Go(func(ctx context.Context) {
--- a/internal/duty/operators/operators.go
+++ b/internal/duty/operators/operators.go
@@ -13,6 +13,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/go-chi/chi/v5"
 
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/bundlestore"
 	"github.com/silvermount/silvermount/internal/callerapi"
 	"github.com/silvermount/silvermount/internal/config"
@@ -23,7 +24,6 @@
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/objectstore"
 	"github.com/silvermount/silvermount/internal/peer"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 func init() {
@@ -49,7 +49,7 @@
 type api struct {
 	env     *kernel.Env
 	fleet   *fleet.Fleet
-	bundles *rollout.Holder
+	bundles *bundlestate.Holder
 	burn    *errorbudget.Recorder
 	metrics *metrics.Set
 	mesh    *peer.Mesh
@@ -99,7 +99,7 @@
 	if ap.fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if ap.bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
+	if ap.bundles, err = kernel.Resolve[*bundlestate.Holder](env); err != nil {
 		return nil, err
 	}
 	if ap.burn, err = kernel.Resolve[*errorbudget.Recorder](env); err != nil {
--- a/internal/duty/orders/orders.go
+++ b/internal/duty/orders/orders.go
@@ -10,6 +10,7 @@
 	"github.com/apex/log"
 
 	"github.com/silvermount/silvermount/internal/boottime"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/duty/reports"
 	"github.com/silvermount/silvermount/internal/engine"
 	"github.com/silvermount/silvermount/internal/fleet"
@@ -17,7 +18,6 @@
 	"github.com/silvermount/silvermount/internal/lease"
 	"github.com/silvermount/silvermount/internal/modelplan"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 func init() {
@@ -39,7 +39,7 @@
 type coordinator struct {
 	lease   *lease.Lease
 	fleet   *fleet.Fleet
-	bundles *rollout.Holder
+	bundles *bundlestate.Holder
 	clients reports.Clients
 	log     log.Interface
 
@@ -58,7 +58,7 @@
 	if co.fleet, err = kernel.Resolve[*fleet.Fleet](env); err != nil {
 		return nil, err
 	}
-	if co.bundles, err = kernel.Resolve[*rollout.Holder](env); err != nil {
+	if co.bundles, err = kernel.Resolve[*bundlestate.Holder](env); err != nil {
 		return nil, err
 	}
 	if co.clients, err = kernel.Resolve[reports.Clients](env); err != nil {
--- a/internal/duty/peers/peers.go
+++ b/internal/duty/peers/peers.go
@@ -12,12 +12,12 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/admission"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/duty/listen"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/peer"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 func init() {
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	holder, err := kernel.Resolve[*rollout.Holder](env)
+	holder, err := kernel.Resolve[*bundlestate.Holder](env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/e2e/bundle_test.go
+++ b/internal/e2e/bundle_test.go
@@ -8,18 +8,18 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/silvermount/silvermount/internal/bundle"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/instance"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/localfleet"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/rollout"
 	"github.com/silvermount/silvermount/internal/signoff"
 )
 
 // bundleVersion returns a function that reads the bundle version in force at an instance; -1 if it has no bundle holder.
 func bundleVersion(in *instance.Instance) func() int64 {
-	holder, err := kernel.Resolve[*rollout.Holder](in.Env())
+	holder, err := kernel.Resolve[*bundlestate.Holder](in.Env())
 	if err != nil {
 		return func() int64 { return -1 }
 	}
@@ -60,7 +60,7 @@
 	resp := call(t, http.MethodGet, lf.URLs()[1]+"/v1/models", nil, "Authorization", "Bearer second-key")
 	g.Expect(resp.status).To(Equal(http.StatusOK))
 	// The store now returns an older pointer, as a lagging replica would. No instance may revert to it.
-	g.Expect(lf.Store.Put(objectstore.KindPointers, rollout.PointerName, rollout.Pointer{Version: 1})).To(Succeed())
+	g.Expect(lf.Store.Put(objectstore.KindPointers, bundlestate.PointerName, bundlestate.Pointer{Version: 1})).To(Succeed())
 	for _, in := range lf.Instances {
 		g.Consistently(bundleVersion(in), 300*time.Millisecond).Should(Equal(int64(2)))
 	}
--- a/internal/localfleet/localfleet.go
+++ b/internal/localfleet/localfleet.go
@@ -13,12 +13,12 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/bundle"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/config"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/instance"
 	"github.com/silvermount/silvermount/internal/kernel"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/rollout"
 	"github.com/silvermount/silvermount/internal/standin/enginesim"
 	"github.com/silvermount/silvermount/internal/standin/platformsim"
 	"github.com/silvermount/silvermount/internal/standin/servicesim"
@@ -206,7 +206,7 @@
 	if err := lf.Store.Put(objectstore.KindBundles, "1", b); err != nil {
 		return err
 	}
-	return lf.Store.Put(objectstore.KindPointers, rollout.PointerName, rollout.Pointer{Version: b.Version})
+	return lf.Store.Put(objectstore.KindPointers, bundlestate.PointerName, bundlestate.Pointer{Version: b.Version})
 }
 
 // Settings returns the settings of the i-th instance.
@@ -277,7 +277,7 @@
 		if err != nil {
 			return false
 		}
-		holder, err := kernel.Resolve[*rollout.Holder](in.Env())
+		holder, err := kernel.Resolve[*bundlestate.Holder](in.Env())
 		if err != nil || holder.Version() == 0 || len(fl.Targets()) != len(lf.Engines)+1 {
 			return false
 		}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -20,9 +20,9 @@
 
 	"github.com/silvermount/silvermount/internal/admission"
 	"github.com/silvermount/silvermount/internal/bundle"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/fleet"
 	"github.com/silvermount/silvermount/internal/peer/peerpb"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 const nonceBytes = 16
@@ -63,7 +63,7 @@
 // Mesh holds the links of this instance to its peers.
 type Mesh struct {
 	fl       *fleet.Fleet
-	bundles  *rollout.Holder
+	bundles  *bundlestate.Holder
 	grants   *admission.Ledger
 	opts     Options
 	stopping func() bool
@@ -82,7 +82,7 @@
 }
 
 // New returns a mesh. Serve accepts streams of peers, and Run opens the links to them.
-func New(fl *fleet.Fleet, bundles *rollout.Holder, grants *admission.Ledger, stopping func() bool, o Options) *Mesh {
+func New(fl *fleet.Fleet, bundles *bundlestate.Holder, grants *admission.Ledger, stopping func() bool, o Options) *Mesh {
 	if o.ZoneBlocked == nil {
 		o.ZoneBlocked = func(string) bool { return false }
 	}
--- a/internal/signoff/signoff.go
+++ b/internal/signoff/signoff.go
@@ -11,9 +11,9 @@
 	"github.com/cockroachdb/errors"
 
 	"github.com/silvermount/silvermount/internal/bundle"
+	"github.com/silvermount/silvermount/internal/bundlestate"
 	"github.com/silvermount/silvermount/internal/bundlestore"
 	"github.com/silvermount/silvermount/internal/objectstore"
-	"github.com/silvermount/silvermount/internal/rollout"
 )
 
 // retryInterval is the time between two attempts of a call with an unknown or failed result.
@@ -44,16 +44,16 @@
 
 // acceptedPointer returns the pointer to the accepted bundle and its object version in the store. Both are zero before the first bundle
 // is accepted.
-func (cl *Client) acceptedPointer(ctx context.Context) (rollout.Pointer, int64, error) {
-	o, err := cl.store.Get(ctx, objectstore.KindPointers, rollout.PointerName)
+func (cl *Client) acceptedPointer(ctx context.Context) (bundlestate.Pointer, int64, error) {
+	o, err := cl.store.Get(ctx, objectstore.KindPointers, bundlestate.PointerName)
 	var missing *objectstore.NotFoundError
 	if errors.As(err, &missing) {
-		return rollout.Pointer{}, 0, nil
+		return bundlestate.Pointer{}, 0, nil
 	}
 	if err != nil {
-		return rollout.Pointer{}, 0, errors.Wrap(err, "read pointer")
+		return bundlestate.Pointer{}, 0, errors.Wrap(err, "read pointer")
 	}
-	var p rollout.Pointer
+	var p bundlestate.Pointer
 	return p, o.Version, errors.Wrap(json.Unmarshal(o.Value, &p), "decode pointer")
 }
 
@@ -118,7 +118,7 @@
 	if err != nil {
 		return err
 	}
-	want := rollout.Pointer{Version: version, Digest: digest}
+	want := bundlestate.Pointer{Version: version, Digest: digest}
 	for {
 		accepted, objectVersion, err := cl.acceptedPointer(ctx)
 		if err != nil {
@@ -140,12 +140,12 @@
 }
 
 // writePointer creates the pointer if objectVersion is zero, and otherwise updates it if it still has that version.
-func (cl *Client) writePointer(ctx context.Context, objectVersion int64, p rollout.Pointer) error {
+func (cl *Client) writePointer(ctx context.Context, objectVersion int64, p bundlestate.Pointer) error {
 	if objectVersion == 0 {
-		_, err := cl.store.Create(ctx, objectstore.KindPointers, rollout.PointerName, p)
+		_, err := cl.store.Create(ctx, objectstore.KindPointers, bundlestate.PointerName, p)
 		return err
 	}
-	_, err := cl.store.Update(ctx, objectstore.KindPointers, rollout.PointerName, objectVersion, p)
+	_, err := cl.store.Update(ctx, objectstore.KindPointers, bundlestate.PointerName, objectVersion, p)
 	return err
 }
 
