--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -98,7 +98,7 @@
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
 		Protocol: co.Adapter.Protocol, Routes: co.Routes, Targets: co.Targets, Dispatcher: co.Dispatcher, Pool: co.Pool,
-		RetryBudget: rt, Blame: co.Blame, Feedback: co.Feedback, RateLimits: co.RateLimits, BackOffs: co.BackOffs,
+		RetryBudget: rt, Quarantine: co.Blame, Feedback: co.Feedback, RateLimits: co.RateLimits, BackOffs: co.BackOffs,
 		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: co.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
 	}, gatewayLimits(st))
--- a/internal/gateway/blame.go
+++ b/internal/gateway/blame.go
@@ -15,8 +15,8 @@
 // under a new id. A request under evidence is delayed until it is known which other requests the same crashes interrupted,
 // or until its next probe.
 func (gw *Gateway) checkQuarantine(ctx context.Context, rq *request) error {
-	for logged := false; gw.Blame.HasEvidence(rq.headHash()); logged = true {
-		dc := gw.Blame.Check(rq.fingerprint())
+	for logged := false; gw.Quarantine.HasEvidence(rq.headHash()); logged = true {
+		dc := gw.Quarantine.Check(rq.fingerprint())
 		switch {
 		case dc.Quarantined:
 			return gw.quarantinedError(rq, dc.Crashes)
@@ -48,10 +48,10 @@
 	if err := gw.recheckKey(rq); err != nil {
 		return err
 	}
-	if !gw.Blame.HasEvidence(rq.headHash()) {
+	if !gw.Quarantine.HasEvidence(rq.headHash()) {
 		return nil
 	}
-	if crashes, quarantined := gw.Blame.Quarantined(rq.fingerprint()); quarantined {
+	if crashes, quarantined := gw.Quarantine.Quarantined(rq.fingerprint()); quarantined {
 		return gw.quarantinedError(rq, crashes)
 	}
 	return nil
@@ -59,8 +59,8 @@
 
 // clearEvidence records that a request was answered completely, which shows that it does not crash its targets.
 func (gw *Gateway) clearEvidence(rq *request) {
-	if gw.Blame.HasEvidence(rq.headHash()) {
-		gw.Blame.RecordAnswered(rq.fingerprint())
+	if gw.Quarantine.HasEvidence(rq.headHash()) {
+		gw.Quarantine.RecordAnswered(rq.fingerprint())
 	}
 }
 
--- a/internal/gateway/blame_test.go
+++ b/internal/gateway/blame_test.go
@@ -40,13 +40,13 @@
 			h := memory.New()
 			gw := newGatewayWithoutTargets(tc.timeout)
 			gw.Log = &log.Logger{Handler: h}
-			gw.Blame = quarantine.New(quarantine.Options{
+			gw.Quarantine = quarantine.New(quarantine.Options{
 				Now: time.Now, TargetCount: func() int { return 12 }, Crashed: func(string) bool { return false }, NotifyPeers: func() {},
 				Metrics: metrics.NewSet(), Log: gw.Log,
 			})
 			fp := fingerprint.Of(fingerprint.Request{Method: http.MethodGet, Host: "example.com", RequestURI: "/a/"})
 			if tc.evidence {
-				addEvidence(gw.Blame, fp)
+				addEvidence(gw.Quarantine, fp)
 			}
 			startedAt := time.Now()
 			rec := httptest.NewRecorder()
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -55,7 +55,7 @@
 	if !rq.headAt.IsZero() {
 		startedAt = rq.headAt
 	}
-	gw.Blame.RecordInterrupted(quarantine.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(startedAt), At: now})
+	gw.Quarantine.RecordInterrupted(quarantine.InterruptedRun{Request: rq.fingerprint(), Incarnation: tg.ID, Elapsed: now.Sub(startedAt), At: now})
 	var se *SilentTargetError
 	if !errors.As(cause, &se) {
 		gw.probeForCrash(tg)
@@ -75,7 +75,7 @@
 			time.Sleep(delay - gw.Now().Sub(startedAt))
 			if gw.refusesConnections(tg) {
 				gw.logCrashed(tg, "connection refused", gw.Now().Sub(startedAt))
-				gw.Blame.RecordCrash(tg.ID)
+				gw.Quarantine.RecordCrash(tg.ID)
 				return
 			}
 		}
@@ -90,7 +90,7 @@
 // recordCrashIfRefused records the crash of a target that refused a connection and was not leaving.
 func (gw *Gateway) recordCrashIfRefused(tg targets.Target, err error) {
 	if isConnectionRefused(err) && gw.Targets.TakesWork(tg.ID) {
-		gw.Blame.RecordCrash(tg.ID)
+		gw.Quarantine.RecordCrash(tg.ID)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,7 +33,7 @@
 	Dispatcher  *dispatch.Dispatcher
 	Pool        *upstream.Pool
 	RetryBudget *budget.Retries
-	Blame       *quarantine.Tracker
+	Quarantine  *quarantine.Tracker
 	// Feedback processes the head of each response from a target. RateLimits and BackOffs hold the state that it derives.
 	Feedback   *feedback.Recorder
 	RateLimits *ratelimit.Tracker
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -29,7 +29,7 @@
 	case responsehead.Shed:
 		return gw.handleShed(rq, sl, rs)
 	case responsehead.Misdirected:
-		gw.Blame.RecordCrash(sl.Target.ID)
+		gw.Quarantine.RecordCrash(sl.Target.ID)
 		gw.Targets.MarkLeaving(sl.Target.ID)
 		gw.logTargetState(sl.Target, "gone", "its address now belongs to another incarnation")
 		gw.logSkipped(rq, sl.Target, "its address now belongs to another incarnation")
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -92,7 +92,7 @@
 	gw := newGateway(hd, discard.New())
 	gw.SetLimits(gateway.Limits{MaxBodyBytes: 100})
 	gw.Dispatcher = dispatch.New(targets.New(time.Now), &reservation.Manager{}, dispatch.Options{Now: time.Now})
-	gw.Blame = quarantine.New(quarantine.Options{Now: time.Now, Metrics: metrics.NewSet()})
+	gw.Quarantine = quarantine.New(quarantine.Options{Now: time.Now, Metrics: metrics.NewSet()})
 	gw.RetryBudget = budget.NewRetries(1, time.Now)
 	gw.Random = func() float64 { return 0 }
 	return gw
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -82,7 +82,7 @@
 
 // forwardStream forwards the events of a response as they are received.
 func (gw *Gateway) forwardStream(ctx context.Context, rq *request, rw *responseWriter, sl *dispatch.Slot, rs *upstream.Response) error {
-	ar := gw.Blame.BeginRun(rq.headHash(), rq.fingerprint)
+	ar := gw.Quarantine.BeginRun(rq.headHash(), rq.fingerprint)
 	defer ar.End()
 	br := bufio.NewReader(rs.Body)
 	stallTimeout := max(minStallTimeout, stallPauseFactor*rq.route.MaxPause)
