--- a/internal/duty/frontend/frontend.go
+++ b/internal/duty/frontend/frontend.go
@@ -98,7 +98,7 @@
 	st := env.Settings.Gateway
 	gw := gateway.New(gateway.Deps{
 		Protocol: co.Adapter.Protocol, Routes: co.Routes, Targets: co.Targets, Dispatcher: co.Dispatcher, Pool: co.Pool,
-		RetryBudget: rt, Quarantine: co.Blame, Feedback: co.Feedback, RateLimits: co.RateLimits, BackOffs: co.BackOffs,
+		RetryBudget: rt, Quarantine: co.Quarantine, Feedback: co.Feedback, RateLimits: co.RateLimits, BackOffs: co.BackOffs,
 		BodyMemory: budget.NewMemory(st.BodyBudgetBytes), Metrics: co.Metrics, Log: env.Logger("gateway"),
 		Random: rand.Float64, Now: time.Now, Stopping: env.Stopping.Load,
 	}, gatewayLimits(st))
@@ -167,7 +167,7 @@
 		co.Metrics.WritePrometheus(w)
 		metrics.WriteProcessMetrics(w)
 	})
-	qa := quarantineAPI{tracker: co.Blame}
+	qa := quarantineAPI{tracker: co.Quarantine}
 	rt.Get("/judgements", qa.list)
 	rt.Delete("/judgements/{fingerprint}", qa.lift)
 	return rt
--- a/internal/duty/gatewaydeps/gatewaydeps.go
+++ b/internal/duty/gatewaydeps/gatewaydeps.go
@@ -44,7 +44,7 @@
 	// StateNotifier is notified when the state that this instance publishes to its peers changes.
 	StateNotifier    *Notifier
 	StoreCoordinator *StoreCoordinator
-	Blame            *quarantine.Tracker
+	Quarantine       *quarantine.Tracker
 	// NotesNotifier is notified when peers need to learn of a change in the requests that crash targets, or in rate limits.
 	NotesNotifier *Notifier
 	// RateLimits holds the estimated rate limits of targets, and Permits obtains the permits that requests to such targets need.
@@ -130,7 +130,7 @@
 		Now: time.Now, TargetCount: dr.Len, Crashed: dr.Lost, NotifyPeers: notesNotifier.Notify, Metrics: ms, Log: env.Logger("blame"),
 	})
 	kernel.Provide(env, &Components{
-		Blame: tracker, NotesNotifier: notesNotifier, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
+		Quarantine: tracker, NotesNotifier: notesNotifier, RateLimits: limits, Permits: permits, BackOffs: backOffs, Feedback: fb,
 		Adapter: ad, Routes: &routes.Holder{}, Targets: dr, Dispatcher: ds, Metrics: ms, StateNotifier: stateNotifier, StoreCoordinator: &StoreCoordinator{}, Pool: pl,
 	})
 	return func(ctx context.Context) error {
--- a/internal/duty/peersync/peersync.go
+++ b/internal/duty/peersync/peersync.go
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	du := newDuty()
-	du.ad, du.rts, du.dr, du.ds, du.sc, du.tr = co.Adapter, co.Routes, co.Targets, co.Dispatcher, co.StoreCoordinator, co.Blame
+	du.ad, du.rts, du.dr, du.ds, du.sc, du.tr = co.Adapter, co.Routes, co.Targets, co.Dispatcher, co.StoreCoordinator, co.Quarantine
 	du.rateLimits = co.RateLimits
 	du.lg = env.Logger("peers")
 	var lc net.ListenConfig
