--- a/internal/duty/frontend/quarantines.go
+++ b/internal/duty/frontend/quarantines.go
@@ -14,7 +14,7 @@
 // quarantineAPI lets operators list and lift quarantines, under which requests are refused because targets crash when they run them.
 type quarantineAPI struct{ tracker *quarantine.Tracker }
 
-// quarantine is a quarantine in the operators' list.
+// quarantineRecord is a quarantine in the operators' list.
 type quarantineRecord struct {
 	Fingerprint string `json:"fingerprint"`
 	// Crashes is the number of targets that had crashed under the request when it was quarantined.
