--- a/spec/bundle.pml
+++ b/spec/bundle.pml
@@ -1,5 +1,5 @@
 /* Two operators concurrently accept a bundle. Instances learn of the accepted version from watches of the store, which may be
- * stale, and from each other. They restart, and one of them cannot reach the store for a while. This models rollout.Holder, the
+ * stale, and from each other. They restart, and one of them cannot reach the store for a while. This models bundlestate.Holder, the
  * bundles duty and heartbeats.
  * Properties: each version is accepted once; no instance returns to an older version within one run, or goes below a version that
  * a peer told it of; a ready instance always has a bundle; all reachable instances eventually have the newest version. */
--- a/spec/room.pml
+++ b/spec/room.pml
@@ -1,4 +1,4 @@
-/* Two prompts, each too large for one engine, reserve memory on two of three engines, all or nothing. This models room.Reserver.
+/* Two prompts, each too large for one engine, reserve memory on two of three engines, all or nothing. This models memoryreservation.Reserver.
  * Properties: no engine reserves more memory than it has; both prompts finish; no reservation is left over. */
 #define ENGINES 3
 #define ENGINES_PER_PROMPT 2
