--- a/internal/duty/frontend/metrics_test.go
+++ b/internal/duty/frontend/metrics_test.go
@@ -28,7 +28,7 @@
 
 // rootPackages are the packages that import, directly or indirectly, all code that a gateway runs.
 var rootPackages = []string{
-	"internal/duty/facts", "internal/duty/forwarding", "internal/duty/frontend", "internal/duty/members", "internal/eventlog",
+	"internal/duty/frontend", "internal/duty/gatewaydeps", "internal/duty/peersync", "internal/duty/storesync", "internal/eventlog",
 	"internal/kernel", "platform",
 }
 
